--- a/cmd/fleetlab/demo.go
+++ b/cmd/fleetlab/demo.go
@@ -45,7 +45,7 @@
 	defer pool.Close()
 	traffic := standin.Traffic{Classes: standin.DefaultClasses(), Gateways: demoGateways, Skew: 0.5, Groups: 10, Zipf: 0.7, Estimate: 0.5, Seed: 1}
 	traffic.Rate = traffic.RateFor(demoLoad, demoCores*demoEngines)
-	f, err := rig.New(rig.Options{Gateways: demoGateways, Seed: 1, Dir: dir, Command: []string{program}, Engines: pool.Roster(),
+	f, err := rig.New(rig.Options{Gateways: demoGateways, Seed: 1, Dir: dir, Command: []string{program}, Engines: pool.EngineList(),
 		Operator: "\n[spread]\n", Settings: func(n, self int) string { return standin.Settings(traffic.Classes, n, self, demoCores) }})
 	if err != nil {
 		return err
@@ -55,7 +55,7 @@
 			err = closing
 		}
 	}()
-	pool.Follow(f.Bulletin)
+	pool.PublishTo(f.Discovery)
 	if err := f.StartAll(); err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 		fmt.Printf("%4.0f s: an engine is killed\n", (clock() - sent).Seconds())
 		pool.Kill(pool.Engines()[0])
 		time.Sleep(time.Second) // as a list of engines is told late
-		pool.Tell()
+		pool.Publish()
 	})
 	defer gone.Stop()
 	dead := time.AfterFunc(2*third, func() {
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -44,7 +44,7 @@
 func TestChartOfViews(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "views.svg")
 	began := time.Now()
-	told := []rig.Told{{At: began.Add(time.Second), Viewer: 0, Member: 1, Is: "dead"}, {At: began.Add(2 * time.Second), Viewer: 0, Member: 1, Is: "alive"}}
+	told := []rig.StateChange{{At: began.Add(time.Second), Viewer: 0, Member: 1, Is: "dead"}, {At: began.Add(2 * time.Second), Viewer: 0, Member: 1, Is: "alive"}}
 	if err := chartViews(path, 3, began, told); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fleetlab/rollout.go
+++ b/cmd/fleetlab/rollout.go
@@ -164,7 +164,7 @@
 	}
 	r.took = time.Since(began)
 	order := change.Checked.Plan.Order(c.Gateways)
-	for _, o := range change.Hush() {
+	for _, o := range change.StopClients() {
 		r.ends[o.Verdict]++
 		r.all++
 		r.twice += o.Twice
--- a/cmd/fleetlab/run.go
+++ b/cmd/fleetlab/run.go
@@ -71,7 +71,7 @@
 	if longest, _ := f.Relay.Longest(); longest > 256 {
 		return fmt.Errorf("a datagram of %d bytes", longest)
 	}
-	told, _ := f.Told(0)
+	told, _ := f.StateChanges(0)
 	t := resultTable(results)
 	fmt.Print(t.markdown())
 	return t.write(filepath.Join(c.Out, name), func(path string) error {
--- a/cmd/fleetlab/spread.go
+++ b/cmd/fleetlab/spread.go
@@ -131,7 +131,7 @@
 		return out, err
 	}
 	defer pool.Close()
-	f, err := rig.New(rig.Options{Gateways: c.Gateways, Seed: c.Seed, Dir: logs, Command: []string{path}, Engines: pool.Roster(),
+	f, err := rig.New(rig.Options{Gateways: c.Gateways, Seed: c.Seed, Dir: logs, Command: []string{path}, Engines: pool.EngineList(),
 		Link: rig.Network{DelayMS: [2]int64{1, 38}}.Link(), Operator: "\n[spread]\n", Bare: slices.Contains(c.Bare, name),
 		Settings: func(n, self int) string { return standin.Settings(traffic.Classes, n, self, c.Cores) }})
 	if err != nil {
@@ -142,7 +142,7 @@
 			err = closing
 		}
 	}()
-	pool.Follow(f.Bulletin)
+	pool.PublishTo(f.Discovery)
 	if err := f.StartAll(); err != nil {
 		return out, err
 	}
@@ -181,7 +181,7 @@
 				if err := pool.Replace(e); err != nil {
 					note("replacement: %v", err)
 				}
-				pool.Tell()
+				pool.Publish()
 			})
 		}
 	case "reports":
--- a/cmd/frostpier/cold_test.go
+++ b/cmd/frostpier/cold_test.go
@@ -55,7 +55,7 @@
 				for _, e := range s.pool.Engines()[:spreadEngines/2] {
 					s.try(s.pool.Replace(e))
 				}
-				s.pool.Tell()
+				s.pool.Publish()
 			})
 			cold := 0
 			for _, e := range s.pool.Engines() {
--- a/cmd/frostpier/crossings_test.go
+++ b/cmd/frostpier/crossings_test.go
@@ -113,11 +113,11 @@
 		idle = append(idle, dialRPC(t, n).pinged())
 	}
 	waitFor(t, "those that make room", func() bool { return strings.Contains(n.log.String(), "others came") })
-	n.feed.tell(inService("e1", e.addr()))
-	n.conf["bulletin"] = n.feed.ln.Addr().String()
+	n.discovery.publish(inService("e1", e.addr()))
+	n.conf["bulletin"] = n.discovery.ln.Addr().String()
 	n.writeConf()
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the list's client", func() bool { return n.feed.connected() == 1 })
+	waitFor(t, "the list's client", func() bool { return n.discovery.connected() == 1 })
 	c := dialRPC(t, n)
 	c.ask(2, "lookup", "x", 3000, "")
 	c.served(2, "a\tb\tc\n")
@@ -164,11 +164,11 @@
 	silent := standIn(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
 	const sockets = 128
 	for name, c := range map[string]struct {
-		bulletin string
-		crowd    int
+		discovery string
+		crowd     int
 	}{"down": {"127.0.0.1:1", 0}, "silent": {silent.Addr().String(), 0}, "a crowd, and down": {"127.0.0.1:1", sockets / 2}} {
 		n := startNodeWith(t, "", func(conf map[string]any) {
-			conf["bulletin"] = c.bulletin
+			conf["bulletin"] = c.discovery
 			conf["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
 		}, inService("e1", e.addr()))
 		for round := range 3 {
--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -53,7 +53,7 @@
 	out := &testFleet{Fleet: f, t: t}
 	out.must(f.StartAll())
 	out.agree("at the start", tellMost)
-	_, out.mark = f.Told(0) // on a slow machine some started late, which is told rightly
+	_, out.mark = f.StateChanges(0) // on a slow machine some started late, which is told rightly
 	return out
 }
 
@@ -74,7 +74,7 @@
 
 // deaths are the members told dead since the last call, by how many gateways each.
 func (f *testFleet) deaths() map[int]int {
-	told, mark := f.Told(f.mark)
+	told, mark := f.StateChanges(f.mark)
 	f.mark = mark
 	out := map[int]int{}
 	for _, t := range told {
@@ -190,15 +190,15 @@
 func TestFleetCuts(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 4)
-	f.Relay.Deaf(2, true)
-	f.holds("deaf", 2, "dead")
+	f.Relay.DropInbound(2, true)
+	f.holds("inbound dropped", 2, "dead")
 	f.Relay.Heal()
-	f.agree("deaf no more", healMost)
-	f.Relay.Mute(9, true)
-	f.holds("mute", 9, "dead")
+	f.agree("inbound restored", healMost)
+	f.Relay.DropOutbound(9, true)
+	f.holds("outbound dropped", 9, "dead")
 	f.Relay.Heal()
-	f.agree("mute no more", healMost)
-	told, mark := f.Told(f.mark)
+	f.agree("outbound restored", healMost)
+	told, mark := f.StateChanges(f.mark)
 	f.mark = mark
 	for _, d := range told { // what the two themselves held of those whom they could not reach is no fault
 		if d.Is == "dead" && d.Member != 2 && d.Member != 9 && d.Viewer != 2 && d.Viewer != 9 {
--- a/cmd/frostpier/mysql_test.go
+++ b/cmd/frostpier/mysql_test.go
@@ -326,7 +326,7 @@
 	id := c.prepare("SELECT c FROM sales_17.t WHERE c = ?")
 	c.execute(id, bound+"\x03abc")
 	c.wantRows()
-	n.feed.tell(listed{"A", "127.0.0.1:1", "z", "m", "terminating"}, inService("B", "127.0.0.1:1"))
+	n.discovery.publish(listed{"A", "127.0.0.1:1", "z", "m", "terminating"}, inService("B", "127.0.0.1:1"))
 	told := time.Now()
 	var lastAtA time.Time
 	waitFor(t, "an execute at B", func() bool {
--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -121,7 +121,7 @@
 }
 
 // A refusal comes with the time to come back, at most what the settings allow.
-func TestPlatformRefusalSaysWhenToComeBack(t *testing.T) {
+func TestPlatformRefusalCarriesRetryTime(t *testing.T) {
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
 	c.ask(1, "lookup", "full", 1000, "")
@@ -202,53 +202,53 @@
 	}
 }
 
-// A line of the bulletin that cannot be used is logged and asked for again behind the last event.
-func TestBulletinIsAskedAgain(t *testing.T) {
+// A discovery event that cannot be used is logged and requested again after the last good event.
+func TestDiscoveryWatchReconnects(t *testing.T) {
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", "127.0.0.1:1"))
-	waitFor(t, "the bulletin's client", func() bool { return n.feed.connected() == 1 })
-	n.feed.tell(listed{"e1", "127.0.0.1:1", "z", "m", "terminated"})
-	n.feed.raw("{nonsense")
-	waitFor(t, "its return", func() bool { return n.feed.connected() == 2 })
-	if n.feed.asked[1] != "after 2" {
-		t.Fatalf("asked %q", n.feed.asked[1])
+	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
+	n.discovery.publish(listed{"e1", "127.0.0.1:1", "z", "m", "terminated"})
+	n.discovery.raw("{nonsense")
+	waitFor(t, "its return", func() bool { return n.discovery.connected() == 2 })
+	if n.discovery.asked[1] != "after 2" {
+		t.Fatalf("asked %q", n.discovery.asked[1])
 	}
-	n.feed.tell(inService("e2", e.addr()))
+	n.discovery.publish(inService("e2", e.addr()))
 	c := dialRPC(t, n)
 	c.ask(1, "lookup", "x", 3000, "")
 	c.served(1, "a\tb\tc\n")
 }
 
-// Guards against SIGHUP ending the program, as it does where nobody handles it, and against a feed left behind: the
-// program reads the configuration again, follows the bulletin that it names now from the last event on, and goes on
+// Guards against SIGHUP ending the program, as it does where nobody handles it, and against a watch left behind: the
+// program reads the configuration again, watches the discovery server that it names now from the last event on, and goes on
 // serving. A file that cannot be read changes nothing.
-func TestReloadFollowsTheNewBulletin(t *testing.T) {
+func TestReloadWatchesTheNewDiscoveryServer(t *testing.T) {
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", "127.0.0.1:1"))
-	waitFor(t, "the bulletin's client", func() bool { return n.feed.connected() == 1 })
+	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
 	c := dialRPC(t, n)
-	old := n.feed
-	n.feed.tell(listed{"e1", "127.0.0.1:1", "z", "m", "terminated"})
+	old := n.discovery
+	n.discovery.publish(listed{"e1", "127.0.0.1:1", "z", "m", "terminated"})
 	if err := os.WriteFile(n.file, []byte(`{"bulletin":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	n.cmd.Process.Signal(syscall.SIGHUP)
 	n.waitLog("the old one stays")
 
-	next := newFeed(t, inService("e1", "127.0.0.1:1"))
+	next := newDiscoveryServer(t, inService("e1", "127.0.0.1:1"))
 	next.events = append(next.events, event(2, []listed{{"e1", "127.0.0.1:1", "z", "m", "terminated"}}))
 	n.conf["bulletin"] = next.ln.Addr().String()
 	n.writeConf()
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the new bulletin's client", func() bool { return next.connected() == 1 })
+	waitFor(t, "the new discovery watch", func() bool { return next.connected() == 1 })
 	if next.asked[0] != "after 2" {
 		t.Fatalf("asked %q", next.asked[0])
 	}
-	next.tell(inService("e2", e.addr()))
+	next.publish(inService("e2", e.addr()))
 	c.ask(1, "lookup", "x", 3000, "")
 	c.served(1, "a\tb\tc\n")
 	if _, err := old.conns[0].Read(make([]byte, 1)); err != io.EOF {
-		t.Fatalf("the old bulletin's connection: %v", err)
+		t.Fatalf("the old discovery connection: %v", err)
 	}
 }
 
--- a/cmd/frostpier/program_test.go
+++ b/cmd/frostpier/program_test.go
@@ -50,13 +50,13 @@
 
 // node is the program, started by a test.
 type node struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	listen string
-	log    *lines
-	feed   *feed
-	file   string         // the configuration
-	conf   map[string]any // and what it holds
+	t         *testing.T
+	cmd       *exec.Cmd
+	listen    string
+	log       *lines
+	discovery *discoveryServer
+	file      string         // the configuration
+	conf      map[string]any // and what it holds
 
 	operator string // the operator's file, if there is one
 }
@@ -108,13 +108,13 @@
 // startNodeWith starts it with a configuration that a test has changed.
 func startNodeWith(t *testing.T, operator string, change func(conf map[string]any), engines ...listed) *node {
 	t.Helper()
-	n := &node{t: t, listen: freePort(t), log: &lines{}, feed: newFeed(t, engines...)}
+	n := &node{t: t, listen: freePort(t), log: &lines{}, discovery: newDiscoveryServer(t, engines...)}
 	dir := t.TempDir()
 	n.file = filepath.Join(dir, "config.json")
 	n.conf = map[string]any{"name": "n0", "listen": n.listen, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"bulletin": n.feed.ln.Addr().String(), "settings": json.RawMessage(testSettings),
-		"known": map[string]any{"no": 1, "items": []any{n.feed.events[0]}}}
+		"bulletin": n.discovery.ln.Addr().String(), "settings": json.RawMessage(testSettings),
+		"known": map[string]any{"no": 1, "items": []any{n.discovery.events[0]}}}
 	change(n.conf)
 	n.writeConf()
 	if operator != "" {
@@ -184,7 +184,7 @@
 	}
 }
 
-// listed is an engine as the bulletin tells of it.
+// listed is an entry of the engine list.
 type listed struct {
 	Name  string `json:"instanceId"`
 	Addr  string `json:"hostPort"`
@@ -195,8 +195,8 @@
 
 func inService(name, addr string) listed { return listed{name, addr, "z", "m", "in_service"} }
 
-// feed is a bulletin.
-type feed struct {
+// discoveryServer is a stand-in for the platform's discovery server.
+type discoveryServer struct {
 	ln     net.Listener
 	mu     sync.Mutex
 	events []map[string]any
@@ -204,9 +204,9 @@
 	asked  []string
 }
 
-func newFeed(t *testing.T, engines ...listed) *feed {
+func newDiscoveryServer(t *testing.T, engines ...listed) *discoveryServer {
 	t.Helper()
-	f := &feed{events: []map[string]any{event(1, engines)}}
+	f := &discoveryServer{events: []map[string]any{event(1, engines)}}
 	f.ln = standIn(t, f.serve)
 	return f
 }
@@ -235,7 +235,7 @@
 	return map[string]any{"no": no, "roster": map[string]any{"generation": no, "reset": false, "instances": engines}}
 }
 
-func (f *feed) serve(nc net.Conn) {
+func (f *discoveryServer) serve(nc net.Conn) {
 	line, err := bufio.NewReader(nc).ReadString('\n')
 	if err != nil {
 		return
@@ -251,13 +251,13 @@
 	f.conns = append(f.conns, nc)
 }
 
-func (f *feed) write(w io.Writer, e any) {
+func (f *discoveryServer) write(w io.Writer, e any) {
 	b, _ := json.Marshal(e)
 	w.Write(append(b, '\n'))
 }
 
-// tell records an event and tells it to all that are connected.
-func (f *feed) tell(engines ...listed) {
+// publish records an event and tells it to all that are connected.
+func (f *discoveryServer) publish(engines ...listed) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := event(len(f.events)+1, engines)
@@ -268,7 +268,7 @@
 }
 
 // raw writes a line as it is to all that are connected.
-func (f *feed) raw(line string) {
+func (f *discoveryServer) raw(line string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, nc := range f.conns {
@@ -276,7 +276,7 @@
 	}
 }
 
-func (f *feed) connected() int {
+func (f *discoveryServer) connected() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.asked)
--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -33,9 +33,9 @@
 		Up      upCommand      `cmd:"" help:"Start the gateways that do not run, on the plan's old version."`
 		Start   startCommand   `cmd:"" help:"Carry a change to its end, or take one up that was begun with the same plan."`
 		Status  statusCommand  `cmd:"" help:"Show where the last change stands."`
-		Pause   wordCommand    `cmd:"" help:"Have nothing go on but what is under way."`
-		Resume  wordCommand    `cmd:"" help:"Go on after a pause, or where too little was known."`
-		Abort   wordCommand    `cmd:"" help:"Take the change back."`
+		Pause   controlCommand `cmd:"" help:"Have nothing go on but what is under way."`
+		Resume  controlCommand `cmd:"" help:"Go on after a pause, or where too little was known."`
+		Abort   controlCommand `cmd:"" help:"Take the change back."`
 		History historyCommand `cmd:"" help:"Show what happened, from the journal."`
 	} `cmd:"" help:"Change the program or the settings of a fleet in stages."`
 }
@@ -77,7 +77,7 @@
 
 type statusCommand struct{ stateFlags }
 
-type wordCommand struct{ stateFlags }
+type controlCommand struct{ stateFlags }
 
 type historyCommand struct {
 	stateFlags
@@ -213,9 +213,9 @@
 	return c.show(s)
 }
 
-// Run passes a word on: the command's own name.
-func (c *wordCommand) Run(command string) error {
-	s, err := controller.Tell(c.State, command[len("rollout "):])
+// Run sends a command: the subcommand's own name.
+func (c *controlCommand) Run(command string) error {
+	s, err := controller.SendCommand(c.State, command[len("rollout "):])
 	if errors.Is(err, controller.ErrNone) {
 		return exit{exitBusy, err}
 	}
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -77,7 +77,7 @@
 func answered(t *testing.T, c *rig.Change, killed bool) map[standin.Verdict]int {
 	t.Helper()
 	ends := map[standin.Verdict]int{}
-	for _, o := range c.Hush() {
+	for _, o := range c.StopClients() {
 		ends[o.Verdict]++
 		if o.Twice > 0 {
 			t.Errorf("a request was answered %d times more", o.Twice)
@@ -182,7 +182,7 @@
 			t.Fatal("a second controller was not refused")
 		case <-time.After(100 * time.Millisecond):
 		}
-		if _, err := controller.Tell(c.State, "status"); err != nil {
+		if _, err := controller.SendCommand(c.State, "status"); err != nil {
 			continue // the first has not opened its journal yet
 		}
 		other, err := c.Start(command, env)
--- a/cmd/frostpier/spread_test.go
+++ b/cmd/frostpier/spread_test.go
@@ -51,10 +51,10 @@
 	s := &spreadFleet{pool: pool, lasts: spreadFor, traffic: standin.Traffic{Classes: standin.DefaultClasses(), Gateways: opt.Gateways, Skew: 1,
 		Groups: 20, Zipf: 0.7, Estimate: 0.5, Seed: seed}}
 	s.traffic.Rate = s.traffic.RateFor(load, spreadCores*spreadEngines)
-	opt.Seed, opt.Engines = seed, pool.Roster()
+	opt.Seed, opt.Engines = seed, pool.EngineList()
 	opt.Settings = func(n, self int) string { return standin.Settings(s.traffic.Classes, n, self, spreadCores) }
 	s.testFleet = startOptions(t, opt)
-	pool.Follow(s.Bulletin)
+	pool.PublishTo(s.Discovery)
 	s.clients = standin.NewClients(s.Clients(), s.traffic.Classes, seed, clock)
 	t.Cleanup(s.clients.Close)
 	return s
@@ -137,7 +137,7 @@
 			if err := s.pool.Replace(e); err != nil {
 				t.Error(err)
 			}
-			s.pool.Tell()
+			s.pool.Publish()
 			time.Sleep(time.Second)
 		}
 	})
--- a/internal/controller/checks.go
+++ b/internal/controller/checks.go
@@ -116,11 +116,11 @@
 			conn.Close()
 			conn = nil
 		}
-		k.tell(ctx, i, n, result)
+		k.report(ctx, i, n, result)
 	}
 }
 
-func (k *checker) tell(ctx context.Context, i, n int, c rollout.Checked) {
+func (k *checker) report(ctx context.Context, i, n int, c rollout.Checked) {
 	select {
 	case k.found <- checkedAt{i, k.classes[n], c}:
 	case <-ctx.Done():
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -22,10 +22,10 @@
 // ErrNone says that no controller runs.
 var ErrNone = errors.New("no controller runs")
 
-// ask is an operator's word on its way to the loop.
-type ask struct {
-	word   string
-	answer chan Status
+// controlRequest is an operator's command on its way to the loop.
+type controlRequest struct {
+	command string
+	reply   chan Status
 }
 
 // Status is where a change stands.
@@ -56,7 +56,7 @@
 	return ln, nil
 }
 
-// serveControl takes words, one a connection.
+// serveControl accepts commands, one a connection.
 func (k *Controller) serveControl() {
 	for {
 		nc, err := k.control.Accept()
@@ -66,26 +66,26 @@
 		go func() {
 			defer nc.Close()
 			nc.SetDeadline(time.Now().Add(controlWait))
-			word, err := bufio.NewReaderSize(nc, 64).ReadSlice('\n')
+			command, err := bufio.NewReaderSize(nc, 64).ReadSlice('\n')
 			if err != nil {
 				return
 			}
-			a := ask{strings.TrimSpace(string(word)), make(chan Status, 1)}
+			a := controlRequest{strings.TrimSpace(string(command)), make(chan Status, 1)}
 			select {
-			case k.asks <- a:
+			case k.requests <- a:
 			case <-k.quit:
 				return
 			}
-			json.NewEncoder(nc).Encode(<-a.answer)
+			json.NewEncoder(nc).Encode(<-a.reply)
 		}()
 	}
 }
 
-// heed does what an operator says; it runs on the loop.
-func (k *Controller) heed(word string) Status {
+// handleCommand does what an operator says; it runs on the loop.
+func (k *Controller) handleCommand(command string) Status {
 	var err error
 	var history []Line
-	switch word {
+	switch command {
 	case "status":
 	case "history":
 		var c Change
@@ -99,7 +99,7 @@
 	case "abort":
 		err = k.machine.Abort(now())
 	default:
-		err = fmt.Errorf("%q is no word", word)
+		err = fmt.Errorf("unknown command %q", command)
 	}
 	s := statusOf(k.checked.Plan.Name, k.machine.State())
 	s.Running, s.Opinion, s.History = true, k.machine.Opinion(), history
@@ -117,8 +117,8 @@
 	return Status{Name: name, State: s, On: on}
 }
 
-// Tell passes an operator's word to the controller that runs: status, pause, resume or abort.
-func Tell(dir, word string) (s Status, err error) {
+// SendCommand sends a command to the running controller: status, pause, resume or abort.
+func SendCommand(dir, command string) (s Status, err error) {
 	addr, err := os.ReadFile(filepath.Join(dir, controlName))
 	if errors.Is(err, os.ErrNotExist) {
 		return s, ErrNone
@@ -132,7 +132,7 @@
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(controlWait))
-	if _, err := fmt.Fprintln(nc, word); err != nil {
+	if _, err := fmt.Fprintln(nc, command); err != nil {
 		return s, fmt.Errorf("control: %w", err)
 	}
 	if err := json.NewDecoder(nc).Decode(&s); err != nil {
@@ -146,7 +146,7 @@
 
 // Last reads where the last change stands from the controller that runs, else from the journal.
 func Last(dir string) (Status, error) {
-	s, err := Tell(dir, "status")
+	s, err := SendCommand(dir, "status")
 	if !errors.Is(err, ErrNone) {
 		return s, err
 	}
@@ -159,7 +159,7 @@
 
 // History is what happened in a change, the last one for "": from the controller that carries it, else from the journal.
 func History(dir, name string) ([]Line, error) {
-	s, err := Tell(dir, "history")
+	s, err := SendCommand(dir, "history")
 	if err == nil && (name == "" || name == s.Name) {
 		return s.History, nil
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,19 +16,19 @@
 
 // Controller carries one change to its end.
 type Controller struct {
-	log     *slog.Logger
-	dir     string
-	checked Checked
-	journal *Journal
-	machine *rollout.Machine
-	procs   *procs
-	sock    *net.UDPConn
-	control net.Listener
-	checks  *checker
-	reports chan rollout.Report
-	found   chan checkedAt
-	asks    chan ask
-	quit    chan struct{}
+	log      *slog.Logger
+	dir      string
+	checked  Checked
+	journal  *Journal
+	machine  *rollout.Machine
+	procs    *procs
+	sock     *net.UDPConn
+	control  net.Listener
+	checks   *checker
+	reports  chan rollout.Report
+	found    chan checkedAt
+	requests chan controlRequest
+	quit     chan struct{}
 }
 
 const (
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	k := &Controller{log: log, dir: dir, checked: c, reports: make(chan rollout.Report, 4096), found: make(chan checkedAt, 4096),
-		asks: make(chan ask), quit: make(chan struct{}),
+		requests: make(chan controlRequest), quit: make(chan struct{}),
 		procs: fleetProcs(dir, c)}
 	if k.journal, err = OpenJournal(filepath.Join(dir, journalName)); err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 
 // Run carries the change until it is over, or the context ends; it returns where it stands.
 func (k *Controller) Run(ctx context.Context) (rollout.State, error) {
-	go k.hear()
+	go k.receiveReports()
 	go k.serveControl()
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
@@ -123,19 +123,19 @@
 		case <-ctx.Done():
 			return k.machine.State(), nil
 		case r := <-k.reports:
-			k.machine.Told(now(), r)
+			k.machine.ReceiveReport(now(), r)
 			continue
 		case c := <-k.found:
 			k.machine.Checked(c.gateway, c.class, c.c)
 			continue
-		case a := <-k.asks:
-			a.answer <- k.heed(a.word)
+		case a := <-k.requests:
+			a.reply <- k.handleCommand(a.command)
 		case <-tick.C:
 		}
 		for drained := false; !drained; { // what was told before this moment counts in it
 			select {
 			case r := <-k.reports:
-				k.machine.Told(now(), r)
+				k.machine.ReceiveReport(now(), r)
 			default:
 				drained = true
 			}
@@ -210,8 +210,8 @@
 	k.checks.target(list)
 }
 
-// hear reads reports until the socket is closed.
-func (k *Controller) hear() {
+// receiveReports reads reports until the socket is closed.
+func (k *Controller) receiveReports() {
 	buf := make([]byte, rollout.MostReport+1)
 	for {
 		n, _, err := k.sock.ReadFromUDPAddrPort(buf)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -184,16 +184,16 @@
 	}
 }
 
-// Words to a controller that does not run are told so.
+// A command to a controller that does not run fails with ErrNone.
 func TestNoControllerRuns(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := Tell(dir, "pause"); !errors.Is(err, ErrNone) {
+	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNone) {
 		t.Errorf("no file: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, controlName), []byte("127.0.0.1:1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Tell(dir, "pause"); !errors.Is(err, ErrNone) {
+	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNone) {
 		t.Errorf("a file that was left behind: %v", err)
 	}
 	if _, err := Last(dir); !errors.Is(err, ErrNoChange) {
--- a/internal/controller/journal.go
+++ b/internal/controller/journal.go
@@ -1,5 +1,5 @@
 // Package controller drives a change that goes out in stages: it keeps the change's state in a journal on disk, hears the
-// gateways' reports, looks for their processes, starts and stops them, asks known queries, and takes operators' words. What
+// gateways' reports, looks for their processes, starts and stops them, asks known queries, and takes operators' commands. What
 // is done when is internal/rollout's affair.
 package controller
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -224,7 +224,7 @@
 		c.reply(now, id, Refused, c.host.ComeBack)
 		return id, c.actions
 	}
-	return id, c.tell(now, policy.Arrival{ID: id, Class: a.Class, Key: a.Key, TableGroup: a.TableGroup, Cost: a.Cost,
+	return id, c.dispatch(now, policy.Arrival{ID: id, Class: a.Class, Key: a.Key, TableGroup: a.TableGroup, Cost: a.Cost,
 		NeedMB: a.NeedMB, Remaining: a.Remaining, Repeat: a.Repeat})
 }
 
@@ -237,7 +237,7 @@
 	r.replied = true
 	c.open--
 	c.counts.Left++
-	actions := c.tell(now, policy.ClientLeft{ID: id})
+	actions := c.dispatch(now, policy.ClientLeft{ID: id})
 	if r.begun { // the module calls off no answer that has begun, but here nobody reads it any more
 		for n, a := range r.attempts {
 			if !a.over {
@@ -291,7 +291,7 @@
 		c.log.Debug("attempt ended", "at", int64(now/time.Millisecond), "request", id, "attempt", n, "class", r.class,
 			"engine", engineName(a.engine), "outcome", outcome, "took_ms", int64((now-a.started)/time.Millisecond))
 	}
-	c.share(now, a.engine, fields)
+	c.recordLoad(now, a.engine, fields)
 	end := policy.AttemptEnded{ID: id, Attempt: n, Engine: a.engine, Outcome: outcome, Took: now - a.started,
 		Terminal: r.replied || r.begun || outcome == policy.OK, Report: c.report(fields)}
 	c.actions = nil
@@ -302,7 +302,7 @@
 		c.reply(now, id, Broken, 0)
 	}
 	answered := c.actions
-	actions := append(answered, c.tell(now, end)...)
+	actions := append(answered, c.dispatch(now, end)...)
 	c.forget(id, r)
 	return actions
 }
@@ -318,38 +318,38 @@
 		return true, nil
 	}
 	r.begun = true
-	return true, c.tell(now, policy.AnswerStarted{ID: id, Attempt: n})
+	return true, c.dispatch(now, policy.AnswerStarted{ID: id, Attempt: n})
 }
 
 // Progress passes on an engine's word of how far an attempt is.
 func (c *Core) Progress(now time.Duration, id ID, n int, done float64) []Action {
-	return c.tell(now, policy.Progress{ID: id, Attempt: n, Done: done})
+	return c.dispatch(now, policy.Progress{ID: id, Attempt: n, Done: done})
 }
 
 // Overdue passes on that an engine withholds an attempt's answer.
 func (c *Core) Overdue(now time.Duration, id ID, n int) []Action {
-	return c.tell(now, policy.AnswerOverdue{ID: id, Attempt: n})
+	return c.dispatch(now, policy.AnswerOverdue{ID: id, Attempt: n})
 }
 
 // Due passes on a timer that the module asked for.
 func (c *Core) Due(now time.Duration, token uint64) []Action {
 	c.recordHeld(now)
-	return c.tell(now, policy.TimerFired{Token: token})
+	return c.dispatch(now, policy.TimerFired{Token: token})
 }
 
 // InService passes on how many gateways are held to be in service, this one included.
 func (c *Core) InService(now time.Duration, gateways int) []Action {
-	return c.tell(now, policy.InService{Count: gateways})
+	return c.dispatch(now, policy.InService{Count: gateways})
 }
 
 // Close has all that is open answered now, and all that comes after it refused at once.
 func (c *Core) Close(now time.Duration) []Action {
 	c.closing = true
-	return c.tell(now, policy.Closing{})
+	return c.dispatch(now, policy.Closing{})
 }
 
-// tell hands the module an event and turns its actions into the host's.
-func (c *Core) tell(now time.Duration, ev policy.Event) []Action {
+// dispatch hands the module an event and turns its actions into the host's.
+func (c *Core) dispatch(now time.Duration, ev policy.Event) []Action {
 	c.actions = nil
 	for _, a := range c.gateway.Handle(now, ev) {
 		c.take(now, a)
@@ -375,7 +375,7 @@
 		c.actions = append(c.actions, Timer{After: a.After, Token: a.Token})
 	case policy.Log:
 		c.log.Info("decision module", "says", a.Text)
-	case policy.Subscribe, policy.Probe, policy.Terms: // the bulletin pushes; probes and terms are not heeded here
+	case policy.Subscribe, policy.Probe, policy.Terms: // discovery pushes; probes and terms are ignored here
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -35,8 +35,8 @@
 	return c, keep
 }
 
-func engineLine(name string, h policy.Health) Line {
-	return Line{Name: name, Addr: name + ":1", Zone: "z", Kind: "m", Health: h, Weight: 1}
+func engineLine(name string, h policy.Health) ListedEngine {
+	return ListedEngine{Name: name, Addr: name + ":1", Zone: "z", Kind: "m", Health: h, Weight: 1}
 }
 
 func first[A Action](t testing.TB, actions []Action) A {
@@ -54,7 +54,7 @@
 
 func TestServedOnce(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	id, actions := c.Take(start, ask)
 	s := first[Start](t, actions)
 	if left, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); !ok || left > 4*time.Second {
@@ -72,9 +72,9 @@
 // grace of 2 s counts from the listing, not from the choice.
 func TestDrainIsLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	id, _ := c.Take(start, ask)
-	c.Roster(start, false, []Line{engineLine("a", policy.Draining)})
+	c.UpdateEngines(start, false, []ListedEngine{engineLine("a", policy.Draining)})
 	if _, ok := c.MaySend(start+100*time.Millisecond, id, 0, false); ok {
 		t.Fatal("a draining engine gets new work")
 	}
@@ -83,7 +83,7 @@
 // Guards likewise against an attempt that goes out when nobody waits for it any more.
 func TestDeadlineAndClientAreLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	late, _ := c.Take(start, ask)
 	gone, _ := c.Take(start, ask)
 	if _, ok := c.MaySend(start+4*time.Second, late, 0, false); ok {
@@ -98,7 +98,7 @@
 // Guards against an answer that has begun going on for a client that closed: the module calls off none of those.
 func TestLeavingMidAnswerStopsTheAttempt(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	id, _ := c.Take(start, ask)
 	c.MaySend(start, id, 0, false)
 	if wanted, _ := c.Began(start, id, 0); !wanted {
@@ -117,7 +117,7 @@
 // Guards against a second attempt after the first row: the client would see rows of two.
 func TestNoFurtherAttemptAfterTheFirstRow(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
 	id, _ := c.Take(start, ask)
 	c.MaySend(start, id, 0, false)
 	c.Began(start, id, 0)
@@ -137,12 +137,12 @@
 
 func TestEnginesThatAreGoneAreTold(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
-	if gone, _ := c.Roster(start, true, []Line{engineLine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
+	if gone, _ := c.UpdateEngines(start, true, []ListedEngine{engineLine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
 		t.Fatalf("a new whole list: %+v", gone)
 	}
-	reused := Line{Name: "c", Addr: "a:1", Zone: "z", Kind: "m", Health: policy.Ready}
-	if gone, _ := c.Roster(start, false, []Line{reused, engineLine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
+	reused := ListedEngine{Name: "c", Addr: "a:1", Zone: "z", Kind: "m", Health: policy.Ready}
+	if gone, _ := c.UpdateEngines(start, false, []ListedEngine{reused, engineLine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
 		t.Fatalf("an address that changes hands: %+v", gone)
 	}
 }
@@ -150,8 +150,8 @@
 // Guards against a list that grows with every deploy.
 func TestEnginesLongGoneAreForgotten(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Gone), engineLine("b", policy.Ready)})
-	c.Roster(start+goneFor+time.Second, false, []Line{engineLine("b", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Gone), engineLine("b", policy.Ready)})
+	c.UpdateEngines(start+goneFor+time.Second, false, []ListedEngine{engineLine("b", policy.Ready)})
 	if len(c.engines) != 1 {
 		t.Fatalf("%d engines are known", len(c.engines))
 	}
@@ -196,7 +196,7 @@
 			}
 		}
 		carryRoster := func(_ []Engine, actions []Action) { carry(actions) }
-		carryRoster(c.Roster(now, true, []Line{engineLine("a", policy.Ready), engineLine("b", policy.Ready)}))
+		carryRoster(c.UpdateEngines(now, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)}))
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
 			now += time.Duration(rapid.IntRange(0, 700).Draw(rt, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(rt, "event") {
@@ -209,7 +209,7 @@
 				carry(c.Due(now, 1<<63))
 			case 3:
 				health := policy.Health(rapid.IntRange(0, 2).Draw(rt, "health"))
-				carryRoster(c.Roster(now, false, []Line{engineLine(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "engine"), health)}))
+				carryRoster(c.UpdateEngines(now, false, []ListedEngine{engineLine(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "engine"), health)}))
 			case 4:
 				if len(ids) > 0 {
 					id := rapid.SampledFrom(ids).Draw(rt, "leaves")
@@ -254,7 +254,7 @@
 // of the first is open or out.
 func TestANameIsTakenWhileItsRequestLasts(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	named := ask
 	named.Name = "9b1f"
 	id, _ := c.Take(start, named)
@@ -277,7 +277,7 @@
 // attempt only as the module allows, and never to an engine that drains.
 func TestSentAgainAsTheModuleAllows(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	id, _ := c.Take(start, ask)
 	sent := 0
 	for ok := true; ok; sent++ {
@@ -288,7 +288,7 @@
 	}
 	id, _ = c.Take(start+time.Second, ask)
 	c.MaySend(start+time.Second, id, 0, false)
-	c.Roster(start+time.Second, false, []Line{engineLine("a", policy.Draining)})
+	c.UpdateEngines(start+time.Second, false, []ListedEngine{engineLine("a", policy.Draining)})
 	if _, ok := c.MaySend(start+time.Second, id, 0, true); ok {
 		t.Error("sent again to an engine that drains")
 	}
@@ -297,7 +297,7 @@
 // What is counted by class is what a staged change is judged by: each answer once, by its class and its aim.
 func TestCountsByClass(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	for _, took := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second} {
 		id, _ := c.Take(start, ask)
 		c.MaySend(start, id, 0, false)
@@ -323,7 +323,7 @@
 	const window = 12 * time.Second
 	for late, want := range map[time.Duration]bool{0: true, 10 * time.Millisecond: true, time.Second: false} {
 		c, _ := newCore(t)
-		c.Roster(start, true, []Line{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
+		c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
 		id, actions := c.Take(start, Ask{Class: 1, Key: 7, Remaining: 20 * time.Second})
 		s := first[Start](t, actions)
 		if _, ok := c.MaySend(start, id, s.Attempt, false); !ok {
@@ -340,7 +340,7 @@
 // After the last word of a stop nothing is taken any more that nobody would see through: it is refused at once.
 func TestWhatComesAfterCloseIsRefused(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	c.Close(start)
 	_, actions := c.Take(start, ask)
 	if r := first[Reply](t, actions); r.Verdict != Refused || len(actions) != 1 {
@@ -352,12 +352,12 @@
 // connection to its former address is made, and addresses change hands.
 func TestAddressIsLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	id, actions := c.Take(start, ask)
 	s := first[Start](t, actions)
 	moved := engineLine("a", policy.Ready)
 	moved.Addr = "elsewhere:1"
-	c.Roster(start, false, []Line{moved})
+	c.UpdateEngines(start, false, []ListedEngine{moved})
 	if _, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); ok {
 		t.Fatal("the former address gets the query")
 	}
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -10,19 +10,19 @@
 
 // Engine is an engine of the list.
 type Engine struct {
-	ID     policy.EngineID
-	Name   string // its name in the list, the same after a restart of its process
-	Addr   string
-	Health policy.Health
-	told   time.Duration // when the list last told of it
+	ID        policy.EngineID
+	Name      string // its name in the list, the same after a restart of its process
+	Addr      string
+	Health    policy.Health
+	updatedAt time.Duration // when a list last named it
 }
 
 // goneFor is how long an engine that has gone stays known: longer than a client waits for an attempt there. Where
 // engines are replaced all the time, what is kept of each adds up.
 const goneFor = 30 * time.Second
 
-// Line is one engine as a list tells of it.
-type Line struct {
+// ListedEngine is an entry of the engine list.
+type ListedEngine struct {
 	Name, Addr, Zone, Kind string
 	Cell                   int
 	Health                 policy.Health
@@ -30,15 +30,15 @@
 	Started                time.Duration // since the Unix epoch; 0 = long ago
 }
 
-// Roster takes over a list of engines, whole or only what changed in it. It returns the engines that have gone.
-func (c *Core) Roster(now time.Duration, whole bool, lines []Line) (gone []Engine, actions []Action) {
+// UpdateEngines applies an engine list, the full one or only its changes. It returns the engines that have gone.
+func (c *Core) UpdateEngines(now time.Duration, whole bool, lines []ListedEngine) (gone []Engine, actions []Action) {
 	list := policy.EngineList{Kind: policy.ListDelta}
 	if whole {
 		list.Kind = policy.ListFull
 		for id, e := range c.engines {
-			named := slices.ContainsFunc(lines, func(l Line) bool { return engineID(l.Name) == id })
+			named := slices.ContainsFunc(lines, func(l ListedEngine) bool { return engineID(l.Name) == id })
 			if !named && e.Health != policy.Gone {
-				e.Health, e.told = policy.Gone, now
+				e.Health, e.updatedAt = policy.Gone, now
 				gone = append(gone, *e)
 			}
 		}
@@ -53,17 +53,17 @@
 		if l.Health == policy.Gone && e.Health != policy.Gone || e.Addr != "" && e.Addr != l.Addr {
 			gone = append(gone, *e) // connections to the old process or address are of no more use
 		}
-		e.Addr, e.Health, e.told = l.Addr, l.Health, now
+		e.Addr, e.Health, e.updatedAt = l.Addr, l.Health, now
 		list.Engines = append(list.Engines, policy.EngineInfo{ID: id, Zone: place(c.host.Zones, l.Zone),
 			Kind: place(c.host.Models, l.Kind), Cell: l.Cell, Health: l.Health, Scale: l.Weight, Started: l.Started})
 	}
 	for id, e := range c.engines {
-		if e.Health == policy.Gone && now-e.told > goneFor {
+		if e.Health == policy.Gone && now-e.updatedAt > goneFor {
 			delete(c.engines, id)
 		}
 	}
-	c.listShared()
-	return gone, c.tell(now, list)
+	c.updateShared()
+	return gone, c.dispatch(now, list)
 }
 
 // place finds a name; one that the settings lack gets a number past their end, which matches nothing.
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Roster(start, true, []Line{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	for range 12 {
 		c.Take(start, ask)
 	}
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -7,14 +7,14 @@
 	"frostpier/policy"
 )
 
-// inflight is the field of a report that gateways tell each other: how many queries run at an engine.
+// inflight is the field of an engine's report that gateways share: how many queries run at the engine.
 const inflight = "inflight"
 
-// Share has the gateway tell others what engines report, and heed what they tell. It is set before the first event.
-func (c *Core) Share(d *spread.Digest) { c.digest = d }
+// ShareLoadReports has the gateway publish and receive load reports. It must be called before the first event.
+func (c *Core) ShareLoadReports(d *spread.Digest) { c.digest = d }
 
-// listShared tells the digest which engines may be told and heard of: those that are listed as ready.
-func (c *Core) listShared() {
+// updateShared sets the engines whose load reports are shared: those that are listed as ready.
+func (c *Core) updateShared() {
 	if c.digest == nil {
 		return
 	}
@@ -24,32 +24,32 @@
 			numbers = append(numbers, uint64(id))
 		}
 	}
-	c.digest.List(numbers)
+	c.digest.SetEngines(numbers)
 }
 
-// share notes what an answer's report told.
-func (c *Core) share(now time.Duration, engine policy.EngineID, fields []Field) {
+// recordLoad records the load that an answer reported.
+func (c *Core) recordLoad(now time.Duration, engine policy.EngineID, fields []Field) {
 	if c.digest == nil {
 		return
 	}
 	for _, f := range fields {
 		if f.Name == inflight {
-			c.digest.Note(now, uint64(engine), int(f.Value))
+			c.digest.Record(now, uint64(engine), int(f.Value))
 		}
 	}
 }
 
-// HeardOfEngines takes a message of another gateway's digest, and hands the module what is news.
-func (c *Core) HeardOfEngines(now time.Duration, body []byte) []Action {
+// ReceiveLoadReports takes a message of another gateway and hands the module the load reports that are newer.
+func (c *Core) ReceiveLoadReports(now time.Duration, body []byte) []Action {
 	if c.digest == nil {
 		return nil
 	}
 	var reports []policy.PeerReport
-	for _, w := range c.digest.Hear(now, body) {
+	for _, w := range c.digest.Receive(now, body) {
 		reports = append(reports, policy.PeerReport{Engine: policy.EngineID(w.Engine), Inflight: float64(w.Load), At: w.At})
 	}
 	if len(reports) == 0 {
 		return nil
 	}
-	return c.tell(now, policy.PeerReports{Reports: reports})
+	return c.dispatch(now, policy.PeerReports{Reports: reports})
 }
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -13,33 +13,33 @@
 	a, _ := newCore(t)
 	b, _ := newCore(t)
 	da, db := spread.New(), spread.New()
-	a.Share(da)
-	b.Share(db)
-	a.Roster(start, true, []Line{engineLine("x", policy.Ready), engineLine("y", policy.Ready)})
-	b.Roster(start, true, []Line{engineLine("x", policy.Ready)})
+	a.ShareLoadReports(da)
+	b.ShareLoadReports(db)
+	a.UpdateEngines(start, true, []ListedEngine{engineLine("x", policy.Ready), engineLine("y", policy.Ready)})
+	b.UpdateEngines(start, true, []ListedEngine{engineLine("x", policy.Ready)})
 	for _, e := range []string{"x", "y"} { // both, as the module chooses by itself where to send
-		a.share(start+time.Second, engineID(e), []Field{{Name: "queue", Value: 1}, {Name: "inflight", Value: 9}})
+		a.recordLoad(start+time.Second, engineID(e), []Field{{Name: "queue", Value: 1}, {Name: "inflight", Value: 9}})
 	}
 	id, actions := a.Take(start+time.Second, ask)
 	s := first[Start](t, actions)
 	a.MaySend(start+time.Second, id, s.Attempt, false)
 	a.Ended(start+1100*time.Millisecond, id, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 11}})
 	now := start + 1200*time.Millisecond
-	body := append([]byte(nil), da.Ride(now, 1, 200, nil)...)
-	b.HeardOfEngines(now, body)
+	body := append([]byte(nil), da.Append(now, 1, 200, nil)...)
+	b.ReceiveLoadReports(now, body)
 	look := b.gateway.Believed(now, engineID("x"))
 	if look.Others < 5 || look.ReportAge < 0 || look.ReportAge > 300*time.Millisecond {
 		t.Errorf("%+v of the engine that both know", look)
 	}
 	if unlisted := db.Counts().Unlisted; unlisted != 1 || b.gateway.Believed(now, engineID("y")).ReportAge != -1 {
-		t.Errorf("%d words on engines that are not listed", unlisted)
+		t.Errorf("%d load reports on engines that are not listed", unlisted)
 	}
-	b.Roster(now, false, []Line{engineLine("x", policy.Draining)})
-	if _, known := db.Known(now, uint64(engineID("x"))); known {
-		t.Error("an engine that drains is still told of")
+	b.UpdateEngines(now, false, []ListedEngine{engineLine("x", policy.Draining)})
+	if _, known := db.Latest(now, uint64(engineID("x"))); known {
+		t.Error("the load of an engine that drains is still published")
 	}
 	c, _ := newCore(t) // one that does not share hears nothing
-	if c.HeardOfEngines(now, body) != nil {
-		t.Error("heard without sharing")
+	if c.ReceiveLoadReports(now, body) != nil {
+		t.Error("received without sharing")
 	}
 }
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -11,7 +11,7 @@
 		word, rest := token(s)
 		if rest != "" && rest[0] == '.' && word != "" && !strings.EqualFold(word, "staging") {
 			if n, ok := number(word); ok {
-				if tableWord(prev) {
+				if introducesTable(prev) {
 					return n
 				}
 				if first == 0 {
@@ -33,7 +33,7 @@
 	return n
 }
 
-func tableWord(word string) bool {
+func introducesTable(word string) bool {
 	switch strings.ToUpper(word) {
 	case "FROM", "JOIN", "INTO", "UPDATE", "TABLE":
 		return true
--- a/internal/bulletin/bulletin_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package discovery
 
 import (
 	"errors"
@@ -23,11 +23,11 @@
 func known(t testing.TB) *Stream {
 	t.Helper()
 	s := &Stream{}
-	events, err := s.Known([]byte(`{"no":1,"items":[` + line(1, "in_service") + `]}`))
-	if err != nil || len(events) != 1 || !events[0].Whole {
+	events, err := s.Restore([]byte(`{"no":1,"items":[` + line(1, "in_service") + `]}`))
+	if err != nil || len(events) != 1 || !events[0].Full {
 		t.Fatalf("%+v, %v", events, err)
 	}
-	if l := events[0].Lines[0]; l.Name != "s-1" || l.Addr != "10.1.0.9:1" || l.Cell != 2 || l.Health != policy.Ready ||
+	if l := events[0].Engines[0]; l.Name != "s-1" || l.Addr != "10.1.0.9:1" || l.Cell != 2 || l.Health != policy.Ready ||
 		l.Started != 1500*time.Millisecond {
 		t.Fatalf("%+v", l)
 	}
@@ -47,11 +47,11 @@
 			}
 			got, rest = append(got, events...), rest[n:]
 		}
-		if len(got) != 2 || got[0].Lines[0].Health != policy.Draining || got[1].Lines[0].Health != policy.Gone || got[1].Whole {
+		if len(got) != 2 || got[0].Engines[0].Health != policy.Draining || got[1].Engines[0].Health != policy.Gone || got[1].Full {
 			rt.Fatalf("%+v", got)
 		}
-		if string(s.Ask()) != "after 3\n" {
-			rt.Fatalf("asks %q", s.Ask())
+		if string(s.Request()) != "after 3\n" {
+			rt.Fatalf("asks %q", s.Request())
 		}
 	})
 }
@@ -60,12 +60,12 @@
 func TestKnownHoldsChangesAndResets(t *testing.T) {
 	s := &Stream{}
 	reset := strings.Replace(line(3, "in_service"), `"reset":false`, `"reset":true`, 1)
-	events, err := s.Known([]byte(`{"no":3,"items":[` + line(1, "in_service") + "," + line(2, "terminating") + "," + reset + `]}`))
-	if err != nil || len(events) != 3 || !events[0].Whole || events[1].Whole || !events[2].Whole {
+	events, err := s.Restore([]byte(`{"no":3,"items":[` + line(1, "in_service") + "," + line(2, "terminating") + "," + reset + `]}`))
+	if err != nil || len(events) != 3 || !events[0].Full || events[1].Full || !events[2].Full {
 		t.Fatalf("%+v, %v", events, err)
 	}
-	if string(s.Ask()) != "after 3\n" {
-		t.Fatalf("asks %q", s.Ask())
+	if string(s.Request()) != "after 3\n" {
+		t.Fatalf("asks %q", s.Request())
 	}
 }
 
@@ -73,11 +73,11 @@
 func TestBadLinesAreAskedForAgain(t *testing.T) {
 	for _, text := range []string{"nonsense", "{}", line(4, "in_service"), "5", `{"no":7}`, line(2, "asleep"), `{"no":"x"}`} {
 		s := known(t)
-		if events, err := s.Feed([]byte(text + "\n" + line(2, "in_service") + "\n")); !errors.Is(err, ErrLine) || len(events) > 0 {
+		if events, err := s.Feed([]byte(text + "\n" + line(2, "in_service") + "\n")); !errors.Is(err, ErrBadEvent) || len(events) > 0 {
 			t.Errorf("%.40q: %v, %v", text, events, err)
 		}
-		if string(s.Ask()) != "after 1\n" {
-			t.Errorf("%.40q: asks %q", text, s.Ask())
+		if string(s.Request()) != "after 1\n" {
+			t.Errorf("%.40q: asks %q", text, s.Request())
 		}
 	}
 }
@@ -87,10 +87,10 @@
 		s := &Stream{}
 		for _, b := range rapid.SliceOf(rapid.SliceOfN(rapid.SampledFrom([]byte("{}[]\":,0\nnorste")), 0, 60)).Draw(rt, "bytes") {
 			if _, err := s.Feed(b); err != nil {
-				s.Ask()
+				s.Request()
 			}
 		}
-		s.Known(rapid.SliceOf(rapid.Byte()).Draw(rt, "known"))
+		s.Restore(rapid.SliceOf(rapid.Byte()).Draw(rt, "known"))
 	})
 }
 
@@ -98,15 +98,15 @@
 // on the last one count, and the number that the file names as its last skips none.
 func TestKnownAgain(t *testing.T) {
 	s := &Stream{}
-	if _, err := s.Known([]byte(`{"no":1,"items":[{"no":1,"roster":{"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"in_service"}]}}]}`)); err != nil {
+	if _, err := s.Restore([]byte(`{"no":1,"items":[{"no":1,"roster":{"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"in_service"}]}}]}`)); err != nil {
 		t.Fatal(err)
 	}
 	second := `{"no":2,"roster":{"instances":[{"instanceId":"b","hostPort":"h:2","lifecycle":"in_service"}]}}`
-	events, err := s.Known([]byte(`{"no":9,"items":[{"no":1,"roster":{"instances":[]}},` + second + `]}`))
-	if err != nil || len(events) != 1 || events[0].No != 2 || events[0].Whole {
+	events, err := s.Restore([]byte(`{"no":9,"items":[{"no":1,"roster":{"instances":[]}},` + second + `]}`))
+	if err != nil || len(events) != 1 || events[0].ResourceVersion != 2 || events[0].Full {
 		t.Fatalf("%+v, %v", events, err)
 	}
-	if ask := string(s.Ask()); ask != "after 2\n" {
+	if ask := string(s.Request()); ask != "after 2\n" {
 		t.Fatalf("asks %q", ask)
 	}
 }
--- a/internal/httpq/query.go
+++ b/internal/httpq/query.go
@@ -46,29 +46,29 @@
 
 // Query carries one attempt.
 type Query struct {
-	req     Request
-	state   state
-	read    [2]Reader
-	up      [2]bool // the lane has a connection
-	asked   [2]bool // and a call on it awaits its response
-	calls   int     // answered on the main lane's connection
-	final   policy.Outcome
-	pages   [][]byte
-	size    int
-	total   int // pages
-	spoilt  int // answers in a row that could not be read
-	report  string
-	deletes int
-	leave   attempt.Leave
-	posted  int       // how often the POST was written
-	due     bool      // it is to be written anew
-	heard   bool      // something came since it was
-	unread  bool      // its connection broke before: perhaps the engine never had it
-	mute    bool      // nothing came of the POST in its time
-	early   bool      // the answer to the last call cannot be one without news yet
-	doubt   bool      // an answer on the main lane's connection may have been the second to a call: more may be under way
-	news    [2]string // of the last answer on it
-	steps   []attempt.Step
+	req        Request
+	state      state
+	read       [2]Reader
+	up         [2]bool // the lane has a connection
+	asked      [2]bool // and a call on it awaits its response
+	calls      int     // answered on the main lane's connection
+	final      policy.Outcome
+	pages      [][]byte
+	size       int
+	total      int // pages
+	spoilt     int // answers in a row that could not be read
+	report     string
+	deletes    int
+	leave      attempt.Leave
+	posted     int       // how often the POST was written
+	due        bool      // it is to be written anew
+	responded  bool      // something came since it was
+	unread     bool      // its connection broke before: perhaps the engine never had it
+	unanswered bool      // nothing came of the POST in its time
+	early      bool      // the answer to the last call cannot be one without news yet
+	doubt      bool      // an answer on the main lane's connection may have been the second to a call: more may be under way
+	news       [2]string // of the last answer on it
+	steps      []attempt.Step
 }
 
 // NewQuery makes a query and its first steps.
@@ -148,7 +148,7 @@
 func (q *Query) broken(lane attempt.Lane) {
 	switch {
 	case q.state == running && lane == attempt.Main:
-		q.unread = q.unread || !q.heard
+		q.unread = q.unread || !q.responded
 		// The query is tied to no connection: ask for it anew. An engine that breaks every one is not asked in a rush.
 		q.do(attempt.Set{Alarm: attempt.Silence, After: 0})
 		if q.spoilt++; q.spoilt > 1 {
@@ -168,7 +168,7 @@
 	if !q.up[lane] {
 		return nil
 	}
-	q.heard = q.heard || lane == attempt.Main
+	q.responded = q.responded || lane == attempt.Main
 	res, err := q.read[lane].Feed(b)
 	if res != nil && q.asked[lane] {
 		q.asked[lane] = false
@@ -200,7 +200,7 @@
 		}
 		q.end(q.final)
 	case a == attempt.Silence && q.state == running:
-		q.mute = q.mute || !q.heard
+		q.unanswered = q.unanswered || !q.responded
 		q.drop(attempt.Main)
 		q.do(attempt.Open{Lane: attempt.Main, Fresh: true})
 	case a == attempt.Silence && q.state == paging:
@@ -271,8 +271,8 @@
 		} else {
 			q.do(attempt.Open{Lane: attempt.Main})
 		}
-		if q.mute { // an answer that was only lost would have been given again by now
-			q.mute = false
+		if q.unanswered { // an answer that was only lost would have been given again by now
+			q.unanswered = false
 			q.do(attempt.Overdue{})
 		}
 	case res.Status == 200:
@@ -309,7 +309,7 @@
 }
 
 func (q *Query) writePost(left time.Duration) {
-	q.state, q.due, q.heard, q.unread, q.mute = running, false, false, false, false
+	q.state, q.due, q.responded, q.unread, q.unanswered = running, false, false, false, false
 	q.posted++
 	q.write(attempt.Main, q.post(left))
 }
--- a/internal/membership/check.go
+++ b/internal/membership/check.go
@@ -26,8 +26,8 @@
 	switch {
 	case serving != n.serving:
 		return fmt.Errorf("%d members in service, counted as %d", serving, n.serving)
-	case queued != n.news.count:
-		return fmt.Errorf("%d members with news, %d queued", queued, n.news.count)
+	case queued != n.updates.count:
+		return fmt.Errorf("%d members with news, %d queued", queued, n.updates.count)
 	case suspects != len(n.suspects):
 		return fmt.Errorf("%d suspects, %d listed", suspects, len(n.suspects))
 	case digest != n.digest:
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -22,8 +22,8 @@
 	sumField = 1000
 	sumSize  = 6       // two bytes of tag, four of sum
 	listHead = 3       // a tag and a length of at most two bytes
-	stateBit = 3       // bits of a word that hold the state
-	mostInc  = 1 << 60 // an incarnation beyond is no time in seconds; it would not fit a word
+	stateBit = 3       // bits of a packed state that hold the state
+	mostInc  = 1 << 60 // an incarnation beyond is no time in seconds; it would not fit a packed state
 )
 
 var (
@@ -39,8 +39,8 @@
 	return binary.LittleEndian.AppendUint32(b, sum)
 }
 
-// opened checks the checksum and returns what it stands behind.
-func opened(b []byte) ([]byte, bool) {
+// verifyChecksum checks the checksum and returns what it stands behind.
+func verifyChecksum(b []byte) ([]byte, bool) {
 	k := len(b) - sumSize
 	if k < 0 || string(b[k:k+2]) != string(sumTag) {
 		return nil, false
@@ -48,10 +48,10 @@
 	return b[:k], binary.LittleEndian.Uint32(b[k+2:]) == crc32.Checksum(b[:k], castagnoli)
 }
 
-func word(s State, incarnation uint64) uint64 { return incarnation<<stateBit | uint64(s) }
+func packState(s State, incarnation uint64) uint64 { return incarnation<<stateBit | uint64(s) }
 
-// unword reads a word; ok is false for a state that this program does not know and for an absurd incarnation.
-func unword(w uint64) (s State, incarnation uint64, ok bool) {
+// unpackState splits a packed state; ok is false for a state that this program does not know and for an absurd incarnation.
+func unpackState(w uint64) (s State, incarnation uint64, ok bool) {
 	s, incarnation = State(w&(1<<stateBit-1)), w>>stateBit
 	return s, incarnation, s >= Alive && s <= Left && incarnation < mostInc
 }
@@ -73,8 +73,8 @@
 	return d
 }
 
-// send writes a datagram: what its kind needs, then what the receiver must hear of itself, then what must be known of
-// the subject, then news, then what others have riding along, as far as there is room.
+// send writes a datagram: the fields of its kind, then the update on the receiver itself if it needs one, then the state
+// of the subject, then queued updates, then the messages of extensions, as far as there is room.
 func (n *Node) send(now time.Duration, kind wirepb.Kind, to int, sequence uint32, subject int, incarnation uint64) {
 	if to < 0 {
 		return
@@ -86,7 +86,7 @@
 	room := MaxDatagram - sumSize - proto.Size(d) - 3*listHead
 	add := func(i int) bool {
 		m := &n.members[i]
-		w, by := word(m.state, m.incarnation), uint32(m.by+1)
+		w, by := packState(m.state, m.incarnation), uint32(m.by+1)
 		size := protowire.SizeVarint(uint64(i)) + protowire.SizeVarint(w) + protowire.SizeVarint(uint64(by))
 		if size > room {
 			return false
@@ -95,7 +95,7 @@
 		d.About, d.Word, d.By = append(d.About, uint32(i)), append(d.Word, w), append(d.By, by)
 		return true
 	}
-	if n.mustTell(to) {
+	if n.needsNotice(to) {
 		add(to)
 	}
 	if n.leaving {
@@ -104,31 +104,31 @@
 	if subject >= 0 && subject != to && n.members[subject].state != Alive {
 		add(subject)
 	}
-	for range n.news.count {
-		i := n.news.pop()
+	for range n.updates.count {
+		i := n.updates.pop()
 		m := &n.members[i]
 		if !add(i) {
-			n.news.pushFront(i)
+			n.updates.pushFront(i)
 			break
 		}
 		if m.repeats--; m.repeats > 0 {
-			n.news.pushBack(i)
+			n.updates.pushBack(i)
 		}
 	}
-	n.ride(now, d, to, room)
+	n.appendExtensions(now, d, to, room)
 	n.post(to, d)
 }
 
 // payloadHead is what a payload needs beside its body: two tags, two lengths, its kind.
 const payloadHead = 10
 
-// ride offers what room is left to the other subsystems, each in turn.
-func (n *Node) ride(now time.Duration, d *wirepb.Datagram, to, room int) {
-	for _, r := range n.cfg.Riders {
+// appendExtensions offers the remaining room to the extensions, each in turn.
+func (n *Node) appendExtensions(now time.Duration, d *wirepb.Datagram, to, room int) {
+	for _, r := range n.cfg.Extensions {
 		if room <= payloadHead {
 			return
 		}
-		body := r.Ride(now, to, room-payloadHead, nil)
+		body := r.Append(now, to, room-payloadHead, nil)
 		if len(body) == 0 || len(body) > room-payloadHead {
 			continue
 		}
@@ -144,9 +144,9 @@
 	room := MaxDatagram - sumSize - proto.Size(d) - listHead
 	for ; first < len(n.members); first++ {
 		m := &n.members[first]
-		w := word(m.state, m.incarnation)
+		w := packState(m.state, m.incarnation)
 		if m.state == Suspect { // the suspicion is told by rumours, with its accusers
-			w = word(Alive, m.incarnation)
+			w = packState(Alive, m.incarnation)
 		}
 		size := protowire.SizeVarint(w)
 		if size > room {
@@ -204,10 +204,10 @@
 	}
 	d := &n.dec
 	clearMessage(d)
-	inner, sound := opened(b)
+	inner, sound := verifyChecksum(b)
 	if !sound || reading.Unmarshal(inner, d) != nil || d.Version == 0 || d.Incarnation == 0 ||
 		d.Incarnation >= mostInc || d.SubjectIncarnation >= mostInc {
-		n.counts.Garbled++
+		n.counts.Malformed++
 		return 0, false
 	}
 	switch {
@@ -225,7 +225,7 @@
 
 // take acts on a datagram.
 func (n *Node) take(now time.Duration, from int, d *wirepb.Datagram) {
-	trusted := n.heardFrom(now, from, d.Incarnation)
+	trusted := n.recordContact(now, from, d.Incarnation)
 	if d.Kind == wirepb.Kind_KIND_SYNC {
 		if trusted {
 			n.takePiece(now, from, d)
@@ -263,14 +263,14 @@
 	default:
 		n.counts.Unknown++ // of a newer program: what it says of members was read all the same
 	}
-	if n.mustTell(from) && !replied && (n.members[from].state != Left || n.members[from].behind) {
+	if n.needsNotice(from) && !replied && (n.members[from].state != Left || n.members[from].behind) {
 		n.notify(now, from)
 	}
 	if trusted {
 		if d.Kind == wirepb.Kind_KIND_PING || d.Kind == wirepb.Kind_KIND_ACK {
 			n.compare(now, from, d.Digest)
 		}
-		n.carry(from, d)
+		n.deliverExtensions(from, d)
 	}
 }
 
@@ -281,19 +281,19 @@
 		if k < len(d.By) {
 			by = int(d.By[k]) - 1
 		}
-		s, inc, ok := unword(d.Word[k])
+		s, inc, ok := unpackState(d.Word[k])
 		if int64(d.About[k]) >= int64(len(n.members)) || by >= len(n.members) || !ok {
 			n.counts.Unknown++
 			continue
 		}
-		n.hear(now, int(d.About[k]), s, inc, by)
+		n.applyUpdate(now, int(d.About[k]), s, inc, by)
 	}
 }
 
 // takeOwn takes only what is said of this member.
 func (n *Node) takeOwn(now time.Duration, d *wirepb.Datagram) {
 	for k := range min(len(d.About), len(d.Word)) {
-		if s, inc, ok := unword(d.Word[k]); ok && int64(d.About[k]) == int64(n.cfg.Self) {
+		if s, inc, ok := unpackState(d.Word[k]); ok && int64(d.About[k]) == int64(n.cfg.Self) {
 			n.aboutSelf(now, s, inc, -1)
 		}
 	}
@@ -302,7 +302,7 @@
 func (n *Node) takePiece(now time.Duration, from int, d *wirepb.Datagram) {
 	for k, w := range d.Word {
 		i := int64(d.First) + int64(k)
-		s, inc, ok := unword(w)
+		s, inc, ok := unpackState(w)
 		if i >= int64(len(n.members)) || !ok {
 			n.counts.Unknown++
 			continue
@@ -311,12 +311,12 @@
 	}
 }
 
-// carry hands out what rode along for subsystems that this gateway has.
-func (n *Node) carry(from int, d *wirepb.Datagram) {
+// deliverExtensions emits an event for each extension message of a kind that is registered here.
+func (n *Node) deliverExtensions(from int, d *wirepb.Datagram) {
 	for _, p := range d.Payload {
-		for _, r := range n.cfg.Riders {
+		for _, r := range n.cfg.Extensions {
 			if r.Kind() == p.GetKind() {
-				n.events = append(n.events, Event{Kind: Carried, Member: from, By: from, Rider: p.GetKind(), Body: p.GetBody()})
+				n.events = append(n.events, Event{Kind: ExtensionReceived, Member: from, By: from, ExtensionKind: p.GetKind(), Body: p.GetBody()})
 			}
 		}
 	}
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// MaxDatagram is the length in bytes that no datagram exceeds, whatever rides on it.
+// MaxDatagram is the length in bytes that no datagram exceeds, extension messages included.
 const MaxDatagram = 256
 
 // MostMembers bounds the list of peers, and with it every table.
@@ -26,9 +26,9 @@
 
 // Defaults of Config, with their reasons.
 const (
-	DefaultInterval = 2 * time.Second // a pause of 2 s must not look like a death: suspicion lasts 1.75 of these
-	minInterval     = 100 * time.Millisecond
-	minRide         = 50 * time.Millisecond
+	DefaultInterval      = 2 * time.Second // a pause of 2 s must not look like a death: suspicion lasts 1.75 of these
+	minInterval          = 100 * time.Millisecond
+	minExtensionInterval = 50 * time.Millisecond
 
 	timeoutShare   = 0.2  // of the interval: time for a direct answer before others are asked
 	failShare      = 0.5  // of the interval: time for any answer before the target is suspected
@@ -61,35 +61,35 @@
 	mostNotices   = 256
 )
 
-// Config is what a Node is told at its start.
+// Config holds the parameters of a Node.
 type Config struct {
-	Self     int              // own number: the place in Peers
-	Peers    []netip.AddrPort // an address for each gateway of the fleet, its own included, the same order everywhere
-	Fleet    string           // the fleet's name: datagrams of another are dropped
-	Seed     uint64           // of all chance
-	Interval time.Duration    // between two probes; 0 = DefaultInterval. The same at every gateway
-	Timeout  time.Duration    // until a probe is passed to helpers; 0 = a fifth of the interval
-	Suspect  time.Duration    // shortest suspicion; 0 = 1.75 intervals
-	Riders   []Rider          // subsystems whose messages ride along
-	Ride     time.Duration    // between two datagrams for the Riders alone, each to one member; 0 = none
+	Self              int              // own number: the place in Peers
+	Peers             []netip.AddrPort // an address for each gateway of the fleet, its own included, the same order everywhere
+	Fleet             string           // the fleet's name: datagrams of another are dropped
+	Seed              uint64           // of all chance
+	Interval          time.Duration    // between two probes; 0 = DefaultInterval. The same at every gateway
+	Timeout           time.Duration    // until a probe is passed to helpers; 0 = a fifth of the interval
+	Suspect           time.Duration    // shortest suspicion; 0 = 1.75 intervals
+	Extensions        []Extension      // subsystems that piggyback messages on the datagrams
+	ExtensionInterval time.Duration    // between two datagrams for the Extensions alone, each to one member; 0 = none
 }
 
-// Rider is a subsystem that has small messages ride on the datagrams. What a Rider of another gateway wrote comes
-// back as an event of kind Carried. A kind that a gateway has no Rider for is skipped there.
-type Rider interface {
-	// Kind names the subsystem on the wire; above 0.
+// Extension is a subsystem that piggybacks small messages on the datagrams. The message of another gateway's Extension
+// arrives as an event of kind ExtensionReceived. A kind without a registered Extension is skipped.
+type Extension interface {
+	// Kind identifies the subsystem on the wire; above 0.
 	Kind() uint32
-	// Ride appends at most room bytes for the member to dst; appending nothing takes no room.
-	Ride(now time.Duration, to, room int, dst []byte) []byte
+	// Append appends at most room bytes for the member to dst; appending nothing takes no room.
+	Append(now time.Duration, to, room int, dst []byte) []byte
 }
 
 var (
-	errSelf     = errors.New("the own number is none of the peers'")
-	errMany     = fmt.Errorf("more than %d peers", MostMembers)
-	errInterval = fmt.Errorf("interval under %v", minInterval)
-	errTimeout  = errors.New("timeout not between 0 and half of the interval")
-	errRide     = fmt.Errorf("datagrams for riders more often than each %v", minRide)
-	errSuspect  = errors.New("suspicion shorter than half of the interval")
+	errSelf              = errors.New("the own number is none of the peers'")
+	errMany              = fmt.Errorf("more than %d peers", MostMembers)
+	errInterval          = fmt.Errorf("interval under %v", minInterval)
+	errTimeout           = errors.New("timeout not between 0 and half of the interval")
+	errExtensionInterval = fmt.Errorf("datagrams for extensions more often than each %v", minExtensionInterval)
+	errSuspect           = errors.New("suspicion shorter than half of the interval")
 )
 
 // check reports a configuration that makes no sense, and sets the defaults.
@@ -119,8 +119,8 @@
 		return errInterval
 	case c.Timeout <= 0 || c.Timeout >= c.Interval/2:
 		return errTimeout
-	case c.Ride != 0 && c.Ride < minRide:
-		return errRide
+	case c.ExtensionInterval != 0 && c.ExtensionInterval < minExtensionInterval:
+		return errExtensionInterval
 	case c.Suspect < c.Interval/2:
 		return errSuspect
 	}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -6,7 +6,7 @@
 	"frostpier/internal/membership/wirepb"
 )
 
-// queue holds the members that there is news of, each once, those that were passed on least first. It is a ring with
+// queue holds the members that have updates to gossip, each once, the least gossiped first. It is a ring with
 // room for every member.
 type queue struct {
 	ring        []int32
@@ -33,14 +33,14 @@
 	return int(i)
 }
 
-// tell puts what is held of a member among the news, to be passed on so often.
-func (n *Node) tell(now time.Duration, i int, times int16) {
+// queueUpdate queues the present state of a member to be gossiped the given number of times.
+func (n *Node) queueUpdate(now time.Duration, i int, times int16) {
 	m := &n.members[i]
 	if m.repeats == 0 {
-		n.news.pushFront(i)
+		n.updates.pushFront(i)
 	}
 	m.repeats = times
-	n.newsAt = now
+	n.updatedAt = now
 	n.wantRound(now)
 }
 
@@ -51,31 +51,31 @@
 	}
 }
 
-// tickGossip is a round: news to a few members, notices, and pieces of the whole state. Without any of them there
-// is none.
+// tickGossip does a gossip round: updates to a few members, notices, and pieces of the full state. It sends nothing if
+// none of them is pending.
 func (n *Node) tickGossip(now time.Duration) {
 	if n.gossipAt == 0 || now < n.gossipAt {
 		return
 	}
 	n.gossipAt = 0
 	for range fanout {
-		if to := n.someone(-1); to >= 0 && n.news.count > 0 {
+		if to := n.someone(-1); to >= 0 && n.updates.count > 0 {
 			n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
 		}
 	}
 	n.sendNotices(now)
 	n.sendPieces(now)
-	if n.news.count > 0 || len(n.notices) > 0 || len(n.askers) > 0 {
+	if n.updates.count > 0 || len(n.notices) > 0 || len(n.askers) > 0 {
 		n.gossipAt = now + n.cfg.part(gossipShare)
 	}
 }
 
-// tickRide sends what the riders have to say to a member drawn by chance.
-func (n *Node) tickRide(now time.Duration) {
-	if n.rideAt == 0 || now < n.rideAt {
+// tickExtensions sends the messages of the extensions to a random member.
+func (n *Node) tickExtensions(now time.Duration) {
+	if n.extensionsAt == 0 || now < n.extensionsAt {
 		return
 	}
-	n.rideAt = now + n.cfg.Ride
+	n.extensionsAt = now + n.cfg.ExtensionInterval
 	if to := n.someone(-1); to >= 0 && !n.leaving {
 		n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
 	}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -34,20 +34,20 @@
 
 // The kinds of events.
 const (
-	Changed EventKind = iota // a member's state changed
-	Refuted                  // this member told others that rumours about it are wrong
-	Carried                  // a Rider's message came
+	Changed           EventKind = iota // a member's state changed
+	Refuted                            // this member told others that rumours about it are wrong
+	ExtensionReceived                  // an Extension's message arrived
 )
 
 // Event is something that the host may want to know.
 type Event struct {
-	Kind        EventKind
-	Member      int    // the member it is about; the sender of what was carried
-	Was, Is     State  // of Changed
-	Incarnation uint64 // of Changed and Refuted
-	By          int    // the member who found it out, -1 where unknown
-	Rider       uint32 // of Carried: the Rider's kind ...
-	Body        []byte // ... and its message, valid until the next call
+	Kind          EventKind
+	Member        int    // the member it is about; the sender of an extension message
+	Was, Is       State  // of Changed
+	Incarnation   uint64 // of Changed and Refuted
+	By            int    // the member who found it out, -1 where unknown
+	ExtensionKind uint32 // of ExtensionReceived: the kind of the Extension ...
+	Body          []byte // ... and its message, valid until the next call
 }
 
 // Datagram is one that is to be sent.
@@ -66,7 +66,7 @@
 	Syncs                    uint64 // times that the whole state was asked for
 	Strangers                uint64 // dropped: from an address of no peer, or numbered as another
 	Oversize                 uint64 // dropped: too long
-	Garbled                  uint64 // dropped: checksum or form
+	Malformed                uint64 // dropped: checksum or form
 	OtherFleet               uint64 // dropped: of another fleet
 	TooNew                   uint64 // dropped: says that this version cannot read it
 	Unknown                  uint64 // kinds, states and numbers that were skipped
@@ -78,7 +78,7 @@
 	incarnation uint64
 	by          int32         // who found the state out
 	repeats     int16         // how often its rumour is still to be passed on; it is queued while above 0
-	heard       time.Duration // when its last datagram came
+	contactedAt time.Duration // when its last datagram came
 	acked       time.Duration // when it last answered
 	noticed     time.Duration // when it was last sent a notice
 	behind      bool          // its last datagram named an incarnation before the one that is held
@@ -98,29 +98,29 @@
 	health  int
 	counts  Counts
 
-	started   time.Duration
-	leaving   bool
-	begun     bool
-	due       time.Duration // of the next wait, as told by the last call
-	order     []int         // the other members
-	distances []int         // from the own number to the targets of a round, shuffled
-	round     uint64
-	phase     time.Duration // place of the own probes in an interval
-	probeAt   time.Duration
-	rideAt    time.Duration // of the next datagram for the riders; 0 = there is none
-	probe     probe
-	relays    []relay
-	suspects  []int         // members under suspicion
-	callAt    time.Duration // no ping of a suspect before this
-	reach     int           // place in the members of the last try to reach one that is out of service
-
-	news     queue
-	gossipAt time.Duration // 0 = nothing to pass on
-	newsAt   time.Duration // when there was last something new
-	notices  []int
-	askers   []asker
-	askedAt  time.Duration // when the whole state was last asked for
-	synced   bool
+	started      time.Duration
+	leaving      bool
+	begun        bool
+	due          time.Duration // of the next wait, as told by the last call
+	order        []int         // the other members
+	distances    []int         // from the own number to the targets of a round, shuffled
+	round        uint64
+	phase        time.Duration // place of the own probes in an interval
+	probeAt      time.Duration
+	extensionsAt time.Duration // of the next datagram for the extensions; 0 = there is none
+	probe        probe
+	relays       []relay
+	suspects     []int         // members under suspicion
+	callAt       time.Duration // no ping of a suspect before this
+	reach        int           // place in the members of the last try to reach one that is out of service
+
+	updates   queue
+	gossipAt  time.Duration // 0 = nothing to pass on
+	updatedAt time.Duration // when there was last something new
+	notices   []int
+	askers    []asker
+	askedAt   time.Duration // when the whole state was last asked for
+	synced    bool
 
 	sequence uint32
 	enc, dec wirepb.Datagram
@@ -137,7 +137,7 @@
 	n := &Node{cfg: cfg, fleet: cfg.fleetID(), rnd: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
 		byAddr: make(map[netip.AddrPort]int, len(cfg.Peers)), members: make([]member, len(cfg.Peers)),
 		serving: len(cfg.Peers), limit: int16(repeats(len(cfg.Peers)))}
-	n.news.init(len(cfg.Peers))
+	n.updates.init(len(cfg.Peers))
 	for i, p := range cfg.Peers {
 		n.byAddr[p] = i
 		n.members[i] = member{state: Alive, by: -1}
@@ -157,15 +157,15 @@
 	n.reset()
 	n.begun, n.started = true, now
 	n.members[n.cfg.Self].incarnation = max(1, uint64(now/time.Second))
-	n.tell(now, n.cfg.Self, startRepeats)
+	n.queueUpdate(now, n.cfg.Self, startRepeats)
 	n.shuffle(n.round)
 	for range min(startPings, len(n.order)) {
 		n.ping(now, n.someone(-1))
 	}
 	n.phase = time.Duration(n.rnd.Int64N(int64(n.cfg.Interval)))
 	n.probeAt = n.nextProbe(now)
-	if n.cfg.Ride > 0 && len(n.cfg.Riders) > 0 {
-		n.rideAt = now + time.Duration(n.rnd.Int64N(int64(n.cfg.Ride))) + 1
+	if n.cfg.ExtensionInterval > 0 && len(n.cfg.Extensions) > 0 {
+		n.extensionsAt = now + time.Duration(n.rnd.Int64N(int64(n.cfg.ExtensionInterval))) + 1
 	}
 	n.plan(now)
 }
@@ -181,7 +181,7 @@
 	n.tickRelays(now)
 	n.tickSuspicions(now)
 	n.tickGossip(now)
-	n.tickRide(now)
+	n.tickExtensions(now)
 	n.plan(now)
 }
 
@@ -278,7 +278,7 @@
 	}
 	earlier(n.probe.next())
 	earlier(n.gossipAt)
-	earlier(n.rideAt)
+	earlier(n.extensionsAt)
 	for i := range n.relays {
 		earlier(n.relays[i].next())
 	}
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -27,9 +27,9 @@
 	return out
 }
 
-func newNode(t testing.TB, self, n int, riders ...Rider) *Node {
+func newNode(t testing.TB, self, n int, extensions ...Extension) *Node {
 	t.Helper()
-	node, err := New(Config{Self: self, Peers: addrs(n), Fleet: "test", Seed: 1, Riders: riders})
+	node, err := New(Config{Self: self, Peers: addrs(n), Fleet: "test", Seed: 1, Extensions: extensions})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,9 +48,9 @@
 	return seal(b)
 }
 
-func says(about int, s State, incarnation uint64, by int) func(d *wirepb.Datagram) {
+func withUpdate(about int, s State, incarnation uint64, by int) func(d *wirepb.Datagram) {
 	return func(d *wirepb.Datagram) {
-		d.About, d.Word, d.By = append(d.About, uint32(about)), append(d.Word, word(s, incarnation)), append(d.By, uint32(by+1))
+		d.About, d.Word, d.By = append(d.About, uint32(about)), append(d.Word, packState(s, incarnation)), append(d.By, uint32(by+1))
 	}
 }
 
@@ -99,12 +99,12 @@
 		{Dead, Suspect, inc, inc + 1, Suspect}, {Suspect, Dead, inc, inc, Dead}, {Alive, Dead, inc, inc, Suspect}, {Alive, Dead, inc, inc - 1, Alive},
 	} {
 		n := newNode(t, 0, 5)
-		n.get(t, 1, from(n, 1, says(3, Suspect, c.heldInc-1, 1))) // who dies is suspected first
+		n.get(t, 1, from(n, 1, withUpdate(3, Suspect, c.heldInc-1, 1))) // who dies is suspected first
 		if c.held == Dead {
-			n.get(t, 1, from(n, 1, says(3, Suspect, c.heldInc, 1)))
+			n.get(t, 1, from(n, 1, withUpdate(3, Suspect, c.heldInc, 1)))
 		}
-		n.get(t, 1, from(n, 1, says(3, c.held, c.heldInc, 1)))
-		n.get(t, 2, from(n, 2, says(3, c.told, c.toldInc, 2)))
+		n.get(t, 1, from(n, 1, withUpdate(3, c.held, c.heldInc, 1)))
+		n.get(t, 2, from(n, 2, withUpdate(3, c.told, c.toldInc, 2)))
 		if s, _ := n.Member(3); s != c.want {
 			t.Errorf("held %v@%d, told %v@%d: now %v, want %v", c.held, c.heldInc-inc, c.told, c.toldInc-inc, s, c.want)
 		}
@@ -120,7 +120,7 @@
 		if s == Alive {
 			told = own + 1000
 		}
-		n.get(t, 1, from(n, 1, says(0, s, told, 2)))
+		n.get(t, 1, from(n, 1, withUpdate(0, s, told, 2)))
 		state, now := n.Member(0)
 		if state != Alive || now != told+1 || len(n.Events()) != 1 || n.Events()[0].Kind != Refuted {
 			t.Errorf("told %v@%d: now %v@%d, events %v", s, told, state, now, n.Events())
@@ -129,23 +129,23 @@
 }
 
 // A member that starts again from nothing while its clock stepped back is told so, in answer to its first ping.
-func TestFormerSelfIsTold(t *testing.T) {
+func TestFormerSelfIsNotified(t *testing.T) {
 	n := newNode(t, 0, 5)
 	n.get(t, 1, from(n, 1, nil))
 	n.get(t, 1, from(n, 1, func(d *wirepb.Datagram) {
 		d.Kind, d.Incarnation, d.Sequence = wirepb.Kind_KIND_PING, d.Incarnation-3600, 9
 	}))
 	d := &wirepb.Datagram{}
-	inner, ok := opened(n.Datagrams()[0].Bytes)
+	inner, ok := verifyChecksum(n.Datagrams()[0].Bytes)
 	if err := proto.Unmarshal(inner, d); err != nil || !ok || d.Kind != wirepb.Kind_KIND_ACK || d.Sequence != 9 ||
-		len(d.About) == 0 || d.About[0] != 1 || d.Word[0] != word(Alive, uint64(epoch/time.Second)) {
+		len(d.About) == 0 || d.About[0] != 1 || d.Word[0] != packState(Alive, uint64(epoch/time.Second)) {
 		t.Fatalf("answered %v, %v", d, err)
 	}
 }
 
 // What must not be believed is counted, and changes nothing.
 func TestDropped(t *testing.T) {
-	kill := says(3, Dead, uint64(epoch/time.Second)+9, 1)
+	kill := withUpdate(3, Dead, uint64(epoch/time.Second)+9, 1)
 	long := from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) {
 		kill(d)
 		d.Payload = []*wirepb.Payload{{Kind: 1, Body: make([]byte, 300)}}
@@ -159,16 +159,16 @@
 		"itself":              {addrs(5)[0], from(newNode(t, 0, 5), 0, kill), func(c Counts) uint64 { return c.Strangers }},
 		"numbered as another": {addrs(5)[1], from(newNode(t, 0, 5), 2, kill), func(c Counts) uint64 { return c.Strangers }},
 		"too long":            {addrs(5)[1], long, func(c Counts) uint64 { return c.Oversize }},
-		"cut off":             {addrs(5)[1], from(newNode(t, 0, 5), 1, kill)[:20], func(c Counts) uint64 { return c.Garbled }},
-		"empty":               {addrs(5)[1], nil, func(c Counts) uint64 { return c.Garbled }},
+		"cut off":             {addrs(5)[1], from(newNode(t, 0, 5), 1, kill)[:20], func(c Counts) uint64 { return c.Malformed }},
+		"empty":               {addrs(5)[1], nil, func(c Counts) uint64 { return c.Malformed }},
 		"another fleet": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) { kill(d); d.Fleet++ }),
 			func(c Counts) uint64 { return c.OtherFleet }},
 		"too new": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) { kill(d); d.Least = Version + 1 }),
 			func(c Counts) uint64 { return c.TooNew }},
 		"no version": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) { kill(d); d.Version = 0 }),
-			func(c Counts) uint64 { return c.Garbled }},
+			func(c Counts) uint64 { return c.Malformed }},
 		"absurd incarnation": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) { kill(d); d.Incarnation = 1 << 63 }),
-			func(c Counts) uint64 { return c.Garbled }},
+			func(c Counts) uint64 { return c.Malformed }},
 	} {
 		n := newNode(t, 0, 5)
 		n.Receive(epoch+time.Second, c.from, c.b)
@@ -185,9 +185,9 @@
 	inc := uint64(epoch/time.Second) + 5
 	b := from(n, 1, func(d *wirepb.Datagram) {
 		d.Version, d.Kind = Version+3, 99
-		says(2, 7, inc, 1)(d) // a state to come
-		says(400, Dead, inc, 1)(d)
-		says(3, Left, inc, 1)(d)
+		withUpdate(2, 7, inc, 1)(d) // a state to come
+		withUpdate(400, Dead, inc, 1)(d)
+		withUpdate(3, Left, inc, 1)(d)
 		d.Payload = []*wirepb.Payload{{Kind: 77, Body: []byte("of a subsystem to come")}}
 	})
 	b = b[:len(b)-sumSize]
@@ -227,21 +227,21 @@
 	}
 }
 
-// rider has as much to say as there is room.
-type rider struct{ kind uint32 }
+// testExtension has as much to say as there is room.
+type testExtension struct{ kind uint32 }
 
-func (r rider) Kind() uint32 { return r.kind }
-func (r rider) Ride(_ time.Duration, _, room int, dst []byte) []byte {
+func (r testExtension) Kind() uint32 { return r.kind }
+func (r testExtension) Append(_ time.Duration, _, room int, dst []byte) []byte {
 	return append(dst, bytes.Repeat([]byte{byte(r.kind)}, room)...)
 }
 
-// A datagram never exceeds its length, however much there is to tell; and what rides along arrives.
+// A datagram never exceeds its length, however many updates are queued; and extension messages arrive.
 func TestDatagramsStayShort(t *testing.T) {
-	n, other := newNode(t, 4000, MostMembers, rider{1}, rider{2}), newNode(t, 7, MostMembers, rider{1})
+	n, other := newNode(t, 4000, MostMembers, testExtension{1}, testExtension{2}), newNode(t, 7, MostMembers, testExtension{1})
 	carried := 0
 	for round := range 40 {
-		for k := range 60 { // absurd words at the longest
-			n.get(t, k, from(n, k, says(round*100+k, Suspect, mostInc-1, 3000)))
+		for k := range 60 { // absurd updates at the longest
+			n.get(t, k, from(n, k, withUpdate(round*100+k, Suspect, mostInc-1, 3000)))
 		}
 		n.get(t, 7, from(n, 7, func(d *wirepb.Datagram) {
 			d.Kind, d.Incarnation, d.Sequence = wirepb.Kind_KIND_SYNC_ASK, mostInc-1, 1<<32-1
@@ -254,14 +254,14 @@
 			for _, d := range n.Datagrams() {
 				other.Receive(epoch+time.Second, addrs(MostMembers)[4000], d.Bytes)
 				for _, e := range other.Events() {
-					if e.Kind == Carried && e.Member == 4000 && e.Rider == 1 && len(e.Body) > 0 {
+					if e.Kind == ExtensionReceived && e.Member == 4000 && e.ExtensionKind == 1 && len(e.Body) > 0 {
 						carried++
 					}
 				}
 			}
 		}
 	}
-	if n.Counts().Sent < 200 || carried == 0 || other.Counts().Garbled > 0 {
+	if n.Counts().Sent < 200 || carried == 0 || other.Counts().Malformed > 0 {
 		t.Errorf("sent %d, carried %d, at the other %+v", n.Counts().Sent, carried, other.Counts())
 	}
 }
@@ -270,7 +270,7 @@
 func TestNoiseIsNotBelieved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNode2(t)
-		b := from(n, 1, says(3, Dead, uint64(epoch/time.Second)+7, 2))
+		b := from(n, 1, withUpdate(3, Dead, uint64(epoch/time.Second)+7, 2))
 		switch rapid.IntRange(0, 2).Draw(t, "how") {
 		case 0:
 			b = rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "noise")
@@ -295,9 +295,9 @@
 	return n
 }
 
-// Any well-formed words, true or absurd, from members that contradict each other: the rules hold, nothing grows
+// Any well-formed updates, true or absurd, from members that contradict each other: the rules hold, nothing grows
 // beyond the peers, the own state stays.
-func TestAbsurdWordsKeepTheRules(t *testing.T) {
+func TestAbsurdUpdatesKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNode2(t)
 		now := epoch
@@ -419,7 +419,7 @@
 // pauses, once.
 func TestRecoveredHealthTellsNoDeathUnasked(t *testing.T) {
 	n := newNode(t, 0, 5)
-	n.get(t, 1, from(n, 1, says(3, Suspect, uint64(epoch/time.Second), 1)))
+	n.get(t, 1, from(n, 1, withUpdate(3, Suspect, uint64(epoch/time.Second), 1)))
 	n.health = 4
 	now := epoch + time.Second
 	asked := 0
@@ -447,7 +447,7 @@
 		n := newNode(t, 0, 5)
 		n.get(t, 1, from(n, 1, nil))
 		n.get(t, 3, from(n, 3, nil))
-		n.get(t, 1, from(n, 1, says(3, Dead, inc, 1)))
+		n.get(t, 1, from(n, 1, withUpdate(3, Dead, inc, 1)))
 		if s, _ := n.Member(3); s != Suspect {
 			t.Fatalf("member 3 is %v at once", s)
 		}
@@ -477,7 +477,7 @@
 	inc := uint64(epoch / time.Second)
 	tellAll := func() {
 		for i := 2; i < 2+gone; i++ {
-			n.get(t, 1, from(n, 1, says(i, Dead, inc, 1)))
+			n.get(t, 1, from(n, 1, withUpdate(i, Dead, inc, 1)))
 		}
 	}
 	tellAll()
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,14 +7,14 @@
 
 // suspicion is what is kept of a member under suspicion.
 type suspicion struct {
-	began     time.Duration
-	callFrom  time.Duration // from when on it has been pinged for an answer; 0 = not yet
-	calledAt  time.Duration // when it last was
-	calls     int16         // how often it was
-	firstHand bool          // this member probed it in vain
-	told      bool          // it was said to be dead while nothing was known of a suspicion
-	accusers  [confirmations + 1]int32
-	accused   int8 // how many of them there are
+	began        time.Duration
+	callFrom     time.Duration // from when on it has been pinged for an answer; 0 = not yet
+	calledAt     time.Duration // when it last was
+	calls        int16         // how often it was
+	firstHand    bool          // this member probed it in vain
+	reportedDead bool          // it was said to be dead while nothing was known of a suspicion
+	accusers     [confirmations + 1]int32
+	accused      int8 // how many of them there are
 }
 
 // begin starts a suspicion.
@@ -68,7 +68,7 @@
 		news = n.accuse(i, h) || news
 	}
 	if news {
-		n.tell(now, i, n.limit)
+		n.queueUpdate(now, i, n.limit)
 	}
 	m.firstHand = true
 	m.callFrom = now
@@ -77,12 +77,12 @@
 
 // doubt is a suspicion that a death told at second hand leads to: the member itself is asked before that is believed.
 // A rumour from beyond a cut that healed must not kill a member among those who have been in touch with it all the
-// while. Further words of the same death change nothing meanwhile.
+// while. Further reports of the same death change nothing meanwhile.
 func (n *Node) doubt(now time.Duration, i int, incarnation uint64, by int) {
 	m := &n.members[i]
 	if m.state == Alive {
 		n.set(now, i, Suspect, max(incarnation, m.incarnation), by, true)
-		m.told = true
+		m.reportedDead = true
 		return
 	}
 	m.incarnation = max(incarnation, m.incarnation)
@@ -101,7 +101,7 @@
 // from the longest down to the shortest as accusers come. The worse the own health, the longer (ours: the paper
 // scales only the probes).
 func (n *Node) lasts(m *member) (all, calls time.Duration) {
-	if m.told {
+	if m.reportedDead {
 		return n.cfg.part(callLeast), 0
 	}
 	shortest := float64(n.cfg.Suspect)
@@ -112,7 +112,7 @@
 		return time.Duration(d), 0
 	}
 	// Ours: who probed it in vain goes on asking it until the end, and so hears of a refutation from the suspect
-	// itself. Who only heard of the suspicion leaves them the first word, and then asks for itself: rumours miss a
+	// itself. Who only heard of the suspicion lets them report first, and then asks for itself: rumours miss a
 	// member now and then, refutations as well.
 	return time.Duration(d + secondHand*float64(n.cfg.Interval)), time.Duration(d)
 }
@@ -123,7 +123,7 @@
 func (n *Node) deadAt(m *member) time.Duration {
 	all, _ := n.lasts(m)
 	least := n.cfg.part(callLeast)
-	if !m.firstHand && !m.told {
+	if !m.firstHand && !m.reportedDead {
 		least = n.cfg.part(secondHand)
 	}
 	return max(m.began+all, m.callFrom+least)
@@ -158,7 +158,7 @@
 			}
 		}
 		if m.callFrom > 0 && m.calls >= callsLeast && now >= n.deadAt(m) {
-			if n.health == 0 || now-m.heard >= n.cfg.Interval {
+			if n.health == 0 || now-m.contactedAt >= n.cfg.Interval {
 				n.set(now, i, Dead, m.incarnation, n.cfg.Self, false) // takes it off the list
 				continue
 			}
@@ -192,8 +192,8 @@
 	if s.firstHand != o.firstHand {
 		return s.firstHand
 	}
-	if s.told != o.told {
-		return s.told
+	if s.reportedDead != o.reportedDead {
+		return s.reportedDead
 	}
 	return s.calledAt < o.calledAt
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -15,7 +15,7 @@
 	if digest == n.digest || n.leaving {
 		return
 	}
-	since, calm := now-n.askedAt, now-n.newsAt
+	since, calm := now-n.askedAt, now-n.updatedAt
 	interval := n.cfg.Interval
 	fresh := !n.synced && now-n.started < young*interval && (n.askedAt == 0 || since > interval/2)
 	settled := calm > interval*3/2 && since > 2*interval
@@ -67,7 +67,7 @@
 		if s.Serves() && incarnation == m.incarnation && !m.state.Serves() {
 			n.notify(now, about) // one of us is wrong: the member itself decides
 		}
-	case s == Dead && m.state.Serves() && (m.heard > 0 || now-n.started > young*n.cfg.Interval):
+	case s == Dead && m.state.Serves() && (m.contactedAt > 0 || now-n.started > young*n.cfg.Interval):
 		n.doubt(now, about, incarnation, from)
 		n.notify(now, about)
 	default:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// overrides tells whether a word on a member beats what is held: a later incarnation always does, within one the
+// overrides reports whether an update on a member beats its present state: a later incarnation always does, within one the
 // states do in their order.
 func (m *member) overrides(s State, incarnation uint64) bool {
 	return incarnation > m.incarnation || incarnation == m.incarnation && s > m.state
 }
 
-// hear takes a rumour that another member passes on.
-func (n *Node) hear(now time.Duration, about int, s State, incarnation uint64, by int) {
+// applyUpdate takes a gossiped update on a member.
+func (n *Node) applyUpdate(now time.Duration, about int, s State, incarnation uint64, by int) {
 	if about == n.cfg.Self {
 		n.aboutSelf(now, s, incarnation, by)
 		return
@@ -25,13 +25,13 @@
 			s = Suspect
 		}
 	}
-	if s == Dead && incarnation >= m.incarnation && (m.state == Alive || m.told) {
+	if s == Dead && incarnation >= m.incarnation && (m.state == Alive || m.reportedDead) {
 		n.doubt(now, about, incarnation, by) // ours: who never heard of a suspicion asks for itself first
 		return
 	}
 	if s == Suspect && m.state == Suspect && incarnation == m.incarnation {
 		if n.accuse(about, by) { // news: it shortens the suspicion elsewhere too
-			n.tell(now, about, n.limit)
+			n.queueUpdate(now, about, n.limit)
 		}
 		return
 	}
@@ -52,16 +52,16 @@
 	if s == Suspect || s == Dead {
 		n.worsen(1) // Lifeguard: who is suspected may be late itself
 	}
-	n.tell(now, n.cfg.Self, n.limit)
+	n.queueUpdate(now, n.cfg.Self, n.limit)
 	n.events = append(n.events, Event{Kind: Refuted, Member: n.cfg.Self, Was: s, Is: m.state,
 		Incarnation: m.incarnation, By: by})
 }
 
-// heardFrom takes what a member's datagram says by its mere coming: its own incarnation. It tells whether the member
-// is in service by what is held of it: else nothing that it says of others is believed.
-func (n *Node) heardFrom(now time.Duration, from int, incarnation uint64) bool {
+// recordContact records that a datagram of a member has arrived, with the sender's incarnation. It reports whether the
+// member is in service here: otherwise its updates on others are not trusted.
+func (n *Node) recordContact(now time.Duration, from int, incarnation uint64) bool {
 	m := &n.members[from]
-	m.heard, m.behind = now, incarnation < m.incarnation
+	m.contactedAt, m.behind = now, incarnation < m.incarnation
 	if incarnation > m.incarnation {
 		first := m.incarnation == 0 && m.state == Alive
 		n.set(now, from, Alive, incarnation, from, first) // a start of the fleet is no news of each to all
@@ -69,8 +69,8 @@
 	return m.state.Serves() && !m.behind
 }
 
-// mustTell tells whether a member has to hear first what is said of it, so that it can refute that.
-func (n *Node) mustTell(to int) bool {
+// needsNotice reports whether a member must first receive the update on itself, so that it can refute it.
+func (n *Node) needsNotice(to int) bool {
 	m := &n.members[to]
 	return m.behind || m.state != Alive
 }
@@ -95,7 +95,7 @@
 		n.begin(now, i, by)
 	}
 	if !quiet {
-		n.tell(now, i, n.limit)
+		n.queueUpdate(now, i, n.limit)
 	}
 	if was != s {
 		n.events = append(n.events, Event{Kind: Changed, Member: i, Was: was, Is: s, Incarnation: incarnation, By: by})
--- a/internal/membership/virtual/fleet_test.go
+++ b/internal/membership/virtual/fleet_test.go
@@ -56,7 +56,7 @@
 }
 
 // No false death at 10% loss with pauses of up to 2 s; the baseline, on the same seed, tells hundreds.
-func TestPausesTellNoDeath(t *testing.T) {
+func TestPausesCauseNoFalseDeath(t *testing.T) {
 	s := Setup{Members: 50, Seed: 3, Loss: 0.1, Every: 100}
 	hours := 10 * time.Hour
 	if raced {
@@ -76,7 +76,7 @@
 }
 
 // A kill is told within the times that docs/MEMBERSHIP.md states, by members who all learn of it.
-func TestKillsAreTold(t *testing.T) {
+func TestKillsAreDetected(t *testing.T) {
 	for _, n := range []int{10, 30, 100} {
 		kills := 200
 		if raced {
@@ -171,10 +171,10 @@
 
 // A member that can send but not hear, or hear but not send, is held dead by all others, and by that alone; it
 // is back everywhere once it can do both.
-func TestDeafAndMuteMembers(t *testing.T) {
+func TestOneWayLoss(t *testing.T) {
 	for name, cut := range map[string]func(a, b int) bool{
-		"deaf": func(_, b int) bool { return b == 0 },
-		"mute": func(a, _ int) bool { return a == 0 },
+		"inbound":  func(_, b int) bool { return b == 0 },
+		"outbound": func(a, _ int) bool { return a == 0 },
 	} {
 		f, deaths := fleet(t, 12)
 		f.Cut = cut
--- a/internal/membership/virtual/heartbeat.go
+++ b/internal/membership/virtual/heartbeat.go
@@ -13,26 +13,26 @@
 // datagrams. Each member goes round all others in a shuffled order, so many a second, and holds one dead that it has
 // not heard for some rounds. It has no helpers, no suspicion and no rumours.
 type Heartbeat struct {
-	cfg    membership.Config
-	every  time.Duration // between two heartbeats
-	silent time.Duration // after which a member is held dead
-	rnd    *rand.Rand
-	order  []int
-	at     int
-	heard  []time.Duration
-	dead   []bool
-	byAddr map[netip.AddrPort]int
-	due    time.Duration
-	serial uint64
-	out    []membership.Datagram
-	events []membership.Event
-	alive  int
+	cfg         membership.Config
+	every       time.Duration // between two heartbeats
+	silent      time.Duration // after which a member is held dead
+	rnd         *rand.Rand
+	order       []int
+	at          int
+	contactedAt []time.Duration
+	dead        []bool
+	byAddr      map[netip.AddrPort]int
+	due         time.Duration
+	serial      uint64
+	out         []membership.Datagram
+	events      []membership.Event
+	alive       int
 }
 
 // NewHeartbeat makes one that sends so many datagrams a second and holds a member dead after so many silent rounds.
 func NewHeartbeat(cfg membership.Config, perSecond, rounds float64) *Heartbeat {
 	h := &Heartbeat{cfg: cfg, every: time.Duration(float64(time.Second) / perSecond),
-		rnd: rand.New(rand.NewPCG(cfg.Seed, 3)), heard: make([]time.Duration, len(cfg.Peers)),
+		rnd: rand.New(rand.NewPCG(cfg.Seed, 3)), contactedAt: make([]time.Duration, len(cfg.Peers)),
 		dead: make([]bool, len(cfg.Peers)), byAddr: map[netip.AddrPort]int{}, alive: len(cfg.Peers)}
 	h.silent = time.Duration(rounds * float64(h.every) * float64(len(cfg.Peers)-1))
 	for i, p := range cfg.Peers {
@@ -46,8 +46,8 @@
 
 // Start begins the heartbeats.
 func (h *Heartbeat) Start(now time.Duration) {
-	for i := range h.heard {
-		h.heard[i] = now
+	for i := range h.contactedAt {
+		h.contactedAt[i] = now
 	}
 	h.due = now + time.Duration(h.rnd.Int64N(int64(h.every)))
 }
@@ -66,7 +66,7 @@
 	h.out = append(h.out, membership.Datagram{To: h.order[h.at], Bytes: binary.AppendUvarint(nil, h.serial)})
 	h.at = (h.at + 1) % len(h.order)
 	for _, i := range h.order {
-		if !h.dead[i] && now-h.heard[i] > h.silent {
+		if !h.dead[i] && now-h.contactedAt[i] > h.silent {
 			h.change(i, true)
 		}
 	}
@@ -87,7 +87,7 @@
 func (h *Heartbeat) Receive(now time.Duration, from netip.AddrPort, _ []byte) {
 	h.out, h.events = h.out[:0], h.events[:0]
 	i := h.byAddr[from]
-	h.heard[i] = now
+	h.contactedAt[i] = now
 	if h.dead[i] {
 		h.change(i, false)
 	}
--- a/internal/membership/virtual/random.go
+++ b/internal/membership/virtual/random.go
@@ -28,9 +28,11 @@
 	}
 	f.Loss, f.Double = 0.15*f.rnd.Float64(), 0.1*f.rnd.Float64()
 	r := &randomRun{f: f, touched: make([]time.Duration, members), side: make([]int, members),
-		deaf: make([]bool, members), mute: make([]bool, members), cut: map[[2]int]bool{},
-		known: make([]map[int]word, members), lives: make([]int, members)}
-	f.Cut = func(a, b int) bool { return r.side[a] != r.side[b] || r.mute[a] || r.deaf[b] || r.cut[[2]int{a, b}] }
+		dropInbound: make([]bool, members), dropOutbound: make([]bool, members), cut: map[[2]int]bool{},
+		reports: make([]map[int]report, members), lives: make([]int, members)}
+	f.Cut = func(a, b int) bool {
+		return r.side[a] != r.side[b] || r.dropOutbound[a] || r.dropInbound[b] || r.cut[[2]int{a, b}]
+	}
 	f.Seen = r.seen
 	for at := 5 * time.Second; at < playFor; at += time.Duration(f.rnd.Int64N(int64(6 * time.Second))) {
 		f.At(at, r.fault)
@@ -53,19 +55,19 @@
 	}
 }
 
-type word struct {
+type report struct {
 	state       membership.State
 	incarnation uint64
 }
 
 type randomRun struct {
-	f          *Fleet
-	touched    []time.Duration // when a fault last touched a member
-	side       []int
-	deaf, mute []bool
-	cut        map[[2]int]bool
-	known      []map[int]word // what each last told of each, in its present life
-	lives      []int
+	f                         *Fleet
+	touched                   []time.Duration // when a fault last touched a member
+	side                      []int
+	dropInbound, dropOutbound []bool
+	cut                       map[[2]int]bool
+	reports                   []map[int]report // what each last told of each, in its present life
+	lives                     []int
 }
 
 var (
@@ -78,14 +80,14 @@
 	if e.Kind != membership.Changed || e.Member == at {
 		return nil
 	}
-	if r.known[at] == nil || r.lives[at] != r.f.Members[at].life {
-		r.known[at], r.lives[at] = map[int]word{}, r.f.Members[at].life
+	if r.reports[at] == nil || r.lives[at] != r.f.Members[at].life {
+		r.reports[at], r.lives[at] = map[int]report{}, r.f.Members[at].life
 	}
-	was, is := r.known[at][e.Member], word{e.Is, e.Incarnation}
+	was, is := r.reports[at][e.Member], report{e.Is, e.Incarnation}
 	if is.incarnation < was.incarnation || is.incarnation == was.incarnation && is.state <= was.state {
 		return fmt.Errorf("%w: member %d from %v to %v", errBack, e.Member, was, is)
 	}
-	r.known[at][e.Member] = is
+	r.reports[at][e.Member] = is
 	calm := func(i int) bool { return r.f.Now-r.touched[i] > blameFor }
 	if e.Is == membership.Dead && r.f.Members[e.Member].Up && calm(e.Member) && calm(at) && r.f.Now-Epoch > blameFor {
 		return fmt.Errorf("%w: member %d", errFalse, e.Member)
@@ -120,11 +122,11 @@
 		r.cut[[2]int{i, j}] = true
 		f.At(for1, func() { delete(r.cut, [2]int{i, j}) })
 	case 5:
-		r.deaf[i] = true
-		f.At(for1, func() { r.deaf[i] = false })
+		r.dropInbound[i] = true
+		f.At(for1, func() { r.dropInbound[i] = false })
 	case 6:
-		r.mute[i] = true
-		f.At(for1, func() { r.mute[i] = false })
+		r.dropOutbound[i] = true
+		f.At(for1, func() { r.dropOutbound[i] = false })
 	case 7:
 		for k := range r.side {
 			r.side[k] = f.rnd.IntN(2)
@@ -141,8 +143,8 @@
 // heal takes every fault back; who is down stays down.
 func (r *randomRun) heal() {
 	clear(r.side)
-	clear(r.deaf)
-	clear(r.mute)
+	clear(r.dropInbound)
+	clear(r.dropOutbound)
 	clear(r.cut)
 }
 
--- a/internal/netio/clients.go
+++ b/internal/netio/clients.go
@@ -24,39 +24,39 @@
 
 // Clients is the platform's front.
 type Clients struct {
-	gateway *Gateway
-	log     *slog.Logger
-	most    int // connections, those that are being shut included
-	leaving *leaving
-	lines   int // bytes of lines that are not whole, over all connections
-	unread  int // and how many there are
-	open    map[*client]bool
-	serving bool
-	ln      net.Listener
-	patient time.Duration // how long a client may take to ask for something, or to end a line
-	stopped func()        // runs once no more connections are taken
+	gateway   *Gateway
+	log       *slog.Logger
+	most      int // connections, those that are being shut included
+	lingering *lingerSet
+	lines     int // bytes of lines that are not whole, over all connections
+	unread    int // and how many there are
+	open      map[*client]bool
+	serving   bool
+	ln        net.Listener
+	patient   time.Duration // how long a client may take to ask for something, or to end a line
+	stopped   func()        // runs once no more connections are taken
 }
 
 // client is one connection.
 type client struct {
-	front   *Clients
-	conn    *Conn
-	session *jsonrpc.Session
-	calls   map[string]core.ID
-	asked   bool // it has said something that got an answer, or will
-	called  bool // a call of it was taken
-	deaf    bool // its framing is lost: what is open is answered, and nothing more is read
-	unread  int  // bytes of a line that is not whole
-	since   time.Duration
-	idle    *Timer
-	half    *Timer // the wait for a line's end; nil while none has begun
+	front       *Clients
+	conn        *Conn
+	session     *jsonrpc.Session
+	calls       map[string]core.ID
+	asked       bool // it has said something that got an answer, or will
+	called      bool // a call of it was taken
+	stopReading bool // its framing is lost: what is open is answered, and nothing more is read
+	unread      int  // bytes of a line that is not whole
+	since       time.Duration
+	idle        *Timer
+	half        *Timer // the wait for a line's end; nil while none has begun
 }
 
 // NewClients makes the front for at most so many connections, whose unfinished lines may hold so many bytes.
 func NewClients(g *Gateway, log *slog.Logger, most, lines int) *Clients {
 	f := &Clients{gateway: g, log: log, most: most, lines: lines, open: map[*client]bool{}, serving: true,
 		patient: askWait}
-	f.leaving = newLeaving(most, func() int { return len(f.open) })
+	f.lingering = newLingerSet(most, func() int { return len(f.open) })
 	return f
 }
 
@@ -117,8 +117,8 @@
 	ln.Close()
 }
 
-// Retire shuts the connections on which nothing is open and nothing has come, and tells whether that were all of them.
-func (f *Clients) Retire() bool {
+// CloseIdle shuts the connections on which nothing is open and nothing has come, and tells whether that were all of them.
+func (f *Clients) CloseIdle() bool {
 	for c := range f.open {
 		if c.unread == 0 { // else its line may still end
 			c.retire("stopped")
@@ -128,7 +128,7 @@
 }
 
 // WhenEmpty sets what runs once no connection is open or being shut.
-func (f *Clients) WhenEmpty(run func()) { f.leaving.whenEmpty(run) }
+func (f *Clients) WhenEmpty(run func()) { f.lingering.whenEmpty(run) }
 
 // Finish shuts the connections once what they were to get is written.
 func (f *Clients) Finish() {
@@ -138,7 +138,7 @@
 }
 
 func (f *Clients) take(nc net.Conn) {
-	if len(f.open) >= max(1, f.most-f.leaving.most) && !f.closeOneIdle() {
+	if len(f.open) >= max(1, f.most-f.lingering.limit) && !f.closeOneIdle() {
 		f.log.Warn("too many client connections", "open", len(f.open))
 		nc.Close()
 		return
@@ -197,7 +197,7 @@
 	c.idle.Stop()
 	c.since = c.front.gateway.Loop.Now()
 	if len(c.calls) == 0 {
-		if c.deaf {
+		if c.stopReading {
 			c.end("no more lines can be read")
 			return
 		}
@@ -221,7 +221,7 @@
 // lineLate ends a connection whose line does not, once its calls are answered.
 func (c *client) lineLate() {
 	c.half = nil
-	c.conn.Quiet() // its end may have come
+	c.conn.DeliverPending() // its end may have come
 	switch {
 	case !c.conn.isOpen() || c.unread == 0:
 	case len(c.calls) == 0:
@@ -233,7 +233,7 @@
 
 // askedNothing ends a connection that has not asked for anything in its time.
 func (c *client) askedNothing() {
-	if c.conn.Quiet(); c.conn.isOpen() && !c.asked {
+	if c.conn.DeliverPending(); c.conn.isOpen() && !c.asked {
 		c.end("it asked for nothing")
 	}
 }
@@ -241,7 +241,7 @@
 // retire shuts a connection that rests, unless something has come on it that is not read yet: a request that was there
 // before the shutdown is owed an answer. It tells whether it did.
 func (c *client) retire(why string) bool {
-	if !c.conn.Quiet() || len(c.calls) > 0 {
+	if !c.conn.DeliverPending() || len(c.calls) > 0 {
 		return false
 	}
 	c.end(why)
@@ -255,19 +255,19 @@
 	c.front.unread -= c.unread
 	c.unread = 0
 	delete(c.front.open, c)
-	c.front.leaving.check()
+	c.front.lingering.check()
 }
 
 // end shuts a connection once what has been answered is written: the last answer may still be on its way.
 func (c *client) end(why string) {
 	c.front.log.Debug("client connection ended", "why", why)
-	c.front.leaving.shut(c.conn)
+	c.front.lingering.finish(c.conn)
 	c.forget()
 }
 
 // Data feeds the session and does what its lines ask for.
 func (c *client) Data(b []byte) {
-	if c.deaf {
+	if c.stopReading {
 		return
 	}
 	events, err := c.session.Feed(b)
@@ -290,7 +290,7 @@
 	}
 	if err != nil { // what was asked before is no worse for it
 		c.front.log.Warn("client connection closed", "error", err)
-		c.deaf, c.asked = true, true
+		c.stopReading, c.asked = true, true
 		c.session.Abandon()
 		c.await()
 		c.conn.Pause()
@@ -342,11 +342,11 @@
 	return fly(g, g.Pool, a, a.Engine.Addr, machine, steps, func([]byte) {})
 }
 
-// Listen takes in what the client has sent by now.
-func (r *request) Listen() { r.client.conn.Quiet() }
+// ReadPending takes in what the client has sent by now.
+func (r *request) ReadPending() { r.client.conn.DeliverPending() }
 
-// Unheard tells what of the client is not taken in yet.
-func (r *request) Unheard() (some, gone bool) { return r.client.conn.peek() }
+// Unread tells what of the client is not taken in yet.
+func (r *request) Unread() (some, gone bool) { return r.client.conn.peek() }
 
 // Answer writes the one answer of the call.
 func (r *request) Answer(reply core.Reply, result any) {
--- a/internal/netio/clients_test.go
+++ b/internal/netio/clients_test.go
@@ -39,8 +39,8 @@
 	return f
 }
 
-// says connects and says something.
-func says(t *testing.T, f *Clients, text string) net.Conn {
+// sendText connects and says something.
+func sendText(t *testing.T, f *Clients, text string) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", f.ln.Addr().String())
 	if err != nil {
@@ -75,15 +75,15 @@
 // is owed an answer are closed soon, while one that has asked may stay.
 func TestWhoAsksForNothingIsClosed(t *testing.T) {
 	f := front(t, 100, 1<<20, 100*time.Millisecond)
-	stays := says(t, f, ping)
+	stays := sendText(t, f, ping)
 	answered(t, stays)
 	silent := map[string]net.Conn{
-		"nothing": says(t, f, ""),
-		"half":    says(t, f, `{"jsonrpc":"2.0",`),
-		"blank":   says(t, f, "\n\n"),
-		"stray":   says(t, f, `{"jsonrpc":"2.0","method":"abort","params":{"id":7}}`+"\n"),
+		"nothing": sendText(t, f, ""),
+		"half":    sendText(t, f, `{"jsonrpc":"2.0",`),
+		"blank":   sendText(t, f, "\n\n"),
+		"stray":   sendText(t, f, `{"jsonrpc":"2.0","method":"abort","params":{"id":7}}`+"\n"),
 	}
-	later := says(t, f, ping+`{"jsonrpc"`)
+	later := sendText(t, f, ping+`{"jsonrpc"`)
 	answered(t, later)
 	ended(t, "half a line later", later)
 	for what, nc := range silent {
@@ -139,7 +139,7 @@
 func TestFullFrontTakesTheNext(t *testing.T) {
 	f := front(t, 1, 1<<20, time.Hour)
 	long := strings.Repeat("y", 8<<20) // more than the sockets between hold
-	first := says(t, f, ping)
+	first := sendText(t, f, ping)
 	answered(t, first)
 	f.gateway.Loop.Do(func() {
 		for c := range f.open {
@@ -147,7 +147,7 @@
 			c.conn.Write([]byte(long))
 		}
 	})
-	answered(t, says(t, f, ping))
+	answered(t, sendText(t, f, ping))
 	if got, err := io.ReadAll(first); err != nil || len(got) != len(long) {
 		t.Fatalf("%d bytes, %v, want %d and the end", len(got), err, len(long))
 	}
@@ -157,15 +157,15 @@
 func TestUnfinishedLinesAreBounded(t *testing.T) {
 	f := front(t, 100, 3*fairLine, time.Hour)
 	long := strings.Repeat("x", 2*fairLine)
-	says(t, f, long)
+	sendText(t, f, long)
 	for {
 		held := 0
 		if f.gateway.Loop.Do(func() { held = f.unread }); held == len(long) {
 			break
 		}
 	}
-	ended(t, "the one too many", says(t, f, long))
-	short := says(t, f, ping[:10]) // no fault of its own
+	ended(t, "the one too many", sendText(t, f, long))
+	short := sendText(t, f, ping[:10]) // no fault of its own
 	io.WriteString(short, ping[10:])
 	answered(t, short)
 }
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -187,9 +187,9 @@
 	return len(c.arrived) > 0, c.eof
 }
 
-// Quiet hands the owner what has come by now, the connection's end included, and tells whether nothing had. One that is quiet
-// may be half-closed at once: what comes after that crossed it on the way.
-func (c *Conn) Quiet() bool {
+// DeliverPending hands the owner all bytes received so far, and the end of the connection, and returns true if there was
+// nothing to deliver. Such a connection may be half-closed at once: later bytes were sent before the peer saw the half-close.
+func (c *Conn) DeliverPending() bool {
 	some, eof := c.peek()
 	if eof {
 		c.lost(io.EOF)
--- a/internal/netio/conn_test.go
+++ b/internal/netio/conn_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// heard is a handler that tells when its connection has ended.
-type heard struct{ closed chan error }
+// recordedConn is a handler that tells when its connection has ended.
+type recordedConn struct{ closed chan error }
 
-func (h heard) Data([]byte)      {}
-func (h heard) Closed(err error) { h.closed <- err }
+func (h recordedConn) Data([]byte)      {}
+func (h recordedConn) Closed(err error) { h.closed <- err }
 
 // Guards against clients that read nothing: what waits for one of them, and for all together, has a bound.
 func TestPeersThatReadNothingAreCutOff(t *testing.T) {
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := heard{make(chan error, 1)}
+		h := recordedConn{make(chan error, 1)}
 		var c *Conn
 		loop.Do(func() { c = NewConn(loop, nc, h, limit) })
 		for sent := 0; sent < 2*testRoom && len(h.closed) == 0; sent += 1 << 20 {
--- a/internal/netio/crossings_test.go
+++ b/internal/netio/crossings_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/bulletin"
 	"frostpier/internal/core"
+	"frostpier/internal/discovery"
 	"frostpier/policy"
 )
 
@@ -22,7 +22,7 @@
 func TestRequestUnreadAsItsConnectionIsShut(t *testing.T) {
 	for name, shut := range map[string]func(*rig, *client) bool{
 		"idle":       func(r *rig, c *client) bool { return c.retire("idle") },
-		"stop":       func(r *rig, _ *client) bool { return r.Retire() },
+		"stop":       func(r *rig, _ *client) bool { return r.CloseIdle() },
 		"make room":  func(r *rig, _ *client) bool { return r.closeOneIdle() },
 		"first word": func(r *rig, c *client) bool { c.asked = false; c.askedNothing(); return !c.conn.isOpen() },
 	} {
@@ -31,7 +31,7 @@
 			r := newRig(t, 4, e)
 			connect := r.client
 			if !read {
-				connect = r.deafClient
+				connect = r.clientNotReading
 			}
 			nc, c := connect()
 			r.loop.Do(func() {
@@ -46,7 +46,7 @@
 			at := e.conn()
 			at.call()
 			io.WriteString(at, served)
-			saysLine(t, bufio.NewReader(nc), `"id":12,"result"`)
+			expectLine(t, bufio.NewReader(nc), `"id":12,"result"`)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	sends(t, nc, ask(7, safe))
 	ends(t, nc)
 	until(t, "the descriptor", func() (gone bool) {
-		r.loop.Do(func() { gone = len(r.leaving.conns) == 0 && c.conn.phase == connEnded })
+		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 && c.conn.phase == connEnded })
 		return gone
 	})
 	if n := r.counts(); n.Taken != 0 {
@@ -75,7 +75,7 @@
 // An answer that is not written yet goes out before the end, and the client's bytes that nobody read do not reset it.
 func TestAnswerUnsentAsTheConnectionIsShut(t *testing.T) {
 	r := newRig(t, 4)
-	nc, c := r.deafClient()
+	nc, c := r.clientNotReading()
 	long := strings.Repeat("y", 8<<20) // more than the sockets between hold
 	r.loop.Do(func() {
 		sends(t, nc, `{"jsonrpc":`) // is unread when the connection ends
@@ -98,7 +98,7 @@
 	})
 	cleanEnd(t, nc)
 	until(t, "the descriptor", func() (gone bool) {
-		r.loop.Do(func() { gone = len(r.leaving.conns) == 0 })
+		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 })
 		return gone
 	})
 }
@@ -112,13 +112,13 @@
 	at := e.conn()
 	at.call()
 	go io.Copy(nc, strings.NewReader(strings.Repeat("x", 1<<20)))
-	until(t, "the bad line", func() (deaf bool) {
-		r.loop.Do(func() { deaf = c.deaf })
-		return deaf
+	until(t, "the bad line", func() (stopped bool) {
+		r.loop.Do(func() { stopped = c.stopReading })
+		return stopped
 	})
 	io.WriteString(at, served)
 	in := bufio.NewReader(nc)
-	saysLine(t, in, `"result"`)
+	expectLine(t, in, `"result"`)
 	cleanEnd(t, in)
 }
 
@@ -132,10 +132,10 @@
 		t.Run("first, "+how, func(t *testing.T) {
 			e := newEngine(t, "e")
 			r := newRig(t, 4, e)
-			nc, c := r.deafClient()
+			nc, c := r.clientNotReading()
 			r.loop.Do(func() {
 				sends(t, nc, ask(11, safe))
-				c.conn.Quiet()
+				c.conn.DeliverPending()
 				r.queued(1) // the dial is through
 				leaves(nc)
 			})
@@ -144,24 +144,24 @@
 		t.Run("in line, "+how, func(t *testing.T) {
 			e := newEngine(t, "e")
 			r := newRig(t, 4)
-			nc, c := r.deafClient()
+			nc, c := r.clientNotReading()
 			sends(t, nc, ask(11, safe))
-			r.loop.Do(func() { c.conn.Quiet() })
+			r.loop.Do(func() { c.conn.DeliverPending() })
 			leaves(nc)
-			r.tell(e)
+			r.publish(e)
 			r.nobodyServed(e.conn(), e)
 		})
 	}
 	t.Run("further", func(t *testing.T) {
 		e, other := newEngine(t, "e"), newEngine(t, "other")
 		r := newRig(t, 4, e)
-		nc, c := r.deafClient()
+		nc, c := r.clientNotReading()
 		sends(t, nc, ask(11, safe))
-		r.loop.Do(func() { c.conn.Quiet() })
+		r.loop.Do(func() { c.conn.DeliverPending() })
 		at := e.conn()
 		at.call()
 		ends(t, nc)
-		r.tell(e, other)
+		r.publish(e, other)
 		io.WriteString(at, erred)
 		until(t, "the request's end", func() bool { return r.counts().Left == 1 })
 		if n := r.counts(); n.Further != 0 {
@@ -209,13 +209,13 @@
 			first.call()
 			io.WriteString(first, served)
 			in := bufio.NewReader(nc)
-			saysLine(t, in, `"id":11,"result"`)
+			expectLine(t, in, `"id":11,"result"`)
 			r.loop.Do(func() {
 				if !chosen {
 					move(first)
 				}
 				sends(t, nc, ask(12, safe))
-				c.conn.Quiet()
+				c.conn.DeliverPending()
 				if chosen {
 					move(first)
 				}
@@ -225,7 +225,7 @@
 				t.Fatalf("%s: %q on the new connection", name, call)
 			}
 			io.WriteString(second, served)
-			saysLine(t, in, `"id":12,"result"`)
+			expectLine(t, in, `"id":12,"result"`)
 			if n, err := first.r.R.Read(make([]byte, 1)); n > 0 {
 				t.Fatalf("%s: something was written on the old connection, %v", name, err)
 			}
@@ -238,17 +238,17 @@
 func TestSecondAnswerComesLate(t *testing.T) {
 	e := newEngine(t, "e")
 	r := newRig(t, 4, e)
-	r.loop.Do(func() { r.pool.settle = time.Hour })
+	r.loop.Do(func() { r.pool.drainDelay = time.Hour })
 	nc, c := r.client()
 	sends(t, nc, ask(11, safe))
 	first := e.conn()
 	first.call()
 	io.WriteString(first, served)
 	in := bufio.NewReader(nc)
-	saysLine(t, in, `"id":11,"result"`)
+	expectLine(t, in, `"id":11,"result"`)
 	r.loop.Do(func() {
 		sends(t, nc, ask(12, safe))
-		c.conn.Quiet()
+		c.conn.DeliverPending()
 		if n := r.gateway.Core.Counts().Attempts; n != 2 {
 			t.Errorf("%d attempts", n)
 		}
@@ -257,7 +257,7 @@
 	second := e.conn()
 	second.call()
 	io.WriteString(second, served)
-	saysLine(t, in, `"id":12,"result":{"blob":"YQo="}`)
+	expectLine(t, in, `"id":12,"result":{"blob":"YQo="}`)
 	first.nothing()
 }
 
@@ -281,11 +281,11 @@
 		sends(t, first.Conn, served)
 	})
 	in := bufio.NewReader(nc)
-	saysLine(t, in, `"result"`)
+	expectLine(t, in, `"result"`)
 	second := e.conn()
 	second.call()
 	io.WriteString(second, served)
-	saysLine(t, in, `"result"`)
+	expectLine(t, in, `"result"`)
 	first.nothing()
 }
 
@@ -315,14 +315,14 @@
 }
 
 // The list tells of a drain while a further attempt's connection is made: nothing is written to that engine.
-func TestDrainIsToldAsARetryFires(t *testing.T) {
+func TestDrainIsAnnouncedAsARetryFires(t *testing.T) {
 	e, other := newEngine(t, "e"), newEngine(t, "other")
 	r := newRig(t, 8, e)
 	nc, _ := r.client()
 	sends(t, nc, ask(11, safe))
 	at := e.conn()
 	at.call()
-	r.tell(e, other)
+	r.publish(e, other)
 	r.loop.Do(func() {
 		work := len(r.loop.work)
 		sends(t, at.Conn, erred)
@@ -331,7 +331,7 @@
 			(<-r.loop.work)()
 		}
 		r.queued(1) // the dial to the other is through
-		r.gateway.Roster(false, []core.Line{other.line(policy.Draining)})
+		r.gateway.UpdateEngines(false, []core.ListedEngine{other.line(policy.Draining)})
 	})
 	next := other.conn()
 	r.forgetIdle()
@@ -352,12 +352,12 @@
 			sends(t, at.Conn, served) // is there, and nobody has read it
 			if !answerFirst {
 				sends(t, nc, abort)
-				c.conn.Quiet()
+				c.conn.DeliverPending()
 			}
 		})
 		in := bufio.NewReader(nc)
 		if answerFirst {
-			saysLine(t, in, `"id":11,"result"`)
+			expectLine(t, in, `"id":11,"result"`)
 			sends(t, nc, abort)
 		}
 		until(t, "the attempt's end", func() (over bool) {
@@ -365,7 +365,7 @@
 			return over
 		})
 		sends(t, nc, ping)
-		saysLine(t, in, `"serving"`) // and nothing before it
+		expectLine(t, in, `"serving"`) // and nothing before it
 	}
 }
 
@@ -384,7 +384,7 @@
 		t.Fatalf("%q, want it to be asked for", call)
 	}
 	sends(t, again.Conn, erred) // the engine does not know it
-	saysLine(t, bufio.NewReader(nc), `"id":11,"error":{"code":-32013`)
+	expectLine(t, bufio.NewReader(nc), `"id":11,"error":{"code":-32013`)
 	if n := r.counts(); n.Attempts != 1 || n.Further != 0 || len(e.conns) != 0 {
 		t.Fatalf("%+v", n)
 	}
@@ -397,7 +397,7 @@
 	var late []net.Conn
 	r.loop.Do(func() {
 		for range 8 {
-			nc := says(t, r.Clients, ping)
+			nc := sendText(t, r.Clients, ping)
 			arrives(t, nc)
 			late = append(late, nc)
 		}
@@ -414,7 +414,7 @@
 	r := newRig(t, 4)
 	r.loop.Do(func() {
 		for range 8 {
-			says(t, r.Clients, "")
+			sendText(t, r.Clients, "")
 		}
 		until(t, "one to be accepted", func() bool { return len(r.loop.work) > 0 })
 		if n := len(r.loop.work); n > 1 {
@@ -435,7 +435,7 @@
 		return some
 	})
 	r.loop.Do(func() {
-		if r.Retire() {
+		if r.CloseIdle() {
 			t.Error("shut over half a line")
 		}
 	})
@@ -443,24 +443,24 @@
 	at := e.conn()
 	at.call()
 	io.WriteString(at, served)
-	saysLine(t, bufio.NewReader(nc), `"id":11,"result"`)
+	expectLine(t, bufio.NewReader(nc), `"id":11,"result"`)
 }
 
-// watch is a scripted bulletin: each that follows it is handed over behind the line with which it asked.
-type watch struct {
+// scriptedServer is a scripted discovery server: each watch is handed over after its request line.
+type scriptedServer struct {
 	t  *testing.T
 	ln net.Listener
 	at chan net.Conn
 }
 
-func newWatch(t *testing.T) *watch {
+func newWatch(t *testing.T) *scriptedServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	w := &watch{t, ln, make(chan net.Conn, 16)}
+	w := &scriptedServer{t, ln, make(chan net.Conn, 16)}
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -474,7 +474,7 @@
 }
 
 // asked is the next that follows, which must ask for what comes behind an event.
-func (w *watch) asked(after int) net.Conn {
+func (w *scriptedServer) asked(after int) net.Conn {
 	w.t.Helper()
 	select {
 	case nc := <-w.at:
@@ -491,25 +491,25 @@
 	}
 }
 
-// event is one line of a bulletin.
+// event is one line of a discovery watch.
 func event(no int, e *engine, state string) string {
 	return fmt.Sprintf(`{"no":%d,"roster":{"reset":false,"instances":[{"instanceId":%q,"hostPort":%q,"zone":"z","machineType":"m","lifecycle":%q}]}}`+"\n",
 		no, e.id, e.ln.Addr(), state)
 }
 
-// follow has the rig's gateway follow a bulletin.
-func (r *rig) follow(w *watch) *Feed {
-	f := NewFeed(r.gateway, r.gateway.Log, "", &bulletin.Stream{})
+// follow has the rig's gateway watch a discovery server.
+func (r *rig) follow(w *scriptedServer) *Watch {
+	f := NewWatch(r.gateway, r.gateway.Log, "", &discovery.Stream{})
 	r.loop.Do(func() { f.Follow(w.ln.Addr().String()) })
 	r.t.Cleanup(func() { r.loop.Do(func() { f.Follow("") }) })
 	return f
 }
 
-// heard waits until a feed has taken so many lines in.
-func (r *rig) heard(f *Feed, lines int) {
+// waitLines waits until a watch has received so many lines.
+func (r *rig) waitLines(f *Watch, lines int) {
 	r.t.Helper()
 	until(r.t, "the list's lines", func() (all bool) {
-		r.loop.Do(func() { all = f.stream.Lines() >= lines })
+		r.loop.Do(func() { all = f.stream.LinesRead() >= lines })
 		return all
 	})
 }
@@ -520,7 +520,7 @@
 	nc, c := r.client()
 	r.loop.Do(func() {
 		sends(r.t, nc, ask(90, safe))
-		c.conn.Quiet()
+		c.conn.DeliverPending()
 		if n := r.gateway.Core.Counts(); n.Taken != 1 || n.Attempts != 0 {
 			r.t.Errorf("%+v", n)
 		}
@@ -535,15 +535,15 @@
 	f := r.follow(w)
 	old := w.asked(0)
 	sends(t, old, event(1, e, "in_service"))
-	r.heard(f, 1)
+	r.waitLines(f, 1)
 	r.loop.Do(func() {
 		sends(t, old, event(2, e, "terminating"))
 		r.queued(1) // it is read, and waits for the loop
-		f.anew()
+		f.reconnect()
 	})
 	next := w.asked(1) // so nothing was heard of the old one
 	sends(t, next, event(2, e, "terminating"))
-	r.heard(f, 2)
+	r.waitLines(f, 2)
 	r.untouched()
 	if n, err := old.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Fatal("the old watch goes on")
@@ -557,12 +557,12 @@
 	r, w := newRig(t, 4), newWatch(t)
 	f := r.follow(w)
 	first := w.asked(0)
-	r.loop.Do(func() { f.patient = 50 * time.Millisecond })
+	r.loop.Do(func() { f.readTimeout = 50 * time.Millisecond })
 	sends(t, first, event(1, e, "in_service")+event(2, e, "terminating")[:40])
-	r.heard(f, 1) // the wait for the next line has begun
-	r.loop.Do(func() { f.patient = time.Hour })
+	r.waitLines(f, 1) // the wait for the next line has begun
+	r.loop.Do(func() { f.readTimeout = time.Hour })
 	sends(t, w.asked(1), event(2, e, "terminating"))
-	r.heard(f, 2)
+	r.waitLines(f, 2)
 	r.untouched()
 }
 
@@ -573,25 +573,25 @@
 	r, first, second := newRig(t, 8), newWatch(t), newWatch(t)
 	f := r.follow(first)
 	sends(t, first.asked(0), event(1, e, "in_service"))
-	r.heard(f, 1)
+	r.waitLines(f, 1)
 	nc, c := r.client()
 	sends(t, nc, ask(11, safe))
 	at := e.conn()
 	at.call()
 	r.loop.Do(func() { f.Follow(second.ln.Addr().String()) })
 	sends(t, second.asked(1), event(2, e, "terminating")+event(3, other, "in_service"))
-	r.heard(f, 3)
+	r.waitLines(f, 3)
 	r.loop.Do(func() {
 		sends(t, at.Conn, served)
 		sends(t, nc, ask(12, safe))
-		c.conn.Quiet()
+		c.conn.DeliverPending()
 	})
 	in := bufio.NewReader(nc)
-	saysLine(t, in, `"id":11,"result"`)
+	expectLine(t, in, `"id":11,"result"`)
 	next := other.conn()
 	next.call()
 	io.WriteString(next, served)
-	saysLine(t, in, `"id":12,"result"`)
+	expectLine(t, in, `"id":12,"result"`)
 }
 
 // A query of a MySQL client that stands unread as the connections are shut is taken first.
@@ -615,13 +615,13 @@
 	}
 	loop.Do(func() {
 		sends(t, nc, "\x20\x00\x00\x01") // a login's head
-		if f.Retire() || len(f.open) != 1 {
+		if f.CloseIdle() || len(f.open) != 1 {
 			t.Error("shut over bytes that nobody read")
 		}
-		if !f.Retire() {
+		if !f.CloseIdle() {
 			t.Error("a connection that is quiet was not shut")
 		}
-		f.Hush()
+		f.StopAccepting()
 	})
 	if _, err := io.Copy(io.Discard, nc); err != nil {
 		t.Fatalf("%v, want the end", err)
@@ -631,13 +631,13 @@
 // Clients that never end their side hold few descriptors while they are shut: others go on being taken.
 func TestFewConnectionsLinger(t *testing.T) {
 	r := newRig(t, 4)
-	for range 3 * r.leaving.most {
+	for range 3 * r.lingering.limit {
 		nc, c := r.client()
 		r.loop.Do(func() { c.retire("others came") })
 		cleanEnd(t, nc) // and the client stays
 		r.loop.Do(func() {
-			if n := len(r.leaving.conns); n > r.leaving.most+1 {
-				t.Errorf("%d connections are being shut, of %d at most", n, r.leaving.most)
+			if n := len(r.lingering.conns); n > r.lingering.limit+1 {
+				t.Errorf("%d connections are being shut, of %d at most", n, r.lingering.limit)
 			}
 		})
 	}
@@ -673,7 +673,7 @@
 		})
 		in := bufio.NewReader(nc)
 		sends(t, nc, ping)
-		saysLine(t, in, `"serving"`) // and no answer to what was called off
+		expectLine(t, in, `"serving"`) // and no answer to what was called off
 	}
 }
 
@@ -696,7 +696,7 @@
 			t.Cleanup(func() { nc.Close() })
 			late = append(late, nc)
 		}
-		f.Hush()
+		f.StopAccepting()
 	})
 	for _, nc := range late {
 		nc.SetDeadline(time.Now().Add(patience))
@@ -709,12 +709,12 @@
 // A client that has gone makes room for another, though nobody has read its end.
 func TestRoomOfAClientThatHasGone(t *testing.T) {
 	r := newRig(t, 4)
-	nc, _ := r.deafClient()
+	nc, _ := r.clientNotReading()
 	sends(t, nc, ask(11, safe)) // holds it open: there is no engine
 	r.loop.Do(func() {
 		ends(t, nc)
 		for c := range r.open {
-			c.conn.Quiet()
+			c.conn.DeliverPending()
 		}
 		if len(r.open) != 0 || r.gateway.Core.Open() != 0 {
 			t.Errorf("%d connections, %d requests", len(r.open), r.gateway.Core.Open())
--- a/internal/netio/gateway.go
+++ b/internal/netio/gateway.go
@@ -14,11 +14,11 @@
 	Attempt(a core.Start) Attempt
 	// Answer gives the final answer; result is what the attempt that served it brought.
 	Answer(r core.Reply, result any)
-	// Listen takes in what the client has sent by now. It is not called from within one of the caller's own calls.
-	Listen()
-	// Unheard tells whether something of the client's waits to be taken in, and whether the client has ended its connection,
+	// ReadPending takes in what the client has sent by now. It is not called from within one of the caller's own calls.
+	ReadPending()
+	// Unread tells whether something of the client's waits to be taken in, and whether the client has ended its connection,
 	// which nobody may have read yet.
-	Unheard() (some, gone bool)
+	Unread() (some, gone bool)
 }
 
 // Attempt is one that is out.
@@ -82,9 +82,9 @@
 	}
 }
 
-// Roster hands a list of engines to the core.
-func (g *Gateway) Roster(whole bool, lines []core.Line) {
-	gone, actions := g.Core.Roster(g.Loop.Now(), whole, lines)
+// UpdateEngines hands a list of engines to the core.
+func (g *Gateway) UpdateEngines(whole bool, lines []core.ListedEngine) {
+	gone, actions := g.Core.UpdateEngines(g.Loop.Now(), whole, lines)
 	for _, e := range gone {
 		for _, p := range g.Pools {
 			p.Forget(e.ID)
@@ -100,7 +100,7 @@
 	if c == nil {
 		return 0, false
 	}
-	if some, gone := c.caller.Unheard(); gone || some && again { // what waits may call the request off
+	if some, gone := c.caller.Unread(); gone || some && again { // what waits may call the request off
 		return 0, false
 	}
 	return g.Core.MaySend(g.Loop.Now(), id, n, again)
@@ -109,7 +109,7 @@
 // Listen takes in what a request's client has sent by now: it may have called the request off.
 func (g *Gateway) Listen(id core.ID) {
 	if c := g.calls[id]; c != nil {
-		c.caller.Listen()
+		c.caller.ReadPending()
 	}
 }
 
@@ -141,7 +141,7 @@
 		c.attempt = nil
 	}
 	if outcome != policy.OK && c != nil && !c.replied {
-		if _, gone := c.caller.Unheard(); gone {
+		if _, gone := c.caller.Unread(); gone {
 			g.Leave(id) // else the module would try again for nobody
 		}
 	}
@@ -156,9 +156,9 @@
 	g.carryOut(g.Core.InService(g.Loop.Now(), gateways), nil)
 }
 
-// HeardOfEngines passes on what another gateway tells of engines.
-func (g *Gateway) HeardOfEngines(body []byte) {
-	g.carryOut(g.Core.HeardOfEngines(g.Loop.Now(), body), nil)
+// ReceiveLoadReports applies the load reports of another gateway.
+func (g *Gateway) ReceiveLoadReports(body []byte) {
+	g.carryOut(g.Core.ReceiveLoadReports(g.Loop.Now(), body), nil)
 }
 
 // Close has all that is open answered.
--- a/internal/netio/members.go
+++ b/internal/netio/members.go
@@ -17,38 +17,38 @@
 // readMost is more than a datagram may have: one that is too long must be seen to be.
 const readMost = 2 * membership.MaxDatagram
 
-// Listener is told what the other gateways say, on the loop.
-type Listener interface {
+// MembershipListener receives what the other gateways send. It is called on the loop.
+type MembershipListener interface {
 	// InService is called whenever another number of gateways is held to be in service.
 	InService(gateways int)
-	// HeardOfEngines is called with each message of another gateway's digest.
-	HeardOfEngines(body []byte)
-	// HeardOfVersion is called with each word of another gateway on its version.
-	HeardOfVersion(member int, body []byte)
+	// ReceiveLoadReports is called with each load report message of another gateway.
+	ReceiveLoadReports(body []byte)
+	// ReceiveVersion is called with each version message of another gateway.
+	ReceiveVersion(member int, body []byte)
 }
 
 // Members drives the membership protocol over UDP.
 type Members struct {
-	loop    *Loop
-	log     *slog.Logger
-	keep    *invariant.Keeper
-	node    *membership.Node
-	peers   []netip.AddrPort
-	sock    *net.UDPConn
-	alarm   *Timer
-	to      Listener
-	serving int // as last told
-	unsent  int // datagrams that the system did not take
+	loop     *Loop
+	log      *slog.Logger
+	keep     *invariant.Keeper
+	node     *membership.Node
+	peers    []netip.AddrPort
+	sock     *net.UDPConn
+	alarm    *Timer
+	listener MembershipListener
+	serving  int // as last reported to the listener
+	unsent   int // datagrams that the system did not take
 }
 
 // NewMembers opens the socket.
 func NewMembers(loop *Loop, log *slog.Logger, keep *invariant.Keeper, node *membership.Node, listen netip.AddrPort,
-	peers []netip.AddrPort, to Listener) (*Members, error) {
+	peers []netip.AddrPort, to MembershipListener) (*Members, error) {
 	sock, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers: %w", err)
 	}
-	return &Members{loop: loop, log: log, keep: keep, node: node, peers: peers, sock: sock, to: to,
+	return &Members{loop: loop, log: log, keep: keep, node: node, peers: peers, sock: sock, listener: to,
 		serving: node.InService()}, nil
 }
 
@@ -95,14 +95,14 @@
 	}
 	for _, e := range m.node.Events() {
 		switch {
-		case e.Kind == membership.Carried && e.Rider == spread.RiderKind:
-			m.to.HeardOfEngines(e.Body)
+		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == spread.ExtensionKind:
+			m.listener.ReceiveLoadReports(e.Body)
 			continue
-		case e.Kind == membership.Carried && e.Rider == rollout.RiderKind:
-			m.to.HeardOfVersion(e.Member, e.Body)
+		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == rollout.ExtensionKind:
+			m.listener.ReceiveVersion(e.Member, e.Body)
 			continue
 		}
-		m.tell(e)
+		m.logEvent(e)
 	}
 	if invariant.Checks {
 		err := m.node.Check()
@@ -115,17 +115,17 @@
 	})
 	if n := m.node.InService(); n != m.serving {
 		m.serving = n
-		m.to.InService(n)
+		m.listener.InService(n)
 	}
 }
 
-// tell logs what a person would want to know: who goes out of service and who comes back. A suspicion comes to
+// logEvent logs what a person would want to know: who goes out of service and who comes back. A suspicion comes to
 // nothing as a rule: it is for debugging.
-func (m *Members) tell(e membership.Event) {
+func (m *Members) logEvent(e membership.Event) {
 	level, msg := slog.LevelInfo, "member changed"
 	switch {
 	case e.Kind == membership.Refuted:
-		msg = "this gateway was held to be out of service and says otherwise"
+		msg = "refuted that this gateway is out of service"
 	case e.Kind != membership.Changed:
 		return
 	case e.Was.Serves() && e.Is.Serves():
--- a/internal/netio/mysqlfront.go
+++ b/internal/netio/mysqlfront.go
@@ -30,22 +30,22 @@
 
 // MySQLFront is the front for clients that speak MySQL.
 type MySQLFront struct {
-	gateway *Gateway
-	pool    *Pool
-	log     *slog.Logger
-	setup   MySQLSetup
-	ln      net.Listener
-	open    map[*mysqlClient]bool
-	leaving *leaving // beside those that are open
-	threads uint32
-	again   *Timer
-	patient time.Duration // how long a client may take to log in
+	gateway   *Gateway
+	pool      *Pool
+	log       *slog.Logger
+	setup     MySQLSetup
+	ln        net.Listener
+	open      map[*mysqlClient]bool
+	lingering *lingerSet // beside those that are open
+	threads   uint32
+	again     *Timer
+	patient   time.Duration // how long a client may take to log in
 }
 
 // NewMySQLFront makes the front; pool is for its connections to engines alone.
 func NewMySQLFront(g *Gateway, pool *Pool, log *slog.Logger, setup MySQLSetup) *MySQLFront {
 	f := &MySQLFront{gateway: g, pool: pool, log: log, setup: setup, open: map[*mysqlClient]bool{}, patient: loginWait}
-	f.leaving = newLeaving(setup.MostOpen, func() int { return len(f.open) })
+	f.lingering = newLingerSet(setup.MostOpen, func() int { return len(f.open) })
 	return f
 }
 
@@ -72,8 +72,8 @@
 	return f.ln.Addr()
 }
 
-// Hush closes the listener; connections that are open stay, and those that the machine has accepted are still taken.
-func (f *MySQLFront) Hush() {
+// StopAccepting closes the listener; connections that are open stay, and those that the machine has accepted are still taken.
+func (f *MySQLFront) StopAccepting() {
 	f.again.Stop()
 	if f.ln != nil {
 		stopAccepting(f.ln)
@@ -87,10 +87,10 @@
 	f.again = f.gateway.Loop.After(after, try)
 }
 
-// Retire shuts the connections on which no query runs and nothing has come, and tells whether that were all of them.
-func (f *MySQLFront) Retire() bool {
+// CloseIdle shuts the connections on which no query runs and nothing has come, and tells whether that were all of them.
+func (f *MySQLFront) CloseIdle() bool {
 	for c := range f.open {
-		if c.conn.Quiet() && c.call == nil {
+		if c.conn.DeliverPending() && c.call == nil {
 			c.end()
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 // WhenEmpty sets what runs once no connection is open or being shut.
-func (f *MySQLFront) WhenEmpty(run func()) { f.leaving.whenEmpty(run) }
+func (f *MySQLFront) WhenEmpty(run func()) { f.lingering.whenEmpty(run) }
 
 // Finish shuts the connections once what they were to get is written.
 func (f *MySQLFront) Finish() {
@@ -171,7 +171,7 @@
 	c.login.Stop()
 	delete(c.front.open, c)
 	c.leave()
-	c.front.leaving.check()
+	c.front.lingering.check()
 }
 
 func (c *mysqlClient) leave() {
@@ -183,7 +183,7 @@
 
 func (c *mysqlClient) end() {
 	c.login.Stop()
-	c.front.leaving.shut(c.conn)
+	c.front.lingering.finish(c.conn)
 	delete(c.front.open, c)
 	c.leave()
 }
@@ -237,11 +237,11 @@
 	}
 }
 
-// Listen takes in what the client has sent by now.
-func (c *mysqlClient) Listen() { c.conn.Quiet() }
+// ReadPending takes in what the client has sent by now.
+func (c *mysqlClient) ReadPending() { c.conn.DeliverPending() }
 
-// Unheard tells what of the client is not taken in yet.
-func (c *mysqlClient) Unheard() (some, gone bool) { return c.conn.peek() }
+// Unread tells what of the client is not taken in yet.
+func (c *mysqlClient) Unread() (some, gone bool) { return c.conn.peek() }
 
 // Answer ends the query. An answer that broke off in the middle of a row can only be told by the connection's end.
 func (c *mysqlClient) Answer(r core.Reply, result any) {
--- a/internal/netio/mysqlfront_test.go
+++ b/internal/netio/mysqlfront_test.go
@@ -35,6 +35,6 @@
 		if len(f.open) != 0 {
 			t.Error("it still counts")
 		}
-		f.Hush()
+		f.StopAccepting()
 	})
 }
--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	engineQueue = 4 << 20               // a statement and a call: no more waits at an engine
-	idleShare   = 3                     // idle connections are closed after a third of the time that engines leave them
-	settleFor   = 25 * time.Millisecond // in which a second answer shows: some engines send one milliseconds late
+	engineQueue       = 4 << 20               // a statement and a call: no more waits at an engine
+	idleShare         = 3                     // idle connections are closed after a third of the time that engines leave them
+	defaultDrainDelay = 25 * time.Millisecond // in which a second answer shows: some engines send one milliseconds late
 )
 
 // Share is a number of descriptors: so many at most, and beyond that a few for what cannot wait.
@@ -27,17 +27,17 @@
 
 // Pool keeps connections to engines.
 type Pool struct {
-	loop    *Loop
-	log     *slog.Logger
-	dialer  net.Dialer
-	idle    map[place][]*Link
-	links   map[*Link]bool // all that there are, those that are being made included
-	idleFor time.Duration
-	settle  time.Duration
-	budget  Share // of connections, dials included
-	held    int
-	waited  int // how often a descriptor had to be waited for
-	queue   []*waiter
+	loop       *Loop
+	log        *slog.Logger
+	dialer     net.Dialer
+	idle       map[place][]*Link
+	links      map[*Link]bool // all that there are, those that are being made included
+	idleFor    time.Duration
+	drainDelay time.Duration
+	budget     Share // of connections, dials included
+	held       int
+	waited     int // how often a descriptor had to be waited for
+	queue      []*waiter
 }
 
 // waiter waits for a descriptor.
@@ -66,7 +66,7 @@
 // NewPool makes a Pool of at most budget connections; the urgent ones give attempts up.
 func NewPool(loop *Loop, log *slog.Logger, connect, idle time.Duration, budget Share) *Pool {
 	return &Pool{loop: loop, log: log, dialer: net.Dialer{Timeout: connect, KeepAlive: -1},
-		idle: map[place][]*Link{}, links: map[*Link]bool{}, idleFor: idle / idleShare, settle: settleFor,
+		idle: map[place][]*Link{}, links: map[*Link]bool{}, idleFor: idle / idleShare, drainDelay: defaultDrainDelay,
 		budget: budget}
 }
 
@@ -153,7 +153,7 @@
 		}
 		then(usable)
 	}
-	l.timer = p.loop.After(max(0, l.free+p.settle-p.loop.Now()), l.lookNow)
+	l.timer = p.loop.After(max(0, l.free+p.drainDelay-p.loop.Now()), l.lookNow)
 }
 
 // handOver gives a connection that has become free to the first that waits for one to the same engine. Without it every one was
@@ -221,7 +221,7 @@
 	}
 	l := list[len(list)-1]
 	for _, o := range slices.Backward(list) {
-		if now-o.free >= p.settle {
+		if now-o.free >= p.drainDelay {
 			l = o
 			break
 		}
--- a/internal/netio/pool_test.go
+++ b/internal/netio/pool_test.go
@@ -45,7 +45,7 @@
 	loop := NewLoop(time.Now(), testRoom)
 	go loop.Run(ctx)
 	p := NewPool(loop, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Second, time.Minute, Share{budget, 1})
-	p.settle = 0 // tests of what comes late on a connection that rests set it themselves
+	p.drainDelay = 0 // tests of what comes late on a connection that rests set it themselves
 	return loop, p
 }
 
--- a/internal/netio/scripted_test.go
+++ b/internal/netio/scripted_test.go
@@ -102,8 +102,8 @@
 	return e
 }
 
-func (e *engine) line(health policy.Health) core.Line {
-	return core.Line{Name: e.id, Addr: e.ln.Addr().String(), Zone: "z", Kind: "m", Health: health, Weight: 1}
+func (e *engine) line(health policy.Health) core.ListedEngine {
+	return core.ListedEngine{Name: e.id, Addr: e.ln.Addr().String(), Zone: "z", Kind: "m", Health: health, Weight: 1}
 }
 
 // conn is its next connection.
@@ -196,17 +196,17 @@
 			}
 		})
 	})
-	r.tell(engines...)
+	r.publish(engines...)
 	return r
 }
 
-func (r *rig) tell(engines ...*engine) {
-	var lines []core.Line
+func (r *rig) publish(engines ...*engine) {
+	var lines []core.ListedEngine
 	for _, e := range engines {
 		lines = append(lines, e.line(policy.Ready))
 	}
 	if len(lines) > 0 {
-		r.loop.Do(func() { r.gateway.Roster(true, lines) })
+		r.loop.Do(func() { r.gateway.UpdateEngines(true, lines) })
 	}
 }
 
@@ -218,7 +218,7 @@
 // client connects, and is known to the front when it returns.
 func (r *rig) client() (net.Conn, *client) {
 	r.t.Helper()
-	nc := says(r.t, r.Clients, ping)
+	nc := sendText(r.t, r.Clients, ping)
 	answered(r.t, nc)
 	return nc, r.find(nc)
 }
@@ -235,11 +235,11 @@
 	return at
 }
 
-// deafClient is one whose reader waits, as one that does not get its turn: what the client does from now on stands in the
+// clientNotReading is one whose reader waits, as one that does not get its turn: what the client does from now on stands in the
 // socket until somebody looks for it.
-func (r *rig) deafClient() (net.Conn, *client) {
+func (r *rig) clientNotReading() (net.Conn, *client) {
 	r.t.Helper()
-	nc := says(r.t, r.Clients, "")
+	nc := sendText(r.t, r.Clients, "")
 	var c *client
 	until(r.t, "the connection", func() bool { c = r.find(nc); return c != nil })
 	r.loop.Do(c.conn.Pause)
@@ -258,8 +258,8 @@
 	return n
 }
 
-// saysLine waits for a line with a text in it.
-func saysLine(t *testing.T, r *bufio.Reader, text string) {
+// expectLine waits for a line with a text in it.
+func expectLine(t *testing.T, r *bufio.Reader, text string) {
 	t.Helper()
 	if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, text) {
 		t.Fatalf("%q, %v, want %q", line, err, text)
--- /dev/null
+++ b/internal/netio/watch.go
@@ -0,0 +1,128 @@
+package netio
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"time"
+
+	"frostpier/internal/discovery"
+)
+
+const (
+	watchDialTimeout = time.Second
+	watchRetryDelay  = 200 * time.Millisecond
+	watchReadTimeout = 2500 * time.Millisecond // the server sends a heartbeat every second; a drain must be known within 4 s
+	watchQueueSize   = 1 << 10
+)
+
+// Watch keeps one discovery watch open and applies its events to the gateway. It reconnects after errors and silence.
+type Watch struct {
+	gateway     *Gateway
+	log         *slog.Logger
+	addr        string
+	stream      *discovery.Stream
+	conn        *Conn
+	readTimer   *Timer
+	retryTimer  *Timer
+	cancelDial  func() // gives up the dial under way
+	readTimeout time.Duration
+}
+
+// NewWatch returns a Watch that resumes after the last event of the stream.
+func NewWatch(g *Gateway, log *slog.Logger, addr string, stream *discovery.Stream) *Watch {
+	return &Watch{gateway: g, log: log, addr: addr, stream: stream, readTimeout: watchReadTimeout}
+}
+
+// Follow drops the present watch and opens one at addr, which resumes after the last event received. It must be
+// called on the loop.
+func (f *Watch) Follow(addr string) {
+	f.disconnect()
+	f.addr = addr
+	if addr != "" {
+		f.Connect()
+	}
+}
+
+// Connect dials the server and sends the watch request. It must be called on the loop.
+func (f *Watch) Connect() {
+	f.disconnect()
+	ctx, cancel := context.WithTimeout(context.Background(), watchDialTimeout)
+	left := false // a dial that was given up may have come through meanwhile: two watches would mix their lines
+	f.cancelDial = func() { left = true; cancel() }
+	addr := f.addr
+	go func() {
+		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+		cancel()
+		f.gateway.Loop.Post(func() {
+			switch {
+			case left && nc != nil:
+				nc.Close()
+			case !left:
+				f.dialed(nc, err)
+			}
+		})
+	}()
+}
+
+// disconnect ends the connection, or the dial or the retry delay before one.
+func (f *Watch) disconnect() {
+	f.readTimer.Stop()
+	f.retryTimer.Stop()
+	if f.cancelDial != nil {
+		f.cancelDial()
+		f.cancelDial = nil
+	}
+	if f.conn != nil {
+		f.conn.Close()
+		f.conn = nil
+	}
+}
+
+func (f *Watch) dialed(nc net.Conn, err error) {
+	f.cancelDial = nil
+	if err != nil {
+		f.log.Warn("discovery server not reached", "error", err)
+		f.reconnect()
+		return
+	}
+	f.conn = NewConn(f.gateway.Loop, nc, f, watchQueueSize)
+	f.conn.Write(f.stream.Request())
+	f.resetReadTimer()
+}
+
+// resetReadTimer restarts the timeout for the next line.
+func (f *Watch) resetReadTimer() {
+	f.readTimer.Stop()
+	f.readTimer = f.gateway.Loop.After(f.readTimeout, func() {
+		f.log.Warn("discovery watch timed out")
+		f.reconnect()
+	})
+}
+
+// Data applies received events. Only complete lines reset the read timeout.
+func (f *Watch) Data(b []byte) {
+	before := f.stream.LinesRead()
+	events, err := f.stream.Feed(b)
+	for _, e := range events {
+		f.gateway.UpdateEngines(e.Full, e.Engines)
+	}
+	switch {
+	case err != nil:
+		f.log.Warn("discovery event rejected", "error", err)
+		f.reconnect()
+	case f.stream.LinesRead() != before:
+		f.resetReadTimer()
+	}
+}
+
+// Closed reconnects after the connection has ended.
+func (f *Watch) Closed(err error) {
+	f.log.Warn("discovery watch closed", "error", err)
+	f.reconnect()
+}
+
+func (f *Watch) reconnect() {
+	f.disconnect()
+	f.retryTimer = f.gateway.Loop.After(watchRetryDelay, f.Connect)
+}
--- a/internal/netio/feed_test.go
+++ b/internal/netio/watch_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/bulletin"
+	"frostpier/internal/discovery"
 )
 
-// asked listens as a bulletin that never answers, and tells what it is asked and when its connections end.
+// asked listens as a discovery server that never answers, and reports each request and the end of each connection.
 func asked(t *testing.T) (addr string, lines, ends chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,13 +40,13 @@
 	return ln.Addr().String(), lines, ends
 }
 
-// Guards against two feeds at once: whatever the feed does when it is told to follow another bulletin (it dials,
+// Guards against two watches at once: whatever the watch does when it is moved to another server (it dials,
 // it waits to dial again, it listens), nothing of that goes on.
-func TestFeedFollowsOneBulletin(t *testing.T) {
+func TestWatchFollowsOneServer(t *testing.T) {
 	loop, _ := pool(t, 1)
 	first, firstLines, firstEnds := asked(t)
 	second, secondLines, secondEnds := asked(t)
-	f := NewFeed(&Gateway{Loop: loop}, slog.New(slog.NewTextHandler(io.Discard, nil)), "", &bulletin.Stream{})
+	f := NewWatch(&Gateway{Loop: loop}, slog.New(slog.NewTextHandler(io.Discard, nil)), "", &discovery.Stream{})
 	loop.Do(func() {
 		f.Follow(first) // dials, and is told at once to leave that
 		f.Follow(second)
@@ -55,7 +55,7 @@
 		t.Fatalf("asked %q", line)
 	}
 	loop.Do(func() {
-		f.anew() // waits to dial the second again
+		f.reconnect() // waits to dial the second again
 		f.Follow(first)
 	})
 	<-secondEnds
@@ -63,9 +63,9 @@
 	loop.Do(func() { f.Follow(second) })
 	<-firstEnds
 	<-secondLines
-	time.Sleep(2 * feedAgain) // long enough for a wait left behind to show, were there one
+	time.Sleep(2 * watchRetryDelay) // long enough for a wait left behind to show, were there one
 	if len(firstLines) > 0 || len(secondLines) > 0 {
-		t.Fatal("a second feed was opened")
+		t.Fatal("a second watch was opened")
 	}
 	loop.Do(func() { f.Follow("") })
 }
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -65,7 +65,7 @@
 	}
 	return netio.NewStandby(loop, log, router, v.Listen, v.Peers, func(s vrrp.State) {
 		if s != vrrp.Master {
-			front.Hush()
+			front.StopAccepting()
 			return
 		}
 		own(log, front)
@@ -75,7 +75,7 @@
 // members makes the membership protocol's driver: numbers and addresses come from the configuration, times from the
 // operator's file.
 func members(op *settings.Membership, conf settings.Config, host settings.Host, loop *netio.Loop, log *slog.Logger,
-	keep *invariant.Keeper, riders []membership.Rider, often bool, to netio.Listener) (*netio.Members, error) {
+	keep *invariant.Keeper, extensions []membership.Extension, shareLoad bool, listener netio.MembershipListener) (*netio.Members, error) {
 	listen, peers, err := conf.PeerAddrs()
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -84,16 +84,16 @@
 		return nil, fmt.Errorf("membership: %d peers, but the settings tell of %d gateways", len(peers), host.Module.Siblings)
 	}
 	interval, timeout, suspect := op.Times()
-	ride := time.Duration(0)
-	if often {
-		ride = spread.Every
+	extensionInterval := time.Duration(0)
+	if shareLoad {
+		extensionInterval = spread.Interval
 	}
-	node, err := membership.New(membership.Config{Riders: riders, Ride: ride, Self: host.Module.Number, Peers: peers, Fleet: op.Fleet,
+	node, err := membership.New(membership.Config{Extensions: extensions, ExtensionInterval: extensionInterval, Self: host.Module.Number, Peers: peers, Fleet: op.Fleet,
 		Seed: conf.SeedNumber(), Interval: interval, Timeout: timeout, Suspect: suspect})
 	if err != nil {
 		return nil, err
 	}
-	return netio.NewMembers(loop, log, keep, node, listen, peers, to)
+	return netio.NewMembers(loop, log, keep, node, listen, peers, listener)
 }
 
 // listenAgain is the pause before another try to listen: the former master may still hold the address.
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/bulletin"
 	"frostpier/internal/core"
+	"frostpier/internal/discovery"
 	"frostpier/internal/invariant"
 	"frostpier/internal/netio"
 	"frostpier/internal/settings"
@@ -30,8 +30,8 @@
 	deadlineIs = 3 * time.Second        // at most, for a stop
 	answerIn   = 200 * time.Millisecond // beyond the deadline, all that is open is answered, and what comes is refused
 	exitIn     = 450 * time.Millisecond // and beyond it all connections are shut
-	partIn     = 150 * time.Millisecond // in which their peers end them too, at the latest ...
-	partFor    = 500 * time.Millisecond // ... and for so long they may where there is time
+	closeIn    = 150 * time.Millisecond // in which their peers end them too, at the latest ...
+	closeFor   = 500 * time.Millisecond // ... and for so long they may where there is time
 	stuckWait  = 50 * time.Millisecond  // and if that has not ended by then, the program ends all the same
 	stacksMost = 64 << 10
 
@@ -82,14 +82,14 @@
 	shares := divide(conf.Limits.Sockets, operator.MySQL != nil)
 	pool := netio.NewPool(loop, log, host.ConnectTimeout, host.ConnIdle, shares.engines)
 	gateway := netio.NewGateway(loop, heart, pool, log)
-	stream := &bulletin.Stream{}
-	known, err := stream.Known(conf.Known)
+	stream := &discovery.Stream{}
+	known, err := stream.Restore(conf.Known)
 	if err != nil {
-		log.Warn("known events not all used", "error", err)
+		log.Warn("initial engine events not all used", "error", err)
 	}
 	clients := netio.NewClients(gateway, log, shares.clients.Most, int(memory/8))
 	p := &program{loop: loop, gateway: gateway, clients: clients, keep: keep, log: log, stream: stream, longest: longest(host),
-		feed: netio.NewFeed(gateway, log, conf.Bulletin, stream)}
+		watch: netio.NewWatch(gateway, log, conf.Discovery, stream)}
 	if m := operator.MySQL; m != nil {
 		setup, err := mysqlSetup(m, heart, shares.mysqlClients.Most)
 		if err != nil {
@@ -115,13 +115,13 @@
 	} else if op != nil {
 		if operator.Spread != nil {
 			p.digest = spread.New()
-			heart.Share(p.digest)
+			heart.ShareLoadReports(p.digest)
 		}
 		to := peers{Gateway: gateway}
 		if p.version != nil {
 			to.mix = p.version.mix
 		}
-		if p.members, err = members(op, conf, host, loop, log, keep, p.riders(), p.digest != nil, to); err != nil {
+		if p.members, err = members(op, conf, host, loop, log, keep, p.extensions(), p.digest != nil, to); err != nil {
 			return err
 		}
 	}
@@ -138,9 +138,9 @@
 			p.members.Start()
 		}
 		for _, e := range known {
-			gateway.Roster(e.Whole, e.Lines)
+			gateway.UpdateEngines(e.Full, e.Engines)
 		}
-		p.feed.Follow(conf.Bulletin)
+		p.watch.Follow(conf.Discovery)
 		p.stats()
 	})
 	if p.version != nil { // who watches it hears of the process before it serves
@@ -155,7 +155,7 @@
 	if p.version != nil {
 		loop.Do(func() { p.version.serve(true) })
 	}
-	log.Info("serving", "name", conf.Name, "listen", conf.Listen, "bulletin", conf.Bulletin, "events", len(known))
+	log.Info("serving", "name", conf.Name, "listen", conf.Listen, "discovery", conf.Discovery, "events", len(known))
 	for serving := true; serving; {
 		select {
 		case <-hup:
@@ -165,7 +165,7 @@
 			serving = false
 		}
 	}
-	overdue := time.NewTimer(p.longest + exitIn + partIn + stuckWait)
+	overdue := time.NewTimer(p.longest + exitIn + closeIn + stuckWait)
 	go loop.Do(p.drain)
 	if ended(ctx, overdue.C, log) {
 		log.Info("stopped", "counts", heart.Counts(), "invariants", keep.Broken())
@@ -218,15 +218,15 @@
 	version  *version          // likewise
 	keep     *invariant.Keeper
 	log      *slog.Logger
-	stream   *bulletin.Stream
-	feed     *netio.Feed
+	stream   *discovery.Stream
+	watch    *netio.Watch
 	longest  time.Duration     // deadline that a stop reckons with
 	operator settings.Operator // in force
-	parting  bool              // the connections are being shut
+	closing  bool              // the connections are being shut
 	cancel   func()
 }
 
-var errNoBulletin = errors.New("it names no bulletin")
+var errNoDiscovery = errors.New("no discovery server: the key bulletin is missing")
 
 // readConfig reads the configuration that the platform hands out.
 func readConfig() (settings.Config, error) {
@@ -237,12 +237,12 @@
 	return settings.ParseConfig(text)
 }
 
-// reload is what SIGHUP asks for: the bulletin of the new configuration is followed from the last event on, and all
+// reload is what SIGHUP asks for: the discovery server of the new configuration is watched from the last event on, and all
 // else goes on. What else has changed in it holds from the next start. One that cannot be read changes nothing.
 func (p *program) reload(old settings.Config) {
 	conf, err := readConfig()
-	if err == nil && conf.Bulletin == "" && old.Bulletin != "" {
-		err = errNoBulletin
+	if err == nil && conf.Discovery == "" && old.Discovery != "" {
+		err = errNoDiscovery
 	}
 	if err != nil {
 		p.log.Error("configuration not read again, the old one stays", "error", err)
@@ -254,17 +254,17 @@
 	}
 	events := 0
 	p.loop.Do(func() {
-		known, err := p.stream.Known(conf.Known)
+		known, err := p.stream.Restore(conf.Known)
 		if err != nil {
-			p.log.Warn("known events not all used", "error", err)
+			p.log.Warn("initial engine events not all used", "error", err)
 		}
 		for _, e := range known {
-			p.gateway.Roster(e.Whole, e.Lines)
+			p.gateway.UpdateEngines(e.Full, e.Engines)
 		}
 		events = len(known)
-		p.feed.Follow(conf.Bulletin)
+		p.watch.Follow(conf.Discovery)
 	})
-	p.log.Info("configuration read again", "bulletin", conf.Bulletin, "events", events)
+	p.log.Info("configuration read again", "discovery", conf.Discovery, "events", events)
 }
 
 // longest is the longest deadline of a class, as a stop counts it.
@@ -280,7 +280,7 @@
 // looks like an engine that cannot be reached.
 type shares struct{ clients, engines, mysqlClients, mysqlEngines netio.Share }
 
-// spare is for listeners, the bulletin, files, the runtime, and connections between accept and close.
+// spare is for listeners, the discovery watch, files, the runtime, and connections between accept and close.
 const spare = 24
 
 func divide(sockets int, withMySQL bool) shares {
@@ -329,42 +329,42 @@
 	}
 	p.loop.After(acceptFor, func() {
 		if p.mysql != nil {
-			p.mysql.Hush()
+			p.mysql.StopAccepting()
 		}
-		p.clients.Stop(p.settle)
+		p.clients.Stop(p.closeIdleConnections)
 	})
 	p.loop.After(p.longest+answerIn, p.gateway.Close)
-	p.loop.After(p.longest+exitIn, p.part)
-	p.loop.After(p.longest+exitIn+partIn, p.cancel)
+	p.loop.After(p.longest+exitIn, p.closeConnections)
+	p.loop.After(p.longest+exitIn+closeIn, p.cancel)
 }
 
-// settle shuts the connections that rest as soon as nothing is open or out. A request that came on one of them just
+// closeIdleConnections shuts the connections that rest as soon as nothing is open or out. A request that came on one of them just
 // then is answered first, and the rest are looked at again.
-func (p *program) settle() {
+func (p *program) closeIdleConnections() {
 	p.gateway.WhenIdle(func() {
-		if p.retire() {
-			p.part()
+		if p.closeIdle() {
+			p.closeConnections()
 			return
 		}
-		p.loop.After(acceptFor/lookShare, p.settle)
+		p.loop.After(acceptFor/lookShare, p.closeIdleConnections)
 	})
 }
 
 // lookShare is how many times in the time for accepting the connections are looked at.
 const lookShare = 15
 
-// retire shuts the clients' connections that rest, and tells whether that were all of them.
-func (p *program) retire() bool {
-	all := p.clients.Retire()
-	return (p.mysql == nil || p.mysql.Retire()) && all
+// closeIdle shuts the clients' connections that rest, and tells whether that were all of them.
+func (p *program) closeIdle() bool {
+	all := p.clients.CloseIdle()
+	return (p.mysql == nil || p.mysql.CloseIdle()) && all
 }
 
-// part shuts what connections there are, and ends the program when their peers have ended them too.
-func (p *program) part() {
-	if p.parting {
+// closeConnections shuts what connections there are, and ends the program when their peers have ended them too.
+func (p *program) closeConnections() {
+	if p.closing {
 		return
 	}
-	p.parting = true
+	p.closing = true
 	p.gateway.Close() // where deadlines are short this may be the first time
 	p.clients.Finish()
 	if p.version != nil {
@@ -383,7 +383,7 @@
 		}
 		p.mysql.WhenEmpty(p.cancel)
 	})
-	p.loop.After(partFor, p.cancel)
+	p.loop.After(closeFor, p.cancel)
 }
 
 // stats logs the counts now and then.
@@ -395,7 +395,7 @@
 			p.log.Info("membership counts", "in_service", serving, "health", health, "unsent", unsent, "total", counts)
 		}
 		if p.digest != nil {
-			p.log.Info("spread counts", "total", p.digest.Counts())
+			p.log.Info("load report counts", "total", p.digest.Counts())
 		}
 		p.logMix()
 		p.log.Info("counts", "total", c.Counts(), "open", c.Open(), "out", c.Out(), "lag", p.loop.Lag(), "invariants", p.keep.Broken())
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -35,7 +35,7 @@
 	return binary.BigEndian.Uint64(h.Sum(nil)), nil
 }
 
-// version is what this gateway tells of itself while a change goes out in stages.
+// version reports this gateway's own version and health during a staged rollout.
 type version struct {
 	id       rollout.ID
 	pending  bool
@@ -105,26 +105,26 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// peers takes what other gateways say.
+// peers dispatches the messages of other gateways.
 type peers struct {
 	*netio.Gateway
-	mix *rollout.Mix // nil where versions are not told
+	mix *rollout.Mix // nil where versions are not reported
 }
 
-// HeardOfVersion takes a gateway's word on its version.
-func (p peers) HeardOfVersion(member int, body []byte) {
+// ReceiveVersion records the version that another gateway runs.
+func (p peers) ReceiveVersion(member int, body []byte) {
 	if p.mix != nil {
-		p.mix.Hear(member, body)
+		p.mix.Receive(member, body)
 	}
 }
 
-// logMix tells which versions are in service.
+// logMix logs which versions are in service.
 func (p *program) logMix() {
 	if p.version == nil || p.members == nil {
 		return
 	}
 	counts := p.version.mix.Counts(p.version.number, p.members.Serves)
-	p.log.Info("versions", "own", fmt.Sprintf("%016x/%016x", p.version.id.Program, p.version.id.Settings), "in_service", rollout.Words(counts),
+	p.log.Info("versions", "own", fmt.Sprintf("%016x/%016x", p.version.id.Program, p.version.id.Settings), "in_service", rollout.FormatCounts(counts),
 		"reports_unsent", p.version.reporter.Unsent())
 }
 
@@ -161,15 +161,15 @@
 			}
 		}
 		if p.digest != nil {
-			p.digest.Mute(next.Spread == nil)
+			p.digest.Disable(next.Spread == nil)
 		}
 		p.operator = next
 		p.log.Info("operator's file read again")
 	})
 }
 
-// riders are the subsystems whose messages ride on membership's datagrams.
-func (p *program) riders() (out []membership.Rider) {
+// extensions returns the subsystems that piggyback messages on membership datagrams.
+func (p *program) extensions() (out []membership.Extension) {
 	if p.digest != nil {
 		out = append(out, p.digest)
 	}
--- a/internal/rig/change.go
+++ b/internal/rig/change.go
@@ -116,11 +116,11 @@
 		Zipf: 0.7, Estimate: 0.5, Seed: opt.Seed}
 	c.traffic.Rate = c.traffic.RateFor(opt.Load, opt.Cores*float64(opt.Engines))
 	settings := func(n, self int) string { return standin.Settings(c.traffic.Classes, n, self, opt.Cores) }
-	if c.Fleet, err = New(Options{Gateways: opt.Gateways, Seed: opt.Seed, Dir: opt.Dir, Engines: c.Pool.Roster(), Settings: settings,
+	if c.Fleet, err = New(Options{Gateways: opt.Gateways, Seed: opt.Seed, Dir: opt.Dir, Engines: c.Pool.EngineList(), Settings: settings,
 		Link: Link{DelayMin: time.Millisecond, DelayMax: 5 * time.Millisecond}}); err != nil {
 		return c, err
 	}
-	c.Pool.Follow(c.Fleet.Bulletin)
+	c.Pool.PublishTo(c.Fleet.Discovery)
 	if c.passer, err = newPasser(opt.Gateways, len(c.traffic.Classes)); err != nil {
 		return c, err
 	}
@@ -137,7 +137,7 @@
 				return fmt.Errorf("gateway %d: %w", i, errNotReady)
 			}
 		}
-		if c.passer.told() < opt.Gateways {
+		if c.passer.reporting() < opt.Gateways {
 			return errors.New("not all gateways have reported")
 		}
 		return nil
@@ -214,8 +214,8 @@
 	}()
 }
 
-// Hush has clients send no more, and waits for the ends of all requests.
-func (c *Change) Hush() []standin.Outcome {
+// StopClients stops the clients and waits for the ends of all requests.
+func (c *Change) StopClients() []standin.Outcome {
 	close(c.stop)
 	c.sent.Wait()
 	out, _ := c.Clients.Outcomes(0)
@@ -290,7 +290,7 @@
 	mu       sync.Mutex
 	dest     *net.UDPAddr
 	cut      map[int]bool
-	heard    map[int]bool
+	reported map[int]bool
 }
 
 func newPasser(gateways, classes int) (*passer, error) {
@@ -299,7 +299,7 @@
 		return nil, err
 	}
 	sock.SetReadBuffer(4 << 20)
-	p := &passer{sock: sock, gateways: gateways, classes: classes, cut: map[int]bool{}, heard: map[int]bool{}}
+	p := &passer{sock: sock, gateways: gateways, classes: classes, cut: map[int]bool{}, reported: map[int]bool{}}
 	go p.pass()
 	return p, nil
 }
@@ -322,10 +322,10 @@
 	}
 }
 
-func (p *passer) told() int {
+func (p *passer) reporting() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.heard)
+	return len(p.reported)
 }
 
 func (p *passer) pass() {
@@ -343,7 +343,7 @@
 			continue
 		}
 		p.mu.Lock()
-		if p.heard[r.Gateway] = true; !p.cut[r.Gateway] && p.dest != nil {
+		if p.reported[r.Gateway] = true; !p.cut[r.Gateway] && p.dest != nil {
 			p.sock.WriteToUDP(buf[:n], p.dest)
 		}
 		p.mu.Unlock()
--- a/internal/rig/bulletin.go
+++ b/internal/rig/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Engine is an engine as the bulletin tells of it.
+// Engine is an entry of the engine list as the discovery server sends it.
 type Engine struct {
 	Name  string `json:"instanceId"`
 	Addr  string `json:"hostPort"`
@@ -19,8 +19,8 @@
 	Began int64  `json:"startedAtMs"` // Unix milliseconds of a late start, else 0
 }
 
-// Bulletin is a stand-in for the platform's: it tells of the engines in numbered events.
-type Bulletin struct {
+// DiscoveryServer is a stand-in for the platform's: it serves the engine list as a watch of numbered events.
+type DiscoveryServer struct {
 	ln     net.Listener
 	mu     sync.Mutex
 	events []json.RawMessage
@@ -29,24 +29,24 @@
 	done   sync.WaitGroup
 }
 
-// NewBulletin starts one whose first event names the engines.
-func NewBulletin(engines []Engine) (*Bulletin, error) {
+// NewDiscoveryServer starts a server whose first event lists the engines.
+func NewDiscoveryServer(engines []Engine) (*DiscoveryServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("bulletin: %w", err)
+		return nil, fmt.Errorf("discovery server: %w", err)
 	}
-	b := &Bulletin{ln: ln, conns: map[net.Conn]bool{}}
-	b.Tell(engines)
+	b := &DiscoveryServer{ln: ln, conns: map[net.Conn]bool{}}
+	b.Publish(engines)
 	b.done.Add(1)
 	go b.accept()
 	return b, nil
 }
 
 // Addr is where it listens.
-func (b *Bulletin) Addr() string { return b.ln.Addr().String() }
+func (b *DiscoveryServer) Addr() string { return b.ln.Addr().String() }
 
-// Tell adds an event and tells it to all that are connected.
-func (b *Bulletin) Tell(engines []Engine) {
+// Publish appends an event and sends it to all connected watches.
+func (b *DiscoveryServer) Publish(engines []Engine) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	no := len(b.events) + 1
@@ -60,15 +60,15 @@
 	}
 }
 
-// Known is what a configuration holds of the events so far.
-func (b *Bulletin) Known() map[string]any {
+// InitialEvents returns the events so far in the form of a gateway's configuration.
+func (b *DiscoveryServer) InitialEvents() map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return map[string]any{"no": len(b.events), "items": b.events}
 }
 
 // Close ends it.
-func (b *Bulletin) Close() {
+func (b *DiscoveryServer) Close() {
 	b.ln.Close()
 	b.mu.Lock()
 	b.closed = true
@@ -79,7 +79,7 @@
 	b.done.Wait()
 }
 
-func (b *Bulletin) accept() {
+func (b *DiscoveryServer) accept() {
 	defer b.done.Done()
 	for {
 		nc, err := b.ln.Accept()
@@ -91,8 +91,8 @@
 	}
 }
 
-// serve tells a gateway the events behind the one it names, those to come, and each second the last number.
-func (b *Bulletin) serve(nc net.Conn) {
+// serve sends a watch the events after the one it names, all later ones, and each second the latest resource version.
+func (b *DiscoveryServer) serve(nc net.Conn) {
 	defer b.done.Done()
 	defer nc.Close()
 	line, err := bufio.NewReader(nc).ReadString('\n')
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -30,15 +30,15 @@
 
 // Fleet is a number of processes of the program, with what they need around them.
 type Fleet struct {
-	opt      Options
-	Relay    *Relay
-	Bulletin *Bulletin
-	gateways []*gateway
-	operator string
-	listen   []netip.AddrPort // where datagrams of peers arrive
-	clients  []netip.AddrPort // where clients connect
-	mu       sync.Mutex
-	told     []Told
+	opt       Options
+	Relay     *Relay
+	Discovery *DiscoveryServer
+	gateways  []*gateway
+	operator  string
+	listen    []netip.AddrPort // where datagrams of peers arrive
+	clients   []netip.AddrPort // where clients connect
+	mu        sync.Mutex
+	changes   []StateChange
 }
 
 // New prepares a fleet; Start and StartAll start its processes, Close ends them.
@@ -63,7 +63,7 @@
 	if len(opt.Engines) == 0 {
 		opt.Engines = []Engine{{Name: "e1", Addr: "127.0.0.1:1", Zone: "z", Kind: "m", State: "in_service"}}
 	}
-	if f.Bulletin, err = NewBulletin(opt.Engines); err != nil {
+	if f.Discovery, err = NewDiscoveryServer(opt.Engines); err != nil {
 		f.Relay.Close()
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 	}
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", i), "listen": f.clients[i].String(),
 		"seed": fmt.Sprintf("%x", f.opt.Seed*1000+uint64(i)+1), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 512},
-		"peer_listen": f.listen[i].String(), "peers": peers, "bulletin": f.Bulletin.Addr(), "known": f.Bulletin.Known(),
+		"peer_listen": f.listen[i].String(), "peers": peers, "bulletin": f.Discovery.Addr(), "known": f.Discovery.InitialEvents(),
 		"settings": json.RawMessage(object)})
 	if err != nil {
 		return "", fmt.Errorf("configuration: %w", err)
@@ -190,10 +190,10 @@
 	}
 	env := append([]string{"GW_CONFIG=" + conf, "FROSTPIER_OPERATOR=" + operator, "GW_LISTEN="}, f.opt.Env...)
 	return f.gateways[i].start(f.opt.Command, env, filepath.Join(f.opt.Dir, fmt.Sprintf("n%d.log", i)), len(f.gateways),
-		func(t Told) {
+		func(t StateChange) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.told = append(f.told, t)
+			f.changes = append(f.changes, t)
 		})
 }
 
@@ -258,11 +258,11 @@
 	return g.view[member]
 }
 
-// Told is all that the gateways logged about each other since the mark of an earlier call.
-func (f *Fleet) Told(mark int) ([]Told, int) {
+// StateChanges returns what the gateways logged about each other since the mark of an earlier call.
+func (f *Fleet) StateChanges(mark int) ([]StateChange, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]Told(nil), f.told[mark:]...), len(f.told)
+	return append([]StateChange(nil), f.changes[mark:]...), len(f.changes)
 }
 
 // Agreed is nil when every gateway that runs holds each member as it is.
@@ -314,8 +314,8 @@
 	for _, g := range f.gateways {
 		errs = append(errs, g.wait(endPatience))
 	}
-	if f.Bulletin != nil {
-		f.Bulletin.Close()
+	if f.Discovery != nil {
+		f.Discovery.Close()
 	}
 	f.Relay.Close()
 	return errors.Join(errs...)
--- a/internal/rig/gateway.go
+++ b/internal/rig/gateway.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Told is one line of a gateway's log: it holds a member to be in another state now.
-type Told struct {
+// StateChange is a line of a gateway's log: in its view a member has changed its state.
+type StateChange struct {
 	At     time.Time
 	Viewer int
 	Member int
@@ -42,8 +42,8 @@
 
 var errNotReady = errors.New("the gateway does not serve")
 
-// start starts the process; told is called for each change in its view.
-func (g *gateway) start(command, env []string, logPath string, members int, told func(Told)) error {
+// start starts the process; changed is called for each change in its view.
+func (g *gateway) start(command, env []string, logPath string, members int, told func(StateChange)) error {
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("gateway %d: %w", g.number, err)
@@ -86,7 +86,7 @@
 }
 
 // line reads a line of the log.
-func (g *gateway) line(text string, told func(Told)) {
+func (g *gateway) line(text string, told func(StateChange)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -105,7 +105,7 @@
 			is = "alive"
 		}
 		g.view[member] = is
-		told(Told{At: time.Now(), Viewer: g.number, Member: member, Is: is})
+		told(StateChange{At: time.Now(), Viewer: g.number, Member: member, Is: is})
 	}
 }
 
--- a/internal/rig/pool.go
+++ b/internal/rig/pool.go
@@ -10,16 +10,16 @@
 	"frostpier/internal/standin"
 )
 
-// Pool is a number of stand-in engines, and the roster that tells of them.
+// Pool is a number of stand-in engines and their engine list.
 type Pool struct {
-	mu       sync.Mutex
-	engines  []*standin.Engine // those that run
-	roster   []Engine
-	spec     standin.Spec
-	clock    func() time.Duration
-	named    int
-	bulletin *Bulletin // told of changes once it is set
-	fallen   int       // of engines that have ended
+	mu        sync.Mutex
+	engines   []*standin.Engine // those that run
+	list      []Engine
+	spec      standin.Spec
+	clock     func() time.Duration
+	named     int
+	discovery *DiscoveryServer // told of changes once it is set
+	fallen    int              // of engines that have ended
 }
 
 // Report times of a stand-in engine, about the site's.
@@ -54,19 +54,19 @@
 	if cold {
 		line.Began = time.Now().UnixMilli()
 	}
-	p.roster = append(p.roster, line)
+	p.list = append(p.list, line)
 	return nil
 }
 
-// Roster is the list of engines as the bulletin tells it.
-func (p *Pool) Roster() []Engine {
+// EngineList returns the engine list to be published.
+func (p *Pool) EngineList() []Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.roster)
+	return slices.Clone(p.list)
 }
 
-// Follow has changes told by a bulletin.
-func (p *Pool) Follow(b *Bulletin) { p.bulletin = b }
+// PublishTo sets the discovery server on which Publish announces changes.
+func (p *Pool) PublishTo(b *DiscoveryServer) { p.discovery = b }
 
 // Engines are those that run.
 func (p *Pool) Engines() []*standin.Engine {
@@ -75,13 +75,13 @@
 	return slices.Clone(p.engines)
 }
 
-// Kill ends an engine as a process dies; nobody is told until Tell.
+// Kill ends an engine as a process dies; nothing is announced until Publish.
 func (p *Pool) Kill(e *standin.Engine) {
 	p.mu.Lock()
 	p.engines = slices.DeleteFunc(p.engines, func(o *standin.Engine) bool { return o == e })
-	for i := range p.roster {
-		if p.roster[i].Name == e.Name() {
-			p.roster[i].State = "terminated"
+	for i := range p.list {
+		if p.list[i].Name == e.Name() {
+			p.list[i].State = "terminated"
 		}
 	}
 	if _, _, fallen := e.Load(); fallen {
@@ -91,7 +91,7 @@
 	e.Close()
 }
 
-// Replace ends an engine and starts a cold one; nobody is told until Tell.
+// Replace ends an engine and starts a cold one; nothing is announced until Publish.
 func (p *Pool) Replace(e *standin.Engine) error {
 	p.Kill(e)
 	p.mu.Lock()
@@ -99,10 +99,10 @@
 	return p.add(true)
 }
 
-// Tell has the bulletin tell the present list.
-func (p *Pool) Tell() {
-	if p.bulletin != nil {
-		p.bulletin.Tell(p.Roster())
+// Publish announces the present engine list on the discovery server.
+func (p *Pool) Publish() {
+	if p.discovery != nil {
+		p.discovery.Publish(p.EngineList())
 	}
 }
 
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -1,4 +1,4 @@
-// Package rig starts many processes of the program on loopback, with a stand-in bulletin and a relay between every
+// Package rig starts many processes of the program on loopback, with a stand-in discovery server and a relay between every
 // ordered pair of gateways, and injects faults: into the processes by signals, between them by the relay. The tests
 // and cmd/fleetlab use it.
 package rig
@@ -27,27 +27,27 @@
 // a datagram is set for each ordered pair: its receiver is the face that it came to, its sender the address it came
 // from.
 type Relay struct {
-	faces   []*net.UDPConn
-	behind  []netip.AddrPort // where each gateway listens
-	byAddr  map[netip.AddrPort]int
-	mu      sync.Mutex
-	usual   Link
-	links   map[[2]int]Link
-	deaf    map[int]bool
-	mute    map[int]bool
-	side    map[int]int
-	rnd     *rand.Rand
-	sent    []int
-	bytes   []int
-	longest int
-	foreign int
-	done    sync.WaitGroup
+	faces        []*net.UDPConn
+	behind       []netip.AddrPort // where each gateway listens
+	byAddr       map[netip.AddrPort]int
+	mu           sync.Mutex
+	usual        Link
+	links        map[[2]int]Link
+	dropInbound  map[int]bool
+	dropOutbound map[int]bool
+	side         map[int]int
+	rnd          *rand.Rand
+	sent         []int
+	bytes        []int
+	longest      int
+	foreign      int
+	done         sync.WaitGroup
 }
 
 // NewRelay opens a face for each gateway, at an address of the loopback network.
 func NewRelay(addr netip.Addr, behind []netip.AddrPort, seed uint64) (*Relay, error) {
-	r := &Relay{behind: behind, byAddr: map[netip.AddrPort]int{}, links: map[[2]int]Link{}, deaf: map[int]bool{},
-		mute: map[int]bool{}, side: map[int]int{}, rnd: rand.New(rand.NewPCG(seed, 5)),
+	r := &Relay{behind: behind, byAddr: map[netip.AddrPort]int{}, links: map[[2]int]Link{}, dropInbound: map[int]bool{},
+		dropOutbound: map[int]bool{}, side: map[int]int{}, rnd: rand.New(rand.NewPCG(seed, 5)),
 		sent: make([]int, len(behind)), bytes: make([]int, len(behind))}
 	for i, b := range behind {
 		r.byAddr[b] = i
@@ -87,11 +87,11 @@
 // Set sets what becomes of the datagrams from one gateway to another.
 func (r *Relay) Set(from, to int, l Link) { r.with(func() { r.links[[2]int{from, to}] = l }) }
 
-// Deaf has a gateway get no datagrams, or get them again.
-func (r *Relay) Deaf(i int, on bool) { r.with(func() { r.deaf[i] = on }) }
+// DropInbound drops all datagrams to a gateway, or ends that.
+func (r *Relay) DropInbound(i int, on bool) { r.with(func() { r.dropInbound[i] = on }) }
 
-// Mute has nothing that a gateway sends arrive, or has it arrive again.
-func (r *Relay) Mute(i int, on bool) { r.with(func() { r.mute[i] = on }) }
+// DropOutbound drops all datagrams of a gateway, or ends that.
+func (r *Relay) DropOutbound(i int, on bool) { r.with(func() { r.dropOutbound[i] = on }) }
 
 // Side puts a gateway on a side of a split: nothing passes between sides.
 func (r *Relay) Side(i, side int) { r.with(func() { r.side[i] = side }) }
@@ -100,8 +100,8 @@
 func (r *Relay) Heal() {
 	r.with(func() {
 		clear(r.links)
-		clear(r.deaf)
-		clear(r.mute)
+		clear(r.dropInbound)
+		clear(r.dropOutbound)
 		clear(r.side)
 	})
 }
@@ -155,7 +155,7 @@
 	if !set {
 		link = r.usual
 	}
-	if link.Cut || r.deaf[to] || r.mute[from] || r.side[from] != r.side[to] {
+	if link.Cut || r.dropInbound[to] || r.dropOutbound[from] || r.side[from] != r.side[to] {
 		return
 	}
 	copies := 1
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -65,8 +65,8 @@
 	send(0, 1, "twice")
 	expect(1, 0, "twice")
 	expect(1, 0, "twice")
-	r.Mute(0, true)
-	send(0, 1, "mute")
+	r.DropOutbound(0, true)
+	send(0, 1, "outbound")
 	passed(4) // what becomes of a datagram is decided when the relay reads it
 	r.Heal()
 	r.Side(2, 1)
@@ -74,7 +74,7 @@
 	passed(5)
 	send(0, 1, "healed")
 	expect(1, 0, "healed")
-	if n, b := r.Sent(0); n != 6 || b != len("a")+len("lost")+len("twice")+len("mute")+len("cut off")+len("healed") {
+	if n, b := r.Sent(0); n != 6 || b != len("a")+len("lost")+len("twice")+len("outbound")+len("cut off")+len("healed") {
 		t.Errorf("0 sent %d datagrams, %d bytes", n, b)
 	}
 	stranger, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(faces[0]))
--- a/internal/rig/scenario.go
+++ b/internal/rig/scenario.go
@@ -48,15 +48,15 @@
 
 // Actions are what a step can do.
 const (
-	DoKill    = "kill"    // SIGKILL; waits until all views agree, then starts them again and waits once more
-	DoTerm    = "term"    // SIGTERM, likewise
-	DoPause   = "pause"   // SIGSTOP for for_s, then SIGCONT; waits until all views agree
-	DoDeaf    = "deaf"    // they get no datagrams for for_s; likewise
-	DoMute    = "mute"    // what they send does not arrive for for_s; likewise
-	DoCut     = "cut"     // what `from` sends does not arrive at them for for_s; likewise
-	DoSplit   = "split"   // they are cut from all others for for_s; likewise
-	DoNetwork = "network" // sets another network, for for_s or for good; likewise
-	DoQuiet   = "quiet"   // nothing happens for for_s
+	DoKill         = "kill"          // SIGKILL; waits until all views agree, then starts them again and waits once more
+	DoTerm         = "term"          // SIGTERM, likewise
+	DoPause        = "pause"         // SIGSTOP for for_s, then SIGCONT; waits until all views agree
+	DoDropInbound  = "drop_inbound"  // they get no datagrams for for_s; likewise
+	DoDropOutbound = "drop_outbound" // what they send does not arrive for for_s; likewise
+	DoCut          = "cut"           // what `from` sends does not arrive at them for for_s; likewise
+	DoSplit        = "split"         // they are cut from all others for for_s; likewise
+	DoNetwork      = "network"       // sets another network, for for_s or for good; likewise
+	DoQuiet        = "quiet"         // nothing happens for for_s
 )
 
 var errScenario = errors.New("scenario")
@@ -101,7 +101,7 @@
 }
 
 func (s Step) check(gateways int) error {
-	lasting := []string{DoPause, DoDeaf, DoMute, DoCut, DoSplit, DoQuiet}
+	lasting := []string{DoPause, DoDropInbound, DoDropOutbound, DoCut, DoSplit, DoQuiet}
 	known := append([]string{DoKill, DoTerm, DoNetwork}, lasting...)
 	switch {
 	case !slices.Contains(known, s.Do):
@@ -185,7 +185,7 @@
 }
 
 func (f *Fleet) playStep(step Step, picked []int, r *Result) error {
-	_, mark := f.Told(0)
+	_, mark := f.StateChanges(0)
 	if step.Do == DoQuiet {
 		picked = nil
 	}
@@ -211,7 +211,7 @@
 			err = f.Wait(agreeMost, f.Agreed)
 		}
 		f.tally(mark, began, picked, r)
-		_, mark = f.Told(0)
+		_, mark = f.StateChanges(0)
 		began = time.Time{} // what is told from here on is of the starts
 		if err == nil {
 			err = f.StartAll()
@@ -221,13 +221,13 @@
 			time.Sleep(lasts)
 			err = each(f.Resume)
 		}
-	case DoDeaf, DoMute, DoCut, DoSplit:
+	case DoDropInbound, DoDropOutbound, DoCut, DoSplit:
 		for _, i := range picked {
 			switch step.Do {
-			case DoDeaf:
-				f.Relay.Deaf(i, true)
-			case DoMute:
-				f.Relay.Mute(i, true)
+			case DoDropInbound:
+				f.Relay.DropInbound(i, true)
+			case DoDropOutbound:
+				f.Relay.DropOutbound(i, true)
 			case DoCut:
 				f.Relay.Set(step.From, i, Link{Cut: true})
 			case DoSplit:
@@ -260,7 +260,7 @@
 
 // tally reads what was told since the mark. A zero time counts false deaths only.
 func (f *Fleet) tally(mark int, began time.Time, picked []int, r *Result) {
-	told, _ := f.Told(mark)
+	told, _ := f.StateChanges(mark)
 	first, last := map[int]time.Time{}, map[int]time.Time{}
 	wrong := map[int]bool{}
 	for _, t := range told {
--- a/internal/rollout/codec_test.go
+++ b/internal/rollout/codec_test.go
@@ -79,36 +79,36 @@
 		t.Fatal(err)
 	}
 	m := NewMix(3, ID{})
-	if !m.Hear(2, b) || m.of[2] != (ID{1 << 8, 2 << 8}) {
-		t.Errorf("%+v", m.of)
+	if !m.Receive(2, b) || m.received[2] != (ID{1 << 8, 2 << 8}) {
+		t.Errorf("%+v", m.received)
 	}
 }
 
-// Versions ride to every member now and then, again after a change, and what cannot be read changes nothing.
+// Versions are sent to every member now and then, again after a change, and what cannot be read changes nothing.
 func TestMixOfVersions(t *testing.T) {
 	a, b := NewMix(3, ID{1 << 40, 2 << 40}), NewMix(3, ID{3 << 40, 2 << 40})
 	now := 100 * time.Second
-	body := a.Ride(now, 1, 50, nil)
-	if len(body) == 0 || len(a.Ride(now+time.Second, 1, 50, nil)) > 0 || len(a.Ride(now, 2, 3, nil)) > 0 {
+	body := a.Append(now, 1, 50, nil)
+	if len(body) == 0 || len(a.Append(now+time.Second, 1, 50, nil)) > 0 || len(a.Append(now, 2, 3, nil)) > 0 {
 		t.Fatal("told twice at once, or without room")
 	}
-	if len(a.Ride(now+againAfter, 1, 50, nil)) == 0 {
+	if len(a.Append(now+resendAfter, 1, 50, nil)) == 0 {
 		t.Error("not told again")
 	}
-	if !b.Hear(0, body) || b.Hear(0, []byte{0xff}) || b.Hear(9, body) || b.Hear(-1, body) {
+	if !b.Receive(0, body) || b.Receive(0, []byte{0xff}) || b.Receive(9, body) || b.Receive(-1, body) {
 		t.Error("what was heard")
 	}
 	counts := b.Counts(1, func(int) bool { return true })
-	if len(counts) != 2 || counts[0].Members != 1 || Words(counts) == "" {
+	if len(counts) != 2 || counts[0].Members != 1 || FormatCounts(counts) == "" {
 		t.Errorf("%+v", counts)
 	}
 	if got := b.Counts(1, func(i int) bool { return i != 0 }); len(got) != 1 {
 		t.Errorf("one out of service counts: %+v", got)
 	}
 	a.Own(ID{5 << 40, 2 << 40})
-	if body := a.Ride(now+againAfter, 1, 50, nil); len(body) == 0 {
+	if body := a.Append(now+resendAfter, 1, 50, nil); len(body) == 0 {
 		t.Error("a new version was not told")
-	} else if b.Hear(0, body); b.Counts(1, func(int) bool { return true })[0].ID == (ID{}) {
+	} else if b.Receive(0, body); b.Counts(1, func(int) bool { return true })[0].ID == (ID{}) {
 		t.Error("lost")
 	}
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -129,14 +129,14 @@
 		for k, m := range list {
 			t := compare(news, olds, within(c, clients), m)
 			if t.above(j.Worse, alpha) {
-				return Opinion{Worse: true, Why: t.say(name, m.name)}
+				return Opinion{Worse: true, Why: t.describe(name, m.name)}
 			}
 			if k == 0 && unknown == "" {
 				switch {
 				case t.new.of < uint64(j.LeastAnswers) && (c < 0 || t.old.of > 0):
-					unknown = "too few answers: " + t.say(name, m.name)
+					unknown = "too few answers: " + t.describe(name, m.name)
 				case c < 0 && t.most(j.FalseAlarm) > j.NotWorse:
-					unknown = "it may still be worse: " + t.say(name, m.name)
+					unknown = "it may still be worse: " + t.describe(name, m.name)
 				}
 			}
 		}
@@ -189,7 +189,7 @@
 		return ""
 	}
 	if oldWrong == 0 || float64(wrong)/float64(all) > 5*float64(oldWrong)/float64(max(1, oldAll)) {
-		return say("wrong results of known queries", "all classes", float64(wrong)/float64(all), float64(oldWrong)/float64(max(1, oldAll)), uint64(all))
+		return describe("wrong results of known queries", "all classes", float64(wrong)/float64(all), float64(oldWrong)/float64(max(1, oldAll)), uint64(all))
 	}
 	return ""
 }
@@ -209,7 +209,7 @@
 	median := mb[len(mb)/2]
 	for _, s := range news {
 		if s.MemoryMB > j.MemoryTimes*median+j.MemoryMB {
-			return say("memory in MB", "a gateway", s.MemoryMB, median, 1)
+			return describe("memory in MB", "a gateway", s.MemoryMB, median, 1)
 		}
 	}
 	return ""
@@ -320,6 +320,6 @@
 	return t.new.share() - t.old.share() + math.Sqrt(2*v*w/(effect*effect)*(math.Log(1/alpha)+0.5*math.Log(w/v)))
 }
 
-func (t test) say(class, measure string) string {
-	return say(measure, class, t.new.share(), t.old.share(), t.new.of)
+func (t test) describe(class, measure string) string {
+	return describe(measure, class, t.new.share(), t.old.share(), t.new.of)
 }
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -105,8 +105,8 @@
 
 func (m *Machine) note(text string, args ...any) { m.do(Note{fmt.Sprintf(text, args...)}) }
 
-// Told takes a gateway's report.
-func (m *Machine) Told(now time.Duration, r Report) {
+// ReceiveReport takes a gateway's report.
+func (m *Machine) ReceiveReport(now time.Duration, r Report) {
 	if r.Gateway < 0 || r.Gateway >= len(m.seen) {
 		return
 	}
--- a/internal/rollout/mix.go
+++ b/internal/rollout/mix.go
@@ -11,42 +11,42 @@
 	"frostpier/internal/rollout/rolloutpb"
 )
 
-// RiderKind names this subsystem among membership's riders.
-const RiderKind = 2
+// ExtensionKind identifies this subsystem among the extensions of membership.
+const ExtensionKind = 2
 
-// againAfter is when a member that was told the own version is told again: datagrams are lost, and members start anew.
-const againAfter = 20 * time.Second
+// resendAfter is when the own version is sent to a member again: datagrams are lost, and members restart.
+const resendAfter = 20 * time.Second
 
-// Mix is what a gateway knows of the versions in the fleet: each tells its own on membership's datagrams, to every member
-// now and then. It grows by members alone.
+// Mix tracks the versions that run in the fleet: each gateway piggybacks its own on membership datagrams, to every member
+// now and then. Its size depends on the number of members alone.
 type Mix struct {
-	own  ID
-	told []time.Duration // when each member was last told; 0 = never, or of a version since changed
-	of   []ID            // what each member told last; zero = nothing yet
+	own      ID
+	sentAt   []time.Duration // when the own version was last sent to each member; 0 = never, or an older version
+	received []ID            // the last version received from each member; zero = none yet
 }
 
 // NewMix makes one for a fleet of so many members.
 func NewMix(members int, own ID) *Mix {
-	return &Mix{own: short(own), told: make([]time.Duration, members), of: make([]ID, members)}
+	return &Mix{own: short(own), sentAt: make([]time.Duration, members), received: make([]ID, members)}
 }
 
-// short keeps the half that rides.
+// short keeps the half that is sent.
 func short(id ID) ID { return ID{id.Program >> 32, id.Settings >> 32} }
 
 // Own sets the own version.
 func (m *Mix) Own(id ID) {
 	if id = short(id); id != m.own {
 		m.own = id
-		clear(m.told)
+		clear(m.sentAt)
 	}
 }
 
 // Kind is for membership.
-func (m *Mix) Kind() uint32 { return RiderKind }
+func (m *Mix) Kind() uint32 { return ExtensionKind }
 
-// Ride writes the own version for a member that has not been told of late.
-func (m *Mix) Ride(now time.Duration, to, room int, dst []byte) []byte {
-	if to < 0 || to >= len(m.told) || m.told[to] > 0 && now-m.told[to] < againAfter {
+// Append appends the own version if it was not sent to the member recently.
+func (m *Mix) Append(now time.Duration, to, room int, dst []byte) []byte {
+	if to < 0 || to >= len(m.sentAt) || m.sentAt[to] > 0 && now-m.sentAt[to] < resendAfter {
 		return dst
 	}
 	v := &rolloutpb.Version{Program: uint32(m.own.Program), Settings: uint32(m.own.Settings)}
@@ -57,29 +57,29 @@
 	if err != nil {
 		return dst
 	}
-	m.told[to] = now
+	m.sentAt[to] = now
 	return out
 }
 
-// Hear takes a member's word; one that cannot be read changes nothing.
-func (m *Mix) Hear(member int, body []byte) bool {
+// Receive records the version message of a member; a malformed one changes nothing.
+func (m *Mix) Receive(member int, body []byte) bool {
 	var v rolloutpb.Version
-	if member < 0 || member >= len(m.of) || proto.Unmarshal(body, &v) != nil {
+	if member < 0 || member >= len(m.received) || proto.Unmarshal(body, &v) != nil {
 		return false
 	}
-	m.of[member] = ID{uint64(v.Program), uint64(v.Settings)}
+	m.received[member] = ID{uint64(v.Program), uint64(v.Settings)}
 	return true
 }
 
 // Count is one version's part of the fleet.
 type Count struct {
-	ID      ID // the halves that ride
+	ID      ID // the halves that are sent
 	Members int
 }
 
-// Counts are the versions that members in service told, most first; the own gateway counts.
+// Counts returns the versions of the members in service, most frequent first; the own gateway counts.
 func (m *Mix) Counts(self int, serves func(member int) bool) (out []Count) {
-	for i, id := range m.of {
+	for i, id := range m.received {
 		if i == self {
 			id = m.own
 		}
@@ -97,8 +97,8 @@
 	return out
 }
 
-// Words puts counts on one line for the log.
-func Words(counts []Count) string {
+// FormatCounts formats counts as one line for the log.
+func FormatCounts(counts []Count) string {
 	var out []string
 	for _, c := range counts {
 		out = append(out, fmt.Sprintf("%08x/%08x:%d", c.ID.Program, c.ID.Settings, c.Members))
--- a/internal/rollout/mixed_test.go
+++ b/internal/rollout/mixed_test.go
@@ -17,12 +17,12 @@
 	f, err := virtual.New(virtual.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
 		Make: func(cfg membership.Config) (virtual.Detector, error) {
 			d := spread.New()
-			d.List([]uint64{1, 2, 3})
-			digests[cfg.Self], cfg.Ride = d, 300*time.Millisecond
-			cfg.Riders = append(cfg.Riders, d)
+			d.SetEngines([]uint64{1, 2, 3})
+			digests[cfg.Self], cfg.ExtensionInterval = d, 300*time.Millisecond
+			cfg.Extensions = append(cfg.Extensions, d)
 			if cfg.Self%2 == 1 {
 				mixes[cfg.Self] = NewMix(members, ID{uint64(7+cfg.Self%3) << 32, 1 << 32})
-				cfg.Riders = append(cfg.Riders, mixes[cfg.Self])
+				cfg.Extensions = append(cfg.Extensions, mixes[cfg.Self])
 			}
 			return membership.New(cfg)
 		}})
@@ -32,12 +32,12 @@
 	deaths := 0
 	f.Seen = func(at int, e membership.Event) error {
 		switch {
-		case e.Kind == membership.Carried && e.Rider == spread.RiderKind:
-			digests[at].Hear(f.Now, e.Body)
-		case e.Kind == membership.Carried && e.Rider == RiderKind && mixes[at] == nil:
-			t.Errorf("member %d got what it has no rider for", at)
-		case e.Kind == membership.Carried && e.Rider == RiderKind:
-			mixes[at].Hear(e.Member, e.Body)
+		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == spread.ExtensionKind:
+			digests[at].Receive(f.Now, e.Body)
+		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == ExtensionKind && mixes[at] == nil:
+			t.Errorf("member %d got what it has no extension for", at)
+		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == ExtensionKind:
+			mixes[at].Receive(e.Member, e.Body)
 		case e.Kind == membership.Changed && e.Is == membership.Dead && f.Members[e.Member].Up:
 			deaths++
 		}
@@ -46,16 +46,16 @@
 	if err := f.Run(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	digests[0].Note(f.Now, 1, 5) // an old one learns of an engine, and a new one of another
-	digests[1].Note(f.Now, 2, 6)
+	digests[0].Record(f.Now, 1, 5) // an old one learns of an engine, and a new one of another
+	digests[1].Record(f.Now, 2, 6)
 	if err := f.Run(3 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for i, d := range digests {
-		if a, ok := d.Known(f.Now, 1); !ok || a.Load != 5 {
+		if a, ok := d.Latest(f.Now, 1); !ok || a.Load != 5 {
 			t.Errorf("member %d does not know what an old one told: %+v", i, a)
 		}
-		if b, ok := d.Known(f.Now, 2); !ok || b.Load != 6 {
+		if b, ok := d.Latest(f.Now, 2); !ok || b.Load != 6 {
 			t.Errorf("member %d does not know what a new one told: %+v", i, b)
 		}
 	}
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -215,7 +215,7 @@
 		if g.version == NewVersion && w.bug == "leaks" {
 			memory += 3 * (w.now - g.began).Seconds()
 		}
-		w.machine.Told(w.now, Report{Gateway: i, PID: g.pid, Started: g.began, Program: id.Program, Settings: id.Settings,
+		w.machine.ReceiveReport(w.now, Report{Gateway: i, PID: g.pid, Started: g.began, Program: id.Program, Settings: id.Settings,
 			Serving: g.stopAt == 0, MemoryMB: memory, Classes: append([]Counts(nil), g.counts...)})
 	}
 	w.machine.Tick(w.now)
@@ -442,7 +442,7 @@
 	}
 }
 
-// An operator's words hold.
+// An operator's commands hold.
 func TestPauseResumeAbort(t *testing.T) {
 	w := newWorld(t, 30, 5, "")
 	w.run(10 * time.Second)
@@ -466,6 +466,6 @@
 		t.Errorf("aborted: %s", phase)
 	}
 	if w.machine.Abort(w.now) == nil || w.machine.Resume(w.now) == nil {
-		t.Error("words were taken after the end")
+		t.Error("commands were taken after the end")
 	}
 }
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -20,7 +20,7 @@
 	} `json:"limits"`
 	PeerListen string          `json:"peer_listen"` // where datagrams of other gateways arrive
 	Peers      []string        `json:"peers"`       // an address for each gateway, in the order of their numbers
-	Bulletin   string          `json:"bulletin"`
+	Discovery  string          `json:"bulletin"`
 	Known      json.RawMessage `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 }
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -164,7 +164,7 @@
 		return o, fmt.Errorf("operator's file: rollout without membership has no fleet's name")
 	}
 	if o.Spread != nil && o.Membership == nil {
-		return o, fmt.Errorf("operator's file: spread without membership has nothing to ride on")
+		return o, fmt.Errorf("operator's file: spread needs membership: its messages are piggybacked on membership datagrams")
 	}
 	if m := o.MySQL; m != nil && (m.Listen == "" || m.EngineUser == "" || len(m.Accounts) == 0) {
 		return o, fmt.Errorf("operator's file: mysql needs listen, engine_user and an account")
