--- a/internal/spread/digest_test.go
+++ b/internal/spread/digest_test.go
@@ -24,7 +24,7 @@
 	for i := range n {
 		numbers = append(numbers, uint64(i+1)<<32|uint64(i+1))
 	}
-	d.List(numbers)
+	d.SetEngines(numbers)
 	return d
 }
 
@@ -33,14 +33,14 @@
 func (d *Digest) state(now time.Duration) string {
 	out := ""
 	for _, h := range d.order {
-		if w, ok := d.Known(now, h.number); ok {
+		if w, ok := d.Latest(now, h.number); ok {
 			out += fmt.Sprint(w, ";")
 		}
 	}
 	return out
 }
 
-// Words in any order, any number of times, over any ways end in the same knowledge; passing on what came changes
+// Reports in any order, any number of times, over any paths end in the same state; passing on what came changes
 // nothing at who sent it.
 func TestMergingCommutesAndIsIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -50,55 +50,55 @@
 			now := epoch
 			for range rapid.IntRange(1, 12).Draw(t, "notes") {
 				now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-				d.Note(now, number(rapid.IntRange(0, 7).Draw(t, "engine")), rapid.IntRange(0, 90).Draw(t, "load"))
+				d.Record(now, number(rapid.IntRange(0, 7).Draw(t, "engine")), rapid.IntRange(0, 90).Draw(t, "load"))
 			}
-			bodies = append(bodies, append([]byte(nil), d.Ride(now, 0, 200, nil)...))
+			bodies = append(bodies, append([]byte(nil), d.Append(now, 0, 200, nil)...))
 		}
-		now := epoch + 4500*time.Millisecond // no word is near its end
+		now := epoch + 4500*time.Millisecond // no report is near its expiry
 		a, b := listed(8), listed(8)
 		for _, body := range bodies {
-			a.Hear(now, body)
+			a.Receive(now, body)
 		}
 		order := rapid.Permutation(append(bodies, bodies...)).Draw(t, "order")
 		for _, body := range order {
-			b.Hear(now+time.Duration(rapid.IntRange(0, 40).Draw(t, "late"))*time.Millisecond, body)
+			b.Receive(now+time.Duration(rapid.IntRange(0, 40).Draw(t, "late"))*time.Millisecond, body)
 		}
 		if x, y := a.state(now), b.state(now); x != y {
 			t.Fatalf("%s\n%s", x, y)
 		}
-		if news := a.Hear(now, b.Ride(now, 0, 200, nil)); len(news) > 0 {
-			t.Fatalf("its own words came back as news: %v", news)
+		if news := a.Receive(now, b.Append(now, 0, 200, nil)); len(news) > 0 {
+			t.Fatalf("its own reports came back as new: %v", news)
 		}
 	})
 }
 
-// A word ends with its life, however often it is passed on and however late: it never becomes younger.
-func TestWordsEnd(t *testing.T) {
+// A report expires in time, however often it is passed on and however late: it never becomes younger.
+func TestLoadReportsExpire(t *testing.T) {
 	a, b := listed(2), listed(2)
-	a.Note(epoch, number(0), 7)
+	a.Record(epoch, number(0), 7)
 	now := epoch
 	for range 200 {
-		body := append([]byte(nil), a.Ride(now, 0, 200, nil)...)
+		body := append([]byte(nil), a.Append(now, 0, 200, nil)...)
 		now += 130 * time.Millisecond // late: a reader that paused
-		b.Hear(now, body)
+		b.Receive(now, body)
 		a, b = b, a
 	}
 	for _, d := range []*Digest{a, b} {
-		if w, ok := d.Known(now, number(0)); ok {
+		if w, ok := d.Latest(now, number(0)); ok {
 			t.Errorf("after %v still known: %v", now-epoch, w)
 		}
-		if w, ok := d.Known(epoch+4*time.Second, number(0)); ok && w.At != epoch {
-			t.Errorf("told at %v, now %v", epoch, w.At)
+		if w, ok := d.Latest(epoch+4*time.Second, number(0)); ok && w.At != epoch {
+			t.Errorf("reported at %v, now %v", epoch, w.At)
 		}
 	}
 }
 
 // Nothing is heard of an engine that the own list does not name, nor told of one that it names no more; clocks that
-// are off and absurd words are counted and change nothing.
+// are off and absurd reports are counted and change nothing.
 func TestWhatIsNotBelieved(t *testing.T) {
 	d := listed(2)
 	write := func(change func(m *spreadpb.Digest)) []byte {
-		m := &spreadpb.Digest{Engine: []byte{1, 0, 0, 0}, Load: []uint32{5}, Age: []uint32{1}, Base: uint64(epoch / step)}
+		m := &spreadpb.Digest{Engine: []byte{1, 0, 0, 0}, Load: []uint32{5}, Age: []uint32{1}, Base: uint64(epoch / ageUnit)}
 		change(m)
 		b, _ := proto.Marshal(m)
 		return b
@@ -108,34 +108,34 @@
 		count  func() uint64
 	}{
 		"unlisted": {func(m *spreadpb.Digest) { m.Engine[0] = 9 }, func() uint64 { return d.Counts().Unlisted }},
-		"late":     {func(m *spreadpb.Digest) { m.Age[0] = 200 }, func() uint64 { return d.Counts().Late }},
+		"late":     {func(m *spreadpb.Digest) { m.Age[0] = 200 }, func() uint64 { return d.Counts().Expired }},
 		"ahead":    {func(m *spreadpb.Digest) { m.Base += 40 }, func() uint64 { return d.Counts().Ahead }},
-		"absurd":   {func(m *spreadpb.Digest) { m.Load[0] = 1 << 30 }, func() uint64 { return d.Counts().Garbled }},
-		"lengths":  {func(m *spreadpb.Digest) { m.Age = nil }, func() uint64 { return d.Counts().Garbled }},
-		"no time":  {func(m *spreadpb.Digest) { m.Base = 1 << 60 }, func() uint64 { return d.Counts().Garbled }},
+		"absurd":   {func(m *spreadpb.Digest) { m.Load[0] = 1 << 30 }, func() uint64 { return d.Counts().Malformed }},
+		"lengths":  {func(m *spreadpb.Digest) { m.Age = nil }, func() uint64 { return d.Counts().Malformed }},
+		"no time":  {func(m *spreadpb.Digest) { m.Base = 1 << 60 }, func() uint64 { return d.Counts().Malformed }},
 	} {
 		before := c.count()
-		if news := d.Hear(epoch, write(c.change)); len(news) > 0 || c.count() != before+1 {
+		if news := d.Receive(epoch, write(c.change)); len(news) > 0 || c.count() != before+1 {
 			t.Errorf("%s: news %v, counts %+v", name, news, d.Counts())
 		}
 	}
-	d.Note(epoch, number(1), 3)
-	d.List([]uint64{number(0)})
-	if body := d.Ride(epoch, 0, 200, nil); len(body) > 0 {
-		t.Errorf("told of an engine that is listed no more: %x", body)
+	d.Record(epoch, number(1), 3)
+	d.SetEngines([]uint64{number(0)})
+	if body := d.Append(epoch, 0, 200, nil); len(body) > 0 {
+		t.Errorf("published an engine that is listed no more: %x", body)
 	}
 }
 
-// What rides keeps to the room it is given, whatever that is.
-func TestRideKeepsToItsRoom(t *testing.T) {
+// A message keeps to the room it is given, whatever that is.
+func TestAppendKeepsToItsRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := listed(80)
 		for i := range 80 {
-			d.Note(epoch+time.Duration(i)*7*time.Millisecond, number(i), rapid.IntRange(0, mostLoad-1).Draw(t, "load"))
+			d.Record(epoch+time.Duration(i)*7*time.Millisecond, number(i), rapid.IntRange(0, maxLoad-1).Draw(t, "load"))
 		}
 		room := rapid.IntRange(0, 240).Draw(t, "room")
 		now := epoch + time.Duration(rapid.IntRange(0, 6000).Draw(t, "ms"))*time.Millisecond
-		if b := d.Ride(now, 0, room, nil); len(b) > room {
+		if b := d.Append(now, 0, room, nil); len(b) > room {
 			t.Fatalf("%d bytes, room for %d", len(b), room)
 		}
 	})
@@ -143,20 +143,20 @@
 
 func TestNoiseIsNoPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		listed(4).Hear(epoch, rapid.SliceOfN(rapid.Byte(), 0, 250).Draw(t, "noise"))
+		listed(4).Receive(epoch, rapid.SliceOfN(rapid.Byte(), 0, 250).Draw(t, "noise"))
 	})
 }
 
 // Two engines whose numbers agree in the half that goes on the wire are not told of at all.
 func TestTwinsAreLeftOut(t *testing.T) {
 	d := New()
-	d.List([]uint64{1<<32 | 5, 2<<32 | 5, 7})
-	d.Note(epoch, 1<<32|5, 3)
-	if _, ok := d.Known(epoch, 1<<32|5); ok {
+	d.SetEngines([]uint64{1<<32 | 5, 2<<32 | 5, 7})
+	d.Record(epoch, 1<<32|5, 3)
+	if _, ok := d.Latest(epoch, 1<<32|5); ok {
 		t.Error("a twin is known")
 	}
-	d.Note(epoch, 7, 3)
-	if _, ok := d.Known(epoch, 7); !ok {
+	d.Record(epoch, 7, 3)
+	if _, ok := d.Latest(epoch, 7); !ok {
 		t.Error("the other engine is not")
 	}
 }
@@ -175,11 +175,11 @@
 		for i, d := range all {
 			if rnd.IntN(100) < 6 {
 				e := number(rnd.IntN(engines))
-				d.Note(now, e, 5)
-				alone[i].Note(now, e, 5)
+				d.Record(now, e, 5)
+				alone[i].Record(now, e, 5)
 			}
 			if rnd.IntN(100) < 2 {
-				all[rnd.IntN(gateways)].Hear(now, d.Ride(now, 0, 200, nil))
+				all[rnd.IntN(gateways)].Receive(now, d.Append(now, 0, 200, nil))
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 		n := 0
 		for _, d := range list {
 			for i := range engines {
-				if w, ok := d.Known(now, number(i)); ok {
+				if w, ok := d.Latest(now, number(i)); ok {
 					n++
 					age += now - w.At
 				}
@@ -212,8 +212,8 @@
 		t.Fatal(err)
 	}
 	d := listed(4)
-	words := d.Hear(epoch+time.Second, body)
-	if len(words) != 2 || words[0] != (Word{number(2), 9, epoch + 500*time.Millisecond}) || words[1] != (Word{number(0), 4, epoch}) {
-		t.Errorf("%+v", words)
+	reports := d.Receive(epoch+time.Second, body)
+	if len(reports) != 2 || reports[0] != (LoadReport{number(2), 9, epoch + 500*time.Millisecond}) || reports[1] != (LoadReport{number(0), 4, epoch}) {
+		t.Errorf("%+v", reports)
 	}
 }
--- a/internal/vrrp/router.go
+++ b/internal/vrrp/router.go
@@ -141,15 +141,15 @@
 	}
 	switch r.state {
 	case Backup:
-		return r.heard(m), nil
+		return r.receive(m), nil
 	case Master:
 		return r.challenged(from, m), nil
 	}
 	return nil, nil
 }
 
-// heard is a backup's view of a message.
-func (r *Router) heard(m message) []Step {
+// receive is a backup's view of a message.
+func (r *Router) receive(m message) []Step {
 	switch {
 	case m.priority == 0: // the master stops
 		return []Step{{Alarm: max(tick, r.skew())}}
--- a/internal/vrrp/vrrp_test.go
+++ b/internal/vrrp/vrrp_test.go
@@ -51,7 +51,7 @@
 	return message{}, false
 }
 
-func hear(t *testing.T, r *Router, from netip.Addr, b []byte) []Step {
+func receive(t *testing.T, r *Router, from netip.Addr, b []byte) []Step {
 	t.Helper()
 	steps, err := r.Received(from, b)
 	if err != nil {
@@ -66,7 +66,7 @@
 	if got := alarm(r.Startup()); r.State() != Backup || got != 3*time.Second+skew {
 		t.Fatalf("%v after %v", r.State(), got)
 	}
-	if got := alarm(hear(t, r, high, advert(7, 200, 500*time.Millisecond))); got != 1500*time.Millisecond+skew/2 {
+	if got := alarm(receive(t, r, high, advert(7, 200, 500*time.Millisecond))); got != 1500*time.Millisecond+skew/2 {
 		t.Fatalf("with the master's own interval: %v", got) // RFC 9568, 6.4.2: the interval is learned
 	}
 	steps := r.Rang()
@@ -78,7 +78,7 @@
 func TestPriorityZeroShortensTheWait(t *testing.T) {
 	r := router(t, 100, true)
 	r.Startup()
-	if got := alarm(hear(t, r, high, advert(7, 0, time.Second))); got != 156*time.Second/256 {
+	if got := alarm(receive(t, r, high, advert(7, 0, time.Second))); got != 156*time.Second/256 {
 		t.Fatalf("waits %v, want the skew", got)
 	}
 	r.Rang()
@@ -95,8 +95,8 @@
 	for _, preempt := range []bool{true, false} {
 		r := router(t, 100, preempt)
 		r.Startup()
-		if heeded := alarm(hear(t, r, high, advert(7, 50, time.Second))) > 0; heeded == preempt {
-			t.Errorf("preempt %v: a lesser master's word counts: %v", preempt, heeded)
+		if heeded := alarm(receive(t, r, high, advert(7, 50, time.Second))) > 0; heeded == preempt {
+			t.Errorf("preempt %v: a lesser master's advertisement counts: %v", preempt, heeded)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		r := router(t, 100, true)
 		r.Startup()
 		r.Rang()
-		steps := hear(t, r, c.from, advert(7, c.priority, time.Second))
+		steps := receive(t, r, c.from, advert(7, c.priority, time.Second))
 		if _, answered := sent(t, steps); r.State() != c.want || answered != (c.want == Master) {
 			t.Errorf("%s: %v, %+v", name, r.State(), steps)
 		}
--- a/policy/api.go
+++ b/policy/api.go
@@ -397,7 +397,7 @@
 	case InService:
 		g.inService = float64(min(max(1, e.Count), g.s.Siblings))
 	case PeerReports:
-		g.heardOf(e.Reports)
+		g.applyPeerReports(e.Reports)
 	case Closing:
 		for _, r := range slices.Clone(g.open) {
 			if !r.streaming {
--- a/policy/failures_test.go
+++ b/policy/failures_test.go
@@ -374,7 +374,7 @@
 		a := put(g, bad, 1, g.now+time.Second)
 		a.req.ID = i + 1
 		g.land(a)
-		g.hear(a, AttemptEnded{Outcome: Error})
+		g.observe(a, AttemptEnded{Outcome: Error})
 	}
 	if bad.shut || bad.bad > 0 {
 		t.Fatal("shut out for queries that nobody served")
@@ -383,11 +383,11 @@
 		a := put(g, bad, 1, g.now+time.Second)
 		a.req.ID = i + 21
 		g.land(a)
-		g.hear(a, AttemptEnded{Outcome: Error})
+		g.observe(a, AttemptEnded{Outcome: Error})
 		again := &attempt{req: a.req, n: 1, engine: good, threads: 1, sent: g.now, wants: 1}
 		g.book(again)
 		g.land(again)
-		g.hear(again, AttemptEnded{Outcome: OK, Took: time.Second})
+		g.observe(again, AttemptEnded{Outcome: OK, Took: time.Second})
 	}
 	if !bad.shut || good.shut {
 		t.Fatal("an engine that fails what another serves is still trusted")
@@ -530,7 +530,7 @@
 			answered++
 		}
 		g.land(a)
-		g.hear(a, AttemptEnded{Outcome: o, Took: 10 * time.Millisecond})
+		g.observe(a, AttemptEnded{Outcome: o, Took: 10 * time.Millisecond})
 		if !g.takes(other, e) {
 			t.Fatal("another class has no room where only one is turned away")
 		}
@@ -542,7 +542,7 @@
 		r := fresh(g, 1, g.now+time.Second)
 		g.send(r, e)
 		g.land(r.attempts[0])
-		g.hear(r.attempts[0], AttemptEnded{Outcome: OK, Took: 10 * time.Millisecond})
+		g.observe(r.attempts[0], AttemptEnded{Outcome: OK, Took: 10 * time.Millisecond})
 	}
 	if e.rates[0].rate != 0 || !g.takes(a0, e) {
 		t.Errorf("still sent at %v a second", e.rates[0].rate)
@@ -550,7 +550,7 @@
 	g.believe(e, 10*g.target(e))
 	a := put(g, e, 1, g.now)
 	g.land(a)
-	if g.hear(a, AttemptEnded{Outcome: Full}); g.now >= e.fullUntil || g.takes(other, e) {
+	if g.observe(a, AttemptEnded{Outcome: Full}); g.now >= e.fullUntil || g.takes(other, e) {
 		t.Error("a full engine does not rest")
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -509,7 +509,7 @@
 	}
 	a := r.attempts[e.Attempt]
 	g.land(a)
-	g.hear(a, e)
+	g.observe(a, e)
 	if e.Outcome.NeverRan() && r.mayRun == a {
 		r.mayRun = nil
 	}
@@ -654,8 +654,8 @@
 
 // ---- Engine health ----
 
-// hear learns from an outcome: cost, memory and usual times from answers, health from failures.
-func (g *Gateway) hear(a *attempt, o AttemptEnded) {
+// observe learns from an outcome: cost, memory and usual times from answers, health from failures.
+func (g *Gateway) observe(a *attempt, o AttemptEnded) {
 	e := a.engine
 	g.takeReport(e, o.Report)
 	g.widen(a, o)
--- a/policy/state.go
+++ b/policy/state.go
@@ -233,8 +233,8 @@
 	e.others, e.othersAt, e.reportAt = threads, -1, g.now
 }
 
-// heardOf takes over what others were told of engines that the own list names, where it is later than the own word.
-func (g *Gateway) heardOf(reports []PeerReport) {
+// applyPeerReports takes over the reports of peers on engines that the own list names, where they are later than the own report.
+func (g *Gateway) applyPeerReports(reports []PeerReport) {
 	for _, r := range reports {
 		if e := g.byID[r.Engine]; e != nil && r.At > e.reportAt && r.At <= g.now {
 			g.noteLoad(e, max(0, r.Inflight-e.ownThen)*g.wave)
--- a/policy/views_test.go
+++ b/policy/views_test.go
@@ -11,7 +11,7 @@
 func init() { flag.Set("rapid.seed", "1"); flag.Set("rapid.nofailfile", "true") }
 
 // Gateways whose views of the fleet are arbitrary, contradict each other, and change at any moment (a split, false
-// deaths, late words, absurd counts) keep together the rule on cold engines, and each the ration of further attempts.
+// deaths, late reports, absurd counts) keep together the rule on cold engines, and each the ration of further attempts.
 func TestNoViewOfTheFleetBreaksTheRules(t *testing.T) {
 	used := 0.0 // of the cold budget, over all runs: nobody sending proves nothing
 	rapid.Check(t, func(t *rapid.T) {
@@ -188,7 +188,7 @@
 		if e == home {
 			load = 60
 		}
-		g.heardOf([]PeerReport{{e.ID, load, g.now - 200*time.Millisecond}})
+		g.applyPeerReports([]PeerReport{{e.ID, load, g.now - 200*time.Millisecond}})
 	}
 	if g.threads != 0 {
 		t.Fatal("the gateway has something out")
@@ -199,7 +199,7 @@
 		}
 	}
 	for _, e := range g.engines { // where all are crowded it sends all the same, or it would learn nothing
-		g.heardOf([]PeerReport{{e.ID, 60, g.now - 100*time.Millisecond}})
+		g.applyPeerReports([]PeerReport{{e.ID, 60, g.now - 100*time.Millisecond}})
 	}
 	if g.choose(r) == nil {
 		t.Fatal("with nothing out it sends nothing")
@@ -211,26 +211,26 @@
 	g := handMade(t, 4, func(s *Settings) { s.Siblings = 100 })
 	g.now += time.Minute
 	for i, e := range g.engines {
-		g.heardOf([]PeerReport{{e.ID, []float64{40, 40, 0, 0}[i], g.now - time.Second}})
+		g.applyPeerReports([]PeerReport{{e.ID, []float64{40, 40, 0, 0}[i], g.now - time.Second}})
 	}
 	for range 200 {
 		g.now += 10 * time.Millisecond
 		g.takeReport(g.engines[3], Report{Present: true, Values: map[Figure]float64{Inflight: 0}})
 	}
-	g.heardOf([]PeerReport{{g.engines[0].ID, 40, g.now - 10*time.Millisecond}})
+	g.applyPeerReports([]PeerReport{{g.engines[0].ID, 40, g.now - 10*time.Millisecond}})
 	if want := 80 / g.cores; g.mean < want*0.9 || g.mean > want*1.1 {
 		t.Errorf("a mean of %.2f threads a core, want %.2f", g.mean, want)
 	}
 }
 
-// Words of others that are older than the own, of engines that are not listed, or from a time to come change nothing.
-func TestPeersWordsAreCheckedAgainstTheOwn(t *testing.T) {
+// Reports of others that are older than the own, of engines that are not listed, or from a time to come change nothing.
+func TestPeerReportsAreCheckedAgainstTheOwn(t *testing.T) {
 	g := handMade(t, 2, func(s *Settings) { s.Siblings = 100 })
 	g.now += time.Minute
 	e := g.engines[0]
-	g.heardOf([]PeerReport{{e.ID, 9, g.now - time.Second}})
+	g.applyPeerReports([]PeerReport{{e.ID, 9, g.now - time.Second}})
 	before := e.others
-	g.heardOf([]PeerReport{{e.ID, 50, g.now - 2*time.Second}, {e.ID, 50, g.now + time.Second}, {12345, 50, g.now}})
+	g.applyPeerReports([]PeerReport{{e.ID, 50, g.now - 2*time.Second}, {e.ID, 50, g.now + time.Second}, {12345, 50, g.now}})
 	if e.others != before || e.reportAt != g.now-time.Second || g.byID[12345] != nil {
 		t.Errorf("others %v, before %v, of %v", e.others, before, g.now-e.reportAt)
 	}
