--- a/internal/subset/config.go
+++ b/internal/subset/config.go
@@ -17,12 +17,12 @@
 
 // Bounds of Config. Values beyond them are taken for mistakes.
 const (
-	MostEngines  = 1 << 14 // engines of a list that are taken over
-	MostGateways = 1 << 12 // configured gateways, as many as membership takes
+	MaxEngines  = 1 << 14 // engines of a list that are taken over
+	MaxGateways = 1 << 12 // configured gateways, as many as membership takes
 
-	mostRate   = 1e6
-	mostLinger = time.Hour
-	mostZones  = 1 << 10
+	maxRate   = 1e6
+	maxLinger = time.Hour
+	maxZones  = 1 << 10
 )
 
 // Config says how many engines a gateway works with, and how fast it lets go of those that it no longer needs.
@@ -54,16 +54,16 @@
 // Check returns a *ConfigError for the first key that makes no sense.
 func (c Config) Check() error {
 	switch {
-	case c.Least < 1 || c.Least > MostEngines:
-		return &ConfigError{"least", c.Least, fmt.Sprintf("not from 1 to %d engines", MostEngines)}
-	case !(c.Rate >= 0 && c.Rate <= mostRate):
-		return &ConfigError{"rate", c.Rate, fmt.Sprintf("not from 0 to %g statements a second", float64(mostRate))}
-	case !(c.EngineRate > 0 && c.EngineRate <= mostRate):
-		return &ConfigError{"engine_rate", c.EngineRate, fmt.Sprintf("not above 0 and up to %g", float64(mostRate))}
-	case c.Coverage < 1 || c.Coverage > MostGateways:
-		return &ConfigError{"coverage", c.Coverage, fmt.Sprintf("not from 1 to %d gateways", MostGateways)}
-	case c.Linger <= 0 || c.Linger > mostLinger:
-		return &ConfigError{"linger", c.Linger, fmt.Sprintf("not above 0 and up to %v", mostLinger)}
+	case c.Least < 1 || c.Least > MaxEngines:
+		return &ConfigError{"least", c.Least, fmt.Sprintf("not from 1 to %d engines", MaxEngines)}
+	case !(c.Rate >= 0 && c.Rate <= maxRate):
+		return &ConfigError{"rate", c.Rate, fmt.Sprintf("not from 0 to %g statements a second", float64(maxRate))}
+	case !(c.EngineRate > 0 && c.EngineRate <= maxRate):
+		return &ConfigError{"engine_rate", c.EngineRate, fmt.Sprintf("not above 0 and up to %g", float64(maxRate))}
+	case c.Coverage < 1 || c.Coverage > MaxGateways:
+		return &ConfigError{"coverage", c.Coverage, fmt.Sprintf("not from 1 to %d gateways", MaxGateways)}
+	case c.Linger <= 0 || c.Linger > maxLinger:
+		return &ConfigError{"linger", c.Linger, fmt.Sprintf("not above 0 and up to %v", maxLinger)}
 	}
 	return c.checkRegions()
 }
@@ -80,8 +80,8 @@
 			}
 			seen = append(seen, zone)
 		}
-		if len(seen) > mostZones {
-			return &ConfigError{"regions", len(seen), fmt.Sprintf("more than %d zones", mostZones)}
+		if len(seen) > maxZones {
+			return &ConfigError{"regions", len(seen), fmt.Sprintf("more than %d zones", maxZones)}
 		}
 	}
 	return nil
@@ -101,5 +101,5 @@
 func (c Config) size(engines, gateways int) int {
 	byRate := math.Ceil(c.Rate / c.EngineRate)
 	byCoverage := (c.Coverage*engines + gateways - 1) / gateways
-	return min(engines, max(c.Least, int(min(byRate, MostEngines)), byCoverage))
+	return min(engines, max(c.Least, int(min(byRate, MaxEngines)), byCoverage))
 }
