--- a/Makefile
+++ b/Makefile
@@ -45,7 +45,7 @@
 
 # The datagrams' form; needs protoc and protoc-gen-go.
 proto:
-	protoc --go_out=. --go_opt=paths=source_relative internal/membership/wirepb/wire.proto internal/spread/spreadpb/digest.proto internal/rollout/rolloutpb/rollout.proto
+	protoc --go_out=. --go_opt=paths=source_relative internal/membership/wirepb/wire.proto internal/spread/spreadpb/digest.proto internal/rollout/rolloutpb/rollout.proto internal/zonetable/zonepb/zone.proto
 
 clean:
 	rm -rf bin logs logs*
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -72,6 +72,9 @@
 	Suspect           time.Duration    // shortest suspicion; 0 = 1.75 intervals
 	Extensions        []Extension      // subsystems that piggyback messages on the datagrams
 	ExtensionInterval time.Duration    // between two datagrams for the Extensions alone, each to one member; 0 = none
+	// Weights returns, by member, how much each is wanted as the receiver of a datagram for the Extensions alone. Where it is
+	// nil, or returns nil, all are wanted alike. Members without a weight above 0 get none.
+	Weights func() []float64
 }
 
 // Extension is a subsystem that piggybacks small messages on the datagrams. The message of another gateway's Extension
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -70,17 +70,59 @@
 	}
 }
 
-// tickExtensions sends the messages of the extensions to a random member.
+// tickExtensions sends the messages of the extensions to a random member, drawn by the weights where there are any.
 func (n *Node) tickExtensions(now time.Duration) {
 	if n.extensionsAt == 0 || now < n.extensionsAt {
 		return
 	}
 	n.extensionsAt = now + n.cfg.ExtensionInterval
-	if to := n.someone(-1); to >= 0 && !n.leaving {
+	if to := n.receiver(); to >= 0 && !n.leaving {
 		n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
 	}
 }
 
+// receiver is a random member in service other than this one, drawn by the weights where there are any; -1 if there is none.
+func (n *Node) receiver() int {
+	var weights []float64
+	if n.cfg.Weights != nil {
+		weights = n.cfg.Weights()
+	}
+	if weights == nil {
+		return n.someone(-1)
+	}
+	sum := n.sumWeights(weights)
+	if !(sum > 0) {
+		return n.someone(-1)
+	}
+	left := n.rnd.Float64() * sum
+	last := -1
+	for _, i := range n.order {
+		if w := n.weight(weights, i); w > 0 {
+			last = i
+			if left -= w; left < 0 {
+				break
+			}
+		}
+	}
+	return last
+}
+
+// sumWeights adds up the weights of the members in service.
+func (n *Node) sumWeights(weights []float64) (sum float64) {
+	for _, i := range n.order {
+		sum += n.weight(weights, i)
+	}
+	return sum
+}
+
+// weight is that of a member; 0 if it is out of service or has none.
+func (n *Node) weight(weights []float64, member int) float64 {
+	if member >= len(weights) || !n.members[member].state.Serves() {
+		return 0
+	}
+	return max(0, weights[member])
+}
+
 // notify has a member told directly what is held of it, because that is in doubt: it will say if it is wrong. Once an
 // interval is enough for each.
 func (n *Node) notify(now time.Duration, i int) {
--- /dev/null
+++ b/internal/zonetable/mixed_test.go
@@ -0,0 +1,63 @@
+package zonetable
+
+import (
+	"testing"
+	"time"
+
+	"frostpier/internal/membership"
+	"frostpier/internal/membership/virtual"
+)
+
+// Half of a fleet tells zones; the other half, of the program before, skips the message and is a member as ever.
+func TestOldAndNewSideBySide(t *testing.T) {
+	const members = 20
+	tables := map[int]*Table{}
+	f, err := virtual.New(virtual.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
+		Make: func(cfg membership.Config) (virtual.Detector, error) {
+			if cfg.Self%2 == 0 {
+				return membership.New(cfg)
+			}
+			node := new(*membership.Node)
+			table := New(cfg.Self, members, zones, cfg.Self%len(zones), func(member int) time.Duration {
+				_, incarnation := (*node).Member(member)
+				return time.Duration(incarnation) * time.Second
+			})
+			table.SetOn(true)
+			tables[cfg.Self] = table
+			cfg.Extensions = append(cfg.Extensions, table)
+			made, err := membership.New(cfg)
+			*node = made
+			return made, err
+		}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.Seen = func(at int, e membership.Event) error {
+		switch {
+		case e.Kind == membership.ExtensionReceived && tables[at] == nil:
+			t.Errorf("member %d got a message of kind %d", at, e.ExtensionKind)
+		case e.Kind == membership.ExtensionReceived && !tables[at].Receive(e.Member, e.Body):
+			t.Errorf("member %d cannot read what member %d wrote", at, e.Member)
+		case e.Kind == membership.Changed && e.Is == membership.Dead:
+			t.Errorf("member %d tells %d dead", at, e.Member)
+		}
+		return nil
+	}
+	if err := f.Run(30 * time.Second); err != nil {
+		t.Fatal(err)
+	}
+	if ok, why := f.Agreed(); !ok {
+		t.Error(why)
+	}
+	for at, table := range tables {
+		for member := range members {
+			want := -1
+			if tables[member] != nil {
+				want = member % len(zones)
+			}
+			if got := table.Zone(member); got != want {
+				t.Errorf("member %d holds member %d in zone %d, not %d", at, member, got, want)
+			}
+		}
+	}
+}
