--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -106,9 +106,19 @@
 	over    bool
 }
 
+// decisions is the part of the decision module that a Core uses.
+type decisions interface {
+	Handle(now time.Duration, event policy.Event) []policy.Action
+	SendAgain(now time.Duration, id policy.RequestID, attempt int) bool
+	StillMay(now time.Duration, id policy.RequestID, attempt int) bool
+	Believed(now time.Duration, id policy.EngineID) policy.Look
+	Explain(now time.Duration, id policy.RequestID) (held bool, by policy.Guard, looks []policy.Look)
+	Filled() policy.Fill
+}
+
 // Core is the heart of one gateway.
 type Core struct {
-	gateway  *policy.Gateway
+	gateway  decisions
 	host     settings.Host
 	log      *slog.Logger
 	keep     *invariant.Keeper
@@ -125,6 +135,11 @@
 	actions  []Action
 	digest   *spread.Digest // what gateways tell each other of engines; nil where they do not
 	sampled  time.Duration  // when it was last recorded what keeps requests in line
+
+	subset          *engineSubset           // nil = every engine is used
+	outAt           map[policy.EngineID]int // attempts that are out, by engine
+	inService       int                     // gateways, by the host's last count
+	reportedSharers int                     // gateways, by the last count that the module was sent
 }
 
 // ClassCounts is what happened to one class so far: how a version of the program does.
@@ -154,7 +169,8 @@
 	}
 	c := &Core{gateway: gateway, host: host, log: log, keep: keep, requests: map[ID]*request{},
 		engines: map[policy.EngineID]*Engine{}, classes: map[string]int{}, names: map[string]bool{},
-		byClass: make([]ClassCounts, len(host.Module.Classes))}
+		byClass: make([]ClassCounts, len(host.Module.Classes)), outAt: map[policy.EngineID]int{},
+		inService: host.Module.Siblings, reportedSharers: host.Module.Siblings}
 	for i, class := range host.Module.Classes {
 		c.classes[class.Name] = i
 	}
@@ -303,6 +319,7 @@
 	}
 	answered := c.actions
 	actions := append(answered, c.dispatch(now, end)...)
+	actions = append(actions, c.attemptEnded(now, a.engine)...)
 	c.forget(id, r)
 	return actions
 }
@@ -339,6 +356,11 @@
 
 // InService passes on how many gateways are held to be in service, this one included.
 func (c *Core) InService(now time.Duration, gateways int) []Action {
+	c.inService = gateways
+	if c.Narrowed() { // the next count of sharers takes it into account
+		return nil
+	}
+	c.reportedSharers = gateways
 	return c.dispatch(now, policy.InService{Count: gateways})
 }
 
@@ -388,6 +410,7 @@
 	r.attempts = append(r.attempts, &attempt{engine: s.Engine, addr: e.Addr, started: now, timeout: s.Timeout})
 	r.out++
 	c.out++
+	c.outAt[s.Engine]++
 	c.counts.Attempts++
 	if n > 0 {
 		c.counts.Further++
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -14,7 +14,15 @@
 	Name      string // its name in the list, the same after a restart of its process
 	Addr      string
 	Health    policy.Health
-	updatedAt time.Duration // when a list last named it
+	updatedAt time.Duration     // when a list last named it
+	info      policy.EngineInfo // as last listed, but for the health
+}
+
+// listed is the current list entry of the engine.
+func (e *Engine) listed() policy.EngineInfo {
+	info := e.info
+	info.Health = e.Health
+	return info
 }
 
 // goneFor is how long an engine that has gone stays known: longer than a client waits for an attempt there. Where
@@ -54,16 +62,18 @@
 			gone = append(gone, *e) // connections to the old process or address are of no more use
 		}
 		e.Addr, e.Health, e.updatedAt = l.Addr, l.Health, now
-		list.Engines = append(list.Engines, policy.EngineInfo{ID: id, Zone: place(c.host.Zones, l.Zone),
-			Kind: place(c.host.Models, l.Kind), Cell: l.Cell, Health: l.Health, Scale: l.Weight, Started: l.Started})
+		e.info = policy.EngineInfo{ID: id, Zone: place(c.host.Zones, l.Zone), Kind: place(c.host.Models, l.Kind), Cell: l.Cell,
+			Health: l.Health, Scale: l.Weight, Started: l.Started}
+		list.Engines = append(list.Engines, e.info)
 	}
 	for id, e := range c.engines {
 		if e.Health == policy.Gone && now-e.updatedAt > goneFor {
 			delete(c.engines, id)
 		}
 	}
+	actions = c.dispatchList(now, list)
 	c.updateShared()
-	return gone, c.dispatch(now, list)
+	return gone, actions
 }
 
 // place finds a name; one that the settings lack gets a number past their end, which matches nothing.
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -13,14 +13,14 @@
 // ShareLoadReports has the gateway publish and receive load reports. It must be called before the first event.
 func (c *Core) ShareLoadReports(d *spread.Digest) { c.digest = d }
 
-// updateShared sets the engines whose load reports are shared: those that are listed as ready.
+// updateShared sets the engines whose load reports are shared: those that are listed as ready and that the gateway uses.
 func (c *Core) updateShared() {
 	if c.digest == nil {
 		return
 	}
 	var numbers []uint64
 	for id, e := range c.engines {
-		if e.Health == policy.Ready {
+		if e.Health == policy.Ready && c.inSubset(e) {
 			numbers = append(numbers, uint64(id))
 		}
 	}
--- /dev/null
+++ b/internal/core/subset_bench_test.go
@@ -0,0 +1,159 @@
+package core
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+
+	"frostpier/internal/invariant"
+	"frostpier/internal/settings"
+	"frostpier/internal/subset"
+	"frostpier/policy"
+)
+
+// The fleet that the benchmark's gateway belongs to, and what it has to do.
+const (
+	benchGateways = 800
+	benchZones    = 7
+	benchGroups   = 200
+	benchOut      = 40                     // attempts out at a time
+	benchTook     = 100 * time.Millisecond // each
+	benchBeat     = 20 * time.Millisecond  // the module's timer
+	benchSubset   = 80
+)
+
+// benchCore makes a gateway before so many engines, in zones, with a subset if wanted.
+func benchCore(b *testing.B, engines int, narrowed bool) *Core {
+	b.Helper()
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	host := settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, MaxOpen: 1000,
+		Module: policy.Settings{Classes: []policy.Class{{Name: "lookup", Aim: 800 * time.Millisecond, Deadline: 4 * time.Second,
+			Worth: 1, Threads: 1}}, Siblings: benchGateways, Number: 3, Zone: 3, Zones: benchZones, Tick: 5 * time.Millisecond,
+			CanCancel: true, MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 32}}}}
+	for zone := range benchZones {
+		host.Zones = append(host.Zones, fmt.Sprintf("z%d", zone))
+	}
+	c, err := New(host, 1, log, invariant.New(log))
+	if err != nil {
+		b.Fatal(err)
+	}
+	if narrowed {
+		chooser, err := subset.New(subset.DefaultConfig(), 3, 3, benchGateways)
+		if err != nil {
+			b.Fatal(err)
+		}
+		c.UseSubset(start, chooser)
+		var gateways []subset.Gateway
+		for i := range benchGateways {
+			gateways = append(gateways, subset.Gateway{Zone: i % benchZones, InService: true})
+		}
+		c.SetGateways(start, gateways)
+	}
+	var lines []ListedEngine
+	for i := range engines {
+		line := engineLine(fmt.Sprintf("e%04d", i), policy.Ready)
+		line.Zone = host.Zones[i%benchZones]
+		lines = append(lines, line)
+	}
+	c.UpdateEngines(start, true, lines)
+	return c
+}
+
+// BenchmarkDecision takes a request, sends its attempt and ends one, at the size of the list and with a subset or without.
+func BenchmarkDecision(b *testing.B) {
+	for _, engines := range []int{10, 80, 300, 1100} {
+		for _, narrowed := range []bool{false, true} {
+			b.Run(fmt.Sprintf("engines=%d/subset=%t", engines, narrowed), func(b *testing.B) {
+				c := benchCore(b, engines, narrowed)
+				p := &benchPlay{core: c, now: start}
+				for range 4000 {
+					p.one()
+				}
+				b.ResetTimer()
+				began := processorTime(b)
+				for range b.N {
+					p.one()
+				}
+				b.ReportMetric(float64(processorTime(b)-began)/float64(b.N), "cpu-ns/op")
+				b.ReportMetric(float64(p.held)/float64(p.asked), "held/op")
+				b.ReportMetric(float64(c.SubsetCounts().Serving), "engines")
+			})
+		}
+	}
+}
+
+// benchPlay keeps attempts out, each for its time.
+type benchPlay struct {
+	core        *Core
+	now, beaten time.Duration
+	out         []Start
+	due         []time.Duration // when each ends
+	asked, held int
+}
+
+// one takes a request and ends the attempts whose time has come.
+func (p *benchPlay) one() {
+	p.now += benchTook / benchOut
+	p.asked++
+	_, actions := p.core.Take(p.now, Ask{Remaining: 4 * time.Second, TableGroup: p.asked * 7919 % benchGroups, Cost: benchTook})
+	if len(starts(actions)) == 0 {
+		p.held++
+	}
+	p.carry(actions)
+	for len(p.due) > 0 && p.due[0] <= p.now {
+		s := p.out[0]
+		p.out, p.due = p.out[1:], p.due[1:]
+		p.carry(p.core.Ended(p.now, s.ID, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 20}}))
+	}
+	if p.now-p.beaten >= benchBeat {
+		p.beaten = p.now
+		p.carry(p.core.Due(p.now, 1<<63))
+	}
+}
+
+func (p *benchPlay) carry(actions []Action) {
+	for _, s := range starts(actions) {
+		p.core.MaySend(p.now, s.ID, s.Attempt, false)
+		p.out, p.due = append(p.out, s), append(p.due, p.now+benchTook)
+	}
+}
+
+// BenchmarkSubsetChange has a member leave or come back and an engine drain or return, and works out what that means: what a
+// gateway has to do when something in the fleet changes.
+func BenchmarkSubsetChange(b *testing.B) {
+	c := benchCore(b, 1100, true)
+	gateways := slices.Clone(c.subset.gateways)
+	health := []policy.Health{policy.Ready, policy.Draining}
+	now := start
+	b.ResetTimer()
+	began := processorTime(b)
+	for i := range b.N {
+		now += time.Second
+		gateways = slices.Clone(gateways)
+		gateways[17].InService = i%2 == 1
+		c.SetGateways(now, gateways)
+		line := engineLine("e0007", health[i%2])
+		line.Zone = "z0"
+		c.UpdateEngines(now, false, []ListedEngine{line})
+		c.TickSubset(now)
+		for number := range gateways {
+			if i%5 == 0 { // as often as the program asks
+				c.Overlap(number)
+			}
+		}
+	}
+	b.ReportMetric(float64(processorTime(b)-began)/float64(b.N), "cpu-ns/op")
+}
+
+// processorTime is what this process has used: the figure to compare on a machine that others use too.
+func processorTime(b *testing.B) time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		b.Fatal(err)
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
--- a/internal/netio/gateway.go
+++ b/internal/netio/gateway.go
@@ -86,13 +86,18 @@
 func (g *Gateway) UpdateEngines(whole bool, lines []core.ListedEngine) {
 	gone, actions := g.Core.UpdateEngines(g.Loop.Now(), whole, lines)
 	for _, e := range gone {
-		for _, p := range g.Pools {
-			p.Forget(e.ID)
-		}
+		g.forgetEngine(e.ID)
 	}
 	g.carryOut(actions, nil)
 }
 
+// forgetEngine ends the use of the connections to an engine.
+func (g *Gateway) forgetEngine(engine policy.EngineID) {
+	for _, p := range g.Pools {
+		p.Forget(engine)
+	}
+}
+
 // MaySend asks leave for an attempt's first byte, or for its first byte again. For a client that has gone meanwhile
 // nothing is sent: its close may stand unread behind other bytes, or wait for this loop.
 func (g *Gateway) MaySend(id core.ID, n int, again bool) (time.Duration, bool) {
@@ -193,6 +198,8 @@
 				c.caller.Answer(a, result)
 				g.forget(a.ID, c)
 			}
+		case core.Disconnect:
+			g.forgetEngine(a.Engine)
 		case core.Timer:
 			g.Loop.After(a.After, func() { g.carryOut(g.Core.Due(g.Loop.Now(), a.Token), nil) })
 		}
--- a/internal/netio/members.go
+++ b/internal/netio/members.go
@@ -12,6 +12,7 @@
 	"frostpier/internal/membership"
 	"frostpier/internal/rollout"
 	"frostpier/internal/spread"
+	"frostpier/internal/zonetable"
 )
 
 // readMost is more than a datagram may have: one that is too long must be seen to be.
@@ -25,6 +26,8 @@
 	ReceiveLoadReports(body []byte)
 	// ReceiveVersion is called with each version message of another gateway.
 	ReceiveVersion(member int, body []byte)
+	// ReceiveZones is called with each message of another gateway on the zones that gateways are in.
+	ReceiveZones(member int, body []byte)
 }
 
 // Members drives the membership protocol over UDP.
@@ -76,6 +79,12 @@
 	return state.Serves()
 }
 
+// Started tells when a member last started, by its own Unix clock; 0 where it was never heard of. It is called on the loop.
+func (m *Members) Started(member int) time.Duration {
+	_, incarnation := m.node.Member(member)
+	return time.Duration(incarnation) * time.Second
+}
+
 // Stop is called on the loop.
 func (m *Members) Stop() {
 	m.alarm.Stop()
@@ -101,6 +110,9 @@
 		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == rollout.ExtensionKind:
 			m.listener.ReceiveVersion(e.Member, e.Body)
 			continue
+		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == zonetable.ExtensionKind:
+			m.listener.ReceiveZones(e.Member, e.Body)
+			continue
 		}
 		m.logEvent(e)
 	}
