--- /dev/null
+++ b/cmd/frostpier/subset_test.go
@@ -0,0 +1,82 @@
+//go:build !debug
+
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"frostpier/internal/rig"
+	"frostpier/internal/standin"
+)
+
+// Four processes of the program before enough engines that each works with some of them.
+const (
+	subsetGateways = 4
+	subsetEngines  = 32
+	subsetFor      = 6 * time.Second
+)
+
+// startSubset starts them without a subset.
+func startSubset(t *testing.T) *spreadFleet {
+	t.Helper()
+	began := time.Now()
+	clock := func() time.Duration { return time.Since(began) }
+	pool, err := rig.NewPool(subsetEngines, standin.DefaultSpec(2), clock)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(pool.Close)
+	s := &spreadFleet{pool: pool, lasts: subsetFor, traffic: standin.Traffic{Classes: standin.DefaultClasses(), Gateways: subsetGateways,
+		Groups: 20, Zipf: 0.7, Estimate: 0.5, Seed: 31}}
+	s.traffic.Rate = s.traffic.RateFor(0.4, 2*subsetEngines)
+	s.testFleet = startOptions(t, rig.Options{Gateways: subsetGateways, Seed: 31, Engines: pool.EngineList(), Operator: "\n[spread]\n",
+		Settings: func(n, self int) string { return standin.Settings(s.traffic.Classes, n, self, 2) }})
+	pool.PublishTo(s.Discovery)
+	s.clients = standin.NewClients(s.Clients(), s.traffic.Classes, 31, clock)
+	t.Cleanup(s.clients.Close)
+	return s
+}
+
+// logged waits until every gateway has logged a text so often.
+func (s *spreadFleet) logged(text string, times int) {
+	s.try(s.Wait(patience, func() error {
+		for i := range s.Size() {
+			if n := strings.Count(s.Log(i), text); n < times {
+				return fmt.Errorf("gateway %d has logged %q %d times, not %d", i, text, n, times)
+			}
+		}
+		return nil
+	}))
+}
+
+// A part of the engines is worked with, a larger one, and then all again, each by SIGHUP while requests are out: every request
+// has one answer, none is lost, and no engine gets a query twice.
+func TestSubsetChangesUnderLoad(t *testing.T) {
+	s := startSubset(t)
+	changed := make(chan struct{})
+	go func() {
+		defer close(changed)
+		time.Sleep(500 * time.Millisecond)
+		s.try(s.Reload("\n[spread]\n[subset]\nleast = 6\ncoverage = 1\nlinger_ms = 300\n"))
+		s.logged(`msg="subset size changed"`, 2) // every engine, and then some
+		s.try(s.Reload("\n[spread]\n[subset]\nleast = 12\ncoverage = 1\nlinger_ms = 300\n"))
+		s.logged(`msg="subset configured" on=true`, 2)
+		time.Sleep(500 * time.Millisecond)
+		s.try(s.Reload("\n[spread]\n"))
+		s.logged(`msg="subset configured" on=false`, 1)
+	}()
+	ends, _ := s.play(nil)
+	<-changed
+	t.Logf("%v", ends)
+	if !mostly(ends, 0.97) || ends[standin.Lost]+ends[standin.Failed] > 0 {
+		t.Errorf("ends: %v", ends)
+	}
+	for i := range s.Size() {
+		if log := s.Log(i); !strings.Contains(log, " engines=32 subset=") || strings.Contains(log, "invariant broken") {
+			t.Errorf("gateway %d logged no subset, or a fault", i)
+		}
+	}
+}
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -75,7 +75,7 @@
 // members makes the membership protocol's driver: numbers and addresses come from the configuration, times from the
 // operator's file.
 func members(op *settings.Membership, conf settings.Config, host settings.Host, loop *netio.Loop, log *slog.Logger,
-	keep *invariant.Keeper, extensions []membership.Extension, shareLoad bool, listener netio.MembershipListener) (*netio.Members, error) {
+	keep *invariant.Keeper, extensions []membership.Extension, shareLoad bool, weights func() []float64, listener netio.MembershipListener) (*netio.Members, error) {
 	listen, peers, err := conf.PeerAddrs()
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -88,7 +88,7 @@
 	if shareLoad {
 		extensionInterval = spread.Interval
 	}
-	node, err := membership.New(membership.Config{Extensions: extensions, ExtensionInterval: extensionInterval, Self: host.Module.Number, Peers: peers, Fleet: op.Fleet,
+	node, err := membership.New(membership.Config{Extensions: extensions, ExtensionInterval: extensionInterval, Weights: weights, Self: host.Module.Number, Peers: peers, Fleet: op.Fleet,
 		Seed: conf.SeedNumber(), Interval: interval, Timeout: timeout, Suspect: suspect})
 	if err != nil {
 		return nil, err
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -68,6 +68,10 @@
 	if err != nil {
 		return err
 	}
+	narrow, err := subsetConfig(operator.Subset, host.Zones)
+	if err != nil {
+		return err
+	}
 	runtime.GOMAXPROCS(max(1, int(conf.Limits.Cores)))
 	memory := conf.Limits.MemoryMB << 20
 	debug.SetMemoryLimit(memory * 6 / 10)
@@ -88,7 +92,7 @@
 		log.Warn("initial engine events not all used", "error", err)
 	}
 	clients := netio.NewClients(gateway, log, shares.clients.Most, int(memory/8))
-	p := &program{loop: loop, gateway: gateway, clients: clients, keep: keep, log: log, stream: stream, longest: longest(host),
+	p := &program{loop: loop, gateway: gateway, clients: clients, keep: keep, log: log, stream: stream, longest: longest(host), host: host,
 		watch: netio.NewWatch(gateway, log, conf.Discovery, stream)}
 	if m := operator.MySQL; m != nil {
 		setup, err := mysqlSetup(m, heart, shares.mysqlClients.Most)
@@ -117,13 +121,15 @@
 			p.digest = spread.New()
 			heart.ShareLoadReports(p.digest)
 		}
-		to := peers{Gateway: gateway}
+		p.subset = newSubsetting(narrow, host, gateway, log)
+		to := peers{Gateway: gateway, subset: p.subset}
 		if p.version != nil {
 			to.mix = p.version.mix
 		}
-		if p.members, err = members(op, conf, host, loop, log, keep, p.extensions(), p.digest != nil, to); err != nil {
+		if p.members, err = members(op, conf, host, loop, log, keep, p.extensions(), p.digest != nil, p.subset.receiverWeights, to); err != nil {
 			return err
 		}
+		p.subset.members = p.members
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -136,6 +142,7 @@
 		loop.WatchLag()
 		if p.members != nil {
 			p.members.Start()
+			p.subset.start()
 		}
 		for _, e := range known {
 			gateway.UpdateEngines(e.Full, e.Engines)
@@ -216,10 +223,12 @@
 	members  *netio.Members    // likewise
 	digest   *spread.Digest    // likewise
 	version  *version          // likewise
+	subset   *subsetting       // likewise
 	keep     *invariant.Keeper
 	log      *slog.Logger
 	stream   *discovery.Stream
 	watch    *netio.Watch
+	host     settings.Host
 	longest  time.Duration     // deadline that a stop reckons with
 	operator settings.Operator // in force
 	closing  bool              // the connections are being shut
@@ -398,6 +407,7 @@
 			p.log.Info("load report counts", "total", p.digest.Counts())
 		}
 		p.logMix()
+		p.logSubset()
 		p.log.Info("counts", "total", c.Counts(), "open", c.Open(), "out", c.Out(), "lag", p.loop.Lag(), "invariants", p.keep.Broken())
 		p.stats()
 	})
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -108,7 +108,8 @@
 // peers dispatches the messages of other gateways.
 type peers struct {
 	*netio.Gateway
-	mix *rollout.Mix // nil where versions are not reported
+	mix    *rollout.Mix // nil where versions are not reported
+	subset *subsetting  // whose table of zones is kept
 }
 
 // ReceiveVersion records the version that another gateway runs.
@@ -141,6 +142,11 @@
 		p.log.Error("operator's file not read again, the old one stays", "error", err)
 		return
 	}
+	config, err := subsetConfig(next.Subset, p.host.Zones)
+	if err != nil {
+		p.log.Error("operator's file not read again, the old one stays", "error", err)
+		return
+	}
 	p.loop.Do(func() {
 		live := p.operator.Live(next)
 		if p.version != nil {
@@ -163,6 +169,9 @@
 		if p.digest != nil {
 			p.digest.Disable(next.Spread == nil)
 		}
+		if p.subset != nil {
+			p.subset.configure(config)
+		}
 		p.operator = next
 		p.log.Info("operator's file read again")
 	})
@@ -170,6 +179,9 @@
 
 // extensions returns the subsystems that piggyback messages on membership datagrams.
 func (p *program) extensions() (out []membership.Extension) {
+	if p.subset != nil { // first, as it has little to say and the digest fills what room there is
+		out = append(out, p.subset.table)
+	}
 	if p.digest != nil {
 		out = append(out, p.digest)
 	}
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -67,11 +67,7 @@
 		f.Relay.Close()
 		return nil, err
 	}
-	text := "[membership]\nfleet = \"rig\"\n"
-	if opt.Interval > 0 {
-		text += fmt.Sprintf("interval_ms = %d\n", opt.Interval.Milliseconds())
-	}
-	if err := os.WriteFile(f.operator, []byte(text+opt.Operator), 0o600); err != nil {
+	if err := f.writeOperator(); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -189,7 +185,7 @@
 		operator = ""
 	}
 	env := append([]string{"GW_CONFIG=" + conf, "FROSTPIER_OPERATOR=" + operator, "GW_LISTEN="}, f.opt.Env...)
-	return f.gateways[i].start(f.opt.Command, env, filepath.Join(f.opt.Dir, fmt.Sprintf("n%d.log", i)), len(f.gateways),
+	return f.gateways[i].start(f.opt.Command, env, f.logPath(i), len(f.gateways),
 		func(t StateChange) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -320,3 +316,39 @@
 	f.Relay.Close()
 	return errors.Join(errs...)
 }
+
+// Reload writes another operator's file, with these further sections, and has every gateway that runs read it.
+func (f *Fleet) Reload(sections string) error {
+	f.opt.Operator = sections
+	if err := f.writeOperator(); err != nil {
+		return err
+	}
+	for _, g := range f.gateways {
+		if up, _, _ := g.state(); up {
+			if err := g.signal(syscall.SIGHUP); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// writeOperator writes the operator's file that all gateways share.
+func (f *Fleet) writeOperator() error {
+	text := "[membership]\nfleet = \"rig\"\n"
+	if f.opt.Interval > 0 {
+		text += fmt.Sprintf("interval_ms = %d\n", f.opt.Interval.Milliseconds())
+	}
+	return os.WriteFile(f.operator, []byte(text+f.opt.Operator), 0o600)
+}
+
+// Log is what a gateway has logged so far.
+func (f *Fleet) Log(i int) string {
+	text, err := os.ReadFile(f.logPath(i))
+	if err != nil {
+		return ""
+	}
+	return string(text)
+}
+
+func (f *Fleet) logPath(i int) string { return filepath.Join(f.opt.Dir, fmt.Sprintf("n%d.log", i)) }
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -18,6 +18,7 @@
 	Membership *Membership `toml:"membership"`
 	Spread     *Spread     `toml:"spread"`
 	Rollout    *Rollout    `toml:"rollout"`
+	Subset     *Subset     `toml:"subset"`
 }
 
 // Rollout has the gateway tell the controller of a staged change how it does, and the other gateways its version.
@@ -45,13 +46,14 @@
 }
 
 // Live tells whether all that differs from another file may change while the program runs: membership's timeout_ms and
-// suspect_ms, and whether a digest that the start began is told.
+// suspect_ms, whether a digest that the start began is told, and the section subset with all its keys.
 func (o Operator) Live(next Operator) bool {
 	if (o.Membership == nil) != (next.Membership == nil) || o.Spread == nil && next.Spread != nil {
 		return false
 	}
 	a, b := o, next
 	a.Spread, b.Spread = nil, nil
+	a.Subset, b.Subset = nil, nil
 	if a.Membership != nil {
 		m := *b.Membership
 		m.TimeoutMS, m.SuspectMS = a.Membership.TimeoutMS, a.Membership.SuspectMS
@@ -166,6 +168,14 @@
 	if o.Spread != nil && o.Membership == nil {
 		return o, fmt.Errorf("operator's file: spread needs membership: its messages are piggybacked on membership datagrams")
 	}
+	if o.Subset != nil && o.Membership == nil {
+		return o, fmt.Errorf("operator's file: subset without membership cannot tell which gateways share the engines")
+	}
+	if o.Subset != nil {
+		if err := o.Subset.check(); err != nil {
+			return o, err
+		}
+	}
 	if m := o.MySQL; m != nil && (m.Listen == "" || m.EngineUser == "" || len(m.Accounts) == 0) {
 		return o, fmt.Errorf("operator's file: mysql needs listen, engine_user and an account")
 	}
