--- a/cmd/fleetlab/spread.go
+++ b/cmd/fleetlab/spread.go
@@ -15,19 +15,20 @@
 )
 
 type spreadCommand struct {
-	Gateways int      `default:"24" help:"Gateways."`
-	Engines  int      `default:"8" help:"Stand-in engines, all of one kind."`
-	Cores    float64  `default:"10" help:"Cores of an engine."`
-	Load     float64  `default:"0.7" help:"Work that clients ask for, over what the engines' cores can do."`
-	Seconds  int      `default:"40" help:"How long clients send."`
-	Groups   int      `default:"0" help:"Table groups; 0 = 2.5 an engine."`
-	Skew     float64  `default:"1" help:"Deviation of the gateways' shares of the traffic over their mean."`
-	Case     string   `default:"calm" enum:"calm,hot,lost,release,reports,cut,herd" help:"What happens: calm, hot (one table group has half of the queries), lost (an engine falls silent), release (six in ten engines are replaced within 7 s), reports (they come 5 s late), cut (gateways do not hear each other), herd (seven in ten gateways are killed at once)."`
-	Program  []string `default:"now=bin/frostpier" help:"Programs to compare, as name=path."`
-	Bare     []string `help:"Of these programs, by name, gateways get no operator's file: for versions from before membership."`
-	Plain    bool     `default:"true" negatable:"" help:"Compare with plain gateways too: random, and least reported load."`
-	Seed     uint64   `default:"1" help:"Of all chance."`
-	Out      string   `default:"found/fleetlab" help:"The folder for tables and logs."`
+	Gateways int            `default:"24" help:"Gateways."`
+	Engines  int            `default:"8" help:"Stand-in engines, all of one kind."`
+	Cores    float64        `default:"10" help:"Cores of an engine."`
+	Load     float64        `default:"0.7" help:"Work that clients ask for, over what the engines' cores can do."`
+	Seconds  int            `default:"40" help:"How long clients send."`
+	Groups   int            `default:"0" help:"Table groups; 0 = 2.5 an engine."`
+	Skew     float64        `default:"1" help:"Deviation of the gateways' shares of the traffic over their mean."`
+	Case     string         `default:"calm" enum:"calm,hot,lost,release,reports,cut,herd" help:"What happens: calm, hot (one table group has half of the queries), lost (an engine falls silent), release (six in ten engines are replaced within 7 s), reports (they come 5 s late), cut (gateways do not hear each other), herd (seven in ten gateways are killed at once)."`
+	Program  []string       `default:"now=bin/frostpier" help:"Programs to compare, as name=path."`
+	Bare     []string       `help:"Of these programs, by name, gateways get no operator's file: for versions from before membership."`
+	Least    map[string]int `help:"Of these programs, by name, gateways get a section [subset] with this floor of engines, as name=least."`
+	Plain    bool           `default:"true" negatable:"" help:"Compare with plain gateways too: random, and least reported load."`
+	Seed     uint64         `default:"1" help:"Of all chance."`
+	Out      string         `default:"found/fleetlab" help:"The folder for tables and logs."`
 }
 
 // played is what one version came to.
@@ -132,7 +133,7 @@
 	}
 	defer pool.Close()
 	f, err := rig.New(rig.Options{Gateways: c.Gateways, Seed: c.Seed, Dir: logs, Command: []string{path}, Engines: pool.EngineList(),
-		Link: rig.Network{DelayMS: [2]int64{1, 38}}.Link(), Operator: "\n[spread]\n", Bare: slices.Contains(c.Bare, name),
+		Link: rig.Network{DelayMS: [2]int64{1, 38}}.Link(), Operator: c.sections(name), Bare: slices.Contains(c.Bare, name),
 		Settings: func(n, self int) string { return standin.Settings(traffic.Classes, n, self, c.Cores) }})
 	if err != nil {
 		return out, err
@@ -157,6 +158,15 @@
 	return out, nil
 }
 
+// sections are those of the operator's file beside [membership].
+func (c *spreadCommand) sections(name string) string {
+	text := "\n[spread]\n"
+	if least, found := c.Least[name]; found {
+		text += fmt.Sprintf("\n[subset]\nleast = %d\n", least)
+	}
+	return text
+}
+
 // watched plays the traffic with the case in it, and watches the engines for as long as clients send.
 func (c *spreadCommand) watched(name string, pool *rig.Pool, f *rig.Fleet, play func()) played {
 	stop, balance := make(chan struct{}), make(chan rig.Balance, 1)
--- a/internal/spread/subset_test.go
+++ b/internal/spread/subset_test.go
@@ -1,3 +1,7 @@
+//go:build !debug
+
+// The model is the same with -tags debug, and takes seconds.
+
 package spread
 
 import (
