--- a/policy/api.go
+++ b/policy/api.go
@@ -172,6 +172,10 @@
 	Health  Health
 	Scale   float64       // size against other engines, 1 where not told
 	Started time.Duration // when it last started on the host's clock; 0 = long ago
+
+	// Overflow marks an engine that the host uses beyond those that it shares with most gateways of its subset: no table
+	// group starts there, since few others would keep the group warm.
+	Overflow bool
 }
 
 // EngineList tells of the engines.
@@ -264,7 +268,10 @@
 
 // InService says how many gateways are held to be in service, this one included. Even parts of targets, memory and
 // windows follow it; the cold budget and the ration do not, as views differ: see docs/design-membership.md.
-type InService struct{ Count int }
+type InService struct {
+	Count  int
+	Subset bool // the engines listed are a part of the fleet's, shared with so many gateways
+}
 
 // PeerReport is what an engine's report told another gateway.
 type PeerReport struct {
@@ -396,6 +403,9 @@
 		g.probed(e)
 	case InService:
 		g.inService = float64(min(max(1, e.Count), g.s.Siblings))
+		if e.Subset != g.subset {
+			g.subset, g.homes = e.Subset, nil
+		}
 	case PeerReports:
 		g.applyPeerReports(e.Reports)
 	case Closing:
--- a/policy/containers.go
+++ b/policy/containers.go
@@ -154,9 +154,19 @@
 	return homes
 }
 
-// homesOf is how many homes a group has. Few gateways do not crowd one, and two would only read the group cold.
+// homeEngines are the ready engines where table groups may start: those that are no overflow, or all if there is no other;
+// of these the near ones.
+func (g *Gateway) homeEngines() []*engine {
+	if shared := filter(g.ready, func(e *engine) bool { return !e.Overflow }); len(shared) > 0 {
+		return g.nearFirst(shared)
+	}
+	return g.nearFirst(g.ready)
+}
+
+// homesOf is how many homes a group has. Few gateways do not crowd one, and two would only read the group cold; gateways
+// that work with subsets of the engines have different homes anyway.
 func (g *Gateway) homesOf() int {
-	if g.s.Siblings < homesFrom {
+	if g.s.Siblings < homesFrom || g.subset {
 		return 1
 	}
 	return 2
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -277,7 +277,7 @@
 // number, where so many see a hot group for the first time that they would crowd one.
 func (g *Gateway) home(gr *group) *engine {
 	if g.homes == nil {
-		g.homes = spreadEvenly(slices.Sorted(maps.Keys(g.groups)), g.nearFirst(g.ready), g.s.Number%g.homesOf())
+		g.homes = spreadEvenly(slices.Sorted(maps.Keys(g.groups)), g.homeEngines(), g.s.Number%g.homesOf())
 	}
 	return g.homes[gr.id]
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -127,6 +127,7 @@
 	beating     bool
 	wave        float64 // threads a query, over what runs
 	inService   float64 // gateways held to be in service
+	subset      bool    // the listed engines are a part of the fleet's
 	mean        float64 // threads a core of other gateways, over the fleet's latest reports
 	meanAt      time.Duration
 	told        bool            // reports came that tell of load
--- a/policy/views_test.go
+++ b/policy/views_test.go
@@ -302,3 +302,32 @@
 		}
 	}
 }
+
+// With subsets a group has one home whatever the gateway's number is, and it is none of the overflow engines while there
+// are others.
+func TestHomesWithinASubset(t *testing.T) {
+	homes := map[EngineID]bool{}
+	for number := range 4 {
+		g := handMade(t, 12, func(s *Settings) { s.Siblings, s.Number = 300, number })
+		g.home(g.groupOf(7)) // worked out for the whole fleet's engines first
+		g.Handle(g.now, InService{Count: 50, Subset: true})
+		home := g.home(g.groupOf(7))
+		homes[home.ID] = true
+		moved := home.EngineInfo
+		moved.Overflow = true
+		g.Handle(g.now, EngineList{Kind: ListDelta, Engines: []EngineInfo{moved}})
+		if g.home(g.groupOf(7)).ID == home.ID {
+			t.Errorf("gateway %d: home at an overflow engine", number)
+		}
+	}
+	if len(homes) != 1 {
+		t.Errorf("%d homes", len(homes))
+	}
+	alone := handMade(t, 1, func(*Settings) {})
+	only := alone.engines[0].EngineInfo
+	only.Overflow = true
+	alone.Handle(alone.now, EngineList{Kind: ListDelta, Engines: []EngineInfo{only}})
+	if alone.home(alone.groupOf(7)) == nil {
+		t.Error("no home where every engine is overflow")
+	}
+}
