--- a/cmd/fleetlab/scale.go
+++ b/cmd/fleetlab/scale.go
@@ -111,7 +111,7 @@
 	}
 	defer func() { err = errors.Join(err, rig.Close()) }()
 	run, err = rig.Play(ctx)
-	run.Facts.CommandShape = c.options(plan)
+	run.Facts.Options = c.options(plan)
 	return run, err
 }
 
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -22,7 +22,7 @@
 // Process is the parent's side of a process of hollow parts.
 type Process struct {
 	command *exec.Cmd
-	in      io.WriteCloser
+	in      *os.File
 	out     *os.File
 	mu      sync.Mutex // one command at a time
 	replies *json.Decoder
@@ -37,19 +37,21 @@
 	// Should the tool itself be killed, no process stays behind. An interrupt of the terminal reaches the tool alone, which
 	// ends the process.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	in, err := cmd.StdinPipe()
+	// Pipes of our own: reads and writes take deadlines, and Wait does not close what a reply is read from.
+	childIn, in, err := os.Pipe()
 	if err != nil {
 		return nil, fmt.Errorf("hollow process: %w", err)
 	}
-	// A pipe of our own: Wait must not close it while a reply is read, and its reads take deadlines.
-	out, theirs, err := os.Pipe()
+	defer childIn.Close()
+	out, childOut, err := os.Pipe()
 	if err != nil {
+		in.Close()
 		return nil, fmt.Errorf("hollow process: %w", err)
 	}
-	cmd.Stdout = theirs
-	err = cmd.Start()
-	theirs.Close()
-	if err != nil {
+	defer childOut.Close()
+	cmd.Stdin, cmd.Stdout = childIn, childOut
+	if err := cmd.Start(); err != nil {
+		in.Close()
 		out.Close()
 		return nil, fmt.Errorf("hollow process: %w", err)
 	}
@@ -84,8 +86,8 @@
 	// Expired reads would leave half a reply behind: a process that was late once is of no more use, and its next reply is an
 	// error too.
 	deadline, _ := ctx.Deadline()
-	p.out.SetReadDeadline(deadline)
-	stop := context.AfterFunc(ctx, func() { p.out.SetReadDeadline(time.Now()) })
+	p.setDeadline(deadline)
+	stop := context.AfterFunc(ctx, func() { p.setDeadline(time.Now()) })
 	defer stop()
 	if err := json.NewEncoder(p.in).Encode(request); err != nil {
 		return fmt.Errorf("hollow process: %w", err)
@@ -96,6 +98,11 @@
 	return nil
 }
 
+func (p *Process) setDeadline(at time.Time) {
+	p.in.SetWriteDeadline(at)
+	p.out.SetReadDeadline(at)
+}
+
 // SetUpGateways makes it a process of hollow gateways, none of which runs yet.
 func (p *Process) SetUpGateways(ctx context.Context, setup GatewaySetup) error {
 	var reply GatewayReply
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -32,7 +32,7 @@
 	return out
 }
 
-// Regions are the regions of all members, by number.
+// RegionsOfMembers are the regions of all members, by number.
 func (s Sizes) RegionsOfMembers() []int {
 	out := make([]int, s.Members())
 	for i := range out {
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -31,18 +31,18 @@
 
 // Facts are the circumstances of a run.
 type Facts struct {
-	Cores        int     `json:"cores"`
-	MemoryMB     int     `json:"memory_mb"`
-	GoVersion    string  `json:"go_version"`
-	Seed         uint64  `json:"seed"`
-	LoadAtStart  float64 `json:"load_average_at_start"` // over a minute
-	LoadAtEnd    float64 `json:"load_average_at_end"`
-	Zones        int     `json:"zones"`
-	Regions      int     `json:"regions"`
-	EngineDelay  float64 `json:"engine_delay_ms"`
-	ReportsASec  float64 `json:"reports_per_second"` // that each hollow gateway takes in of engines
-	DateTimeUTC  string  `json:"date_utc"`
-	CommandShape string  `json:"options"` // that reproduce the run
+	Cores            int     `json:"cores"`
+	MemoryMB         int     `json:"memory_mb"`
+	GoVersion        string  `json:"go_version"`
+	Seed             uint64  `json:"seed"`
+	LoadAtStart      float64 `json:"load_average_at_start"` // over a minute
+	LoadAtEnd        float64 `json:"load_average_at_end"`
+	Zones            int     `json:"zones"`
+	Regions          int     `json:"regions"`
+	EngineDelayMS    float64 `json:"engine_delay_ms"`
+	ReportsPerSecond float64 `json:"reports_per_second"` // that each hollow gateway takes in of engines
+	DateUTC          string  `json:"date_utc"`
+	Options          string  `json:"options"` // that reproduce the run
 }
 
 // Run is one run: facts and steps.
--- a/internal/scalerig/steps.go
+++ b/internal/scalerig/steps.go
@@ -47,8 +47,8 @@
 func (r *Rig) facts() scale.Facts {
 	return scale.Facts{Cores: runtime.NumCPU(), MemoryMB: int(r.machine.MemoryBytes >> 20), GoVersion: runtime.Version(),
 		Seed: r.plan.Seed, LoadAtStart: LoadAverage(), Zones: r.plan.Zones, Regions: r.plan.Regions,
-		EngineDelay: float64(r.opt.EngineDelay) / float64(time.Millisecond), ReportsASec: r.opt.ReportsPerSecond,
-		DateTimeUTC: time.Now().UTC().Format(time.RFC3339)}
+		EngineDelayMS: float64(r.opt.EngineDelay) / float64(time.Millisecond), ReportsPerSecond: r.opt.ReportsPerSecond,
+		DateUTC: time.Now().UTC().Format(time.RFC3339)}
 }
 
 // part is one part of a step that is read for itself.
