--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -139,7 +139,7 @@
 	subset          *engineSubset           // nil = every engine is used
 	outAt           map[policy.EngineID]int // attempts that are out, by engine
 	inService       int                     // gateways, by the host's last count
-	reportedSharers int                     // gateways, by the last count that the module was sent
+	reportedService policy.InService        // as the module was last sent it
 }
 
 // ClassCounts is what happened to one class so far: how a version of the program does.
@@ -170,7 +170,7 @@
 	c := &Core{gateway: gateway, host: host, log: log, keep: keep, requests: map[ID]*request{},
 		engines: map[policy.EngineID]*Engine{}, classes: map[string]int{}, names: map[string]bool{},
 		byClass: make([]ClassCounts, len(host.Module.Classes)), outAt: map[policy.EngineID]int{},
-		inService: host.Module.Siblings, reportedSharers: host.Module.Siblings}
+		inService: host.Module.Siblings, reportedService: policy.InService{Count: host.Module.Siblings}}
 	for i, class := range host.Module.Classes {
 		c.classes[class.Name] = i
 	}
@@ -360,7 +360,7 @@
 	if c.Narrowed() { // the next count of sharers takes it into account
 		return nil
 	}
-	c.reportedSharers = gateways
+	c.reportedService = policy.InService{Count: gateways}
 	return c.dispatch(now, policy.InService{Count: gateways})
 }
 
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -38,6 +38,7 @@
 	chooser   *subset.Chooser
 	reported  map[policy.EngineID]policy.EngineInfo // the last state of each engine that the module was sent
 	all       bool                                  // the module was sent the full list
+	lifted    bool                                  // the module is being sent every engine again
 	gateways  []subset.Gateway
 	cold      map[policy.EngineID]bool // the engines that the chooser counts as cold
 	forgetAt  time.Duration            // when to send the module an empty update; 0 = never
@@ -66,7 +67,8 @@
 	if c.subset == nil {
 		return nil
 	}
-	actions := c.dispatchChanges(now, func(*Engine) bool { return true })
+	c.subset.lifted = true
+	actions := c.dispatchChanges(now, c.inSubset)
 	c.subset = nil
 	c.updateShared()
 	return append(actions, c.dispatchSharers(now)...)
@@ -171,7 +173,12 @@
 
 // inSubset reports whether the gateway uses an engine.
 func (c *Core) inSubset(e *Engine) bool {
-	return c.subset == nil || c.subset.chooser.Contains(uint64(e.ID))
+	return c.subset == nil || c.subset.lifted || c.subset.chooser.Contains(uint64(e.ID))
+}
+
+// overflow reports whether the gateway uses an engine beyond the core of its subset, which it shares with many others.
+func (c *Core) overflow(e *Engine) bool {
+	return c.Narrowed() && !c.subset.chooser.Core(uint64(e.ID))
 }
 
 // dispatchList sends the module an engine list: unchanged while the subset is the full list, else the part of it that
@@ -230,6 +237,7 @@
 	case !known && (!wanted || info.Health == policy.Gone):
 		return info, false
 	case wanted:
+		info.Overflow = c.overflow(e)
 	case c.outAt[e.ID] > 0 && info.Health != policy.Gone:
 		info.Health = policy.Draining
 	default:
@@ -284,12 +292,12 @@
 	if c.subset != nil {
 		c.subset.sharersAt = now + sharersInterval
 	}
-	sharers := c.sharers()
-	if sharers == c.reportedSharers {
+	state := policy.InService{Count: c.sharers(), Subset: c.Narrowed()}
+	if state == c.reportedService {
 		return nil
 	}
-	c.reportedSharers = sharers
-	return c.dispatch(now, policy.InService{Count: sharers})
+	c.reportedService = state
+	return c.dispatch(now, state)
 }
 
 // sharers is how many gateways share the engines of this one. A gateway whose subset is not known counts as using every
@@ -320,7 +328,9 @@
 }
 
 // Narrowed reports whether the gateway uses fewer than all engines.
-func (c *Core) Narrowed() bool { return c.subset != nil && !c.subset.chooser.All() }
+func (c *Core) Narrowed() bool {
+	return c.subset != nil && !c.subset.lifted && !c.subset.chooser.All()
+}
 
 // SubsetSize is how many engines are listed and not gone, and how many of them the gateway uses.
 func (c *Core) SubsetSize() (listed, used int) {
@@ -337,7 +347,7 @@
 
 // SubsetCounts describes the subset for the log.
 func (c *Core) SubsetCounts() SubsetCounts {
-	out := SubsetCounts{Sharers: c.reportedSharers}
+	out := SubsetCounts{Sharers: c.reportedService.Count}
 	out.Listed, out.Subset = c.SubsetSize()
 	if c.subset == nil {
 		return out
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -504,3 +504,46 @@
 	delete(p.out, s.ID)
 	p.carry(p.core.Ended(p.now, s.ID, s.Attempt, outcome, nil))
 }
+
+// The module is told which engines lie beyond the core of the subset and that it works with a part of the fleet's engines;
+// neither holds any more once the subset is lifted.
+func TestModuleKnowsOverflowEngines(t *testing.T) {
+	c, recorded, _ := newFleetCore(t)
+	chooser := newChooser(t, subsetConfig())
+	c.UseSubset(start, chooser)
+	c.UpdateEngines(start, true, wholeList())
+	c.SetGateways(start, allGateways(subsetGateways))
+	var draining []ListedEngine
+	for i := range subsetEngines {
+		if chooser.Core(uint64(engineID(name(i)))) && len(draining) < 3 {
+			draining = append(draining, engineLine(name(i), policy.Draining))
+		}
+	}
+	c.UpdateEngines(start, false, draining) // others make up for them beyond the core
+	c.TickSubset(start + sharersInterval)
+	overflow := 0
+	for id := range c.engines {
+		info, known := recorded.lastTold(id)
+		if !known || info.Health != policy.Ready {
+			continue
+		}
+		if info.Overflow == chooser.Core(uint64(id)) {
+			t.Errorf("engine %x: overflow %v, in the core %v", id, info.Overflow, chooser.Core(uint64(id)))
+		}
+		if info.Overflow {
+			overflow++
+		}
+	}
+	if overflow == 0 || !c.reportedService.Subset {
+		t.Fatalf("%d overflow engines, part of the fleet's: %v", overflow, c.reportedService.Subset)
+	}
+	c.UseSubset(start+2*sharersInterval, nil)
+	for id := range c.engines {
+		if info, known := recorded.lastTold(id); !known || info.Overflow {
+			t.Errorf("engine %x after the subset is lifted: %+v", id, info)
+		}
+	}
+	if c.reportedService.Subset {
+		t.Error("part of the fleet's engines after the subset is lifted")
+	}
+}
--- a/internal/netio/gateway.go
+++ b/internal/netio/gateway.go
@@ -82,13 +82,14 @@
 	}
 }
 
-// UpdateEngines hands a list of engines to the core.
-func (g *Gateway) UpdateEngines(whole bool, lines []core.ListedEngine) {
+// UpdateEngines hands a list of engines to the core, and returns how many engines are listed now.
+func (g *Gateway) UpdateEngines(whole bool, lines []core.ListedEngine) (engines int) {
 	gone, actions := g.Core.UpdateEngines(g.Loop.Now(), whole, lines)
 	for _, e := range gone {
 		g.forgetEngine(e.ID)
 	}
 	g.carryOut(actions, nil)
+	return g.Core.ListedEngines()
 }
 
 // forgetEngine ends the use of the connections to an engine.
--- a/internal/netio/subset.go
+++ b/internal/netio/subset.go
@@ -23,3 +23,12 @@
 func (g *Gateway) TickSubset() {
 	g.carryOut(g.Core.TickSubset(g.Loop.Now()), nil)
 }
+
+// SubsetSize is how many engines are listed and not gone, and how many of them the gateway uses.
+func (g *Gateway) SubsetSize() (listed, used int) { return g.Core.SubsetSize() }
+
+// Narrowed reports whether the gateway uses fewer than all engines.
+func (g *Gateway) Narrowed() bool { return g.Core.Narrowed() }
+
+// Overlap is the share of another gateway's subset that lies in the own one, as far as it is known.
+func (g *Gateway) Overlap(gateway int) float64 { return g.Core.Overlap(gateway) }
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -20,6 +20,7 @@
 	"frostpier/internal/netio"
 	"frostpier/internal/settings"
 	"frostpier/internal/spread"
+	"frostpier/internal/subsetting"
 )
 
 // Times of a planned stop: new connections may come for 0.4 s and requests for 0.2 s more; the kill comes 0.7 s after
@@ -121,15 +122,14 @@
 			p.digest = spread.New()
 			heart.ShareLoadReports(p.digest)
 		}
-		p.subset = newSubsetting(narrow, host, gateway, log)
+		p.subset = subsetting.New(placeOf(host), loop, gateway, log)
 		to := peers{Gateway: gateway, subset: p.subset}
 		if p.version != nil {
 			to.mix = p.version.mix
 		}
-		if p.members, err = members(op, conf, host, loop, log, keep, p.extensions(), p.digest != nil, p.subset.receiverWeights, to); err != nil {
+		if p.members, err = members(op, conf, host, loop, log, keep, p.extensions(), p.digest != nil, p.subset.ReceiverWeights, to); err != nil {
 			return err
 		}
-		p.subset.members = p.members
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -138,14 +138,15 @@
 	if hooks.Loop != nil {
 		hooks.Loop(loop)
 	}
+	listed := 0
 	loop.Do(func() {
 		loop.WatchLag()
 		if p.members != nil {
 			p.members.Start()
-			p.subset.start()
+			p.subset.Start(p.members, narrow)
 		}
 		for _, e := range known {
-			gateway.UpdateEngines(e.Full, e.Engines)
+			listed = gateway.UpdateEngines(e.Full, e.Engines)
 		}
 		p.watch.Follow(conf.Discovery)
 		p.stats()
@@ -162,7 +163,7 @@
 	if p.version != nil {
 		loop.Do(func() { p.version.serve(true) })
 	}
-	log.Info("serving", "name", conf.Name, "listen", conf.Listen, "discovery", conf.Discovery, "events", len(known))
+	log.Info("serving", "name", conf.Name, "listen", conf.Listen, "discovery", conf.Discovery, "events", len(known), "engines", listed)
 	for serving := true; serving; {
 		select {
 		case <-hup:
@@ -218,12 +219,12 @@
 	loop     *netio.Loop
 	gateway  *netio.Gateway
 	clients  *netio.Clients
-	mysql    *netio.MySQLFront // nil where it is off
-	standby  *netio.Standby    // likewise
-	members  *netio.Members    // likewise
-	digest   *spread.Digest    // likewise
-	version  *version          // likewise
-	subset   *subsetting       // likewise
+	mysql    *netio.MySQLFront   // nil where it is off
+	standby  *netio.Standby      // likewise
+	members  *netio.Members      // likewise
+	digest   *spread.Digest      // likewise
+	version  *version            // likewise
+	subset   *subsetting.Updater // likewise
 	keep     *invariant.Keeper
 	log      *slog.Logger
 	stream   *discovery.Stream
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -16,6 +16,7 @@
 	"frostpier/internal/netio"
 	"frostpier/internal/rollout"
 	"frostpier/internal/settings"
+	"frostpier/internal/subsetting"
 )
 
 // HashFile is how a program or an operator's file shows in reports: the first bytes of its SHA-256; 0 for no file.
@@ -108,8 +109,8 @@
 // peers dispatches the messages of other gateways.
 type peers struct {
 	*netio.Gateway
-	mix    *rollout.Mix // nil where versions are not reported
-	subset *subsetting  // whose table of zones is kept
+	mix    *rollout.Mix        // nil where versions are not reported
+	subset *subsetting.Updater // whose table of zones is kept
 }
 
 // ReceiveVersion records the version that another gateway runs.
@@ -170,7 +171,7 @@
 			p.digest.Disable(next.Spread == nil)
 		}
 		if p.subset != nil {
-			p.subset.configure(config)
+			p.subset.Configure(config)
 		}
 		p.operator = next
 		p.log.Info("operator's file read again")
@@ -180,7 +181,7 @@
 // extensions returns the subsystems that piggyback messages on membership datagrams.
 func (p *program) extensions() (out []membership.Extension) {
 	if p.subset != nil { // first, as it has little to say and the digest fills what room there is
-		out = append(out, p.subset.table)
+		out = append(out, p.subset.Extension())
 	}
 	if p.digest != nil {
 		out = append(out, p.digest)
