--- a/internal/netio/clients.go
+++ b/internal/netio/clients.go
@@ -1,6 +1,7 @@
 package netio
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -205,15 +206,16 @@
 	}
 }
 
-// await keeps the wait for the end of a line that has begun.
-func (c *client) await() {
+// awaitLineEnd keeps the wait for the end of a line that has begun. Every line has its own: lineEnded tells that the bytes
+// just read ended one, so that what stands there now is the begin of another.
+func (c *client) awaitLineEnd(lineEnded bool) {
 	c.front.unread += c.session.Unread() - c.unread
 	c.unread = c.session.Unread()
-	switch {
-	case c.unread == 0:
+	if lineEnded || c.unread == 0 {
 		c.half.Stop()
 		c.half = nil
-	case c.half == nil:
+	}
+	if c.unread > 0 && c.half == nil {
 		c.half = c.front.gateway.Loop.After(c.front.patient, c.lineLate)
 	}
 }
@@ -285,14 +287,15 @@
 			c.conn.Write(e.Reply)
 		}
 	}
-	if c.await(); err == nil && c.front.unread > c.front.lines && c.unread > fairLine {
+	c.awaitLineEnd(bytes.IndexByte(b, '\n') >= 0)
+	if err == nil && c.front.unread > c.front.lines && c.unread > fairLine {
 		err = errFull
 	}
 	if err != nil { // what was asked before is no worse for it
 		c.front.log.Warn("client connection closed", "error", err)
 		c.deaf, c.asked = true, true
 		c.session.Abandon()
-		c.await()
+		c.awaitLineEnd(false)
 		c.conn.Pause()
 	}
 	c.rest()
--- a/internal/netio/clients_test.go
+++ b/internal/netio/clients_test.go
@@ -98,6 +98,35 @@
 	})
 }
 
+// Guards against a client that is cut off in the middle of a line though each of its lines ends in time: where a line's end
+// comes together with the begin of the next, that one has its whole time too.
+func TestEachLineHasItsOwnTime(t *testing.T) {
+	f := front(t, 100, 1<<20, time.Hour)
+	half := len(ping) / 2
+	nc := says(t, f, ping[:half])
+	var c *client
+	line := func() (wait *Timer) {
+		until(t, "half a line", func() (some bool) {
+			f.gateway.Loop.Do(func() {
+				for c = range f.open {
+					some, wait = c.unread == half, c.half
+				}
+			})
+			return some
+		})
+		return wait
+	}
+	first := line()
+	sends(t, nc, ping[half:]+ping[:half])
+	answered(t, nc)
+	second := line()
+	if first == nil || second == nil || first == second {
+		t.Fatal("a line that has begun is closed when the time of the line before it is over")
+	}
+	f.gateway.Loop.Do(c.lineLate) // its own time is over now
+	ended(t, "half a line", nc)
+}
+
 // Guards against connections by the hundreds that make no call: they make room before one that has called, and that
 // before one that has just come. On a recorded day new connections were closed 3 ms after they had come, because
 // they alone had asked for nothing yet, and a call in twelve was lost with them.
