--- a/internal/core/subset_bench_test.go
+++ b/internal/core/subset_bench_test.go
@@ -80,7 +80,8 @@
 				}
 				b.ReportMetric(float64(processorTime(b)-began)/float64(b.N), "cpu-ns/op")
 				b.ReportMetric(float64(p.held)/float64(p.asked), "held/op")
-				b.ReportMetric(float64(c.SubsetCounts().Serving), "engines")
+				_, used := c.SubsetSize()
+				b.ReportMetric(float64(used), "engines")
 			})
 		}
 	}
--- a/internal/zonetable/table_test.go
+++ b/internal/zonetable/table_test.go
@@ -61,8 +61,10 @@
 	if !told(epoch, 2) || told(epoch+sendInterval/2, 3) || !told(epoch+sendInterval, 3) {
 		t.Error("not told at its times")
 	}
-	if !told(epoch+sendInterval, 5) || !told(epoch+sendInterval, 5) {
-		t.Error("a member that has just started is not told at once")
+	for range 2 {
+		if !told(epoch+sendInterval, 5) {
+			t.Error("a member that has just started is not told with every datagram")
+		}
 	}
 }
 
