--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -15,6 +15,8 @@
 	Simulate simulateCommand `cmd:"" help:"Measure membership on a virtual clock, beside a heartbeat detector."`
 	Spread   spreadCommand   `cmd:"" help:"Compare how evenly versions of the program load stand-in engines."`
 	Rollout  rolloutCommand  `cmd:"" help:"Play good and bad changes in stages on fleets of processes."`
+	Slopes   slopesCommand   `cmd:"" help:"Measure how the cost of each part grows with the fleet, for docs/CAPACITY.md."`
+	Capacity capacityCommand `cmd:"" help:"Work the tables of docs/CAPACITY.md out from the measured slopes."`
 	Gateway  gatewayCommand  `cmd:"" hidden:"" help:"Serve as the program does, with the fault that the environment names."`
 	Account  accountCommand  `cmd:"" help:"Account for what a fleet lost, from the logs of its gateways."`
 	Replay   replayCommand   `cmd:"" help:"Play the random runs of some seeds on a virtual clock, with every rule checked."`
--- /dev/null
+++ b/cmd/fleetlab/slopes.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime"
+	"runtime/debug"
+	"strconv"
+	"strings"
+	"time"
+
+	"frostpier/internal/capacity"
+	"frostpier/internal/capacity/measure"
+)
+
+type slopesCommand struct {
+	Out    string `default:"scenarios/capacity-slopes.json" help:"The result file."`
+	Only   string `default:"" enum:",decision,reports,membership,faults,discovery,connections,staged" help:"One group of slopes: they are printed, and no file is written."`
+	Quick  bool   `help:"Smaller sizes and one run each: some seconds. The page needs a full run."`
+	Memory int64  `name:"memory-mb" default:"256" help:"What the measurements may hold, in MB; a full run says how much it needs."`
+	Faults int    `default:"1" help:"Runs of the faults at each size, with seeds that follow each other."`
+	Seed   uint64 `default:"1" help:"Of all chance."`
+}
+
+// Run measures the slopes and writes the result file.
+func (c *slopesCommand) Run() error {
+	options := measure.Options{Seed: c.Seed, Quick: c.Quick, Only: capacity.Group(c.Only), Faults: c.Faults, Note: note}
+	if err := options.CheckMemory(c.Memory << 20); err != nil {
+		return fmt.Errorf("%w: see --memory-mb", err)
+	}
+	debug.SetMemoryLimit(c.Memory << 20)
+	began, machine := time.Now(), machineFacts()
+	machine.Quick, machine.LoadBefore = c.Quick, loadAverage()
+	slopes, err := measure.Slopes(options)
+	if err != nil {
+		return err
+	}
+	machine.LoadAfter, machine.Seconds = loadAverage(), time.Since(began).Round(time.Second).Seconds()
+	result := capacity.Result{Machine: machine, Seed: c.Seed, Slopes: slopes}
+	fmt.Print(capacity.SlopeTable(result).Markdown())
+	if c.Only != "" {
+		return nil
+	}
+	text, err := result.Encode()
+	if err != nil {
+		return err
+	}
+	if err := os.MkdirAll(filepath.Dir(c.Out), 0o755); err != nil {
+		return err
+	}
+	return os.WriteFile(c.Out, text, 0o644)
+}
+
+// machineFacts are what of the machine bears on timings.
+func machineFacts() capacity.Machine {
+	return capacity.Machine{Cores: runtime.NumCPU(), GoVersion: runtime.Version(),
+		System: runtime.GOOS + "/" + runtime.GOARCH, MeasuredDay: time.Now().UTC().Format(time.DateOnly)}
+}
+
+// loadAverage is the system's load over the last minute; 0 where it does not tell.
+func loadAverage() float64 {
+	text, err := os.ReadFile("/proc/loadavg")
+	if err != nil {
+		return 0
+	}
+	first, _, _ := strings.Cut(string(text), " ")
+	load, err := strconv.ParseFloat(first, 64)
+	if err != nil {
+		return 0
+	}
+	return load
+}
--- /dev/null
+++ b/internal/capacity/measure/connections.go
@@ -0,0 +1,250 @@
+package measure
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"runtime"
+	"sync"
+	"syscall"
+	"time"
+
+	"frostpier/internal/netio"
+	"frostpier/policy"
+)
+
+// Bounds of the connection measurements: both ends are in this process, so each connection takes two descriptors.
+const (
+	MostConnections = 2500
+	spareFiles      = 200
+	connectWait     = 10 * time.Second
+	loopRoom        = 64 << 20
+	settleTime      = 200 * time.Millisecond // in which goroutines of closed connections end
+)
+
+var (
+	errDescriptors = errors.New("not enough descriptors for the connection measurement")
+	errConnections = fmt.Errorf("more than %d connections", MostConnections)
+	errConnect     = errors.New("connections did not come up in time")
+)
+
+// checkDescriptors refuses what the process may not open.
+func checkDescriptors(connections int) error {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+		return err
+	}
+	need := uint64(2*connections + spareFiles)
+	switch {
+	case connections > MostConnections:
+		return errConnections
+	case limit.Cur < need:
+		return fmt.Errorf("%w: %d needed, the limit is %d", errDescriptors, need, limit.Cur)
+	}
+	return nil
+}
+
+// remoteEnds accepts connections and holds them, reading nothing.
+type remoteEnds struct {
+	listener net.Listener
+	mu       sync.Mutex
+	open     []net.Conn
+}
+
+func newRemoteEnds() (*remoteEnds, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	ends := &remoteEnds{listener: listener}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			ends.mu.Lock()
+			ends.open = append(ends.open, conn)
+			ends.mu.Unlock()
+		}
+	}()
+	return ends, nil
+}
+
+func (e *remoteEnds) addr() string { return e.listener.Addr().String() }
+
+func (e *remoteEnds) count() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.open)
+}
+
+func (e *remoteEnds) close() {
+	e.listener.Close()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, conn := range e.open {
+		conn.Close()
+	}
+}
+
+// silentHandler ignores what a connection brings.
+type silentHandler struct{}
+
+func (silentHandler) Data([]byte)  {}
+func (silentHandler) Closed(error) {}
+
+func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+
+// runningLoop is a loop that ends with the returned function.
+func runningLoop() (*netio.Loop, func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	loop := netio.NewLoop(time.Now(), loopRoom)
+	go loop.Run(ctx)
+	return loop, cancel
+}
+
+// EngineConnectionMemory is the memory of one idle connection of netio.Pool, in bytes, over so many of them: heap and
+// stacks of both ends; what the kernel holds is not in it.
+func EngineConnectionMemory(connections int) (float64, error) {
+	if err := checkDescriptors(connections); err != nil {
+		return 0, err
+	}
+	ends, err := newRemoteEnds()
+	if err != nil {
+		return 0, err
+	}
+	defer ends.close()
+	loop, stop := runningLoop()
+	defer stop()
+	pool := netio.NewPool(loop, quietLog(), connectWait, time.Hour, netio.Share{Most: connections, Urgent: 1})
+	time.Sleep(settleTime)
+	before := liveMemory()
+	links, err := openLinks(loop, pool, ends.addr(), connections)
+	if err != nil {
+		return 0, err
+	}
+	loop.Do(func() {
+		for _, link := range links {
+			link.Release()
+		}
+	})
+	if err := waitFor(func() bool { return ends.count() == connections }); err != nil {
+		return 0, err
+	}
+	after := liveMemory()
+	loop.Do(func() {
+		for i := range connections {
+			pool.Forget(policy.EngineID(i))
+		}
+	})
+	return (after - before) / float64(connections), nil
+}
+
+// openLinks opens a connection to each of so many engines, a few at a time.
+func openLinks(loop *netio.Loop, pool *netio.Pool, addr string, connections int) ([]*netio.Link, error) {
+	type opened struct {
+		link *netio.Link
+		err  error
+	}
+	const together = 50
+	came := make(chan opened, together)
+	var links []*netio.Link
+	for from := 0; from < connections; from += together {
+		count := min(together, connections-from)
+		loop.Do(func() {
+			for i := range count {
+				pool.Get(policy.EngineID(from+i), addr, true, false, silentHandler{}, func(link *netio.Link, err error) {
+					came <- opened{link, err}
+				})
+			}
+		})
+		for range count {
+			one := <-came
+			if one.err != nil {
+				return nil, one.err
+			}
+			links = append(links, one.link)
+		}
+	}
+	return links, nil
+}
+
+// ClientConnectionMemory is the memory of one client connection of netio.Clients that has asked and rests, in bytes:
+// heap and stacks of both ends; what the kernel holds is not in it.
+func ClientConnectionMemory(connections int) (float64, error) {
+	if err := checkDescriptors(connections); err != nil {
+		return 0, err
+	}
+	loop, stop := runningLoop()
+	defer stop()
+	gatewayCore, err := newCore()
+	if err != nil {
+		return 0, err
+	}
+	gateway := netio.NewGateway(loop, gatewayCore, nil, quietLog())
+	clients := netio.NewClients(gateway, quietLog(), 2*connections, loopRoom)
+	addr, err := serveClients(clients)
+	if err != nil {
+		return 0, err
+	}
+	defer loop.Do(func() { clients.Stop(func() {}) })
+	time.Sleep(settleTime)
+	before := liveMemory()
+	open, err := pingedClients(addr, connections)
+	defer func() {
+		for _, conn := range open {
+			conn.Close()
+		}
+	}()
+	if err != nil {
+		return 0, err
+	}
+	after := liveMemory()
+	runtime.KeepAlive(clients)
+	return (after - before) / float64(connections), nil
+}
+
+// serveClients has the front listen at a free address.
+func serveClients(clients *netio.Clients) (string, error) {
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	addr := free.Addr().String()
+	free.Close()
+	return addr, clients.Serve(addr)
+}
+
+// pingedClients opens connections on each of which one ping was answered.
+func pingedClients(addr string, connections int) (open []net.Conn, err error) {
+	answer := make([]byte, 512)
+	for range connections {
+		conn, err := net.DialTimeout("tcp", addr, connectWait)
+		if err != nil {
+			return open, err
+		}
+		open = append(open, conn)
+		conn.SetDeadline(time.Now().Add(connectWait))
+		if _, err := io.WriteString(conn, `{"jsonrpc":"2.0","id":"1","method":"ping"}`+"\n"); err != nil {
+			return open, err
+		}
+		if _, err := conn.Read(answer); err != nil {
+			return open, err
+		}
+	}
+	return open, nil
+}
+
+// waitFor waits until something holds, for connectWait at most.
+func waitFor(holds func() bool) error {
+	for end := time.Now().Add(connectWait); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			return errConnect
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/capacity/measure/decision.go
@@ -0,0 +1,136 @@
+package measure
+
+import (
+	"time"
+
+	"frostpier/internal/core"
+	"frostpier/policy"
+)
+
+// Conditions of the decision measurements.
+const (
+	TableGroups      = 200
+	AnswerTime       = 100 * time.Millisecond
+	engineCores      = 32
+	engineMemoryMB   = 65536
+	decisionTick     = 5 * time.Millisecond
+	decisionWarmUp   = 3 * time.Second // virtual time before anything is counted: the module learns what answers take
+	decisionPatience = 5 * time.Second
+)
+
+// DecisionSetup is the load under which a decision is measured.
+type DecisionSetup struct {
+	Engines  int
+	Gateways int           // that the settings name
+	Rate     float64       // statements a second at this gateway
+	Lasts    time.Duration // virtual time that is measured
+	Seed     uint64
+}
+
+// decisionSettings are those of a fleet with one class of statements.
+func decisionSettings(gateways int) policy.Settings {
+	return policy.Settings{
+		Classes:  []policy.Class{{Name: "lookup", Aim: time.Second, Deadline: decisionPatience, Worth: 1, Threads: 1}},
+		Kinds:    []policy.Kind{{Cores: engineCores, MemoryMB: engineMemoryMB}},
+		Zones:    1,
+		Siblings: gateways,
+		Tick:     decisionTick,
+		Figures:  []policy.Figure{policy.Inflight},
+		Rules:    policy.Rules{DrainGrace: time.Second},
+	}
+}
+
+// tableGroup spreads statements over the table groups.
+func tableGroup(number int) int { return number * 7919 % TableGroups }
+
+// decisionModule is the decision module by itself.
+type decisionModule struct{ gateway *policy.Gateway }
+
+func (m decisionModule) arrive(now time.Duration, number int) []followUp {
+	return m.resume(now, policy.Arrival{ID: policy.RequestID(number), TableGroup: tableGroup(number),
+		Remaining: decisionPatience})
+}
+
+func (m decisionModule) resume(now time.Duration, what any) (followUps []followUp) {
+	for _, action := range m.gateway.Handle(now, what.(policy.Event)) {
+		switch a := action.(type) {
+		case policy.Send:
+			report := policy.Report{Present: true, Values: map[policy.Figure]float64{policy.Inflight: 1}}
+			followUps = append(followUps, followUp{AnswerTime, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK,
+				Took: AnswerTime, Terminal: true, Report: report}, true})
+		case policy.SetTimer:
+			followUps = append(followUps, followUp{a.After, policy.TimerFired{Token: a.Token}, false})
+		}
+	}
+	return followUps
+}
+
+// Decision measures the processor time of one statement in the decision module: its arrival, the choice of an engine,
+// and the end of its attempt, with the module's own timers.
+func Decision(setup DecisionSetup) (perStatement time.Duration, err error) {
+	gateway, err := policy.New(decisionSettings(setup.Gateways), setup.Seed)
+	if err != nil {
+		return 0, err
+	}
+	list := policy.EngineList{Engines: make([]policy.EngineInfo, setup.Engines)}
+	for i := range list.Engines {
+		list.Engines[i] = policy.EngineInfo{ID: policy.EngineID(engineNumber(i)), Health: policy.Ready, Scale: 1}
+	}
+	gateway.Handle(virtualEpoch, list)
+	d := &driver{module: decisionModule{gateway}, now: virtualEpoch}
+	return d.perStatement(setup.Rate, setup.Lasts)
+}
+
+// coreModule is the core with the decision module in it.
+type coreModule struct{ core *core.Core }
+
+// attemptEnd is the end of an attempt that the core waits for.
+type attemptEnd struct {
+	id      core.ID
+	attempt int
+}
+
+func (m coreModule) arrive(now time.Duration, number int) []followUp {
+	_, actions := m.core.Take(now, core.Ask{TableGroup: tableGroup(number), Remaining: decisionPatience})
+	return m.followUps(now, actions)
+}
+
+func (m coreModule) resume(now time.Duration, what any) []followUp {
+	switch w := what.(type) {
+	case attemptEnd:
+		return m.followUps(now, m.core.Ended(now, w.id, w.attempt, policy.OK, []core.Field{{Name: "inflight", Value: 1}}))
+	case core.Timer:
+		return m.followUps(now, m.core.Due(now, w.Token))
+	}
+	return nil
+}
+
+func (m coreModule) followUps(now time.Duration, actions []core.Action) (followUps []followUp) {
+	for _, action := range actions {
+		switch a := action.(type) {
+		case core.Start:
+			if _, may := m.core.MaySend(now, a.ID, a.Attempt, false); may {
+				followUps = append(followUps, followUp{AnswerTime, attemptEnd{a.ID, a.Attempt}, true})
+			}
+		case core.Timer:
+			followUps = append(followUps, followUp{a.After, a, false})
+		}
+	}
+	return followUps
+}
+
+// CoreDecision measures the same through the core, which keeps requests and attempts beside the module.
+func CoreDecision(setup DecisionSetup) (perStatement time.Duration, err error) {
+	gatewayCore, err := newCore()
+	if err != nil {
+		return 0, err
+	}
+	listed := make([]core.ListedEngine, setup.Engines)
+	for i := range listed {
+		listed[i] = core.ListedEngine{Name: engineName(i), Addr: "10.0.0.1:1", Zone: zoneName(0), Kind: engineKind,
+			Health: policy.Ready, Weight: 1}
+	}
+	gatewayCore.UpdateEngines(virtualEpoch, true, listed)
+	d := &driver{module: coreModule{gatewayCore}, now: virtualEpoch}
+	return d.perStatement(setup.Rate, setup.Lasts)
+}
--- /dev/null
+++ b/internal/capacity/measure/fleet.go
@@ -0,0 +1,97 @@
+package measure
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"frostpier/internal/membership"
+	"frostpier/internal/membership/virtual"
+	"frostpier/internal/spread"
+)
+
+// reportStep is how often the simulated engines' reports are handed to the gateways' digests.
+const reportStep = 100 * time.Millisecond
+
+// FleetSetup is a fleet of gateways on a virtual clock.
+type FleetSetup struct {
+	Gateways int
+	Engines  int     // that gateways share load reports of; 0 = they share none
+	Reports  float64 // of engines, a second at each gateway, drawn evenly from all engines
+	Loss     float64 // share of datagrams lost
+	Seed     uint64
+}
+
+// fleet runs membership, and with engines the shared load reports, at every gateway.
+type fleet struct {
+	*virtual.Fleet
+	setup   FleetSetup
+	digests []*spread.Digest // of the gateways' present lives
+	random  *rand.Rand
+}
+
+func newFleet(setup FleetSetup) (*fleet, error) {
+	f := &fleet{setup: setup, digests: make([]*spread.Digest, setup.Gateways), random: rand.New(rand.NewPCG(setup.Seed, 23))}
+	running, err := virtual.New(virtual.Setup{Members: setup.Gateways, Seed: setup.Seed, Loss: setup.Loss,
+		Spread: time.Second, Every: 1 << 30, Make: f.node})
+	if err != nil {
+		return nil, err
+	}
+	f.Fleet = running
+	if setup.Engines > 0 {
+		running.Seen = f.received
+		running.At(0, f.report)
+	}
+	return f, nil
+}
+
+// node makes a gateway's membership as internal/program does: with engines, load reports are carried on its datagrams, and
+// three datagrams a second go out for them alone.
+func (f *fleet) node(config membership.Config) (virtual.Detector, error) {
+	if f.setup.Engines > 0 {
+		digest := newDigest(f.setup.Engines)
+		f.digests[config.Self] = digest
+		config.Extensions, config.ExtensionInterval = []membership.Extension{digest}, spread.Interval
+	}
+	return membership.New(config)
+}
+
+// newDigest makes a digest that knows the names of all engines and the load of none.
+func newDigest(engines int) *spread.Digest {
+	digest, numbers := spread.New(), make([]uint64, engines)
+	for i := range numbers {
+		numbers[i] = engineNumber(i)
+	}
+	digest.SetEngines(numbers)
+	return digest
+}
+
+// received hands a gateway what another one's digest said.
+func (f *fleet) received(at int, event membership.Event) error {
+	if event.Kind == membership.ExtensionReceived && event.ExtensionKind == spread.ExtensionKind {
+		f.digests[at].Receive(f.Now, event.Body)
+	}
+	return nil
+}
+
+// report hands each gateway that is up the reports of a step, and comes again.
+func (f *fleet) report() {
+	perStep := f.setup.Reports * reportStep.Seconds()
+	for i, digest := range f.digests {
+		if digest == nil || !f.Members[i].Up {
+			continue
+		}
+		for range f.wholeOf(perStep) {
+			digest.Record(f.Now, engineNumber(f.random.IntN(f.setup.Engines)), f.random.IntN(20))
+		}
+	}
+	f.At(reportStep, f.report)
+}
+
+// wholeOf draws a whole number whose mean is the given one.
+func (f *fleet) wholeOf(mean float64) int {
+	whole := int(mean)
+	if f.random.Float64() < mean-float64(whole) {
+		whole++
+	}
+	return whole
+}
--- /dev/null
+++ b/internal/capacity/measure/plan.go
@@ -0,0 +1,231 @@
+package measure
+
+import (
+	"fmt"
+	"time"
+
+	"frostpier/internal/capacity"
+)
+
+// Options are what a run of the measurements is given.
+type Options struct {
+	Seed   uint64
+	Quick  bool                        // smaller sizes, one run each
+	Only   capacity.Group              // "" = all
+	Faults int                         // runs of the faults at each size
+	Note   func(text string, a ...any) // progress
+}
+
+// Loads of the measurements.
+const (
+	fewReports     = 6 // a second and gateway, as on the bench's days
+	faultEngines   = 30
+	faultReports   = 2 // a second: with gossip enough to fill every datagram
+	timedRuns      = 3 // of what processor time is read of
+	detectionKills = 10
+	listRepeats    = 20
+	decisionLasts  = time.Second
+)
+
+// sizes are those of a full or a quick run.
+type sizes struct {
+	decisions, lists, gateways, connections []int
+	fleets                                  [][2]int // gateways, engines
+	timed                                   int      // runs of a timing
+	kills                                   int
+}
+
+func (o Options) sizes() sizes {
+	if o.Quick {
+		return sizes{decisions: []int{10, 20, 40, 80}, lists: []int{20, 40, 80, 160}, gateways: []int{20, 28, 40, 56},
+			connections: []int{20, 40, 80, 160}, fleets: [][2]int{{20, 8}, {30, 16}, {40, 40}, {60, 80}}, timed: 1, kills: 2}
+	}
+	return sizes{decisions: []int{10, 80, 300, 550, 1100}, lists: []int{100, 300, 550, 1100},
+		gateways: []int{100, 200, 400, 800}, connections: []int{100, 500, 1000, 2000},
+		fleets: [][2]int{{100, 40}, {200, 100}, {300, 300}, {800, 550}, {800, 1100}}, timed: timedRuns, kills: detectionKills}
+}
+
+// plan is a run of the measurements.
+type plan struct {
+	Options
+	sizes
+	found collector
+}
+
+// Slopes takes the measurements, one after the other.
+func Slopes(options Options) ([]capacity.Slope, error) {
+	p := &plan{Options: options, sizes: options.sizes(), found: collector{}}
+	steps := map[capacity.Group]func() error{
+		capacity.GroupDecision: p.decisions, capacity.GroupReports: p.reports, capacity.GroupMembership: p.membership,
+		capacity.GroupFaults: p.faults, capacity.GroupDiscovery: p.discovery, capacity.GroupConnections: p.connections,
+		capacity.GroupStaged: p.staged,
+	}
+	for _, group := range capacity.Groups() {
+		if !p.runs(group) {
+			continue
+		}
+		p.Note("measures %s", group)
+		if err := steps[group](); err != nil {
+			return nil, fmt.Errorf("%s: %w", group, err)
+		}
+	}
+	return p.found.slopes(), nil
+}
+
+func (p *plan) decisions() error {
+	target := capacity.Expected()
+	for run := range p.timed {
+		for _, engines := range p.sizes.decisions {
+			setup := DecisionSetup{Engines: engines, Gateways: int(target.Gateways), Rate: target.StatementsPerGateway(),
+				Lasts: decisionLasts, Seed: p.Seed + uint64(run)}
+			alone, err := Decision(setup)
+			if err != nil {
+				return err
+			}
+			p.found.add(capacity.DecisionProcessor, engines, alone.Seconds(), "")
+			withCore, err := CoreDecision(setup)
+			if err != nil {
+				return err
+			}
+			p.found.add(capacity.CoreProcessor, engines, withCore.Seconds(), "")
+		}
+	}
+	return nil
+}
+
+func (p *plan) reports() error {
+	for _, size := range p.fleets {
+		gateways, engines := size[0], size[1]
+		note := fmt.Sprintf("%d gateways", gateways)
+		setup := FleetSetup{Gateways: gateways, Engines: engines, Reports: fewReports, Seed: p.Seed}
+		few, err := SharedReports(setup)
+		if err != nil {
+			return err
+		}
+		setup.Reports = capacity.Expected().StatementsPerGateway()
+		all, err := SharedReports(setup)
+		if err != nil {
+			return err
+		}
+		p.found.add(capacity.KnownFewReports, engines, few.Share, note)
+		p.found.add(capacity.AgeFewReports, engines, few.Age, note)
+		p.found.add(capacity.KnownAllReports, engines, all.Share, note)
+		p.found.add(capacity.AgeAllReports, engines, all.Age, note)
+		p.found.add(capacity.ReportsProcessor, engines, all.Processor, note)
+		p.found.add(capacity.ReportsBytes, engines, all.Bytes, note)
+		p.found.add(capacity.DigestMemory, engines, DigestMemory(engines), "")
+	}
+	return nil
+}
+
+func (p *plan) membership() error {
+	for _, gateways := range p.gateways {
+		quiet, err := QuietMembership(gateways, p.Seed)
+		if err != nil {
+			return err
+		}
+		p.found.add(capacity.MembershipBytes, gateways, quiet.Bytes, "")
+		p.found.add(capacity.MembershipProcessor, gateways, quiet.Processor, "")
+		p.found.add(capacity.MembershipMemory, gateways, quiet.Memory, "")
+		detected, err := Detection(gateways, p.kills, FaultLoss, p.Seed)
+		if err != nil {
+			return err
+		}
+		note := fmt.Sprintf("%d kills", p.kills)
+		p.found.add(capacity.DetectionFirst, gateways, detected.First, note)
+		p.found.add(capacity.DetectionAll, gateways, detected.All, note)
+		p.found.add(capacity.DetectionMost, gateways, detected.Most, note)
+	}
+	return nil
+}
+
+func (p *plan) faults() error {
+	for run := range max(1, p.Faults) {
+		for _, gateways := range p.gateways {
+			if err := p.faultsOf(gateways, p.Seed+uint64(run)); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// faultsOf plays the faults on a fleet without load reports, and on one with them.
+func (p *plan) faultsOf(gateways int, seed uint64) error {
+	setup := FleetSetup{Gateways: gateways, Loss: FaultLoss, Seed: seed}
+	costs, err := Faults(setup, true)
+	if err != nil {
+		return err
+	}
+	for _, cost := range costs {
+		add := func(quantity capacity.PhaseQuantity, value float64) {
+			p.found.add(quantity.Of(cost.Phase), gateways, value, "")
+		}
+		p.found.addPeak(capacity.PeakBytes.Of(cost.Phase), gateways, cost.PeakBytes, cost.Over)
+		add(capacity.PeakBurst, cost.Burst)
+		add(capacity.PeakMost, cost.MostBytes)
+		add(capacity.PeakDatagrams, cost.Datagrams)
+		add(capacity.PeakProcessor, cost.Processor)
+		add(capacity.SettledBytes, cost.Settled)
+		if cost.Phase != capacity.RegionsCut {
+			add(capacity.SecondsToAgree, cost.Agreed)
+		}
+	}
+	setup.Engines, setup.Reports = faultEngines, faultReports
+	if costs, err = Faults(setup, false); err != nil {
+		return err
+	}
+	for _, cost := range costs {
+		p.found.addPeak(capacity.PeakBytesReports.Of(cost.Phase), gateways, cost.PeakBytes, cost.Over)
+		p.found.add(capacity.PeakMostReports.Of(cost.Phase), gateways, cost.MostBytes, "")
+	}
+	return nil
+}
+
+func (p *plan) discovery() error {
+	for range p.timed {
+		for _, engines := range p.lists {
+			list, err := EngineList(engines, listRepeats)
+			if err != nil {
+				return err
+			}
+			p.found.add(capacity.ListBytes, engines, list.Bytes, "")
+			p.found.add(capacity.ListParse, engines, list.Parse, "")
+			p.found.add(capacity.ListTake, engines, list.Take, "")
+			p.found.add(capacity.ListMemory, engines, list.Memory, "")
+		}
+	}
+	return nil
+}
+
+func (p *plan) connections() error {
+	for range p.timed {
+		for _, count := range p.sizes.connections {
+			engine, err := EngineConnectionMemory(count)
+			if err != nil {
+				return err
+			}
+			client, err := ClientConnectionMemory(count)
+			if err != nil {
+				return err
+			}
+			p.found.add(capacity.EngineConnection, count, engine, "")
+			p.found.add(capacity.ClientConnection, count, client, "")
+		}
+	}
+	return nil
+}
+
+func (p *plan) staged() error {
+	for range p.timed {
+		for _, gateways := range p.gateways {
+			processor, length, err := StagedReports(gateways)
+			if err != nil {
+				return err
+			}
+			p.found.add(capacity.StagedReportBytes, gateways, float64(length), "a report a second")
+			p.found.add(capacity.StagedReportProcessor, gateways, processor.Seconds(), "")
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/capacity/measure/series.go
@@ -0,0 +1,60 @@
+package measure
+
+import (
+	"slices"
+
+	"frostpier/internal/capacity"
+)
+
+// series gathers what the runs of one slope found.
+type series struct {
+	values map[float64][]float64 // by size
+	notes  map[float64]string
+	over   map[float64]float64 // seconds over the budget
+}
+
+// collector gathers all slopes.
+type collector map[string]*series
+
+// add takes in one run at one size.
+func (c collector) add(name string, size int, value float64, note string) {
+	s := c[name]
+	if s == nil {
+		s = &series{values: map[float64][]float64{}, notes: map[float64]string{}, over: map[float64]float64{}}
+		c[name] = s
+	}
+	at := float64(size)
+	s.values[at] = append(s.values[at], value)
+	s.notes[at] = note
+}
+
+// addPeak takes in a peak of bytes, with the seconds for which the budget was exceeded.
+func (c collector) addPeak(name string, size int, value, over float64) {
+	c.add(name, size, value, "")
+	at := float64(size)
+	c[name].over[at] = max(c[name].over[at], over)
+}
+
+// points are the medians of the runs, by size.
+func (s *series) points() (points []capacity.Point) {
+	for size, values := range s.values {
+		slices.Sort(values)
+		points = append(points, capacity.Point{Size: size, Value: values[len(values)/2], Least: values[0],
+			Most: values[len(values)-1], Runs: len(values), Over: s.over[size], Note: s.notes[size]})
+	}
+	slices.SortFunc(points, func(a, b capacity.Point) int { return int(a.Size - b.Size) })
+	return points
+}
+
+// slopes are those that were measured, in the order of their definitions.
+func (c collector) slopes() (slopes []capacity.Slope) {
+	for _, definition := range capacity.Definitions() {
+		s := c[definition.Name]
+		if s == nil {
+			continue
+		}
+		slopes = append(slopes, capacity.Slope{Name: definition.Name, Unit: definition.Unit, SizeOf: definition.SizeOf,
+			Form: definition.Form, Points: s.points(), Command: definition.Command()})
+	}
+	return slopes
+}
