--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -16,6 +16,8 @@
 	Spread   spreadCommand   `cmd:"" help:"Compare how evenly versions of the program load stand-in engines."`
 	Rollout  rolloutCommand  `cmd:"" help:"Play good and bad changes in stages on fleets of processes."`
 	Scale    scaleCommand    `cmd:"" help:"Read what control costs gateways in a fleet of hundreds, most of them hollow."`
+	Slopes   slopesCommand   `cmd:"" help:"Measure how the cost of each part grows with the fleet, for docs/CAPACITY.md."`
+	Capacity capacityCommand `cmd:"" help:"Work the tables of docs/CAPACITY.md out from the measured slopes."`
 
 	HollowGateways hollowGatewaysCommand `cmd:"" hidden:"" help:"Run hollow gateways as standard input says."`
 	HollowEngines  hollowEnginesCommand  `cmd:"" hidden:"" help:"Run hollow engines as standard input says."`
