--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -26,9 +26,17 @@
 	ListBytesPerSecond     float64 `json:"list_bytes_per_second"`                 // that the discovery server sent a watcher, mean
 	Connections            float64 `json:"connections"`                           // TCP connections of a real gateway at the end, mean
 	SecondsUntilAllKnow    float64 `json:"seconds_until_all_know"`                // 0 where there was nothing to learn
+	EnginesUsed            float64 `json:"engines_used"`                          // ready ones, mean over hollow gateways
 	EnginesKnownShare      float64 `json:"engines_known_share"`                   // of the ready engines that it uses, by load reports, mean over hollow gateways
 }
 
+// EnginesMeasure is how a fleet's hollow gateways use the engines: the mean number that each uses of the ready ones, and the
+// share of these whose load it knows.
+type EnginesMeasure struct {
+	Used       float64
+	KnownShare float64
+}
+
 // Facts are the circumstances of a run.
 type Facts struct {
 	Cores            int     `json:"cores"`
--- a/internal/scalerig/agree.go
+++ b/internal/scalerig/agree.go
@@ -128,15 +128,20 @@
 	return slices.Concat(replies...), errors.Join(errs...)
 }
 
-// enginesKnown is the share of the ready engines that it uses of which a hollow gateway knows the load, the mean.
-func (r *Rig) enginesKnown(ctx context.Context) (float64, error) {
+// measureEngines reads how hollow gateways use the engines and know their load.
+func (r *Rig) measureEngines(ctx context.Context) (scale.EnginesMeasure, error) {
 	states, err := r.states(ctx, true)
 	if err != nil {
-		return 0, err
+		return scale.EnginesMeasure{}, err
 	}
-	known, used := 0, 0
+	up, known, used := 0, 0, 0
 	for _, state := range states {
-		known, used = known+state.EnginesKnown, used+state.Used
+		if !state.Up {
+			continue
+		}
+		up++
+		known += state.EnginesKnown
+		used += state.Used
 	}
-	return float64(known) / float64(max(1, used)), nil
+	return scale.EnginesMeasure{Used: float64(used) / float64(max(1, up)), KnownShare: float64(known) / float64(max(1, used))}, nil
 }
--- a/internal/scalerig/steps.go
+++ b/internal/scalerig/steps.go
@@ -106,7 +106,8 @@
 		}
 	}
 	result := r.sampler.result(from, r.sampler.read())
-	result.EnginesKnownShare, err = r.enginesKnown(ctx)
+	engines, err := r.measureEngines(ctx)
+	result.EnginesUsed, result.EnginesKnownShare = engines.Used, engines.KnownShare
 	result.Name, result.SecondsUntilAllKnow = p.name, read.allKnow.Seconds()
 	result.RealGateways, result.HollowGateways, result.Engines = r.plan.Real, r.plan.Hollow, r.plan.Engines
 	result.StatementsPerSecond, result.StatementsServed = read.statements, read.served
