--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -179,8 +179,7 @@
 		c, keep := newCore(t)
 		now, answered, out := start, map[ID]int{}, map[ID][]int{}
 		var ids []ID
-		var carry func([]Action)
-		carry = func(actions []Action) {
+		carry := func(actions []Action) {
 			for _, a := range actions {
 				switch a := a.(type) {
 				case Start:
--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -36,7 +36,6 @@
 	drainDelay time.Duration
 	budget     Share // of connections, dials included
 	held       int
-	waited     int // how often a descriptor had to be waited for
 	queue      []*waiter
 }
 
--- a/internal/rig/pool.go
+++ b/internal/rig/pool.go
@@ -149,12 +149,11 @@
 	tick := time.NewTicker(sampleEvery)
 	defer tick.Stop()
 	type seen struct {
-		threads  float64 // summed over a window
-		arrived  int     // at the last look
-		burst    []int   // arrivals in each of the last looks
-		idle     float64 // for how long it has been under half of the mean
-		full     int
-		arrivals int
+		threads float64 // summed over a window
+		arrived int     // at the last look
+		burst   []int   // arrivals in each of the last looks
+		idle    float64 // for how long it has been under half of the mean
+		full    int
 	}
 	engines := map[*standin.Engine]*seen{}
 	var ratios, bursts []float64
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -42,7 +42,6 @@
 	rate    float64
 	skill   float64 // its own offset of the share missed
 	counts  []Counts
-	checks  Checked
 	starts  map[string]int
 	dieAt   time.Duration // by chance
 }
