--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -30,42 +30,6 @@
 // lateTicks before its client's end a request counts as answered at its deadline: the module looks every few ticks.
 const lateTicks = 10
 
-// Action is something that the host is to do.
-type Action interface{ action() }
-
-// Start asks for an attempt; before its first byte the host asks MaySend.
-type Start struct {
-	ID      ID
-	Attempt int
-	Engine  Engine
-	Timeout time.Duration
-}
-
-// Stop calls an attempt off; the host reports Ended once it is not out any more.
-type Stop struct {
-	ID      ID
-	Attempt int
-}
-
-// Reply is the one final answer of a request. Served comes in answer to the Ended that brought the result.
-type Reply struct {
-	ID       ID
-	Verdict  Verdict
-	ComeBack time.Duration // of a refusal
-	Late     bool          // the client's time is over
-}
-
-// Timer asks for a Due with this token.
-type Timer struct {
-	After time.Duration
-	Token uint64
-}
-
-func (Start) action() {}
-func (Stop) action()  {}
-func (Reply) action() {}
-func (Timer) action() {}
-
 // Ask is a query as the core sees it.
 type Ask struct {
 	Name       string // by which engines know it, where they do; no two that are open or out may share one
@@ -97,15 +61,6 @@
 	why      policy.Guard // that kept it in line when that was last recorded
 }
 
-type attempt struct {
-	engine  policy.EngineID
-	addr    string // of the engine when it was chosen
-	started time.Duration
-	timeout time.Duration
-	sent    bool // its first byte was allowed out
-	over    bool
-}
-
 // decisions is the part of the decision module that a Core uses.
 type decisions interface {
 	Handle(now time.Duration, event policy.Event) []policy.Action
@@ -142,25 +97,6 @@
 	reportedService policy.InService        // as the module was last sent it
 }
 
-// ClassCounts is what happened to one class so far: how a version of the program does.
-type ClassCounts struct {
-	Taken   uint64
-	InTime  uint64 // served within the aim
-	Late    uint64 // served after it
-	Refused uint64
-	Failed  uint64
-	Fast    uint64 // served within a quarter of the aim
-	Further uint64 // attempts beyond a request's first
-}
-
-// fastShare is the share of the aim within which an answer counts as fast: a version that is slower shows there first.
-const fastShare = 4
-
-// Counts is what happened so far, for the log.
-type Counts struct {
-	Taken, Served, Refused, Failed, Left, Attempts, Further int
-}
-
 // New makes a Core; all chance comes from seed.
 func New(host settings.Host, seed uint64, log *slog.Logger, keep *invariant.Keeper) (*Core, error) {
 	gateway, err := policy.New(host.Module, seed)
@@ -192,12 +128,6 @@
 // Out is how many attempts have not ended.
 func (c *Core) Out() int { return c.out }
 
-// Counts tells what happened so far.
-func (c *Core) Counts() Counts { return c.counts }
-
-// ByClass tells what happened to each class so far; the list is the Core's own.
-func (c *Core) ByClass() []ClassCounts { return c.byClass }
-
 // aim is the time in which an answer is wanted; the work is known by its estimate only.
 func (c *Core) aim(a Ask) time.Duration {
 	if a.Class < 0 || a.Class >= len(c.byClass) {
@@ -207,14 +137,6 @@
 	return k.Aim + time.Duration(k.AimStretch*float64(a.Cost)/float64(max(1, k.Threads)))
 }
 
-// classOf is what is counted of a request's class; one of no class counts nowhere.
-func (c *Core) classOf(r *request) *ClassCounts {
-	if r.class < 0 || r.class >= len(c.byClass) {
-		return &ClassCounts{}
-	}
-	return &c.byClass[r.class]
-}
-
 // Take takes a request in and gives it its number. One whose name another bears that is not over fails: the engines
 // could not tell them apart, and news or the end of the one would be taken for the other's.
 func (c *Core) Take(now time.Duration, a Ask) (ID, []Action) {
@@ -265,89 +187,6 @@
 	return actions
 }
 
-// MaySend is asked when an attempt's first byte could go out, after any dial: the engine may have been listed as
-// draining or elsewhere meanwhile (another may have its address), the client's time may be over, the attempt called off. It returns the time that is left. Again
-// is set where the attempt went out and its engine seems not to have read it: then the module has the last word.
-func (c *Core) MaySend(now time.Duration, id ID, n int, again bool) (time.Duration, bool) {
-	r := c.requests[id]
-	if r == nil || n >= len(r.attempts) {
-		return 0, false
-	}
-	a := r.attempts[n]
-	left := min(r.end, a.started+a.timeout) - now
-	e := c.engines[a.engine]
-	if a.over || r.replied || left <= 0 || e == nil || e.Health != policy.Ready || e.Addr != a.addr {
-		return 0, false
-	}
-	for i, other := range r.attempts {
-		if !c.keep.Holds(i == n || other.over, "one attempt out at a time", "request", id) {
-			return 0, false
-		}
-	}
-	if again && !c.gateway.SendAgain(now, id, n) || !again && !c.gateway.StillMay(now, id, n) {
-		return 0, false
-	}
-	a.sent = true
-	return left, true
-}
-
-// Ended reports the one end of an attempt. It must come only once the attempt is certainly not out any more.
-func (c *Core) Ended(now time.Duration, id ID, n int, outcome policy.Outcome, fields []Field) []Action {
-	r := c.requests[id]
-	known := r != nil && n < len(r.attempts) && !r.attempts[n].over
-	if !c.keep.Holds(known, "an attempt ends once", "request", id, "attempt", n) {
-		return nil
-	}
-	a := r.attempts[n]
-	a.over = true
-	r.out--
-	c.out--
-	ran := c.keep.Holds(a.sent || outcome.NeverRan() || outcome == policy.Cancelled, "nothing ran unsent", "outcome", outcome)
-	if ran && c.recording() {
-		c.log.Debug("attempt ended", "at", int64(now/time.Millisecond), "request", id, "attempt", n, "class", r.class,
-			"engine", engineName(a.engine), "outcome", outcome, "took_ms", int64((now-a.started)/time.Millisecond))
-	}
-	c.recordLoad(now, a.engine, fields)
-	end := policy.AttemptEnded{ID: id, Attempt: n, Engine: a.engine, Outcome: outcome, Took: now - a.started,
-		Terminal: r.replied || r.begun || outcome == policy.OK, Report: c.report(fields)}
-	c.actions = nil
-	switch {
-	case outcome == policy.OK && !r.replied:
-		c.reply(now, id, Served, 0)
-	case r.begun && !r.replied:
-		c.reply(now, id, Broken, 0)
-	}
-	answered := c.actions
-	actions := append(answered, c.dispatch(now, end)...)
-	actions = append(actions, c.attemptEnded(now, a.engine)...)
-	c.forget(id, r)
-	return actions
-}
-
-// Began says that a part of an attempt's answer goes out to the client. From then on there is no other attempt, and
-// no time-out of the request; it tells whether the client still wants it.
-func (c *Core) Began(now time.Duration, id ID, n int) (bool, []Action) {
-	r := c.requests[id]
-	if r == nil || r.replied || n >= len(r.attempts) || r.attempts[n].over {
-		return false, nil
-	}
-	if r.begun {
-		return true, nil
-	}
-	r.begun = true
-	return true, c.dispatch(now, policy.AnswerStarted{ID: id, Attempt: n})
-}
-
-// Progress passes on an engine's word of how far an attempt is.
-func (c *Core) Progress(now time.Duration, id ID, n int, done float64) []Action {
-	return c.dispatch(now, policy.Progress{ID: id, Attempt: n, Done: done})
-}
-
-// Overdue passes on that an engine withholds an attempt's answer.
-func (c *Core) Overdue(now time.Duration, id ID, n int) []Action {
-	return c.dispatch(now, policy.AnswerOverdue{ID: id, Attempt: n})
-}
-
 // Due passes on a timer that the module asked for.
 func (c *Core) Due(now time.Duration, token uint64) []Action {
 	c.recordHeld(now)
@@ -401,25 +240,6 @@
 	}
 }
 
-func (c *Core) start(now time.Duration, s policy.Send) {
-	r, e := c.requests[s.ID], c.engines[s.Engine]
-	if !c.keep.Holds(r != nil && !r.replied && r.out == 0 && e != nil, "an attempt is for an open request", "request", s.ID) {
-		return
-	}
-	n := len(r.attempts)
-	r.attempts = append(r.attempts, &attempt{engine: s.Engine, addr: e.Addr, started: now, timeout: s.Timeout})
-	r.out++
-	c.out++
-	c.outAt[s.Engine]++
-	c.counts.Attempts++
-	if n > 0 {
-		c.counts.Further++
-		c.classOf(r).Further++
-	}
-	c.recordSend(now, s.ID, n)
-	c.actions = append(c.actions, Start{ID: s.ID, Attempt: n, Engine: *e, Timeout: s.Timeout})
-}
-
 // reply gives the final answer, once.
 func (c *Core) reply(now time.Duration, id ID, v Verdict, back time.Duration) {
 	r := c.requests[id]
@@ -464,16 +284,5 @@
 	}
 }
 
-func (c *Core) report(fields []Field) policy.Report {
-	if len(fields) == 0 {
-		return policy.Report{}
-	}
-	out := policy.Report{Present: true, Values: make(map[policy.Figure]float64, len(fields))}
-	for _, f := range fields {
-		out.Values[settings.FigureOf(f.Name)] = f.Value
-	}
-	return out
-}
-
 // ClassName is the name of a class.
 func (c *Core) ClassName(class int) string { return c.host.Module.Classes[class].Name }
--- a/internal/httpq/query.go
+++ b/internal/httpq/query.go
@@ -2,9 +2,7 @@
 
 import (
 	"bytes"
-	"fmt"
 	"strconv"
-	"strings"
 	"time"
 
 	"frostpier/internal/attempt"
@@ -236,15 +234,6 @@
 	q.askDelete()
 }
 
-func (q *Query) askDelete() {
-	if q.up[attempt.Side] {
-		q.write(attempt.Side, q.call("DELETE", ""))
-		return
-	}
-	q.do(attempt.Open{Lane: attempt.Side, Fresh: q.deletes > 0})
-	q.deletes++
-}
-
 // answered takes a response of the main lane.
 func (q *Query) answered(res *Response) {
 	q.calls++
@@ -292,28 +281,6 @@
 	}
 }
 
-// postAgain sends the query once more, in the same attempt. The connection broke before a byte of an answer and the
-// engine does not know the query: it never read it, or has nothing more of it, so there are never two out. Whether
-// it may be repeated at all, now and there, leave tells.
-func (q *Query) postAgain() {
-	if !q.up[attempt.Main] {
-		q.due = true
-		q.do(attempt.Open{Lane: attempt.Main, Fresh: true})
-		return
-	}
-	if left, ok := q.leave(true); ok {
-		q.writePost(left)
-		return
-	}
-	q.end(policy.Error)
-}
-
-func (q *Query) writePost(left time.Duration) {
-	q.state, q.due, q.responded, q.unread, q.unanswered = running, false, false, false, false
-	q.posted++
-	q.write(attempt.Main, q.post(left))
-}
-
 // malformed: an answer that cannot be read proves no end, and its connection is of no more use. The engine gives the
 // answer of a query that ended well again, so it is asked for on a new one; only if that comes spoilt time after time
 // is the query called off, and counts as failed.
@@ -351,87 +318,6 @@
 	}
 }
 
-func (q *Query) firstPage(res *Response) {
-	total, err := strconv.Atoi(res.Head.Get("Page-Count"))
-	if err != nil || total < 1 || total > maxPages || !wholeRows(res.Body) {
-		q.malformed(attempt.Main)
-		return
-	}
-	q.do(attempt.Set{Alarm: attempt.Lost, After: 0})
-	if q.state == closing && total > 1 { // the DELETE takes its pages away
-		q.end(q.final)
-		return
-	}
-	q.state, q.total = paging, total
-	q.keepPage(res.Body)
-}
-
-func (q *Query) page(res *Response) {
-	switch number := res.Head.Get("Page-No"); {
-	case res.Status == 500:
-		q.end(policy.Error) // a page that the engine no longer knows
-	case res.Status != 200 || number != strconv.Itoa(len(q.pages)) || !wholeRows(res.Body):
-		q.malformed(attempt.Main)
-	default:
-		q.keepPage(res.Body)
-	}
-}
-
-// wholeRows tells whether a page holds whole rows, as every page does: one that does not was cut off.
-func wholeRows(page []byte) bool { return len(page) == 0 || page[len(page)-1] == '\n' }
-
-func (q *Query) keepPage(body []byte) {
-	q.pages, q.size, q.spoilt = append(q.pages, body), q.size+len(body), 0
-	switch {
-	case q.size > maxResult:
-		q.end(policy.Error)
-	case len(q.pages) == q.total:
-		q.end(policy.OK)
-	case q.up[attempt.Main]:
-		q.write(attempt.Main, q.call("GET", "/"+strconv.Itoa(len(q.pages))))
-	default:
-		q.do(attempt.Open{Lane: attempt.Main})
-	}
-}
-
-// pageLost asks for a page again; a missing page makes the whole an error.
-func (q *Query) pageLost() {
-	if q.spoilt++; q.spoilt >= tries {
-		q.end(policy.Error)
-		return
-	}
-	q.do(attempt.Set{Alarm: attempt.Silence, After: 0}, attempt.Open{Lane: attempt.Main, Fresh: true})
-}
-
-// deleted takes the response to a DELETE: 204 confirms, anything else does not.
-func (q *Query) deleted(res *Response) {
-	if res.Status == 204 {
-		q.end(q.final)
-		return
-	}
-	q.do(attempt.Set{Alarm: attempt.Again, After: againWait})
-}
-
-func (q *Query) write(lane attempt.Lane, b []byte) {
-	q.asked[lane] = true
-	q.do(attempt.Write{Lane: lane, Bytes: b})
-	switch {
-	case lane == attempt.Main && q.state == running:
-		q.early = true
-		q.do(attempt.Set{Alarm: attempt.Silence, After: pollSilent}, attempt.Set{Alarm: attempt.Lost, After: lostWait},
-			attempt.Set{Alarm: attempt.Early, After: earlyWait})
-	case lane == attempt.Main && q.state == paging:
-		q.do(attempt.Set{Alarm: attempt.Silence, After: pageSilent})
-	}
-}
-
-func (q *Query) drop(lane attempt.Lane) {
-	if q.up[lane] {
-		q.up[lane], q.asked[lane] = false, false
-		q.do(attempt.Drop{Lane: lane})
-	}
-}
-
 // end is the single end of an attempt; connections with no call on them serve others. What an engine says of a query
 // that it was sent twice proves nothing of the first time.
 func (q *Query) end(outcome policy.Outcome) {
@@ -457,18 +343,3 @@
 	}
 	q.do(e)
 }
-
-func (q *Query) post(left time.Duration) []byte {
-	var b strings.Builder
-	fmt.Fprintf(&b, "POST /v2/q HTTP/1.1\r\nHost: %s\r\nX-Hop-Id: %s\r\nX-Sort: %s\r\nX-Budget: %d\r\n",
-		q.req.Host, q.req.ID, q.req.Class, max(1, left.Milliseconds()))
-	if q.req.Key != "" {
-		fmt.Fprintf(&b, "X-Replay-Key: %s\r\n", q.req.Key)
-	}
-	fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n", len(q.req.Statement))
-	return append([]byte(b.String()), q.req.Statement...)
-}
-
-func (q *Query) call(method, rest string) []byte {
-	return fmt.Appendf(nil, "%s /v2/q/%s%s HTTP/1.1\r\nHost: %s\r\n\r\n", method, q.req.ID, rest, q.req.Host)
-}
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -3,10 +3,8 @@
 package program
 
 import (
-	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"os"
 	"runtime"
@@ -201,19 +199,6 @@
 	}
 }
 
-// ended waits for the end of a stop. A loop that hangs must not keep the program past its time: the kill would come,
-// and the next start might find the address still in use. The log then says where everything stood.
-func ended(ctx context.Context, overdue <-chan time.Time, log *slog.Logger) bool {
-	select {
-	case <-ctx.Done():
-		return true
-	case <-overdue:
-		stacks := make([]byte, stacksMost)
-		log.Error("stopped, though the loop hangs", "stacks", string(stacks[:runtime.Stack(stacks, true)]))
-		return false
-	}
-}
-
 // program is what a stop has to reach.
 type program struct {
 	loop     *netio.Loop
@@ -236,80 +221,6 @@
 	cancel   func()
 }
 
-var errNoDiscovery = errors.New("no discovery server: the key bulletin is missing")
-
-// readConfig reads the configuration that the platform hands out.
-func readConfig() (settings.Config, error) {
-	text, err := os.ReadFile(os.Getenv("GW_CONFIG"))
-	if err != nil {
-		return settings.Config{}, fmt.Errorf("GW_CONFIG: %w", err)
-	}
-	return settings.ParseConfig(text)
-}
-
-// reload is what SIGHUP asks for: the discovery server of the new configuration is watched from the last event on, and all
-// else goes on. What else has changed in it holds from the next start. One that cannot be read changes nothing.
-func (p *program) reload(old settings.Config) {
-	conf, err := readConfig()
-	if err == nil && conf.Discovery == "" && old.Discovery != "" {
-		err = errNoDiscovery
-	}
-	if err != nil {
-		p.log.Error("configuration not read again, the old one stays", "error", err)
-		return
-	}
-	if conf.Listen != old.Listen && os.Getenv("GW_LISTEN") == "" || conf.Limits != old.Limits ||
-		!bytes.Equal(conf.Settings, old.Settings) {
-		p.log.Warn("configuration read again: listen, limits and settings hold from the next start")
-	}
-	events := 0
-	p.loop.Do(func() {
-		known, err := p.stream.Restore(conf.Known)
-		if err != nil {
-			p.log.Warn("initial engine events not all used", "error", err)
-		}
-		for _, e := range known {
-			p.gateway.UpdateEngines(e.Full, e.Engines)
-		}
-		events = len(known)
-		p.watch.Follow(conf.Discovery)
-	})
-	p.log.Info("configuration read again", "discovery", conf.Discovery, "events", events)
-}
-
-// longest is the longest deadline of a class, as a stop counts it.
-func longest(host settings.Host) time.Duration {
-	d := time.Duration(0)
-	for _, c := range host.Module.Classes {
-		d = max(d, c.Deadline)
-	}
-	return min(d, deadlineIs)
-}
-
-// shares divides the descriptors. Together they stay below the limit: a dial that fails for want of a descriptor
-// looks like an engine that cannot be reached.
-type shares struct{ clients, engines, mysqlClients, mysqlEngines netio.Share }
-
-// spare is for listeners, the discovery watch, files, the runtime, and connections between accept and close.
-const spare = 24
-
-func divide(sockets int, withMySQL bool) shares {
-	if withMySQL {
-		s := shares{clients: netio.Share{Most: sockets / 5}, mysqlClients: netio.Share{Most: sockets / 5}}
-		s.engines = engineShare((sockets - 2*(sockets/5) - spare) / 2)
-		s.mysqlEngines = s.engines
-		return s
-	}
-	clients := sockets * 2 / 5 // they hold a third at most, by their own count: some are closed there and not yet here
-	return shares{clients: netio.Share{Most: clients}, engines: engineShare(sockets - clients - spare)}
-}
-
-// engineShare keeps a sixth for what gives attempts up: else it would wait behind the very attempts.
-func engineShare(all int) netio.Share {
-	all = max(2, all)
-	return netio.Share{Most: all - max(1, all/6), Urgent: max(1, all/6)}
-}
-
 // startMySQL opens the MySQL front: at once, or where there is a virtual router when that is master.
 func (p *program) startMySQL() (err error) {
 	p.loop.Do(func() {
@@ -323,79 +234,6 @@
 	return err
 }
 
-// drain is the planned stop: ping tells at once, connections and requests are still taken for the stated time, all that
-// was taken is answered, and the connections are shut in an order in which nothing that came is lost.
-func (p *program) drain() {
-	p.log.Info("stopping", "open", p.gateway.Core.Open(), "out", p.gateway.Core.Out())
-	p.clients.Drain()
-	if p.version != nil {
-		p.version.serve(false)
-	}
-	if p.members != nil {
-		p.members.Leave() // at once: the others take its part over while it answers what it has taken
-	}
-	if p.standby != nil {
-		p.standby.Stop() // the next master takes the address over while this one answers what it has taken
-	}
-	p.loop.After(acceptFor, func() {
-		if p.mysql != nil {
-			p.mysql.StopAccepting()
-		}
-		p.clients.Stop(p.closeIdleConnections)
-	})
-	p.loop.After(p.longest+answerIn, p.gateway.Close)
-	p.loop.After(p.longest+exitIn, p.closeConnections)
-	p.loop.After(p.longest+exitIn+closeIn, p.cancel)
-}
-
-// closeIdleConnections shuts the connections that rest as soon as nothing is open or out. A request that came on one of them just
-// then is answered first, and the rest are looked at again.
-func (p *program) closeIdleConnections() {
-	p.gateway.WhenIdle(func() {
-		if p.closeIdle() {
-			p.closeConnections()
-			return
-		}
-		p.loop.After(acceptFor/lookShare, p.closeIdleConnections)
-	})
-}
-
-// lookShare is how many times in the time for accepting the connections are looked at.
-const lookShare = 15
-
-// closeIdle shuts the clients' connections that rest, and tells whether that were all of them.
-func (p *program) closeIdle() bool {
-	all := p.clients.CloseIdle()
-	return (p.mysql == nil || p.mysql.CloseIdle()) && all
-}
-
-// closeConnections shuts what connections there are, and ends the program when their peers have ended them too.
-func (p *program) closeConnections() {
-	if p.closing {
-		return
-	}
-	p.closing = true
-	p.gateway.Close() // where deadlines are short this may be the first time
-	p.clients.Finish()
-	if p.version != nil {
-		p.version.reporter.Stop()
-	}
-	if p.members != nil {
-		p.members.Stop()
-	}
-	if p.mysql != nil {
-		p.mysql.Finish()
-	}
-	p.clients.WhenEmpty(func() {
-		if p.mysql == nil {
-			p.cancel()
-			return
-		}
-		p.mysql.WhenEmpty(p.cancel)
-	})
-	p.loop.After(closeFor, p.cancel)
-}
-
 // stats logs the counts now and then.
 func (p *program) stats() {
 	p.loop.After(statsEvery, func() {
