--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -7,12 +7,9 @@
 	"errors"
 	"log/slog"
 	"os"
-	"runtime"
-	"runtime/debug"
 	"syscall"
 	"time"
 
-	"frostpier/internal/core"
 	"frostpier/internal/discovery"
 	"frostpier/internal/invariant"
 	"frostpier/internal/netio"
@@ -49,134 +46,86 @@
 
 // Run serves until term ends and what was taken is answered; with each hup it reads the configuration again.
 func Run(term context.Context, hup <-chan os.Signal, log *slog.Logger, hooks Hooks) error {
-	conf, err := readConfig()
+	s, err := readSetup(hooks)
 	if err != nil {
 		return err
 	}
-	if listen := os.Getenv("GW_LISTEN"); listen != "" {
-		conf.Listen = listen
-	}
-	host, err := settings.ParseHost(conf.Settings)
-	if err != nil {
-		return err
-	}
-	if hooks.Host != nil {
-		hooks.Host(&host)
-	}
-	operator, err := readOperator()
-	if err != nil {
-		return err
-	}
-	narrow, err := subsetConfig(operator.Subset, host.Zones)
-	if err != nil {
-		return err
-	}
-	runtime.GOMAXPROCS(max(1, int(conf.Limits.Cores)))
-	memory := conf.Limits.MemoryMB << 20
-	debug.SetMemoryLimit(memory * 6 / 10)
-	debug.SetGCPercent(gcPercent)
-
-	loop := netio.NewLoop(time.Now(), memory/8)
-	keep := invariant.New(log)
-	heart, err := core.New(host, conf.SeedNumber(), log, keep)
+	limitRuntime(s.conf)
+	p, err := newProgram(s, log)
 	if err != nil {
 		return err
 	}
-	shares := divide(conf.Limits.Sockets, operator.MySQL != nil)
-	pool := netio.NewPool(loop, log, host.ConnectTimeout, host.ConnIdle, shares.engines)
-	gateway := netio.NewGateway(loop, heart, pool, log)
-	stream := &discovery.Stream{}
-	known, err := stream.Restore(conf.Known)
-	if err != nil {
-		log.Warn("initial engine events not all used", "error", err)
-	}
-	clients := netio.NewClients(gateway, log, shares.clients.Most, int(memory/8))
-	p := &program{loop: loop, gateway: gateway, clients: clients, keep: keep, log: log, stream: stream, longest: longest(host), host: host,
-		watch: netio.NewWatch(gateway, log, conf.Discovery, stream)}
-	if m := operator.MySQL; m != nil {
-		setup, err := mysqlSetup(m, heart, shares.mysqlClients.Most)
-		if err != nil {
-			return err
-		}
-		engines := netio.NewPool(loop, log, host.ConnectTimeout, host.ConnIdle, shares.mysqlEngines)
-		gateway.Pools = append(gateway.Pools, engines)
-		p.mysql = netio.NewMySQLFront(gateway, engines, log, setup)
-	}
-	if v := operator.VRRP; v != nil {
-		if p.standby, err = standby(v, loop, log, p.mysql); err != nil {
-			return err
-		}
-	}
-	p.operator = operator
-	if operator.Rollout != nil {
-		if p.version, err = newVersion(operator, host, conf, loop, log, heart); err != nil {
-			return err
-		}
-	}
-	if op := operator.Membership; op != nil && !host.PeerMessages {
-		log.Warn("membership stays off: the settings do not permit messages between gateways", "key", "permissions.peer_messages")
-	} else if op != nil {
-		if operator.Spread != nil {
-			p.digest = spread.New()
-			heart.ShareLoadReports(p.digest)
-		}
-		p.subset = subsetting.New(placeOf(host), loop, gateway, log)
-		to := peers{Gateway: gateway, subset: p.subset}
-		if p.version != nil {
-			to.mix = p.version.mix
-		}
-		if p.members, err = members(op, conf, host, loop, log, keep, p.extensions(), p.digest != nil, p.subset.ReceiverWeights, to); err != nil {
-			return err
-		}
-	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p.cancel = cancel
-	go loop.Run(ctx)
+	go p.loop.Run(ctx)
 	if hooks.Loop != nil {
-		hooks.Loop(loop)
+		hooks.Loop(p.loop)
+	}
+	listed := p.start(s)
+	if stopped, err := p.openFronts(term, s.conf.Listen); err != nil || stopped {
+		return err
+	}
+	log.Info("serving", "name", s.conf.Name, "listen", s.conf.Listen, "discovery", s.conf.Discovery, "events", len(p.initial),
+		"engines", listed)
+	p.reloadUntil(term, hup, s.conf)
+	overdue := time.NewTimer(p.longest + exitIn + closeIn + stuckWait)
+	go p.loop.Do(p.drain)
+	if ended(ctx, overdue.C, log) {
+		log.Info("stopped", "counts", p.gateway.Core.Counts(), "invariants", p.keep.Broken())
 	}
-	listed := 0
-	loop.Do(func() {
-		loop.WatchLag()
+	return nil
+}
+
+// start starts what needs no listener. It returns how many engines the configuration's events list.
+func (p *program) start(s setup) (listed int) {
+	p.loop.Do(func() {
+		p.loop.WatchLag()
 		if p.members != nil {
 			p.members.Start()
-			p.subset.Start(p.members, narrow)
+			p.subset.Start(p.members, s.subset)
 		}
-		for _, e := range known {
-			listed = gateway.UpdateEngines(e.Full, e.Engines)
+		for _, e := range p.initial {
+			listed = p.gateway.UpdateEngines(e.Full, e.Engines)
 		}
-		p.watch.Follow(conf.Discovery)
+		p.watch.Follow(s.conf.Discovery)
 		p.stats()
 	})
-	if p.version != nil { // who watches it hears of the process before it serves
-		loop.Do(func() { p.version.serve(false) })
-	}
-	if stopped, err := p.listen(term, conf.Listen); err != nil || stopped {
-		return err
+	return listed
+}
+
+// openFronts has clients taken; it tells whether the stop came first. Who watches the version hears of the process before it
+// serves.
+func (p *program) openFronts(term context.Context, listen string) (stopped bool, err error) {
+	p.reportServing(false)
+	if stopped, err := p.listen(term, listen); err != nil || stopped {
+		return stopped, err
 	}
 	if err := p.startMySQL(); err != nil {
-		return err
+		return false, err
 	}
+	p.reportServing(true)
+	return false, nil
+}
+
+// reportServing reports whether the gateway serves, where its version is reported.
+func (p *program) reportServing(serving bool) {
 	if p.version != nil {
-		loop.Do(func() { p.version.serve(true) })
+		p.loop.Do(func() { p.version.serve(serving) })
 	}
-	log.Info("serving", "name", conf.Name, "listen", conf.Listen, "discovery", conf.Discovery, "events", len(known), "engines", listed)
-	for serving := true; serving; {
+}
+
+// reloadUntil reads the configuration and the operator's file again with each hup, until term ends.
+func (p *program) reloadUntil(term context.Context, hup <-chan os.Signal, conf settings.Config) {
+	for {
 		select {
 		case <-hup:
 			p.reload(conf)
 			p.reloadOperator()
 		case <-term.Done():
-			serving = false
+			return
 		}
 	}
-	overdue := time.NewTimer(p.longest + exitIn + closeIn + stuckWait)
-	go loop.Do(p.drain)
-	if ended(ctx, overdue.C, log) {
-		log.Info("stopped", "counts", heart.Counts(), "invariants", keep.Broken())
-	}
-	return nil
 }
 
 // listen opens the platform's front. While the former process still holds the address it waits; it tells whether the stop
@@ -213,6 +162,7 @@
 	keep     *invariant.Keeper
 	log      *slog.Logger
 	stream   *discovery.Stream
+	initial  []discovery.Event // of the list of engines, from the configuration
 	watch    *netio.Watch
 	host     settings.Host
 	longest  time.Duration     // deadline that a stop reckons with
