--- /dev/null
+++ b/internal/program/extensions_test.go
@@ -0,0 +1,55 @@
+package program
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"frostpier/internal/membership"
+	"frostpier/internal/rollout"
+	"frostpier/internal/spread"
+)
+
+// Guards against load reports that leave no room for the version: with so many engines they fill every datagram, and no
+// gateway would know which versions run in the fleet.
+func TestVersionsAreSentBesideManyLoadReports(t *testing.T) {
+	const engines = 200
+	now := 1_800_000_000 * time.Second
+	digest := spread.New()
+	var numbers []uint64
+	for i := range uint64(engines) {
+		numbers = append(numbers, i+1)
+	}
+	digest.SetEngines(numbers)
+	for _, number := range numbers {
+		digest.Record(now, number, 3)
+	}
+	p := &program{digest: digest, version: &version{mix: rollout.NewMix(2, rollout.ID{Program: 1 << 40, Settings: 1 << 41})}}
+	peers := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), netip.MustParseAddrPort("127.0.0.2:9")}
+	node := func(self int) *membership.Node {
+		n, err := membership.New(membership.Config{Self: self, Peers: peers, Fleet: "f", Seed: 1, Extensions: p.extensions(),
+			ExtensionInterval: spread.Interval})
+		if err != nil {
+			t.Fatal(err)
+		}
+		n.Start(now)
+		return n
+	}
+	sender, receiver := node(0), node(1)
+	received := map[uint32]int{}
+	for range 20 {
+		for _, datagram := range sender.Datagrams() {
+			receiver.Receive(now, peers[0], datagram.Bytes)
+		}
+		for _, event := range receiver.Events() {
+			if event.Kind == membership.ExtensionReceived {
+				received[event.ExtensionKind]++
+			}
+		}
+		now = sender.Next()
+		sender.Tick(now)
+	}
+	if received[rollout.ExtensionKind] == 0 || received[spread.ExtensionKind] == 0 {
+		t.Errorf("messages received by kind: %v", received)
+	}
+}
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -178,16 +178,17 @@
 	})
 }
 
-// extensions returns the subsystems that piggyback messages on membership datagrams.
+// extensions returns the subsystems that piggyback messages on membership datagrams. Load reports come last: with some
+// dozens of engines they fill what room there is.
 func (p *program) extensions() (out []membership.Extension) {
-	if p.subset != nil { // first, as it has little to say and the digest fills what room there is
+	if p.subset != nil {
 		out = append(out, p.subset.Extension())
 	}
-	if p.digest != nil {
-		out = append(out, p.digest)
-	}
 	if p.version != nil {
 		out = append(out, p.version.mix)
 	}
+	if p.digest != nil {
+		out = append(out, p.digest)
+	}
 	return out
 }
