--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -120,7 +120,6 @@
 			Ready: line.Health == policy.Ready}
 	}
 	g.used.updateEngines()
-	g.shareReports()
 	return len(g.engines)
 }
 
--- a/internal/hollow/subset.go
+++ b/internal/hollow/subset.go
@@ -66,7 +66,8 @@
 		engines = append(engines, engine)
 	}
 	s.chooser.SetEngines(s.gateway.loop.Now(), engines)
-	s.apply()
+	s.chooser.Changed() // the reports are shared anew whether the subset has changed or not: readiness may have
+	s.gateway.shareReports()
 }
 
 // apply shares load reports of the engines of a subset that has changed.
