--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -380,6 +380,9 @@
 		m.begin(now, i) // who was to start it may have ended before it did
 	case s.pid == 0 && after > diesWithin && (g.Going == NewVersion || after > againStart):
 		m.failed(now, i, "ended at its start")
+	case after > seconds(m.plan.Change.ReadyS) && s.pid > 0 && s.report.PID != s.pid && m.reportsMayBeCut(m.silentOld(now)):
+		m.note("gateway %d has not reported since its start, but neither do old ones: it is waited for longer", i)
+		m.step(now, i, Starting, 0)
 	case after > seconds(m.plan.Change.ReadyS):
 		m.failed(now, i, fmt.Sprintf("did not serve on its version %g s after its start", m.plan.Change.ReadyS))
 	}
@@ -423,13 +426,36 @@
 	m.begin(now, i)
 }
 
+// isSilent tells whether a gateway's last report is too old.
+func (m *Machine) isSilent(now time.Duration, i int) bool {
+	at := m.seen[i].at
+	return at == 0 || now-at > seconds(m.plan.Change.SilentS)
+}
+
+// silentOld counts the steady gateways on the old version that are silent.
+func (m *Machine) silentOld(now time.Duration) (count int) {
+	for i, g := range m.state.Gateways {
+		if g.Going == OldVersion && g.Step == Steady && m.isSilent(now, i) {
+			count++
+		}
+	}
+	return count
+}
+
+// reportsMayBeCut tells whether so many old gateways are silent that a new one's silence says nothing about its version: the
+// reports' way to here may be cut.
+func (m *Machine) reportsMayBeCut(silentOld int) bool {
+	old := len(m.seen) - m.size(m.state.Stage)
+	return float64(silentOld) >= max(1, cutShare*float64(old))
+}
+
 // Samples are what the gateways did while the stage was watched; those that tell nothing are left out. silent counts
 // old and new ones that do not tell in time.
 func (m *Machine) Samples(now time.Duration) (out []Sample, silent [2]int) {
 	for i := range m.seen {
 		s, g := &m.seen[i], &m.state.Gateways[i]
 		isNew := g.Going == NewVersion
-		if s.at == 0 || now-s.at > seconds(m.plan.Change.SilentS) {
+		if m.isSilent(now, i) {
 			if g.Step == Steady {
 				side := 0
 				if isNew {
@@ -488,13 +514,12 @@
 	} else {
 		m.opinion = m.plan.Judge.Opine(samples, m.names(), len(m.classes), len(m.plan.Stages))
 	}
-	olds := len(m.seen) - m.size(m.state.Stage)
 	switch {
 	case m.opinion.Worse:
 		m.goBack(now, m.opinion.Why)
 		return
-	case silent[1] > 0 && after > seconds(m.plan.Change.SilentS) && float64(silent[0]) < max(1, cutShare*float64(olds)):
-		// Who does not tell in time does worse; but where old ones are silent too, the way to here may be cut.
+	case silent[1] > 0 && after > seconds(m.plan.Change.SilentS) && !m.reportsMayBeCut(silent[0]):
+		// Who does not tell in time does worse.
 		m.goBack(now, fmt.Sprintf("%d new gateways tell nothing", silent[1]))
 		return
 	case silent[1] > 0:
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -388,6 +388,36 @@
 	}
 }
 
+// A new gateway that is cut off before its first report is waited for while old ones are silent too; one that is silent alone, or
+// that stays silent when the others report again, has failed to start.
+func TestCutDuringStartIsNotBlamed(t *testing.T) {
+	const heals = 70 * time.Second
+	cases := []struct {
+		name, bug string
+		alone     bool
+		phase     Phase
+	}{
+		{"with a third of the old ones", "", false, Done},
+		{"alone", "", true, Returned},
+		{"with a third of the old ones, and it does not start", "hang at start", false, Returned},
+	}
+	for _, c := range cases {
+		w := newWorld(t, 30, 6, c.bug)
+		first := w.machine.order[0]
+		w.cut = func(i int, at time.Duration) bool {
+			begun := w.gateways[first].starts[NewVersion] > 0
+			return begun && at-simEpoch < heals && (i == first || i%3 == 0 && !c.alone)
+		}
+		w.run(heals - 10*time.Second)
+		if phase := w.machine.State().Phase; !c.alone && phase != Changing {
+			t.Errorf("%s: %s before the cut heals: %s", c.name, phase, w.machine.State().Reason)
+		}
+		if phase := w.run(40 * time.Minute); phase != c.phase {
+			t.Errorf("%s: %s: %s\n%s", c.name, phase, w.machine.State().Reason, strings.Join(w.notes, "\n"))
+		}
+	}
+}
+
 // Too little traffic is not taken for a good sign.
 func TestTooLittleIsNotGood(t *testing.T) {
 	for _, unknown := range []string{"hold", "back"} {
