--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -74,7 +74,8 @@
 }
 
 // send writes a datagram: the fields of its kind, then the update on the receiver itself if it needs one, then the state
-// of the subject, then queued updates, then the messages of extensions, as far as there is room.
+// of the subject, then queued updates, then the messages of extensions, as far as there is room and the budget allows. A receiver
+// that is suspected or out of service gets neither of the last two: most of them would be lost.
 func (n *Node) send(now time.Duration, kind wirepb.Kind, to int, sequence uint32, subject int, incarnation uint64) {
 	if to < 0 {
 		return
@@ -104,19 +105,30 @@
 	if subject >= 0 && subject != to && n.members[subject].state != Alive {
 		add(subject)
 	}
+	if n.members[to].state == Alive {
+		if kind == wirepb.Kind_KIND_GOSSIP || n.budget.allowsUpdates(now) {
+			n.addUpdates(add)
+		}
+		if n.budget.allowsExtensions(now) {
+			n.appendExtensions(now, d, to, room)
+		}
+	}
+	n.post(to, d)
+}
+
+// addUpdates adds queued updates until one does not fit.
+func (n *Node) addUpdates(add func(i int) bool) {
 	for range n.updates.count {
 		i := n.updates.pop()
 		m := &n.members[i]
 		if !add(i) {
 			n.updates.pushFront(i)
-			break
+			return
 		}
 		if m.repeats--; m.repeats > 0 {
 			n.updates.pushBack(i)
 		}
 	}
-	n.appendExtensions(now, d, to, room)
-	n.post(to, d)
 }
 
 // payloadHead is what a payload needs beside its body: two tags, two lengths, its kind.
@@ -172,6 +184,7 @@
 	b = seal(b)
 	n.bufs[k] = b
 	n.out = append(n.out, Datagram{To: to, Bytes: b})
+	n.budget.spend(len(b))
 	n.counts.Sent++
 	n.counts.SentBytes += uint64(len(b))
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -58,11 +58,7 @@
 		return
 	}
 	n.gossipAt = 0
-	for range fanout {
-		if to := n.someone(-1); to >= 0 && n.updates.count > 0 {
-			n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
-		}
-	}
+	n.sendUpdates(now)
 	n.sendNotices(now)
 	n.sendPieces(now)
 	if n.updates.count > 0 || len(n.notices) > 0 || len(n.askers) > 0 {
@@ -70,13 +66,26 @@
 	}
 }
 
+// sendUpdates sends queued updates to a few members, as the budget allows.
+func (n *Node) sendUpdates(now time.Duration) {
+	for range fanout {
+		if n.updates.count == 0 || !n.budget.allowsUpdates(now) && now-n.gossipedAt < n.cfg.part(updatePatience) {
+			return
+		}
+		if to := n.someone(-1); to >= 0 {
+			n.gossipedAt = now
+			n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
+		}
+	}
+}
+
 // tickExtensions sends the messages of the extensions to a random member, drawn by the weights where there are any.
 func (n *Node) tickExtensions(now time.Duration) {
 	if n.extensionsAt == 0 || now < n.extensionsAt {
 		return
 	}
 	n.extensionsAt = now + n.cfg.ExtensionInterval
-	if to := n.receiver(); to >= 0 && !n.leaving {
+	if to := n.receiver(); to >= 0 && !n.leaving && n.budget.allowsExtensions(now) {
 		n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
 	}
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -97,6 +97,7 @@
 	limit   int16 // repeats of a rumour
 	health  int
 	counts  Counts
+	budget  byteBudget
 
 	started      time.Duration
 	leaving      bool
@@ -114,13 +115,15 @@
 	callAt       time.Duration // no ping of a suspect before this
 	reach        int           // place in the members of the last try to reach one that is out of service
 
-	updates   queue
-	gossipAt  time.Duration // 0 = nothing to pass on
-	updatedAt time.Duration // when there was last something new
-	notices   []int
-	askers    []asker
-	askedAt   time.Duration // when the whole state was last asked for
-	synced    bool
+	updates     queue
+	gossipAt    time.Duration // 0 = nothing to pass on
+	gossipedAt  time.Duration // when updates were last sent in a round
+	updatedAt   time.Duration // when there was last something new
+	notices     []int
+	askers      []asker
+	pieceSentAt time.Duration // when a piece of the whole state was last sent
+	askedAt     time.Duration // when the whole state was last asked for
+	synced      bool
 
 	sequence uint32
 	enc, dec wirepb.Datagram
@@ -136,7 +139,7 @@
 	}
 	n := &Node{cfg: cfg, fleet: cfg.fleetID(), rnd: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
 		byAddr: make(map[netip.AddrPort]int, len(cfg.Peers)), members: make([]member, len(cfg.Peers)),
-		serving: len(cfg.Peers), limit: int16(repeats(len(cfg.Peers)))}
+		serving: len(cfg.Peers), limit: int16(repeats(len(cfg.Peers))), budget: newByteBudget(cfg)}
 	n.updates.init(len(cfg.Peers))
 	for i, p := range cfg.Peers {
 		n.byAddr[p] = i
@@ -288,14 +291,14 @@
 	n.due = max(due, now)
 }
 
-// someone is a random member in service other than this one and besides; -1 if there is none.
+// someone is a random member in service other than this one and besides, rather not one under suspicion; -1 if there is none.
 func (n *Node) someone(besides int) int {
 	if len(n.order) == 0 {
 		return -1
 	}
 	fits := func(i int) bool { return i != besides && n.members[i].state.Serves() }
 	for range 4 {
-		if i := n.order[n.rnd.IntN(len(n.order))]; fits(i) {
+		if i := n.order[n.rnd.IntN(len(n.order))]; fits(i) && n.members[i].state == Alive {
 			return i
 		}
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -39,11 +39,13 @@
 	}
 }
 
+// sendPieces sends pieces of the whole state to those who asked for it, as the budget allows.
 func (n *Node) sendPieces(now time.Duration) {
 	for range piecesRound {
-		if len(n.askers) == 0 {
+		if len(n.askers) == 0 || !n.budget.allowsUpdates(now) && now-n.pieceSentAt < n.cfg.part(piecePatience) {
 			return
 		}
+		n.pieceSentAt = now
 		a := n.askers[0]
 		n.askers = append(n.askers[:0], n.askers[1:]...)
 		if next := n.sendPiece(now, a.to, a.first); next < len(n.members) {
--- a/internal/membership/virtual/heal_test.go
+++ b/internal/membership/virtual/heal_test.go
@@ -41,3 +41,60 @@
 		}
 	}
 }
+
+// Whatever becomes of most members at once, what a member sends over 10 s stays within 3 KB a second, on average over the members.
+func TestMassFaultsStayWithinTheBudget(t *testing.T) {
+	t.Parallel()
+	n := 500
+	if raced {
+		n = 100
+	}
+	f, _ := fleet(t, n)
+	f.Loss, f.Every = 0.05, 1000
+	faults := []struct {
+		name  string
+		begin func()
+	}{
+		{"halves cut from each other", func() { f.Cut = func(a, b int) bool { return a%2 != b%2 } }},
+		{"healed", func() { f.Cut = nil }},
+		{"a fifth killed", func() { eachFifth(n, f.Kill) }},
+		{"back", func() { eachFifth(n, func(i int) { f.Start(i, 0) }) }},
+	}
+	for _, fault := range faults {
+		fault.begin()
+		most := worstBytes(t, f, 60*time.Second, 10*time.Second)
+		t.Logf("%d members, %s: %.0f bytes a second in the worst 10 s", n, fault.name, most)
+		if most > 3000 {
+			t.Errorf("%d members, %s: %.0f bytes a second", n, fault.name, most)
+		}
+	}
+	agree(t, f, 10*time.Second)
+}
+
+// eachFifth calls a function with one member in five.
+func eachFifth(members int, call func(member int)) {
+	for i := 0; i < members; i += 5 {
+		call(i)
+	}
+}
+
+// worstBytes plays on and returns what a member that is up has sent a second, on average, in the worst window.
+func worstBytes(t *testing.T, f *Fleet, span, window time.Duration) (worst float64) {
+	t.Helper()
+	totals := []int{total(f.SentBytes)}
+	for range int(span / time.Second) {
+		play(t, f, time.Second)
+		totals = append(totals, total(f.SentBytes))
+	}
+	up := 0
+	for i := range f.Members {
+		if f.Members[i].Up {
+			up++
+		}
+	}
+	for end := int(window / time.Second); end < len(totals); end++ {
+		sent := totals[end] - totals[end-int(window/time.Second)]
+		worst = max(worst, float64(sent)/float64(up)/window.Seconds())
+	}
+	return worst
+}
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -153,11 +153,11 @@
 	loop     *netio.Loop
 	gateway  *netio.Gateway
 	clients  *netio.Clients
-	mysql    *netio.MySQLFront   // nil where it is off
-	standby  *netio.Standby      // likewise
-	members  *netio.Members      // likewise
-	digest   *spread.Digest      // likewise
-	version  *version            // likewise
+	mysql    *netio.MySQLFront  // nil where it is off
+	standby  *netio.Standby     // likewise
+	members  *netio.Members     // likewise
+	digest   *spread.Digest     // likewise
+	version  *version           // likewise
 	subset   *subsetting.Driver // likewise
 	keep     *invariant.Keeper
 	log      *slog.Logger
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -109,7 +109,7 @@
 // peers dispatches the messages of other gateways.
 type peers struct {
 	*netio.Gateway
-	mix    *rollout.Mix        // nil where versions are not reported
+	mix    *rollout.Mix       // nil where versions are not reported
 	subset *subsetting.Driver // whose table of zones is kept
 }
 
