--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// deaths are the members told dead since the last call, by how many gateways each.
+// deaths are the members declared dead since the last call, by how many gateways each.
 func (f *testFleet) deaths() map[int]int {
 	told, mark := f.StateChanges(f.mark)
 	f.mark = mark
@@ -85,7 +85,7 @@
 	return out
 }
 
-// noDeaths fails if any member outside the list was told dead.
+// noDeaths fails if any member outside the list was declared dead.
 func (f *testFleet) noDeaths(when string, but ...int) {
 	f.t.Helper()
 	deaths := f.deaths()
@@ -93,7 +93,7 @@
 		delete(deaths, i)
 	}
 	if len(deaths) > 0 {
-		f.t.Errorf("%s: told dead without need: %v", when, deaths)
+		f.t.Errorf("%s: declared dead without need: %v", when, deaths)
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-// Kills: one, then a third at once, each told to all; back from nothing; one that is back before its death was told.
+// Kills: one, then a third at once, each told to all; back from nothing; one that is back before its death was declared.
 func TestFleetKills(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1)
@@ -126,7 +126,7 @@
 	f.must(f.Kill(7))
 	time.Sleep(3 * time.Second)
 	f.must(f.StartAll())
-	time.Sleep(8 * time.Second) // by now its former self would be told dead
+	time.Sleep(8 * time.Second) // by now its former self would be declared dead
 	f.agree("back from nothing after 3 s", healMost)
 
 	third := []int{0, 4, 8, 11}
@@ -185,7 +185,7 @@
 	f.noDeaths("restarts by SIGTERM")
 }
 
-// One that can send but not hear, and one that can hear but not send, are told dead, and by the others nobody else is;
+// One that can send but not hear, and one that can hear but not send, are declared dead, and by the others nobody else is;
 // halves cut from each other find each other again.
 func TestFleetCuts(t *testing.T) {
 	t.Parallel()
--- a/cmd/frostpier/spread_test.go
+++ b/cmd/frostpier/spread_test.go
@@ -98,7 +98,7 @@
 	return ends, <-watched
 }
 
-// mostly tells whether at least so large a share was served.
+// mostly reports whether at least so large a share was served.
 func mostly(ends map[standin.Verdict]int, share float64) bool {
 	all := 0
 	for _, n := range ends {
--- a/internal/capacity/measure/need.go
+++ b/internal/capacity/measure/need.go
@@ -41,5 +41,5 @@
 	return nil
 }
 
-// runs tells whether a group is measured.
+// runs reports whether a group is measured.
 func (o Options) runs(group capacity.Group) bool { return o.Only == "" || o.Only == group }
--- a/internal/controller/checks.go
+++ b/internal/controller/checks.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// one asks once; well tells whether the connection may be used again. Nothing is counted where the connection ended: a
+// one asks once; well reports whether the connection may be used again. Nothing is counted where the connection ended: a
 // gateway that died by chance and took a while to start again was blamed for the queries that it missed meanwhile.
 func one(conn net.Conn, lines *bufio.Reader, id int, c rollout.Check) (result rollout.Checked, well bool) {
 	var raw [8]byte
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	controlName = "control" // the file that tells where a running controller listens
+	controlName = "control" // the file that reports where a running controller listens
 	controlWait = 5 * time.Second
 )
 
--- a/internal/controller/gateways.go
+++ b/internal/controller/gateways.go
@@ -111,7 +111,7 @@
 	return c, nil
 }
 
-// identify checks a version's files and tells how it shows in reports.
+// identify checks a version's files and reports how it shows in reports.
 func identify(v rollout.Version, fleet, listen string) (id rollout.ID, err error) {
 	info, err := os.Stat(v.Program)
 	if err == nil && (info.IsDir() || info.Mode()&0o111 == 0) {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -76,7 +76,7 @@
 }
 
 // Began says that a part of an attempt's answer goes out to the client. From then on there is no other attempt, and
-// no time-out of the request; it tells whether the client still wants it.
+// no time-out of the request; it reports whether the client still wants it.
 func (c *Core) Began(now time.Duration, id ID, n int) (bool, []Action) {
 	r := c.requests[id]
 	if r == nil || r.replied || n >= len(r.attempts) || r.attempts[n].over {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -119,7 +119,7 @@
 	return i, known
 }
 
-// Keyed tells whether queries of a class need a replay key.
+// Keyed reports whether queries of a class need a replay key.
 func (c *Core) Keyed(class int) bool { return c.host.Module.Classes[class].Effect == policy.Keyed }
 
 // Open is how many requests have no answer yet, and Out how many attempts are out.
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -16,7 +16,7 @@
 // looks at, few enough that hundreds of gateways can write them.
 const sampleEvery = 100 * time.Millisecond
 
-// recording tells whether records of decisions are wanted: only while debugging, as each costs a look at every engine.
+// recording reports whether records of decisions are wanted: only while debugging, as each costs a look at every engine.
 func (c *Core) recording() bool { return c.log.Enabled(context.Background(), slog.LevelDebug) }
 
 func engineName(id policy.EngineID) string { return fmt.Sprintf("%x", uint64(id)) }
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -66,7 +66,7 @@
 // PID is the process's number.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Ended tells whether the process has ended.
+// Ended reports whether the process has ended.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.ended:
--- a/internal/httpq/pages.go
+++ b/internal/httpq/pages.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// wholeRows tells whether a page holds whole rows, as every page does: one that does not was cut off.
+// wholeRows reports whether a page holds whole rows, as every page does: one that does not was cut off.
 func wholeRows(page []byte) bool { return len(page) == 0 || page[len(page)-1] == '\n' }
 
 func (q *Query) keepPage(body []byte) {
--- a/internal/httpq/response.go
+++ b/internal/httpq/response.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// Idle tells whether nothing of a further response has come.
+// Idle reports whether nothing of a further response has come.
 func (r *Reader) Idle() bool { return r.head == nil && len(r.buf) == 0 }
 
 func (r *Reader) readHead(head []byte) error {
@@ -86,7 +86,7 @@
 	return err
 }
 
-// bodyLength tells how long a body is, -1 where it comes in chunks. A head that tells two lengths tells none: which
+// bodyLength reports how long a body is, -1 where it comes in chunks. A head that tells two lengths tells none: which
 // of them the engine meant cannot be known, and a result cut at the wrong one would be served as whole.
 func bodyLength(status int, fields textproto.MIMEHeader) (int, error) {
 	lengths, coding := fields["Content-Length"], fields["Transfer-Encoding"]
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -4,5 +4,5 @@
 
 func stop(what string) { panic("invariant broken: " + what) }
 
-// Checks tells whether this build looks for what costs too much to look for in service.
+// Checks reports whether this build looks for what costs too much to look for in service.
 const Checks = true
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -26,5 +26,5 @@
 	return ok
 }
 
-// Broken tells how often something did not hold.
+// Broken reports how often something did not hold.
 func (k *Keeper) Broken() int64 { return k.broken.Load() }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -4,5 +4,5 @@
 
 func stop(string) {}
 
-// Checks tells whether this build looks for what costs too much to look for in service.
+// Checks reports whether this build looks for what costs too much to look for in service.
 const Checks = false
--- a/internal/jsonrpc/jsonrpc.go
+++ b/internal/jsonrpc/jsonrpc.go
@@ -219,12 +219,12 @@
 
 func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// plainID tells whether an id can be given back: a number, a string or null.
+// plainID reports whether an id can be given back: a number, a string or null.
 func plainID(id string) bool {
 	return len(id) <= 64 && (id == "null" || id[0] == '"' || id[0] == '-' || id[0] >= '0' && id[0] <= '9')
 }
 
-// headerSafe tells whether a text can go into a header as it is.
+// headerSafe reports whether a text can go into a header as it is.
 func headerSafe(s string) bool {
 	return len(s) <= 256 && strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f }) < 0
 }
--- a/internal/membership/budget.go
+++ b/internal/membership/budget.go
@@ -49,13 +49,13 @@
 	b.level = max(-budgetDebt*b.perInterval, b.level-float64(bytes))
 }
 
-// allowsUpdates tells whether there is something left for updates on members.
+// allowsUpdates reports whether there is something left for updates on members.
 func (b *byteBudget) allowsUpdates(now time.Duration) bool {
 	b.refill(now)
 	return b.level > 0
 }
 
-// allowsExtensions tells whether there is enough left to carry extensions.
+// allowsExtensions reports whether there is enough left to carry extensions.
 func (b *byteBudget) allowsExtensions(now time.Duration) bool {
 	b.refill(now)
 	return b.level > extensionReserve*b.perInterval
--- a/internal/membership/check.go
+++ b/internal/membership/check.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Check tells which of the rules that must hold after every call is broken: for tests and builds with -tags debug.
+// Check reports which of the rules that must hold after every call is broken: for tests and builds with -tags debug.
 func (n *Node) Check() error {
 	serving, queued, suspects := 0, 0, 0
 	digest := uint32(0)
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -35,10 +35,10 @@
 	suspicionShare = 1.75 // of the interval: shortest suspicion, so that the median detection takes three intervals
 	longest        = 2.0  // times that: the suspicion that nobody else confirms
 	secondHand     = 1.6  // intervals that a member waits longer who only heard of a suspicion (ours)
-	callShare      = 0.15 // of the interval between two pings of a suspect before it is told dead (ours)
-	callLeast      = 1.0  // intervals that a suspect is pinged before it is told dead, at the least (ours)
+	callShare      = 0.15 // of the interval between two pings of a suspect before it is declared dead (ours)
+	callLeast      = 1.0  // intervals that a suspect is pinged before it is declared dead, at the least (ours)
 	callsRound     = 8    // pings of suspects, all together, in that time (ours)
-	callsLeast     = 8    // pings without an answer before any is told dead: loss alone must not do it (ours)
+	callsLeast     = 8    // pings without an answer before any is declared dead: loss alone must not do it (ours)
 	gossipShare    = 0.1  // of the interval between two rounds of gossip, while there is news
 	graceShare     = 0.02 // of the interval by which a wait may end late before all others are moved on (ours)
 	lateShare      = 0.25 // of the interval by which it must be late to speak against the own health
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -17,7 +17,7 @@
 	None    State = iota // no state
 	Alive                // in service; at incarnation 0 presumed from the configuration, not heard of yet
 	Suspect              // gave no answer; in service until the suspicion ends
-	Dead                 // told dead
+	Dead                 // declared dead
 	Left                 // said itself that it leaves
 )
 
@@ -26,7 +26,7 @@
 	return [...]string{"none", "alive", "suspect", "dead", "left", "", "", ""}[s&7]
 }
 
-// Serves tells whether a member in this state counts as in service.
+// Serves reports whether a member in this state counts as in service.
 func (s State) Serves() bool { return s == Alive || s == Suspect }
 
 // EventKind says what an Event tells.
@@ -229,7 +229,7 @@
 // Members is how many members the configuration names.
 func (n *Node) Members() int { return len(n.members) }
 
-// Member tells what is held of a member: its state and its incarnation, 0 where it was never heard of.
+// Member returns what is held of a member: its state and its incarnation, 0 where it was never heard of.
 func (n *Node) Member(i int) (State, uint64) { return n.members[i].state, n.members[i].incarnation }
 
 // Health is the local health figure of Lifeguard: 0 is well, 4 the worst. Probes slow down with it.
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -414,8 +414,8 @@
 	// Output: member 1 alive -> left
 }
 
-// Guards against a death told unasked: a member that had missed a refutation held the suspicion for longer while its own
-// health was bad, and told a death the moment that it recovered, without one ping. Seen in 100 process-hours with
+// Guards against a death declared unasked: a member that had missed a refutation held the suspicion for longer while its own
+// health was bad, and declared a death the moment that it recovered, without one ping. Seen in 100 process-hours with
 // pauses, once.
 func TestRecoveredHealthTellsNoDeathUnasked(t *testing.T) {
 	n := newNode(t, 0, 5)
@@ -434,7 +434,7 @@
 			}
 		}
 		if s, _ := n.Member(3); s == Dead && asked < 5 {
-			t.Fatalf("told dead after %v, asked %d times", now-epoch, asked)
+			t.Fatalf("declared dead after %v, asked %d times", now-epoch, asked)
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -172,7 +172,7 @@
 
 // failed ends it in vain. Where no helper said anything at all, the fault may well be here, and that speaks against the
 // own health. Ours: Lifeguard counts each helper that is silent; where most members die at once that slowed down the
-// others until they told nothing for minutes.
+// others until they reported nothing for minutes.
 func (n *Node) failed(now time.Duration) {
 	p := &n.probe
 	p.open = false
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -36,7 +36,7 @@
 	n.members[i].suspicion = suspicion{}
 }
 
-// accuse adds one who found no answer; it tells whether that is news.
+// accuse adds one who found no answer; it reports whether that is news.
 func (n *Node) accuse(i, by int) bool {
 	m := &n.members[i]
 	if by < 0 || int(m.accused) == len(m.accusers) {
@@ -75,7 +75,7 @@
 	n.call(now, i) // it hears of the suspicion from this first
 }
 
-// doubt is a suspicion that a death told at second hand leads to: the member itself is asked before that is believed.
+// doubt is a suspicion that a death declared at second hand leads to: the member itself is asked before that is believed.
 // A rumour from beyond a cut that healed must not kill a member among those who have been in touch with it all the
 // while. Further reports of the same death change nothing meanwhile.
 func (n *Node) doubt(now time.Duration, i int, incarnation uint64, by int) {
@@ -117,7 +117,7 @@
 	return time.Duration(d + secondHand*float64(n.cfg.Interval)), time.Duration(d)
 }
 
-// deadAt is when the suspect is told dead: at the suspicion's end, and never before it was pinged for long enough. The
+// deadAt is when the suspect is declared dead: at the suspicion's end, and never before it was pinged for long enough. The
 // end moves to and fro with accusers and the own health; it once jumped past all pings to a member that had long
 // refuted what this one missed.
 func (n *Node) deadAt(m *member) time.Duration {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -17,7 +17,7 @@
 		return
 	}
 	m := &n.members[about]
-	if incarnation == 0 { // ours: who never heard of the member can accuse it, but can tell nothing else of it
+	if incarnation == 0 { // ours: who never heard of the member can accuse it, but can report nothing else of it
 		if s != Suspect && s != Dead {
 			return
 		}
--- a/internal/membership/virtual/fleet.go
+++ b/internal/membership/virtual/fleet.go
@@ -70,7 +70,7 @@
 	Steps   int
 	// Seen is called for every event of a member; an error ends the run.
 	Seen func(at int, e membership.Event) error
-	// Cut tells whether datagrams between two members are cut off, in this direction.
+	// Cut reports whether datagrams between two members are cut off, in this direction.
 	Cut             func(from, to int) bool
 	Sent, SentBytes []int // of each member
 	addrs           []netip.AddrPort
@@ -306,7 +306,7 @@
 	return f.err
 }
 
-// Agreed tells whether every member that is up holds each member as it is, and names one that does not.
+// Agreed reports whether every member that is up holds each member as it is, and names one that does not.
 func (f *Fleet) Agreed() (bool, string) {
 	for v := range f.Members {
 		if !f.Members[v].Up || f.Members[v].paused {
--- a/internal/membership/virtual/fleet_test.go
+++ b/internal/membership/virtual/fleet_test.go
@@ -164,14 +164,14 @@
 	}
 }
 
-// A cannot hear B while all else works: others answer for B, and nobody is told dead.
+// A cannot hear B while all else works: others answer for B, and nobody is declared dead.
 func TestOneSidedCut(t *testing.T) {
 	t.Parallel()
 	f, deaths := fleet(t, 12)
 	f.Cut = func(a, b int) bool { return a == 1 && b == 0 }
 	play(t, f, 5*time.Minute)
 	if *deaths > 0 {
-		t.Fatalf("%d deaths told", *deaths)
+		t.Fatalf("%d deaths declared", *deaths)
 	}
 }
 
@@ -194,7 +194,7 @@
 			}
 		}
 		if *deaths < 11 {
-			t.Errorf("%s: told dead %d times", name, *deaths)
+			t.Errorf("%s: declared dead %d times", name, *deaths)
 		}
 		f.Cut = nil
 		agree(t, f, time.Minute)
@@ -223,7 +223,7 @@
 	f.Pause(3, 20*time.Second)
 	play(t, f, 19*time.Second)
 	if *deaths < 11 {
-		t.Errorf("told dead %d times", *deaths)
+		t.Errorf("declared dead %d times", *deaths)
 	}
 	agree(t, f, 30*time.Second)
 }
@@ -245,7 +245,7 @@
 	agree(t, f, 90*time.Second)
 }
 
-// A member that is back before its death was told, from nothing and with an earlier clock, beats the rumours about
+// A member that is back before its death was declared, from nothing and with an earlier clock, beats the rumours about
 // its former self.
 func TestRestartBeatsItsFormerSelf(t *testing.T) {
 	t.Parallel()
--- a/internal/membership/virtual/heal_test.go
+++ b/internal/membership/virtual/heal_test.go
@@ -34,9 +34,9 @@
 			agree(t, f, time.Minute)
 			took := f.Now - healed
 			per := float64(total(f.Sent)-sent) / float64(n) / took.Seconds()
-			t.Logf("%d members, loss %v: agreed after %v, %d told dead by their own half, %.1f datagrams a member and second", n, loss, took, len(own), per)
+			t.Logf("%d members, loss %v: agreed after %v, %d declared dead by their own half, %.1f datagrams a member and second", n, loss, took, len(own), per)
 			if len(own) > 0 || per > 60 {
-				t.Errorf("%d members, loss %v: %d told dead by their own half, %.1f datagrams", n, loss, len(own), per)
+				t.Errorf("%d members, loss %v: %d declared dead by their own half, %.1f datagrams", n, loss, len(own), per)
 			}
 		}
 	}
--- a/internal/membership/virtual/heartbeat.go
+++ b/internal/membership/virtual/heartbeat.go
@@ -105,7 +105,7 @@
 // Events are those of the last call.
 func (h *Heartbeat) Events() []membership.Event { return h.events }
 
-// Member tells what is held of a member.
+// Member returns what is held of a member.
 func (h *Heartbeat) Member(i int) (membership.State, uint64) {
 	if h.dead[i] {
 		return membership.Dead, 1
--- a/internal/membership/virtual/random.go
+++ b/internal/membership/virtual/random.go
@@ -72,7 +72,7 @@
 
 var (
 	errBack  = errors.New("a view went back to an earlier incarnation or state")
-	errFalse = errors.New("a member that no fault had touched was told dead")
+	errFalse = errors.New("a member that no fault had touched was declared dead")
 )
 
 // seen checks what a member tells.
--- a/internal/mysql/auth.go
+++ b/internal/mysql/auth.go
@@ -28,7 +28,7 @@
 	return h, nil
 }
 
-// proves tells whether a client's token shows that it knows the password.
+// proves reports whether a client's token shows that it knows the password.
 func (h Hash) proves(scramble, token []byte) bool {
 	if len(token) != len(h) {
 		return false
--- a/internal/mysql/front.go
+++ b/internal/mysql/front.go
@@ -68,7 +68,7 @@
 	return f, frame(0, append(b, nativePassword+"\x00"...))
 }
 
-// LoggedIn tells whether the client has shown who it is.
+// LoggedIn reports whether the client has shown who it is.
 func (f *Front) LoggedIn() bool { return f.account != nil }
 
 func (f *Front) write(b []byte) { f.events = append(f.events, Event{Write: b}) }
--- a/internal/mysql/result.go
+++ b/internal/mysql/result.go
@@ -59,7 +59,7 @@
 	return pass, last, nil
 }
 
-// control tells whether a packet behind the definitions is the end or an error; anything else is a row.
+// control reports whether a packet behind the definitions is the end or an error; anything else is a row.
 func control(first byte, n int) bool { return first == 0xff || first == 0xfe && n < 9 }
 
 // row starts to pass a row on, with the head before the first.
--- a/internal/netio/clients.go
+++ b/internal/netio/clients.go
@@ -118,7 +118,7 @@
 	ln.Close()
 }
 
-// CloseIdle shuts the connections on which nothing is open and nothing has come, and tells whether that were all of them.
+// CloseIdle shuts the connections on which nothing is open and nothing has come, and reports whether that were all of them.
 func (f *Clients) CloseIdle() bool {
 	for c := range f.open {
 		if c.unread == 0 { // else its line may still end
@@ -241,7 +241,7 @@
 }
 
 // retire shuts a connection that rests, unless something has come on it that is not read yet: a request that was there
-// before the shutdown is owed an answer. It tells whether it did.
+// before the shutdown is owed an answer. It reports whether it did.
 func (c *client) retire(why string) bool {
 	if !c.conn.DeliverPending() || len(c.calls) > 0 {
 		return false
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -72,7 +72,7 @@
 	return c
 }
 
-// isOpen tells whether the owner may still use it. It is called on the loop.
+// isOpen reports whether the owner may still use it. It is called on the loop.
 func (c *Conn) isOpen() bool { return c.phase == connOpen }
 
 // moveTo is the only place that changes the phase.
@@ -108,7 +108,7 @@
 }
 
 // receive waits for bytes and notes them as arrived in one step with reading them: whoever looks under the lock either
-// finds them there or still in the socket, never in between. It tells whether the owner wants them.
+// finds them there or still in the socket, never in between. It reports whether the owner wants them.
 func (c *Conn) receive(buf []byte) (wanted bool, err error) {
 	if c.raw == nil {
 		n, err := c.nc.Read(buf)
@@ -163,7 +163,7 @@
 }
 
 // peek reads what is in the socket by now, without handing it over: the owner may be in the middle of something. It
-// tells whether anything waits for the owner, and whether the peer has ended its side. It is called on the loop.
+// reports whether anything waits for the owner, and whether the peer has ended its side. It is called on the loop.
 func (c *Conn) peek() (some, eof bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/netio/conn_test.go
+++ b/internal/netio/conn_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recordedConn is a handler that tells when its connection has ended.
+// recordedConn is a handler that reports when its connection has ended.
 type recordedConn struct{ closed chan error }
 
 func (h recordedConn) Data([]byte)      {}
--- a/internal/netio/gateway.go
+++ b/internal/netio/gateway.go
@@ -16,7 +16,7 @@
 	Answer(r core.Reply, result any)
 	// ReadPending takes in what the client has sent by now. It is not called from within one of the caller's own calls.
 	ReadPending()
-	// Unread tells whether something of the client's waits to be taken in, and whether the client has ended its connection,
+	// Unread reports whether something of the client's waits to be taken in, and whether the client has ended its connection,
 	// which nobody may have read yet.
 	Unread() (some, gone bool)
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// Began says that a part of an attempt's answer is there, and tells whether it is to go out.
+// Began says that a part of an attempt's answer is there, and reports whether it is to go out.
 func (g *Gateway) Began(id core.ID, n int) bool {
 	wanted, actions := g.Core.Began(g.Loop.Now(), id, n)
 	if c := g.calls[id]; c != nil && len(actions) > 0 {
--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -73,7 +73,7 @@
 	l.wait(func() { f(); done <- struct{}{} }, done)
 }
 
-// wait hands over work that says itself when it is done, and tells whether it was: not if the loop has ended.
+// wait hands over work that says itself when it is done, and reports whether it was: not if the loop has ended.
 func (l *Loop) wait(f func(), done <-chan struct{}) bool {
 	l.Post(f)
 	select {
--- a/internal/netio/members.go
+++ b/internal/netio/members.go
@@ -85,13 +85,13 @@
 	return m.node.Adjust(timeout, suspect)
 }
 
-// Serves tells whether a member is held to be in service. It is called on the loop.
+// Serves reports whether a member is held to be in service. It is called on the loop.
 func (m *Members) Serves(member int) bool {
 	state, _ := m.node.Member(member)
 	return state.Serves()
 }
 
-// Started tells when a member last started, by its own Unix clock; 0 where it was never heard of. It is called on the loop.
+// Started reports when a member last started, by its own Unix clock; 0 where it was never heard of. It is called on the loop.
 func (m *Members) Started(member int) time.Duration {
 	_, incarnation := m.node.Member(member)
 	return time.Duration(incarnation) * time.Second
--- a/internal/netio/mysqlfront.go
+++ b/internal/netio/mysqlfront.go
@@ -87,7 +87,7 @@
 	f.again = f.gateway.Loop.After(after, try)
 }
 
-// CloseIdle shuts the connections on which no query runs and nothing has come, and tells whether that were all of them.
+// CloseIdle shuts the connections on which no query runs and nothing has come, and reports whether that were all of them.
 func (f *MySQLFront) CloseIdle() bool {
 	for c := range f.open {
 		if c.conn.DeliverPending() && c.call == nil {
--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -134,13 +134,13 @@
 	l.pool.admit()
 }
 
-// clean tells whether an idle connection may be used: nothing has come on it since, not even its end.
+// clean reports whether an idle connection may be used: nothing has come on it since, not even its end.
 func (l *Link) clean() bool {
 	some, eof := l.peek()
 	return !some && !eof && l.isOpen()
 }
 
-// keep keeps a free connection for somebody until a second answer would have shown on it, and then tells whether it is of use:
+// keep keeps a free connection for somebody until a second answer would have shown on it, and then reports whether it is of use:
 // one that is not is closed.
 func (p *Pool) keep(l *Link, then func(usable bool)) {
 	l.claim = func() {
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -94,7 +94,7 @@
 	return listed
 }
 
-// openFronts has clients taken; it tells whether the stop came first. Who watches the version hears of the process before it
+// openFronts has clients taken; it reports whether the stop came first. Who watches the version hears of the process before it
 // serves.
 func (p *program) openFronts(term context.Context, listen string) (stopped bool, err error) {
 	p.reportServing(false)
@@ -128,7 +128,7 @@
 	}
 }
 
-// listen opens the platform's front. While the former process still holds the address it waits; it tells whether the stop
+// listen opens the platform's front. While the former process still holds the address it waits; it reports whether the stop
 // came first.
 func (p *program) listen(term context.Context, addr string) (stopped bool, err error) {
 	began := time.Now()
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -60,7 +60,7 @@
 // lookShare is how many times in the time for accepting the connections are looked at.
 const lookShare = 15
 
-// closeIdle shuts the clients' connections that rest, and tells whether that were all of them.
+// closeIdle shuts the clients' connections that rest, and reports whether that were all of them.
 func (p *program) closeIdle() bool {
 	all := p.clients.CloseIdle()
 	return (p.mysql == nil || p.mysql.CloseIdle()) && all
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -250,7 +250,7 @@
 // Resume lets a paused gateway go on.
 func (f *Fleet) Resume(i int) error { return f.gateways[i].signal(syscall.SIGCONT) }
 
-// Up tells whether a gateway runs, Paused or not.
+// Up reports whether a gateway runs, Paused or not.
 func (f *Fleet) Up(i int) bool {
 	up, _, _ := f.gateways[i].state()
 	return up
@@ -267,7 +267,7 @@
 	return g.cmd.Process.Pid
 }
 
-// Ready tells whether a gateway runs and serves.
+// Ready reports whether a gateway runs and serves.
 func (f *Fleet) Ready(i int) bool {
 	_, ready, _ := f.gateways[i].state()
 	return ready
--- a/internal/rig/scenario.go
+++ b/internal/rig/scenario.go
@@ -137,7 +137,7 @@
 	Gateways  int             // concerned, over all repeats
 	First     []time.Duration // from the fault until the first other gateway told of it, sorted
 	All       []time.Duration // from then until all running ones had, sorted
-	False     int             // distinct members told dead that ran, were not concerned, and by one not concerned
+	False     int             // distinct members declared dead that ran, were not concerned, and by one not concerned
 	Agreed    []time.Duration // from the end of the fault until all views matched the truth, sorted
 	Datagrams float64         // sent by a gateway in a second, over the step
 	Bytes     float64
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -276,7 +276,7 @@
 	return t
 }
 
-// above tells whether the new share is above the old one by more than so much. It is a mixture sequential ratio test: the
+// above reports whether the new share is above the old one by more than so much. It is a mixture sequential ratio test: the
 // likelihood of shares spread evenly above what is allowed, over that of just what is allowed. By Ville's inequality
 // it ever passes 1/alpha with no more than the chance alpha where the share is allowed, however often it is looked at.
 // Counts are divided by their dispersion, and what is allowed is taken from the upper end of what the old share may be.
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -84,7 +84,7 @@
 	return s
 }
 
-// Dirty tells whether the state changed since the last call of Dirty.
+// Dirty reports whether the state changed since the last call of Dirty.
 func (m *Machine) Dirty() bool {
 	d := m.dirty
 	m.dirty = false
@@ -258,7 +258,7 @@
 	}
 }
 
-// settled tells whether every gateway that is to be on the version is, and those of the others are steady.
+// settled reports whether every gateway that is to be on the version is, and those of the others are steady.
 func (m *Machine) settled(version string) bool {
 	for i, g := range m.state.Gateways {
 		if g.Step != Steady || g.Want == version && !m.on(i, version) {
@@ -268,7 +268,7 @@
 	return true
 }
 
-// on tells whether a gateway told that it serves on a version.
+// on reports whether a gateway told that it serves on a version.
 func (m *Machine) on(i int, version string) bool {
 	s := &m.seen[i]
 	return s.at > 0 && s.report.Serving && s.report.PID == s.pid && (ID{s.report.Program, s.report.Settings}) == m.ids[version]
@@ -426,7 +426,7 @@
 	m.begin(now, i)
 }
 
-// isSilent tells whether a gateway's last report is too old.
+// isSilent reports whether a gateway's last report is too old.
 func (m *Machine) isSilent(now time.Duration, i int) bool {
 	at := m.seen[i].at
 	return at == 0 || now-at > seconds(m.plan.Change.SilentS)
@@ -442,15 +442,15 @@
 	return count
 }
 
-// reportsMayBeCut tells whether so many old gateways are silent that a new one's silence says nothing about its version: the
+// reportsMayBeCut reports whether so many old gateways are silent that a new one's silence says nothing about its version: the
 // reports' way to here may be cut.
 func (m *Machine) reportsMayBeCut(silentOld int) bool {
 	old := len(m.seen) - m.size(m.state.Stage)
 	return float64(silentOld) >= max(1, cutShare*float64(old))
 }
 
-// Samples are what the gateways did while the stage was watched; those that tell nothing are left out. silent counts
-// old and new ones that do not tell in time.
+// Samples are what the gateways did while the stage was watched; those that report nothing are left out. silent counts
+// old and new ones that do not report in time.
 func (m *Machine) Samples(now time.Duration) (out []Sample, silent [2]int) {
 	for i := range m.seen {
 		s, g := &m.seen[i], &m.state.Gateways[i]
@@ -519,11 +519,11 @@
 		m.goBack(now, m.opinion.Why)
 		return
 	case silent[1] > 0 && after > seconds(m.plan.Change.SilentS) && !m.reportsMayBeCut(silent[0]):
-		// Who does not tell in time does worse.
-		m.goBack(now, fmt.Sprintf("%d new gateways tell nothing", silent[1]))
+		// Who does not report in time does worse.
+		m.goBack(now, fmt.Sprintf("%d new gateways report nothing", silent[1]))
 		return
 	case silent[1] > 0:
-		m.opinion = Opinion{Why: fmt.Sprintf("%d new and %d old gateways tell nothing", silent[1], silent[0])}
+		m.opinion = Opinion{Why: fmt.Sprintf("%d new and %d old gateways report nothing", silent[1], silent[0])}
 	}
 	switch {
 	case m.opinion.Enough && after >= seconds(m.plan.Watch.LeastS) && m.settled(NewVersion):
--- a/internal/rollout/mixed_test.go
+++ b/internal/rollout/mixed_test.go
@@ -10,7 +10,7 @@
 )
 
 // Half of a fleet tells versions and half, of the program before, knows nothing of them: both sides' datagrams and shared
-// reports pass, a kill is told to all, nobody is told dead for it, and each new one knows the versions of all new ones.
+// reports pass, a kill is told to all, nobody is declared dead for it, and each new one knows the versions of all new ones.
 func TestOldAndNewSideBySide(t *testing.T) {
 	const members = 20
 	mixes, digests := map[int]*Mix{}, map[int]*spread.Digest{}
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -384,7 +384,7 @@
 		return at-simEpoch > 10*time.Second && at-simEpoch < 100*time.Second && i == first
 	}
 	if phase := w.run(40 * time.Minute); phase != Returned || w.gateways[first].starts[OldVersion] != 1 {
-		t.Errorf("one that tells nothing while all others do: %s, started %v", phase, w.gateways[first].starts)
+		t.Errorf("one that reports nothing while all others do: %s, started %v", phase, w.gateways[first].starts)
 	}
 }
 
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -15,7 +15,7 @@
 	Returned  Phase = "returned"  // all gateways are on the old version again
 )
 
-// Over tells whether nothing is left to be done.
+// Over reports whether nothing is left to be done.
 func (p Phase) Over() bool { return p == Done || p == Returned }
 
 // Step is what is being done to a gateway.
--- a/internal/scalerig/agree.go
+++ b/internal/scalerig/agree.go
@@ -55,7 +55,7 @@
 	return r.hollowAgreed(states)
 }
 
-// serves tells whether a viewer should hold a member in service.
+// serves reports whether a viewer should hold a member in service.
 func (r *Rig) serves(viewer, member int) bool {
 	return r.up[member] && (!r.cut || r.plan.RegionOf(viewer) == r.plan.RegionOf(member))
 }
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// Live tells whether all that differs from another file may change while the program runs: membership's timeout_ms and
+// Live reports whether all that differs from another file may change while the program runs: membership's timeout_ms and
 // suspect_ms, whether a digest that the start began is told, and the section subset with all its keys.
 func (o Operator) Live(next Operator) bool {
 	if (o.Membership == nil) != (next.Membership == nil) || o.Spread == nil && next.Spread != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -205,5 +205,5 @@
 	}, nil
 }
 
-// FigureOf tells which figure a report's field is; Unknown for one that the module has no use for.
+// FigureOf reports which figure a report's field is; Unknown for one that the module has no use for.
 func FigureOf(field string) policy.Figure { return figures[field] }
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -92,7 +92,7 @@
 	return c
 }
 
-// Serving tells whether the front takes a gateway to be in service.
+// Serving reports whether the front takes a gateway to be in service.
 func (c *Clients) Serving(i int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -96,7 +96,7 @@
 	return ended
 }
 
-// Fallen tells whether the engine, while cold, was sent more than it bears.
+// Fallen reports whether the engine, while cold, was sent more than it bears.
 func (m *Model) Fallen() bool { return m.fallen }
 
 // warmth is the share of its capacity that the engine has since its start.
--- a/internal/subset/chooser.go
+++ b/internal/subset/chooser.go
@@ -28,7 +28,7 @@
 	Cold  bool // may still be warming up
 }
 
-// serves tells whether the engine counts towards the size of a subset.
+// serves reports whether the engine counts towards the size of a subset.
 func (e Engine) serves() bool { return e.Ready && !e.Cold }
 
 // unknownZone stands for a gateway's zone that is not known.
@@ -190,16 +190,16 @@
 	return max(at, s.nextLeave), due
 }
 
-// All tells whether the subset is every engine of the list.
+// All reports whether the subset is every engine of the list.
 func (s *Chooser) All() bool { return len(s.ids) == len(s.engines) }
 
-// Contains tells whether an engine is in the subset.
+// Contains reports whether an engine is in the subset.
 func (s *Chooser) Contains(id uint64) bool {
 	_, held := s.held[id]
 	return held
 }
 
-// Core tells whether an engine is in the part of the subset that the gateway shares with many others of its zone: the
+// Core reports whether an engine is in the part of the subset that the gateway shares with many others of its zone: the
 // place to keep table groups warm. Engines outside the core make up for those of it that do not serve, see to it that none
 // is left out by all, or are about to leave.
 func (s *Chooser) Core(id uint64) bool { return s.held[id] }
@@ -207,7 +207,7 @@
 // IDs returns the subset in ascending order. It is the Chooser's own: not to be changed, and good until the next call.
 func (s *Chooser) IDs() []uint64 { return s.ids }
 
-// Changed tells whether the subset or its core has changed since the last call.
+// Changed reports whether the subset or its core has changed since the last call.
 func (s *Chooser) Changed() bool {
 	changed := s.changed
 	s.changed = false
--- a/internal/subset/fleet_test.go
+++ b/internal/subset/fleet_test.go
@@ -66,7 +66,7 @@
 	return all, sets
 }
 
-// evenness tells how far the engines that serve are from even parts: of subsets, and of load if each gateway spreads its
+// evenness reports how far the engines that serve are from even parts: of subsets, and of load if each gateway spreads its
 // traffic evenly over the engines of its subset that serve; and of how many such engines the subsets are.
 func (f situation) evenness(traffic func(number int) float64) (subsets, load, sizes spread) {
 	all, sets := f.subsets()
--- a/policy/api.go
+++ b/policy/api.go
@@ -220,7 +220,7 @@
 	Moot // never sent
 )
 
-// NeverRan tells whether the outcome proves that the attempt did not run.
+// NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Full || o == NoConnection || o == Moot }
 
 // Report is an engine's load report.
--- a/policy/explain.go
+++ b/policy/explain.go
@@ -40,13 +40,13 @@
 	Strain  float64 // the fleet's load over that at which the window may fall
 }
 
-// Filled tells how full this gateway and the fleet are held to be.
+// Filled reports how full this gateway and the fleet are held to be.
 func (g *Gateway) Filled() Fill {
 	return Fill{Threads: g.threads, Window: g.window * g.able / max(1/windowWiden, min(1, g.strain())), Mean: g.mean,
 		Strain: g.strain()}
 }
 
-// Explain tells which guard keeps an open request in line, what is believed of each listed engine, and how many
+// Explain reports which guard keeps an open request in line, what is believed of each listed engine, and how many
 // threads this gateway has out against its window. It changes nothing that decides.
 func (g *Gateway) Explain(now time.Duration, id RequestID) (held bool, by Guard, looks []Look) {
 	r := g.requests[id]
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -286,7 +286,7 @@
 
 // overloaded is our test for the paper's group overload: its load per set engine tops the mean engine load.
 // Departure: the group's part of the load is its part of what this gateway sent in the last while; a gateway
-// that is one of many holds a query or two at a time, which tell nothing of a group.
+// that is one of many holds a query or two at a time, which report nothing of a group.
 func (g *Gateway) overloaded(gr *group) bool {
 	load := (g.mean*g.cores + g.threads) / max(1, g.cores)
 	return load > growFloor && gr.sent.now(g.now)*g.cores > g.sent.now(g.now)*gr.cores
@@ -307,14 +307,14 @@
 	}
 }
 
-// takenAlone tells whether another group that is overloaded has the engine in its set.
+// takenAlone reports whether another group that is overloaded has the engine in its set.
 func (g *Gateway) takenAlone(e *engine, gr *group) bool {
 	return e.sole > 1 || e.sole == 1 && !(gr.over && slices.Contains(gr.set, e))
 }
 
 // ---- Admission ----
 
-// usable tells whether the request may go to the engine now, but for room: guards, health, refusals. Two
+// usable reports whether the request may go to the engine now, but for room: guards, health, refusals. Two
 // loads of a table group never go to one engine together: the second would stand still and keep its memory.
 func (g *Gateway) usable(r *request, e *engine) bool {
 	twin := func(a *attempt) bool { return a.req.class.IsLoad && a.req.group == r.group }
@@ -358,7 +358,7 @@
 	}
 }
 
-// room tells whether the engine may take the request's threads and memory; before any report, with nothing
+// room reports whether the engine may take the request's threads and memory; before any report, with nothing
 // out there, it may.
 func (g *Gateway) room(r *request, e *engine) bool {
 	return e.threads == 0 && !g.told ||
@@ -381,7 +381,7 @@
 	return g.threads == 0 || g.threads+r.class.threads <= width
 }
 
-// fits tells whether the grant fits beside ours and what the others' threads seem to be granted, each as
+// fits reports whether the grant fits beside ours and what the others' threads seem to be granted, each as
 // much as one of ours: a gateway with one query at an engine sees none of what fills its memory.
 func (g *Gateway) fits(r *request, e *engine) bool {
 	mb := g.grant(r, e)
@@ -541,7 +541,7 @@
 	g.hold(r)
 }
 
-// sendAgain tells whether an attempt that its engine seems not to have read may go out there once more, and
+// sendAgain reports whether an attempt that its engine seems not to have read may go out there once more, and
 // counts it: it may have run all the same, and then it is a further attempt.
 func (g *Gateway) sendAgain(a *attempt) bool {
 	r := a.req
@@ -646,7 +646,7 @@
 	}
 }
 
-// worthAgain tells whether a further attempt is permitted and can still be in time.
+// worthAgain reports whether a further attempt is permitted and can still be in time.
 func (g *Gateway) worthAgain(r *request) bool {
 	return g.s.CanCancel && r.Cost > 0 && len(r.attempts) < 2 && r.class.Effect != Unsafe && g.inBudget(r) &&
 		g.inWindow(r) && g.now+secs(againMargin*g.wants(r)) < r.end
@@ -884,7 +884,7 @@
 }
 
 // silence adds up, over the attempts out at an engine that has answered nothing meanwhile, the times that
-// they have waited in the longest usual ones, and tells whether one of them makes the engine suspect. A
+// they have waited in the longest usual ones, and reports whether one of them makes the engine suspect. A
 // gateway that holds one query there must not take a long query for a hang: hundreds that do so drive the
 // load onto the rest. It hurts where an engine hangs and the only query there could still be saved.
 func (g *Gateway) silence(e *engine) (proof float64, suspect bool) {
@@ -923,7 +923,7 @@
 	}
 }
 
-// ill tells whether health keeps an engine from work; if most engines look bad, health is not believed.
+// ill reports whether health keeps an engine from work; if most engines look bad, health is not believed.
 func (g *Gateway) ill(e *engine) bool {
 	if !e.shut && (e.trial == 0 || len(e.out) == 0 || e.out[len(e.out)-1].sent < e.openedAt) {
 		return false
@@ -977,7 +977,7 @@
 // notDraining: nothing new once told (rule 3).
 func (g *Gateway) notDraining(e *engine) bool { return e.Health == Ready }
 
-// cold tells whether the engine may still be warming up.
+// cold reports whether the engine may still be warming up.
 func (g *Gateway) cold(e *engine) bool {
 	return e.Started > 0 && g.now-e.Started < g.s.Rules.WarmAfter
 }
@@ -1041,7 +1041,7 @@
 	return g.extras.total(g.now, ru.ExtraSpan+g.s.Tick)+1 <= ration
 }
 
-// worthLittle tells whether a query is worth less than the mean one.
+// worthLittle reports whether a query is worth less than the mean one.
 func (g *Gateway) worthLittle(r *request) bool {
 	worth := sum(g.classes, func(c *class) float64 { return float64(c.seen+1) * c.Worth })
 	return r.class.Worth*sum(g.classes, func(c *class) float64 { return float64(c.seen + 1) }) < worth
--- a/policy/views_test.go
+++ b/policy/views_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// takes tells whether an engine may get a request now, by room and all else.
+// takes reports whether an engine may get a request now, by room and all else.
 func (g *Gateway) takes(r *request, e *engine) bool { return g.usable(r, e) && g.room(r, e) }
 
 // Guards against the crowded home: a gateway with nothing out sent there though reports told that the engine was full
