--- a/internal/netio/crossings_test.go
+++ b/internal/netio/crossings_test.go
@@ -183,6 +183,17 @@
 	at.nothing()
 }
 
+// serveFirst has a client's request 11 answered over a connection of its own, which is returned.
+func (e *engine) serveFirst(nc net.Conn, in *bufio.Reader) *engineConn {
+	e.t.Helper()
+	sends(e.t, nc, ask(11, safe))
+	at := e.conn()
+	at.call()
+	io.WriteString(at, served)
+	expectLine(e.t, in, `"id":11,"result"`)
+	return at
+}
+
 // forgetIdle closes the idle connections to engines.
 func (r *rig) forgetIdle() {
 	r.loop.Do(func() {
@@ -204,12 +215,8 @@
 			e := newEngine(t, "e")
 			r := newRig(t, 4, e)
 			nc, c := r.client()
-			sends(t, nc, ask(11, safe))
-			first := e.conn()
-			first.call()
-			io.WriteString(first, served)
 			in := bufio.NewReader(nc)
-			expectLine(t, in, `"id":11,"result"`)
+			first := e.serveFirst(nc, in)
 			r.loop.Do(func() {
 				if !chosen {
 					move(first)
@@ -240,12 +247,8 @@
 	r := newRig(t, 4, e)
 	r.loop.Do(func() { r.pool.drainDelay = time.Hour })
 	nc, c := r.client()
-	sends(t, nc, ask(11, safe))
-	first := e.conn()
-	first.call()
-	io.WriteString(first, served)
 	in := bufio.NewReader(nc)
-	expectLine(t, in, `"id":11,"result"`)
+	first := e.serveFirst(nc, in)
 	r.loop.Do(func() {
 		sends(t, nc, ask(12, safe))
 		c.conn.DeliverPending()
