--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"maps"
+	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -211,17 +211,19 @@
 // and then as gone.
 func (c *Core) dispatchChanges(now time.Duration, wanted func(*Engine) bool) []Action {
 	list := policy.EngineList{Kind: policy.ListDelta}
-	var disconnects []Action
-	for _, id := range slices.Sorted(maps.Keys(c.engines)) {
-		e := c.engines[id]
+	for id, e := range c.engines {
 		before, known := c.subset.reported[id]
 		after, needed := c.stateFor(e, known, wanted(e))
-		if !needed || known && before == after {
-			continue
+		if needed && !(known && before == after) {
+			list.Engines = append(list.Engines, after)
 		}
-		c.subset.reported[id] = after
-		list.Engines = append(list.Engines, after)
-		disconnects = append(disconnects, c.recordChange(now, e, before, after, known)...)
+	}
+	slices.SortFunc(list.Engines, func(a, b policy.EngineInfo) int { return cmp.Compare(a.ID, b.ID) })
+	var disconnects []Action
+	for _, after := range list.Engines {
+		before, known := c.subset.reported[after.ID]
+		c.subset.reported[after.ID] = after
+		disconnects = append(disconnects, c.recordChange(now, c.engines[after.ID], before, after, known)...)
 	}
 	c.dropForgotten()
 	if len(list.Engines) == 0 {
--- a/internal/scalerig/rig.go
+++ b/internal/scalerig/rig.go
@@ -140,10 +140,14 @@
 	return hollow.StartProcess(command, r.opt.Environment, log)
 }
 
-func (r *Rig) startFleet() (err error) {
+func (r *Rig) startFleet() error {
+	operator, err := r.operator()
+	if err != nil {
+		return err
+	}
 	r.fleet, err = rig.New(rig.Options{Gateways: r.plan.Real, Others: r.plan.Hollow, Seed: r.plan.Seed, Dir: r.opt.Dir,
 		Command: r.opt.Program, Env: r.opt.Environment, Interval: r.opt.Interval, Engines: slices.Clone(r.list),
-		Operator: r.operator(), Sockets: r.plan.SocketLimit(), Settings: r.settings})
+		Operator: operator, Sockets: r.plan.SocketLimit(), Settings: r.settings})
 	return err
 }
 
--- a/internal/scalerig/settings.go
+++ b/internal/scalerig/settings.go
@@ -3,11 +3,13 @@
 import (
 	"encoding/json"
 	"fmt"
-	"strconv"
 	"strings"
 	"time"
 
+	"github.com/BurntSushi/toml"
+
 	"frostpier/internal/scale"
+	"frostpier/internal/settings"
 	"frostpier/internal/standin"
 	"frostpier/internal/subset"
 )
@@ -66,19 +68,34 @@
 	return &config
 }
 
+// operatorSections are the sections that a real gateway's operator's file has beyond membership.
+type operatorSections struct {
+	Spread settings.Spread  `toml:"spread"`
+	Subset *settings.Subset `toml:"subset,omitempty"`
+}
+
 // operator is the operator's file of the real gateways, beyond membership: the same configuration of subsets.
-func (r *Rig) operator() string {
-	sections := "\n[spread]\n"
-	if r.plan.Subset == 0 {
-		return sections
+func (r *Rig) operator() (string, error) {
+	var sections operatorSections
+	if r.plan.Subset > 0 {
+		least := int64(r.plan.Subset)
+		sections.Subset = &settings.Subset{Least: &least, Regions: r.regionNames()}
 	}
-	var regions []string
+	var text strings.Builder
+	if err := toml.NewEncoder(&text).Encode(sections); err != nil {
+		return "", fmt.Errorf("operator's file: %w", err)
+	}
+	return "\n" + text.String(), nil
+}
+
+// regionNames are the names of the zones of each region.
+func (r *Rig) regionNames() (regions [][]string) {
 	for _, zones := range r.plan.ZonesByRegion() {
 		var names []string
 		for _, zone := range zones {
-			names = append(names, strconv.Quote(scale.ZoneName(zone)))
+			names = append(names, scale.ZoneName(zone))
 		}
-		regions = append(regions, "["+strings.Join(names, ", ")+"]")
+		regions = append(regions, names)
 	}
-	return sections + fmt.Sprintf("[subset]\nleast = %d\nregions = [%s]\n", r.plan.Subset, strings.Join(regions, ", "))
+	return regions
 }
