--- a/internal/membership/budget_test.go
+++ b/internal/membership/budget_test.go
@@ -36,9 +36,10 @@
 		t.Errorf("a ping of %d bytes with an empty budget", length)
 	}
 	n.reset()
+	n.extensionsAt = now
 	n.tickExtensions(now)
-	if len(n.Datagrams()) > 0 {
-		t.Errorf("%d datagrams for extensions with an empty budget", len(n.Datagrams()))
+	if len(n.Datagrams()) > 0 || n.Counts().Postponed != 1 {
+		t.Errorf("%d datagrams for extensions with an empty budget, %d counted as postponed", len(n.Datagrams()), n.Counts().Postponed)
 	}
 	now += 2 * n.cfg.Interval
 	if length := pingLength(); length < fullDatagram {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -69,7 +69,11 @@
 // sendUpdates sends queued updates to a few members, as the budget allows.
 func (n *Node) sendUpdates(now time.Duration) {
 	for range fanout {
-		if n.updates.count == 0 || !n.budget.allowsUpdates(now) && now-n.gossipedAt < n.cfg.part(updatePatience) {
+		if n.updates.count == 0 {
+			return
+		}
+		if !n.budget.allowsUpdates(now) && now-n.gossipedAt < n.cfg.part(updatePatience) {
+			n.counts.Postponed++
 			return
 		}
 		if to := n.someone(-1); to >= 0 {
@@ -85,7 +89,11 @@
 		return
 	}
 	n.extensionsAt = now + n.cfg.ExtensionInterval
-	if to := n.receiver(); to >= 0 && !n.leaving && n.budget.allowsExtensions(now) {
+	if !n.budget.allowsExtensions(now) {
+		n.counts.Postponed++
+		return
+	}
+	if to := n.receiver(); to >= 0 && !n.leaving {
 		n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
 	}
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -64,6 +64,7 @@
 	Suspected, Refuted       uint64 // members by this one; rumours about this one
 	Late                     uint64 // times that this member itself was found to have paused
 	Syncs                    uint64 // times that the whole state was asked for
+	Postponed                uint64 // rounds of gossip, and datagrams for extensions, that the budget of bytes put off
 	Strangers                uint64 // dropped: from an address of no peer, or numbered as another
 	Oversize                 uint64 // dropped: too long
 	Malformed                uint64 // dropped: checksum or form
