--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 TAGGED_PACKAGES = go list -test -f '{{.ImportPath}} {{join .Deps " "}}' ./... | \
 	awk '$$1 ~ /\.test$$/ && /frostpier\/internal\/invariant( |$$)/ {sub(/\.test$$/, "", $$1); print $$1}'
 
-.PHONY: build test test-debug test-membership lint run clean sites demo fleetlab fleetsim scalelab spreadlab rolloutlab proto
+.PHONY: build test test-debug test-virtual lint run clean sites demo fleetlab fleetsim scalelab spreadlab rolloutlab proto
 
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
@@ -18,11 +18,11 @@
 	go tool staticcheck ./...
 	go tool staticcheck -tags debug ./...
 
-# Every test runs under the race detector, with the tag debug and, where that tag changes the code, without it. The membership on
-# a virtual clock runs again at full length, which the race detector does not allow; that takes few cores, so it runs beside the
+# Every test runs under the race detector, with the tag debug and, where that tag changes the code, without it. What runs on a
+# virtual clock runs again at full length, which the race detector does not allow; that takes few cores, so it runs beside the
 # first of these. Tests of fleets (TestFleet...) run after the others, so that nothing else takes their processor time.
 test: lint build
-	$(MAKE) --no-print-directory -j2 -Otarget test-debug test-membership
+	$(MAKE) --no-print-directory -j2 -Otarget test-debug test-virtual
 	go test -race -count=1 -skip '^TestFleet' $$($(TAGGED_PACKAGES))
 	go test -race -count=1 -tags debug -run '^TestFleet' ./...
 	go test -race -count=1 -run '^TestFleet' ./...
@@ -30,8 +30,8 @@
 test-debug:
 	go test -race -count=1 -tags debug -skip '^TestFleet' ./...
 
-test-membership:
-	go test -count=1 ./internal/membership/...
+test-virtual:
+	go test -count=1 ./internal/membership/... ./internal/subsetting
 
 # Needs GW_CONFIG, the path of a configuration; FROSTPIER_OPERATOR names an operator's file.
 run: build
--- a/internal/spread/subset_test.go
+++ b/internal/spread/subset_test.go
@@ -1,7 +1,3 @@
-//go:build !debug
-
-// The model is the same with -tags debug, and takes seconds.
-
 package spread
 
 import (
--- a/internal/subsetting/fleet_test.go
+++ b/internal/subsetting/fleet_test.go
@@ -1,7 +1,3 @@
-//go:build !debug
-
-// The fleet is the same with -tags debug, and takes seconds.
-
 package subsetting
 
 import (
@@ -244,10 +240,17 @@
 
 // A fleet that starts at once settles on subsets of the wanted size, whose loads nearly all gateways know; so it is after the
 // gateways of a zone were lost and came back.
-func TestFleetOfGatewaysSettles(t *testing.T) {
+func TestGatewaysSettleOnSubsets(t *testing.T) {
 	t.Parallel()
-	m := newModel(t, smallSetup)
+	setup := smallSetup
+	if raced {
+		setup.gateways = 260
+	}
+	m := newModel(t, setup)
 	m.checkSettled(t, "after the start", m.run(t, 40*time.Second, 10*time.Second))
+	if raced {
+		return
+	}
 	const lost = 3
 	m.eachOfZone(lost, m.Kill)
 	m.run(t, 20*time.Second, 10*time.Second)
@@ -262,9 +265,9 @@
 	}
 }
 
-// BenchmarkFleetOfGateways plays the expected fleet for a minute and a half: what gateways use and know at the end, and what
+// BenchmarkGatewaysOnSubsets plays the expected fleet for a minute and a half: what gateways use and know at the end, and what
 // they send.
-func BenchmarkFleetOfGateways(b *testing.B) {
+func BenchmarkGatewaysOnSubsets(b *testing.B) {
 	for range b.N {
 		m := newModel(b, wholeSetup)
 		m.run(b, 60*time.Second, 10*time.Second)
--- /dev/null
+++ b/internal/subsetting/norace_test.go
@@ -0,0 +1,5 @@
+//go:build !race
+
+package subsetting
+
+const raced = false
--- /dev/null
+++ b/internal/subsetting/race_test.go
@@ -0,0 +1,6 @@
+//go:build race
+
+package subsetting
+
+// raced: the race detector makes a run ten times as long.
+const raced = true
