--- a/internal/membership/budget.go
+++ b/internal/membership/budget.go
@@ -12,6 +12,7 @@
 	extensionShare   = 0.5  // of the budget that datagrams for the extensions alone may take at the most
 	updatePatience   = 1.0  // of an interval, after which updates are gossiped whatever the budget holds
 	piecePatience    = 0.5  // of an interval, likewise for a piece of the whole state
+	scarceCalls      = 8    // times as long between pings of suspects while there is nothing left, where others suspect them too
 )
 
 // byteBudget is a token bucket over the bytes sent (J. Turner, "New directions in communications", 1986). It may go below zero.
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -93,7 +93,11 @@
 	m := &n.members[i]
 	m.calledAt = now
 	m.calls = min(m.calls+1, callsLeast)
-	n.callAt = now + n.cfg.part(callShare)/callsRound
+	wait := n.cfg.part(callShare) / callsRound
+	if !m.firstHand && !n.budget.allowsUpdates(now) {
+		wait *= scarceCalls
+	}
+	n.callAt = now + wait
 	n.ping(now, i)
 }
 
--- a/internal/membership/virtual/heal_test.go
+++ b/internal/membership/virtual/heal_test.go
@@ -71,6 +71,25 @@
 	agree(t, f, 10*time.Second)
 }
 
+// The budget does not keep the halves of a cut from holding each other dead: its updates go before pings of members that others
+// suspect as well.
+func TestLargeCutIsSeen(t *testing.T) {
+	t.Parallel()
+	n := 500
+	if raced {
+		n = 60
+	}
+	f, _ := fleet(t, n)
+	f.Loss, f.Every = 0.05, 1000
+	f.Cut = func(a, b int) bool { return a%2 != b%2 }
+	play(t, f, 45*time.Second)
+	for i := range f.Members {
+		if serving := f.Members[i].Node.InService(); serving != n/2 {
+			t.Fatalf("after 45 s member %d holds %d of %d in service", i, serving, n)
+		}
+	}
+}
+
 // eachFifth calls a function with one member in five.
 func eachFifth(members int, call func(member int)) {
 	for i := 0; i < members; i += 5 {
