--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -169,7 +169,8 @@
 	return 0
 }
 
-// At is what the slope says of a size: the point measured there if there is one, else the curve.
+// At is what the slope says of a size: the point measured there if there is one; between two measured sizes what lies between
+// their points; else the curve. A flat slope has the curve between them too.
 func (s Slope) At(size float64) Estimate { return s.estimate(s.Fit(), size) }
 
 func (s Slope) estimate(fit Fit, size float64) Estimate {
@@ -178,5 +179,32 @@
 			return Estimate{Value: point.Value, Measured: true}
 		}
 	}
+	below, above, between := s.neighbours(size)
+	if between && s.Form != Flat {
+		return Estimate{Value: s.interpolate(below, above, size)}
+	}
 	return Estimate{Value: fit.At(size), Extrapolated: size > extrapolate*s.Largest()}
 }
+
+// neighbours are the points next to a size on both sides; between is false where there is none on one of them.
+func (s Slope) neighbours(size float64) (below, above Point, between bool) {
+	for _, point := range s.Points {
+		if point.Size < size && (below.Size == 0 || point.Size > below.Size) {
+			below = point
+		}
+		if point.Size > size && (above.Size == 0 || point.Size < above.Size) {
+			above = point
+		}
+	}
+	return below, above, below.Size > 0 && above.Size > 0
+}
+
+// interpolate joins two points by a straight line, for a power on logarithmic axes.
+func (s Slope) interpolate(below, above Point, size float64) float64 {
+	if s.Form == Power {
+		part := math.Log(size/below.Size) / math.Log(above.Size/below.Size)
+		return below.Value * math.Pow(above.Value/below.Value, part)
+	}
+	part := (size - below.Size) / (above.Size - below.Size)
+	return below.Value + part*(above.Value-below.Value)
+}
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// What was measured at a size stands before the curve; beyond three times the largest size a prediction is marked.
+// What was measured at a size stands before the curve, and so does what lies between two points; beyond three times the largest size a prediction is marked.
 func TestEstimates(t *testing.T) {
 	points := pointsOn(func(size float64) float64 { return size })
 	points[1].Value = 160 // off the curve
@@ -50,6 +50,9 @@
 	if e := slope.At(80); e.Value != 160 || !e.Measured || e.Extrapolated {
 		t.Errorf("%+v at a measured size", e)
 	}
+	if e := slope.At(190); e.Value != 230 || e.Measured || e.Extrapolated { // half way from 160 at 80 to 300 at 300
+		t.Errorf("%+v between measured sizes", e)
+	}
 	if e := slope.At(3300); e.Measured || e.Extrapolated {
 		t.Errorf("%+v at three times the largest size", e)
 	}
@@ -58,6 +61,23 @@
 	}
 }
 
+// Between two points a power is joined on logarithmic axes, also where it is bounded and its curve goes beyond both; a flat slope has
+// its curve there.
+func TestBetweenMeasuredSizes(t *testing.T) {
+	bounded := []Point{{Size: 100, Value: 800}, {Size: 200, Value: 2500}, {Size: 400, Value: 2600}, {Size: 800, Value: 2600}}
+	power := Slope{Form: Power, Points: bounded}
+	if e := power.At(700); !near(e.Value, 2600) || power.Fit().At(700) < 2800 {
+		t.Errorf("%+v, by the curve %v", e, power.Fit().At(700))
+	}
+	if e := power.At(200 * math.Sqrt2); !near(e.Value, math.Sqrt(2500*2600)) {
+		t.Errorf("%+v", e)
+	}
+	flat := Slope{Form: Flat, Points: bounded}
+	if e := flat.At(300); !near(e.Value, flat.Fit().At(300)) {
+		t.Errorf("%+v, by the curve %v", e, flat.Fit().At(300))
+	}
+}
+
 // A slope of fewer than four sizes, of an unknown form or with a value that is not positive is refused.
 func TestBadSlopesAreRefused(t *testing.T) {
 	good := pointsOn(func(size float64) float64 { return size })
