--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -15,9 +15,14 @@
 	Simulate simulateCommand `cmd:"" help:"Measure membership on a virtual clock, beside a heartbeat detector."`
 	Spread   spreadCommand   `cmd:"" help:"Compare how evenly versions of the program load stand-in engines."`
 	Rollout  rolloutCommand  `cmd:"" help:"Play good and bad changes in stages on fleets of processes."`
-	Gateway  gatewayCommand  `cmd:"" hidden:"" help:"Serve as the program does, with the fault that the environment names."`
-	Account  accountCommand  `cmd:"" help:"Account for what a fleet lost, from the logs of its gateways."`
-	Replay   replayCommand   `cmd:"" help:"Play the random runs of some seeds on a virtual clock, with every rule checked."`
+	Scale    scaleCommand    `cmd:"" help:"Read what control costs gateways in a fleet of hundreds, most of them hollow."`
+
+	HollowGateways hollowGatewaysCommand `cmd:"" hidden:"" help:"Run hollow gateways as standard input says."`
+	HollowEngines  hollowEnginesCommand  `cmd:"" hidden:"" help:"Run hollow engines as standard input says."`
+
+	Gateway gatewayCommand `cmd:"" hidden:"" help:"Serve as the program does, with the fault that the environment names."`
+	Account accountCommand `cmd:"" help:"Account for what a fleet lost, from the logs of its gateways."`
+	Replay  replayCommand  `cmd:"" help:"Play the random runs of some seeds on a virtual clock, with every rule checked."`
 }
 
 func main() {
--- /dev/null
+++ b/cmd/fleetlab/scale_test.go
@@ -0,0 +1,179 @@
+//go:build !debug
+
+// Without -tags debug alone: with both CI would take too long.
+
+package main
+
+import (
+	"context"
+	"errors"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"frostpier/internal/scale"
+	"frostpier/internal/scalerig"
+)
+
+// asToolVariable has the test binary be the tool, whose hidden commands serve as gateways and hollow parts.
+const asToolVariable = "FLEETLAB_AS_TOOL"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(asToolVariable) == "" {
+		os.Exit(m.Run())
+	}
+	main()
+}
+
+// smallScale is a run that CI can bear. Times are short, and what is waited for may take long: verdicts are counts and
+// final states alone.
+func smallScale(t *testing.T, steps []scale.Step) scalerig.Options {
+	t.Helper()
+	sizes := scale.Sizes{Real: 8, Hollow: 100, Engines: 60, Zones: 4, Regions: 2, Rate: 5}
+	times := scale.Times{Quiet: time.Second, RestartsOver: time.Second, Patience: 2 * time.Minute}
+	self := os.Args[0]
+	return scalerig.Options{Plan: scale.NewPlan(sizes, times, steps, 7), Dir: t.TempDir(), Program: []string{self, "gateway"},
+		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
+		Environment: []string{asToolVariable + "=1"}, Interval: 500 * time.Millisecond, EngineDelay: 5 * time.Millisecond, ReportsPerSecond: 2,
+		Note: func(text string) { t.Log(text) }}
+}
+
+// Each part of a step ends once all members hold the same members and the same list of engines, or fails; at the end
+// nothing is left running.
+func TestSmallScaleAgreesAfterEachStep(t *testing.T) {
+	opt := smallScale(t, scale.AllSteps())
+	rig, err := scalerig.Start(context.Background(), opt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	run, err := rig.Play(context.Background())
+	processes := rig.PIDs()
+	if closing := rig.Close(); err != nil || closing != nil {
+		t.Fatal(err, closing)
+	}
+	checkEnded(t, processes, opt.Plan.Real+2)
+	checkLogsEmpty(t, opt.Dir)
+	var names []string
+	for _, step := range run.Steps {
+		names = append(names, step.Name)
+		if step.RealGateways != 8 || step.HollowGateways != 100 || step.Engines != 60 || step.MeanBytesPerSecond <= 0 || step.ResidentMB <= 0 {
+			t.Errorf("%+v", step)
+		}
+		if step.Name == string(scale.Loaded) && step.StatementsPerSecond <= 0 {
+			t.Errorf("no statements in %+v", step)
+		}
+	}
+	want := "quiet loaded restarts machines-lost machines-back zone-lost zone-back regions-cut regions-healed list reconnect"
+	if got := strings.Join(names, " "); got != want {
+		t.Errorf("read %s, want %s", got, want)
+	}
+}
+
+// checkEnded fails if any of the processes runs.
+func checkEnded(t *testing.T, processes []int, want int) {
+	t.Helper()
+	if len(processes) != want {
+		t.Errorf("%d processes, want %d", len(processes), want)
+	}
+	for _, pid := range processes {
+		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
+			t.Errorf("process %d is left: %v", pid, err)
+		}
+	}
+}
+
+// checkLogsEmpty fails if a process of hollow parts wrote anything: a panic, a data race, an error.
+func checkLogsEmpty(t *testing.T, dir string) {
+	t.Helper()
+	for _, pattern := range []string{"hollow-*.log", "engines-*.log"} {
+		logs, err := filepath.Glob(filepath.Join(dir, pattern))
+		if err != nil || len(logs) == 0 {
+			t.Error(pattern, logs, err)
+		}
+		for _, log := range logs {
+			if text, err := os.ReadFile(log); err != nil || len(text) > 0 {
+				t.Errorf("%s: %s%v", filepath.Base(log), text, err)
+			}
+		}
+	}
+}
+
+// A run that is interrupted in the middle of a step ends with the context's error, and Close ends all.
+func TestInterruptedScaleEndsAll(t *testing.T) {
+	opt := smallScale(t, []scale.Step{scale.Quiet})
+	opt.Plan.Real, opt.Plan.Hollow, opt.Plan.Engines, opt.Plan.Times.Quiet = 2, 6, 4, time.Hour
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	rig, err := scalerig.Start(ctx, opt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	processes := rig.PIDs()
+	time.AfterFunc(100*time.Millisecond, cancel)
+	_, err = rig.Play(ctx)
+	if closing := rig.Close(); !errors.Is(err, context.Canceled) || closing != nil {
+		t.Fatal(err, closing)
+	}
+	checkEnded(t, processes, 4)
+}
+
+// Sizes that do not fit are refused before anything is started, with an error that names the option.
+func TestScaleRefusesWhatDoesNotFit(t *testing.T) {
+	good := scaleCommand{Program: "x", Real: 8, Hollow: []int{100}, Engines: 60, Zones: 4, Regions: 2, Quiet: 1, Cut: 1, Restart: 1, Out: t.TempDir()}
+	if _, err := good.plans(); err != nil {
+		t.Fatal(err)
+	}
+	for option, change := range map[string]func(*scaleCommand){
+		"--real":          func(c *scaleCommand) { c.Real = 400 },
+		"--hollow":        func(c *scaleCommand) { c.Hollow = []int{100, 100_000} },
+		"--engines":       func(c *scaleCommand) { c.Engines = 0 },
+		"--zones":         func(c *scaleCommand) { c.Zones = 61 },
+		"--regions":       func(c *scaleCommand) { c.Regions = 5 },
+		"--rate":          func(c *scaleCommand) { c.Rate = -1 },
+		"--steps":         func(c *scaleCommand) { c.Steps = []string{"quiet", "explode"} },
+		"--cut":           func(c *scaleCommand) { c.Cut = -1 },
+		"--quiet":         func(c *scaleCommand) { c.Quiet = 0 },
+		"--restarts-over": func(c *scaleCommand) { c.Restart = 0 },
+	} {
+		changed := good
+		change(&changed)
+		err := changed.Run()
+		var limit *scale.LimitError
+		var value *scale.ValueError
+		if !errors.As(err, &limit) && !errors.As(err, &value) || !strings.Contains(err.Error(), option) {
+			t.Errorf("%s: %v", option, err)
+		}
+	}
+	if entries, err := os.ReadDir(good.Out); err != nil || len(entries) > 0 {
+		t.Error("something was started:", entries, err)
+	}
+}
+
+// Results go to tables, charts and the structured file, which can be added to.
+func TestScaleKeepsItsResults(t *testing.T) {
+	c := scaleCommand{Out: t.TempDir(), Add: true}
+	for _, hollow := range []int{92, 192} {
+		file, err := c.earlier()
+		if err != nil {
+			t.Fatal(err)
+		}
+		step := scale.StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, MeanBytesPerSecond: 900}
+		file.Runs = append(file.Runs, scale.Run{Steps: []scale.StepResult{step}})
+		if err := c.keep(file); err != nil {
+			t.Fatal(err)
+		}
+	}
+	file, err := c.earlier()
+	if err != nil || len(file.Runs) != 2 || len(file.Slope("quiet")) != 2 || !slices.Equal(file.StepNames(), []string{"quiet"}) {
+		t.Fatalf("%+v %v", file, err)
+	}
+	for _, name := range []string{"scale.md", "scale.csv", "scale-bytes.svg", "scale-known.svg"} {
+		if text, err := os.ReadFile(filepath.Join(c.Out, name)); err != nil || len(text) < 100 {
+			t.Errorf("%s: %d bytes, %v", name, len(text), err)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/fleetlab/scaletable.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"fmt"
+	"path/filepath"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
+
+	"frostpier/internal/scale"
+)
+
+func scaleTable(steps []scale.StepResult) table {
+	t := table{head: []string{"step", "real gateways", "hollow gateways", "engines", "seconds", "statements a s",
+		"served", "share of a core (mean / highest)", "resident MB", "sent B/s", "highest over 10 s", "received B/s", "highest over 10 s",
+		"engine list B/s", "connections", "all knew after s", "engines known"}}
+	for _, s := range steps {
+		t.rows = append(t.rows, []string{s.Name, fmt.Sprint(s.RealGateways), fmt.Sprint(s.HollowGateways), fmt.Sprint(s.Engines),
+			fmt.Sprintf("%.0f", s.Seconds), fmt.Sprintf("%.1f", s.StatementsPerSecond), fmt.Sprintf("%.3f", s.StatementsServed),
+			fmt.Sprintf("%.3f / %.3f", s.ProcessorShare, s.ProcessorShareHighest), fmt.Sprintf("%.1f", s.ResidentMB),
+			fmt.Sprintf("%.0f", s.MeanBytesPerSecond), fmt.Sprintf("%.0f", s.HighestBytesPerSecond),
+			fmt.Sprintf("%.0f", s.ReceivedBytesPerSecond), fmt.Sprintf("%.0f", s.ReceivedHighest),
+			fmt.Sprintf("%.0f", s.ListBytesPerSecond), fmt.Sprintf("%.0f", s.Connections),
+			fmt.Sprintf("%.1f", s.SecondsUntilAllKnow), fmt.Sprintf("%.2f", s.EnginesKnownShare)})
+	}
+	return t
+}
+
+// slopeChart is one figure of each step over the fleet's size.
+type slopeChart struct {
+	file, title, unit string
+	value             func(scale.StepResult) float64
+}
+
+var slopeCharts = []slopeChart{
+	{"scale-processor.svg", "Processor time of a real gateway", "share of a core", func(s scale.StepResult) float64 { return s.ProcessorShare }},
+	{"scale-memory.svg", "Resident memory of a real gateway, the largest", "MB", func(s scale.StepResult) float64 { return s.ResidentMB }},
+	{"scale-bytes.svg", "Datagrams that a real gateway sends", "bytes a second", func(s scale.StepResult) float64 { return s.MeanBytesPerSecond }},
+	{"scale-peak.svg", "Datagrams that a real gateway sends, the highest over 10 s", "bytes a second", func(s scale.StepResult) float64 { return s.HighestBytesPerSecond }},
+	{"scale-known.svg", "Time until all gateways know", "seconds", func(s scale.StepResult) float64 { return s.SecondsUntilAllKnow }},
+}
+
+// chartSlopes draws each figure into a file of the folder.
+func chartSlopes(folder string, file scale.File) error {
+	for _, chart := range slopeCharts {
+		if err := chart.draw(filepath.Join(folder, chart.file), file); err != nil {
+			return fmt.Errorf("%s: %w", chart.file, err)
+		}
+	}
+	return nil
+}
+
+func (c slopeChart) draw(path string, file scale.File) error {
+	p := plot.New()
+	p.Title.Text = c.title
+	p.X.Label.Text, p.Y.Label.Text = "gateways", c.unit
+	p.Y.Min = 0
+	var lines []any
+	for _, step := range file.StepNames() {
+		var points plotter.XYs
+		for _, result := range file.Slope(step) {
+			points = append(points, plotter.XY{X: float64(result.Members()), Y: c.value(result)})
+		}
+		lines = append(lines, step, points)
+	}
+	if err := plotutil.AddLinePoints(p, lines...); err != nil {
+		return err
+	}
+	p.Legend.Top, p.Legend.Left = true, true
+	return p.Save(width, height, path)
+}
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -66,6 +66,16 @@
 	return gone, c.dispatch(now, list)
 }
 
+// ListedEngines returns how many engines the list names that have not gone.
+func (c *Core) ListedEngines() (engines int) {
+	for _, e := range c.engines {
+		if e.Health != policy.Gone {
+			engines++
+		}
+	}
+	return engines
+}
+
 // place finds a name; one that the settings lack gets a number past their end, which matches nothing.
 func place(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -13,6 +13,9 @@
 // ShareLoadReports has the gateway publish and receive load reports. It must be called before the first event.
 func (c *Core) ShareLoadReports(d *spread.Digest) { c.digest = d }
 
+// EngineNumber returns the number that identifies the engine with this name in load reports.
+func EngineNumber(name string) uint64 { return uint64(engineID(name)) }
+
 // updateShared sets the engines whose load reports are shared: those that are listed as ready.
 func (c *Core) updateShared() {
 	if c.digest == nil {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -58,6 +58,9 @@
 // LinesRead returns the number of complete lines received.
 func (s *Stream) LinesRead() int { return s.linesRead }
 
+// ResourceVersion returns the number of the last event received.
+func (s *Stream) ResourceVersion() int64 { return s.resourceVersion }
+
 // Restore takes the events of a configuration: at the start all of them, the first as the full list; when the
 // configuration is reloaded only those that follow the last one. The watch delivers what it leaves out.
 func (s *Stream) Restore(text []byte) ([]Event, error) {
--- /dev/null
+++ b/internal/hollow/hollow_test.go
@@ -0,0 +1,142 @@
+package hollow
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// scriptedSocket hands out datagrams in turn and keeps what is written.
+type scriptedSocket struct {
+	from    []netip.AddrPort
+	written []netip.AddrPort
+}
+
+func (s *scriptedSocket) ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) {
+	if len(s.from) == 0 {
+		return 0, netip.AddrPort{}, net.ErrClosed
+	}
+	from := s.from[0]
+	s.from = s.from[1:]
+	return 1, from, nil
+}
+
+func (s *scriptedSocket) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
+	s.written = append(s.written, to)
+	return len(b), nil
+}
+
+func (s *scriptedSocket) Close() error { return nil }
+
+// While regions are cut, datagrams pass within a region alone, in both directions; once healed, all pass.
+func TestCutDropsBetweenRegions(t *testing.T) {
+	self, near, far := netip.MustParseAddrPort("127.1.0.1:1"), netip.MustParseAddrPort("127.1.0.1:2"), netip.MustParseAddrPort("127.1.0.1:3")
+	inner := &scriptedSocket{from: []netip.AddrPort{far, near, far}}
+	parts := &regions{of: []int{0, 0, 1}}
+	socket := &regionSocket{PeerSocket: inner, regions: parts, self: 0, members: map[netip.AddrPort]int{self: 0, near: 1, far: 2}}
+	parts.cut.Store(true)
+	for _, to := range []netip.AddrPort{near, far} {
+		if n, err := socket.WriteToUDPAddrPort([]byte("x"), to); n != 1 || err != nil {
+			t.Error(n, err)
+		}
+	}
+	if len(inner.written) != 1 || inner.written[0] != near {
+		t.Errorf("sent to %v", inner.written)
+	}
+	if _, from, err := socket.ReadFromUDPAddrPort(nil); from != near || err != nil {
+		t.Errorf("received from %v, %v", from, err)
+	}
+	parts.cut.Store(false)
+	if _, from, err := socket.ReadFromUDPAddrPort(nil); from != far || err != nil {
+		t.Errorf("after the heal from %v, %v", from, err)
+	}
+}
+
+// call sends a call to an engine over a new connection and returns the answer's status and body.
+func call(t *testing.T, addr, method, path, id string) (int, string) {
+	t.Helper()
+	conn, err := net.DialTimeout("tcp", addr, 10*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nX-Hop-Id: %s\r\nContent-Length: 0\r\n\r\n", method, path, id)
+	answer, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: method})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer answer.Body.Close()
+	body, err := io.ReadAll(answer.Body)
+	if err != nil || !strings.HasPrefix(answer.Header.Get("X-Report"), "queue:0;inflight:") {
+		t.Fatalf("%v %v", answer.Header, err)
+	}
+	return answer.StatusCode, string(body)
+}
+
+// An engine answers a statement after its delay, tells meanwhile that it is not over, forgets what is given up, and
+// listens at the same address after it was closed.
+func TestEngineAnswersAfterItsDelay(t *testing.T) {
+	var served atomic.Int64
+	const delay = 400 * time.Millisecond
+	e, err := newEngine("127.0.0.1:0", delay, &served)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer e.close()
+	began := time.Now()
+	if status, _ := call(t, e.addr, "POST", "/v2/q", "a"); status != http.StatusAccepted {
+		t.Errorf("status %d of a statement that runs", status)
+	}
+	for status, body := 0, ""; status != http.StatusOK; {
+		status, body = call(t, e.addr, "GET", "/v2/q/a/0", "")
+		if status == http.StatusOK && body != "row\ta\tof 1\n" {
+			t.Errorf("result %q", body)
+		}
+		if time.Since(began) > 20*time.Second {
+			t.Fatal("the statement does not end")
+		}
+	}
+	if passed := time.Since(began); passed < delay || served.Load() != 1 {
+		t.Errorf("answered after %v, %d served", passed, served.Load())
+	}
+	if status, _ := call(t, e.addr, "DELETE", "/v2/q/a", ""); status != http.StatusNoContent {
+		t.Errorf("status %d of a statement given up", status)
+	}
+	if status, _ := call(t, e.addr, "GET", "/v2/q/a/0", ""); status != http.StatusInternalServerError {
+		t.Errorf("status %d of a statement that is not known", status)
+	}
+	addr := e.addr
+	e.close()
+	if conn, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
+		conn.Close()
+		t.Error("a closed engine listens")
+	}
+	if err := e.open(); err != nil || e.addr != addr {
+		t.Fatal(e.addr, err)
+	}
+	if status, _ := call(t, addr, "POST", "/v2/q", "b"); status != http.StatusAccepted {
+		t.Errorf("status %d after the engine is back", status)
+	}
+}
+
+// A process of hollow gateways ends with its input, and refuses members that it does not hold.
+func TestGatewaysRefuseStrangers(t *testing.T) {
+	g := newGateways(GatewaySetup{Members: []Member{{Number: 3}}})
+	if reply := g.carryOut(GatewayCommand{Start: []int{4}}); !strings.Contains(reply.Error, ErrUnknownMember.Error()) {
+		t.Errorf("%+v", reply)
+	}
+	if err := ServeGateways(strings.NewReader(`{"fleet":"x"}`+"\n"), io.Discard); err != nil {
+		t.Error(err)
+	}
+	if err := ServeGateways(strings.NewReader("{"), io.Discard); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Error(err)
+	}
+}
--- a/internal/netio/datagrams.go
+++ b/internal/netio/datagrams.go
@@ -9,7 +9,7 @@
 
 // readDatagrams hands each datagram of a socket over on the loop, until the socket is closed. Bytes beyond most are cut
 // off, and b is valid until take returns.
-func readDatagrams(loop *Loop, log *slog.Logger, what string, sock *net.UDPConn, most int,
+func readDatagrams(loop *Loop, log *slog.Logger, what string, sock PeerSocket, most int,
 	take func(from netip.AddrPort, b []byte)) {
 	buf := make([]byte, most)
 	for {
--- a/internal/netio/gateway.go
+++ b/internal/netio/gateway.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// UpdateEngines hands a list of engines to the core.
-func (g *Gateway) UpdateEngines(whole bool, lines []core.ListedEngine) {
+// UpdateEngines hands a list of engines to the core, and returns how many engines are listed now.
+func (g *Gateway) UpdateEngines(whole bool, lines []core.ListedEngine) (engines int) {
 	gone, actions := g.Core.UpdateEngines(g.Loop.Now(), whole, lines)
 	for _, e := range gone {
 		for _, p := range g.Pools {
@@ -91,6 +91,7 @@
 		}
 	}
 	g.carryOut(actions, nil)
+	return g.Core.ListedEngines()
 }
 
 // MaySend asks leave for an attempt's first byte, or for its first byte again. For a client that has gone meanwhile
--- a/internal/netio/members.go
+++ b/internal/netio/members.go
@@ -17,6 +17,22 @@
 // readMost is more than a datagram may have: one that is too long must be seen to be.
 const readMost = 2 * membership.MaxDatagram
 
+// PeerSocket carries datagrams between members: a UDP socket, or one that a test rig cuts links in.
+type PeerSocket interface {
+	ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error)
+	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
+	Close() error
+}
+
+// ListenPeers opens the UDP socket on which the datagrams of peers arrive.
+func ListenPeers(listen netip.AddrPort) (*net.UDPConn, error) {
+	sock, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
+	if err != nil {
+		return nil, fmt.Errorf("listen for peers: %w", err)
+	}
+	return sock, nil
+}
+
 // MembershipListener receives what the other gateways send. It is called on the loop.
 type MembershipListener interface {
 	// InService is called whenever another number of gateways is held to be in service.
@@ -34,22 +50,18 @@
 	keep     *invariant.Keeper
 	node     *membership.Node
 	peers    []netip.AddrPort
-	sock     *net.UDPConn
+	sock     PeerSocket
 	alarm    *Timer
 	listener MembershipListener
 	serving  int // as last reported to the listener
 	unsent   int // datagrams that the system did not take
 }
 
-// NewMembers opens the socket.
-func NewMembers(loop *Loop, log *slog.Logger, keep *invariant.Keeper, node *membership.Node, listen netip.AddrPort,
-	peers []netip.AddrPort, to MembershipListener) (*Members, error) {
-	sock, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
-	if err != nil {
-		return nil, fmt.Errorf("listen for peers: %w", err)
-	}
+// NewMembers makes a driver that sends and receives on sock; Stop closes it.
+func NewMembers(loop *Loop, log *slog.Logger, keep *invariant.Keeper, node *membership.Node, sock PeerSocket,
+	peers []netip.AddrPort, to MembershipListener) *Members {
 	return &Members{loop: loop, log: log, keep: keep, node: node, peers: peers, sock: sock, listener: to,
-		serving: node.InService()}, nil
+		serving: node.InService()}
 }
 
 // Start is called on the loop.
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -6,6 +6,7 @@
 	"net"
 	"time"
 
+	"frostpier/internal/core"
 	"frostpier/internal/discovery"
 )
 
@@ -16,9 +17,16 @@
 	watchQueueSize   = 1 << 10
 )
 
+// EngineListener receives the changes of the engine list. It is called on the loop.
+type EngineListener interface {
+	// UpdateEngines applies an engine list, the full one or only its changes, and returns how many engines are listed now.
+	UpdateEngines(whole bool, lines []core.ListedEngine) (engines int)
+}
+
 // Watch keeps one discovery watch open and applies its events to the gateway. It reconnects after errors and silence.
 type Watch struct {
-	gateway     *Gateway
+	loop        *Loop
+	listener    EngineListener
 	log         *slog.Logger
 	addr        string
 	stream      *discovery.Stream
@@ -31,7 +39,12 @@
 
 // NewWatch returns a Watch that resumes after the last event of the stream.
 func NewWatch(g *Gateway, log *slog.Logger, addr string, stream *discovery.Stream) *Watch {
-	return &Watch{gateway: g, log: log, addr: addr, stream: stream, readTimeout: watchReadTimeout}
+	return NewListWatch(g.Loop, g, log, addr, stream)
+}
+
+// NewListWatch returns a Watch that applies the events to any listener, for who watches the engines without a gateway.
+func NewListWatch(loop *Loop, listener EngineListener, log *slog.Logger, addr string, stream *discovery.Stream) *Watch {
+	return &Watch{loop: loop, listener: listener, log: log, addr: addr, stream: stream, readTimeout: watchReadTimeout}
 }
 
 // Follow drops the present watch and opens one at addr, which resumes after the last event received. It must be
@@ -54,7 +67,7 @@
 	go func() {
 		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		cancel()
-		f.gateway.Loop.Post(func() {
+		f.loop.Post(func() {
 			switch {
 			case left && nc != nil:
 				nc.Close()
@@ -86,7 +99,7 @@
 		f.reconnect()
 		return
 	}
-	f.conn = NewConn(f.gateway.Loop, nc, f, watchQueueSize)
+	f.conn = NewConn(f.loop, nc, f, watchQueueSize)
 	f.conn.Write(f.stream.Request())
 	f.resetReadTimer()
 }
@@ -94,7 +107,7 @@
 // resetReadTimer restarts the timeout for the next line.
 func (f *Watch) resetReadTimer() {
 	f.readTimer.Stop()
-	f.readTimer = f.gateway.Loop.After(f.readTimeout, func() {
+	f.readTimer = f.loop.After(f.readTimeout, func() {
 		f.log.Warn("discovery watch timed out")
 		f.reconnect()
 	})
@@ -105,7 +118,8 @@
 	before := f.stream.LinesRead()
 	events, err := f.stream.Feed(b)
 	for _, e := range events {
-		f.gateway.UpdateEngines(e.Full, e.Engines)
+		engines := f.listener.UpdateEngines(e.Full, e.Engines)
+		f.log.Info("engine list changed", "version", e.ResourceVersion, "engines", engines)
 	}
 	switch {
 	case err != nil:
@@ -124,5 +138,5 @@
 
 func (f *Watch) reconnect() {
 	f.disconnect()
-	f.retryTimer = f.gateway.Loop.After(watchRetryDelay, f.Connect)
+	f.retryTimer = f.loop.After(watchRetryDelay, f.Connect)
 }
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -93,7 +93,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return netio.NewMembers(loop, log, keep, node, listen, peers, listener)
+	sock, err := netio.ListenPeers(listen)
+	if err != nil {
+		return nil, err
+	}
+	return netio.NewMembers(loop, log, keep, node, sock, peers, listener), nil
 }
 
 // listenAgain is the pause before another try to listen: the former master may still hold the address.
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -132,13 +132,14 @@
 	if hooks.Loop != nil {
 		hooks.Loop(loop)
 	}
+	listed := 0
 	loop.Do(func() {
 		loop.WatchLag()
 		if p.members != nil {
 			p.members.Start()
 		}
 		for _, e := range known {
-			gateway.UpdateEngines(e.Full, e.Engines)
+			listed = gateway.UpdateEngines(e.Full, e.Engines)
 		}
 		p.watch.Follow(conf.Discovery)
 		p.stats()
@@ -155,7 +156,7 @@
 	if p.version != nil {
 		loop.Do(func() { p.version.serve(true) })
 	}
-	log.Info("serving", "name", conf.Name, "listen", conf.Listen, "discovery", conf.Discovery, "events", len(known))
+	log.Info("serving", "name", conf.Name, "listen", conf.Listen, "discovery", conf.Discovery, "events", len(known), "engines", listed)
 	for serving := true; serving; {
 		select {
 		case <-hup:
--- a/internal/rig/gateway.go
+++ b/internal/rig/gateway.go
@@ -24,17 +24,19 @@
 
 // gateway is one process of the program.
 type gateway struct {
-	number int
-	cmd    *exec.Cmd
-	log    io.WriteCloser
-	mu     sync.Mutex
-	view   []string // of each member, in the present life
-	ready  bool
-	up     bool
-	paused bool
-	ended  chan struct{} // closed when the process has ended
-	exit   error
-	alarms []string // lines of the log that no run may have
+	number  int
+	cmd     *exec.Cmd
+	log     io.WriteCloser
+	mu      sync.Mutex
+	view    []string // of each member, in the present life
+	version int64    // of the list of engines: the last event's number
+	engines int      // that it lists
+	ready   bool
+	up      bool
+	paused  bool
+	ended   chan struct{} // closed when the process has ended
+	exit    error
+	alarms  []string // lines of the log that no run may have
 }
 
 // startPatience bounds the wait for a process that starts beside hundreds of others.
@@ -63,6 +65,7 @@
 	ended := make(chan struct{})
 	g.mu.Lock()
 	g.cmd, g.log, g.up, g.ready, g.paused, g.ended = cmd, log, true, false, false, ended
+	g.version, g.engines = 0, 0
 	g.view = make([]string, members)
 	for i := range g.view {
 		g.view[i] = "alive"
@@ -92,6 +95,9 @@
 	switch {
 	case strings.Contains(text, "msg=serving"):
 		g.ready = true
+		g.listed(text, "events")
+	case strings.Contains(text, `msg="engine list changed"`):
+		g.listed(text, "version")
 	case strings.Contains(text, "panic") || strings.Contains(text, "invariant broken") || strings.Contains(text, "DATA RACE"):
 		g.alarms = append(g.alarms, text)
 	case strings.Contains(text, `msg="member changed"`):
@@ -109,6 +115,18 @@
 	}
 }
 
+// listed takes over what a line says of the list of engines; the lock is held.
+func (g *gateway) listed(text, versionKey string) {
+	r, _ := ParseRecord(text)
+	version, err := strconv.ParseInt(r.Fields[versionKey], 10, 64)
+	if err != nil || version < g.version {
+		return // lines of the start may come behind the first of the stream
+	}
+	if engines, err := strconv.Atoi(r.Fields["engines"]); err == nil {
+		g.version, g.engines = version, engines
+	}
+}
+
 func (g *gateway) signal(s syscall.Signal) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -39,6 +39,7 @@
 	rnd          *rand.Rand
 	sent         []int
 	bytes        []int
+	arrived      []int // bytes passed on to each gateway
 	longest      int
 	foreign      int
 	done         sync.WaitGroup
@@ -48,7 +49,8 @@
 func NewRelay(addr netip.Addr, behind []netip.AddrPort, seed uint64) (*Relay, error) {
 	r := &Relay{behind: behind, byAddr: map[netip.AddrPort]int{}, links: map[[2]int]Link{}, dropInbound: map[int]bool{},
 		dropOutbound: map[int]bool{}, side: map[int]int{}, rnd: rand.New(rand.NewPCG(seed, 5)),
-		sent: make([]int, len(behind)), bytes: make([]int, len(behind))}
+		sent: make([]int, len(behind)), bytes: make([]int, len(behind)),
+		arrived: make([]int, len(behind))}
 	for i, b := range behind {
 		r.byAddr[b] = i
 		face, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
@@ -112,6 +114,12 @@
 	return datagrams, bytes
 }
 
+// Arrived is how many bytes of datagrams were passed on to a gateway so far.
+func (r *Relay) Arrived(i int) (bytes int) {
+	r.with(func() { bytes = r.arrived[i] })
+	return bytes
+}
+
 // Longest is the length of the longest datagram seen, and Foreign how many came from no gateway.
 func (r *Relay) Longest() (longest, foreign int) {
 	r.with(func() { longest, foreign = r.longest, r.foreign })
@@ -170,6 +178,7 @@
 		if link.DelayMax > link.DelayMin {
 			delay += time.Duration(r.rnd.Int64N(int64(link.DelayMax - link.DelayMin)))
 		}
+		r.arrived[to] += len(b)
 		arrive := func() { r.faces[from].WriteToUDPAddrPort(b, r.behind[to]) }
 		if delay <= 0 {
 			arrive()
--- /dev/null
+++ b/internal/scale/result.go
@@ -0,0 +1,103 @@
+package scale
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+)
+
+// StepResult is what was read of the real gateways in one step. Bytes are payload of datagrams that a real gateway
+// sent, as the relay counted them; received bytes and those of the list of engines stand beside them.
+type StepResult struct {
+	Name                   string  `json:"name"`
+	RealGateways           int     `json:"real_gateways"`
+	HollowGateways         int     `json:"hollow_gateways"`
+	Engines                int     `json:"engines"`
+	Seconds                float64 `json:"seconds"`                               // length of the step
+	StatementsPerSecond    float64 `json:"statements_per_second"`                 // that each real gateway was sent
+	StatementsServed       float64 `json:"statements_served_share"`               // of them; 0 where none was sent
+	ProcessorShare         float64 `json:"processor_share"`                       // of a core, mean over the real gateways
+	ProcessorShareHighest  float64 `json:"processor_share_highest"`               // of the busiest of them
+	ResidentMB             float64 `json:"resident_mb"`                           // of the largest of them, at the most
+	MeanBytesPerSecond     float64 `json:"mean_bytes_per_second"`                 // sent, mean over the real gateways
+	HighestBytesPerSecond  float64 `json:"highest_bytes_per_second_10s"`          // sent by any of them over 10 s
+	ReceivedBytesPerSecond float64 `json:"received_bytes_per_second"`             // mean over the real gateways
+	ReceivedHighest        float64 `json:"received_highest_bytes_per_second_10s"` // by any of them over 10 s
+	ListBytesPerSecond     float64 `json:"list_bytes_per_second"`                 // that the discovery server sent a watcher, mean
+	Connections            float64 `json:"connections"`                           // TCP connections of a real gateway at the end, mean
+	SecondsUntilAllKnow    float64 `json:"seconds_until_all_know"`                // 0 where there was nothing to learn
+	EnginesKnownShare      float64 `json:"engines_known_share"`                   // of the list, by load reports, mean over hollow gateways
+}
+
+// Facts are the circumstances of a run.
+type Facts struct {
+	Cores        int     `json:"cores"`
+	MemoryMB     int     `json:"memory_mb"`
+	GoVersion    string  `json:"go_version"`
+	Seed         uint64  `json:"seed"`
+	LoadAtStart  float64 `json:"load_average_at_start"` // over a minute
+	LoadAtEnd    float64 `json:"load_average_at_end"`
+	Zones        int     `json:"zones"`
+	Regions      int     `json:"regions"`
+	EngineDelay  float64 `json:"engine_delay_ms"`
+	ReportsASec  float64 `json:"reports_per_second"` // that each hollow gateway takes in of engines
+	DateTimeUTC  string  `json:"date_utc"`
+	CommandShape string  `json:"options"` // that reproduce the run
+}
+
+// Run is one run: facts and steps.
+type Run struct {
+	Facts Facts        `json:"facts"`
+	Steps []StepResult `json:"steps"`
+}
+
+// File is the structured result file: one run or several.
+type File struct {
+	Runs []Run `json:"runs"`
+}
+
+// Encode is the file's text.
+func (f File) Encode() ([]byte, error) {
+	text, err := json.MarshalIndent(f, "", "  ")
+	if err != nil {
+		return nil, fmt.Errorf("results: %w", err)
+	}
+	return append(text, '\n'), nil
+}
+
+// DecodeFile reads what Encode wrote.
+func DecodeFile(text []byte) (File, error) {
+	var f File
+	if err := json.Unmarshal(text, &f); err != nil {
+		return f, fmt.Errorf("results: %w", err)
+	}
+	return f, nil
+}
+
+// Slope is one step's figures over the fleet's size, the smallest fleet first.
+func (f File) Slope(step string) (out []StepResult) {
+	for _, run := range f.Runs {
+		for _, result := range run.Steps {
+			if result.Name == step {
+				out = append(out, result)
+			}
+		}
+	}
+	slices.SortStableFunc(out, func(a, b StepResult) int { return a.Members() - b.Members() })
+	return out
+}
+
+// Members is the size of the fleet.
+func (r StepResult) Members() int { return r.RealGateways + r.HollowGateways }
+
+// StepNames are the names of all steps, in the order in which they first stand.
+func (f File) StepNames() (out []string) {
+	for _, run := range f.Runs {
+		for _, result := range run.Steps {
+			if !slices.Contains(out, result.Name) {
+				out = append(out, result.Name)
+			}
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/internal/scale/scale_test.go
@@ -0,0 +1,125 @@
+package scale
+
+import (
+	"errors"
+	"math"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+)
+
+var (
+	machine = Machine{MemoryBytes: 24 << 30, Descriptors: 20_000}
+	aim     = Sizes{Real: 24, Hollow: 776, Engines: 1100, Zones: 7, Regions: 2}
+)
+
+func TestSizesThatDoNotFitNameOptionAndLimit(t *testing.T) {
+	if err := aim.Check(machine); err != nil {
+		t.Fatal(err)
+	}
+	need := aim.Need(machine)
+	if need.Processes >= MostProcesses || need.MemoryBytes > machine.MemoryBytes/2 || need.Descriptors > machine.Descriptors {
+		t.Fatalf("%+v", need)
+	}
+	for option, c := range map[string]struct {
+		sizes   Sizes
+		machine Machine
+	}{
+		"--real":    {Sizes{Real: 199, Hollow: 1, Engines: 10, Zones: 1, Regions: 1}, Machine{1 << 40, 20_000}},
+		"--hollow":  {Sizes{Real: 2, Hollow: 798, Engines: 1100, Zones: 7, Regions: 2}, Machine{1 << 30, 20_000}},
+		"--engines": {aim, Machine{24 << 30, 1024}},
+	} {
+		var limit *LimitError
+		if err := c.sizes.Check(c.machine); !errors.As(err, &limit) || limit.Option != option || limit.Need <= limit.Have {
+			t.Errorf("%s: %v", option, err)
+		}
+	}
+	var value *ValueError
+	nan := aim
+	nan.Rate = math.NaN()
+	if err := nan.Check(machine); !errors.As(err, &value) || value.Option != "--rate" {
+		t.Error(err)
+	}
+}
+
+func TestPlanFollowsItsSeed(t *testing.T) {
+	a, b := NewPlan(aim, DefaultTimes(), AllSteps(), 5), NewPlan(aim, DefaultTimes(), AllSteps(), 5)
+	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Restart, NewPlan(aim, DefaultTimes(), AllSteps(), 6).Restart) {
+		t.Error("the seed does not decide the plan")
+	}
+	if len(a.Restart) != 330 || len(a.Lost) != 3 || len(a.Changed) != 55 || slices.Contains(a.Steps, Loaded) {
+		t.Errorf("%d restarts, %d machines, %d engines, %v", len(a.Restart), len(a.Lost), len(a.Changed), a.Steps)
+	}
+	if a.Restart[0] >= aim.Real || a.Lost[0] >= aim.Real {
+		t.Error("a fault meets no real gateway")
+	}
+	sorted := slices.Clone(a.Restart)
+	slices.Sort(sorted)
+	if len(slices.Compact(sorted)) != len(a.Restart) {
+		t.Error("a member restarts twice")
+	}
+}
+
+// Every member and engine has one zone, and every zone one region; no zone has more than its part.
+func TestZonesShareMembersAndEngines(t *testing.T) {
+	members, engines, regions := 0, 0, map[int]bool{}
+	for zone := range aim.Zones {
+		m, e := aim.MembersIn(zone), aim.EnginesIn(zone)
+		members, engines = members+len(m), engines+len(e)
+		if len(m) < 114 || len(m) > 115 || len(e) < 157 || len(e) > 158 {
+			t.Errorf("zone %d: %d members, %d engines", zone, len(m), len(e))
+		}
+		for _, member := range m {
+			if aim.RegionOf(member) != aim.RegionOf(m[0]) {
+				t.Errorf("zone %d lies in two regions", zone)
+			}
+		}
+		regions[aim.RegionOf(m[0])] = true
+	}
+	if members != 800 || engines != 1100 || len(regions) != 2 {
+		t.Errorf("%d members, %d engines, %d regions", members, engines, len(regions))
+	}
+}
+
+func TestPeakIsTheHighestOverTenSeconds(t *testing.T) {
+	var samples []Sample
+	total := 0.0
+	for second := range 60 {
+		samples = append(samples, Sample{At: time.Duration(second) * time.Second, Total: total})
+		total += 100
+		if second >= 20 && second < 30 {
+			total += 400
+		}
+	}
+	if got := PeakRate(samples); got != 500 {
+		t.Errorf("peak %g", got)
+	}
+	if got := PeakRate(samples[:5]); got != 100 {
+		t.Errorf("of a short span: %g", got)
+	}
+	if got := Rate(samples[:1]); got != 0 {
+		t.Errorf("of one sample: %g", got)
+	}
+}
+
+func TestResultsSurviveTheFile(t *testing.T) {
+	step := func(hollow int) StepResult {
+		return StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, MeanBytesPerSecond: float64(hollow)}
+	}
+	in := File{Runs: []Run{{Facts: Facts{Cores: 8, Seed: 3}, Steps: []StepResult{step(392)}}, {Steps: []StepResult{step(92), {Name: "list"}}}}}
+	text, err := in.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	out, err := DecodeFile(text)
+	if err != nil || !reflect.DeepEqual(in, out) {
+		t.Fatalf("%+v %v", out, err)
+	}
+	if slope := out.Slope("quiet"); len(slope) != 2 || slope[0].Members() != 100 || slope[1].Members() != 400 {
+		t.Errorf("%+v", slope)
+	}
+	if _, err := DecodeFile([]byte("{")); err == nil {
+		t.Error("half a file was read")
+	}
+}
--- /dev/null
+++ b/internal/scalerig/machine.go
@@ -0,0 +1,36 @@
+package scalerig
+
+import (
+	"fmt"
+	"os"
+	"syscall"
+
+	"frostpier/internal/scale"
+)
+
+// ThisMachine is what a run may use of the machine that the tool runs on.
+func ThisMachine() (scale.Machine, error) {
+	text, err := os.ReadFile("/proc/meminfo")
+	if err != nil {
+		return scale.Machine{}, fmt.Errorf("memory of the machine: %w", err)
+	}
+	var kilobytes uint64
+	if _, err := fmt.Sscanf(string(text), "MemTotal: %d kB", &kilobytes); err != nil {
+		return scale.Machine{}, fmt.Errorf("memory of the machine: %w", err)
+	}
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+		return scale.Machine{}, fmt.Errorf("descriptor limit: %w", err)
+	}
+	return scale.Machine{MemoryBytes: kilobytes << 10, Descriptors: limit.Cur}, nil
+}
+
+// LoadAverage is the machine's load over the last minute; 0 where it cannot be read.
+func LoadAverage() (load float64) {
+	text, err := os.ReadFile("/proc/loadavg")
+	if err != nil {
+		return 0
+	}
+	fmt.Sscanf(string(text), "%g", &load)
+	return load
+}
--- /dev/null
+++ b/internal/scalerig/settings.go
@@ -0,0 +1,56 @@
+package scalerig
+
+import (
+	"encoding/json"
+	"time"
+
+	"frostpier/internal/scale"
+	"frostpier/internal/standin"
+)
+
+// How the list of engines names states and machines.
+const (
+	inService   = "in_service"
+	terminating = "terminating"
+	terminated  = "terminated"
+	engineKind  = "m"
+)
+
+// engineCores is how many cores a gateway takes an engine to have.
+const engineCores = 12
+
+// lookups is the one class of statements.
+func lookups() []standin.Class {
+	return []standin.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MB: 50, Aim: 800 * time.Millisecond,
+		GiveUp: 4 * time.Second, Worth: 1}}
+}
+
+// placement is the part of the platform's settings that says where a gateway is.
+type placement struct {
+	Zones []string `json:"zones"`
+	Zone  int      `json:"zone"`
+}
+
+// settings are the platform's settings of a real gateway: a stand-in's, with the zones of the plan.
+func (r *Rig) settings(gateways, self int) string {
+	text := standin.Settings(lookups(), gateways, self, engineCores)
+	where := placement{Zone: r.plan.ZoneOf(self)}
+	for zone := range r.plan.Zones {
+		where.Zones = append(where.Zones, scale.ZoneName(zone))
+	}
+	object := map[string]json.RawMessage{}
+	if json.Unmarshal([]byte(text), &object) != nil {
+		return text // the stand-in's settings are an object
+	}
+	zones, zonesErr := json.Marshal(where.Zones)
+	zone, zoneErr := json.Marshal(where.Zone)
+	if zonesErr != nil || zoneErr != nil {
+		return text // names and numbers encode
+	}
+	object["zones"], object["zone"] = zones, zone
+	out, err := json.Marshal(object)
+	if err != nil {
+		return text
+	}
+	return string(out)
+}
