--- a/cmd/frostpier/crossings_test.go
+++ b/cmd/frostpier/crossings_test.go
@@ -47,6 +47,7 @@
 // A client that rests through a stop finds the connection's end before anything is lost on it: what it asks for after that was
 // surely not taken, and no engine hears of it.
 func TestStopEndsRestingConnections(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", e.addr()))
 	c := dialRPC(t, n).pinged()
@@ -62,6 +63,7 @@
 
 // A request of which half has come when the stop begins is taken and answered.
 func TestStopWaitsForHalfALine(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", e.addr()))
 	c := dialRPC(t, n).pinged()
@@ -76,6 +78,7 @@
 
 // A request that waits in line for an engine, or between two attempts, when the stop begins gets its one answer before the end.
 func TestStopAnswersWhatWaits(t *testing.T) {
+	t.Parallel()
 	for name, text := range map[string]string{"no engine": "", "between attempts": "full"} {
 		e := newHTTPEngine(t)
 		engines := []listed{}
@@ -102,6 +105,7 @@
 // Idle clients take all the descriptors that clients may have while discovery is down. Once it is back the list is fetched, the
 // engine is reached and a new client is served.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	const sockets = 128
 	n := startNodeWith(t, "", func(conf map[string]any) {
@@ -131,6 +135,7 @@
 
 // What one client floods in, of any kind, is bounded, and others are served beside it.
 func TestFloodOfOneClientCostsOthersNothing(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", e.addr()))
 	for name, text := range map[string]string{
@@ -160,6 +165,7 @@
 // Restarted gateways are ready soon whatever state discovery is in, and though a crowd of idle clients takes every descriptor that
 // clients may have as soon as the address is there: none of these is waited for.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	silent := standIn(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
 	const sockets = 128
@@ -209,6 +215,7 @@
 
 // The former process still holds the address when the next one starts: it waits for it, and ends if it is told to meanwhile.
 func TestStartWaitsForTheAddress(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	first := startNode(t, "", inService("e1", e.addr()))
 	next := &node{t: t, listen: first.listen, log: &lines{}, file: first.file}
--- a/cmd/frostpier/mysql_test.go
+++ b/cmd/frostpier/mysql_test.go
@@ -175,6 +175,7 @@
 }
 
 func TestMySQLServesStatements(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 1, 4000, 1)
 	c := n.login("lookup")
 	c.send(0x0e, "")
@@ -210,6 +211,7 @@
 }
 
 func TestMySQLRejectsUnrun(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 1, 4000, 1)
 	if _, p := dialSQL(t, n.addr, "lookup", "guess"); p[0] != 0xff || binary.LittleEndian.Uint16(p[1:]) != 1045 {
 		t.Fatalf("a wrong password: %q", p)
@@ -236,6 +238,7 @@
 }
 
 func TestMySQLDeadline(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 1, 400, 1)
 	c := n.login("report")
 	c.send(0x03, "sleep")
@@ -246,6 +249,7 @@
 }
 
 func TestMySQLRefusal(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 1, 2500, 1)
 	n.engines[0].mu.Lock()
 	n.engines[0].full = true
@@ -258,6 +262,7 @@
 }
 
 func TestMySQLErrors(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 2, 4000, 2)
 	c := n.login("lookup")
 	c.send(0x03, "wrong")
@@ -283,6 +288,7 @@
 }
 
 func TestMySQLSplitAndOversizedPackets(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 1, 4000, 1)
 	c := n.login("lookup")
 	for _, b := range []byte(packetOf(0, "\x03SELECT 1")) {
@@ -302,6 +308,7 @@
 
 // A load whose engine broke off after it may have run goes out again with its key, and has its effect once.
 func TestMySQLKeyedRepeat(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 2, 15000, 2)
 	c := n.login("form-load")
 	c.send(0x03, "SET @replay_key = 'k-1'")
@@ -321,6 +328,7 @@
 // A statement prepared while one engine served is executed on another after that drains, with the types bound
 // before; nothing new goes to the drained one 2 s after it was told.
 func TestMySQLStatementOutlivesItsEngine(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 1, 4000, 2)
 	c := n.login("lookup")
 	id := c.prepare("SELECT c FROM sales_17.t WHERE c = ?")
@@ -353,6 +361,7 @@
 
 // A client that closes in the middle of a result has its query killed, and the attempt is out until then.
 func TestMySQLCloseMidResult(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 1, 15000, 1)
 	c := n.login("report")
 	c.send(0x03, "many")
@@ -368,6 +377,7 @@
 
 // A client that reads nothing holds the engine's side back; the program does not take the result in.
 func TestMySQLBackPressure(t *testing.T) {
+	t.Parallel()
 	n := startSQL(t, 1, 15000, 1)
 	c := n.login("report")
 	c.send(0x03, "many")
@@ -387,6 +397,7 @@
 
 // The master of the virtual router listens; at its planned stop the other takes over.
 func TestMySQLListenerFollowsTheMaster(t *testing.T) {
+	t.Parallel()
 	led := newLedger()
 	e := newSQLEngine(t, "A", led)
 	addr, udp := freePort(t), [2]string{freeUDP(t), freeUDP(t)}
--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -84,6 +84,7 @@
 }
 
 func TestPlatformServesAndPassesOnUnchanged(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
 	statement := "SELECT 'Þór;\t' FROM sales_17.orders\n"
@@ -99,6 +100,7 @@
 }
 
 func TestPlatformErrors(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
 	c.line("{nonsense")
@@ -122,6 +124,7 @@
 
 // A refusal comes with the time to come back, at most what the settings allow.
 func TestPlatformRefusalCarriesRetryTime(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
 	c.ask(1, "lookup", "full", 1000, "")
@@ -132,6 +135,7 @@
 
 // A safe query that fails at one engine is served by another; it never has two attempts out.
 func TestPlatformTriesElsewhere(t *testing.T) {
+	t.Parallel()
 	// A query whose connection breaks or brings noise is asked for on another: that is no further attempt.
 	for text, further := range map[string]int{"break": 0, "fault": 1, "garbage": 0, "full": 1} {
 		bad, good := newHTTPEngine(t), newHTTPEngine(t)
@@ -155,6 +159,7 @@
 }
 
 func TestPlatformAbortAndCloseCancel(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", e.addr()))
 	c := dialRPC(t, n)
@@ -169,6 +174,7 @@
 }
 
 func TestPlatformDeadline(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
 	c.ask(1, "lookup", "sleep", 400, "")
@@ -178,6 +184,7 @@
 
 // After SIGTERM ping says so, what is open is answered, new requests are still taken, and the program ends well.
 func TestPlatformStop(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", e.addr()))
 	c := dialRPC(t, n)
@@ -204,6 +211,7 @@
 
 // A discovery event that cannot be used is logged and requested again after the last good event.
 func TestDiscoveryWatchReconnects(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", "127.0.0.1:1"))
 	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
@@ -223,6 +231,7 @@
 // program reads the configuration again, watches the discovery server that it names now from the last event on, and goes on
 // serving. A file that cannot be read changes nothing.
 func TestReloadWatchesTheNewDiscoveryServer(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", inService("e1", "127.0.0.1:1"))
 	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
@@ -255,6 +264,7 @@
 // What the settings forbid stays off, and the program serves all the same: the operator's file is the same everywhere,
 // the permission the platform's.
 func TestMembershipStaysOffWhereItIsForbidden(t *testing.T) {
+	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "[membership]\nfleet = \"f\"\n[spread]\n", inService("e1", e.addr()))
 	n.waitLog("membership stays off")
--- a/internal/membership/virtual/fleet_test.go
+++ b/internal/membership/virtual/fleet_test.go
@@ -13,6 +13,7 @@
 // Runs drawn from a thousand seeds, with every fault there is: no rule is broken, and afterwards all views match the
 // truth. Under the race detector, which has nothing to find on one goroutine, the small ones among the first 60.
 func TestThousandRuns(t *testing.T) {
+	t.Parallel()
 	seeds, most := uint64(1000), 1000
 	if raced {
 		seeds, most = 60, 40
@@ -43,6 +44,7 @@
 
 // One seed plays the same run each time, step by step.
 func TestSeedReplays(t *testing.T) {
+	t.Parallel()
 	run := func() string {
 		f, err := Random(17, 25, 1)
 		if err != nil {
@@ -57,6 +59,7 @@
 
 // No false death at 10% loss with pauses of up to 2 s; the baseline, on the same seed, tells hundreds.
 func TestPausesCauseNoFalseDeath(t *testing.T) {
+	t.Parallel()
 	s := Setup{Members: 50, Seed: 3, Loss: 0.1, Every: 100}
 	hours := 10 * time.Hour
 	if raced {
@@ -77,6 +80,7 @@
 
 // A kill is told within the times that docs/MEMBERSHIP.md states, by members who all learn of it.
 func TestKillsAreDetected(t *testing.T) {
+	t.Parallel()
 	for _, n := range []int{10, 30, 100} {
 		kills := 200
 		if raced {
@@ -99,6 +103,7 @@
 
 // What a member sends while nothing happens does not grow with the fleet.
 func TestSteadyStateIsFlat(t *testing.T) {
+	t.Parallel()
 	sizes := []int{10, 100, 1000}
 	if raced {
 		sizes = []int{10, 100}
@@ -161,6 +166,7 @@
 
 // A cannot hear B while all else works: others answer for B, and nobody is told dead.
 func TestOneSidedCut(t *testing.T) {
+	t.Parallel()
 	f, deaths := fleet(t, 12)
 	f.Cut = func(a, b int) bool { return a == 1 && b == 0 }
 	play(t, f, 5*time.Minute)
@@ -172,6 +178,7 @@
 // A member that can send but not hear, or hear but not send, is held dead by all others, and by that alone; it
 // is back everywhere once it can do both.
 func TestOneWayLoss(t *testing.T) {
+	t.Parallel()
 	for name, cut := range map[string]func(a, b int) bool{
 		"inbound":  func(_, b int) bool { return b == 0 },
 		"outbound": func(a, _ int) bool { return a == 0 },
@@ -196,6 +203,7 @@
 
 // Two halves that were cut from each other hold each other dead, and find each other again.
 func TestSplitHeals(t *testing.T) {
+	t.Parallel()
 	for _, n := range []int{12, 100} {
 		f, _ := fleet(t, n)
 		f.Cut = func(a, b int) bool { return a%2 != b%2 }
@@ -210,6 +218,7 @@
 
 // A pause of 10 s is a death, told to all and taken back by all.
 func TestLongPause(t *testing.T) {
+	t.Parallel()
 	f, deaths := fleet(t, 12)
 	f.Pause(3, 20*time.Second)
 	play(t, f, 19*time.Second)
@@ -221,6 +230,7 @@
 
 // Seven in ten die at once; the others agree on that. They come back knowing nothing, with clocks that stepped back.
 func TestMostDieAndComeBack(t *testing.T) {
+	t.Parallel()
 	f, deaths := fleet(t, 60)
 	for i := range 42 {
 		f.Kill(i)
@@ -238,6 +248,7 @@
 // A member that is back before its death was told, from nothing and with an earlier clock, beats the rumours about
 // its former self.
 func TestRestartBeatsItsFormerSelf(t *testing.T) {
+	t.Parallel()
 	for _, skew := range []time.Duration{0, -time.Hour, time.Hour} {
 		f, _ := fleet(t, 12)
 		f.Kill(4)
@@ -252,6 +263,7 @@
 
 // Who leaves is held to have left within two intervals, without any suspicion.
 func TestLeave(t *testing.T) {
+	t.Parallel()
 	f, deaths := fleet(t, 30)
 	f.Leave(7)
 	play(t, f, 4*time.Second)
--- a/internal/membership/virtual/heal_test.go
+++ b/internal/membership/virtual/heal_test.go
@@ -10,6 +10,7 @@
 // When two halves that were cut from each other meet again, rumours of one cross to the other. No member may be told
 // dead by its own half for that, and the pings that doubt causes stay within their bound.
 func TestHealKillsNobody(t *testing.T) {
+	t.Parallel()
 	sizes := []int{12, 100, 300}
 	if raced {
 		sizes = []int{12, 40}
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -290,6 +290,7 @@
 
 // Each kind of bad change is stopped in its first stage, and good ones go through but for a false alarm in many.
 func TestBadChangesStopInTheirFirstStage(t *testing.T) {
+	t.Parallel()
 	for _, bug := range []string{"crash at start", "hang at start", "crash after 5 s", "slow", "refuses a class", "spoils", "leaks"} {
 		stopped, longest, harmed := 0, time.Duration(0), 0.0
 		const seeds = 20
@@ -310,6 +311,7 @@
 }
 
 func TestGoodChangesGoThrough(t *testing.T) {
+	t.Parallel()
 	alarms := 0
 	const seeds = 40
 	for seed := range uint64(seeds) {
@@ -329,6 +331,7 @@
 
 // An outage of engines in mid-stage hits both sides alike, and is not blamed on the change.
 func TestOutageIsNotBlamedOnTheChange(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(20) {
 		w := newWorld(t, 30, seed, "")
 		w.outage = func(at time.Duration) float64 {
--- a/policy/failures_test.go
+++ b/policy/failures_test.go
@@ -335,6 +335,7 @@
 
 // A gateway runs for months: with ever new engines, groups and keys, what it keeps levels off.
 func TestNothingGrowsWithoutBound(t *testing.T) {
+	t.Parallel()
 	for _, budgeted := range []bool{true, false} {
 		g := handMade(t, 2, func(s *Settings) { s.Rules.Budgeted = budgeted })
 		id := RequestID(0)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -403,6 +403,7 @@
 
 // Seeded random but legal sequences of events keep the seven rules.
 func TestRulesUnderRandomEvents(t *testing.T) {
+	t.Parallel()
 	for seed := int64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := testSettings()
@@ -438,6 +439,7 @@
 
 // The same seed and events give the same actions, whatever order maps are walked in.
 func TestSameEventsSameActions(t *testing.T) {
+	t.Parallel()
 	run := func() string {
 		c := newChecker(t, testSettings(), 7)
 		var infos []EngineInfo
--- a/policy/views_test.go
+++ b/policy/views_test.go
@@ -13,6 +13,7 @@
 // Gateways whose views of the fleet are arbitrary, contradict each other, and change at any moment (a split, false
 // deaths, late reports, absurd counts) keep together the rule on cold engines, and each the ration of further attempts.
 func TestNoViewOfTheFleetBreaksTheRules(t *testing.T) {
+	t.Parallel()
 	used := 0.0 // of the cold budget, over all runs: nobody sending proves nothing
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
