--- /dev/null
+++ b/cmd/frostpier/golden_test.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+
+	"frostpier/internal/testutil"
+)
+
+// The command line has the commands, arguments, flags and exit codes that it had before the code was rearranged.
+func TestCommandLineIsUnchanged(t *testing.T) {
+	t.Parallel()
+	var c commandLine
+	parser, err := kong.New(&c, kong.Name("frostpier"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	for _, command := range parser.Model.Leaves(false) {
+		fmt.Fprintf(&out, "%s\n", command.Path())
+		for _, argument := range command.Positional {
+			fmt.Fprintf(&out, "  argument %s\n", argument.Summary())
+		}
+		for _, flags := range command.AllFlags(false) {
+			for _, f := range flags {
+				fmt.Fprintf(&out, "  flag --%s default %q\n", f.Name, f.Default)
+			}
+		}
+	}
+	fmt.Fprintf(&out, "exit codes %d %d %d %d %d %d\n", exitDone, exitError, exitPlan, exitBusy, exitReturned, exitStopped)
+	testutil.Golden(t, "commandline.golden", []byte(out.String()))
+}
--- /dev/null
+++ b/internal/controller/golden_test.go
@@ -0,0 +1,44 @@
+package controller
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"frostpier/internal/rollout"
+	"frostpier/internal/testutil"
+)
+
+// A journal of an earlier version is read, and what is printed with --json has the keys that it had.
+func TestStoredJournalIsRead(t *testing.T) {
+	t.Parallel()
+	stored, err := os.ReadFile("testdata/journal.db")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "journal.db")
+	if err := os.WriteFile(path, stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	j, err := OpenJournal(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer j.Close()
+	c, err := j.Last()
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := statusOf(c.Name, c.State)
+	s.Running, s.History, s.Error = true, c.History, "e"
+	s.Opinion = rollout.Opinion{Worse: true, Enough: true, Why: "why"}
+	text, err := json.MarshalIndent(s, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	testutil.Golden(t, "status.golden", append(append(text, '\n'), c.Plan...))
+	keys := testutil.FieldKeys("json", "status", Status{}) + testutil.FieldKeys("json", "line", Line{}) +
+		testutil.FieldKeys("json", "checked", Checked{})
+	testutil.Golden(t, "keys.golden", []byte(keys))
+}
--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,31 @@
+package discovery
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"frostpier/internal/testutil"
+)
+
+// The watch is asked for, and its events are read, as before the code was rearranged.
+func TestWatchTranscript(t *testing.T) {
+	t.Parallel()
+	var out strings.Builder
+	s := known(t)
+	fmt.Fprintf(&out, "request %q\n", s.Request())
+	for _, in := range []string{line(2, "terminating") + "\n", "2\n", "{\"no\":2}\n",
+		`{"no":3,"roster":{"reset":true,"instances":[]}}` + "\n", line(4, "terminated") + "\n", line(9, "asleep") + "\n"} {
+		events, err := s.Feed([]byte(in))
+		fmt.Fprintf(&out, "in %q\n", in)
+		for _, e := range events {
+			fmt.Fprintf(&out, "  version %d full %v\n", e.ResourceVersion, e.Full)
+			for _, l := range e.Engines {
+				fmt.Fprintf(&out, "  engine %s %s zone %s kind %s cell %d health %d started %v\n",
+					l.Name, l.Addr, l.Zone, l.Kind, l.Cell, l.Health, l.Started)
+			}
+		}
+		fmt.Fprintf(&out, "  error %v, request %q\n", err != nil, s.Request())
+	}
+	testutil.Golden(t, "watch.golden", []byte(out.String()))
+}
--- /dev/null
+++ b/internal/membership/virtual/golden_test.go
@@ -0,0 +1,65 @@
+package virtual
+
+import (
+	"fmt"
+	"hash/fnv"
+	"strings"
+	"testing"
+	"time"
+
+	"frostpier/internal/membership"
+	"frostpier/internal/testutil"
+)
+
+const goldenShown = 40 // datagrams that are written out in full; the others count in the hash
+
+// recordedNode writes down every datagram that a member sends.
+type recordedNode struct {
+	*membership.Node
+	note func(d membership.Datagram)
+}
+
+func (n *recordedNode) Datagrams() []membership.Datagram {
+	list := n.Node.Datagrams()
+	for _, d := range list {
+		n.note(d)
+	}
+	return list
+}
+
+// The datagrams of a fleet through kills, pauses, a cut and departures are, byte for byte, what they were before the code was
+// rearranged.
+func TestDatagramTranscript(t *testing.T) {
+	t.Parallel()
+	var out strings.Builder
+	hash, count := fnv.New64a(), 0
+	setup := Setup{Members: 24, Seed: 26, Loss: 0.02, Double: 0.01, DelayMin: time.Millisecond, DelayMax: 20 * time.Millisecond,
+		Spread: 2 * time.Second, Make: func(cfg membership.Config) (Detector, error) {
+			node, err := membership.New(cfg)
+			if err != nil {
+				return nil, err
+			}
+			return &recordedNode{node, func(d membership.Datagram) {
+				if count++; count <= goldenShown {
+					fmt.Fprintf(&out, "%d to %d: %x\n", cfg.Self, d.To, d.Bytes)
+				}
+				fmt.Fprintf(hash, "%d to %d: %x\n", cfg.Self, d.To, d.Bytes)
+			}}, nil
+		}}
+	f, err := New(setup)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cut := false
+	f.Cut = func(from, to int) bool { return cut && from%2 != to%2 }
+	f.At(20*time.Second, func() { f.Kill(3); f.Kill(4) })
+	f.At(25*time.Second, func() { f.Pause(7, 4*time.Second) })
+	f.At(40*time.Second, func() { cut = true })
+	f.At(60*time.Second, func() { cut = false })
+	f.At(70*time.Second, func() { f.Start(3, 0); f.Leave(9) })
+	if err := f.Run(2 * time.Minute); err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&out, "%d datagrams, hash %016x\n", count, hash.Sum64())
+	testutil.Golden(t, "datagrams.golden", []byte(out.String()))
+}
--- /dev/null
+++ b/internal/mysql/golden_test.go
@@ -0,0 +1,100 @@
+package mysql
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"frostpier/internal/attempt"
+	"frostpier/internal/testutil"
+	"frostpier/internal/testutil/transcript"
+	"frostpier/policy"
+)
+
+// goldenCommands are a session's commands, each answered before the next.
+func goldenCommands() [][]byte {
+	return [][]byte{
+		command(comPing),
+		command(comInitDB, []byte("s")),
+		command(comPrepare, []byte("SELECT ?, '?'")),
+		command(comLongData, []byte{1, 0, 0, 0, 0, 0}, []byte("long")),
+		command(comExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0, 1, 'x'}),
+		command(comExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 1, 'y'}),
+		command(comStmtReset, []byte{1, 0, 0, 0}),
+		command(comExecute, []byte{9, 0, 0, 0, 0, 1, 0, 0, 0}),
+		command(comQuery, []byte("SET @replay_key='k'")),
+		command(comQuery, []byte("SELECT 1")),
+		command(comQuery, []byte("BEGIN")),
+		command(comStmtClose, []byte{1, 0, 0, 0}),
+		command(0x7f),
+		command(comQuit),
+	}
+}
+
+// The front's packets are, byte for byte, what they were before the code was rearranged.
+func TestFrontTranscript(t *testing.T) {
+	t.Parallel()
+	var out strings.Builder
+	f, greeting := NewFront(map[string]*Account{"u": {User: "u", Hash: HashOf("p"), Budget: time.Second}}, 1, scramble)
+	fmt.Fprintf(&out, "greeting %q\n", greeting)
+	for _, in := range slices.Concat([][]byte{loginBytes(t)}, goldenCommands()) {
+		fmt.Fprintf(&out, "in %q\n", in)
+		events := f.Feed(in)
+		for _, e := range slices.Clone(events) {
+			if e.Call != nil {
+				events = append(events, f.Done()...)
+			}
+		}
+		for _, e := range events {
+			fmt.Fprintf(&out, "  write %q close %v\n", e.Write, e.Close)
+			if c := e.Call; c != nil {
+				fmt.Fprintf(&out, "  call schema %q text %q key %q\n", c.Schema, c.Text, c.Key)
+				if c.Execute != nil {
+					fmt.Fprintf(&out, "  execute %q\n", slices.Concat(c.Execute.longData(5), c.Execute.command(5)))
+				}
+			}
+		}
+	}
+	for _, answer := range [][]byte{Refusal(1500 * time.Millisecond), Refusal(0), Deadline(), Failure()} {
+		fmt.Fprintf(&out, "answer %q\n", answer)
+	}
+	testutil.Golden(t, "front.golden", []byte(out.String()))
+}
+
+// The packets to engines are, byte for byte, what they were before the code was rearranged.
+func TestExchangeTranscript(t *testing.T) {
+	t.Parallel()
+	var out strings.Builder
+	note := func(event string, steps []attempt.Step) { out.WriteString(transcript.Steps(event, steps)) }
+	_, greeting := NewFront(nil, 1, scramble)
+	may := func(bool) (time.Duration, bool) { return time.Second, true }
+	prepared := &Execution{Text: "SELECT ?", Params: 1, nulls: []byte{0}, types: []byte{0xfd, 0}, values: []byte("\x01x")}
+	preparedAnswer := slices.Concat(frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}), frame(2, []byte(definition)), eofPacket(3))
+	for _, execute := range []*Execution{nil, prepared} {
+		var memory [2]any
+		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", Key: "'k'", Execute: execute}
+		x, steps := NewExchange(call, "u", "p")
+		note("new", steps)
+		note("opened", x.Opened(attempt.Main, &memory[0], may))
+		note("greeting", x.Fed(attempt.Main, greeting))
+		note("ok", x.Fed(attempt.Main, okPacket(2)))
+		note("ok", x.Fed(attempt.Main, okPacket(1)))
+		note("ok", x.Fed(attempt.Main, okPacket(1)))
+		if execute != nil {
+			note("prepared", x.Fed(attempt.Main, preparedAnswer))
+			note("rows", x.Fed(attempt.Main, rows("a", "b")))
+			continue
+		}
+		note("first rows", x.Fed(attempt.Main, rows("a", "b")[:60]))
+		note("cancel", x.GiveUp(policy.Cancelled))
+		note("opened", x.Opened(attempt.Side, &memory[1], may))
+		note("greeting", x.Fed(attempt.Side, greeting))
+		note("ok", x.Fed(attempt.Side, okPacket(2)))
+		note("ok", x.Fed(attempt.Side, okPacket(1)))
+		note("error", x.Fed(attempt.Main, errorPacket(5, 1317, "interrupted")))
+		note("lost", x.Broke(attempt.Main))
+	}
+	testutil.Golden(t, "exchange.golden", []byte(out.String()))
+}
--- /dev/null
+++ b/internal/rig/golden_test.go
@@ -0,0 +1,28 @@
+package rig
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"frostpier/internal/testutil"
+)
+
+// A scenario of an earlier version is read as before.
+func TestStoredScenarioIsRead(t *testing.T) {
+	t.Parallel()
+	text, err := os.ReadFile("testdata/scenario.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := ParseScenario(text)
+	if err != nil || s.Gateways == 0 || len(s.Steps) == 0 {
+		t.Fatalf("%+v, %v", s, err)
+	}
+	steps, err := json.Marshal([]any{len(s.Steps), s.Steps[0].Do, s.Steps[len(s.Steps)-1].Do, s.Network.Loss, s.Network.DelayMS})
+	if err != nil {
+		t.Fatal(err)
+	}
+	keys := testutil.FieldKeys("toml", "scenario", Scenario{})
+	testutil.Golden(t, "scenario.golden", append([]byte(keys), steps...))
+}
--- /dev/null
+++ b/internal/rollout/golden_test.go
@@ -0,0 +1,43 @@
+package rollout
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"frostpier/internal/testutil"
+)
+
+// Reports and versions are, byte for byte, what they were before the code was rearranged.
+func TestReportTranscript(t *testing.T) {
+	t.Parallel()
+	var out strings.Builder
+	report, err := someReport().Append(nil, "f")
+	fmt.Fprintf(&out, "report %x, error %v\n", report, err != nil)
+	other := someReport()
+	other.Serving, other.Pending, other.Gateway = false, true, 0
+	report, err = other.Append(nil, "fleet of the north")
+	fmt.Fprintf(&out, "report %x, error %v\n", report, err != nil)
+	mix := NewMix(3, ID{1 << 40, 2 << 40})
+	fmt.Fprintf(&out, "version %x\n", mix.Append(100*time.Second, 1, 50, nil))
+	mix.Own(ID{5, 6})
+	fmt.Fprintf(&out, "version %x\n", mix.Append(101*time.Second, 2, 50, nil))
+	testutil.Golden(t, "messages.golden", []byte(out.String()))
+}
+
+// A state is stored, and a verdict printed, under the keys that earlier versions used; a plan has their keys.
+func TestStoredKeys(t *testing.T) {
+	t.Parallel()
+	keys := testutil.FieldKeys("json", "state", State{}) + testutil.FieldKeys("json", "opinion", Opinion{}) +
+		testutil.FieldKeys("json", "id", ID{}) + testutil.FieldKeys("toml", "plan", Plan{}) + testutil.FieldKeys("json", "plan json", Plan{})
+	testutil.Golden(t, "keys.golden", []byte(keys))
+	state := State{Phase: Holding, Before: Watching, Stage: 2, Since: 5 * time.Second, Reason: "r", Crashes: [2]int{1, 2},
+		Gateways: []GatewayState{{Want: NewVersion, Step: Starting, Going: NewVersion, Since: time.Second, PID: 7}, {Want: OldVersion, Step: Steady}}}
+	text, err := json.MarshalIndent([]any{state, Opinion{Worse: true, Enough: true, Why: "w"}, ID{1, 2}}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	testutil.Golden(t, "state.golden", append(text, '\n'))
+}
--- /dev/null
+++ b/internal/scale/golden_test.go
@@ -0,0 +1,27 @@
+package scale
+
+import (
+	"os"
+	"testing"
+
+	"frostpier/internal/testutil"
+)
+
+// A result file of an earlier version is read, and written again as it was.
+func TestStoredResultsAreRead(t *testing.T) {
+	t.Parallel()
+	text, err := os.ReadFile("testdata/results.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := DecodeFile(text)
+	if err != nil || len(file.Runs) == 0 || len(file.Runs[0].Steps) == 0 {
+		t.Fatalf("%d runs, %v", len(file.Runs), err)
+	}
+	again, err := file.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	testutil.Golden(t, "results.json", again)
+	testutil.Golden(t, "keys.golden", []byte(testutil.FieldKeys("json", "file", File{})))
+}
--- /dev/null
+++ b/internal/testutil/golden.go
@@ -0,0 +1,49 @@
+// Package testutil holds the helpers that tests of several packages share. Only test files import it.
+package testutil
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// updateVariable names the environment variable that makes Golden write its files instead of comparing with them.
+const updateVariable = "UPDATE_GOLDEN"
+
+// Golden compares got, byte for byte, with the file testdata/name of the calling test's package. The files record what an
+// earlier version of the program did; one is only written anew when a change of that behavior is intended.
+func Golden(t testing.TB, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv(updateVariable) != "" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
+	for i := range max(len(gotLines), len(wantLines)) {
+		if i >= len(gotLines) || i >= len(wantLines) || !bytes.Equal(gotLines[i], wantLines[i]) {
+			t.Fatalf("%s: line %d differs\n got: %s\nwant: %s", path, i+1, lineAt(gotLines, i), lineAt(wantLines, i))
+		}
+	}
+}
+
+// lineAt returns line i, or a note that there is none.
+func lineAt(lines [][]byte, i int) string {
+	if i >= len(lines) {
+		return "(no such line)"
+	}
+	return string(lines[i])
+}
--- /dev/null
+++ b/internal/testutil/transcript/transcript.go
@@ -0,0 +1,44 @@
+// Package transcript writes down, for golden files, what the state machines of attempts ask of their driver. The form does not
+// depend on the names in the code, so that a transcript stays the same while these change.
+package transcript
+
+import (
+	"fmt"
+	"strings"
+
+	"frostpier/internal/attempt"
+)
+
+// Steps returns one line for each step. Bytes are quoted as Go strings.
+func Steps(event string, steps []attempt.Step) string {
+	var out strings.Builder
+	fmt.Fprintf(&out, "%s\n", event)
+	for _, s := range steps {
+		fmt.Fprintf(&out, "  %s\n", line(s))
+	}
+	return out.String()
+}
+
+func line(s attempt.Step) string {
+	switch s := s.(type) {
+	case attempt.Open:
+		return fmt.Sprintf("open %d new %v", s.Lane, s.Fresh)
+	case attempt.Write:
+		return fmt.Sprintf("write %d %q", s.Lane, s.Bytes)
+	case attempt.Release:
+		return fmt.Sprintf("release %d", s.Lane)
+	case attempt.Drop:
+		return fmt.Sprintf("close %d", s.Lane)
+	case attempt.Set:
+		return fmt.Sprintf("timer %d %v", s.Alarm, s.After)
+	case attempt.News:
+		return fmt.Sprintf("progress %g", s.Done)
+	case attempt.Overdue:
+		return "overdue"
+	case attempt.Relay:
+		return fmt.Sprintf("relay %q", s.Bytes)
+	case attempt.End:
+		return fmt.Sprintf("end %d %q %q", s.Outcome, s.Result, s.Report)
+	}
+	return "unknown step"
+}
--- /dev/null
+++ b/internal/vrrp/golden_test.go
@@ -0,0 +1,36 @@
+package vrrp
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"frostpier/internal/testutil"
+)
+
+// The advertisements are, byte for byte, what they were before the code was rearranged.
+func TestAdvertisementTranscript(t *testing.T) {
+	t.Parallel()
+	var out strings.Builder
+	note := func(event string, steps []Step) {
+		fmt.Fprintf(&out, "%s\n", event)
+		for _, s := range steps {
+			fmt.Fprintf(&out, "  send %x timer %v stop %v\n", s.Send, s.Alarm, s.Quiet)
+			if s.Now != nil {
+				fmt.Fprintf(&out, "  state %d\n", *s.Now)
+			}
+		}
+	}
+	for _, priority := range []uint8{100, 255} {
+		r := router(t, priority, true)
+		note(fmt.Sprintf("startup at priority %d", priority), r.Startup())
+		note("timer", r.Rang())
+		note("timer", r.Rang())
+		steps, err := r.Received(high, advert(7, 200, time.Second))
+		note(fmt.Sprintf("advertisement, error %v", err != nil), steps)
+		note("shutdown", r.Shutdown())
+	}
+	fmt.Fprintf(&out, "message %x\n", advert(7, 200, 500*time.Millisecond))
+	testutil.Golden(t, "vrrp.golden", []byte(out.String()))
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,56 @@
+package wire
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"strings"
+	"testing"
+
+	"frostpier/internal/testutil"
+)
+
+// fill gives each field of a record a value of its own.
+func fill(v reflect.Value, rnd *rand.Rand) {
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i), rnd)
+		}
+	case reflect.Array:
+		for i := range v.Len() {
+			fill(v.Index(i), rnd)
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 3, 3))
+		for i := range v.Len() {
+			fill(v.Index(i), rnd)
+		}
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(float64(rnd.IntN(1000)))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(rnd.Uint64() >> (64 - v.Type().Bits()))
+	}
+}
+
+// Every record is encoded, byte for byte, as before the code was rearranged.
+func TestRecordTranscript(t *testing.T) {
+	t.Parallel()
+	var out strings.Builder
+	rnd := rand.New(rand.NewPCG(26, 0))
+	for code := range 256 {
+		r := newRecord(uint8(code))
+		if r == nil {
+			continue
+		}
+		fill(reflect.ValueOf(r).Elem(), rnd)
+		if code < int((&Dispatch{}).code()) { // the first of the actions
+			fmt.Fprintf(&out, "%d %x\n", code, AppendBatch(nil, Batch{Now: 7, Events: []Record{r}}))
+			continue
+		}
+		fmt.Fprintf(&out, "%d %x\n", code, AppendReply(nil, []Record{r}))
+	}
+	testutil.Golden(t, "records.golden", []byte(out.String()))
+}
--- /dev/null
+++ b/policy/golden_test.go
@@ -0,0 +1,270 @@
+package policy
+
+import (
+	"bytes"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"frostpier/internal/testutil"
+)
+
+const (
+	goldenEvents  = 3000
+	goldenSeeds   = 3
+	goldenEngines = 12
+)
+
+// goldenSettings are settings that differ in what the decisions depend on.
+func goldenSettings() map[string]Settings {
+	base := testSettings()
+	base.Classes = append([]Class{}, base.Classes...)
+	load, waits := base.Classes[0], base.Classes[0]
+	load.Effect, load.IsLoad, load.Threads = Keyed, true, 2
+	waits.WaitsLoads, waits.Threads = true, 3
+	base.Classes = append(base.Classes, load, waits)
+
+	fleet, lone, bare, priced, asking := base, base, base, base, base
+	fleet.Siblings, fleet.Number = 120, 7
+	lone.Siblings, lone.ShortMemoryWaits = 1, true
+	bare.Figures, bare.CanProbe, bare.CanCancel, bare.TakesGrants, bare.TakesPriority = nil, false, false, false, false
+	bare.Rules.Budgeted, bare.MaxAttempts, bare.CostInAnswers = false, 3, false
+	priced.CrossZoneCost, priced.Siblings, priced.Zone = 0.2, 9, 1
+	asking.AskForList, asking.MaxRetryAfter, asking.Siblings = true, 0, 40
+	return map[string]Settings{"base": base, "fleet": fleet, "lone": lone, "bare": bare, "priced": priced, "asking": asking}
+}
+
+// recorder plays a seeded stream of events into a Gateway and writes down every action, in a form that does not depend on
+// the names in the code.
+type recorder struct {
+	g       *Gateway
+	s       Settings
+	rnd     *rand.Rand
+	now     time.Duration
+	out     bytes.Buffer
+	nextID  RequestID
+	open    []RequestID
+	sent    []recordedSend
+	attempt map[RequestID]int
+	probes  []EngineID
+	timers  []recordedTimer
+	actions int
+}
+
+type recordedSend struct {
+	id      RequestID
+	attempt int
+	engine  EngineID
+	at      time.Duration
+}
+
+type recordedTimer struct {
+	at    time.Duration
+	token uint64
+}
+
+func (r *recorder) write(format string, args ...any) { fmt.Fprintf(&r.out, format+"\n", args...) }
+
+func (r *recorder) handle(e Event) {
+	for _, a := range r.g.Handle(r.now, e) {
+		r.actions++
+		r.record(a)
+	}
+}
+
+func (r *recorder) record(a Action) {
+	switch a := a.(type) {
+	case Send:
+		r.write("send %d %x %d", a.ID, uint64(a.Engine), a.Timeout)
+		r.sent = append(r.sent, recordedSend{a.ID, r.attempt[a.ID], a.Engine, r.now})
+		r.attempt[a.ID]++
+	case Terms:
+		r.write("terms %d %g %d", a.ID, a.GrantMB, a.Priority)
+	case Refuse:
+		r.write("refuse %d %d", a.ID, a.ComeBack)
+	case Fail:
+		r.write("fail %d", a.ID)
+	case Cancel:
+		r.write("cancel %d %d", a.ID, a.Attempt)
+	case Probe:
+		r.write("probe %x", uint64(a.Engine))
+		r.probes = append(r.probes, a.Engine)
+	case SetTimer:
+		r.write("timer %d %x", a.After, a.Token)
+		r.timers = append(r.timers, recordedTimer{r.now + a.After, a.Token})
+	case Subscribe:
+		r.write("subscribe")
+	case Log:
+		r.write("log")
+	default:
+		r.write("unknown")
+	}
+}
+
+func (r *recorder) report() Report {
+	if r.rnd.IntN(3) == 0 {
+		return Report{}
+	}
+	return Report{Present: true, Values: map[Figure]float64{Inflight: float64(r.rnd.IntN(40)), Util: r.rnd.Float64(),
+		Queued: float64(r.rnd.IntN(4)), MemoryShare: r.rnd.Float64(), DiskShare: r.rnd.Float64()}}
+}
+
+func (r *recorder) engineInfo(id EngineID) EngineInfo {
+	info := EngineInfo{ID: id, Zone: int(id) % 2, Kind: int(id) % 2, Cell: int(id) % 3, Scale: 1}
+	switch r.rnd.IntN(12) {
+	case 0:
+		info.Health = Draining
+	case 1:
+		info.Health = Gone
+	case 2:
+		info.Started = r.now - time.Duration(r.rnd.IntN(5000))*time.Millisecond
+	case 3:
+		info.Overflow = true
+	}
+	return info
+}
+
+func (r *recorder) list(kind ListKind, n int) {
+	l := EngineList{Kind: kind}
+	for range n {
+		l.Engines = append(l.Engines, r.engineInfo(EngineID(1+r.rnd.IntN(goldenEngines))))
+	}
+	r.handle(l)
+}
+
+func (r *recorder) arrive() {
+	r.nextID++
+	class := r.rnd.IntN(len(r.s.Classes))
+	a := Arrival{ID: r.nextID, Class: class, TableGroup: r.rnd.IntN(6), Remaining: time.Duration(100+r.rnd.IntN(6000)) * time.Millisecond}
+	if r.rnd.IntN(4) > 0 {
+		a.Cost, a.NeedMB = time.Duration(20+r.rnd.IntN(900))*time.Millisecond, 20+900*r.rnd.Float64()
+	}
+	if r.rnd.IntN(2) == 0 {
+		a.Key = uint64(1 + r.rnd.IntN(5))
+	}
+	a.Repeat = r.rnd.IntN(10) == 0
+	r.open = append(r.open, a.ID)
+	r.handle(a)
+}
+
+func (r *recorder) end() {
+	if len(r.sent) == 0 {
+		return
+	}
+	i := r.rnd.IntN(len(r.sent))
+	s := r.sent[i]
+	r.sent = append(r.sent[:i], r.sent[i+1:]...)
+	outcome := OK
+	if r.rnd.IntN(4) == 0 {
+		outcome = Outcome(r.rnd.IntN(int(Moot) + 1))
+	}
+	took := r.now - s.at
+	r.handle(AttemptEnded{ID: s.id, Attempt: s.attempt, Engine: s.engine, Outcome: outcome, Took: took, Terminal: outcome == OK,
+		Work: time.Duration(float64(took) * r.rnd.Float64()), UsedMB: 500 * r.rnd.Float64(), Report: r.report()})
+}
+
+// step advances the time, fires what is due and plays one event.
+func (r *recorder) step() {
+	r.now += time.Duration(r.rnd.IntN(20)) * time.Millisecond
+	for i := 0; i < len(r.timers); i++ {
+		if t := r.timers[i]; t.at <= r.now {
+			r.timers = append(r.timers[:i], r.timers[i+1:]...)
+			r.handle(TimerFired{t.token})
+			i--
+		}
+	}
+	switch n := r.rnd.IntN(100); {
+	case n < 38:
+		r.arrive()
+	case n < 74:
+		r.end()
+	case n < 80 && len(r.sent) > 0:
+		s := r.sent[r.rnd.IntN(len(r.sent))]
+		r.write("may %v %v", r.g.StillMay(r.now, s.id, s.attempt), r.g.SendAgain(r.now, s.id, s.attempt))
+	case n < 83 && len(r.sent) > 0:
+		s := r.sent[r.rnd.IntN(len(r.sent))]
+		r.handle(AnswerOverdue{s.id, s.attempt})
+	case n < 85 && len(r.sent) > 0:
+		s := r.sent[r.rnd.IntN(len(r.sent))]
+		r.handle(Progress{s.id, s.attempt, r.rnd.Float64()})
+	case n < 86 && len(r.sent) > 0:
+		s := r.sent[r.rnd.IntN(len(r.sent))]
+		r.handle(AnswerStarted{s.id, s.attempt})
+	case n < 89:
+		r.handle(ClientLeft{r.open[r.rnd.IntN(len(r.open))]})
+	case n < 93:
+		r.probed()
+	case n < 95:
+		r.list(ListDelta, 1+r.rnd.IntN(3))
+	case n < 96:
+		r.list(ListKind(r.rnd.IntN(4)), 4+r.rnd.IntN(2*goldenEngines))
+	case n < 97:
+		r.handle(InService{Count: r.rnd.IntN(r.s.Siblings + 2), Subset: r.rnd.IntN(3) == 0})
+	default:
+		r.handle(PeerReports{[]PeerReport{{EngineID(1 + r.rnd.IntN(goldenEngines)), float64(r.rnd.IntN(60)),
+			r.now - time.Duration(r.rnd.IntN(3000))*time.Millisecond}}})
+	}
+}
+
+func (r *recorder) probed() {
+	if len(r.probes) == 0 {
+		return
+	}
+	id := r.probes[0]
+	r.probes = r.probes[1:]
+	outcome := OK
+	if r.rnd.IntN(3) == 0 {
+		outcome = NoConnection
+	}
+	r.handle(ProbeEnded{id, outcome, 5 * time.Millisecond, r.report()})
+}
+
+// believed writes down what the operators' records say of the decisions.
+func (r *recorder) believed() {
+	f := r.g.Filled()
+	r.write("filled %g %g %g %g", f.Threads, f.Window, f.Mean, f.Strain)
+	for _, id := range r.open[max(0, len(r.open)-8):] {
+		held, by, looks := r.g.Explain(r.now, id)
+		r.write("held %v %s", held, by)
+		for _, l := range looks {
+			r.write("look %x %g %g %g %g %d %s", uint64(l.Engine), l.Own, l.Others, l.Limit, l.Target, l.ReportAge, l.Guard)
+		}
+	}
+}
+
+func recordDecisions(t *testing.T, s Settings, seed uint64) (hash uint64, actions int) {
+	t.Helper()
+	g, err := New(s, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &recorder{g: g, s: s, rnd: rand.New(rand.NewPCG(seed, 26)), now: time.Hour, attempt: map[RequestID]int{}}
+	r.list(ListFull, 3*goldenEngines)
+	r.arrive()
+	for i := range goldenEvents {
+		r.step()
+		if i%50 == 0 {
+			r.believed()
+		}
+	}
+	r.handle(Closing{})
+	sum := fnv.New64a()
+	sum.Write(r.out.Bytes())
+	return sum.Sum64(), r.actions
+}
+
+// The decisions on seeded streams of events are those that the module made before it was rearranged.
+func TestDecisionsAreUnchanged(t *testing.T) {
+	t.Parallel()
+	var lines bytes.Buffer
+	all := goldenSettings()
+	for _, name := range []string{"asking", "bare", "base", "fleet", "lone", "priced"} {
+		for seed := range uint64(goldenSeeds) {
+			hash, actions := recordDecisions(t, all[name], seed+1)
+			fmt.Fprintf(&lines, "%s seed %d: %016x, %d actions\n", name, seed+1, hash, actions)
+		}
+	}
+	testutil.Golden(t, "decisions.golden", lines.Bytes())
+}
