--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 TAGGED_PACKAGES = go list -test -f '{{.ImportPath}} {{join .Deps " "}}' ./... | \
 	awk '$$1 ~ /\.test$$/ && /frostpier\/internal\/invariant( |$$)/ {sub(/\.test$$/, "", $$1); print $$1}'
 
-.PHONY: build test test-debug test-virtual lint run clean sites demo fleetlab fleetsim scalelab spreadlab rolloutlab proto
+.PHONY: build test test-debug test-virtual lint run clean sites demo fleettest fleetsim scaletest loadreporttest rollouttest proto
 
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
@@ -39,26 +39,26 @@
 
 # The program at work, with no configuration: some 45 s.
 demo: build
-	bin/fleetlab demo
+	bin/fleettest demo
 
 # Not in CI: faults among 12, 100 and 300 processes (some 20 minutes), and the protocol alone on a virtual clock.
-fleetlab: build
-	for n in 12 100 300; do bin/fleetlab run scenarios/membership.toml --gateways $$n || exit 1; done
+fleettest: build
+	for n in 12 100 300; do bin/fleettest run scenarios/membership.toml --gateways $$n || exit 1; done
 
-spreadlab: build
-	for n in 100 300; do bin/fleetlab spread --gateways $$n --engines $$((n * 4 / 15)) || exit 1; done
+loadreporttest: build
+	for n in 100 300; do bin/fleettest spread --gateways $$n --engines $$((n * 4 / 15)) || exit 1; done
 
-rolloutlab: build
-	for n in 30 100; do bin/fleetlab rollout --gateways $$n || exit 1; bin/fleetlab rollout --gateways $$n --seeds 3 --plain || exit 1; done
+rollouttest: build
+	for n in 30 100; do bin/fleettest rollout --gateways $$n || exit 1; bin/fleettest rollout --gateways $$n --seeds 3 --plain || exit 1; done
 
 # Hundreds of hollow gateways beside real ones: the slopes over the fleet's size, then the size that is aimed at (some 15 minutes).
-scalelab: build
-	bin/fleetlab scale --real 8 --hollow 92,192,392,792 --engines 275 --steps quiet,regions
-	bin/fleetlab scale --add
+scaletest: build
+	bin/fleettest scale --real 8 --hollow 92,192,392,792 --engines 275 --steps quiet,regions
+	bin/fleettest scale --add
 
 fleetsim: build
-	bin/fleetlab simulate
-	bin/fleetlab replay --runs 1000
+	bin/fleettest simulate
+	bin/fleettest replay --runs 1000
 
 # Lays the bench's own files beside the sites written here; git ignores them. Only benches need this, no build or test.
 sites:
--- a/cmd/fleetlab/account.go
+++ b/cmd/fleettest/account.go
@@ -17,7 +17,7 @@
 
 type accountCommand struct {
 	Logs string `arg:"" type:"existingdir" help:"The folder with the gateways' logs, written with FROSTPIER_DEBUG=1."`
-	Out  string `default:"found/fleetlab/account" help:"The tables, without an ending."`
+	Out  string `default:"found/fleettest/account" help:"The tables, without an ending."`
 }
 
 // decided is one send: what was believed of the engine when it was chosen.
--- a/cmd/fleetlab/capacity.go
+++ b/cmd/fleettest/capacity.go
@@ -9,8 +9,8 @@
 )
 
 type capacityCommand struct {
-	Slopes string `default:"scenarios/capacity-slopes.json" type:"existingfile" help:"The result file of fleetlab slopes."`
-	Scale  string `default:"scenarios/scale-results.json" help:"The result file of fleetlab scale; without it the page says so."`
+	Slopes string `default:"scenarios/capacity-slopes.json" type:"existingfile" help:"The result file of fleettest slopes."`
+	Scale  string `default:"scenarios/scale-results.json" help:"The result file of fleettest scale; without it the page says so."`
 	Page   string `default:"docs/CAPACITY.md" type:"existingfile" help:"The page whose tables are written anew between their markers."`
 }
 
--- a/cmd/fleetlab/capacity_test.go
+++ b/cmd/fleettest/capacity_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if filled != string(page) {
-		t.Errorf("docs/CAPACITY.md differs from its files: run bin/fleetlab capacity\n%s", firstDifference(filled, string(page)))
+		t.Errorf("docs/CAPACITY.md differs from its files: run bin/fleettest capacity\n%s", firstDifference(filled, string(page)))
 	}
 }
 
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleettest/main.go
@@ -29,10 +29,10 @@
 
 func main() {
 	var c commands
-	ctx := kong.Parse(&c, kong.Name("fleetlab"), kong.UsageOnError(),
+	ctx := kong.Parse(&c, kong.Name("fleettest"), kong.UsageOnError(),
 		kong.Description("Experiments with fleets of frostpier gateways, on loopback alone."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "fleetlab:", err)
+		fmt.Fprintln(os.Stderr, "fleettest:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/fleetlab/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -31,7 +31,7 @@
 	Together int           `default:"2" help:"Fleets that play at a time."`
 	Plain    bool          `help:"A plain rolling restart in the rollout's place."`
 	Most     time.Duration `default:"6m" help:"The longest play."`
-	Out      string        `default:"found/fleetlab" help:"The folder for tables and logs."`
+	Out      string        `default:"found/fleettest" help:"The folder for tables and logs."`
 }
 
 // gatewayCommand is the program with what its environment says is wrong with it: a stand-in for a bad version.
--- a/cmd/fleetlab/run.go
+++ b/cmd/fleettest/run.go
@@ -14,7 +14,7 @@
 	Program  string `default:"bin/frostpier" type:"existingfile" help:"The program."`
 	Gateways int    `help:"So many gateways in place of the scenario's."`
 	Seed     uint64 `help:"This seed in place of the scenario's."`
-	Out      string `default:"found/fleetlab" help:"The folder for tables, the chart and the logs."`
+	Out      string `default:"found/fleettest" help:"The folder for tables, the chart and the logs."`
 }
 
 // Run plays the scenario.
--- a/cmd/fleetlab/scale.go
+++ b/cmd/fleettest/scale.go
@@ -32,7 +32,7 @@
 	Cut     int      `default:"120" help:"Seconds for which regions are cut from each other, at the least."`
 	Restart int      `name:"restarts-over" default:"100" help:"Seconds over which planned restarts are spread."`
 	Seed    uint64   `default:"1" help:"Of all chance."`
-	Out     string   `default:"found/fleetlab" help:"The folder for tables, charts and logs."`
+	Out     string   `default:"found/fleettest" help:"The folder for tables, charts and logs."`
 	Results string   `help:"The structured result file; default: scale-results.json in the folder."`
 	Add     bool     `help:"Keep the runs that the result file holds, and add to them."`
 }
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleettest/simulate.go
@@ -19,7 +19,7 @@
 	Hours float64 `default:"100" help:"Process-hours with pauses, for each size."`
 	Loss  float64 `default:"0.1" help:"Share of datagrams lost."`
 	Seed  uint64  `default:"1" help:"The first seed."`
-	Out   string  `default:"found/fleetlab" help:"The folder for tables and the chart."`
+	Out   string  `default:"found/fleettest" help:"The folder for tables and the chart."`
 }
 
 const (
--- a/cmd/fleetlab/spread.go
+++ b/cmd/fleettest/spread.go
@@ -28,7 +28,7 @@
 	Least    map[string]int `help:"Of these programs, by name, gateways get a section [subset] with this floor of engines, as name=least."`
 	Plain    bool           `default:"true" negatable:"" help:"Compare with plain gateways too: random, and least reported load."`
 	Seed     uint64         `default:"1" help:"Of all chance."`
-	Out      string         `default:"found/fleetlab" help:"The folder for tables and logs."`
+	Out      string         `default:"found/fleettest" help:"The folder for tables and logs."`
 }
 
 // played is what one version came to.
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -13,7 +13,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/capacity/catalogue.go
+++ b/internal/capacity/catalogue.go
@@ -49,7 +49,7 @@
 
 // Command is the command that reproduces the slope.
 func (d Definition) Command() string {
-	text := fmt.Sprintf("bin/fleetlab slopes --only %s", d.Group)
+	text := fmt.Sprintf("bin/fleettest slopes --only %s", d.Group)
 	if d.Group == GroupReports || d.Group == GroupMembership || d.Group == GroupFaults {
 		text += " --memory-mb 768" // 800 gateways with all their tables
 	}
--- a/internal/capacity/result.go
+++ b/internal/capacity/result.go
@@ -18,7 +18,7 @@
 	MeasuredDay string  `json:"measured_day"`
 }
 
-// Result is the file that `fleetlab slopes` writes.
+// Result is the file that `fleettest slopes` writes.
 type Result struct {
 	Machine Machine `json:"machine"`
 	Seed    uint64  `json:"seed"`
--- a/internal/capacity/scale.go
+++ b/internal/capacity/scale.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ScaleStep is what a step of `fleetlab scale` read of its real processes.
+// ScaleStep is what a step of `fleettest scale` read of its real processes.
 type ScaleStep struct {
 	Name                  string  `json:"name"`
 	RealGateways          int     `json:"real_gateways"`
@@ -22,7 +22,7 @@
 	EnginesKnownShare     float64 `json:"engines_known_share"` // of these, by load reports
 }
 
-// ScaleResult is the file that `fleetlab scale` writes; what else stands in it is left alone.
+// ScaleResult is the file that `fleettest scale` writes; what else stands in it is left alone.
 type ScaleResult struct {
 	Runs []struct {
 		Facts struct {
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -1,5 +1,5 @@
 // Package program wires frostpier's parts together: a gateway from its configuration to its planned stop. cmd/frostpier
-// is the program; tests and cmd/fleetlab run the same with faults in it.
+// is the program; tests and cmd/fleettest run the same with faults in it.
 package program
 
 import (
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -1,6 +1,6 @@
 // Package rig starts many processes of the program on loopback, with a stand-in discovery server and a relay between every
 // ordered pair of gateways, and injects faults: into the processes by signals, between them by the relay. The tests
-// and cmd/fleetlab use it.
+// and cmd/fleettest use it.
 package rig
 
 import (
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -1,5 +1,5 @@
 // Package standin is a small model of the platform's query engines, and servers that put it behind the platform's HTTP
-// protocol on loopback: what tests and cmd/fleetlab run fleets of gateways against. It is a model, not a measurement:
+// protocol on loopback: what tests and cmd/fleettest run fleets of gateways against. It is a model, not a measurement:
 // queries share cores and disks fluidly, as the platform's pages describe.
 package standin
 
