--- a/cmd/fleettest/account.go
+++ b/cmd/fleettest/account.go
@@ -12,7 +12,7 @@
 	"slices"
 	"strings"
 
-	"frostpier/internal/rig"
+	"frostpier/internal/testbed/testfleet"
 )
 
 type accountCommand struct {
@@ -62,7 +62,7 @@
 	lines.Buffer(nil, 4<<20)
 	seen := false
 	for lines.Scan() {
-		r, ok := rig.ParseRecord(lines.Text())
+		r, ok := testfleet.ParseRecord(lines.Text())
 		if !ok {
 			continue
 		}
--- a/cmd/fleettest/capacity.go
+++ b/cmd/fleettest/capacity.go
@@ -5,7 +5,7 @@
 	"io/fs"
 	"os"
 
-	"frostpier/internal/capacity"
+	"frostpier/internal/testbed/capacity"
 )
 
 type capacityCommand struct {
--- a/cmd/fleettest/capacity_test.go
+++ b/cmd/fleettest/capacity_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"frostpier/internal/capacity"
+	"frostpier/internal/testbed/capacity"
 )
 
 const (
--- a/cmd/fleettest/chart.go
+++ b/cmd/fleettest/chart.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"frostpier/internal/membership/virtual"
-	"frostpier/internal/rig"
+	"frostpier/internal/testbed/testfleet"
 )
 
 const (
@@ -19,7 +19,7 @@
 )
 
 // chartViews draws how many members the gateways hold to be in service over time: the fewest and the most of all.
-func chartViews(path string, members int, began time.Time, told []rig.StateChange) error {
+func chartViews(path string, members int, began time.Time, told []testfleet.StateChange) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d gateways: members held to be in service", members)
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "members"
--- a/cmd/fleettest/demo.go
+++ b/cmd/fleettest/demo.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"frostpier/internal/rig"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/testfleet"
+	"frostpier/internal/testbed/emulator"
 )
 
 type demoCommand struct {
@@ -38,15 +38,15 @@
 	}
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
-	pool, err := rig.NewPool(demoEngines, standin.DefaultSpec(demoCores), clock)
+	pool, err := testfleet.NewPool(demoEngines, emulator.DefaultSpec(demoCores), clock)
 	if err != nil {
 		return err
 	}
 	defer pool.Close()
-	traffic := standin.Traffic{Classes: standin.DefaultClasses(), Gateways: demoGateways, Skew: 0.5, Groups: 10, Zipf: 0.7, Estimate: 0.5, Seed: 1}
+	traffic := emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: demoGateways, Skew: 0.5, Groups: 10, Zipf: 0.7, Estimate: 0.5, Seed: 1}
 	traffic.Rate = traffic.RateFor(demoLoad, demoCores*demoEngines)
-	f, err := rig.New(rig.Options{Gateways: demoGateways, Seed: 1, Dir: dir, Command: []string{program}, Engines: pool.EngineList(),
-		Operator: "\n[spread]\n", Settings: func(n, self int) string { return standin.Settings(traffic.Classes, n, self, demoCores) }})
+	f, err := testfleet.New(testfleet.Options{Gateways: demoGateways, Seed: 1, Dir: dir, Command: []string{program}, Engines: pool.EngineList(),
+		Operator: "\n[spread]\n", Settings: func(n, self int) string { return emulator.Settings(traffic.Classes, n, self, demoCores) }})
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	}
 	fmt.Printf("%d gateways serve before %d stand-in engines of %d cores; clients send %.0f queries a second for %d s.\n", demoGateways,
 		demoEngines, demoCores, traffic.Rate, c.Seconds)
-	clients := standin.NewClients(f.Clients(), traffic.Classes, 1, clock)
+	clients := emulator.NewClients(f.Clients(), traffic.Classes, 1, clock)
 	defer clients.Close()
 	sent := clock()
 	third := time.Duration(c.Seconds) * time.Second / 3
@@ -86,18 +86,18 @@
 }
 
 // demoTable is what became of queries by when they were sent.
-func demoTable(outcomes []standin.Outcome, began time.Duration) table {
+func demoTable(outcomes []emulator.Outcome, began time.Duration) table {
 	t := table{head: []string{"sent at, s", "queries", "served", "in time", "refused", "failed", "lost with a killed gateway", "look-ups ms (50 / 99)"}}
 	type row struct {
 		all, inTime int
-		ends        map[standin.Verdict]int
+		ends        map[emulator.Verdict]int
 		lookups     *hdrhistogram.Histogram
 	}
 	var rows []row
 	for _, o := range outcomes {
 		k := max(0, int((o.At-began)/demoSpan))
 		for len(rows) <= k {
-			rows = append(rows, row{ends: map[standin.Verdict]int{}, lookups: hdrhistogram.New(1, 60_000_000, 3)})
+			rows = append(rows, row{ends: map[emulator.Verdict]int{}, lookups: hdrhistogram.New(1, 60_000_000, 3)})
 		}
 		r := &rows[k]
 		r.all++
@@ -105,14 +105,14 @@
 		if o.InTime {
 			r.inTime++
 		}
-		if o.Verdict == standin.Served && o.Class == 0 {
+		if o.Verdict == emulator.Served && o.Class == 0 {
 			r.lookups.RecordValue(o.Took.Microseconds())
 		}
 	}
 	for k, r := range rows {
-		lost := r.ends[standin.Lost] + r.ends[standin.Unanswered] + r.ends[standin.Unreached]
-		t.rows = append(t.rows, []string{fmt.Sprint(k * int(demoSpan/time.Second)), fmt.Sprint(r.all), fmt.Sprint(r.ends[standin.Served]),
-			fmt.Sprint(r.inTime), fmt.Sprint(r.ends[standin.Refused]), fmt.Sprint(r.ends[standin.Failed] + r.ends[standin.Spoilt]), fmt.Sprint(lost),
+		lost := r.ends[emulator.Lost] + r.ends[emulator.Unanswered] + r.ends[emulator.Unreached]
+		t.rows = append(t.rows, []string{fmt.Sprint(k * int(demoSpan/time.Second)), fmt.Sprint(r.all), fmt.Sprint(r.ends[emulator.Served]),
+			fmt.Sprint(r.inTime), fmt.Sprint(r.ends[emulator.Refused]), fmt.Sprint(r.ends[emulator.Failed] + r.ends[emulator.Spoilt]), fmt.Sprint(lost),
 			fmt.Sprintf("%.0f / %.0f", float64(r.lookups.ValueAtQuantile(50))/1e3, float64(r.lookups.ValueAtQuantile(99))/1e3)})
 	}
 	return t
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/rig"
+	"frostpier/internal/testbed/testfleet"
 )
 
 // A small measurement ends in a table of its sizes, as CSV and Markdown, and a chart.
@@ -44,14 +44,14 @@
 func TestChartOfViews(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "views.svg")
 	began := time.Now()
-	told := []rig.StateChange{{At: began.Add(time.Second), Viewer: 0, Member: 1, Is: "dead"}, {At: began.Add(2 * time.Second), Viewer: 0, Member: 1, Is: "alive"}}
+	told := []testfleet.StateChange{{At: began.Add(time.Second), Viewer: 0, Member: 1, Is: "dead"}, {At: began.Add(2 * time.Second), Viewer: 0, Member: 1, Is: "alive"}}
 	if err := chartViews(path, 3, began, told); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || !strings.Contains(string(text), "<svg") {
 		t.Fatalf("%d bytes, %v", len(text), err)
 	}
-	rows := resultTable([]rig.Result{{Step: "1", Do: "kill", First: []time.Duration{time.Second, 3 * time.Second}}}).rows
+	rows := resultTable([]testfleet.Result{{Step: "1", Do: "kill", First: []time.Duration{time.Second, 3 * time.Second}}}).rows
 	if rows[0][3] != "3.0 / 3.0" || rows[0][4] != "-" {
 		t.Fatalf("%v", rows)
 	}
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := rig.ParseScenario(text); err != nil {
+		if _, err := testfleet.ParseScenario(text); err != nil {
 			t.Errorf("%s: %v", f, err)
 		}
 	}
--- a/cmd/fleettest/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -14,9 +14,9 @@
 
 	"frostpier/internal/controller"
 	"frostpier/internal/program"
-	"frostpier/internal/rig"
+	"frostpier/internal/testbed/testfleet"
 	"frostpier/internal/rollout"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/emulator"
 )
 
 type rolloutCommand struct {
@@ -39,7 +39,7 @@
 
 // Run serves as the program does.
 func (gatewayCommand) Run() error {
-	hooks, err := standin.Hooks()
+	hooks, err := emulator.Hooks()
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	phase  rollout.Phase
 	stage  int
 	took   time.Duration
-	ends   map[standin.Verdict]int
+	ends   map[emulator.Verdict]int
 	twice  int
 	harmed int // lost, unanswered, unreached, failed, spoilt, or not served in time at a gateway of the first stage
 	first  int // queries at gateways of the first stage
@@ -72,7 +72,7 @@
 func (c *rolloutCommand) Run() error {
 	kinds := c.Kinds
 	if len(kinds) == 0 {
-		kinds = append(standin.Faults(), goodKind)
+		kinds = append(emulator.Faults(), goodKind)
 	}
 	var jobs []func() changed
 	for _, kind := range kinds {
@@ -123,7 +123,7 @@
 
 // play plays one change with a fleet of its own.
 func (c *rolloutCommand) play(kind string, seed uint64) (r changed) {
-	r = changed{kind: kind, ends: map[standin.Verdict]int{}}
+	r = changed{kind: kind, ends: map[emulator.Verdict]int{}}
 	dir, err := os.MkdirTemp("", "frostpier-rollout-")
 	if err != nil {
 		r.err = err
@@ -139,8 +139,8 @@
 	if kind == goodKind {
 		fault = ""
 	}
-	change, err := rig.NewChange(rig.ChangeOptions{Gateways: c.Gateways, Engines: c.Engines, Cores: c.Cores, Load: c.Load, Seed: seed, Dir: dir,
-		Program: []string{self, "gateway"}, Env: standin.OwnerEnv(), Fault: fault, Stages: c.Stages, LeastS: c.Least, MostS: 8 * c.Least})
+	change, err := testfleet.NewChange(testfleet.ChangeOptions{Gateways: c.Gateways, Engines: c.Engines, Cores: c.Cores, Load: c.Load, Seed: seed, Dir: dir,
+		Program: []string{self, "gateway"}, Env: emulator.OwnerEnv(), Fault: fault, Stages: c.Stages, LeastS: c.Least, MostS: 8 * c.Least})
 	if err != nil {
 		r.err = err
 		return r
@@ -173,7 +173,7 @@
 			r.first++
 		}
 		switch o.Verdict {
-		case standin.Served, standin.Refused:
+		case emulator.Served, emulator.Refused:
 			if !o.InTime && (first || c.Plain) {
 				r.harmed++
 			}
@@ -207,8 +207,8 @@
 				through++
 			}
 			harmed, all, ofFirst = harmed+r.harmed, all+r.all, ofFirst+r.first
-			lost += r.ends[standin.Lost] + r.ends[standin.Unanswered]
-			spoilt += r.ends[standin.Spoilt]
+			lost += r.ends[emulator.Lost] + r.ends[emulator.Unanswered]
+			spoilt += r.ends[emulator.Spoilt]
 			twice += r.twice
 			took = append(took, r.took)
 		}
--- a/cmd/fleettest/run.go
+++ b/cmd/fleettest/run.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"frostpier/internal/rig"
+	"frostpier/internal/testbed/testfleet"
 )
 
 type runCommand struct {
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := rig.ParseScenario(text)
+	s, err := testfleet.ParseScenario(text)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := rig.New(rig.Options{Gateways: s.Gateways, Seed: s.Seed, Dir: logs, Command: []string{program},
+	f, err := testfleet.New(testfleet.Options{Gateways: s.Gateways, Seed: s.Seed, Dir: logs, Command: []string{program},
 		Interval: time.Duration(s.IntervalMS) * time.Millisecond, Link: s.Network.Link()})
 	if err != nil {
 		return err
--- a/cmd/fleettest/scale.go
+++ b/cmd/fleettest/scale.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/hollow"
-	"frostpier/internal/scale"
-	"frostpier/internal/scalerig"
+	"frostpier/internal/testbed/hollow"
+	"frostpier/internal/testbed/scale"
+	"frostpier/internal/testbed/scale/runner"
 )
 
 type scaleCommand struct {
@@ -65,7 +65,7 @@
 
 // plans checks all sizes before the first is played.
 func (c *scaleCommand) plans() (out []scale.Plan, err error) {
-	machine, err := scalerig.ThisMachine()
+	machine, err := runner.ThisMachine()
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 		return run, err
 	}
 	began := time.Now()
-	rig, err := scalerig.Start(ctx, scalerig.Options{Plan: plan, Dir: logs, Program: []string{program},
+	rig, err := runner.Start(ctx, runner.Options{Plan: plan, Dir: logs, Program: []string{program},
 		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
 		EngineDelay: time.Duration(c.Delay) * time.Millisecond, ReportsPerSecond: c.Reports,
 		Note: func(text string) { fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(began).Seconds(), text) }})
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/scale"
-	"frostpier/internal/scalerig"
+	"frostpier/internal/testbed/scale"
+	"frostpier/internal/testbed/scale/runner"
 )
 
 // asToolVariable has the test binary be the tool, whose hidden commands serve as gateways and hollow parts.
@@ -31,12 +31,12 @@
 
 // smallScale is a run that CI can bear. Times are short, and what is waited for may take long: verdicts are counts and
 // final states alone.
-func smallScale(t *testing.T, steps []scale.Step) scalerig.Options {
+func smallScale(t *testing.T, steps []scale.Step) runner.Options {
 	t.Helper()
 	sizes := scale.Sizes{Real: 8, Hollow: 100, Engines: 60, Zones: 4, Regions: 2, Rate: 5, Subset: 10}
 	times := scale.Times{Quiet: time.Second, RestartsOver: time.Second, Patience: 2 * time.Minute}
 	self := os.Args[0]
-	return scalerig.Options{Plan: scale.NewPlan(sizes, times, steps, 7), Dir: t.TempDir(), Program: []string{self, "gateway"},
+	return runner.Options{Plan: scale.NewPlan(sizes, times, steps, 7), Dir: t.TempDir(), Program: []string{self, "gateway"},
 		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
 		Environment: []string{asToolVariable + "=1"}, Interval: 500 * time.Millisecond, EngineDelay: 5 * time.Millisecond, ReportsPerSecond: 2,
 		Note: func(text string) { t.Log(text) }}
@@ -46,7 +46,7 @@
 // nothing is left running.
 func TestSmallScaleAgreesAfterEachStep(t *testing.T) {
 	opt := smallScale(t, scale.AllSteps())
-	rig, err := scalerig.Start(context.Background(), opt)
+	rig, err := runner.Start(context.Background(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	opt.Plan.Real, opt.Plan.Hollow, opt.Plan.Engines, opt.Plan.Times.Quiet = 2, 6, 4, time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	rig, err := scalerig.Start(ctx, opt)
+	rig, err := runner.Start(ctx, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fleettest/scaletable.go
+++ b/cmd/fleettest/scaletable.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 
-	"frostpier/internal/scale"
+	"frostpier/internal/testbed/scale"
 )
 
 func scaleTable(steps []scale.StepResult) table {
--- a/cmd/fleettest/slopes.go
+++ b/cmd/fleettest/slopes.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"frostpier/internal/capacity"
-	"frostpier/internal/capacity/measure"
+	"frostpier/internal/testbed/capacity"
+	"frostpier/internal/testbed/capacity/measure"
 )
 
 type slopesCommand struct {
--- a/cmd/fleettest/spread.go
+++ b/cmd/fleettest/spread.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"frostpier/internal/rig"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/testfleet"
+	"frostpier/internal/testbed/emulator"
 )
 
 type spreadCommand struct {
@@ -34,8 +34,8 @@
 // played is what one version came to.
 type played struct {
 	name     string
-	outcomes []standin.Outcome
-	balance  rig.Balance
+	outcomes []emulator.Outcome
+	balance  testfleet.Balance
 	fallen   int
 	opened   int // connections to engines, where that is known
 }
@@ -48,7 +48,7 @@
 	if c.Groups == 0 {
 		c.Groups = c.Engines * 5 / 2
 	}
-	traffic := standin.Traffic{Classes: standin.DefaultClasses(), Gateways: c.Gateways, Skew: c.Skew, Groups: c.Groups,
+	traffic := emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: c.Gateways, Skew: c.Skew, Groups: c.Groups,
 		Zipf: 0.7, Estimate: 0.5, Seed: c.Seed}
 	traffic.Rate = traffic.RateFor(c.Load, c.Cores*float64(c.Engines))
 	requests := traffic.Draw(time.Duration(c.Seconds) * time.Second)
@@ -74,8 +74,8 @@
 	if c.Plain {
 		for _, p := range []struct {
 			name   string
-			choice standin.Choice
-		}{{"random", standin.Random}, {"least reported", standin.LeastReported}} {
+			choice emulator.Choice
+		}{{"random", emulator.Random}, {"least reported", emulator.LeastReported}} {
 			one, err := c.direct(p.name, p.choice, requests)
 			if err != nil {
 				return fmt.Errorf("%s: %w", p.name, err)
@@ -97,16 +97,16 @@
 }
 
 // direct plays plain gateways.
-func (c *spreadCommand) direct(name string, choice standin.Choice, requests []standin.Request) (out played, err error) {
+func (c *spreadCommand) direct(name string, choice emulator.Choice, requests []emulator.Request) (out played, err error) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
-	pool, err := rig.NewPool(c.Engines, standin.DefaultSpec(c.Cores), clock)
+	pool, err := testfleet.NewPool(c.Engines, emulator.DefaultSpec(c.Cores), clock)
 	if err != nil {
 		return out, err
 	}
 	defer pool.Close()
 	note("%s plays", name)
-	d := standin.NewDirect(c.Gateways, choice, c.Seed, pool.Engines, clock)
+	d := emulator.NewDirect(c.Gateways, choice, c.Seed, pool.Engines, clock)
 	defer d.Close()
 	out = c.watched(name, pool, nil, func() { d.Play(requests) })
 	out.outcomes, out.opened = d.Outcomes()
@@ -114,7 +114,7 @@
 }
 
 // program plays gateways of a program.
-func (c *spreadCommand) program(name, path string, traffic standin.Traffic, requests []standin.Request) (out played, err error) {
+func (c *spreadCommand) program(name, path string, traffic emulator.Traffic, requests []emulator.Request) (out played, err error) {
 	logs := filepath.Join(c.Out, "spread-"+name+"-logs")
 	if err := os.RemoveAll(logs); err != nil {
 		return out, err
@@ -127,14 +127,14 @@
 	}
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
-	pool, err := rig.NewPool(c.Engines, standin.DefaultSpec(c.Cores), clock)
+	pool, err := testfleet.NewPool(c.Engines, emulator.DefaultSpec(c.Cores), clock)
 	if err != nil {
 		return out, err
 	}
 	defer pool.Close()
-	f, err := rig.New(rig.Options{Gateways: c.Gateways, Seed: c.Seed, Dir: logs, Command: []string{path}, Engines: pool.EngineList(),
-		Link: rig.Network{DelayMS: [2]int64{1, 38}}.Link(), Operator: c.sections(name), Bare: slices.Contains(c.Bare, name),
-		Settings: func(n, self int) string { return standin.Settings(traffic.Classes, n, self, c.Cores) }})
+	f, err := testfleet.New(testfleet.Options{Gateways: c.Gateways, Seed: c.Seed, Dir: logs, Command: []string{path}, Engines: pool.EngineList(),
+		Link: testfleet.Network{DelayMS: [2]int64{1, 38}}.Link(), Operator: c.sections(name), Bare: slices.Contains(c.Bare, name),
+		Settings: func(n, self int) string { return emulator.Settings(traffic.Classes, n, self, c.Cores) }})
 	if err != nil {
 		return out, err
 	}
@@ -148,7 +148,7 @@
 		return out, err
 	}
 	note("%s: %d gateways serve", name, c.Gateways)
-	clients := standin.NewClients(f.Clients(), traffic.Classes, c.Seed, clock)
+	clients := emulator.NewClients(f.Clients(), traffic.Classes, c.Seed, clock)
 	defer clients.Close()
 	out = c.watched(name, pool, f, func() { clients.Play(requests, nil) })
 	out.outcomes, _ = clients.Outcomes(0)
@@ -168,8 +168,8 @@
 }
 
 // watched plays the traffic with the case in it, and watches the engines for as long as clients send.
-func (c *spreadCommand) watched(name string, pool *rig.Pool, f *rig.Fleet, play func()) played {
-	stop, balance := make(chan struct{}), make(chan rig.Balance, 1)
+func (c *spreadCommand) watched(name string, pool *testfleet.Pool, f *testfleet.Fleet, play func()) played {
+	stop, balance := make(chan struct{}), make(chan testfleet.Balance, 1)
 	go func() { balance <- pool.Watch(stop) }()
 	fault := time.AfterFunc(caseFor, func() { c.fault(pool, f) })
 	defer fault.Stop()
@@ -180,7 +180,7 @@
 }
 
 // fault plays the case; f is nil for plain gateways.
-func (c *spreadCommand) fault(pool *rig.Pool, f *rig.Fleet) {
+func (c *spreadCommand) fault(pool *testfleet.Pool, f *testfleet.Fleet) {
 	engines := pool.Engines()
 	switch c.Case {
 	case "lost":
@@ -200,7 +200,7 @@
 		}
 	case "cut":
 		if f != nil {
-			f.Relay.Usual(rig.Link{Cut: true})
+			f.Relay.Usual(testfleet.Link{Cut: true})
 		}
 	case "herd":
 		if f != nil {
@@ -221,7 +221,7 @@
 	t := table{head: []string{"version", "worth in time", "served", "refused", "failed", "lost or unanswered", "spoilt or twice",
 		"look-ups ms (50 / 99)", "reports s (50 / 99)", "most over mean (mean / 95th)", "under half of the mean for s",
 		"most over its part in 0.5 s", "threads a core", "connections at most", "queries sent a query", "turned away", "engines fallen"}}
-	classes := standin.DefaultClasses()
+	classes := emulator.DefaultClasses()
 	for _, p := range all {
 		worth, asked, ends := 0.0, 0.0, map[string]int{}
 		took := []*hdrhistogram.Histogram{}
@@ -231,13 +231,13 @@
 		for _, o := range p.outcomes {
 			asked += classes[o.Class].Worth
 			switch {
-			case o.Verdict == standin.Served:
+			case o.Verdict == emulator.Served:
 				ends["served"]++
 				took[o.Class].RecordValue(o.Took.Microseconds())
 				if o.InTime {
 					worth += classes[o.Class].Worth
 				}
-			case o.Verdict == standin.Lost || o.Verdict == standin.Unanswered || o.Verdict == standin.Unreached:
+			case o.Verdict == emulator.Lost || o.Verdict == emulator.Unanswered || o.Verdict == emulator.Unreached:
 				ends["lost"]++
 			default:
 				ends[o.Verdict.String()]++
--- a/cmd/fleettest/table.go
+++ b/cmd/fleettest/table.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"frostpier/internal/membership/virtual"
-	"frostpier/internal/rig"
+	"frostpier/internal/testbed/testfleet"
 )
 
 // table is a result: kept as CSV and as Markdown.
@@ -58,7 +58,7 @@
 	return seconds(virtual.Quantile(sorted, 0.5)) + " / " + seconds(sorted[len(sorted)-1])
 }
 
-func resultTable(results []rig.Result) table {
+func resultTable(results []testfleet.Result) table {
 	t := table{head: []string{"step", "does", "gateways", "first told after s (median / most)",
 		"all told s later (median / most)", "told dead without need", "views agree s after the fault (median / most)",
 		"datagrams a gateway and s", "bytes a gateway and s"}}
--- a/cmd/frostpier/cold_test.go
+++ b/cmd/frostpier/cold_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/rig"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/testfleet"
+	"frostpier/internal/testbed/emulator"
 )
 
 const (
@@ -28,21 +28,21 @@
 // restarted), or not what the others do (none hears another).
 func TestFleetColdEnginesUnderThirtyGateways(t *testing.T) {
 	mean := 0.0
-	for _, c := range standin.DefaultClasses() {
+	for _, c := range emulator.DefaultClasses() {
 		mean += c.Share * c.Work
 	}
 	for name, c := range map[string]struct {
-		opt   rig.Options
+		opt   testfleet.Options
 		fault func(*spreadFleet)
 	}{
-		"members unknown": {opt: rig.Options{Bare: true}},
+		"members unknown": {opt: testfleet.Options{Bare: true}},
 		"just restarted": {fault: func(s *spreadFleet) {
 			for i := range coldGateways / 2 {
 				s.try(s.Kill(2 * i))
 			}
 			s.try(s.StartAll())
 		}},
-		"cut off from each other": {fault: func(s *spreadFleet) { s.Relay.Usual(rig.Link{Cut: true}) }},
+		"cut off from each other": {fault: func(s *spreadFleet) { s.Relay.Usual(testfleet.Link{Cut: true}) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.opt.Gateways = coldGateways
--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/rig"
+	"frostpier/internal/testbed/testfleet"
 )
 
 // Twelve processes of the program, with faults in and between them. The interval is the default of 2 s, at which a
@@ -20,22 +20,22 @@
 
 // testFleet is a fleet whose processes end with the test.
 type testFleet struct {
-	*rig.Fleet
+	*testfleet.Fleet
 	t    *testing.T
 	mark int
 }
 
 func startFleet(t *testing.T, seed uint64) *testFleet {
 	t.Helper()
-	return startOptions(t, rig.Options{Gateways: fleetSize, Seed: seed})
+	return startOptions(t, testfleet.Options{Gateways: fleetSize, Seed: seed})
 }
 
 // startOptions starts a fleet of this program.
-func startOptions(t *testing.T, opt rig.Options) *testFleet {
+func startOptions(t *testing.T, opt testfleet.Options) *testFleet {
 	t.Helper()
 	opt.Dir, opt.Command, opt.Env = t.TempDir(), []string{os.Args[0]}, []string{"FROSTPIER_AS_PROGRAM=1"}
-	opt.Link = rig.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond}
-	f, err := rig.New(opt)
+	opt.Link = testfleet.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond}
+	f, err := testfleet.New(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,13 +164,13 @@
 func TestFleetLossAndRestarts(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
-	f.Relay.Usual(rig.Link{Loss: 0.2, Double: 0.1, DelayMin: time.Millisecond, DelayMax: 120 * time.Millisecond})
+	f.Relay.Usual(testfleet.Link{Loss: 0.2, Double: 0.1, DelayMin: time.Millisecond, DelayMax: 120 * time.Millisecond})
 	time.Sleep(15 * time.Second)
 	f.agree("20% loss", healMost)
 	f.noDeaths("20% loss")
-	f.Relay.Usual(rig.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond})
+	f.Relay.Usual(testfleet.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond})
 
-	f.Relay.Set(1, 0, rig.Link{Cut: true})
+	f.Relay.Set(1, 0, testfleet.Link{Cut: true})
 	time.Sleep(15 * time.Second)
 	f.agree("0 cannot hear 1", healMost)
 	f.noDeaths("0 cannot hear 1")
--- a/cmd/frostpier/httpengine_test.go
+++ b/cmd/frostpier/httpengine_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/emulator"
 )
 
 // httpEngine stands in for an engine of the platform. What a statement's text holds tells what becomes of it:
@@ -62,7 +62,7 @@
 	defer nc.Close()
 	r := textproto.NewReader(bufio.NewReader(nc))
 	for {
-		call, err := standin.ReadCall(r)
+		call, err := emulator.ReadCall(r)
 		if err != nil {
 			return
 		}
@@ -103,7 +103,7 @@
 	if method == "DELETE" {
 		e.gone[id] = true
 		e.out[id] = 0
-		return standin.Answer(204, "")
+		return emulator.Answer(204, "")
 	}
 	e.mu.Unlock()
 	defer e.mu.Lock()
@@ -119,25 +119,25 @@
 	}
 	switch {
 	case body == "":
-		return standin.Answer(500, "")
+		return emulator.Answer(500, "")
 	case e.well:
-		return end(standin.Answer(200, "a\tb\tc\n", "Page-Count: 1", report))
+		return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", report))
 	case strings.Contains(body, "sleep"):
 		time.Sleep(30 * time.Millisecond) // a poll here is shorter than the platform's
-		return standin.Answer(202, "", "X-Tell: done", "Figure: 0.5")
+		return emulator.Answer(202, "", "X-Tell: done", "Figure: 0.5")
 	case strings.Contains(body, "full"):
-		return end(standin.Answer(503, "", "X-No-Effect: 1", report))
+		return end(emulator.Answer(503, "", "X-No-Effect: 1", report))
 	case strings.Contains(body, "fault"):
-		return end(standin.Answer(500, "", report))
+		return end(emulator.Answer(500, "", report))
 	case strings.Contains(body, "garbage") && first:
 		return "HTTP/1.1 nonsense\r\n\r\n"
 	case strings.Contains(body, "break") && first:
 		end("")
 		return ""
 	case strings.Contains(body, "pages") && page != "0":
-		return standin.Answer(200, "page"+page+"\tx\ty\n", "Page-No: "+page)
+		return emulator.Answer(200, "page"+page+"\tx\ty\n", "Page-No: "+page)
 	case strings.Contains(body, "pages"):
-		return end(standin.Answer(200, "page0\tx\ty\n", "Page-Count: 3", report))
+		return end(emulator.Answer(200, "page0\tx\ty\n", "Page-Count: 3", report))
 	}
-	return end(standin.Answer(200, "a\tb\tc\n", "Page-Count: 1", report))
+	return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", report))
 }
--- a/cmd/frostpier/program_test.go
+++ b/cmd/frostpier/program_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"frostpier/internal/program"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/emulator"
 )
 
 // patience bounds what a test waits for; nothing is expected to take this long.
@@ -33,7 +33,7 @@
 	if len(os.Args) > 1 {
 		os.Exit(command(os.Args[1:]))
 	}
-	hooks, err := standin.Hooks()
+	hooks, err := emulator.Hooks()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"frostpier/internal/controller"
-	"frostpier/internal/rig"
+	"frostpier/internal/testbed/testfleet"
 	"frostpier/internal/rollout"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/emulator"
 )
 
 // Twelve processes of the program under load, and changes of it that go out in stages. Verdicts are what the controller
@@ -26,18 +26,18 @@
 	changeMost     = 3 * time.Minute
 )
 
-func startChange(t *testing.T, opt rig.ChangeOptions) *rig.Change {
+func startChange(t *testing.T, opt testfleet.ChangeOptions) *testfleet.Change {
 	t.Helper()
 	opt.Gateways, opt.Engines, opt.Cores, opt.Load = changeGateways, 4, 8, 0.5
 	opt.Dir, opt.Program = t.TempDir(), []string{os.Args[0]}
-	opt.Env = append([]string{"FROSTPIER_AS_PROGRAM=1"}, standin.OwnerEnv()...)
+	opt.Env = append([]string{"FROSTPIER_AS_PROGRAM=1"}, emulator.OwnerEnv()...)
 	if opt.Stages == nil {
 		opt.Stages = []string{"2", "100%"}
 	}
 	if opt.LeastS == 0 {
 		opt.LeastS, opt.MostS = 7, 60
 	}
-	c, err := rig.NewChange(opt)
+	c, err := testfleet.NewChange(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 }
 
 // carry carries the change to its end in this process.
-func carry(t *testing.T, c *rig.Change) rollout.State {
+func carry(t *testing.T, c *testfleet.Change) rollout.State {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), changeMost)
 	defer cancel()
@@ -74,16 +74,16 @@
 }
 
 // answered checks that every request had one whole answer; lost ones are allowed where a gateway was killed.
-func answered(t *testing.T, c *rig.Change, killed bool) map[standin.Verdict]int {
+func answered(t *testing.T, c *testfleet.Change, killed bool) map[emulator.Verdict]int {
 	t.Helper()
-	ends := map[standin.Verdict]int{}
+	ends := map[emulator.Verdict]int{}
 	for _, o := range c.StopClients() {
 		ends[o.Verdict]++
 		if o.Twice > 0 {
 			t.Errorf("a request was answered %d times more", o.Twice)
 		}
 	}
-	if !killed && ends[standin.Lost]+ends[standin.Unanswered] > 0 {
+	if !killed && ends[emulator.Lost]+ends[emulator.Unanswered] > 0 {
 		t.Errorf("lost or unanswered: %v", ends)
 	}
 	return ends
@@ -93,11 +93,11 @@
 // the plan allows.
 func TestFleetGoodChangeGoesThrough(t *testing.T) {
 	t.Parallel()
-	c := startChange(t, rig.ChangeOptions{Seed: 1})
+	c := startChange(t, testfleet.ChangeOptions{Seed: 1})
 	s := carry(t, c)
 	ends := answered(t, c, false)
 	t.Logf("%s, %v", s.Phase, ends)
-	if s.Phase != rollout.Done || ends[standin.Spoilt] > 0 {
+	if s.Phase != rollout.Done || ends[emulator.Spoilt] > 0 {
 		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
 	}
 	st, err := controller.Last(c.State)
@@ -109,10 +109,10 @@
 // Whatever is bad about a new version, it is stopped in its first stage, and all gateways are on the old one again.
 func TestFleetBadChangesAreTakenBack(t *testing.T) {
 	t.Parallel()
-	for _, fault := range standin.Faults() {
+	for _, fault := range emulator.Faults() {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			c := startChange(t, rig.ChangeOptions{Seed: 2, Fault: fault, LeastS: 15, MostS: 100})
+			c := startChange(t, testfleet.ChangeOptions{Seed: 2, Fault: fault, LeastS: 15, MostS: 100})
 			s := carry(t, c)
 			ends := answered(t, c, true)
 			t.Logf("%s: %s; %v", s.Phase, s.Reason, ends)
@@ -130,7 +130,7 @@
 // Settings alone change without a start: no process ends.
 func TestFleetSettingsChangeWhileRunning(t *testing.T) {
 	t.Parallel()
-	c := startChange(t, rig.ChangeOptions{Seed: 3, Settings: "\n# a comment makes another file\n"})
+	c := startChange(t, testfleet.ChangeOptions{Seed: 3, Settings: "\n# a comment makes another file\n"})
 	before := controller.Processes(c.Checked.Fleet)
 	s := carry(t, c)
 	ends := answered(t, c, false)
@@ -148,8 +148,8 @@
 // beside it is refused.
 func TestFleetControllerIsKilled(t *testing.T) {
 	t.Parallel()
-	c := startChange(t, rig.ChangeOptions{Seed: 4, Stages: []string{"2", "5", "100%"}, LeastS: 3, MostS: 60})
-	command, env := []string{os.Args[0]}, append([]string{"FROSTPIER_AS_PROGRAM=1"}, standin.OwnerEnv()...)
+	c := startChange(t, testfleet.ChangeOptions{Seed: 4, Stages: []string{"2", "5", "100%"}, LeastS: 3, MostS: 60})
+	command, env := []string{os.Args[0]}, append([]string{"FROSTPIER_AS_PROGRAM=1"}, emulator.OwnerEnv()...)
 	run := func() (*exec.Cmd, chan error) {
 		cmd, err := c.Start(command, env)
 		if err != nil {
@@ -212,7 +212,7 @@
 }
 
 // awaitPhase waits until the change is in a phase; it returns false if the change does not get there.
-func awaitPhase(c *rig.Change, phase rollout.Phase) bool {
+func awaitPhase(c *testfleet.Change, phase rollout.Phase) bool {
 	for deadline := time.Now().Add(changeMost); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		status, err := controller.Last(c.State)
 		if err == nil && status.State.Phase == phase {
@@ -229,7 +229,7 @@
 // the change; an operator's abort takes it back.
 func TestFleetTroublesOfTheStageAreNotBlamed(t *testing.T) {
 	t.Parallel()
-	c := startChange(t, rig.ChangeOptions{Seed: 5, LeastS: 10, MostS: 90})
+	c := startChange(t, testfleet.ChangeOptions{Seed: 5, LeastS: 10, MostS: 90})
 	order := c.Checked.Plan.Order(changeGateways)
 	go func() {
 		if !awaitPhase(c, rollout.Watching) {
--- a/cmd/frostpier/spread_test.go
+++ b/cmd/frostpier/spread_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/rig"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/testfleet"
+	"frostpier/internal/testbed/emulator"
 )
 
 // Twenty-four processes before eight engines of eight cores, each gateway seeing a few queries a second. What is told
@@ -27,44 +27,44 @@
 // spreadFleet is what such a run has.
 type spreadFleet struct {
 	*testFleet
-	pool    *rig.Pool
-	clients *standin.Clients
-	traffic standin.Traffic
+	pool    *testfleet.Pool
+	clients *emulator.Clients
+	traffic emulator.Traffic
 	lasts   time.Duration // one play
 }
 
 func startSpread(t *testing.T, seed uint64) *spreadFleet {
 	t.Helper()
-	return startLoad(t, seed, 0.5, rig.Options{Gateways: spreadGateways, Operator: "\n[spread]\n"})
+	return startLoad(t, seed, 0.5, testfleet.Options{Gateways: spreadGateways, Operator: "\n[spread]\n"})
 }
 
 // startLoad starts gateways before engines, and clients that bring so much load.
-func startLoad(t *testing.T, seed uint64, load float64, opt rig.Options) *spreadFleet {
+func startLoad(t *testing.T, seed uint64, load float64, opt testfleet.Options) *spreadFleet {
 	t.Helper()
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
-	pool, err := rig.NewPool(spreadEngines, standin.DefaultSpec(spreadCores), clock)
+	pool, err := testfleet.NewPool(spreadEngines, emulator.DefaultSpec(spreadCores), clock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(pool.Close)
-	s := &spreadFleet{pool: pool, lasts: spreadFor, traffic: standin.Traffic{Classes: standin.DefaultClasses(), Gateways: opt.Gateways, Skew: 1,
+	s := &spreadFleet{pool: pool, lasts: spreadFor, traffic: emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 1,
 		Groups: 20, Zipf: 0.7, Estimate: 0.5, Seed: seed}}
 	s.traffic.Rate = s.traffic.RateFor(load, spreadCores*spreadEngines)
 	opt.Seed, opt.Engines = seed, pool.EngineList()
-	opt.Settings = func(n, self int) string { return standin.Settings(s.traffic.Classes, n, self, spreadCores) }
+	opt.Settings = func(n, self int) string { return emulator.Settings(s.traffic.Classes, n, self, spreadCores) }
 	s.testFleet = startOptions(t, opt)
 	pool.PublishTo(s.Discovery)
-	s.clients = standin.NewClients(s.Clients(), s.traffic.Classes, seed, clock)
+	s.clients = emulator.NewClients(s.Clients(), s.traffic.Classes, seed, clock)
 	t.Cleanup(s.clients.Close)
 	return s
 }
 
 // play sends the traffic with a fault in it, and returns what became of each request and how even the load was.
-func (s *spreadFleet) play(fault func()) (map[standin.Verdict]int, rig.Balance) {
+func (s *spreadFleet) play(fault func()) (map[emulator.Verdict]int, testfleet.Balance) {
 	s.t.Helper()
 	requests := s.traffic.Draw(s.lasts)
-	stop, watched := make(chan struct{}), make(chan rig.Balance, 1)
+	stop, watched := make(chan struct{}), make(chan testfleet.Balance, 1)
 	go func() { watched <- s.pool.Watch(stop) }()
 	if fault != nil {
 		alarm := time.AfterFunc(faultAfter, fault)
@@ -74,7 +74,7 @@
 	s.clients.Play(requests, nil)
 	close(stop)
 	outcomes, _ := s.clients.Outcomes(mark)
-	ends := map[standin.Verdict]int{}
+	ends := map[emulator.Verdict]int{}
 	for _, o := range outcomes {
 		ends[o.Verdict]++
 		if o.Twice > 0 {
@@ -84,7 +84,7 @@
 	if len(outcomes) != len(requests) {
 		s.t.Errorf("%d requests, %d ends", len(requests), len(outcomes))
 	}
-	if ends[standin.Spoilt] > 0 || ends[standin.Unanswered] > 0 {
+	if ends[emulator.Spoilt] > 0 || ends[emulator.Unanswered] > 0 {
 		s.t.Errorf("spoilt or unanswered: %v", ends)
 	}
 	if n := s.pool.Fallen(); n > 0 {
@@ -99,12 +99,12 @@
 }
 
 // mostly reports whether at least so large a share was served.
-func mostly(ends map[standin.Verdict]int, share float64) bool {
+func mostly(ends map[emulator.Verdict]int, share float64) bool {
 	all := 0
 	for _, n := range ends {
 		all += n
 	}
-	return float64(ends[standin.Served]) >= share*float64(all)
+	return float64(ends[emulator.Served]) >= share*float64(all)
 }
 
 // Calm, an engine that falls silent, a gateway that is killed, peers that do not hear each other, six in ten engines
@@ -113,7 +113,7 @@
 	s := startSpread(t, 17)
 	ends, even := s.play(nil)
 	t.Logf("calm: %v, %+v", ends, even)
-	if !mostly(ends, 0.97) || ends[standin.Lost] > 0 || even.MostMean > evenMost {
+	if !mostly(ends, 0.97) || ends[emulator.Lost] > 0 || even.MostMean > evenMost {
 		t.Errorf("calm: %v, %+v", ends, even)
 	}
 	killed := 3
@@ -131,7 +131,7 @@
 	s.must(s.Start(killed))
 	s.agree("after the start", tellMost)
 	ends, even = s.play(func() {
-		s.Relay.Usual(rig.Link{Cut: true})
+		s.Relay.Usual(testfleet.Link{Cut: true})
 		engines := s.pool.Engines()
 		for _, e := range engines[:len(engines)*6/10] {
 			if err := s.pool.Replace(e); err != nil {
--- a/cmd/frostpier/subset_test.go
+++ b/cmd/frostpier/subset_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/rig"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/testfleet"
+	"frostpier/internal/testbed/emulator"
 )
 
 // Four processes of the program before enough engines that each works with some of them.
@@ -24,18 +24,18 @@
 	t.Helper()
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
-	pool, err := rig.NewPool(subsetEngines, standin.DefaultSpec(2), clock)
+	pool, err := testfleet.NewPool(subsetEngines, emulator.DefaultSpec(2), clock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(pool.Close)
-	s := &spreadFleet{pool: pool, lasts: subsetFor, traffic: standin.Traffic{Classes: standin.DefaultClasses(), Gateways: subsetGateways,
+	s := &spreadFleet{pool: pool, lasts: subsetFor, traffic: emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: subsetGateways,
 		Groups: 20, Zipf: 0.7, Estimate: 0.5, Seed: 31}}
 	s.traffic.Rate = s.traffic.RateFor(0.4, 2*subsetEngines)
-	s.testFleet = startOptions(t, rig.Options{Gateways: subsetGateways, Seed: 31, Engines: pool.EngineList(), Operator: "\n[spread]\n",
-		Settings: func(n, self int) string { return standin.Settings(s.traffic.Classes, n, self, 2) }})
+	s.testFleet = startOptions(t, testfleet.Options{Gateways: subsetGateways, Seed: 31, Engines: pool.EngineList(), Operator: "\n[spread]\n",
+		Settings: func(n, self int) string { return emulator.Settings(s.traffic.Classes, n, self, 2) }})
 	pool.PublishTo(s.Discovery)
-	s.clients = standin.NewClients(s.Clients(), s.traffic.Classes, 31, clock)
+	s.clients = emulator.NewClients(s.Clients(), s.traffic.Classes, 31, clock)
 	t.Cleanup(s.clients.Close)
 	return s
 }
@@ -71,7 +71,7 @@
 	ends, _ := s.play(nil)
 	<-changed
 	t.Logf("%v", ends)
-	if !mostly(ends, 0.97) || ends[standin.Lost]+ends[standin.Failed] > 0 {
+	if !mostly(ends, 0.97) || ends[emulator.Lost]+ends[emulator.Failed] > 0 {
 		t.Errorf("ends: %v", ends)
 	}
 	for i := range s.Size() {
--- a/cmd/simadapter/link.go
+++ b/cmd/simadapter/link.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"frostpier/internal/settings"
-	"frostpier/internal/wire"
+	"frostpier/internal/testbed/simproto"
 	"frostpier/policy"
 )
 
 // link holds what a process holds: the numbered lists and a Gateway for each instance.
 type link struct {
-	banks     [16][]wire.Entry
+	banks     [16][]simproto.Entry
 	instances map[uint32]*instance
-	out       []wire.Record
+	out       []simproto.Record
 }
 
 type instance struct {
@@ -25,7 +25,7 @@
 func newLink() *link { return &link{instances: map[uint32]*instance{}} }
 
 // answer hands each event to its instance in order and collects the actions.
-func (l *link) answer(b wire.Batch) ([]wire.Record, error) {
+func (l *link) answer(b simproto.Batch) ([]simproto.Record, error) {
 	l.out = l.out[:0]
 	now := time.Duration(b.Now)
 	for _, ev := range b.Events {
@@ -36,15 +36,15 @@
 	return l.out, nil
 }
 
-func (l *link) take(now time.Duration, ev wire.Record) error {
+func (l *link) take(now time.Duration, ev simproto.Record) error {
 	switch e := ev.(type) {
-	case *wire.Table:
+	case *simproto.Table:
 		if int(e.Bank) >= len(l.banks) {
 			return fmt.Errorf("malformed frame: list number %d", e.Bank)
 		}
 		l.banks[e.Bank] = e.Entries
 		return nil
-	case *wire.Up:
+	case *simproto.Up:
 		told, err := settings.Parse(e.Setup)
 		if err != nil {
 			return fmt.Errorf("settings of instance %d: %w", e.Inst, err)
@@ -55,10 +55,10 @@
 		}
 		l.instances[e.Inst] = &instance{gateway: g, figures: told.Figures}
 		return nil
-	case *wire.Teardown:
+	case *simproto.Teardown:
 		delete(l.instances, e.Inst)
 		return nil
-	case *wire.Announce:
+	case *simproto.Announce:
 		return l.announce(now, e)
 	}
 	inst, event := l.event(ev)
@@ -81,7 +81,7 @@
 	1: policy.ListCached, 2: policy.ListFailed, 3: policy.ListFull, 4: policy.ListDelta,
 }
 
-func (l *link) announce(now time.Duration, e *wire.Announce) error {
+func (l *link) announce(now time.Duration, e *simproto.Announce) error {
 	kind, known := listKinds[e.How]
 	if !known {
 		return fmt.Errorf("malformed frame: list of unknown form %d", e.How)
@@ -103,9 +103,9 @@
 }
 
 // event turns a wire event into the module's; nil for what the module has no use for.
-func (l *link) event(ev wire.Record) (uint32, policy.Event) {
+func (l *link) event(ev simproto.Record) (uint32, policy.Event) {
 	switch e := ev.(type) {
-	case *wire.WorkItem:
+	case *simproto.WorkItem:
 		a := policy.Arrival{ID: policy.RequestID(e.Request), Class: int(e.Class), Key: e.Key,
 			TableGroup: tableGroup(e.Tables), NeedMB: float64(e.NeedMB), Remaining: span(e.Remaining),
 			Repeat: e.Opts&2 != 0}
@@ -113,31 +113,31 @@
 			a.Cost = span(e.Expected)
 		}
 		return e.Inst, a
-	case *wire.Vanished:
+	case *simproto.Vanished:
 		return e.Inst, policy.ClientLeft{ID: policy.RequestID(e.Request)}
-	case *wire.Flowing:
+	case *simproto.Flowing:
 		return e.Inst, policy.AnswerStarted{ID: policy.RequestID(e.Request), Attempt: int(e.Attempt)}
-	case *wire.Done:
+	case *simproto.Done:
 		return e.Inst, policy.AttemptEnded{ID: policy.RequestID(e.Request), Attempt: int(e.Attempt),
 			Engine: engineID(e.Engine), Outcome: outcome(e.Ending), Took: span(e.Took), Terminal: e.Terminal != 0,
 			Work: time.Duration(e.Note/4096) * time.Millisecond, UsedMB: float64(e.Note%4096) * 4,
 			Report: l.report(e.Inst, e.Load)}
-	case *wire.CheckResult:
+	case *simproto.CheckResult:
 		return e.Inst, policy.ProbeEnded{Engine: engineID(e.Engine), Outcome: outcome(e.Ending),
 			Took: span(e.Took), Report: l.report(e.Inst, e.Load)}
-	case *wire.Heartbeat:
+	case *simproto.Heartbeat:
 		if e.Kind != 1 {
 			return e.Inst, nil
 		}
 		return e.Inst, policy.Progress{ID: policy.RequestID(e.Request), Attempt: int(e.Attempt),
 			Done: float64(e.Amount)}
-	case *wire.Due:
+	case *simproto.Due:
 		return e.Inst, policy.TimerFired{Token: e.Token}
 	}
 	return 0, nil
 }
 
-func (l *link) report(inst uint32, load wire.Load) policy.Report {
+func (l *link) report(inst uint32, load simproto.Load) policy.Report {
 	in := l.instances[inst]
 	if in == nil || load.N == 0 {
 		return policy.Report{}
@@ -172,7 +172,7 @@
 	return int(f)
 }
 
-func engineID(e wire.EngineID) policy.EngineID {
+func engineID(e simproto.EngineID) policy.EngineID {
 	id := uint64(e.Port)
 	for _, b := range e.IP {
 		id = id<<8 | uint64(b)
@@ -180,33 +180,33 @@
 	return policy.EngineID(id)
 }
 
-func wireEngine(id policy.EngineID) wire.EngineID {
-	return wire.EngineID{Port: uint16(id >> 32), IP: [4]byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)}}
+func wireEngine(id policy.EngineID) simproto.EngineID {
+	return simproto.EngineID{Port: uint16(id >> 32), IP: [4]byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)}}
 }
 
 // record turns an action into a wire record.
-func record(inst uint32, action policy.Action) wire.Record {
+func record(inst uint32, action policy.Action) simproto.Record {
 	switch a := action.(type) {
 	case policy.Send:
-		return &wire.Dispatch{Inst: inst, Request: uint32(a.ID), Engine: wireEngine(a.Engine),
+		return &simproto.Dispatch{Inst: inst, Request: uint32(a.ID), Engine: wireEngine(a.Engine),
 			AllowFor: uint64(a.Timeout)}
 	case policy.Terms:
-		return &wire.SetTerms{Inst: inst, Request: uint32(a.ID), GrantMB: float32(a.GrantMB),
+		return &simproto.SetTerms{Inst: inst, Request: uint32(a.ID), GrantMB: float32(a.GrantMB),
 			Priority: uint8(a.Priority)}
 	case policy.Refuse:
-		return &wire.Refuse{Inst: inst, Request: uint32(a.ID), ComeBack: uint64(a.ComeBack)}
+		return &simproto.Refuse{Inst: inst, Request: uint32(a.ID), ComeBack: uint64(a.ComeBack)}
 	case policy.Fail:
-		return &wire.Surrender{Inst: inst, Request: uint32(a.ID)}
+		return &simproto.Surrender{Inst: inst, Request: uint32(a.ID)}
 	case policy.Cancel:
-		return &wire.Abandon{Inst: inst, Request: uint32(a.ID), Attempt: uint16(a.Attempt)}
+		return &simproto.Abandon{Inst: inst, Request: uint32(a.ID), Attempt: uint16(a.Attempt)}
 	case policy.Probe:
-		return &wire.HealthCheck{Inst: inst, Engine: wireEngine(a.Engine)}
+		return &simproto.HealthCheck{Inst: inst, Engine: wireEngine(a.Engine)}
 	case policy.SetTimer:
-		return &wire.Timer{Inst: inst, After: uint64(a.After), Token: a.Token}
+		return &simproto.Timer{Inst: inst, After: uint64(a.After), Token: a.Token}
 	case policy.Subscribe:
-		return &wire.KeepInformed{Inst: inst, Want: 1}
+		return &simproto.KeepInformed{Inst: inst, Want: 1}
 	case policy.Log:
-		return &wire.Debug{Inst: inst, Text: []byte(a.Text)}
+		return &simproto.Debug{Inst: inst, Text: []byte(a.Text)}
 	}
 	panic(fmt.Sprintf("no record for action %T", action))
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"frostpier/internal/wire"
+	"frostpier/internal/testbed/simproto"
 )
 
 func main() {
@@ -23,7 +23,7 @@
 	r, l := bufio.NewReaderSize(in, 1<<20), newLink()
 	var buf []byte
 	for {
-		batch, err := wire.ReadBatch(r)
+		batch, err := simproto.ReadBatch(r)
 		if err == io.EOF {
 			return nil
 		}
@@ -34,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		buf = wire.AppendReply(buf[:0], actions)
+		buf = simproto.AppendReply(buf[:0], actions)
 		if _, err := out.Write(buf); err != nil {
 			return err
 		}
--- a/internal/capacity/measure/measure_test.go
+++ b/internal/testbed/capacity/measure/measure_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/capacity"
+	"frostpier/internal/testbed/capacity"
 )
 
 // Every statement of the decision measurements is served, with a positive time; nothing is said of how long it is.
--- a/internal/capacity/measure/membership.go
+++ b/internal/testbed/capacity/measure/membership.go
@@ -4,7 +4,7 @@
 	"runtime"
 	"time"
 
-	"frostpier/internal/capacity"
+	"frostpier/internal/testbed/capacity"
 )
 
 // Shares of the gateways that a fault takes, and the times of the phases.
--- a/internal/capacity/measure/need.go
+++ b/internal/testbed/capacity/measure/need.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"frostpier/internal/capacity"
+	"frostpier/internal/testbed/capacity"
 )
 
 // What the measurements hold, in bytes: estimates from earlier runs, with twice the live memory for the collector.
--- a/internal/capacity/measure/plan.go
+++ b/internal/testbed/capacity/measure/plan.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"frostpier/internal/capacity"
+	"frostpier/internal/testbed/capacity"
 )
 
 // Options are what a run of the measurements is given.
--- a/internal/capacity/measure/series.go
+++ b/internal/testbed/capacity/measure/series.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"frostpier/internal/capacity"
+	"frostpier/internal/testbed/capacity"
 )
 
 // series gathers what the runs of one slope found.
--- a/internal/standin/model.go
+++ b/internal/testbed/emulator/model.go
@@ -1,7 +1,7 @@
-// Package standin is a small model of the platform's query engines, and servers that put it behind the platform's HTTP
+// Package emulator is a small model of the platform's query engines, and servers that put it behind the platform's HTTP
 // protocol on loopback: what tests and cmd/fleettest run fleets of gateways against. It is a model, not a measurement:
 // queries share cores and disks fluidly, as the platform's pages describe.
-package standin
+package emulator
 
 import (
 	"math"
--- a/internal/hollow/engine.go
+++ b/internal/testbed/hollow/engine.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/emulator"
 )
 
 // Times of the platform's protocol, as an engine keeps them.
@@ -118,7 +118,7 @@
 	}()
 	calls := textproto.NewReader(bufio.NewReaderSize(conn, 1024))
 	for {
-		call, err := standin.ReadCall(calls)
+		call, err := emulator.ReadCall(calls)
 		if err != nil {
 			return
 		}
@@ -129,20 +129,20 @@
 }
 
 // answer works out the answer to one call, and waits for it where the protocol says so.
-func (e *engine) answer(call standin.Call) string {
+func (e *engine) answer(call emulator.Call) string {
 	id, page, _ := strings.Cut(strings.TrimPrefix(call.Path, queryPath), "/")
 	switch {
 	case call.Method == http.MethodPost:
 		id = call.Head.Get("X-Hop-Id")
 		if id == "" {
-			return standin.Answer(http.StatusInternalServerError, "", e.report())
+			return emulator.Answer(http.StatusInternalServerError, "", e.report())
 		}
 		e.begin(id)
 	case call.Method == http.MethodDelete:
 		e.forget(id)
-		return standin.Answer(http.StatusNoContent, "", e.report())
+		return emulator.Answer(http.StatusNoContent, "", e.report())
 	case page != "0":
-		return standin.Answer(http.StatusInternalServerError, "", e.report())
+		return emulator.Answer(http.StatusInternalServerError, "", e.report())
 	}
 	return e.news(id)
 }
@@ -166,16 +166,16 @@
 	end, known := e.ends[id]
 	e.mu.Unlock()
 	if !known {
-		return standin.Answer(http.StatusInternalServerError, "", e.report())
+		return emulator.Answer(http.StatusInternalServerError, "", e.report())
 	}
 	if left := time.Until(end); left > noNewsAfter {
 		time.Sleep(noNewsAfter)
-		return standin.Answer(http.StatusAccepted, "", e.report())
+		return emulator.Answer(http.StatusAccepted, "", e.report())
 	} else if left > 0 {
 		time.Sleep(left)
 	}
 	e.served.Add(1)
-	return standin.Answer(http.StatusOK, standin.Rows(id), "Page-Count: 1", e.report())
+	return emulator.Answer(http.StatusOK, emulator.Rows(id), "Page-Count: 1", e.report())
 }
 
 // report is the load report that each answer carries: how many statements run.
--- a/internal/hollow/gateway.go
+++ b/internal/testbed/hollow/gateway.go
@@ -14,7 +14,7 @@
 	"frostpier/internal/invariant"
 	"frostpier/internal/membership"
 	"frostpier/internal/netio"
-	"frostpier/internal/scale"
+	"frostpier/internal/testbed/scale"
 	"frostpier/internal/spread"
 	"frostpier/internal/subset"
 	"frostpier/internal/subsetting"
--- a/internal/scalerig/agree.go
+++ b/internal/testbed/scale/runner/agree.go
@@ -1,4 +1,4 @@
-package scalerig
+package runner
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"frostpier/internal/hollow"
-	"frostpier/internal/scale"
+	"frostpier/internal/testbed/hollow"
+	"frostpier/internal/testbed/scale"
 )
 
 // agreeEvery is the time between two looks at whether all gateways agree. It bounds how exactly times until all know are
--- a/internal/scalerig/machine.go
+++ b/internal/testbed/scale/runner/machine.go
@@ -1,11 +1,11 @@
-package scalerig
+package runner
 
 import (
 	"fmt"
 	"os"
 	"syscall"
 
-	"frostpier/internal/scale"
+	"frostpier/internal/testbed/scale"
 )
 
 // ThisMachine is what a run may use of the machine that the tool runs on.
--- a/internal/scalerig/rig.go
+++ b/internal/testbed/scale/runner/rig.go
@@ -1,7 +1,7 @@
-// Package scalerig plays the plans of package scale: it starts real gateways, hollow ones, hollow engines and a discovery
+// Package runner plays the plans of package scale: it starts real gateways, hollow ones, hollow engines and a discovery
 // server, brings the faults of each step about, and reads what the real gateways spend. Everything listens on loopback
 // addresses, and Close ends what was started and nothing else.
-package scalerig
+package runner
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"frostpier/internal/hollow"
-	"frostpier/internal/rig"
-	"frostpier/internal/scale"
+	"frostpier/internal/testbed/hollow"
+	"frostpier/internal/testbed/testfleet"
+	"frostpier/internal/testbed/scale"
 )
 
 // Options say what a run is made of.
@@ -42,10 +42,10 @@
 	opt     Options
 	plan    scale.Plan
 	machine scale.Machine
-	fleet   *rig.Fleet
+	fleet   *testfleet.Fleet
 	groups  []*gatewayGroup
 	engines []*engineGroup
-	list    []rig.Engine // as the discovery server last told it
+	list    []testfleet.Engine // as the discovery server last told it
 	up      []bool       // by member
 	cut     bool         // regions do not reach each other
 	sampler *sampler
@@ -124,7 +124,7 @@
 		}
 		for k, address := range addresses {
 			number := first + k
-			r.list = append(r.list, rig.Engine{Name: scale.EngineName(number), Addr: address, Zone: scale.ZoneName(r.plan.ZoneOf(number)),
+			r.list = append(r.list, testfleet.Engine{Name: scale.EngineName(number), Addr: address, Zone: scale.ZoneName(r.plan.ZoneOf(number)),
 				Kind: engineKind, State: inService})
 		}
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	r.fleet, err = rig.New(rig.Options{Gateways: r.plan.Real, Others: r.plan.Hollow, Seed: r.plan.Seed, Dir: r.opt.Dir,
+	r.fleet, err = testfleet.New(testfleet.Options{Gateways: r.plan.Real, Others: r.plan.Hollow, Seed: r.plan.Seed, Dir: r.opt.Dir,
 		Command: r.opt.Program, Env: r.opt.Environment, Interval: r.opt.Interval, Engines: slices.Clone(r.list),
 		Operator: operator, Sockets: r.plan.SocketLimit(), Settings: r.settings})
 	return err
@@ -310,7 +310,7 @@
 
 // tell has the discovery server tell a new state of engines, and keeps it in the list.
 func (r *Rig) tell(engines []int, state string, began int64) {
-	var changed []rig.Engine
+	var changed []testfleet.Engine
 	for _, number := range engines {
 		r.list[number].State, r.list[number].Began = state, began
 		changed = append(changed, r.list[number])
--- a/internal/scalerig/sample.go
+++ b/internal/testbed/scale/runner/sample.go
@@ -1,4 +1,4 @@
-package scalerig
+package runner
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"frostpier/internal/rig"
-	"frostpier/internal/scale"
+	"frostpier/internal/testbed/testfleet"
+	"frostpier/internal/testbed/scale"
 )
 
 const (
@@ -20,7 +20,7 @@
 // sampler reads the real gateways once a second: processor time and resident memory from /proc, datagrams from the relay,
 // and the discovery server's traffic.
 type sampler struct {
-	fleet    *rig.Fleet
+	fleet    *testfleet.Fleet
 	began    time.Time
 	mu       sync.Mutex
 	pids     []int     // of the last reading
@@ -42,7 +42,7 @@
 	watchers  int
 }
 
-func startSampler(fleet *rig.Fleet, real int) *sampler {
+func startSampler(fleet *testfleet.Fleet, real int) *sampler {
 	s := &sampler{fleet: fleet, began: time.Now(), pids: make([]int, real), ticks: make([]float64, real), spent: make([]float64, real),
 		quit: make(chan struct{})}
 	s.done.Add(1)
--- a/internal/scalerig/settings.go
+++ b/internal/testbed/scale/runner/settings.go
@@ -1,4 +1,4 @@
-package scalerig
+package runner
 
 import (
 	"encoding/json"
@@ -8,9 +8,9 @@
 
 	"github.com/BurntSushi/toml"
 
-	"frostpier/internal/scale"
+	"frostpier/internal/testbed/scale"
 	"frostpier/internal/settings"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/emulator"
 	"frostpier/internal/subset"
 )
 
@@ -26,8 +26,8 @@
 const engineCores = 12
 
 // lookups is the one class of statements.
-func lookups() []standin.Class {
-	return []standin.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MB: 50, Aim: 800 * time.Millisecond,
+func lookups() []emulator.Class {
+	return []emulator.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MB: 50, Aim: 800 * time.Millisecond,
 		GiveUp: 4 * time.Second, Worth: 1}}
 }
 
@@ -39,7 +39,7 @@
 
 // settings are the platform's settings of a real gateway: a stand-in's, with the zones of the plan.
 func (r *Rig) settings(gateways, self int) string {
-	text := standin.Settings(lookups(), gateways, self, engineCores)
+	text := emulator.Settings(lookups(), gateways, self, engineCores)
 	where := placement{Zone: r.plan.ZoneOf(self), Zones: r.plan.ZoneNames()}
 	object := map[string]json.RawMessage{}
 	if json.Unmarshal([]byte(text), &object) != nil {
--- a/internal/scalerig/steps.go
+++ b/internal/testbed/scale/runner/steps.go
@@ -1,4 +1,4 @@
-package scalerig
+package runner
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"runtime"
 	"time"
 
-	"frostpier/internal/scale"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/scale"
+	"frostpier/internal/testbed/emulator"
 )
 
 // Names of what is read in steps that have two parts.
@@ -131,15 +131,15 @@
 // loaded sends the real gateways statements.
 func (r *Rig) loaded(ctx context.Context) (readOf, error) {
 	began := time.Now()
-	traffic := standin.Traffic{Classes: lookups(), Rate: r.plan.Rate * float64(r.plan.Real), Gateways: r.plan.Real, Groups: 200,
+	traffic := emulator.Traffic{Classes: lookups(), Rate: r.plan.Rate * float64(r.plan.Real), Gateways: r.plan.Real, Groups: 200,
 		Zipf: 0.7, Seed: r.plan.Seed}
-	clients := standin.NewClients(r.fleet.Clients(), traffic.Classes, r.plan.Seed, func() time.Duration { return time.Since(began) })
+	clients := emulator.NewClients(r.fleet.Clients(), traffic.Classes, r.plan.Seed, func() time.Duration { return time.Since(began) })
 	defer clients.Close()
 	clients.Play(traffic.Draw(r.plan.Quiet), ctx.Done())
 	outcomes, _ := clients.Outcomes(0)
 	served := 0
 	for _, outcome := range outcomes {
-		if outcome.Verdict == standin.Served {
+		if outcome.Verdict == emulator.Served {
 			served++
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/testbed/simproto/wire.go
@@ -1,6 +1,6 @@
-// Package wire is the binary codec of the bench: bytes to typed frames and back, with every offset checked.
+// Package simproto is the binary codec of the bench: bytes to typed frames and back, with every offset checked.
 // It decides nothing and knows nothing of the module behind it.
-package wire
+package simproto
 
 import (
 	"encoding/binary"
--- a/internal/rig/change.go
+++ b/internal/testbed/testfleet/change.go
@@ -1,4 +1,4 @@
-package rig
+package testfleet
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 
 	"frostpier/internal/controller"
 	"frostpier/internal/rollout"
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/emulator"
 )
 
 // ChangeOptions say what change goes out to what fleet.
@@ -39,11 +39,11 @@
 	opt     ChangeOptions
 	Pool    *Pool
 	Fleet   *Fleet
-	Clients *standin.Clients
+	Clients *emulator.Clients
 	Checked controller.Checked
 	Plan    string // the plan's path
 	State   string // the controller's folder
-	traffic standin.Traffic
+	traffic emulator.Traffic
 	clock   func() time.Duration
 	passer  *passer
 	stop    chan struct{}
@@ -109,13 +109,13 @@
 			c.Close()
 		}
 	}()
-	if c.Pool, err = NewPool(opt.Engines, standin.DefaultSpec(opt.Cores), c.clock); err != nil {
+	if c.Pool, err = NewPool(opt.Engines, emulator.DefaultSpec(opt.Cores), c.clock); err != nil {
 		return c, err
 	}
-	c.traffic = standin.Traffic{Classes: standin.DefaultClasses(), Gateways: opt.Gateways, Skew: 0.5, Groups: opt.Engines * 3,
+	c.traffic = emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 0.5, Groups: opt.Engines * 3,
 		Zipf: 0.7, Estimate: 0.5, Seed: opt.Seed}
 	c.traffic.Rate = c.traffic.RateFor(opt.Load, opt.Cores*float64(opt.Engines))
-	settings := func(n, self int) string { return standin.Settings(c.traffic.Classes, n, self, opt.Cores) }
+	settings := func(n, self int) string { return emulator.Settings(c.traffic.Classes, n, self, opt.Cores) }
 	if c.Fleet, err = New(Options{Gateways: opt.Gateways, Seed: opt.Seed, Dir: opt.Dir, Engines: c.Pool.EngineList(), Settings: settings,
 		Link: Link{DelayMin: time.Millisecond, DelayMax: 5 * time.Millisecond}}); err != nil {
 		return c, err
@@ -130,7 +130,7 @@
 	if _, err := controller.Up(c.State, c.Checked); err != nil {
 		return c, err
 	}
-	c.Clients = standin.NewClients(c.Fleet.Clients(), c.traffic.Classes, opt.Seed, c.clock)
+	c.Clients = emulator.NewClients(c.Fleet.Clients(), c.traffic.Classes, opt.Seed, c.clock)
 	return c, c.Fleet.Wait(startPatience, func() error {
 		for i := range opt.Gateways {
 			if !c.Clients.Serving(i) {
@@ -180,9 +180,9 @@
 	}
 	newEnv := c.opt.Env
 	if c.opt.Fault != "" {
-		newEnv = append(slices.Clone(newEnv), standin.FaultEnv(c.opt.Fault)...)
+		newEnv = append(slices.Clone(newEnv), emulator.FaultEnv(c.opt.Fault)...)
 	}
-	check := standin.Statement(standin.Query{Work: 0.01, Threads: 1, IO: 0.1, NeedMB: 1, Group: 1})
+	check := emulator.Statement(emulator.Query{Work: 0.01, Threads: 1, IO: 0.1, NeedMB: 1, Group: 1})
 	text := fmt.Sprintf(changePlan, c.opt.Seed, listen, c.passer.addr(), pattern, quoted(c.opt.Stages), c.opt.Program[0],
 		quoted(c.opt.Program[1:]), quoted(c.opt.Env), path("old.toml"), next, quoted(c.opt.Program[1:]), quoted(newEnv), path("new.toml"),
 		c.opt.LeastS, c.opt.MostS, check)
@@ -215,7 +215,7 @@
 }
 
 // StopClients stops the clients and waits for the ends of all requests.
-func (c *Change) StopClients() []standin.Outcome {
+func (c *Change) StopClients() []emulator.Outcome {
 	close(c.stop)
 	c.sent.Wait()
 	out, _ := c.Clients.Outcomes(0)
--- a/internal/rig/pool.go
+++ b/internal/testbed/testfleet/pool.go
@@ -1,4 +1,4 @@
-package rig
+package testfleet
 
 import (
 	"fmt"
@@ -7,15 +7,15 @@
 	"sync"
 	"time"
 
-	"frostpier/internal/standin"
+	"frostpier/internal/testbed/emulator"
 )
 
 // Pool is a number of stand-in engines and their engine list.
 type Pool struct {
 	mu        sync.Mutex
-	engines   []*standin.Engine // those that run
+	engines   []*emulator.Engine // those that run
 	list      []Engine
-	spec      standin.Spec
+	spec      emulator.Spec
 	clock     func() time.Duration
 	named     int
 	discovery *DiscoveryServer // told of changes once it is set
@@ -29,7 +29,7 @@
 )
 
 // NewPool starts so many warm engines.
-func NewPool(n int, spec standin.Spec, clock func() time.Duration) (*Pool, error) {
+func NewPool(n int, spec emulator.Spec, clock func() time.Duration) (*Pool, error) {
 	p := &Pool{spec: spec, clock: clock}
 	for range n {
 		if err := p.add(false); err != nil {
@@ -44,7 +44,7 @@
 func (p *Pool) add(cold bool) error {
 	p.named++
 	name := fmt.Sprintf("s-%08x", 0x5eed0000+p.named*7919)
-	e, err := standin.Start(standin.Options{Name: name, Spec: p.spec, Cold: cold, ReportEvery: reportEvery,
+	e, err := emulator.Start(emulator.Options{Name: name, Spec: p.spec, Cold: cold, ReportEvery: reportEvery,
 		ReportDelay: reportDelay}, p.clock)
 	if err != nil {
 		return err
@@ -69,16 +69,16 @@
 func (p *Pool) PublishTo(b *DiscoveryServer) { p.discovery = b }
 
 // Engines are those that run.
-func (p *Pool) Engines() []*standin.Engine {
+func (p *Pool) Engines() []*emulator.Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.engines)
 }
 
 // Kill ends an engine as a process dies; nothing is announced until Publish.
-func (p *Pool) Kill(e *standin.Engine) {
+func (p *Pool) Kill(e *emulator.Engine) {
 	p.mu.Lock()
-	p.engines = slices.DeleteFunc(p.engines, func(o *standin.Engine) bool { return o == e })
+	p.engines = slices.DeleteFunc(p.engines, func(o *emulator.Engine) bool { return o == e })
 	for i := range p.list {
 		if p.list[i].Name == e.Name() {
 			p.list[i].State = "terminated"
@@ -92,7 +92,7 @@
 }
 
 // Replace ends an engine and starts a cold one; nothing is announced until Publish.
-func (p *Pool) Replace(e *standin.Engine) error {
+func (p *Pool) Replace(e *emulator.Engine) error {
 	p.Kill(e)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +155,7 @@
 		idle    float64 // for how long it has been under half of the mean
 		full    int
 	}
-	engines := map[*standin.Engine]*seen{}
+	engines := map[*emulator.Engine]*seen{}
 	var ratios, bursts []float64
 	looks := 0
 	for {
--- a/internal/rig/relay.go
+++ b/internal/testbed/testfleet/relay.go
@@ -1,7 +1,7 @@
-// Package rig starts many processes of the program on loopback, with a stand-in discovery server and a relay between every
+// Package testfleet starts many processes of the program on loopback, with a stand-in discovery server and a relay between every
 // ordered pair of gateways, and injects faults: into the processes by signals, between them by the relay. The tests
 // and cmd/fleettest use it.
-package rig
+package testfleet
 
 import (
 	"errors"
