--- a/internal/netio/clients.go
+++ b/internal/netio/clients.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"frostpier/internal/core"
-	"frostpier/internal/httpq"
-	"frostpier/internal/jsonrpc"
+	"frostpier/internal/protocol/enginehttp"
+	"frostpier/internal/protocol/jsonrpc"
 )
 
 const (
@@ -339,7 +339,7 @@
 
 // Attempt sends the query to an engine.
 func (r *request) Attempt(a core.Start) Attempt {
-	machine, steps := httpq.NewQuery(httpq.Request{Host: a.Engine.Addr, ID: r.call.RID,
+	machine, steps := enginehttp.NewQuery(enginehttp.Request{Host: a.Engine.Addr, ID: r.call.RID,
 		Class: r.client.front.gateway.Core.ClassName(r.call.Class), Key: r.call.Token, Statement: r.call.Statement})
 	g := r.client.front.gateway
 	return fly(g, g.Pool, a, a.Engine.Addr, machine, steps, func([]byte) {})
--- a/internal/netio/crossings_test.go
+++ b/internal/netio/crossings_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"frostpier/internal/core"
-	"frostpier/internal/discovery"
+	"frostpier/internal/protocol/discovery"
 	"frostpier/policy"
 )
 
--- a/internal/netio/mysqlfront.go
+++ b/internal/netio/mysqlfront.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"frostpier/internal/core"
-	"frostpier/internal/mysql"
+	"frostpier/internal/protocol/mysql"
 )
 
 const (
--- a/internal/netio/vrrp.go
+++ b/internal/netio/vrrp.go
@@ -6,7 +6,7 @@
 	"net"
 	"net/netip"
 
-	"frostpier/internal/vrrp"
+	"frostpier/internal/protocol/vrrp"
 )
 
 // Standby drives a virtual router over UDP.
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"frostpier/internal/core"
-	"frostpier/internal/discovery"
+	"frostpier/internal/protocol/discovery"
 )
 
 const (
--- a/internal/netio/watch_test.go
+++ b/internal/netio/watch_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/discovery"
+	"frostpier/internal/protocol/discovery"
 )
 
 // asked listens as a discovery server that never answers, and reports each request and the end of each connection.
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -10,11 +10,11 @@
 	"frostpier/internal/core"
 	"frostpier/internal/invariant"
 	"frostpier/internal/membership"
-	"frostpier/internal/mysql"
+	"frostpier/internal/protocol/mysql"
 	"frostpier/internal/netio"
 	"frostpier/internal/settings"
 	"frostpier/internal/spread"
-	"frostpier/internal/vrrp"
+	"frostpier/internal/protocol/vrrp"
 )
 
 // readOperator reads the operator's file that FROSTPIER_OPERATOR names; where it names none, all in it is off.
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/discovery"
+	"frostpier/internal/protocol/discovery"
 	"frostpier/internal/invariant"
 	"frostpier/internal/netio"
 	"frostpier/internal/settings"
--- a/internal/httpq/query.go
+++ b/internal/protocol/enginehttp/query.go
@@ -1,4 +1,4 @@
-package httpq
+package enginehttp
 
 import (
 	"bytes"
--- a/internal/httpq/response.go
+++ b/internal/protocol/enginehttp/response.go
@@ -1,6 +1,6 @@
-// Package httpq is the engines' HTTP/1.1 side as state machines fed bytes: reading responses, and carrying one
+// Package enginehttp is the engines' HTTP/1.1 side as state machines fed bytes: reading responses, and carrying one
 // query from its POST over polls and pages to its end. It knows no socket and no clock.
-package httpq
+package enginehttp
 
 import (
 	"bufio"
--- a/internal/testbed/capacity/measure/discovery.go
+++ b/internal/testbed/capacity/measure/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"frostpier/internal/core"
-	"frostpier/internal/discovery"
+	"frostpier/internal/protocol/discovery"
 	"frostpier/internal/invariant"
 	"frostpier/internal/settings"
 )
--- a/internal/testbed/hollow/gateway.go
+++ b/internal/testbed/hollow/gateway.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"frostpier/internal/core"
-	"frostpier/internal/discovery"
+	"frostpier/internal/protocol/discovery"
 	"frostpier/internal/invariant"
 	"frostpier/internal/membership"
 	"frostpier/internal/netio"
