--- a/Makefile
+++ b/Makefile
@@ -31,7 +31,7 @@
 	go test -race -count=1 -tags debug -skip '^TestFleet' ./...
 
 test-virtual:
-	go test -count=1 ./internal/membership/... ./internal/subsetting
+	go test -count=1 ./internal/control/membership/... ./internal/control/subset/driver
 
 # Needs GW_CONFIG, the path of a configuration; FROSTPIER_OPERATOR names an operator's file.
 run: build
@@ -66,7 +66,7 @@
 
 # The datagrams' form; needs protoc and protoc-gen-go.
 proto:
-	protoc --go_out=. --go_opt=paths=source_relative internal/membership/wirepb/wire.proto internal/spread/spreadpb/digest.proto internal/rollout/rolloutpb/rollout.proto internal/zonetable/zonepb/zone.proto
+	protoc --go_out=. --go_opt=paths=source_relative $$(git ls-files "*.proto")
 
 clean:
 	rm -rf bin logs logs*
--- a/cmd/fleettest/chart.go
+++ b/cmd/fleettest/chart.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"frostpier/internal/membership/virtual"
+	"frostpier/internal/control/membership/simulation"
 	"frostpier/internal/testbed/testfleet"
 )
 
@@ -60,10 +60,10 @@
 	var median, late, all plotter.XYs
 	for _, r := range rows {
 		x := float64(r.members)
-		first := virtual.Quantile(r.kills.First, 0.5).Seconds()
+		first := simulation.Quantile(r.kills.First, 0.5).Seconds()
 		median = append(median, plotter.XY{X: x, Y: first})
-		late = append(late, plotter.XY{X: x, Y: virtual.Quantile(r.kills.First, 0.99).Seconds()})
-		all = append(all, plotter.XY{X: x, Y: first + virtual.Quantile(r.kills.All, 0.5).Seconds()})
+		late = append(late, plotter.XY{X: x, Y: simulation.Quantile(r.kills.First, 0.99).Seconds()})
+		all = append(all, plotter.XY{X: x, Y: first + simulation.Quantile(r.kills.All, 0.5).Seconds()})
 	}
 	if err := plotutil.AddLinePoints(p, "first told, median", median, "first told, 99th percentile", late,
 		"all told, median", all); err != nil {
--- a/cmd/fleettest/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/controller"
+	"frostpier/internal/control/rollout/controller"
 	"frostpier/internal/program"
 	"frostpier/internal/testbed/testfleet"
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 	"frostpier/internal/testbed/emulator"
 )
 
--- a/cmd/fleettest/simulate.go
+++ b/cmd/fleettest/simulate.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"frostpier/internal/membership"
-	"frostpier/internal/membership/virtual"
+	"frostpier/internal/control/membership"
+	"frostpier/internal/control/membership/simulation"
 )
 
 type simulateCommand struct {
@@ -32,15 +32,15 @@
 // measured is a row of the table.
 type measured struct {
 	members               int
-	steady, kills, pauses virtual.Figures
-	beatPauses            virtual.Figures
+	steady, kills, pauses simulation.Figures
+	beatPauses            simulation.Figures
 }
 
 // heartbeats has the baseline in the protocol's place: the datagrams a second that the protocol sends in the steady
 // state, and three silent rounds for a death.
-func heartbeats(perSecond float64) func(c membership.Config) (virtual.Detector, error) {
-	return func(c membership.Config) (virtual.Detector, error) {
-		return virtual.NewHeartbeat(c, perSecond, 3), nil
+func heartbeats(perSecond float64) func(c membership.Config) (simulation.Detector, error) {
+	return func(c membership.Config) (simulation.Detector, error) {
+		return simulation.NewHeartbeat(c, perSecond, 3), nil
 	}
 }
 
@@ -49,7 +49,7 @@
 	rows := make([]measured, len(c.Sizes))
 	var jobs []func() error
 	var mu sync.Mutex
-	add := func(into *virtual.Figures, f virtual.Figures) {
+	add := func(into *simulation.Figures, f simulation.Figures) {
 		mu.Lock()
 		defer mu.Unlock()
 		*into = into.Merge(f)
@@ -57,11 +57,11 @@
 	for k, n := range c.Sizes {
 		row := &rows[k]
 		row.members = n
-		lossy := virtual.Setup{Members: n, Loss: c.Loss, Every: checked, Spread: time.Second}
+		lossy := simulation.Setup{Members: n, Loss: c.Loss, Every: checked, Spread: time.Second}
 		jobs = append(jobs, func() (err error) {
 			calm := lossy
 			calm.Loss, calm.Seed = 0, c.Seed
-			row.steady, err = virtual.Steady(calm, time.Minute)
+			row.steady, err = simulation.Steady(calm, time.Minute)
 			return err
 		})
 		const parts = 4
@@ -70,17 +70,17 @@
 			s := lossy
 			s.Seed = c.Seed + part
 			jobs = append(jobs, func() error {
-				f, err := virtual.Kills(s, c.Kills/parts, apart)
+				f, err := simulation.Kills(s, c.Kills/parts, apart)
 				add(&row.kills, f)
 				return err
 			}, func() error {
-				f, err := virtual.Pauses(s, lasts, pauseOnce, pauseMost)
+				f, err := simulation.Pauses(s, lasts, pauseOnce, pauseMost)
 				add(&row.pauses, f)
 				return err
 			}, func() error {
 				beats := s // a copy: the other jobs run at the same time
 				beats.Make = heartbeats(1)
-				f, err := virtual.Pauses(beats, lasts, pauseOnce, pauseMost)
+				f, err := simulation.Pauses(beats, lasts, pauseOnce, pauseMost)
 				add(&row.beatPauses, f)
 				return err
 			})
@@ -112,12 +112,12 @@
 	for k := range c.Runs {
 		seed := c.From + c.Runs - 1 - k
 		jobs = append(jobs, func() error {
-			n := virtual.SizeOf(seed)
+			n := simulation.SizeOf(seed)
 			every := c.Every
 			if every == 0 {
 				every = max(1, n/20)
 			}
-			f, err := virtual.Random(seed, n, every)
+			f, err := simulation.Random(seed, n, every)
 			if f != nil {
 				mu.Lock()
 				steps += f.Steps
--- a/cmd/fleettest/table.go
+++ b/cmd/fleettest/table.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"frostpier/internal/membership/virtual"
+	"frostpier/internal/control/membership/simulation"
 	"frostpier/internal/testbed/testfleet"
 )
 
@@ -55,7 +55,7 @@
 	if len(sorted) == 0 {
 		return "-"
 	}
-	return seconds(virtual.Quantile(sorted, 0.5)) + " / " + seconds(sorted[len(sorted)-1])
+	return seconds(simulation.Quantile(sorted, 0.5)) + " / " + seconds(sorted[len(sorted)-1])
 }
 
 func resultTable(results []testfleet.Result) table {
@@ -76,7 +76,7 @@
 	for _, r := range rows {
 		t.rows = append(t.rows, []string{fmt.Sprint(r.members), fmt.Sprintf("%.2f", r.steady.Datagrams),
 			fmt.Sprintf("%.1f", r.steady.Bytes), fmt.Sprint(r.kills.Kills),
-			seconds(virtual.Quantile(r.kills.First, 0.5)) + " / " + seconds(virtual.Quantile(r.kills.First, 0.99)),
+			seconds(simulation.Quantile(r.kills.First, 0.5)) + " / " + seconds(simulation.Quantile(r.kills.First, 0.99)),
 			spread(r.kills.All), fmt.Sprint(r.kills.Missed),
 			fmt.Sprintf("%d in %.0f", r.pauses.FalseDeaths, r.pauses.ProcessHours), fmt.Sprint(r.beatPauses.FalseDeaths)})
 	}
--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -13,8 +13,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"frostpier/internal/controller"
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout/controller"
+	"frostpier/internal/control/rollout"
 )
 
 // Exit codes of the rollout commands.
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/controller"
+	"frostpier/internal/control/rollout/controller"
 	"frostpier/internal/testbed/testfleet"
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 	"frostpier/internal/testbed/emulator"
 )
 
--- a/internal/spread/digest.go
+++ b/internal/control/loadreport/digest.go
@@ -1,4 +1,4 @@
-// Package spread shares load reports of engines among the gateways of a fleet. A gateway that is one of hundreds gets a
+// Package loadreport shares load reports of engines among the gateways of a fleet. A gateway that is one of hundreds gets a
 // report from most engines seldom, so gateways piggyback what they receive on membership datagrams. The package is state
 // and decisions alone: it uses no socket, clock or goroutine.
 //
@@ -8,7 +8,7 @@
 // each time that it waited for its reader. Reports expire after Lifetime, so a false one does harm for no longer. A gateway
 // whose clock is off neither applies nor spreads reports, and has its own alone. Reports on engines that the own list
 // does not name are dropped.
-package spread
+package loadreport
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"frostpier/internal/spread/spreadpb"
+	"frostpier/internal/control/loadreport/loadreportpb"
 )
 
 const (
@@ -58,7 +58,7 @@
 type Digest struct {
 	byShort  map[uint32]*entry
 	order    []*entry // freshest first when it was last sorted
-	msg      spreadpb.Digest
+	msg      loadreportpb.Digest
 	disabled bool
 	counts   Counts
 }
@@ -184,7 +184,7 @@
 	if d.disabled {
 		return nil
 	}
-	var m spreadpb.Digest
+	var m loadreportpb.Digest
 	if proto.Unmarshal(body, &m) != nil || len(m.Engine) != 4*len(m.Load) || len(m.Age) != len(m.Load) ||
 		m.Base > maxBase {
 		d.counts.Malformed++
--- a/internal/spread/digest_bench_test.go
+++ b/internal/control/loadreport/digest_bench_test.go
@@ -1,4 +1,4 @@
-package spread
+package loadreport
 
 import (
 	"fmt"
--- a/internal/spread/digest_test.go
+++ b/internal/control/loadreport/digest_test.go
@@ -1,4 +1,4 @@
-package spread
+package loadreport
 
 import (
 	"encoding/hex"
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"frostpier/internal/spread/spreadpb"
+	"frostpier/internal/control/loadreport/loadreportpb"
 )
 
 func init() { flag.Set("rapid.seed", "1"); flag.Set("rapid.nofailfile", "true") }
@@ -97,22 +97,22 @@
 // are off and absurd reports are counted and change nothing.
 func TestWhatIsNotBelieved(t *testing.T) {
 	d := listed(2)
-	write := func(change func(m *spreadpb.Digest)) []byte {
-		m := &spreadpb.Digest{Engine: []byte{1, 0, 0, 0}, Load: []uint32{5}, Age: []uint32{1}, Base: uint64(epoch / ageUnit)}
+	write := func(change func(m *loadreportpb.Digest)) []byte {
+		m := &loadreportpb.Digest{Engine: []byte{1, 0, 0, 0}, Load: []uint32{5}, Age: []uint32{1}, Base: uint64(epoch / ageUnit)}
 		change(m)
 		b, _ := proto.Marshal(m)
 		return b
 	}
 	for name, c := range map[string]struct {
-		change func(m *spreadpb.Digest)
+		change func(m *loadreportpb.Digest)
 		count  func() uint64
 	}{
-		"unlisted": {func(m *spreadpb.Digest) { m.Engine[0] = 9 }, func() uint64 { return d.Counts().Unlisted }},
-		"late":     {func(m *spreadpb.Digest) { m.Age[0] = 200 }, func() uint64 { return d.Counts().Expired }},
-		"ahead":    {func(m *spreadpb.Digest) { m.Base += 40 }, func() uint64 { return d.Counts().Ahead }},
-		"absurd":   {func(m *spreadpb.Digest) { m.Load[0] = 1 << 30 }, func() uint64 { return d.Counts().Malformed }},
-		"lengths":  {func(m *spreadpb.Digest) { m.Age = nil }, func() uint64 { return d.Counts().Malformed }},
-		"no time":  {func(m *spreadpb.Digest) { m.Base = 1 << 60 }, func() uint64 { return d.Counts().Malformed }},
+		"unlisted": {func(m *loadreportpb.Digest) { m.Engine[0] = 9 }, func() uint64 { return d.Counts().Unlisted }},
+		"late":     {func(m *loadreportpb.Digest) { m.Age[0] = 200 }, func() uint64 { return d.Counts().Expired }},
+		"ahead":    {func(m *loadreportpb.Digest) { m.Base += 40 }, func() uint64 { return d.Counts().Ahead }},
+		"absurd":   {func(m *loadreportpb.Digest) { m.Load[0] = 1 << 30 }, func() uint64 { return d.Counts().Malformed }},
+		"lengths":  {func(m *loadreportpb.Digest) { m.Age = nil }, func() uint64 { return d.Counts().Malformed }},
+		"no time":  {func(m *loadreportpb.Digest) { m.Base = 1 << 60 }, func() uint64 { return d.Counts().Malformed }},
 	} {
 		before := c.count()
 		if news := d.Receive(epoch, write(c.change)); len(news) > 0 || c.count() != before+1 {
--- a/internal/spread/subset_test.go
+++ b/internal/control/loadreport/subset_test.go
@@ -1,11 +1,11 @@
-package spread
+package loadreport
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"frostpier/internal/subset"
+	"frostpier/internal/control/subset"
 )
 
 // The fleet of the model, and what each of its gateways sends and hears.
--- a/internal/membership/budget_test.go
+++ b/internal/control/membership/budget_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/membership/wirepb"
+	"frostpier/internal/control/membership/membershippb"
 )
 
 // fullDatagram is the least length of a datagram that extensions fill.
@@ -79,7 +79,7 @@
 	n.get(t, 1, from(n, 1, withUpdate(6, Left, uint64(epoch/time.Second), 6)))
 	n.reset()
 	n.ping(epoch+time.Second, 5)
-	var d wirepb.Datagram
+	var d membershippb.Datagram
 	body, ok := verifyChecksum(n.Datagrams()[0].Bytes)
 	if err := reading.Unmarshal(body, &d); !ok || err != nil {
 		t.Fatal(ok, err)
--- a/internal/membership/codec.go
+++ b/internal/control/membership/codec.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"frostpier/internal/membership/wirepb"
+	"frostpier/internal/control/membership/membershippb"
 )
 
 // Version is that of the datagrams that this program writes; leastReader is the lowest that can read them.
@@ -57,14 +57,14 @@
 }
 
 // clearMessage makes a message fit for use again while it keeps the lists' memory.
-func clearMessage(d *wirepb.Datagram) {
+func clearMessage(d *membershippb.Datagram) {
 	about, words, by := d.About[:0], d.Word[:0], d.By[:0]
 	payload := d.Payload[:0]
 	d.Reset()
 	d.About, d.Word, d.By, d.Payload = about, words, by, payload
 }
 
-func (n *Node) head(kind wirepb.Kind, sequence uint32) *wirepb.Datagram {
+func (n *Node) head(kind membershippb.Kind, sequence uint32) *membershippb.Datagram {
 	d := &n.enc
 	clearMessage(d)
 	d.Version, d.Least, d.Fleet = Version, leastReader, n.fleet
@@ -76,7 +76,7 @@
 // send writes a datagram: the fields of its kind, then the update on the receiver itself if it needs one, then the state
 // of the subject, then queued updates, then the messages of extensions, as far as there is room and the budget allows. A receiver
 // that is suspected or out of service gets neither of the last two: most of them would be lost.
-func (n *Node) send(now time.Duration, kind wirepb.Kind, to int, sequence uint32, subject int, incarnation uint64) {
+func (n *Node) send(now time.Duration, kind membershippb.Kind, to int, sequence uint32, subject int, incarnation uint64) {
 	if to < 0 {
 		return
 	}
@@ -106,7 +106,7 @@
 		add(subject)
 	}
 	if n.members[to].state == Alive {
-		if kind == wirepb.Kind_KIND_GOSSIP || n.budget.allowsUpdates(now) {
+		if kind == membershippb.Kind_KIND_GOSSIP || n.budget.allowsUpdates(now) {
 			n.addUpdates(add)
 		}
 		if n.budget.allowsExtensions(now) {
@@ -135,7 +135,7 @@
 const payloadHead = 10
 
 // appendExtensions offers the remaining room to the extensions, each in turn.
-func (n *Node) appendExtensions(now time.Duration, d *wirepb.Datagram, to, room int) {
+func (n *Node) appendExtensions(now time.Duration, d *membershippb.Datagram, to, room int) {
 	for _, r := range n.cfg.Extensions {
 		if room <= payloadHead {
 			return
@@ -145,13 +145,13 @@
 			continue
 		}
 		room -= len(body) + payloadHead
-		d.Payload = append(d.Payload, &wirepb.Payload{Kind: r.Kind(), Body: body})
+		d.Payload = append(d.Payload, &membershippb.Payload{Kind: r.Kind(), Body: body})
 	}
 }
 
 // sendPiece writes a piece of the whole state, as many members as fit, and returns where the next starts.
 func (n *Node) sendPiece(now time.Duration, to, first int) int {
-	d := n.head(wirepb.Kind_KIND_SYNC, 0)
+	d := n.head(membershippb.Kind_KIND_SYNC, 0)
 	d.First = uint32(first)
 	room := MaxDatagram - sumSize - proto.Size(d) - listHead
 	for ; first < len(n.members); first++ {
@@ -172,7 +172,7 @@
 }
 
 // post hands a datagram out in a buffer of its own, which the next call uses again.
-func (n *Node) post(to int, d *wirepb.Datagram) {
+func (n *Node) post(to int, d *membershippb.Datagram) {
 	k := len(n.out)
 	if k == len(n.bufs) {
 		n.bufs = append(n.bufs, make([]byte, 0, MaxDatagram))
@@ -237,9 +237,9 @@
 }
 
 // take acts on a datagram.
-func (n *Node) take(now time.Duration, from int, d *wirepb.Datagram) {
+func (n *Node) take(now time.Duration, from int, d *membershippb.Datagram) {
 	trusted := n.recordContact(now, from, d.Incarnation)
-	if d.Kind == wirepb.Kind_KIND_SYNC {
+	if d.Kind == membershippb.Kind_KIND_SYNC {
 		if trusted {
 			n.takePiece(now, from, d)
 		}
@@ -257,22 +257,22 @@
 	}
 	replied := false
 	switch d.Kind {
-	case wirepb.Kind_KIND_PING:
-		n.send(now, wirepb.Kind_KIND_ACK, from, d.Sequence, -1, 0)
+	case membershippb.Kind_KIND_PING:
+		n.send(now, membershippb.Kind_KIND_ACK, from, d.Sequence, -1, 0)
 		replied = true
-	case wirepb.Kind_KIND_ACK:
+	case membershippb.Kind_KIND_ACK:
 		if trusted {
 			n.took(now, from, d.Sequence, subject, d.SubjectIncarnation)
 		}
-	case wirepb.Kind_KIND_PING_REQ:
+	case membershippb.Kind_KIND_PING_REQ:
 		if subject >= 0 && subject != n.cfg.Self && subject != from {
 			n.help(now, from, d.Sequence, subject)
 		}
-	case wirepb.Kind_KIND_NACK:
+	case membershippb.Kind_KIND_NACK:
 		n.nack(from, d.Sequence)
-	case wirepb.Kind_KIND_SYNC_ASK:
+	case membershippb.Kind_KIND_SYNC_ASK:
 		n.asked(now, from, int(d.First))
-	case wirepb.Kind_KIND_GOSSIP:
+	case membershippb.Kind_KIND_GOSSIP:
 	default:
 		n.counts.Unknown++ // of a newer program: what it says of members was read all the same
 	}
@@ -280,7 +280,7 @@
 		n.notify(now, from)
 	}
 	if trusted {
-		if d.Kind == wirepb.Kind_KIND_PING || d.Kind == wirepb.Kind_KIND_ACK {
+		if d.Kind == membershippb.Kind_KIND_PING || d.Kind == membershippb.Kind_KIND_ACK {
 			n.compare(now, from, d.Digest)
 		}
 		n.deliverExtensions(from, d)
@@ -288,7 +288,7 @@
 }
 
 // takeRumours takes what is said of members. Lists of unequal length are read as far as all go.
-func (n *Node) takeRumours(now time.Duration, d *wirepb.Datagram) {
+func (n *Node) takeRumours(now time.Duration, d *membershippb.Datagram) {
 	for k := range min(len(d.About), len(d.Word)) {
 		by := -1
 		if k < len(d.By) {
@@ -304,7 +304,7 @@
 }
 
 // takeOwn takes only what is said of this member.
-func (n *Node) takeOwn(now time.Duration, d *wirepb.Datagram) {
+func (n *Node) takeOwn(now time.Duration, d *membershippb.Datagram) {
 	for k := range min(len(d.About), len(d.Word)) {
 		if s, inc, ok := unpackState(d.Word[k]); ok && int64(d.About[k]) == int64(n.cfg.Self) {
 			n.aboutSelf(now, s, inc, -1)
@@ -312,7 +312,7 @@
 	}
 }
 
-func (n *Node) takePiece(now time.Duration, from int, d *wirepb.Datagram) {
+func (n *Node) takePiece(now time.Duration, from int, d *membershippb.Datagram) {
 	for k, w := range d.Word {
 		i := int64(d.First) + int64(k)
 		s, inc, ok := unpackState(w)
@@ -325,7 +325,7 @@
 }
 
 // deliverExtensions emits an event for each extension message of a kind that is registered here.
-func (n *Node) deliverExtensions(from int, d *wirepb.Datagram) {
+func (n *Node) deliverExtensions(from int, d *membershippb.Datagram) {
 	for _, p := range d.Payload {
 		for _, r := range n.cfg.Extensions {
 			if r.Kind() == p.GetKind() {
--- a/internal/membership/gossip.go
+++ b/internal/control/membership/gossip.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"frostpier/internal/membership/wirepb"
+	"frostpier/internal/control/membership/membershippb"
 )
 
 // queue holds the members that have updates to gossip, each once, the least gossiped first. It is a ring with
@@ -78,7 +78,7 @@
 		}
 		if to := n.someone(-1); to >= 0 {
 			n.gossipedAt = now
-			n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
+			n.send(now, membershippb.Kind_KIND_GOSSIP, to, 0, -1, 0)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	if to := n.receiver(); to >= 0 && !n.leaving {
-		n.send(now, wirepb.Kind_KIND_GOSSIP, to, 0, -1, 0)
+		n.send(now, membershippb.Kind_KIND_GOSSIP, to, 0, -1, 0)
 	}
 }
 
--- a/internal/membership/node.go
+++ b/internal/control/membership/node.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"time"
 
-	"frostpier/internal/membership/wirepb"
+	"frostpier/internal/control/membership/membershippb"
 )
 
 // State is what is held of a member.
@@ -127,7 +127,7 @@
 	synced      bool
 
 	sequence uint32
-	enc, dec wirepb.Datagram
+	enc, dec membershippb.Datagram
 	bufs     [][]byte
 	out      []Datagram
 	events   []Event
@@ -210,7 +210,7 @@
 	n.leaving, n.probe.open = true, false // who leaves accuses nobody any more
 	n.set(now, n.cfg.Self, Left, n.members[n.cfg.Self].incarnation, n.cfg.Self, false)
 	for range min(leavePings, len(n.order)) {
-		n.send(now, wirepb.Kind_KIND_GOSSIP, n.someone(-1), 0, -1, 0)
+		n.send(now, membershippb.Kind_KIND_GOSSIP, n.someone(-1), 0, -1, 0)
 	}
 	n.plan(now)
 }
--- a/internal/membership/node_test.go
+++ b/internal/control/membership/node_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"frostpier/internal/membership/wirepb"
+	"frostpier/internal/control/membership/membershippb"
 )
 
 func init() { flag.Set("rapid.seed", "1"); flag.Set("rapid.nofailfile", "true") }
@@ -38,9 +38,9 @@
 }
 
 // from builds a datagram as another member would write it; change may alter it before it is sealed.
-func from(n *Node, member int, change func(d *wirepb.Datagram)) []byte {
-	d := &wirepb.Datagram{Version: Version, Least: leastReader, Fleet: n.fleet, From: uint32(member),
-		Incarnation: uint64(epoch / time.Second), Kind: wirepb.Kind_KIND_GOSSIP}
+func from(n *Node, member int, change func(d *membershippb.Datagram)) []byte {
+	d := &membershippb.Datagram{Version: Version, Least: leastReader, Fleet: n.fleet, From: uint32(member),
+		Incarnation: uint64(epoch / time.Second), Kind: membershippb.Kind_KIND_GOSSIP}
 	if change != nil {
 		change(d)
 	}
@@ -48,8 +48,8 @@
 	return seal(b)
 }
 
-func withUpdate(about int, s State, incarnation uint64, by int) func(d *wirepb.Datagram) {
-	return func(d *wirepb.Datagram) {
+func withUpdate(about int, s State, incarnation uint64, by int) func(d *membershippb.Datagram) {
+	return func(d *membershippb.Datagram) {
 		d.About, d.Word, d.By = append(d.About, uint32(about)), append(d.Word, packState(s, incarnation)), append(d.By, uint32(by+1))
 	}
 }
@@ -132,12 +132,12 @@
 func TestFormerSelfIsNotified(t *testing.T) {
 	n := newNode(t, 0, 5)
 	n.get(t, 1, from(n, 1, nil))
-	n.get(t, 1, from(n, 1, func(d *wirepb.Datagram) {
-		d.Kind, d.Incarnation, d.Sequence = wirepb.Kind_KIND_PING, d.Incarnation-3600, 9
+	n.get(t, 1, from(n, 1, func(d *membershippb.Datagram) {
+		d.Kind, d.Incarnation, d.Sequence = membershippb.Kind_KIND_PING, d.Incarnation-3600, 9
 	}))
-	d := &wirepb.Datagram{}
+	d := &membershippb.Datagram{}
 	inner, ok := verifyChecksum(n.Datagrams()[0].Bytes)
-	if err := proto.Unmarshal(inner, d); err != nil || !ok || d.Kind != wirepb.Kind_KIND_ACK || d.Sequence != 9 ||
+	if err := proto.Unmarshal(inner, d); err != nil || !ok || d.Kind != membershippb.Kind_KIND_ACK || d.Sequence != 9 ||
 		len(d.About) == 0 || d.About[0] != 1 || d.Word[0] != packState(Alive, uint64(epoch/time.Second)) {
 		t.Fatalf("answered %v, %v", d, err)
 	}
@@ -146,9 +146,9 @@
 // What must not be believed is counted, and changes nothing.
 func TestDropped(t *testing.T) {
 	kill := withUpdate(3, Dead, uint64(epoch/time.Second)+9, 1)
-	long := from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) {
+	long := from(newNode(t, 0, 5), 1, func(d *membershippb.Datagram) {
 		kill(d)
-		d.Payload = []*wirepb.Payload{{Kind: 1, Body: make([]byte, 300)}}
+		d.Payload = []*membershippb.Payload{{Kind: 1, Body: make([]byte, 300)}}
 	})
 	for name, c := range map[string]struct {
 		from  netip.AddrPort
@@ -161,13 +161,13 @@
 		"too long":            {addrs(5)[1], long, func(c Counts) uint64 { return c.Oversize }},
 		"cut off":             {addrs(5)[1], from(newNode(t, 0, 5), 1, kill)[:20], func(c Counts) uint64 { return c.Malformed }},
 		"empty":               {addrs(5)[1], nil, func(c Counts) uint64 { return c.Malformed }},
-		"another fleet": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) { kill(d); d.Fleet++ }),
+		"another fleet": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *membershippb.Datagram) { kill(d); d.Fleet++ }),
 			func(c Counts) uint64 { return c.OtherFleet }},
-		"too new": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) { kill(d); d.Least = Version + 1 }),
+		"too new": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *membershippb.Datagram) { kill(d); d.Least = Version + 1 }),
 			func(c Counts) uint64 { return c.TooNew }},
-		"no version": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) { kill(d); d.Version = 0 }),
+		"no version": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *membershippb.Datagram) { kill(d); d.Version = 0 }),
 			func(c Counts) uint64 { return c.Malformed }},
-		"absurd incarnation": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *wirepb.Datagram) { kill(d); d.Incarnation = 1 << 63 }),
+		"absurd incarnation": {addrs(5)[1], from(newNode(t, 0, 5), 1, func(d *membershippb.Datagram) { kill(d); d.Incarnation = 1 << 63 }),
 			func(c Counts) uint64 { return c.Malformed }},
 	} {
 		n := newNode(t, 0, 5)
@@ -183,12 +183,12 @@
 func TestNewerProgramsAreUnderstood(t *testing.T) {
 	n := newNode(t, 0, 5)
 	inc := uint64(epoch/time.Second) + 5
-	b := from(n, 1, func(d *wirepb.Datagram) {
+	b := from(n, 1, func(d *membershippb.Datagram) {
 		d.Version, d.Kind = Version+3, 99
 		withUpdate(2, 7, inc, 1)(d) // a state to come
 		withUpdate(400, Dead, inc, 1)(d)
 		withUpdate(3, Left, inc, 1)(d)
-		d.Payload = []*wirepb.Payload{{Kind: 77, Body: []byte("of a subsystem to come")}}
+		d.Payload = []*membershippb.Payload{{Kind: 77, Body: []byte("of a subsystem to come")}}
 	})
 	b = b[:len(b)-sumSize]
 	b = protowire.AppendTag(b, 500, protowire.BytesType) // a field to come
@@ -243,8 +243,8 @@
 		for k := range 60 { // absurd updates at the longest
 			n.get(t, k, from(n, k, withUpdate(round*100+k, Suspect, mostInc-1, 3000)))
 		}
-		n.get(t, 7, from(n, 7, func(d *wirepb.Datagram) {
-			d.Kind, d.Incarnation, d.Sequence = wirepb.Kind_KIND_SYNC_ASK, mostInc-1, 1<<32-1
+		n.get(t, 7, from(n, 7, func(d *membershippb.Datagram) {
+			d.Kind, d.Incarnation, d.Sequence = membershippb.Kind_KIND_SYNC_ASK, mostInc-1, 1<<32-1
 		}))
 		for k := range 20 {
 			n.Tick(epoch + time.Duration(round*20+k+20)*200*time.Millisecond)
@@ -308,8 +308,8 @@
 				n.Tick(now)
 			} else {
 				member := rapid.IntRange(1, 4).Draw(t, "from")
-				n.Receive(now, n.cfg.Peers[member], from(n, member, func(d *wirepb.Datagram) {
-					d.Kind = wirepb.Kind(small.Draw(t, "kind"))
+				n.Receive(now, n.cfg.Peers[member], from(n, member, func(d *membershippb.Datagram) {
+					d.Kind = membershippb.Kind(small.Draw(t, "kind"))
 					d.Sequence, d.Subject, d.First = small.Draw(t, "seq"), small.Draw(t, "subject"), small.Draw(t, "first")
 					d.Incarnation = uint64(int64(d.Incarnation) + rapid.Int64Range(-5, 5).Draw(t, "own"))
 					d.SubjectIncarnation, d.Digest = rapid.Uint64().Draw(t, "other"), small.Draw(t, "digest")
@@ -460,7 +460,7 @@
 				}
 			}
 			if asked > 0 && answers {
-				n.Receive(now, n.cfg.Peers[3], from(n, 3, func(d *wirepb.Datagram) { d.Incarnation++ }))
+				n.Receive(now, n.cfg.Peers[3], from(n, 3, func(d *membershippb.Datagram) { d.Incarnation++ }))
 			}
 		}
 		if s, _ := n.Member(3); asked == 0 || (s == Alive) != answers || !answers && s != Dead {
--- a/internal/membership/probe.go
+++ b/internal/control/membership/probe.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"frostpier/internal/membership/wirepb"
+	"frostpier/internal/control/membership/membershippb"
 )
 
 // probe is the one under way.
@@ -148,7 +148,7 @@
 func (n *Node) ping(now time.Duration, to int) uint32 {
 	n.sequence++
 	if to >= 0 {
-		n.send(now, wirepb.Kind_KIND_PING, to, n.sequence, -1, 0)
+		n.send(now, membershippb.Kind_KIND_PING, to, n.sequence, -1, 0)
 	}
 	return n.sequence
 }
@@ -158,10 +158,10 @@
 	for range helpers {
 		if h := n.someone(p.target); h >= 0 && !slices.Contains(p.asked, h) {
 			p.asked = append(p.asked, h)
-			n.send(now, wirepb.Kind_KIND_PING_REQ, h, p.sequence, p.target, 0)
+			n.send(now, membershippb.Kind_KIND_PING_REQ, h, p.sequence, p.target, 0)
 		}
 	}
-	n.send(now, wirepb.Kind_KIND_PING, p.target, p.sequence, -1, 0) // once more: the first may just have been lost
+	n.send(now, membershippb.Kind_KIND_PING, p.target, p.sequence, -1, 0) // once more: the first may just have been lost
 }
 
 // answered ends the probe well.
@@ -229,7 +229,7 @@
 	for k := range n.relays {
 		if r := n.relays[k]; r.ownSequence == sequence && r.subject == from {
 			n.relays = append(n.relays[:k], n.relays[k+1:]...)
-			n.send(now, wirepb.Kind_KIND_ACK, r.origin, r.originSeq, from, n.members[from].incarnation)
+			n.send(now, membershippb.Kind_KIND_ACK, r.origin, r.originSeq, from, n.members[from].incarnation)
 			return
 		}
 	}
@@ -240,7 +240,7 @@
 		r := &n.relays[k]
 		if r.nackAt > 0 && now >= r.nackAt {
 			r.nackAt = 0
-			n.send(now, wirepb.Kind_KIND_NACK, r.origin, r.originSeq, r.subject, 0)
+			n.send(now, membershippb.Kind_KIND_NACK, r.origin, r.originSeq, r.subject, 0)
 		}
 		if now >= r.endAt {
 			n.relays = append(n.relays[:k], n.relays[k+1:]...)
--- a/internal/membership/virtual/fleet.go
+++ b/internal/control/membership/simulation/fleet.go
@@ -1,7 +1,7 @@
-// Package virtual runs a fleet of membership nodes on a virtual clock, with faults between them: the experiment
+// Package simulation runs a fleet of membership nodes on a virtual clock, with faults between them: the experiment
 // tool's and the tests' way to see a thousand members for minutes within seconds. All chance comes from one seed, so
 // a run that fails replays identically.
-package virtual
+package simulation
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 	"net/netip"
 	"time"
 
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 )
 
 // Epoch is the time at which every run starts.
--- a/internal/membership/virtual/fleet_test.go
+++ b/internal/control/membership/simulation/fleet_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 )
 
 // Runs drawn from a thousand seeds, with every fault there is: no rule is broken, and afterwards all views match the
--- a/internal/membership/virtual/golden_test.go
+++ b/internal/control/membership/simulation/golden_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 	"frostpier/internal/testutil"
 )
 
--- a/internal/membership/virtual/heal_test.go
+++ b/internal/control/membership/simulation/heal_test.go
@@ -1,10 +1,10 @@
-package virtual
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 )
 
 // When two halves that were cut from each other meet again, rumours of one cross to the other. No member may be told
--- a/internal/membership/virtual/heartbeat.go
+++ b/internal/control/membership/simulation/heartbeat.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"net/netip"
 	"time"
 
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 )
 
 // Heartbeat is the baseline that the protocol is compared with: a plain heartbeat detector with the same budget of
--- a/internal/membership/virtual/measure.go
+++ b/internal/control/membership/simulation/measure.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 )
 
 // Figures are what a measurement found.
--- a/internal/subsetting/norace_test.go
+++ b/internal/control/membership/simulation/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package subsetting
+package simulation
 
 const raced = false
--- a/internal/membership/virtual/random.go
+++ b/internal/control/membership/simulation/random.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 )
 
 // Limits of a random run.
--- a/internal/membership/sync.go
+++ b/internal/control/membership/sync.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"frostpier/internal/membership/wirepb"
+	"frostpier/internal/control/membership/membershippb"
 )
 
 // asker is a member that asked for the whole state, and where its next piece starts.
@@ -22,7 +22,7 @@
 	if fresh || settled || since > 5*interval {
 		n.askedAt = now
 		n.counts.Syncs++
-		n.send(now, wirepb.Kind_KIND_SYNC_ASK, from, 0, -1, 0)
+		n.send(now, membershippb.Kind_KIND_SYNC_ASK, from, 0, -1, 0)
 	}
 }
 
--- a/internal/rollout/codec.go
+++ b/internal/control/rollout/codec.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"frostpier/internal/rollout/rolloutpb"
+	"frostpier/internal/control/rollout/rolloutpb"
 )
 
 // MostReport is the longest report in bytes: with it a fleet of hundreds fits any socket's buffer.
--- a/internal/controller/checks.go
+++ b/internal/control/rollout/controller/checks.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 )
 
 // checker asks gateways known queries, as a client does, and compares the results. What the gateways count cannot show
--- a/internal/controller/checks_test.go
+++ b/internal/control/rollout/controller/checks_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 )
 
 // Guards against blaming a version for the queries that a gateway missed while its process was down: an answer that is
--- a/internal/controller/control.go
+++ b/internal/control/rollout/controller/control.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 )
 
 const (
--- a/internal/controller/controller.go
+++ b/internal/control/rollout/controller/controller.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 )
 
 // Controller carries one change to its end.
--- a/internal/controller/controller_test.go
+++ b/internal/control/rollout/controller/controller_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 )
 
 // What was written down is there again, one controller has the journal at a time, and a write that a crash of the machine
--- a/internal/controller/gateways.go
+++ b/internal/control/rollout/controller/gateways.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"frostpier/internal/program"
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 	"frostpier/internal/settings"
 )
 
--- a/internal/controller/golden_test.go
+++ b/internal/control/rollout/controller/golden_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 	"frostpier/internal/testutil"
 )
 
--- a/internal/controller/journal.go
+++ b/internal/control/rollout/controller/journal.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 )
 
 // Journal is the durable memory of changes: bbolt writes copy-on-write pages and syncs them before a commit returns, so
--- a/internal/controller/procs.go
+++ b/internal/control/rollout/controller/procs.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 )
 
 // procs finds, starts and ends the processes of gateways. A gateway's process is known by the configuration that its
--- a/internal/rollout/mix.go
+++ b/internal/control/rollout/mix.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"frostpier/internal/rollout/rolloutpb"
+	"frostpier/internal/control/rollout/rolloutpb"
 )
 
 // ExtensionKind identifies this subsystem among the extensions of membership.
--- a/internal/rollout/mixed_test.go
+++ b/internal/control/rollout/mixed_test.go
@@ -4,19 +4,19 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/membership"
-	"frostpier/internal/membership/virtual"
-	"frostpier/internal/spread"
+	"frostpier/internal/control/membership"
+	"frostpier/internal/control/membership/simulation"
+	"frostpier/internal/control/loadreport"
 )
 
 // Half of a fleet tells versions and half, of the program before, knows nothing of them: both sides' datagrams and shared
 // reports pass, a kill is told to all, nobody is declared dead for it, and each new one knows the versions of all new ones.
 func TestOldAndNewSideBySide(t *testing.T) {
 	const members = 20
-	mixes, digests := map[int]*Mix{}, map[int]*spread.Digest{}
-	f, err := virtual.New(virtual.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
-		Make: func(cfg membership.Config) (virtual.Detector, error) {
-			d := spread.New()
+	mixes, digests := map[int]*Mix{}, map[int]*loadreport.Digest{}
+	f, err := simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
+		Make: func(cfg membership.Config) (simulation.Detector, error) {
+			d := loadreport.New()
 			d.SetEngines([]uint64{1, 2, 3})
 			digests[cfg.Self], cfg.ExtensionInterval = d, 300*time.Millisecond
 			cfg.Extensions = append(cfg.Extensions, d)
@@ -32,7 +32,7 @@
 	deaths := 0
 	f.Seen = func(at int, e membership.Event) error {
 		switch {
-		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == spread.ExtensionKind:
+		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == loadreport.ExtensionKind:
 			digests[at].Receive(f.Now, e.Body)
 		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == ExtensionKind && mixes[at] == nil:
 			t.Errorf("member %d got what it has no extension for", at)
--- a/internal/subsetting/driver.go
+++ b/internal/control/subset/driver/driver.go
@@ -1,10 +1,10 @@
-package subsetting
+package driver
 
 import (
 	"log/slog"
 
 	"frostpier/internal/netio"
-	"frostpier/internal/subset"
+	"frostpier/internal/control/subset"
 )
 
 // Driver runs an Updater on a gateway's loop. All calls come from the loop.
--- a/internal/subsetting/fleet_test.go
+++ b/internal/control/subset/driver/fleet_test.go
@@ -1,4 +1,4 @@
-package subsetting
+package driver
 
 import (
 	"log/slog"
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/membership"
-	"frostpier/internal/membership/virtual"
-	"frostpier/internal/spread"
-	"frostpier/internal/subset"
-	"frostpier/internal/zonetable"
+	"frostpier/internal/control/membership"
+	"frostpier/internal/control/membership/simulation"
+	"frostpier/internal/control/loadreport"
+	"frostpier/internal/control/subset"
+	"frostpier/internal/control/zonetable"
 )
 
 // modelStep is the time between two steps in which the model's gateways update their subsets and take load reports.
@@ -27,7 +27,7 @@
 
 // model is such a fleet.
 type model struct {
-	*virtual.Fleet
+	*simulation.Fleet
 	setup    modelSetup
 	gateways []*modelGateway // of the present lives
 	list     []subset.Engine
@@ -39,7 +39,7 @@
 	model   *model
 	number  int
 	updater *Updater
-	digest  *spread.Digest
+	digest  *loadreport.Digest
 	chooser *subset.Chooser
 	used    []uint64
 	tickAt  time.Duration
@@ -52,7 +52,7 @@
 		id := (uint64(i) + 1) * 0x9e3779b97f4a7c15
 		m.list = append(m.list, subset.Engine{ID: id, Zone: i % setup.zones, Ready: true})
 	}
-	fleet, err := virtual.New(virtual.Setup{Members: setup.gateways, Seed: setup.seed, Loss: setup.loss, Spread: setup.started,
+	fleet, err := simulation.New(simulation.Setup{Members: setup.gateways, Seed: setup.seed, Loss: setup.loss, Spread: setup.started,
 		Every: 1 << 30, Make: m.node})
 	if err != nil {
 		t.Fatal(err)
@@ -76,12 +76,12 @@
 }
 
 // node starts a gateway as internal/program does.
-func (m *model) node(config membership.Config) (virtual.Detector, error) {
-	g := &modelGateway{model: m, number: config.Self, digest: spread.New()}
+func (m *model) node(config membership.Config) (simulation.Detector, error) {
+	g := &modelGateway{model: m, number: config.Self, digest: loadreport.New()}
 	m.gateways[config.Self] = g
 	g.updater = New(m.place(config.Self), g, slog.New(slog.DiscardHandler))
 	config.Extensions = []membership.Extension{g.updater.Extension(), g.digest}
-	config.ExtensionInterval, config.Weights = spread.Interval, g.updater.ReceiverWeights
+	config.ExtensionInterval, config.Weights = loadreport.Interval, g.updater.ReceiverWeights
 	node, err := membership.New(config)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 	g := m.gateways[at]
 	switch {
 	case event.Kind != membership.ExtensionReceived:
-	case event.ExtensionKind == spread.ExtensionKind:
+	case event.ExtensionKind == loadreport.ExtensionKind:
 		g.digest.Receive(m.Now, event.Body)
 	case event.ExtensionKind == zonetable.ExtensionKind:
 		g.updater.ReceiveZones(event.Member, event.Body)
@@ -169,7 +169,7 @@
 			t.Fatal(err)
 		}
 		last = m.look()
-		t.Logf("%v: %.1f engines used, %d at most, %.3f known, %.0f B/s", m.Now-virtual.Epoch, last.used, last.largest, last.known,
+		t.Logf("%v: %.1f engines used, %d at most, %.3f known, %.0f B/s", m.Now-simulation.Epoch, last.used, last.largest, last.known,
 			(m.bytes()-before)/every.Seconds())
 	}
 	return last
--- a/internal/membership/virtual/norace_test.go
+++ b/internal/control/subset/driver/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package virtual
+package driver
 
 const raced = false
--- a/internal/membership/virtual/race_test.go
+++ b/internal/control/subset/driver/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package virtual
+package driver
 
 // raced: the race detector makes a run ten times as long.
 const raced = true
--- a/internal/subsetting/updater.go
+++ b/internal/control/subset/driver/updater.go
@@ -1,16 +1,16 @@
-// Package subsetting drives package subset in a running gateway: it brings together the configuration, the zones that gateways
+// Package driver drives package subset in a running gateway: it brings together the configuration, the zones that gateways
 // send each other, membership's view and the gateway's engines. Updater is a state machine that is handed the time; Driver runs
 // one on the gateway's loop.
-package subsetting
+package driver
 
 import (
 	"log/slog"
 	"slices"
 	"time"
 
-	"frostpier/internal/membership"
-	"frostpier/internal/subset"
-	"frostpier/internal/zonetable"
+	"frostpier/internal/control/membership"
+	"frostpier/internal/control/subset"
+	"frostpier/internal/control/zonetable"
 )
 
 const (
--- a/internal/zonetable/mixed_test.go
+++ b/internal/control/zonetable/mixed_test.go
@@ -4,16 +4,16 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/membership"
-	"frostpier/internal/membership/virtual"
+	"frostpier/internal/control/membership"
+	"frostpier/internal/control/membership/simulation"
 )
 
 // Half of a fleet tells zones; the other half, of the program before, skips the message and is a member as ever.
 func TestOldAndNewSideBySide(t *testing.T) {
 	const members = 20
 	tables := map[int]*Table{}
-	f, err := virtual.New(virtual.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
-		Make: func(cfg membership.Config) (virtual.Detector, error) {
+	f, err := simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
+		Make: func(cfg membership.Config) (simulation.Detector, error) {
 			if cfg.Self%2 == 0 {
 				return membership.New(cfg)
 			}
--- a/internal/zonetable/table.go
+++ b/internal/control/zonetable/table.go
@@ -14,7 +14,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"frostpier/internal/zonetable/zonepb"
+	"frostpier/internal/control/zonetable/zonepb"
 )
 
 const (
--- a/internal/zonetable/table_test.go
+++ b/internal/control/zonetable/table_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"frostpier/internal/zonetable/zonepb"
+	"frostpier/internal/control/zonetable/zonepb"
 )
 
 func init() { flag.Set("rapid.seed", "1"); flag.Set("rapid.nofailfile", "true") }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,7 +9,7 @@
 
 	"frostpier/internal/invariant"
 	"frostpier/internal/settings"
-	"frostpier/internal/spread"
+	"frostpier/internal/control/loadreport"
 	"frostpier/policy"
 )
 
@@ -88,7 +88,7 @@
 	counts   Counts
 	byClass  []ClassCounts
 	actions  []Action
-	digest   *spread.Digest // what gateways tell each other of engines; nil where they do not
+	digest   *loadreport.Digest // what gateways tell each other of engines; nil where they do not
 	sampled  time.Duration  // when it was last recorded what keeps requests in line
 
 	subset          *engineSubset           // nil = every engine is used
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"frostpier/internal/spread"
+	"frostpier/internal/control/loadreport"
 	"frostpier/policy"
 )
 
@@ -11,7 +11,7 @@
 const inflight = "inflight"
 
 // ShareLoadReports has the gateway publish and receive load reports. It must be called before the first event.
-func (c *Core) ShareLoadReports(d *spread.Digest) { c.digest = d }
+func (c *Core) ShareLoadReports(d *loadreport.Digest) { c.digest = d }
 
 // EngineNumber returns the number that identifies the engine with this name in load reports.
 func EngineNumber(name string) uint64 { return uint64(engineID(name)) }
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/spread"
+	"frostpier/internal/control/loadreport"
 	"frostpier/policy"
 )
 
@@ -12,7 +12,7 @@
 func TestReportsAreShared(t *testing.T) {
 	a, _ := newCore(t)
 	b, _ := newCore(t)
-	da, db := spread.New(), spread.New()
+	da, db := loadreport.New(), loadreport.New()
 	a.ShareLoadReports(da)
 	b.ShareLoadReports(db)
 	a.UpdateEngines(start, true, []ListedEngine{engineLine("x", policy.Ready), engineLine("y", policy.Ready)})
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"frostpier/internal/subset"
+	"frostpier/internal/control/subset"
 	"frostpier/policy"
 )
 
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -12,7 +12,7 @@
 
 	"frostpier/internal/invariant"
 	"frostpier/internal/settings"
-	"frostpier/internal/subset"
+	"frostpier/internal/control/subset"
 	"frostpier/policy"
 )
 
--- a/internal/netio/members.go
+++ b/internal/netio/members.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"frostpier/internal/invariant"
-	"frostpier/internal/membership"
-	"frostpier/internal/rollout"
-	"frostpier/internal/spread"
-	"frostpier/internal/zonetable"
+	"frostpier/internal/control/membership"
+	"frostpier/internal/control/rollout"
+	"frostpier/internal/control/loadreport"
+	"frostpier/internal/control/zonetable"
 )
 
 // readMost is more than a datagram may have: one that is too long must be seen to be.
@@ -116,7 +116,7 @@
 	}
 	for _, e := range m.node.Events() {
 		switch {
-		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == spread.ExtensionKind:
+		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == loadreport.ExtensionKind:
 			m.listener.ReceiveLoadReports(e.Body)
 			continue
 		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == rollout.ExtensionKind:
--- a/internal/netio/subset.go
+++ b/internal/netio/subset.go
@@ -1,6 +1,6 @@
 package netio
 
-import "frostpier/internal/subset"
+import "frostpier/internal/control/subset"
 
 // UseSubset restricts the gateway to the engines that the chooser selects; nil lifts the restriction.
 func (g *Gateway) UseSubset(chooser *subset.Chooser) {
--- a/internal/program/extensions_test.go
+++ b/internal/program/extensions_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/membership"
-	"frostpier/internal/rollout"
-	"frostpier/internal/spread"
+	"frostpier/internal/control/membership"
+	"frostpier/internal/control/rollout"
+	"frostpier/internal/control/loadreport"
 )
 
 // Guards against load reports that leave no room for the version: with so many engines they fill every datagram, and no
@@ -15,7 +15,7 @@
 func TestVersionsAreSentBesideManyLoadReports(t *testing.T) {
 	const engines = 200
 	now := 1_800_000_000 * time.Second
-	digest := spread.New()
+	digest := loadreport.New()
 	var numbers []uint64
 	for i := range uint64(engines) {
 		numbers = append(numbers, i+1)
@@ -28,7 +28,7 @@
 	peers := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), netip.MustParseAddrPort("127.0.0.2:9")}
 	node := func(self int) *membership.Node {
 		n, err := membership.New(membership.Config{Self: self, Peers: peers, Fleet: "f", Seed: 1, Extensions: p.extensions(),
-			ExtensionInterval: spread.Interval})
+			ExtensionInterval: loadreport.Interval})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 		now = sender.Next()
 		sender.Tick(now)
 	}
-	if received[rollout.ExtensionKind] == 0 || received[spread.ExtensionKind] == 0 {
+	if received[rollout.ExtensionKind] == 0 || received[loadreport.ExtensionKind] == 0 {
 		t.Errorf("messages received by kind: %v", received)
 	}
 }
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -9,11 +9,11 @@
 
 	"frostpier/internal/core"
 	"frostpier/internal/invariant"
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 	"frostpier/internal/protocol/mysql"
 	"frostpier/internal/netio"
 	"frostpier/internal/settings"
-	"frostpier/internal/spread"
+	"frostpier/internal/control/loadreport"
 	"frostpier/internal/protocol/vrrp"
 )
 
@@ -86,7 +86,7 @@
 	interval, timeout, suspect := op.Times()
 	extensionInterval := time.Duration(0)
 	if shareLoad {
-		extensionInterval = spread.Interval
+		extensionInterval = loadreport.Interval
 	}
 	node, err := membership.New(membership.Config{Extensions: extensions, ExtensionInterval: extensionInterval, Weights: weights, Self: host.Module.Number, Peers: peers, Fleet: op.Fleet,
 		Seed: conf.SeedNumber(), Interval: interval, Timeout: timeout, Suspect: suspect})
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -14,8 +14,8 @@
 	"frostpier/internal/invariant"
 	"frostpier/internal/netio"
 	"frostpier/internal/settings"
-	"frostpier/internal/spread"
-	"frostpier/internal/subsetting"
+	"frostpier/internal/control/loadreport"
+	"frostpier/internal/control/subset/driver"
 )
 
 // Times of a planned stop: new connections may come for 0.4 s and requests for 0.2 s more; the kill comes 0.7 s after
@@ -156,9 +156,9 @@
 	mysql    *netio.MySQLFront  // nil where it is off
 	standby  *netio.Standby     // likewise
 	members  *netio.Members     // likewise
-	digest   *spread.Digest     // likewise
+	digest   *loadreport.Digest     // likewise
 	version  *version           // likewise
-	subset   *subsetting.Driver // likewise
+	subset   *driver.Driver // likewise
 	keep     *invariant.Keeper
 	log      *slog.Logger
 	stream   *discovery.Stream
--- a/internal/program/setup.go
+++ b/internal/program/setup.go
@@ -12,9 +12,9 @@
 	"frostpier/internal/invariant"
 	"frostpier/internal/netio"
 	"frostpier/internal/settings"
-	"frostpier/internal/spread"
-	"frostpier/internal/subset"
-	"frostpier/internal/subsetting"
+	"frostpier/internal/control/loadreport"
+	"frostpier/internal/control/subset"
+	"frostpier/internal/control/subset/driver"
 )
 
 // Shares of the memory limit.
@@ -121,10 +121,10 @@
 		return nil
 	}
 	if s.operator.Spread != nil {
-		p.digest = spread.New()
+		p.digest = loadreport.New()
 		p.gateway.Core.ShareLoadReports(p.digest)
 	}
-	p.subset = subsetting.NewDriver(placeOf(s.host), p.loop, p.gateway, p.log)
+	p.subset = driver.NewDriver(placeOf(s.host), p.loop, p.gateway, p.log)
 	listener := peers{Gateway: p.gateway, subset: p.subset}
 	if p.version != nil {
 		listener.mix = p.version.mix
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -4,9 +4,9 @@
 	"fmt"
 
 	"frostpier/internal/settings"
-	"frostpier/internal/subset"
-	"frostpier/internal/subsetting"
-	"frostpier/internal/zonetable"
+	"frostpier/internal/control/subset"
+	"frostpier/internal/control/subset/driver"
+	"frostpier/internal/control/zonetable"
 )
 
 // subsetConfig returns the configuration of a section; nil for none.
@@ -25,8 +25,8 @@
 }
 
 // placeOf is where the settings put this gateway in its fleet.
-func placeOf(host settings.Host) subsetting.Place {
-	return subsetting.Place{Number: host.Module.Number, Gateways: host.Module.Siblings, Zones: host.Zones, Zone: host.Module.Zone}
+func placeOf(host settings.Host) driver.Place {
+	return driver.Place{Number: host.Module.Number, Gateways: host.Module.Siblings, Zones: host.Zones, Zone: host.Module.Zone}
 }
 
 // ReceiveZones records the zones that another gateway reports. The next update of the subset uses them.
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"frostpier/internal/core"
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 	"frostpier/internal/netio"
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 	"frostpier/internal/settings"
-	"frostpier/internal/subsetting"
+	"frostpier/internal/control/subset/driver"
 )
 
 // HashFile is how a program or an operator's file shows in reports: the first bytes of its SHA-256; 0 for no file.
@@ -110,7 +110,7 @@
 type peers struct {
 	*netio.Gateway
 	mix    *rollout.Mix       // nil where versions are not reported
-	subset *subsetting.Driver // whose table of zones is kept
+	subset *driver.Driver // whose table of zones is kept
 }
 
 // ReceiveVersion records the version that another gateway runs.
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -8,7 +8,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 )
 
 // Operator is what an operator's file sets up beside the platform's front. Without a file all of it is off.
--- a/internal/settings/subset.go
+++ b/internal/settings/subset.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"frostpier/internal/subset"
+	"frostpier/internal/control/subset"
 )
 
 // Subset has the gateway use a subset of the engines. A missing key has the default of the package subset.
--- a/internal/settings/subset_test.go
+++ b/internal/settings/subset_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"frostpier/internal/subset"
+	"frostpier/internal/control/subset"
 )
 
 const withMembership = "[membership]\nfleet = \"f\"\n"
--- a/internal/testbed/capacity/measure/detection.go
+++ b/internal/testbed/capacity/measure/detection.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"frostpier/internal/membership/virtual"
+	"frostpier/internal/control/membership/simulation"
 )
 
 const killsApart = 30 * time.Second
@@ -17,12 +17,12 @@
 
 // Detection kills gateways one after the other on a virtual clock.
 func Detection(gateways, kills int, loss float64, seed uint64) (Detected, error) {
-	figures, err := virtual.Kills(virtual.Setup{Members: gateways, Seed: seed, Loss: loss, Spread: time.Second,
+	figures, err := simulation.Kills(simulation.Setup{Members: gateways, Seed: seed, Loss: loss, Spread: time.Second,
 		Every: 1 << 30}, kills, killsApart)
 	if err != nil {
 		return Detected{}, err
 	}
-	longest := virtual.Quantile(figures.First, 1) + virtual.Quantile(figures.All, 1)
-	return Detected{First: virtual.Quantile(figures.First, 0.5).Seconds(),
-		All: virtual.Quantile(figures.All, 0.5).Seconds(), Most: longest.Seconds()}, nil
+	longest := simulation.Quantile(figures.First, 1) + simulation.Quantile(figures.All, 1)
+	return Detected{First: simulation.Quantile(figures.First, 0.5).Seconds(),
+		All: simulation.Quantile(figures.All, 0.5).Seconds(), Most: longest.Seconds()}, nil
 }
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -4,9 +4,9 @@
 	"math/rand/v2"
 	"time"
 
-	"frostpier/internal/membership"
-	"frostpier/internal/membership/virtual"
-	"frostpier/internal/spread"
+	"frostpier/internal/control/membership"
+	"frostpier/internal/control/membership/simulation"
+	"frostpier/internal/control/loadreport"
 )
 
 // reportStep is how often the simulated engines' reports are handed to the gateways' digests.
@@ -23,15 +23,15 @@
 
 // fleet runs membership, and with engines the shared load reports, at every gateway.
 type fleet struct {
-	*virtual.Fleet
+	*simulation.Fleet
 	setup   FleetSetup
-	digests []*spread.Digest // of the gateways' present lives
+	digests []*loadreport.Digest // of the gateways' present lives
 	random  *rand.Rand
 }
 
 func newFleet(setup FleetSetup) (*fleet, error) {
-	f := &fleet{setup: setup, digests: make([]*spread.Digest, setup.Gateways), random: rand.New(rand.NewPCG(setup.Seed, 23))}
-	running, err := virtual.New(virtual.Setup{Members: setup.Gateways, Seed: setup.Seed, Loss: setup.Loss,
+	f := &fleet{setup: setup, digests: make([]*loadreport.Digest, setup.Gateways), random: rand.New(rand.NewPCG(setup.Seed, 23))}
+	running, err := simulation.New(simulation.Setup{Members: setup.Gateways, Seed: setup.Seed, Loss: setup.Loss,
 		Spread: time.Second, Every: 1 << 30, Make: f.node})
 	if err != nil {
 		return nil, err
@@ -46,18 +46,18 @@
 
 // node makes a gateway's membership as internal/program does: with engines, load reports are carried on its datagrams, and
 // three datagrams a second go out for them alone.
-func (f *fleet) node(config membership.Config) (virtual.Detector, error) {
+func (f *fleet) node(config membership.Config) (simulation.Detector, error) {
 	if f.setup.Engines > 0 {
 		digest := newDigest(f.setup.Engines)
 		f.digests[config.Self] = digest
-		config.Extensions, config.ExtensionInterval = []membership.Extension{digest}, spread.Interval
+		config.Extensions, config.ExtensionInterval = []membership.Extension{digest}, loadreport.Interval
 	}
 	return membership.New(config)
 }
 
 // newDigest makes a digest that knows the names of all engines and the load of none.
-func newDigest(engines int) *spread.Digest {
-	digest, numbers := spread.New(), make([]uint64, engines)
+func newDigest(engines int) *loadreport.Digest {
+	digest, numbers := loadreport.New(), make([]uint64, engines)
 	for i := range numbers {
 		numbers[i] = engineNumber(i)
 	}
@@ -67,7 +67,7 @@
 
 // received hands a gateway what another one's digest said.
 func (f *fleet) received(at int, event membership.Event) error {
-	if event.Kind == membership.ExtensionReceived && event.ExtensionKind == spread.ExtensionKind {
+	if event.Kind == membership.ExtensionReceived && event.ExtensionKind == loadreport.ExtensionKind {
 		f.digests[at].Receive(f.Now, event.Body)
 	}
 	return nil
--- a/internal/testbed/capacity/measure/staged.go
+++ b/internal/testbed/capacity/measure/staged.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"frostpier/internal/rollout"
+	"frostpier/internal/control/rollout"
 )
 
 const (
--- a/internal/testbed/capacity/model.go
+++ b/internal/testbed/capacity/model.go
@@ -1,6 +1,6 @@
 package capacity
 
-import "frostpier/internal/spread"
+import "frostpier/internal/control/loadreport"
 
 // Model works the page out from a result.
 type Model struct {
@@ -89,4 +89,4 @@
 
 // knownShare is the share of engines of which shared reports tell, where every answer brings a report: all that the
 // table holds.
-func knownShare(engines float64) float64 { return min(1, spread.MaxEngines/engines) }
+func knownShare(engines float64) float64 { return min(1, loadreport.MaxEngines/engines) }
--- a/internal/testbed/hollow/gateway.go
+++ b/internal/testbed/hollow/gateway.go
@@ -12,12 +12,12 @@
 	"frostpier/internal/core"
 	"frostpier/internal/protocol/discovery"
 	"frostpier/internal/invariant"
-	"frostpier/internal/membership"
+	"frostpier/internal/control/membership"
 	"frostpier/internal/netio"
 	"frostpier/internal/testbed/scale"
-	"frostpier/internal/spread"
-	"frostpier/internal/subset"
-	"frostpier/internal/subsetting"
+	"frostpier/internal/control/loadreport"
+	"frostpier/internal/control/subset"
+	"frostpier/internal/control/subset/driver"
 	"frostpier/policy"
 )
 
@@ -42,13 +42,13 @@
 	loop    *netio.Loop
 	end     context.CancelFunc // ends the loop
 	members *netio.Members
-	digest  *spread.Digest
+	digest  *loadreport.Digest
 	stream  *discovery.Stream
 	watch   *netio.Watch
 	engines map[string]subset.Engine // listed, by name
 	numbers []uint64                 // of those that are ready and used, as load reports name them
 	used    *subsetEngines
-	subset  *subsetting.Driver
+	subset  *driver.Driver
 	random  *rand.Rand
 	report  *netio.Timer // until the next made-up report
 }
@@ -57,10 +57,10 @@
 func startGateway(s *shared, member Member) (*gateway, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &gateway{number: member.Number, shared: s, loop: netio.NewLoop(time.Now(), writeRoom), end: cancel,
-		digest: spread.New(), stream: &discovery.Stream{}, engines: map[string]subset.Engine{},
+		digest: loadreport.New(), stream: &discovery.Stream{}, engines: map[string]subset.Engine{},
 		random: rand.New(rand.NewPCG(s.setup.Seed, uint64(member.Number)))}
 	g.used = &subsetEngines{gateway: g}
-	g.subset = subsetting.NewDriver(s.setup.place(member), g.loop, g.used, s.log)
+	g.subset = driver.NewDriver(s.setup.place(member), g.loop, g.used, s.log)
 	if err := g.makeMembers(member); err != nil {
 		cancel()
 		return nil, err
@@ -81,7 +81,7 @@
 	setup := g.shared.setup
 	node, err := membership.New(membership.Config{Self: member.Number, Peers: setup.Peers, Fleet: setup.Fleet,
 		Seed: setup.Seed + uint64(member.Number), Interval: setup.Interval, Extensions: []membership.Extension{g.subset.Extension(), g.digest},
-		ExtensionInterval: spread.Interval, Weights: g.subset.ReceiverWeights})
+		ExtensionInterval: loadreport.Interval, Weights: g.subset.ReceiverWeights})
 	if err != nil {
 		return fmt.Errorf("hollow gateway %d: %w", member.Number, err)
 	}
--- a/internal/testbed/hollow/messages.go
+++ b/internal/testbed/hollow/messages.go
@@ -8,8 +8,8 @@
 	"net/netip"
 	"time"
 
-	"frostpier/internal/subset"
-	"frostpier/internal/subsetting"
+	"frostpier/internal/control/subset"
+	"frostpier/internal/control/subset/driver"
 )
 
 // GatewaySetup is the first line that a process of hollow gateways is sent.
@@ -34,8 +34,8 @@
 }
 
 // place is where a member is in its fleet.
-func (s GatewaySetup) place(member Member) subsetting.Place {
-	return subsetting.Place{Number: member.Number, Gateways: len(s.Peers), Zones: s.Zones, Zone: member.Zone}
+func (s GatewaySetup) place(member Member) driver.Place {
+	return driver.Place{Number: member.Number, Gateways: len(s.Peers), Zones: s.Zones, Zone: member.Zone}
 }
 
 // GatewayCommand asks a process of hollow gateways for something; what it does not name stays as it is.
--- a/internal/testbed/hollow/subset.go
+++ b/internal/testbed/hollow/subset.go
@@ -1,7 +1,7 @@
 package hollow
 
 import (
-	"frostpier/internal/subset"
+	"frostpier/internal/control/subset"
 )
 
 // subsetEngines is what a hollow gateway does with its engines: it keeps load reports of those of its subset.
--- a/internal/testbed/scale/runner/settings.go
+++ b/internal/testbed/scale/runner/settings.go
@@ -11,7 +11,7 @@
 	"frostpier/internal/testbed/scale"
 	"frostpier/internal/settings"
 	"frostpier/internal/testbed/emulator"
-	"frostpier/internal/subset"
+	"frostpier/internal/control/subset"
 )
 
 // How the list of engines names states and machines.
