--- a/internal/control/subset/driver/driver.go
+++ b/internal/control/subset/driver/driver.go
@@ -3,19 +3,19 @@
 import (
 	"log/slog"
 
-	"frostpier/internal/netio"
 	"frostpier/internal/control/subset"
+	"frostpier/internal/transport/eventloop"
 )
 
 // Driver runs an Updater on a gateway's loop. All calls come from the loop.
 type Driver struct {
 	*Updater
-	loop  *netio.Loop
-	timer *netio.Timer
+	loop  *eventloop.Loop
+	timer *eventloop.Timer
 }
 
 // NewDriver prepares an Updater that is off. Start has to be called before anything else.
-func NewDriver(place Place, loop *netio.Loop, engines Engines, log *slog.Logger) *Driver {
+func NewDriver(place Place, loop *eventloop.Loop, engines Engines, log *slog.Logger) *Driver {
 	return &Driver{Updater: New(place, engines, log), loop: loop}
 }
 
--- a/internal/control/subset/driver/fleet_test.go
+++ b/internal/control/subset/driver/fleet_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"frostpier/internal/control/loadreport"
 	"frostpier/internal/control/membership"
 	"frostpier/internal/control/membership/simulation"
-	"frostpier/internal/control/loadreport"
 	"frostpier/internal/control/subset"
 	"frostpier/internal/control/zonetable"
 )
@@ -175,7 +175,7 @@
 	return last
 }
 
-// modelMembers is what membership knows, as netio.Members has it.
+// modelMembers is what membership knows, as datagram.MembershipDriver has it.
 type modelMembers struct{ node *membership.Node }
 
 func (m modelMembers) Serves(member int) bool {
--- a/internal/control/subset/driver/updater.go
+++ b/internal/control/subset/driver/updater.go
@@ -23,7 +23,7 @@
 	unknownWeight   = 0.5              // of a gateway whose subset is not known, as a receiver of load reports
 )
 
-// Engines is what a gateway does with its engines: it uses those of a subset. In the program it is a netio.Gateway.
+// Engines is what a gateway does with its engines: it uses those of a subset. In the program it is a dispatcher.Dispatcher.
 type Engines interface {
 	// UseSubset restricts the gateway to the engines that the chooser selects; nil lifts the restriction.
 	UseSubset(chooser *subset.Chooser)
--- a/internal/program/configuration.go
+++ b/internal/program/configuration.go
@@ -43,7 +43,7 @@
 			p.log.Warn("initial engine events not all used", "error", err)
 		}
 		for _, e := range known {
-			p.gateway.UpdateEngines(e.Full, e.Engines)
+			p.dispatcher.UpdateEngines(e.Full, e.Engines)
 		}
 		events = len(known)
 		p.watch.Follow(conf.Discovery)
--- a/internal/program/extensions_test.go
+++ b/internal/program/extensions_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"frostpier/internal/control/loadreport"
 	"frostpier/internal/control/membership"
 	"frostpier/internal/control/rollout"
-	"frostpier/internal/control/loadreport"
 )
 
 // Guards against load reports that leave no room for the version: with so many engines they fill every datagram, and no
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -7,14 +7,16 @@
 	"strconv"
 	"time"
 
+	"frostpier/internal/control/loadreport"
+	"frostpier/internal/control/membership"
 	"frostpier/internal/core"
 	"frostpier/internal/invariant"
-	"frostpier/internal/control/membership"
 	"frostpier/internal/protocol/mysql"
-	"frostpier/internal/netio"
-	"frostpier/internal/settings"
-	"frostpier/internal/control/loadreport"
 	"frostpier/internal/protocol/vrrp"
+	"frostpier/internal/settings"
+	"frostpier/internal/transport/datagram"
+	"frostpier/internal/transport/eventloop"
+	"frostpier/internal/transport/frontend"
 )
 
 // readOperator reads the operator's file that FROSTPIER_OPERATOR names; where it names none, all in it is off.
@@ -31,8 +33,8 @@
 }
 
 // mysqlSetup checks the file's accounts against the classes that there are.
-func mysqlSetup(m *settings.MySQL, c *core.Core, most int) (netio.MySQLSetup, error) {
-	out := netio.MySQLSetup{Listen: m.Listen, MostOpen: most * 8 / 9, User: m.EngineUser, Password: m.EnginePassword,
+func mysqlSetup(m *settings.MySQL, c *core.Core, most int) (frontend.MySQLConfig, error) {
+	out := frontend.MySQLConfig{Listen: m.Listen, MostOpen: most * 8 / 9, User: m.EngineUser, Password: m.EnginePassword,
 		EnginePort: strconv.Itoa(m.EnginePort), Engines: m.Engines, Accounts: map[string]*mysql.Account{}}
 	if m.MostClients > 0 {
 		out.MostOpen = min(out.MostOpen, m.MostClients)
@@ -57,13 +59,13 @@
 }
 
 // standby makes the virtual router whose master owns the front's listener.
-func standby(v *settings.VRRP, loop *netio.Loop, log *slog.Logger, front *netio.MySQLFront) (*netio.Standby, error) {
+func standby(v *settings.VRRP, loop *eventloop.Loop, log *slog.Logger, front *frontend.MySQLListener) (*datagram.VRRPDriver, error) {
 	router, err := vrrp.New(vrrp.Config{VRID: v.ID, Priority: v.Priority, Interval: v.Interval(), Preempt: v.Preempt,
 		Self: v.Listen.Addr(), Addrs: v.Addresses})
 	if err != nil {
 		return nil, err
 	}
-	return netio.NewStandby(loop, log, router, v.Listen, v.Peers, func(s vrrp.State) {
+	return datagram.NewVRRPDriver(loop, log, router, v.Listen, v.Peers, func(s vrrp.State) {
 		if s != vrrp.Master {
 			front.StopAccepting()
 			return
@@ -74,8 +76,8 @@
 
 // members makes the membership protocol's driver: numbers and addresses come from the configuration, times from the
 // operator's file.
-func members(op *settings.Membership, conf settings.Config, host settings.Host, loop *netio.Loop, log *slog.Logger,
-	keep *invariant.Keeper, extensions []membership.Extension, shareLoad bool, weights func() []float64, listener netio.MembershipListener) (*netio.Members, error) {
+func members(op *settings.Membership, conf settings.Config, host settings.Host, loop *eventloop.Loop, log *slog.Logger,
+	keep *invariant.Keeper, extensions []membership.Extension, shareLoad bool, weights func() []float64, listener datagram.MembershipListener) (*datagram.MembershipDriver, error) {
 	listen, peers, err := conf.PeerAddrs()
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -93,17 +95,17 @@
 	if err != nil {
 		return nil, err
 	}
-	sock, err := netio.ListenPeers(listen)
+	sock, err := datagram.Listen(listen)
 	if err != nil {
 		return nil, err
 	}
-	return netio.NewMembers(loop, log, keep, node, sock, peers, listener), nil
+	return datagram.NewMembershipDriver(loop, log, keep, node, sock, peers, listener), nil
 }
 
 // listenAgain is the pause before another try to listen: the former master may still hold the address.
 const listenAgain = 100 * time.Millisecond
 
-func own(log *slog.Logger, front *netio.MySQLFront) {
+func own(log *slog.Logger, front *frontend.MySQLListener) {
 	if err := front.Listen(); err != nil {
 		log.Error("mysql front cannot listen", "error", err)
 		front.Retry(listenAgain, func() { own(log, front) })
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -10,12 +10,16 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/protocol/discovery"
-	"frostpier/internal/invariant"
-	"frostpier/internal/netio"
-	"frostpier/internal/settings"
 	"frostpier/internal/control/loadreport"
 	"frostpier/internal/control/subset/driver"
+	"frostpier/internal/invariant"
+	"frostpier/internal/protocol/discovery"
+	"frostpier/internal/settings"
+	"frostpier/internal/transport/datagram"
+	"frostpier/internal/transport/dispatcher"
+	"frostpier/internal/transport/enginewatch"
+	"frostpier/internal/transport/eventloop"
+	"frostpier/internal/transport/frontend"
 )
 
 // Times of a planned stop: new connections may come for 0.4 s and requests for 0.2 s more; the kill comes 0.7 s after
@@ -40,8 +44,8 @@
 // Hooks change a gateway for tests, so that a version that does worse can be had without building one. The program itself
 // runs with none.
 type Hooks struct {
-	Host func(*settings.Host) // changes the settings before the decision module is made
-	Loop func(*netio.Loop)    // is called once the loop runs
+	Host func(*settings.Host)  // changes the settings before the decision module is made
+	Loop func(*eventloop.Loop) // is called once the loop runs
 }
 
 // Run serves until term ends and what was taken is answered; with each hup it reads the configuration again.
@@ -72,7 +76,7 @@
 	overdue := time.NewTimer(p.longest + exitIn + closeIn + stuckWait)
 	go p.loop.Do(p.drain)
 	if ended(ctx, overdue.C, log) {
-		log.Info("stopped", "counts", p.gateway.Core.Counts(), "invariants", p.keep.Broken())
+		log.Info("stopped", "counts", p.dispatcher.Core.Counts(), "invariants", p.keep.Broken())
 	}
 	return nil
 }
@@ -86,7 +90,7 @@
 			p.subset.Start(p.members, s.subset)
 		}
 		for _, e := range p.initial {
-			listed = p.gateway.UpdateEngines(e.Full, e.Engines)
+			listed = p.dispatcher.UpdateEngines(e.Full, e.Engines)
 		}
 		p.watch.Follow(s.conf.Discovery)
 		p.stats()
@@ -150,25 +154,25 @@
 
 // program is what a stop has to reach.
 type program struct {
-	loop     *netio.Loop
-	gateway  *netio.Gateway
-	clients  *netio.Clients
-	mysql    *netio.MySQLFront  // nil where it is off
-	standby  *netio.Standby     // likewise
-	members  *netio.Members     // likewise
-	digest   *loadreport.Digest     // likewise
-	version  *version           // likewise
-	subset   *driver.Driver // likewise
-	keep     *invariant.Keeper
-	log      *slog.Logger
-	stream   *discovery.Stream
-	initial  []discovery.Event // of the list of engines, from the configuration
-	watch    *netio.Watch
-	host     settings.Host
-	longest  time.Duration     // deadline that a stop reckons with
-	operator settings.Operator // in force
-	closing  bool              // the connections are being shut
-	cancel   func()
+	loop       *eventloop.Loop
+	dispatcher *dispatcher.Dispatcher
+	clients    *frontend.PlatformListener
+	mysql      *frontend.MySQLListener    // nil where it is off
+	standby    *datagram.VRRPDriver       // likewise
+	members    *datagram.MembershipDriver // likewise
+	digest     *loadreport.Digest         // likewise
+	version    *version                   // likewise
+	subset     *driver.Driver             // likewise
+	keep       *invariant.Keeper
+	log        *slog.Logger
+	stream     *discovery.Stream
+	initial    []discovery.Event // of the list of engines, from the configuration
+	watch      *enginewatch.Watch
+	host       settings.Host
+	longest    time.Duration     // deadline that a stop reckons with
+	operator   settings.Operator // in force
+	closing    bool              // the connections are being shut
+	cancel     func()
 }
 
 // startMySQL opens the MySQL front: at once, or where there is a virtual router when that is master.
@@ -187,7 +191,7 @@
 // stats logs the counts now and then.
 func (p *program) stats() {
 	p.loop.After(statsEvery, func() {
-		c := p.gateway.Core
+		c := p.dispatcher.Core
 		if p.members != nil {
 			serving, health, unsent, counts := p.members.Counts()
 			p.log.Info("membership counts", "in_service", serving, "health", health, "unsent", unsent, "total", counts)
--- a/internal/program/run_test.go
+++ b/internal/program/run_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"frostpier/internal/invariant"
-	"frostpier/internal/netio"
 	"frostpier/internal/settings"
+	"frostpier/internal/transport/eventloop"
 	"frostpier/policy"
 )
 
@@ -72,7 +72,7 @@
 	} {
 		conf, host := good, settings.Host{Module: policy.Settings{Siblings: 2}}
 		change(&conf, &host)
-		m, err := members(&settings.Membership{Fleet: "f"}, conf, host, netio.NewLoop(time.Now(), 1), log, invariant.New(log), nil, false, nil, nil)
+		m, err := members(&settings.Membership{Fleet: "f"}, conf, host, eventloop.New(time.Now(), 1), log, invariant.New(log), nil, false, nil, nil)
 		if m != nil {
 			m.Stop()
 		}
--- a/internal/program/setup.go
+++ b/internal/program/setup.go
@@ -7,14 +7,18 @@
 	"runtime/debug"
 	"time"
 
-	"frostpier/internal/core"
-	"frostpier/internal/protocol/discovery"
-	"frostpier/internal/invariant"
-	"frostpier/internal/netio"
-	"frostpier/internal/settings"
 	"frostpier/internal/control/loadreport"
 	"frostpier/internal/control/subset"
 	"frostpier/internal/control/subset/driver"
+	"frostpier/internal/core"
+	"frostpier/internal/invariant"
+	"frostpier/internal/protocol/discovery"
+	"frostpier/internal/settings"
+	"frostpier/internal/transport/dispatcher"
+	"frostpier/internal/transport/enginepool"
+	"frostpier/internal/transport/enginewatch"
+	"frostpier/internal/transport/eventloop"
+	"frostpier/internal/transport/frontend"
 )
 
 // Shares of the memory limit.
@@ -65,23 +69,23 @@
 
 // newProgram wires the parts of a gateway together; nothing of it runs yet.
 func newProgram(s setup, log *slog.Logger) (*program, error) {
-	loop := netio.NewLoop(time.Now(), s.memory()/bufferParts)
+	loop := eventloop.New(time.Now(), s.memory()/bufferParts)
 	keep := invariant.New(log)
 	heart, err := core.New(s.host, s.conf.SeedNumber(), log, keep)
 	if err != nil {
 		return nil, err
 	}
 	shares := divide(s.conf.Limits.Sockets, s.operator.MySQL != nil)
-	pool := netio.NewPool(loop, log, s.host.ConnectTimeout, s.host.ConnIdle, shares.engines)
-	gateway := netio.NewGateway(loop, heart, pool, log)
+	pool := enginepool.New(loop, log, s.host.ConnectTimeout, s.host.ConnIdle, shares.engines)
+	requests := dispatcher.New(loop, heart, pool, log)
 	stream := &discovery.Stream{}
 	initial, err := stream.Restore(s.conf.Known)
 	if err != nil {
 		log.Warn("initial engine events not all used", "error", err)
 	}
-	p := &program{loop: loop, gateway: gateway, keep: keep, log: log, stream: stream, initial: initial, longest: longest(s.host),
-		host: s.host, operator: s.operator, watch: netio.NewWatch(gateway, log, s.conf.Discovery, stream),
-		clients: netio.NewClients(gateway, log, shares.clients.Most, int(s.memory()/bufferParts))}
+	p := &program{loop: loop, dispatcher: requests, keep: keep, log: log, stream: stream, initial: initial, longest: longest(s.host),
+		host: s.host, operator: s.operator, watch: enginewatch.New(loop, requests, log, s.conf.Discovery, stream),
+		clients: frontend.NewPlatformListener(requests, log, shares.clients.Most, int(s.memory()/bufferParts))}
 	if err := p.addMySQL(s, shares); err != nil {
 		return nil, err
 	}
@@ -96,13 +100,13 @@
 // addMySQL adds the MySQL front and the virtual router that it may follow, where the operator's file has them.
 func (p *program) addMySQL(s setup, shares shares) (err error) {
 	if m := s.operator.MySQL; m != nil {
-		front, err := mysqlSetup(m, p.gateway.Core, shares.mysqlClients.Most)
+		front, err := mysqlSetup(m, p.dispatcher.Core, shares.mysqlClients.Most)
 		if err != nil {
 			return err
 		}
-		engines := netio.NewPool(p.loop, p.log, s.host.ConnectTimeout, s.host.ConnIdle, shares.mysqlEngines)
-		p.gateway.Pools = append(p.gateway.Pools, engines)
-		p.mysql = netio.NewMySQLFront(p.gateway, engines, p.log, front)
+		engines := enginepool.New(p.loop, p.log, s.host.ConnectTimeout, s.host.ConnIdle, shares.mysqlEngines)
+		p.dispatcher.Pools = append(p.dispatcher.Pools, engines)
+		p.mysql = frontend.NewMySQLListener(p.dispatcher, engines, p.log, front)
 	}
 	if v := s.operator.VRRP; v != nil {
 		p.standby, err = standby(v, p.loop, p.log, p.mysql)
@@ -122,10 +126,10 @@
 	}
 	if s.operator.Spread != nil {
 		p.digest = loadreport.New()
-		p.gateway.Core.ShareLoadReports(p.digest)
+		p.dispatcher.Core.ShareLoadReports(p.digest)
 	}
-	p.subset = driver.NewDriver(placeOf(s.host), p.loop, p.gateway, p.log)
-	listener := peers{Gateway: p.gateway, subset: p.subset}
+	p.subset = driver.NewDriver(placeOf(s.host), p.loop, p.dispatcher, p.log)
+	listener := peers{Dispatcher: p.dispatcher, subset: p.subset}
 	if p.version != nil {
 		listener.mix = p.version.mix
 	}
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -23,7 +23,7 @@
 // drain is the planned stop: ping tells at once, connections and requests are still taken for the stated time, all that
 // was taken is answered, and the connections are shut in an order in which nothing that came is lost.
 func (p *program) drain() {
-	p.log.Info("stopping", "open", p.gateway.Core.Open(), "out", p.gateway.Core.Out())
+	p.log.Info("stopping", "open", p.dispatcher.Core.Open(), "out", p.dispatcher.Core.Out())
 	p.clients.Drain()
 	if p.version != nil {
 		p.version.serve(false)
@@ -40,7 +40,7 @@
 		}
 		p.clients.Stop(p.closeIdleConnections)
 	})
-	p.loop.After(p.longest+answerIn, p.gateway.Close)
+	p.loop.After(p.longest+answerIn, p.dispatcher.Close)
 	p.loop.After(p.longest+exitIn, p.closeConnections)
 	p.loop.After(p.longest+exitIn+closeIn, p.cancel)
 }
@@ -48,7 +48,7 @@
 // closeIdleConnections shuts the connections that rest as soon as nothing is open or out. A request that came on one of them just
 // then is answered first, and the rest are looked at again.
 func (p *program) closeIdleConnections() {
-	p.gateway.WhenIdle(func() {
+	p.dispatcher.WhenIdle(func() {
 		if p.closeIdle() {
 			p.closeConnections()
 			return
@@ -72,7 +72,7 @@
 		return
 	}
 	p.closing = true
-	p.gateway.Close() // where deadlines are short this may be the first time
+	p.dispatcher.Close() // where deadlines are short this may be the first time
 	p.clients.Finish()
 	if p.version != nil {
 		p.version.reporter.Stop()
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 
-	"frostpier/internal/settings"
 	"frostpier/internal/control/subset"
 	"frostpier/internal/control/subset/driver"
 	"frostpier/internal/control/zonetable"
+	"frostpier/internal/settings"
 )
 
 // subsetConfig returns the configuration of a section; nil for none.
@@ -39,7 +39,7 @@
 	if p.subset == nil || !p.subset.On() {
 		return
 	}
-	c := p.gateway.Core.SubsetCounts()
+	c := p.dispatcher.Core.SubsetCounts()
 	p.log.Info("subset counts", "engines", c.Listed, "subset", c.Subset, "serving", c.Serving, "holders", c.Holders, "sharers", c.Sharers,
 		"added", c.Added, "removed", c.Removed)
 }
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -11,12 +11,14 @@
 	"strings"
 	"time"
 
-	"frostpier/internal/core"
 	"frostpier/internal/control/membership"
-	"frostpier/internal/netio"
 	"frostpier/internal/control/rollout"
-	"frostpier/internal/settings"
 	"frostpier/internal/control/subset/driver"
+	"frostpier/internal/core"
+	"frostpier/internal/settings"
+	"frostpier/internal/transport/datagram"
+	"frostpier/internal/transport/dispatcher"
+	"frostpier/internal/transport/eventloop"
 )
 
 // HashFile is how a program or an operator's file shows in reports: the first bytes of its SHA-256; 0 for no file.
@@ -47,12 +49,12 @@
 	core     *core.Core
 	log      *slog.Logger
 	mix      *rollout.Mix
-	reporter *netio.Reporter
+	reporter *datagram.Reporter
 	buf      []byte
 }
 
 // newVersion prepares the reports; nothing is sent yet.
-func newVersion(op settings.Operator, host settings.Host, conf settings.Config, loop *netio.Loop, log *slog.Logger, heart *core.Core) (*version, error) {
+func newVersion(op settings.Operator, host settings.Host, conf settings.Config, loop *eventloop.Loop, log *slog.Logger, heart *core.Core) (*version, error) {
 	v := &version{started: loop.Now(), number: host.Module.Number, core: heart, log: log}
 	if op.Membership != nil {
 		v.fleet = op.Membership.Fleet
@@ -65,7 +67,7 @@
 		return nil, fmt.Errorf("FROSTPIER_OPERATOR: %w", err)
 	}
 	v.mix = rollout.NewMix(max(1, host.Module.Siblings), v.id)
-	v.reporter, err = netio.NewReporter(loop, op.Rollout.ReportTo, op.Rollout.Every(), v.compose)
+	v.reporter, err = datagram.NewReporter(loop, op.Rollout.ReportTo, op.Rollout.Every(), v.compose)
 	return v, err
 }
 
@@ -108,8 +110,8 @@
 
 // peers dispatches the messages of other gateways.
 type peers struct {
-	*netio.Gateway
-	mix    *rollout.Mix       // nil where versions are not reported
+	*dispatcher.Dispatcher
+	mix    *rollout.Mix   // nil where versions are not reported
 	subset *driver.Driver // whose table of zones is kept
 }
 
--- a/internal/testbed/capacity/measure/connections.go
+++ b/internal/testbed/capacity/measure/connections.go
@@ -12,7 +12,10 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/netio"
+	"frostpier/internal/transport/dispatcher"
+	"frostpier/internal/transport/enginepool"
+	"frostpier/internal/transport/eventloop"
+	"frostpier/internal/transport/frontend"
 	"frostpier/policy"
 )
 
@@ -100,14 +103,14 @@
 func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // runningLoop is a loop that ends with the returned function.
-func runningLoop() (*netio.Loop, func()) {
+func runningLoop() (*eventloop.Loop, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	loop := netio.NewLoop(time.Now(), loopRoom)
+	loop := eventloop.New(time.Now(), loopRoom)
 	go loop.Run(ctx)
 	return loop, cancel
 }
 
-// EngineConnectionMemory is the memory of one idle connection of netio.Pool, in bytes, over so many of them: heap and
+// EngineConnectionMemory is the memory of one idle connection of enginepool.Pool, in bytes, over so many of them: heap and
 // stacks of both ends; what the kernel holds is not in it.
 func EngineConnectionMemory(connections int) (float64, error) {
 	if err := checkDescriptors(connections); err != nil {
@@ -120,7 +123,7 @@
 	defer ends.close()
 	loop, stop := runningLoop()
 	defer stop()
-	pool := netio.NewPool(loop, quietLog(), connectWait, time.Hour, netio.Share{Most: connections, Urgent: 1})
+	pool := enginepool.New(loop, quietLog(), connectWait, time.Hour, enginepool.Budget{Most: connections, Urgent: 1})
 	time.Sleep(settleTime)
 	before := liveMemory()
 	links, err := openLinks(loop, pool, ends.addr(), connections)
@@ -145,19 +148,19 @@
 }
 
 // openLinks opens a connection to each of so many engines, a few at a time.
-func openLinks(loop *netio.Loop, pool *netio.Pool, addr string, connections int) ([]*netio.Link, error) {
+func openLinks(loop *eventloop.Loop, pool *enginepool.Pool, addr string, connections int) ([]*enginepool.Conn, error) {
 	type opened struct {
-		link *netio.Link
+		link *enginepool.Conn
 		err  error
 	}
 	const together = 50
 	came := make(chan opened, together)
-	var links []*netio.Link
+	var links []*enginepool.Conn
 	for from := 0; from < connections; from += together {
 		count := min(together, connections-from)
 		loop.Do(func() {
 			for i := range count {
-				pool.Get(policy.EngineID(from+i), addr, true, false, silentHandler{}, func(link *netio.Link, err error) {
+				pool.Get(policy.EngineID(from+i), addr, true, false, silentHandler{}, func(link *enginepool.Conn, err error) {
 					came <- opened{link, err}
 				})
 			}
@@ -173,7 +176,7 @@
 	return links, nil
 }
 
-// ClientConnectionMemory is the memory of one client connection of netio.Clients that has asked and rests, in bytes:
+// ClientConnectionMemory is the memory of one client connection of frontend.PlatformListener that has asked and rests, in bytes:
 // heap and stacks of both ends; what the kernel holds is not in it.
 func ClientConnectionMemory(connections int) (float64, error) {
 	if err := checkDescriptors(connections); err != nil {
@@ -185,8 +188,8 @@
 	if err != nil {
 		return 0, err
 	}
-	gateway := netio.NewGateway(loop, gatewayCore, nil, quietLog())
-	clients := netio.NewClients(gateway, quietLog(), 2*connections, loopRoom)
+	gateway := dispatcher.New(loop, gatewayCore, nil, quietLog())
+	clients := frontend.NewPlatformListener(gateway, quietLog(), 2*connections, loopRoom)
 	addr, err := serveClients(clients)
 	if err != nil {
 		return 0, err
@@ -209,7 +212,7 @@
 }
 
 // serveClients has the front listen at a free address.
-func serveClients(clients *netio.Clients) (string, error) {
+func serveClients(clients *frontend.PlatformListener) (string, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
--- a/internal/testbed/capacity/role.go
+++ b/internal/testbed/capacity/role.go
@@ -44,7 +44,7 @@
 	cost := m.clientCost(t.ClientsPerGateway())
 	return Role{Name: ClientSide, State: fmt.Sprintf("%s connections", whole(t.ClientsPerGateway())),
 		Messages: fmt.Sprintf("%s statements and answers a second; their bytes are not control", whole(t.StatementsPerGateway())),
-		Cost:     cost, Mechanism: fmt.Sprintf("`netio.Clients`; `limits.sockets` of %s or more", whole(t.ClientsPerGateway()/clientSockets)),
+		Cost:     cost, Mechanism: fmt.Sprintf("`frontend.PlatformListener`; `limits.sockets` of %s or more", whole(t.ClientsPerGateway()/clientSockets)),
 		Verdict: judge("256 MB, by connections at rest", cost.Memory, t.MemoryBytes)}
 }
 
@@ -71,7 +71,7 @@
 	return Role{Name: EngineSide, State: fmt.Sprintf("%s connections a gateway, %s in all, %s at an engine", whole(t.Engines),
 		whole(t.Engines*t.Gateways), whole(t.Gateways)),
 		Messages: fmt.Sprintf("%s statements a second on each", digits(t.StatementsPerGateway()/t.Engines)),
-		Cost:     cost, Mechanism: "`netio.Pool`, one or more to each engine that is used",
+		Cost:     cost, Mechanism: "`enginepool.Pool`, one or more to each engine that is used",
 		Verdict: judge(fmt.Sprintf("%d connections at an engine (MySQL's default; assumed)", MySQLConnections), t.Gateways, MySQLConnections)}
 }
 
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"frostpier/internal/netio"
 	"frostpier/internal/program"
 	"frostpier/internal/settings"
+	"frostpier/internal/transport/eventloop"
 	"frostpier/policy"
 )
 
@@ -66,7 +66,7 @@
 	case CrashLater:
 		time.AfterFunc(5*time.Second, func() { os.Exit(3) })
 	case Slow:
-		return program.Hooks{Loop: func(l *netio.Loop) {
+		return program.Hooks{Loop: func(l *eventloop.Loop) {
 			go func() {
 				for range time.Tick(slowEvery) {
 					l.Do(func() { time.Sleep(slowFor) })
--- a/internal/testbed/hollow/gateway.go
+++ b/internal/testbed/hollow/gateway.go
@@ -9,15 +9,17 @@
 	"slices"
 	"time"
 
-	"frostpier/internal/core"
-	"frostpier/internal/protocol/discovery"
-	"frostpier/internal/invariant"
-	"frostpier/internal/control/membership"
-	"frostpier/internal/netio"
-	"frostpier/internal/testbed/scale"
 	"frostpier/internal/control/loadreport"
+	"frostpier/internal/control/membership"
 	"frostpier/internal/control/subset"
 	"frostpier/internal/control/subset/driver"
+	"frostpier/internal/core"
+	"frostpier/internal/invariant"
+	"frostpier/internal/protocol/discovery"
+	"frostpier/internal/testbed/scale"
+	"frostpier/internal/transport/datagram"
+	"frostpier/internal/transport/enginewatch"
+	"frostpier/internal/transport/eventloop"
 	"frostpier/policy"
 )
 
@@ -39,24 +41,24 @@
 type gateway struct {
 	number  int
 	shared  *shared
-	loop    *netio.Loop
+	loop    *eventloop.Loop
 	end     context.CancelFunc // ends the loop
-	members *netio.Members
+	members *datagram.MembershipDriver
 	digest  *loadreport.Digest
 	stream  *discovery.Stream
-	watch   *netio.Watch
+	watch   *enginewatch.Watch
 	engines map[string]subset.Engine // listed, by name
 	numbers []uint64                 // of those that are ready and used, as load reports name them
 	used    *subsetEngines
 	subset  *driver.Driver
 	random  *rand.Rand
-	report  *netio.Timer // until the next made-up report
+	report  *eventloop.Timer // until the next made-up report
 }
 
 // startGateway starts a hollow gateway from nothing.
 func startGateway(s *shared, member Member) (*gateway, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &gateway{number: member.Number, shared: s, loop: netio.NewLoop(time.Now(), writeRoom), end: cancel,
+	g := &gateway{number: member.Number, shared: s, loop: eventloop.New(time.Now(), writeRoom), end: cancel,
 		digest: loadreport.New(), stream: &discovery.Stream{}, engines: map[string]subset.Engine{},
 		random: rand.New(rand.NewPCG(s.setup.Seed, uint64(member.Number)))}
 	g.used = &subsetEngines{gateway: g}
@@ -65,7 +67,7 @@
 		cancel()
 		return nil, err
 	}
-	g.watch = netio.NewListWatch(g.loop, g, s.log, s.setup.Discovery, g.stream)
+	g.watch = enginewatch.New(g.loop, g, s.log, s.setup.Discovery, g.stream)
 	go g.loop.Run(ctx)
 	g.loop.Do(func() {
 		g.members.Start()
@@ -85,12 +87,12 @@
 	if err != nil {
 		return fmt.Errorf("hollow gateway %d: %w", member.Number, err)
 	}
-	udp, err := netio.ListenPeers(member.Listen)
+	udp, err := datagram.Listen(member.Listen)
 	if err != nil {
 		return fmt.Errorf("hollow gateway %d: %w", member.Number, err)
 	}
-	socket := &regionSocket{PeerSocket: udp, regions: g.shared.regions, self: member.Number, members: g.shared.members}
-	g.members = netio.NewMembers(g.loop, g.shared.log, invariant.New(g.shared.log), node, socket, setup.Peers, g)
+	socket := &regionSocket{Socket: udp, regions: g.shared.regions, self: member.Number, members: g.shared.members}
+	g.members = datagram.NewMembershipDriver(g.loop, g.shared.log, invariant.New(g.shared.log), node, socket, setup.Peers, g)
 	return nil
 }
 
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -41,7 +41,7 @@
 	self, near, far := netip.MustParseAddrPort("127.1.0.1:1"), netip.MustParseAddrPort("127.1.0.1:2"), netip.MustParseAddrPort("127.1.0.1:3")
 	inner := &scriptedSocket{from: []netip.AddrPort{far, near, far}}
 	parts := &regions{of: []int{0, 0, 1}}
-	socket := &regionSocket{PeerSocket: inner, regions: parts, self: 0, members: map[netip.AddrPort]int{self: 0, near: 1, far: 2}}
+	socket := &regionSocket{Socket: inner, regions: parts, self: 0, members: map[netip.AddrPort]int{self: 0, near: 1, far: 2}}
 	parts.cut.Store(true)
 	for _, to := range []netip.AddrPort{near, far} {
 		if n, err := socket.WriteToUDPAddrPort([]byte("x"), to); n != 1 || err != nil {
--- a/internal/testbed/hollow/socket.go
+++ b/internal/testbed/hollow/socket.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"sync/atomic"
 
-	"frostpier/internal/netio"
+	"frostpier/internal/transport/datagram"
 )
 
 // regions says which members reach each other. While regions are cut, datagrams between them are dropped where they are
@@ -18,7 +18,7 @@
 
 // regionSocket is a member's socket that drops what would pass between regions that are cut.
 type regionSocket struct {
-	netio.PeerSocket
+	datagram.Socket
 	regions *regions
 	self    int
 	members map[netip.AddrPort]int // by the addresses that they are reached at
@@ -29,13 +29,13 @@
 	if member, known := s.members[to]; known && s.regions.parted(s.self, member) {
 		return len(b), nil
 	}
-	return s.PeerSocket.WriteToUDPAddrPort(b, to)
+	return s.Socket.WriteToUDPAddrPort(b, to)
 }
 
 // ReadFromUDPAddrPort waits for the next datagram that is not dropped.
 func (s *regionSocket) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	for {
-		n, from, err := s.PeerSocket.ReadFromUDPAddrPort(b)
+		n, from, err := s.Socket.ReadFromUDPAddrPort(b)
 		if err != nil {
 			return n, from, err
 		}
--- a/internal/netio/members.go
+++ b/internal/transport/datagram/membership.go
@@ -1,4 +1,7 @@
-package netio
+// Package datagram drives what gateways send each other over UDP: the membership protocol, VRRP advertisements, and reports to the
+// controller of a staged change. It owns the sockets and timers of these state machines and decides nothing. Each socket has a
+// reading goroutine; all else runs on the event loop.
+package datagram
 
 import (
 	"context"
@@ -8,25 +11,26 @@
 	"net/netip"
 	"time"
 
-	"frostpier/internal/invariant"
+	"frostpier/internal/control/loadreport"
 	"frostpier/internal/control/membership"
 	"frostpier/internal/control/rollout"
-	"frostpier/internal/control/loadreport"
 	"frostpier/internal/control/zonetable"
+	"frostpier/internal/invariant"
+	"frostpier/internal/transport/eventloop"
 )
 
 // readMost is more than a datagram may have: one that is too long must be seen to be.
 const readMost = 2 * membership.MaxDatagram
 
-// PeerSocket carries datagrams between members: a UDP socket, or one that a test rig cuts links in.
-type PeerSocket interface {
+// Socket carries datagrams between members: a UDP socket, or one that a test rig cuts links in.
+type Socket interface {
 	ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
 	Close() error
 }
 
-// ListenPeers opens the UDP socket on which the datagrams of peers arrive.
-func ListenPeers(listen netip.AddrPort) (*net.UDPConn, error) {
+// Listen opens the UDP socket on which the datagrams of peers arrive.
+func Listen(listen netip.AddrPort) (*net.UDPConn, error) {
 	sock, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers: %w", err)
@@ -46,69 +50,69 @@
 	ReceiveZones(member int, body []byte)
 }
 
-// Members drives the membership protocol over UDP.
-type Members struct {
-	loop     *Loop
+// MembershipDriver drives the membership protocol over UDP.
+type MembershipDriver struct {
+	loop     *eventloop.Loop
 	log      *slog.Logger
 	keep     *invariant.Keeper
 	node     *membership.Node
 	peers    []netip.AddrPort
-	sock     PeerSocket
-	alarm    *Timer
+	sock     Socket
+	alarm    *eventloop.Timer
 	listener MembershipListener
 	serving  int // as last reported to the listener
 	unsent   int // datagrams that the system did not take
 }
 
-// NewMembers makes a driver that sends and receives on sock; Stop closes it.
-func NewMembers(loop *Loop, log *slog.Logger, keep *invariant.Keeper, node *membership.Node, sock PeerSocket,
-	peers []netip.AddrPort, to MembershipListener) *Members {
-	return &Members{loop: loop, log: log, keep: keep, node: node, peers: peers, sock: sock, listener: to,
+// NewMembershipDriver makes a driver that sends and receives on sock; Stop closes it.
+func NewMembershipDriver(loop *eventloop.Loop, log *slog.Logger, keep *invariant.Keeper, node *membership.Node, sock Socket,
+	peers []netip.AddrPort, to MembershipListener) *MembershipDriver {
+	return &MembershipDriver{loop: loop, log: log, keep: keep, node: node, peers: peers, sock: sock, listener: to,
 		serving: node.InService()}
 }
 
 // Start is called on the loop.
-func (m *Members) Start() {
+func (m *MembershipDriver) Start() {
 	go readDatagrams(m.loop, m.log, "peers", m.sock, readMost, m.received)
 	m.node.Start(m.loop.Now())
 	m.carryOut()
 }
 
 // Leave is called on the loop: the others are told that this gateway goes out of service. It goes on answering them.
-func (m *Members) Leave() {
+func (m *MembershipDriver) Leave() {
 	m.node.Leave(m.loop.Now())
 	m.carryOut()
 }
 
 // Adjust is called on the loop, for times that may change while the protocol runs; 0 means the default.
-func (m *Members) Adjust(timeout, suspect time.Duration) error {
+func (m *MembershipDriver) Adjust(timeout, suspect time.Duration) error {
 	return m.node.Adjust(timeout, suspect)
 }
 
 // Serves reports whether a member is held to be in service. It is called on the loop.
-func (m *Members) Serves(member int) bool {
+func (m *MembershipDriver) Serves(member int) bool {
 	state, _ := m.node.Member(member)
 	return state.Serves()
 }
 
 // Started reports when a member last started, by its own Unix clock; 0 where it was never heard of. It is called on the loop.
-func (m *Members) Started(member int) time.Duration {
+func (m *MembershipDriver) Started(member int) time.Duration {
 	_, incarnation := m.node.Member(member)
 	return time.Duration(incarnation) * time.Second
 }
 
 // Stop is called on the loop.
-func (m *Members) Stop() {
+func (m *MembershipDriver) Stop() {
 	m.alarm.Stop()
 	m.sock.Close()
 }
 
-func (m *Members) received(from netip.AddrPort, b []byte) {
+func (m *MembershipDriver) received(from netip.AddrPort, b []byte) {
 	m.node.Receive(m.loop.Now(), from, b)
 	m.carryOut()
 }
 
-func (m *Members) carryOut() {
+func (m *MembershipDriver) carryOut() {
 	for _, d := range m.node.Datagrams() {
 		if _, err := m.sock.WriteToUDPAddrPort(d.Bytes, m.peers[d.To]); err != nil {
 			m.unsent++ // counted only: to the protocol it is one more that was lost
@@ -145,7 +149,7 @@
 
 // logEvent logs what a person would want to know: who goes out of service and who comes back. A suspicion comes to
 // nothing as a rule: it is for debugging.
-func (m *Members) logEvent(e membership.Event) {
+func (m *MembershipDriver) logEvent(e membership.Event) {
 	level, msg := slog.LevelInfo, "member changed"
 	switch {
 	case e.Kind == membership.Refuted:
@@ -162,6 +166,6 @@
 }
 
 // Counts is for the log.
-func (m *Members) Counts() (inService, health, unsent int, c membership.Counts) {
+func (m *MembershipDriver) Counts() (inService, health, unsent int, c membership.Counts) {
 	return m.node.InService(), m.node.Health(), m.unsent, m.node.Counts()
 }
--- a/internal/netio/datagrams.go
+++ b/internal/transport/datagram/read.go
@@ -1,15 +1,17 @@
-package netio
+package datagram
 
 import (
 	"errors"
 	"log/slog"
 	"net"
 	"net/netip"
+
+	"frostpier/internal/transport/eventloop"
 )
 
 // readDatagrams hands each datagram of a socket over on the loop, until the socket is closed. Bytes beyond most are cut
 // off, and b is valid until take returns.
-func readDatagrams(loop *Loop, log *slog.Logger, what string, sock PeerSocket, most int,
+func readDatagrams(loop *eventloop.Loop, log *slog.Logger, what string, sock Socket, most int,
 	take func(from netip.AddrPort, b []byte)) {
 	buf := make([]byte, most)
 	for {
--- a/internal/netio/reporter.go
+++ b/internal/transport/datagram/reporter.go
@@ -1,24 +1,26 @@
-package netio
+package datagram
 
 import (
 	"fmt"
 	"net"
 	"net/netip"
 	"time"
+
+	"frostpier/internal/transport/eventloop"
 )
 
 // Reporter sends a datagram to one address again and again. What is lost is made up for by the next one.
 type Reporter struct {
-	loop    *Loop
+	loop    *eventloop.Loop
 	sock    *net.UDPConn
 	every   time.Duration
 	compose func() []byte
-	alarm   *Timer
+	alarm   *eventloop.Timer
 	unsent  int
 }
 
 // NewReporter opens the socket; compose is called on the loop for each datagram, and nil sends none.
-func NewReporter(loop *Loop, to netip.AddrPort, every time.Duration, compose func() []byte) (*Reporter, error) {
+func NewReporter(loop *eventloop.Loop, to netip.AddrPort, every time.Duration, compose func() []byte) (*Reporter, error) {
 	sock, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(to))
 	if err != nil {
 		return nil, fmt.Errorf("reports: %w", err)
--- a/internal/netio/vrrp.go
+++ b/internal/transport/datagram/vrrp.go
@@ -1,4 +1,4 @@
-package netio
+package datagram
 
 import (
 	"fmt"
@@ -7,42 +7,43 @@
 	"net/netip"
 
 	"frostpier/internal/protocol/vrrp"
+	"frostpier/internal/transport/eventloop"
 )
 
-// Standby drives a virtual router over UDP.
-type Standby struct {
-	loop   *Loop
+// VRRPDriver drives a virtual router over UDP.
+type VRRPDriver struct {
+	loop   *eventloop.Loop
 	log    *slog.Logger
 	router *vrrp.Router
 	sock   *net.UDPConn
 	peers  []netip.AddrPort
-	alarm  *Timer
+	alarm  *eventloop.Timer
 	change func(vrrp.State)
 }
 
-// NewStandby opens the socket; change runs on the loop whenever the state changes.
-func NewStandby(loop *Loop, log *slog.Logger, router *vrrp.Router, listen netip.AddrPort, peers []netip.AddrPort,
-	change func(vrrp.State)) (*Standby, error) {
+// NewVRRPDriver opens the socket; change runs on the loop whenever the state changes.
+func NewVRRPDriver(loop *eventloop.Loop, log *slog.Logger, router *vrrp.Router, listen netip.AddrPort, peers []netip.AddrPort,
+	change func(vrrp.State)) (*VRRPDriver, error) {
 	sock, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("listen for VRRP: %w", err)
 	}
-	return &Standby{loop: loop, log: log, router: router, sock: sock, peers: peers, change: change}, nil
+	return &VRRPDriver{loop: loop, log: log, router: router, sock: sock, peers: peers, change: change}, nil
 }
 
 // Start is called on the loop.
-func (s *Standby) Start() {
+func (s *VRRPDriver) Start() {
 	go readDatagrams(s.loop, s.log, "vrrp", s.sock, 2048, s.received)
 	s.carryOut(s.router.Startup())
 }
 
 // Stop is called on the loop; a master tells the others.
-func (s *Standby) Stop() {
+func (s *VRRPDriver) Stop() {
 	s.carryOut(s.router.Shutdown())
 	s.sock.Close()
 }
 
-func (s *Standby) received(from netip.AddrPort, b []byte) {
+func (s *VRRPDriver) received(from netip.AddrPort, b []byte) {
 	listed := false
 	for _, p := range s.peers {
 		listed = listed || p == from
@@ -58,7 +59,7 @@
 	s.carryOut(steps)
 }
 
-func (s *Standby) carryOut(steps []vrrp.Step) {
+func (s *VRRPDriver) carryOut(steps []vrrp.Step) {
 	for _, step := range steps {
 		if step.Send != nil {
 			for _, p := range s.peers {
--- a/internal/netio/flight.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -1,4 +1,4 @@
-package netio
+package dispatcher
 
 import (
 	"strconv"
@@ -7,58 +7,60 @@
 
 	"frostpier/internal/attempt"
 	"frostpier/internal/core"
+	"frostpier/internal/transport/enginepool"
+	"frostpier/internal/transport/eventloop"
 	"frostpier/policy"
 )
 
-// flight drives one attempt, whatever its engine speaks.
-type flight struct {
-	gateway *Gateway
-	pool    *Pool
-	start   core.Start
-	addr    string
-	machine attempt.Machine
-	relay   func([]byte)
-	lanes   [2]*lane
-	alarms  map[attempt.Alarm]*Timer
+// AttemptDriver drives one attempt, whatever its engine speaks.
+type AttemptDriver struct {
+	dispatcher *Dispatcher
+	pool       *enginepool.Pool
+	start      core.Start
+	addr       string
+	machine    attempt.Machine
+	relay      func([]byte)
+	lanes      [2]*lane
+	alarms     map[attempt.Alarm]*eventloop.Timer
 }
 
 // lane is one of its connections, or the wait for one.
 type lane struct {
-	flight *flight
+	driver *AttemptDriver
 	lane   attempt.Lane
-	link   *Link
+	link   *enginepool.Conn
 	stop   func()
 	gone   bool
 }
 
-// fly starts an attempt that the machine carries; relay takes what goes out before the end.
-func fly(g *Gateway, pool *Pool, start core.Start, addr string, machine attempt.Machine, steps []attempt.Step,
-	relay func([]byte)) *flight {
-	f := &flight{gateway: g, pool: pool, start: start, addr: addr, machine: machine, relay: relay,
-		alarms: map[attempt.Alarm]*Timer{}}
+// StartAttempt starts an attempt that the machine carries; relay takes what goes out before the end.
+func StartAttempt(d *Dispatcher, pool *enginepool.Pool, start core.Start, addr string, machine attempt.Machine, steps []attempt.Step,
+	relay func([]byte)) *AttemptDriver {
+	f := &AttemptDriver{dispatcher: d, pool: pool, start: start, addr: addr, machine: machine, relay: relay,
+		alarms: map[attempt.Alarm]*eventloop.Timer{}}
 	f.carryOut(steps)
 	return f
 }
 
 // Pause stops reading the answer until Resume.
-func (f *flight) Pause() { f.reading((*Conn).Pause) }
+func (f *AttemptDriver) Pause() { f.reading((*eventloop.Conn).Pause) }
 
 // Resume goes on reading it.
-func (f *flight) Resume() { f.reading((*Conn).Resume) }
+func (f *AttemptDriver) Resume() { f.reading((*eventloop.Conn).Resume) }
 
-func (f *flight) reading(do func(*Conn)) {
+func (f *AttemptDriver) reading(do func(*eventloop.Conn)) {
 	if l := f.lanes[attempt.Main]; l != nil && l.link != nil {
 		do(l.link.Conn)
 	}
 }
 
 // GiveUp calls the attempt off.
-func (f *flight) GiveUp(outcome policy.Outcome) {
+func (f *AttemptDriver) GiveUp(outcome policy.Outcome) {
 	f.Resume()
 	f.carryOut(f.machine.GiveUp(outcome))
 }
 
-func (f *flight) carryOut(steps []attempt.Step) {
+func (f *AttemptDriver) carryOut(steps []attempt.Step) {
 	for _, step := range steps {
 		switch s := step.(type) {
 		case attempt.Open:
@@ -77,47 +79,47 @@
 			if s.After > 0 {
 				after := s.After
 				if s.Alarm == attempt.Silence { // what came while this process waited for its turn is not read yet
-					after += 2 * f.gateway.Loop.Lag()
+					after += 2 * f.dispatcher.Loop.Lag()
 				}
-				f.alarms[s.Alarm] = f.gateway.Loop.After(after, func() { f.carryOut(f.machine.Rang(s.Alarm)) })
+				f.alarms[s.Alarm] = f.dispatcher.Loop.After(after, func() { f.carryOut(f.machine.Rang(s.Alarm)) })
 			}
 		case attempt.News:
-			f.gateway.Progress(f.start.ID, f.start.Attempt, s.Done)
+			f.dispatcher.Progress(f.start.ID, f.start.Attempt, s.Done)
 		case attempt.Overdue:
-			f.gateway.Overdue(f.start.ID, f.start.Attempt)
+			f.dispatcher.Overdue(f.start.ID, f.start.Attempt)
 		case attempt.Relay:
-			if f.gateway.Began(f.start.ID, f.start.Attempt) {
+			if f.dispatcher.Began(f.start.ID, f.start.Attempt) {
 				f.relay(s.Bytes)
 			}
 		case attempt.End:
-			f.gateway.Ended(f.start.ID, f.start.Attempt, s.Outcome, fields(s.Report), s.Result)
+			f.dispatcher.Ended(f.start.ID, f.start.Attempt, s.Outcome, fields(s.Report), s.Result)
 		}
 	}
 }
 
-func (f *flight) open(s attempt.Open) {
+func (f *AttemptDriver) open(s attempt.Open) {
 	f.leave(s.Lane, false)
-	l := &lane{flight: f, lane: s.Lane}
+	l := &lane{driver: f, lane: s.Lane}
 	f.lanes[s.Lane] = l
 	e := f.start.Engine
-	l.stop = f.pool.Get(e.ID, f.addr, s.Fresh, s.Lane == attempt.Side, l, func(link *Link, err error) {
+	l.stop = f.pool.Get(e.ID, f.addr, s.Fresh, s.Lane == attempt.Side, l, func(link *enginepool.Conn, err error) {
 		l.stop = nil
 		if err != nil {
 			f.carryOut(f.machine.Failed(l.lane))
 			return
 		}
 		l.link = link
-		if f.gateway.Listen(f.start.ID); l.gone { // the client has called it off
+		if f.dispatcher.Listen(f.start.ID); l.gone { // the client has called it off
 			return
 		}
 		f.carryOut(f.machine.Opened(l.lane, &link.Memory, func(again bool) (time.Duration, bool) {
-			return f.gateway.MaySend(f.start.ID, f.start.Attempt, again)
+			return f.dispatcher.MaySend(f.start.ID, f.start.Attempt, again)
 		}))
 	})
 }
 
 // leave ends a lane's connection or the wait for it.
-func (f *flight) leave(which attempt.Lane, keep bool) {
+func (f *AttemptDriver) leave(which attempt.Lane, keep bool) {
 	l := f.lanes[which]
 	if l == nil {
 		return
@@ -136,7 +138,7 @@
 // Data feeds the machine.
 func (l *lane) Data(b []byte) {
 	if !l.gone {
-		l.flight.carryOut(l.flight.machine.Fed(l.lane, b))
+		l.driver.carryOut(l.driver.machine.Fed(l.lane, b))
 	}
 }
 
@@ -144,7 +146,7 @@
 func (l *lane) Closed(error) {
 	if !l.gone {
 		l.link = nil
-		l.flight.carryOut(l.flight.machine.Broke(l.lane))
+		l.driver.carryOut(l.driver.machine.Broke(l.lane))
 	}
 }
 
--- a/internal/netio/gateway_test.go
+++ b/internal/transport/dispatcher/dispatcher_test.go
@@ -1,7 +1,6 @@
-package netio
+package dispatcher
 
 import (
-	"context"
 	"testing"
 	"time"
 )
@@ -20,16 +19,3 @@
 		}
 	}
 }
-
-func TestLoopMeasuresItsLag(t *testing.T) {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	loop := NewLoop(time.Now(), testRoom)
-	go loop.Run(ctx)
-	loop.Do(loop.WatchLag)
-	loop.Do(func() { time.Sleep(lagEvery + 100*time.Millisecond) }) // holds the next look up by 100 ms at least
-	loop.Do(func() {})                                              // what was due meanwhile may be behind this
-	for lag := time.Duration(0); lag < 50*time.Millisecond; time.Sleep(time.Millisecond) {
-		loop.Do(func() { lag = loop.Lag() })
-	}
-}
--- a/internal/netio/pool.go
+++ b/internal/transport/enginepool/pool.go
@@ -1,4 +1,7 @@
-package netio
+// Package enginepool keeps TCP connections to engines within a budget of descriptors: it dials them, hands each to one attempt at
+// a time, and keeps idle ones for reuse. It does not know the engines' protocol. All methods are called on the event loop; dials
+// run on goroutines of their own.
+package enginepool
 
 import (
 	"context"
@@ -7,6 +10,7 @@
 	"slices"
 	"time"
 
+	"frostpier/internal/transport/eventloop"
 	"frostpier/policy"
 )
 
@@ -16,8 +20,8 @@
 	defaultDrainDelay = 25 * time.Millisecond // in which a second answer shows: some engines send one milliseconds late
 )
 
-// Share is a number of descriptors: so many at most, and beyond that a few for what cannot wait.
-type Share struct{ Most, Urgent int }
+// Budget is a number of descriptors: so many at most, and beyond that a few for what cannot wait.
+type Budget struct{ Most, Urgent int }
 
 // place is where a connection leads: an address may change hands between engines, and an engine its address.
 type place struct {
@@ -27,14 +31,14 @@
 
 // Pool keeps connections to engines.
 type Pool struct {
-	loop       *Loop
+	loop       *eventloop.Loop
 	log        *slog.Logger
 	dialer     net.Dialer
-	idle       map[place][]*Link
-	links      map[*Link]bool // all that there are, those that are being made included
+	idle       map[place][]*Conn
+	links      map[*Conn]bool // all that there are, those that are being made included
 	idleFor    time.Duration
 	drainDelay time.Duration
-	budget     Share // of connections, dials included
+	budget     Budget // of connections, dials included
 	held       int
 	queue      []*waiter
 }
@@ -44,33 +48,33 @@
 	to      place
 	fresh   bool
 	stopped *bool
-	user    Handler
+	user    eventloop.Handler
 	dial    func()
-	done    func(*Link, error)
+	done    func(*Conn, error)
 }
 
-// Link is a connection to an engine, owned by one call at a time or idle in the pool.
-type Link struct {
-	*Conn
+// Conn is a connection to an engine, owned by one call at a time or idle in the pool.
+type Conn struct {
+	*eventloop.Conn
 	pool   *Pool
 	to     place
-	stale  bool          // its engine has gone or is elsewhere
-	user   Handler       // nil while idle
-	free   time.Duration // when it was last released
-	claim  func()        // looks at it for somebody who is to have it; nil if nobody is
-	Memory any           // what a state machine keeps with the connection
-	timer  *Timer
+	stale  bool              // its engine has gone or is elsewhere
+	user   eventloop.Handler // nil while idle
+	free   time.Duration     // when it was last released
+	claim  func()            // looks at it for somebody who is to have it; nil if nobody is
+	Memory any               // what a state machine keeps with the connection
+	timer  *eventloop.Timer
 }
 
-// NewPool makes a Pool of at most budget connections; the urgent ones give attempts up.
-func NewPool(loop *Loop, log *slog.Logger, connect, idle time.Duration, budget Share) *Pool {
+// New makes a Pool of at most budget connections; the urgent ones give attempts up.
+func New(loop *eventloop.Loop, log *slog.Logger, connect, idle time.Duration, budget Budget) *Pool {
 	return &Pool{loop: loop, log: log, dialer: net.Dialer{Timeout: connect, KeepAlive: -1},
-		idle: map[place][]*Link{}, links: map[*Link]bool{}, idleFor: idle / idleShare, drainDelay: defaultDrainDelay,
+		idle: map[place][]*Conn{}, links: map[*Conn]bool{}, idleFor: idle / idleShare, drainDelay: defaultDrainDelay,
 		budget: budget}
 }
 
 // Data passes on what the connection brings; an idle one that speaks is of no use, also if it is about to be used.
-func (l *Link) Data(b []byte) {
+func (l *Conn) Data(b []byte) {
 	if l.user != nil {
 		l.user.Data(b)
 		return
@@ -81,7 +85,7 @@
 }
 
 // Closed passes on that the connection ended.
-func (l *Link) Closed(err error) {
+func (l *Conn) Closed(err error) {
 	if l.user == nil {
 		l.pool.unlist(l)
 	}
@@ -95,29 +99,29 @@
 }
 
 // lookNow tells whoever is to have the connection that there is no use in waiting.
-func (l *Link) lookNow() {
+func (l *Conn) lookNow() {
 	if l.claim != nil {
 		l.claim()
 	}
 }
 
 // Drop closes the connection.
-func (l *Link) Drop() {
+func (l *Conn) Drop() {
 	l.drop()
 	l.pool.admit()
 }
 
-func (l *Link) drop() {
+func (l *Conn) drop() {
 	l.timer.Stop()
-	if l.isOpen() {
+	if l.IsOpen() {
 		l.pool.forgetLink(l)
 		l.Close()
 	}
 }
 
 // Release makes it idle, unless its engine has gone meanwhile or is elsewhere.
-func (l *Link) Release() {
-	if !l.isOpen() {
+func (l *Conn) Release() {
+	if !l.IsOpen() {
 		return
 	}
 	if l.stale {
@@ -135,14 +139,14 @@
 }
 
 // clean reports whether an idle connection may be used: nothing has come on it since, not even its end.
-func (l *Link) clean() bool {
-	some, eof := l.peek()
-	return !some && !eof && l.isOpen()
+func (l *Conn) clean() bool {
+	some, eof := l.Peek()
+	return !some && !eof && l.IsOpen()
 }
 
 // keep keeps a free connection for somebody until a second answer would have shown on it, and then reports whether it is of use:
 // one that is not is closed.
-func (p *Pool) keep(l *Link, then func(usable bool)) {
+func (p *Pool) keep(l *Conn, then func(usable bool)) {
 	l.claim = func() {
 		l.claim = nil
 		l.timer.Stop()
@@ -157,7 +161,7 @@
 
 // handOver gives a connection that has become free to the first that waits for one to the same engine. Without it every one was
 // closed to make room for a dial: seen on an overloaded day, with three connections made for one needed.
-func (p *Pool) handOver(l *Link) bool {
+func (p *Pool) handOver(l *Conn) bool {
 	for i, w := range p.queue {
 		if w.to != l.to || w.fresh || *w.stopped {
 			continue
@@ -181,7 +185,7 @@
 	return false
 }
 
-func (p *Pool) unlist(l *Link) {
+func (p *Pool) unlist(l *Conn) {
 	l.timer.Stop()
 	list := p.idle[l.to]
 	for i, o := range list {
@@ -213,7 +217,7 @@
 }
 
 // take finds an idle connection. The last used is the least likely to be stale, but one that has settled goes before.
-func (p *Pool) take(to place) *Link {
+func (p *Pool) take(to place) *Conn {
 	list, now := p.idle[to], p.loop.Now()
 	if len(list) == 0 {
 		return nil
@@ -231,11 +235,11 @@
 
 // Get brings a connection for user: an idle one as soon as it has settled, unless fresh, or a new one. The returned function
 // ends the wait. done runs on the loop, never before Get returns.
-func (p *Pool) Get(engine policy.EngineID, addr string, fresh, urgent bool, user Handler, done func(*Link, error)) func() {
+func (p *Pool) Get(engine policy.EngineID, addr string, fresh, urgent bool, user eventloop.Handler, done func(*Conn, error)) func() {
 	stopped := false
 	end := func() { stopped = true } // what ends the wait changes as it goes on
 	to := place{engine, addr}
-	var l *Link
+	var l *Conn
 	if !fresh {
 		l = p.take(to)
 	}
@@ -256,7 +260,7 @@
 		return func() { end() }
 	}
 	dial := func() {
-		l := &Link{pool: p, to: to, user: user}
+		l := &Conn{pool: p, to: to, user: user}
 		p.links[l] = true
 		p.held++
 		ctx, cancel := context.WithCancel(context.Background())
@@ -288,7 +292,7 @@
 }
 
 // forgetLink gives a connection's descriptor back.
-func (p *Pool) forgetLink(l *Link) {
+func (p *Pool) forgetLink(l *Conn) {
 	p.held--
 	delete(p.links, l)
 }
@@ -307,7 +311,7 @@
 	}
 }
 
-func (p *Pool) dialed(l *Link, nc net.Conn, err error, stopped *bool, done func(*Link, error)) {
+func (p *Pool) dialed(l *Conn, nc net.Conn, err error, stopped *bool, done func(*Conn, error)) {
 	if err != nil {
 		p.forgetLink(l)
 		p.admit()
@@ -316,7 +320,7 @@
 		}
 		return
 	}
-	l.Conn = NewConn(p.loop, nc, l, engineQueue)
+	l.Conn = eventloop.NewConn(p.loop, nc, l, engineQueue)
 	if *stopped { // it came up late: its attempt is over
 		l.Release()
 		return
@@ -333,3 +337,19 @@
 	}
 	return false
 }
+
+// Waiting returns how many callers wait for a descriptor. It is called on the loop.
+func (p *Pool) Waiting() int { return len(p.queue) }
+
+// SetDrainDelay sets how long a released connection settles before it is used again, so that a second answer of the engine shows.
+// It is called on the loop.
+func (p *Pool) SetDrainDelay(d time.Duration) { p.drainDelay = d }
+
+// IdleEngines returns the engines to which idle connections lead. It is called on the loop.
+func (p *Pool) IdleEngines() []policy.EngineID {
+	var engines []policy.EngineID
+	for to := range p.idle {
+		engines = append(engines, to.engine)
+	}
+	return engines
+}
--- a/internal/netio/pool_test.go
+++ b/internal/transport/enginepool/pool_test.go
@@ -1,13 +1,16 @@
-package netio
+package enginepool
 
 import (
-	"context"
 	"io"
 	"log/slog"
 	"net"
 	"testing"
 	"time"
 
+	"frostpier/internal/testutil/nettest"
+	"frostpier/internal/transport/eventloop"
+	"frostpier/internal/transport/eventloop/eventlooptest"
+
 	"frostpier/policy"
 )
 
@@ -36,15 +39,10 @@
 	return ln.Addr().String()
 }
 
-const testRoom = 8 << 20
-
-func pool(t *testing.T, budget int) (*Loop, *Pool) {
+func newPool(t *testing.T, budget int) (*eventloop.Loop, *Pool) {
 	t.Helper()
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
-	loop := NewLoop(time.Now(), testRoom)
-	go loop.Run(ctx)
-	p := NewPool(loop, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Second, time.Minute, Share{budget, 1})
+	loop := eventlooptest.Start(t)
+	p := New(loop, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Second, time.Minute, Budget{budget, 1})
 	p.drainDelay = 0 // tests of what comes late on a connection that rests set it themselves
 	return loop, p
 }
@@ -53,9 +51,9 @@
 // connections were out, every further attempt counted as not connected, engines were shut out for that, and the
 // rest got all the load. An attempt now waits for one to end; what gives attempts up does not wait.
 func TestWantOfDescriptorsIsWaitedOut(t *testing.T) {
-	loop, p := pool(t, 1)
-	addr, got := listener(t), make(chan *Link, 3)
-	take := func(l *Link, err error) {
+	loop, p := newPool(t, 1)
+	addr, got := listener(t), make(chan *Conn, 3)
+	take := func(l *Conn, err error) {
 		if err != nil {
 			t.Error(err)
 		}
@@ -87,10 +85,10 @@
 
 // Guards against one engine's connections serving another that took its address over: they go by name.
 func TestIdleConnectionsGoByEngine(t *testing.T) {
-	loop, p := pool(t, 8)
-	addr, got := listener(t), make(chan *Link, 1)
-	take := func(l *Link, _ error) { got <- l }
-	get := func(e policy.EngineID) *Link {
+	loop, p := newPool(t, 8)
+	addr, got := listener(t), make(chan *Conn, 1)
+	take := func(l *Conn, _ error) { got <- l }
+	get := func(e policy.EngineID) *Conn {
 		loop.Do(func() { p.Get(e, addr, false, false, user{}, take) })
 		return <-got
 	}
@@ -104,7 +102,7 @@
 	}
 	loop.Do(first.Release)
 	loop.Do(func() {
-		if p.Forget(1); p.held != 1 || first.isOpen() {
+		if p.Forget(1); p.held != 1 || first.IsOpen() {
 			t.Errorf("%d held after engine 1 has gone", p.held)
 		}
 	})
@@ -113,9 +111,9 @@
 // Guards against a wait that cannot be ended: the function that ends it once called itself without end, and the
 // program died of its stack on the first overloaded day on which an attempt was given up while it waited.
 func TestWaitsCanBeEnded(t *testing.T) {
-	loop, p := pool(t, 1)
-	addr, got := listener(t), make(chan *Link, 4)
-	take := func(l *Link, _ error) { got <- l }
+	loop, p := newPool(t, 1)
+	addr, got := listener(t), make(chan *Conn, 4)
+	take := func(l *Conn, _ error) { got <- l }
 	loop.Do(func() { p.Get(1, addr, false, false, user{}, take) })
 	first := <-got
 	loop.Do(func() {
@@ -132,9 +130,9 @@
 
 // Guards against closing a free connection to make room for a dial to the same engine.
 func TestFreeConnectionGoesToTheNextThatWaits(t *testing.T) {
-	loop, p := pool(t, 1)
-	addr, got := listener(t), make(chan *Link, 2)
-	take := func(l *Link, _ error) { got <- l }
+	loop, p := newPool(t, 1)
+	addr, got := listener(t), make(chan *Conn, 2)
+	take := func(l *Conn, _ error) { got <- l }
 	loop.Do(func() { p.Get(1, addr, false, false, user{}, take) })
 	first := <-got
 	loop.Do(func() {
@@ -150,3 +148,28 @@
 		t.Fatal("the other still waits")
 	}
 }
+
+// A connection that comes up after its attempt has ended serves others, unless the engine has gone or is elsewhere by then;
+// and one that was in use meanwhile is not used again either.
+func TestLateConnectionToAnEngineThatHasMoved(t *testing.T) {
+	loop, p := newPool(t, 4)
+	e := nettest.NewEngine(t, "e")
+	addr, got := e.Addr(), make(chan *Conn, 1)
+	loop.Do(func() {
+		end := p.Get(1, addr, false, false, user{}, func(*Conn, error) { t.Error("an attempt that has ended got a connection") })
+		nettest.Until(t, "the dial", func() bool { return loop.Queued() > 0 })
+		end()
+		p.Forget(1)
+	})
+	e.Accept().ExpectNothing()
+	loop.Do(func() { p.Get(1, addr, false, false, user{}, func(l *Conn, _ error) { got <- l }) })
+	used := <-got
+	loop.Do(func() {
+		p.Forget(1)
+		used.Release()
+		if len(p.idle) != 0 || p.held != 0 || len(p.links) != 0 {
+			t.Errorf("idle %v, %d held, %d links", p.idle, p.held, len(p.links))
+		}
+	})
+	e.Accept().ExpectNothing()
+}
--- a/internal/netio/watch.go
+++ b/internal/transport/enginewatch/watch.go
@@ -1,4 +1,6 @@
-package netio
+// Package enginewatch keeps one connection to the discovery server open, and hands the events of the engine list to a listener. It
+// reconnects after errors and silence. Parsing is left to package discovery. All methods are called on the event loop.
+package enginewatch
 
 import (
 	"context"
@@ -8,6 +10,7 @@
 
 	"frostpier/internal/core"
 	"frostpier/internal/protocol/discovery"
+	"frostpier/internal/transport/eventloop"
 )
 
 const (
@@ -23,27 +26,22 @@
 	UpdateEngines(whole bool, lines []core.ListedEngine) (engines int)
 }
 
-// Watch keeps one discovery watch open and applies its events to the gateway. It reconnects after errors and silence.
+// Watch keeps one discovery watch open and hands its events to a listener. It reconnects after errors and silence.
 type Watch struct {
-	loop        *Loop
+	loop        *eventloop.Loop
 	listener    EngineListener
 	log         *slog.Logger
 	addr        string
 	stream      *discovery.Stream
-	conn        *Conn
-	readTimer   *Timer
-	retryTimer  *Timer
+	conn        *eventloop.Conn
+	readTimer   *eventloop.Timer
+	retryTimer  *eventloop.Timer
 	cancelDial  func() // gives up the dial under way
 	readTimeout time.Duration
 }
 
-// NewWatch returns a Watch that resumes after the last event of the stream.
-func NewWatch(g *Gateway, log *slog.Logger, addr string, stream *discovery.Stream) *Watch {
-	return NewListWatch(g.Loop, g, log, addr, stream)
-}
-
-// NewListWatch returns a Watch that applies the events to any listener, for who watches the engines without a gateway.
-func NewListWatch(loop *Loop, listener EngineListener, log *slog.Logger, addr string, stream *discovery.Stream) *Watch {
+// New returns a Watch that hands the events to the listener and resumes after the last event of the stream.
+func New(loop *eventloop.Loop, listener EngineListener, log *slog.Logger, addr string, stream *discovery.Stream) *Watch {
 	return &Watch{loop: loop, listener: listener, log: log, addr: addr, stream: stream, readTimeout: watchReadTimeout}
 }
 
@@ -99,7 +97,7 @@
 		f.reconnect()
 		return
 	}
-	f.conn = NewConn(f.loop, nc, f, watchQueueSize)
+	f.conn = eventloop.NewConn(f.loop, nc, f, watchQueueSize)
 	f.conn.Write(f.stream.Request())
 	f.resetReadTimer()
 }
@@ -140,3 +138,12 @@
 	f.disconnect()
 	f.retryTimer = f.loop.After(watchRetryDelay, f.Connect)
 }
+
+// LinesRead returns how many complete lines have been received. It is called on the loop.
+func (f *Watch) LinesRead() int { return f.stream.LinesRead() }
+
+// SetReadTimeout sets how long the watch may be silent, from the next line on. It is called on the loop.
+func (f *Watch) SetReadTimeout(d time.Duration) { f.readTimeout = d }
+
+// Reconnect gives the connection up and opens another after a delay. It is called on the loop.
+func (f *Watch) Reconnect() { f.reconnect() }
--- a/internal/netio/watch_test.go
+++ b/internal/transport/enginewatch/watch_test.go
@@ -1,4 +1,4 @@
-package netio
+package enginewatch
 
 import (
 	"bufio"
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"frostpier/internal/transport/eventloop/eventlooptest"
+
 	"frostpier/internal/protocol/discovery"
 )
 
@@ -43,10 +45,10 @@
 // Guards against two watches at once: whatever the watch does when it is moved to another server (it dials,
 // it waits to dial again, it listens), nothing of that goes on.
 func TestWatchFollowsOneServer(t *testing.T) {
-	loop, _ := pool(t, 1)
+	loop := eventlooptest.Start(t)
 	first, firstLines, firstEnds := asked(t)
 	second, secondLines, secondEnds := asked(t)
-	f := NewWatch(&Gateway{Loop: loop}, slog.New(slog.NewTextHandler(io.Discard, nil)), "", &discovery.Stream{})
+	f := New(loop, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), "", &discovery.Stream{})
 	loop.Do(func() {
 		f.Follow(first) // dials, and is told at once to leave that
 		f.Follow(second)
--- a/internal/netio/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -1,4 +1,4 @@
-package netio
+package eventloop
 
 import (
 	"errors"
@@ -72,8 +72,8 @@
 	return c
 }
 
-// isOpen reports whether the owner may still use it. It is called on the loop.
-func (c *Conn) isOpen() bool { return c.phase == connOpen }
+// IsOpen reports whether the owner may still use it. It is called on the loop.
+func (c *Conn) IsOpen() bool { return c.phase == connOpen }
 
 // moveTo is the only place that changes the phase.
 func (c *Conn) moveTo(p phase) {
@@ -164,7 +164,7 @@
 
 // peek reads what is in the socket by now, without handing it over: the owner may be in the middle of something. It
 // reports whether anything waits for the owner, and whether the peer has ended its side. It is called on the loop.
-func (c *Conn) peek() (some, eof bool) {
+func (c *Conn) Peek() (some, eof bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != connOpen || c.raw == nil {
@@ -190,17 +190,17 @@
 // DeliverPending hands the owner all bytes received so far, and the end of the connection, and returns true if there was
 // nothing to deliver. Such a connection may be half-closed at once: later bytes were sent before the peer saw the half-close.
 func (c *Conn) DeliverPending() bool {
-	some, eof := c.peek()
+	some, eof := c.Peek()
 	if eof {
 		c.lost(io.EOF)
 	}
 	c.deliver()
-	return !some && c.isOpen()
+	return !some && c.IsOpen()
 }
 
 // deliver hands over what has arrived; on the loop.
 func (c *Conn) deliver() {
-	for c.isOpen() {
+	for c.IsOpen() {
 		c.mu.Lock()
 		b := c.arrived
 		c.arrived = nil
@@ -275,7 +275,7 @@
 		return
 	}
 	c.loop.Post(func() {
-		switch _, eof := c.peek(); {
+		switch _, eof := c.Peek(); {
 		case c.phase != connFlushing:
 			return
 		case eof:
@@ -289,7 +289,7 @@
 
 // Write queues bytes, which must not be changed afterwards. A peer that lets too many wait is cut off.
 func (c *Conn) Write(b []byte) {
-	if !c.isOpen() {
+	if !c.IsOpen() {
 		return
 	}
 	c.mu.Lock()
@@ -300,7 +300,7 @@
 	c.mu.Unlock()
 	if over {
 		c.loop.After(0, func() {
-			if c.isOpen() {
+			if c.IsOpen() {
 				c.lost(errSlow)
 			}
 		})
@@ -351,7 +351,7 @@
 // Finish half-closes the connection when all is written, and closes it when the peer has ended its side too; the owner
 // hears no more of it.
 func (c *Conn) Finish() {
-	if !c.isOpen() {
+	if !c.IsOpen() {
 		return
 	}
 	c.moveTo(connFlushing)
@@ -380,3 +380,21 @@
 		c.loop.After(0, c.gone)
 	}
 }
+
+// OnReleased sets what runs on the loop once the descriptor has been given back.
+func (c *Conn) OnReleased(f func()) { c.gone = f }
+
+// IsLingering reports whether the connection is half-closed and waits for the peer to end its side. It is called on the loop.
+func (c *Conn) IsLingering() bool { return c.phase == connLingering }
+
+// IsEnded reports whether the connection is closed. It is called on the loop.
+func (c *Conn) IsEnded() bool { return c.phase == connEnded }
+
+// RemoteAddr returns the peer's address.
+func (c *Conn) RemoteAddr() net.Addr { return c.nc.RemoteAddr() }
+
+// SetWriteLimit sets how many bytes may wait to be written before the peer is cut off as too slow. It is called on the loop.
+func (c *Conn) SetWriteLimit(bytes int) { c.limit = bytes }
+
+// SetLingerTimeout sets how long a half-closed connection waits for the peer to end its side. It is called on the loop.
+func (c *Conn) SetLingerTimeout(d time.Duration) { c.linger = d }
--- a/internal/netio/conn_test.go
+++ b/internal/transport/eventloop/conn_test.go
@@ -1,6 +1,7 @@
-package netio
+package eventloop
 
 import (
+	"context"
 	"net"
 	"testing"
 	"time"
@@ -14,8 +15,8 @@
 
 // Guards against clients that read nothing: what waits for one of them, and for all together, has a bound.
 func TestPeersThatReadNothingAreCutOff(t *testing.T) {
-	for name, limit := range map[string]int{"one": 1 << 20, "all": testRoom * 2} {
-		loop, _ := pool(t, 1)
+	for name, limit := range map[string]int{"one": 1 << 20, "all": testBudget * 2} {
+		loop := startLoop(t)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -28,7 +29,7 @@
 		h := recordedConn{make(chan error, 1)}
 		var c *Conn
 		loop.Do(func() { c = NewConn(loop, nc, h, limit) })
-		for sent := 0; sent < 2*testRoom && len(h.closed) == 0; sent += 1 << 20 {
+		for sent := 0; sent < 2*testBudget && len(h.closed) == 0; sent += 1 << 20 {
 			loop.Do(func() { c.Write(make([]byte, 1<<20)) })
 		}
 		select {
@@ -46,3 +47,16 @@
 		})
 	}
 }
+
+// testBudget is how many bytes all connections of a test's loop may hold to be written.
+const testBudget = 8 << 20
+
+// startLoop returns a running loop that ends with the test.
+func startLoop(t *testing.T) *Loop {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	loop := New(time.Now(), testBudget)
+	go loop.Run(ctx)
+	return loop
+}
--- a/internal/netio/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -1,6 +1,7 @@
-// Package netio holds the drivers: they read and write sockets and set timers for the state machines, and decide
-// nothing. Everything but the blocking reads, writes and dials runs on one goroutine, the loop.
-package netio
+// Package eventloop provides the single goroutine on which a gateway's state machines run, with its timers and TCP connections.
+// Blocking reads, writes and dials run on goroutines of their own and post what they bring to the Loop. The package decides
+// nothing: it does not know what the bytes mean.
+package eventloop
 
 import (
 	"context"
@@ -19,9 +20,9 @@
 	lag     time.Duration // how late work has lately been done: the worst, fading
 }
 
-// NewLoop makes a Loop whose connections together may hold so many bytes to be written. Its clock is the Unix clock at
+// New makes a Loop whose connections together may hold so many bytes to be written. Its clock is the Unix clock at
 // its start, advanced by the steady one: it never goes back.
-func NewLoop(start time.Time, room int64) *Loop {
+func New(start time.Time, room int64) *Loop {
 	return &Loop{work: make(chan func(), 1024), done: make(chan struct{}), start: start, room: room,
 		base: time.Duration(start.UnixNano())}
 }
@@ -111,3 +112,13 @@
 		t.timer.Stop()
 	}
 }
+
+// Queued returns how many functions have been posted and not yet run.
+func (l *Loop) Queued() int { return len(l.work) }
+
+// RunNext runs the function that was posted first, waiting for one if there is none. It is called on the loop, by tests that hold
+// the loop to force an order of events.
+func (l *Loop) RunNext() { (<-l.work)() }
+
+// SetWriteBudget sets how many bytes all connections together may hold to be written. It is called on the loop.
+func (l *Loop) SetWriteBudget(bytes int64) { l.room = bytes }
--- a/internal/netio/crossings_test.go
+++ b/internal/transport/frontend/crossings_test.go
@@ -1,4 +1,4 @@
-package netio
+package frontend
 
 import (
 	"bufio"
@@ -10,8 +10,12 @@
 	"testing"
 	"time"
 
+	"frostpier/internal/testutil/nettest"
+	"frostpier/internal/transport/enginewatch"
+
 	"frostpier/internal/core"
 	"frostpier/internal/protocol/discovery"
+	"frostpier/internal/transport/dispatcher"
 	"frostpier/policy"
 )
 
@@ -24,10 +28,10 @@
 		"idle":       func(r *rig, c *client) bool { return c.retire("idle") },
 		"stop":       func(r *rig, _ *client) bool { return r.CloseIdle() },
 		"make room":  func(r *rig, _ *client) bool { return r.closeOneIdle() },
-		"first word": func(r *rig, c *client) bool { c.asked = false; c.askedNothing(); return !c.conn.isOpen() },
+		"first word": func(r *rig, c *client) bool { c.asked = false; c.askedNothing(); return !c.conn.IsOpen() },
 	} {
 		for _, read := range []bool{false, true} {
-			e := newEngine(t, "e")
+			e := nettest.NewEngine(t, "e")
 			r := newRig(t, 4, e)
 			connect := r.client
 			if !read {
@@ -35,7 +39,7 @@
 			}
 			nc, c := connect()
 			r.loop.Do(func() {
-				sends(t, nc, ask(12, safe))
+				nettest.Send(t, nc, ask(12, safe))
 				if read {
 					r.queued(1)
 				}
@@ -43,8 +47,8 @@
 					t.Errorf("%s, read %t: shut over a request", name, read)
 				}
 			})
-			at := e.conn()
-			at.call()
+			at := e.Accept()
+			at.ReadCall()
 			io.WriteString(at, served)
 			expectLine(t, bufio.NewReader(nc), `"id":12,"result"`)
 		}
@@ -61,10 +65,10 @@
 		}
 	})
 	cleanEnd(t, nc)
-	sends(t, nc, ask(7, safe))
-	ends(t, nc)
-	until(t, "the descriptor", func() (gone bool) {
-		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 && c.conn.phase == connEnded })
+	nettest.Send(t, nc, ask(7, safe))
+	nettest.CloseWrite(t, nc)
+	nettest.Until(t, "the descriptor", func() (gone bool) {
+		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 && c.conn.IsEnded() })
 		return gone
 	})
 	if n := r.counts(); n.Taken != 0 {
@@ -78,8 +82,9 @@
 	nc, c := r.clientNotReading()
 	long := strings.Repeat("y", 8<<20) // more than the sockets between hold
 	r.loop.Do(func() {
-		sends(t, nc, `{"jsonrpc":`) // is unread when the connection ends
-		c.conn.limit, r.loop.room = 2*len(long), 2*int64(len(long))
+		nettest.Send(t, nc, `{"jsonrpc":`) // is unread when the connection ends
+		c.conn.SetWriteLimit(2 * len(long))
+		r.loop.SetWriteBudget(2 * int64(len(long)))
 		c.conn.Write([]byte(long))
 		r.Finish()
 	})
@@ -93,11 +98,11 @@
 	r := newRig(t, 4)
 	nc, c := r.client()
 	r.loop.Do(func() {
-		c.conn.linger = time.Millisecond
+		c.conn.SetLingerTimeout(time.Millisecond)
 		c.retire("idle")
 	})
 	cleanEnd(t, nc)
-	until(t, "the descriptor", func() (gone bool) {
+	nettest.Until(t, "the descriptor", func() (gone bool) {
 		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 })
 		return gone
 	})
@@ -105,14 +110,14 @@
 
 // A client whose framing is lost has its open request answered all the same, and no more is read of it.
 func TestOpenRequestOutlivesABadLine(t *testing.T) {
-	e := newEngine(t, "e")
+	e := nettest.NewEngine(t, "e")
 	r := newRig(t, 4, e)
 	nc, c := r.client()
-	sends(t, nc, ask(11, safe))
-	at := e.conn()
-	at.call()
+	nettest.Send(t, nc, ask(11, safe))
+	at := e.Accept()
+	at.ReadCall()
 	go io.Copy(nc, strings.NewReader(strings.Repeat("x", 1<<20)))
-	until(t, "the bad line", func() (stopped bool) {
+	nettest.Until(t, "the bad line", func() (stopped bool) {
 		r.loop.Do(func() { stopped = c.stopReading })
 		return stopped
 	})
@@ -126,44 +131,44 @@
 // which it waited in line, not a further one.
 func TestNothingIsSentForAClientThatHasGone(t *testing.T) {
 	for how, leaves := range map[string]func(net.Conn){
-		"closed":  func(nc net.Conn) { sends(t, nc, ask(12, safe)[:10]); ends(t, nc) }, // behind other bytes
-		"aborted": func(nc net.Conn) { sends(t, nc, `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}`+"\n") },
+		"closed":  func(nc net.Conn) { nettest.Send(t, nc, ask(12, safe)[:10]); nettest.CloseWrite(t, nc) }, // behind other bytes
+		"aborted": func(nc net.Conn) { nettest.Send(t, nc, `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}`+"\n") },
 	} {
 		t.Run("first, "+how, func(t *testing.T) {
-			e := newEngine(t, "e")
+			e := nettest.NewEngine(t, "e")
 			r := newRig(t, 4, e)
 			nc, c := r.clientNotReading()
 			r.loop.Do(func() {
-				sends(t, nc, ask(11, safe))
+				nettest.Send(t, nc, ask(11, safe))
 				c.conn.DeliverPending()
 				r.queued(1) // the dial is through
 				leaves(nc)
 			})
-			r.nobodyServed(e.conn(), e)
+			r.nobodyServed(e.Accept(), e)
 		})
 		t.Run("in line, "+how, func(t *testing.T) {
-			e := newEngine(t, "e")
+			e := nettest.NewEngine(t, "e")
 			r := newRig(t, 4)
 			nc, c := r.clientNotReading()
-			sends(t, nc, ask(11, safe))
+			nettest.Send(t, nc, ask(11, safe))
 			r.loop.Do(func() { c.conn.DeliverPending() })
 			leaves(nc)
 			r.publish(e)
-			r.nobodyServed(e.conn(), e)
+			r.nobodyServed(e.Accept(), e)
 		})
 	}
 	t.Run("further", func(t *testing.T) {
-		e, other := newEngine(t, "e"), newEngine(t, "other")
+		e, other := nettest.NewEngine(t, "e"), nettest.NewEngine(t, "other")
 		r := newRig(t, 4, e)
 		nc, c := r.clientNotReading()
-		sends(t, nc, ask(11, safe))
+		nettest.Send(t, nc, ask(11, safe))
 		r.loop.Do(func() { c.conn.DeliverPending() })
-		at := e.conn()
-		at.call()
-		ends(t, nc)
+		at := e.Accept()
+		at.ReadCall()
+		nettest.CloseWrite(t, nc)
 		r.publish(e, other)
 		io.WriteString(at, erred)
-		until(t, "the request's end", func() bool { return r.counts().Left == 1 })
+		nettest.Until(t, "the request's end", func() bool { return r.counts().Left == 1 })
 		if n := r.counts(); n.Further != 0 {
 			t.Fatalf("%d further attempts", n.Further)
 		}
@@ -171,34 +176,34 @@
 }
 
 // nobodyServed checks that a connection to an engine brought nothing and that the request counts as left by its client.
-func (r *rig) nobodyServed(at *engineConn, e *engine) {
+func (r *rig) nobodyServed(at *nettest.EngineConn, e *nettest.Engine) {
 	r.t.Helper()
-	until(r.t, "the request's end", func() bool { return r.counts().Left == 1 })
+	nettest.Until(r.t, "the request's end", func() bool { return r.counts().Left == 1 })
 	r.loop.Do(func() {
-		if out := r.gateway.Core.Out(); out != 0 {
+		if out := r.dispatcher.Core.Out(); out != 0 {
 			r.t.Errorf("%d attempts are out", out)
 		}
 	})
 	r.forgetIdle()
-	at.nothing()
+	at.ExpectNothing()
 }
 
 // serveFirst has a client's request 11 answered over a connection of its own, which is returned.
-func (e *engine) serveFirst(nc net.Conn, in *bufio.Reader) *engineConn {
-	e.t.Helper()
-	sends(e.t, nc, ask(11, safe))
-	at := e.conn()
-	at.call()
+func serveFirst(t *testing.T, e *nettest.Engine, nc net.Conn, in *bufio.Reader) *nettest.EngineConn {
+	t.Helper()
+	nettest.Send(t, nc, ask(11, safe))
+	at := e.Accept()
+	at.ReadCall()
 	io.WriteString(at, served)
-	expectLine(e.t, in, `"id":11,"result"`)
+	expectLine(t, in, `"id":11,"result"`)
 	return at
 }
 
 // forgetIdle closes the idle connections to engines.
 func (r *rig) forgetIdle() {
 	r.loop.Do(func() {
-		for to := range r.pool.idle {
-			r.pool.Forget(to.engine)
+		for _, engine := range r.pool.IdleEngines() {
+			r.pool.Forget(engine)
 		}
 	})
 }
@@ -206,34 +211,34 @@
 // The engine closes an idle connection, or sends on it what nobody asked for, just as a request is to go out on it: before it
 // is chosen, or between that and its first byte. The request goes out on another.
 func TestIdleConnectionEndsAsARequestIsWritten(t *testing.T) {
-	for name, move := range map[string]func(*engineConn){
-		"end":        func(at *engineConn) { ends(t, at.Conn) },
-		"second":     func(at *engineConn) { sends(t, at.Conn, served) },
-		"half a one": func(at *engineConn) { sends(t, at.Conn, served[:20]) },
+	for name, move := range map[string]func(*nettest.EngineConn){
+		"end":        func(at *nettest.EngineConn) { nettest.CloseWrite(t, at.Conn) },
+		"second":     func(at *nettest.EngineConn) { nettest.Send(t, at.Conn, served) },
+		"half a one": func(at *nettest.EngineConn) { nettest.Send(t, at.Conn, served[:20]) },
 	} {
 		for _, chosen := range []bool{false, true} {
-			e := newEngine(t, "e")
+			e := nettest.NewEngine(t, "e")
 			r := newRig(t, 4, e)
 			nc, c := r.client()
 			in := bufio.NewReader(nc)
-			first := e.serveFirst(nc, in)
+			first := serveFirst(t, e, nc, in)
 			r.loop.Do(func() {
 				if !chosen {
 					move(first)
 				}
-				sends(t, nc, ask(12, safe))
+				nettest.Send(t, nc, ask(12, safe))
 				c.conn.DeliverPending()
 				if chosen {
 					move(first)
 				}
 			})
-			second := e.conn()
-			if call := second.call(); call != "POST /v2/q" {
+			second := e.Accept()
+			if call := second.ReadCall(); call != "POST /v2/q" {
 				t.Fatalf("%s: %q on the new connection", name, call)
 			}
 			io.WriteString(second, served)
 			expectLine(t, in, `"id":12,"result"`)
-			if n, err := first.r.R.Read(make([]byte, 1)); n > 0 {
+			if n, err := first.Reader.R.Read(make([]byte, 1)); n > 0 {
 				t.Fatalf("%s: something was written on the old connection, %v", name, err)
 			}
 		}
@@ -243,131 +248,106 @@
 // A second answer that comes milliseconds late must not be taken for the next query's: a connection that has just become free
 // is not written on until it would have shown, and is not written on at all if it does.
 func TestSecondAnswerComesLate(t *testing.T) {
-	e := newEngine(t, "e")
+	e := nettest.NewEngine(t, "e")
 	r := newRig(t, 4, e)
-	r.loop.Do(func() { r.pool.drainDelay = time.Hour })
+	r.loop.Do(func() { r.pool.SetDrainDelay(time.Hour) })
 	nc, c := r.client()
 	in := bufio.NewReader(nc)
-	first := e.serveFirst(nc, in)
+	first := serveFirst(t, e, nc, in)
 	r.loop.Do(func() {
-		sends(t, nc, ask(12, safe))
+		nettest.Send(t, nc, ask(12, safe))
 		c.conn.DeliverPending()
-		if n := r.gateway.Core.Counts().Attempts; n != 2 {
+		if n := r.dispatcher.Core.Counts().Attempts; n != 2 {
 			t.Errorf("%d attempts", n)
 		}
 	})
-	sends(t, first.Conn, strings.Replace(served, "a\n", "b\n", 1))
-	second := e.conn()
-	second.call()
+	nettest.Send(t, first.Conn, strings.Replace(served, "a\n", "b\n", 1))
+	second := e.Accept()
+	second.ReadCall()
 	io.WriteString(second, served)
 	expectLine(t, in, `"id":12,"result":{"blob":"YQo="}`)
-	first.nothing()
+	first.ExpectNothing()
 }
 
 // A connection that was waited for and becomes free is looked at too before it is handed over.
 func TestSecondAnswerOnAConnectionThatIsHandedOver(t *testing.T) {
-	e := newEngine(t, "e")
+	e := nettest.NewEngine(t, "e")
 	r := newRig(t, 1, e)
 	nc, _ := r.client()
-	sends(t, nc, ask(11, safe)+ask(12, safe))
-	first := e.conn()
-	first.call()
-	until(t, "the second request", func() (waits bool) {
-		r.loop.Do(func() { waits = len(r.pool.queue) == 1 })
+	nettest.Send(t, nc, ask(11, safe)+ask(12, safe))
+	first := e.Accept()
+	first.ReadCall()
+	nettest.Until(t, "the second request", func() (waits bool) {
+		r.loop.Do(func() { waits = r.pool.Waiting() == 1 })
 		return waits
 	})
 	r.loop.Do(func() {
-		sends(t, first.Conn, served)
-		for len(r.pool.queue) > 0 {
-			(<-r.loop.work)()
+		nettest.Send(t, first.Conn, served)
+		for r.pool.Waiting() > 0 {
+			r.loop.RunNext()
 		}
-		sends(t, first.Conn, served)
+		nettest.Send(t, first.Conn, served)
 	})
 	in := bufio.NewReader(nc)
 	expectLine(t, in, `"result"`)
-	second := e.conn()
-	second.call()
+	second := e.Accept()
+	second.ReadCall()
 	io.WriteString(second, served)
 	expectLine(t, in, `"result"`)
-	first.nothing()
-}
-
-// A connection that comes up after its attempt has ended serves others, unless the engine has gone or is elsewhere by then;
-// and one that was in use meanwhile is not used again either.
-func TestLateConnectionToAnEngineThatHasMoved(t *testing.T) {
-	loop, p := pool(t, 4)
-	e := newEngine(t, "e")
-	addr, got := e.ln.Addr().String(), make(chan *Link, 1)
-	loop.Do(func() {
-		end := p.Get(1, addr, false, false, user{}, func(*Link, error) { t.Error("an attempt that has ended got a connection") })
-		until(t, "the dial", func() bool { return len(loop.work) > 0 })
-		end()
-		p.Forget(1)
-	})
-	e.conn().nothing()
-	loop.Do(func() { p.Get(1, addr, false, false, user{}, func(l *Link, _ error) { got <- l }) })
-	used := <-got
-	loop.Do(func() {
-		p.Forget(1)
-		used.Release()
-		if len(p.idle) != 0 || p.held != 0 || len(p.links) != 0 {
-			t.Errorf("idle %v, %d held, %d links", p.idle, p.held, len(p.links))
-		}
-	})
-	e.conn().nothing()
+	first.ExpectNothing()
 }
 
 // The list tells of a drain while a further attempt's connection is made: nothing is written to that engine.
 func TestDrainIsAnnouncedAsARetryFires(t *testing.T) {
-	e, other := newEngine(t, "e"), newEngine(t, "other")
+	e, other := nettest.NewEngine(t, "e"), nettest.NewEngine(t, "other")
 	r := newRig(t, 8, e)
 	nc, _ := r.client()
-	sends(t, nc, ask(11, safe))
-	at := e.conn()
-	at.call()
+	nettest.Send(t, nc, ask(11, safe))
+	at := e.Accept()
+	at.ReadCall()
 	r.publish(e, other)
 	r.loop.Do(func() {
-		work := len(r.loop.work)
-		sends(t, at.Conn, erred)
+		work := r.loop.Queued()
+		nettest.Send(t, at.Conn, erred)
 		r.queued(work + 1)
-		for r.gateway.Core.Counts().Further == 0 {
-			(<-r.loop.work)()
+		for r.dispatcher.Core.Counts().Further == 0 {
+			r.loop.RunNext()
 		}
 		r.queued(1) // the dial to the other is through
-		r.gateway.UpdateEngines(false, []core.ListedEngine{other.line(policy.Draining)})
+		r.dispatcher.UpdateEngines(false, []core.ListedEngine{other.Listed(policy.Draining)})
 	})
-	next := other.conn()
+	next := other.Accept()
 	r.forgetIdle()
-	next.nothing()
+	next.ExpectNothing()
 }
 
 // The client calls its request off while the answer is under way: one end, and no answer to it.
 func TestCancelAgainstAnswer(t *testing.T) {
 	for _, answerFirst := range []bool{false, true} {
-		e := newEngine(t, "e")
+		e := nettest.NewEngine(t, "e")
 		r := newRig(t, 4, e)
 		nc, c := r.client()
-		sends(t, nc, ask(11, safe))
-		at := e.conn()
-		at.call()
+		nettest.Send(t, nc, ask(11, safe))
+		at := e.Accept()
+		at.ReadCall()
 		abort := `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}` + "\n"
 		r.loop.Do(func() {
-			sends(t, at.Conn, served) // is there, and nobody has read it
+			nettest.Send(t, at.Conn, served) // is there, and nobody has read it
 			if !answerFirst {
-				sends(t, nc, abort)
+				nettest.Send(t, nc, abort)
 				c.conn.DeliverPending()
 			}
 		})
 		in := bufio.NewReader(nc)
 		if answerFirst {
 			expectLine(t, in, `"id":11,"result"`)
-			sends(t, nc, abort)
+			nettest.Send(t, nc, abort)
 		}
-		until(t, "the attempt's end", func() (over bool) {
-			r.loop.Do(func() { over = r.gateway.Core.Out() == 0 && r.gateway.Core.Open() == 0 })
+		nettest.Until(t, "the attempt's end", func() (over bool) {
+			r.loop.Do(func() { over = r.dispatcher.Core.Out() == 0 && r.dispatcher.Core.Open() == 0 })
 			return over
 		})
-		sends(t, nc, ping)
+		nettest.Send(t, nc, ping)
 		expectLine(t, in, `"serving"`) // and nothing before it
 	}
 }
@@ -375,20 +355,20 @@
 // A class that must not run twice, whose connection the engine ends just after it was written: nobody can say whether it was
 // read, so it fails, and goes nowhere again.
 func TestUnsafeQueryGoesOnceWhenItsConnectionEnds(t *testing.T) {
-	e := newEngine(t, "e")
+	e := nettest.NewEngine(t, "e")
 	r := newRig(t, 4, e)
 	nc, _ := r.client()
-	sends(t, nc, ask(11, once))
-	at := e.conn()
-	at.call()
-	ends(t, at.Conn)
-	again := e.conn()
-	if call := again.call(); !strings.HasPrefix(call, "GET ") {
+	nettest.Send(t, nc, ask(11, once))
+	at := e.Accept()
+	at.ReadCall()
+	nettest.CloseWrite(t, at.Conn)
+	again := e.Accept()
+	if call := again.ReadCall(); !strings.HasPrefix(call, "GET ") {
 		t.Fatalf("%q, want it to be asked for", call)
 	}
-	sends(t, again.Conn, erred) // the engine does not know it
+	nettest.Send(t, again.Conn, erred) // the engine does not know it
 	expectLine(t, bufio.NewReader(nc), `"id":11,"error":{"code":-32013`)
-	if n := r.counts(); n.Attempts != 1 || n.Further != 0 || len(e.conns) != 0 {
+	if n := r.counts(); n.Attempts != 1 || n.Further != 0 || e.Connections() != 0 {
 		t.Fatalf("%+v", n)
 	}
 }
@@ -400,8 +380,8 @@
 	var late []net.Conn
 	r.loop.Do(func() {
 		for range 8 {
-			nc := sendText(t, r.Clients, ping)
-			arrives(t, nc)
+			nc := sendText(t, r.PlatformListener, ping)
+			nettest.Delivered(t, nc)
 			late = append(late, nc)
 		}
 		r.Stop(func() { close(done) })
@@ -417,10 +397,10 @@
 	r := newRig(t, 4)
 	r.loop.Do(func() {
 		for range 8 {
-			sendText(t, r.Clients, "")
+			sendText(t, r.PlatformListener, "")
 		}
-		until(t, "one to be accepted", func() bool { return len(r.loop.work) > 0 })
-		if n := len(r.loop.work); n > 1 {
+		nettest.Until(t, "one to be accepted", func() bool { return r.loop.Queued() > 0 })
+		if n := r.loop.Queued(); n > 1 {
 			t.Errorf("%d connections wait for the loop", n)
 		}
 	})
@@ -428,12 +408,12 @@
 
 // A connection on which half a line stands is not shut by a stop as long as that may still end: its request was under way.
 func TestHalfALineAtAStop(t *testing.T) {
-	e := newEngine(t, "e")
+	e := nettest.NewEngine(t, "e")
 	r := newRig(t, 4, e)
 	nc, _ := r.client()
 	line := ask(11, safe)
-	sends(t, nc, line[:30])
-	until(t, "half a line", func() (some bool) {
+	nettest.Send(t, nc, line[:30])
+	nettest.Until(t, "half a line", func() (some bool) {
 		r.loop.Do(func() { some = r.unread > 0 })
 		return some
 	})
@@ -442,9 +422,9 @@
 			t.Error("shut over half a line")
 		}
 	})
-	sends(t, nc, line[30:])
-	at := e.conn()
-	at.call()
+	nettest.Send(t, nc, line[30:])
+	at := e.Accept()
+	at.ReadCall()
 	io.WriteString(at, served)
 	expectLine(t, bufio.NewReader(nc), `"id":11,"result"`)
 }
@@ -456,7 +436,7 @@
 	at chan net.Conn
 }
 
-func newWatch(t *testing.T) *scriptedServer {
+func newDiscoveryServer(t *testing.T) *scriptedServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -482,37 +462,37 @@
 	select {
 	case nc := <-w.at:
 		w.t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(patience))
+		nc.SetDeadline(time.Now().Add(nettest.Patience))
 		line, err := bufio.NewReader(nc).ReadString('\n')
 		if want := fmt.Sprintf("after %d\n", after); err != nil || line != want {
 			w.t.Fatalf("%q, %v, want %q", line, err, want)
 		}
 		return nc
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		w.t.Fatal("nobody follows")
 		return nil
 	}
 }
 
 // event is one line of a discovery watch.
-func event(no int, e *engine, state string) string {
+func event(no int, e *nettest.Engine, state string) string {
 	return fmt.Sprintf(`{"no":%d,"roster":{"reset":false,"instances":[{"instanceId":%q,"hostPort":%q,"zone":"z","machineType":"m","lifecycle":%q}]}}`+"\n",
-		no, e.id, e.ln.Addr(), state)
+		no, e.ID, e.Addr(), state)
 }
 
 // follow has the rig's gateway watch a discovery server.
-func (r *rig) follow(w *scriptedServer) *Watch {
-	f := NewWatch(r.gateway, r.gateway.Log, "", &discovery.Stream{})
+func (r *rig) follow(w *scriptedServer) *enginewatch.Watch {
+	f := enginewatch.New(r.loop, r.dispatcher, r.dispatcher.Log, "", &discovery.Stream{})
 	r.loop.Do(func() { f.Follow(w.ln.Addr().String()) })
 	r.t.Cleanup(func() { r.loop.Do(func() { f.Follow("") }) })
 	return f
 }
 
 // waitLines waits until a watch has received so many lines.
-func (r *rig) waitLines(f *Watch, lines int) {
+func (r *rig) waitLines(f *enginewatch.Watch, lines int) {
 	r.t.Helper()
-	until(r.t, "the list's lines", func() (all bool) {
-		r.loop.Do(func() { all = f.stream.LinesRead() >= lines })
+	nettest.Until(r.t, "the list's lines", func() (all bool) {
+		r.loop.Do(func() { all = f.LinesRead() >= lines })
 		return all
 	})
 }
@@ -522,9 +502,9 @@
 	r.t.Helper()
 	nc, c := r.client()
 	r.loop.Do(func() {
-		sends(r.t, nc, ask(90, safe))
+		nettest.Send(r.t, nc, ask(90, safe))
 		c.conn.DeliverPending()
-		if n := r.gateway.Core.Counts(); n.Taken != 1 || n.Attempts != 0 {
+		if n := r.dispatcher.Core.Counts(); n.Taken != 1 || n.Attempts != 0 {
 			r.t.Errorf("%+v", n)
 		}
 	})
@@ -533,19 +513,19 @@
 // A watch falls silent, and a drain is told on it in the very moment in which it is given up: nothing of the old connection
 // counts, the new one asks behind the last event that counted, and the event is told once.
 func TestWatchSpeaksAsItIsGivenUp(t *testing.T) {
-	e := newEngine(t, "e")
-	r, w := newRig(t, 4), newWatch(t)
+	e := nettest.NewEngine(t, "e")
+	r, w := newRig(t, 4), newDiscoveryServer(t)
 	f := r.follow(w)
 	old := w.asked(0)
-	sends(t, old, event(1, e, "in_service"))
+	nettest.Send(t, old, event(1, e, "in_service"))
 	r.waitLines(f, 1)
 	r.loop.Do(func() {
-		sends(t, old, event(2, e, "terminating"))
+		nettest.Send(t, old, event(2, e, "terminating"))
 		r.queued(1) // it is read, and waits for the loop
-		f.reconnect()
+		f.Reconnect()
 	})
 	next := w.asked(1) // so nothing was heard of the old one
-	sends(t, next, event(2, e, "terminating"))
+	nettest.Send(t, next, event(2, e, "terminating"))
 	r.waitLines(f, 2)
 	r.untouched()
 	if n, err := old.Read(make([]byte, 1)); n > 0 || err == nil {
@@ -556,15 +536,15 @@
 // A watch that falls silent after half a line is given up, whatever it had said; what it tells next time counts from the last
 // whole event.
 func TestSilentWatchIsGivenUp(t *testing.T) {
-	e := newEngine(t, "e")
-	r, w := newRig(t, 4), newWatch(t)
+	e := nettest.NewEngine(t, "e")
+	r, w := newRig(t, 4), newDiscoveryServer(t)
 	f := r.follow(w)
 	first := w.asked(0)
-	r.loop.Do(func() { f.readTimeout = 50 * time.Millisecond })
-	sends(t, first, event(1, e, "in_service")+event(2, e, "terminating")[:40])
+	r.loop.Do(func() { f.SetReadTimeout(50 * time.Millisecond) })
+	nettest.Send(t, first, event(1, e, "in_service")+event(2, e, "terminating")[:40])
 	r.waitLines(f, 1) // the wait for the next line has begun
-	r.loop.Do(func() { f.readTimeout = time.Hour })
-	sends(t, w.asked(1), event(2, e, "terminating"))
+	r.loop.Do(func() { f.SetReadTimeout(time.Hour) })
+	nettest.Send(t, w.asked(1), event(2, e, "terminating"))
 	r.waitLines(f, 2)
 	r.untouched()
 }
@@ -572,36 +552,36 @@
 // SIGHUP moves discovery while a call is out, and the new one tells at once that the call's engine drains: the call's answer is
 // passed on, and the next request goes elsewhere.
 func TestDiscoveryMovesDuringACall(t *testing.T) {
-	e, other := newEngine(t, "e"), newEngine(t, "other")
-	r, first, second := newRig(t, 8), newWatch(t), newWatch(t)
+	e, other := nettest.NewEngine(t, "e"), nettest.NewEngine(t, "other")
+	r, first, second := newRig(t, 8), newDiscoveryServer(t), newDiscoveryServer(t)
 	f := r.follow(first)
-	sends(t, first.asked(0), event(1, e, "in_service"))
+	nettest.Send(t, first.asked(0), event(1, e, "in_service"))
 	r.waitLines(f, 1)
 	nc, c := r.client()
-	sends(t, nc, ask(11, safe))
-	at := e.conn()
-	at.call()
+	nettest.Send(t, nc, ask(11, safe))
+	at := e.Accept()
+	at.ReadCall()
 	r.loop.Do(func() { f.Follow(second.ln.Addr().String()) })
-	sends(t, second.asked(1), event(2, e, "terminating")+event(3, other, "in_service"))
+	nettest.Send(t, second.asked(1), event(2, e, "terminating")+event(3, other, "in_service"))
 	r.waitLines(f, 3)
 	r.loop.Do(func() {
-		sends(t, at.Conn, served)
-		sends(t, nc, ask(12, safe))
+		nettest.Send(t, at.Conn, served)
+		nettest.Send(t, nc, ask(12, safe))
 		c.conn.DeliverPending()
 	})
 	in := bufio.NewReader(nc)
 	expectLine(t, in, `"id":11,"result"`)
-	next := other.conn()
-	next.call()
+	next := other.Accept()
+	next.ReadCall()
 	io.WriteString(next, served)
 	expectLine(t, in, `"id":12,"result"`)
 }
 
 // A query of a MySQL client that stands unread as the connections are shut is taken first.
 func TestMySQLBytesUnreadAsTheConnectionIsShut(t *testing.T) {
-	loop, p := pool(t, 1)
+	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	f := NewMySQLFront(NewGateway(loop, nil, p, log), p, log, MySQLSetup{Listen: "127.0.0.1:0", MostOpen: 8})
+	f := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 8})
 	loop.Do(func() {
 		if err := f.Listen(); err != nil {
 			t.Error(err)
@@ -612,12 +592,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(nettest.Patience))
 	if _, err := nc.Read(make([]byte, 1)); err != nil { // the greeting
 		t.Fatal(err)
 	}
 	loop.Do(func() {
-		sends(t, nc, "\x20\x00\x00\x01") // a login's head
+		nettest.Send(t, nc, "\x20\x00\x00\x01") // a login's head
 		if f.CloseIdle() || len(f.open) != 1 {
 			t.Error("shut over bytes that nobody read")
 		}
@@ -649,42 +629,42 @@
 // An attempt that was called off counts as out until its engine has confirmed that, and its answer may still come first.
 func TestCalledOffIsOutUntilConfirmed(t *testing.T) {
 	for _, answered := range []bool{false, true} {
-		e := newEngine(t, "e")
+		e := nettest.NewEngine(t, "e")
 		r := newRig(t, 4, e)
 		nc, _ := r.client()
-		sends(t, nc, ask(11, safe))
-		at := e.conn()
-		at.call()
-		sends(t, nc, `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}`+"\n")
-		side := e.conn()
-		if call := side.call(); !strings.HasPrefix(call, "DELETE ") {
+		nettest.Send(t, nc, ask(11, safe))
+		at := e.Accept()
+		at.ReadCall()
+		nettest.Send(t, nc, `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}`+"\n")
+		side := e.Accept()
+		if call := side.ReadCall(); !strings.HasPrefix(call, "DELETE ") {
 			t.Fatalf("%q, want the DELETE", call)
 		}
 		r.loop.Do(func() {
-			if out := r.gateway.Core.Out(); out != 1 {
+			if out := r.dispatcher.Core.Out(); out != 1 {
 				t.Errorf("%d attempts are out before the engine has confirmed", out)
 			}
 		})
 		if answered { // read before the 204 is written
-			sends(t, at.Conn, served)
+			nettest.Send(t, at.Conn, served)
 		} else {
-			sends(t, side.Conn, confirmed)
+			nettest.Send(t, side.Conn, confirmed)
 		}
-		until(t, "the attempt's end", func() (over bool) {
-			r.loop.Do(func() { over = r.gateway.Core.Out() == 0 })
+		nettest.Until(t, "the attempt's end", func() (over bool) {
+			r.loop.Do(func() { over = r.dispatcher.Core.Out() == 0 })
 			return over
 		})
 		in := bufio.NewReader(nc)
-		sends(t, nc, ping)
+		nettest.Send(t, nc, ping)
 		expectLine(t, in, `"serving"`) // and no answer to what was called off
 	}
 }
 
 // The MySQL listener goes to another gateway, or stops, over connections that the machine has accepted: they are served here.
 func TestMySQLConnectionAcceptedAsTheListenerCloses(t *testing.T) {
-	loop, p := pool(t, 1)
+	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	f := NewMySQLFront(NewGateway(loop, nil, p, log), p, log, MySQLSetup{Listen: "127.0.0.1:0", MostOpen: 8})
+	f := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 8})
 	var late []net.Conn
 	loop.Do(func() {
 		if err := f.Listen(); err != nil {
@@ -702,7 +682,7 @@
 		f.StopAccepting()
 	})
 	for _, nc := range late {
-		nc.SetDeadline(time.Now().Add(patience))
+		nc.SetDeadline(time.Now().Add(nettest.Patience))
 		if _, err := nc.Read(make([]byte, 1)); err != nil { // the greeting
 			t.Fatal(err)
 		}
@@ -713,14 +693,14 @@
 func TestRoomOfAClientThatHasGone(t *testing.T) {
 	r := newRig(t, 4)
 	nc, _ := r.clientNotReading()
-	sends(t, nc, ask(11, safe)) // holds it open: there is no engine
+	nettest.Send(t, nc, ask(11, safe)) // holds it open: there is no engine
 	r.loop.Do(func() {
-		ends(t, nc)
+		nettest.CloseWrite(t, nc)
 		for c := range r.open {
 			c.conn.DeliverPending()
 		}
-		if len(r.open) != 0 || r.gateway.Core.Open() != 0 {
-			t.Errorf("%d connections, %d requests", len(r.open), r.gateway.Core.Open())
+		if len(r.open) != 0 || r.dispatcher.Core.Open() != 0 {
+			t.Errorf("%d connections, %d requests", len(r.open), r.dispatcher.Core.Open())
 		}
 	})
 }
--- a/internal/netio/linger.go
+++ b/internal/transport/frontend/linger.go
@@ -1,6 +1,10 @@
-package netio
+package frontend
 
-import "slices"
+import (
+	"slices"
+
+	"frostpier/internal/transport/eventloop"
+)
 
 // lingerShare is the part of a front's connections that may be in the course of being shut: each holds its descriptor until its
 // peer has ended it too, and peers that do not must not keep others out.
@@ -8,7 +12,7 @@
 
 // lingerSet holds the connections of a front that are being shut down, oldest first.
 type lingerSet struct {
-	conns   []*Conn
+	conns   []*eventloop.Conn
 	limit   int
 	open    func() int // how many of the front's are not being shut
 	emptied func()     // runs once there are none of either
@@ -33,18 +37,18 @@
 }
 
 // finish shuts a connection. Where too many are being shut, one that was told all there is goes before one that was not.
-func (s *lingerSet) finish(c *Conn) {
-	if !c.isOpen() {
+func (s *lingerSet) finish(c *eventloop.Conn) {
+	if !c.IsOpen() {
 		return
 	}
-	c.gone = func() {
-		s.conns = slices.DeleteFunc(s.conns, func(o *Conn) bool { return o == c })
+	c.OnReleased(func() {
+		s.conns = slices.DeleteFunc(s.conns, func(o *eventloop.Conn) bool { return o == c })
 		s.check()
-	}
+	})
 	s.conns = append(s.conns, c)
 	c.Finish()
 	if len(s.conns) > s.limit {
-		i := max(0, slices.IndexFunc(s.conns, func(o *Conn) bool { return o.phase == connLingering }))
+		i := max(0, slices.IndexFunc(s.conns, func(o *eventloop.Conn) bool { return o.IsLingering() }))
 		s.conns[i].Close()
 	}
 }
--- a/internal/netio/mysqlfront.go
+++ b/internal/transport/frontend/mysql.go
@@ -1,4 +1,4 @@
-package netio
+package frontend
 
 import (
 	"crypto/rand"
@@ -9,6 +9,9 @@
 
 	"frostpier/internal/core"
 	"frostpier/internal/protocol/mysql"
+	"frostpier/internal/transport/dispatcher"
+	"frostpier/internal/transport/enginepool"
+	"frostpier/internal/transport/eventloop"
 )
 
 const (
@@ -17,8 +20,8 @@
 	mysqlQueue = relayAhead + 2<<20
 )
 
-// MySQLSetup is how the front is to be.
-type MySQLSetup struct {
+// MySQLConfig is how the front is to be.
+type MySQLConfig struct {
 	Listen     string
 	MostOpen   int
 	Accounts   map[string]*mysql.Account
@@ -28,29 +31,29 @@
 	Engines    map[string]string // addresses by the engine's name, where the port alone does not tell
 }
 
-// MySQLFront is the front for clients that speak MySQL.
-type MySQLFront struct {
-	gateway   *Gateway
-	pool      *Pool
-	log       *slog.Logger
-	setup     MySQLSetup
-	ln        net.Listener
-	open      map[*mysqlClient]bool
-	lingering *lingerSet // beside those that are open
-	threads   uint32
-	again     *Timer
-	patient   time.Duration // how long a client may take to log in
+// MySQLListener is the front for clients that speak MySQL.
+type MySQLListener struct {
+	dispatcher *dispatcher.Dispatcher
+	pool       *enginepool.Pool
+	log        *slog.Logger
+	setup      MySQLConfig
+	ln         net.Listener
+	open       map[*mysqlClient]bool
+	lingering  *lingerSet // beside those that are open
+	threads    uint32
+	again      *eventloop.Timer
+	patient    time.Duration // how long a client may take to log in
 }
 
-// NewMySQLFront makes the front; pool is for its connections to engines alone.
-func NewMySQLFront(g *Gateway, pool *Pool, log *slog.Logger, setup MySQLSetup) *MySQLFront {
-	f := &MySQLFront{gateway: g, pool: pool, log: log, setup: setup, open: map[*mysqlClient]bool{}, patient: loginWait}
+// NewMySQLListener makes the front; pool is for its connections to engines alone.
+func NewMySQLListener(d *dispatcher.Dispatcher, pool *enginepool.Pool, log *slog.Logger, setup MySQLConfig) *MySQLListener {
+	f := &MySQLListener{dispatcher: d, pool: pool, log: log, setup: setup, open: map[*mysqlClient]bool{}, patient: loginWait}
 	f.lingering = newLingerSet(setup.MostOpen, func() int { return len(f.open) })
 	return f
 }
 
 // Listen opens the listener; it is called on the loop. A second call while it is open does nothing.
-func (f *MySQLFront) Listen() error {
+func (f *MySQLListener) Listen() error {
 	if f.ln != nil {
 		return nil
 	}
@@ -60,12 +63,12 @@
 	}
 	f.ln = ln
 	f.log.Info("mysql front listens", "listen", ln.Addr().String())
-	go accept(f.gateway.Loop, f.log, ln, f.take, func() {})
+	go accept(f.dispatcher.Loop, f.log, ln, f.take, func() {})
 	return nil
 }
 
 // Addr is where it listens; nil while it does not.
-func (f *MySQLFront) Addr() net.Addr {
+func (f *MySQLListener) Addr() net.Addr {
 	if f.ln == nil {
 		return nil
 	}
@@ -73,7 +76,7 @@
 }
 
 // StopAccepting closes the listener; connections that are open stay, and those that the machine has accepted are still taken.
-func (f *MySQLFront) StopAccepting() {
+func (f *MySQLListener) StopAccepting() {
 	f.again.Stop()
 	if f.ln != nil {
 		stopAccepting(f.ln)
@@ -83,12 +86,12 @@
 }
 
 // Retry has f run later, unless the listener is to be closed before.
-func (f *MySQLFront) Retry(after time.Duration, try func()) {
-	f.again = f.gateway.Loop.After(after, try)
+func (f *MySQLListener) Retry(after time.Duration, try func()) {
+	f.again = f.dispatcher.Loop.After(after, try)
 }
 
 // CloseIdle shuts the connections on which no query runs and nothing has come, and reports whether that were all of them.
-func (f *MySQLFront) CloseIdle() bool {
+func (f *MySQLListener) CloseIdle() bool {
 	for c := range f.open {
 		if c.conn.DeliverPending() && c.call == nil {
 			c.end()
@@ -98,16 +101,16 @@
 }
 
 // WhenEmpty sets what runs once no connection is open or being shut.
-func (f *MySQLFront) WhenEmpty(run func()) { f.lingering.whenEmpty(run) }
+func (f *MySQLListener) WhenEmpty(run func()) { f.lingering.whenEmpty(run) }
 
 // Finish shuts the connections once what they were to get is written.
-func (f *MySQLFront) Finish() {
+func (f *MySQLListener) Finish() {
 	for c := range f.open {
 		c.end()
 	}
 }
 
-func (f *MySQLFront) take(nc net.Conn) {
+func (f *MySQLListener) take(nc net.Conn) {
 	if len(f.open) >= f.setup.MostOpen {
 		f.log.Warn("too many mysql clients", "open", len(f.open))
 		nc.Close()
@@ -118,10 +121,10 @@
 	machine, greeting := mysql.NewFront(f.setup.Accounts, f.threads, scramble())
 	c.machine = machine
 	f.open[c] = true
-	c.conn = NewConn(f.gateway.Loop, nc, c, mysqlQueue)
+	c.conn = eventloop.NewConn(f.dispatcher.Loop, nc, c, mysqlQueue)
 	c.conn.OnDrained(c.drained)
 	c.conn.Write(greeting)
-	c.login = f.gateway.Loop.After(f.patient, func() {
+	c.login = f.dispatcher.Loop.After(f.patient, func() {
 		if !machine.LoggedIn() {
 			f.log.Warn("mysql client did not log in")
 			c.end()
@@ -140,7 +143,7 @@
 }
 
 // engineAddr is where an engine speaks MySQL.
-func (f *MySQLFront) engineAddr(e core.Engine) string {
+func (f *MySQLListener) engineAddr(e core.Engine) string {
 	if addr, told := f.setup.Engines[e.Name]; told {
 		return addr
 	}
@@ -153,13 +156,13 @@
 
 // mysqlClient is one connection.
 type mysqlClient struct {
-	front   *MySQLFront
-	conn    *Conn
+	front   *MySQLListener
+	conn    *eventloop.Conn
 	machine *mysql.Front
 	call    *mysql.Call // the query that runs
 	id      core.ID
-	flight  *flight
-	login   *Timer
+	flight  *dispatcher.AttemptDriver
+	login   *eventloop.Timer
 	held    bool // the engine's side is not read, as the client is behind
 }
 
@@ -177,7 +180,7 @@
 func (c *mysqlClient) leave() {
 	if c.call != nil {
 		c.call = nil
-		c.front.gateway.Leave(c.id)
+		c.front.dispatcher.Leave(c.id)
 	}
 }
 
@@ -207,15 +210,15 @@
 		group = core.SchemaGroup(call.Schema)
 	}
 	c.call = call
-	c.front.gateway.Take(core.Ask{Class: call.Account.Class, TableGroup: group, Remaining: call.Account.Budget},
+	c.front.dispatcher.Take(core.Ask{Class: call.Account.Class, TableGroup: group, Remaining: call.Account.Budget},
 		c, func(id core.ID) { c.id = id })
 }
 
 // Attempt sends the query to an engine.
-func (c *mysqlClient) Attempt(a core.Start) Attempt {
+func (c *mysqlClient) Attempt(a core.Start) dispatcher.Attempt {
 	f := c.front
 	machine, steps := mysql.NewExchange(c.call, f.setup.User, f.setup.Password)
-	c.flight = fly(f.gateway, f.pool, a, f.engineAddr(a.Engine), machine, steps, c.relay)
+	c.flight = dispatcher.StartAttempt(f.dispatcher, f.pool, a, f.engineAddr(a.Engine), machine, steps, c.relay)
 	return c.flight
 }
 
@@ -241,7 +244,7 @@
 func (c *mysqlClient) ReadPending() { c.conn.DeliverPending() }
 
 // Unread tells what of the client is not taken in yet.
-func (c *mysqlClient) Unread() (some, gone bool) { return c.conn.peek() }
+func (c *mysqlClient) Unread() (some, gone bool) { return c.conn.Peek() }
 
 // Answer ends the query. An answer that broke off in the middle of a row can only be told by the connection's end.
 func (c *mysqlClient) Answer(r core.Reply, result any) {
@@ -260,11 +263,11 @@
 	default:
 		c.conn.Write(mysql.Failure())
 	}
-	c.front.gateway.Loop.After(0, func() {
-		if c.conn.isOpen() {
+	c.front.dispatcher.Loop.After(0, func() {
+		if c.conn.IsOpen() {
 			c.carryOut(c.machine.Done())
 		}
 	})
 }
 
-var _ Caller = (*mysqlClient)(nil)
+var _ dispatcher.Caller = (*mysqlClient)(nil)
--- a/internal/netio/mysqlfront_test.go
+++ b/internal/transport/frontend/mysql_test.go
@@ -1,4 +1,4 @@
-package netio
+package frontend
 
 import (
 	"io"
@@ -6,13 +6,15 @@
 	"net"
 	"testing"
 	"time"
+
+	"frostpier/internal/transport/dispatcher"
 )
 
 // Guards against connections that never log in and hold a descriptor for good.
 func TestMySQLClientThatDoesNotLogInIsClosed(t *testing.T) {
-	loop, p := pool(t, 1)
+	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	f := NewMySQLFront(NewGateway(loop, nil, p, log), p, log, MySQLSetup{Listen: "127.0.0.1:0", MostOpen: 1})
+	f := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 1})
 	f.patient = 20 * time.Millisecond
 	var addr string
 	loop.Do(func() {
--- a/internal/netio/clients.go
+++ b/internal/transport/frontend/platform.go
@@ -1,4 +1,7 @@
-package netio
+// Package frontend accepts clients: those of the platform, who speak JSON-RPC, and those who speak MySQL. It owns their
+// connections and bounds how many there are and what they may leave unfinished. Which engine serves a request is decided by the
+// core, behind the dispatcher. Only accepting runs on goroutines of its own; all else runs on the event loop.
+package frontend
 
 import (
 	"bytes"
@@ -12,6 +15,8 @@
 	"frostpier/internal/core"
 	"frostpier/internal/protocol/enginehttp"
 	"frostpier/internal/protocol/jsonrpc"
+	"frostpier/internal/transport/dispatcher"
+	"frostpier/internal/transport/eventloop"
 )
 
 const (
@@ -23,25 +28,25 @@
 	acceptPause = 20 * time.Millisecond
 )
 
-// Clients is the platform's front.
-type Clients struct {
-	gateway   *Gateway
-	log       *slog.Logger
-	most      int // connections, those that are being shut included
-	lingering *lingerSet
-	lines     int // bytes of lines that are not whole, over all connections
-	unread    int // and how many there are
-	open      map[*client]bool
-	serving   bool
-	ln        net.Listener
-	patient   time.Duration // how long a client may take to ask for something, or to end a line
-	stopped   func()        // runs once no more connections are taken
+// PlatformListener is the platform's front.
+type PlatformListener struct {
+	dispatcher *dispatcher.Dispatcher
+	log        *slog.Logger
+	most       int // connections, those that are being shut included
+	lingering  *lingerSet
+	lines      int // bytes of lines that are not whole, over all connections
+	unread     int // and how many there are
+	open       map[*client]bool
+	serving    bool
+	ln         net.Listener
+	patient    time.Duration // how long a client may take to ask for something, or to end a line
+	stopped    func()        // runs once no more connections are taken
 }
 
 // client is one connection.
 type client struct {
-	front       *Clients
-	conn        *Conn
+	front       *PlatformListener
+	conn        *eventloop.Conn
 	session     *jsonrpc.Session
 	calls       map[string]core.ID
 	asked       bool // it has said something that got an answer, or will
@@ -49,26 +54,26 @@
 	stopReading bool // its framing is lost: what is open is answered, and nothing more is read
 	unread      int  // bytes of a line that is not whole
 	since       time.Duration
-	idle        *Timer
-	half        *Timer // the wait for a line's end; nil while none has begun
+	idle        *eventloop.Timer
+	half        *eventloop.Timer // the wait for a line's end; nil while none has begun
 }
 
-// NewClients makes the front for at most so many connections, whose unfinished lines may hold so many bytes.
-func NewClients(g *Gateway, log *slog.Logger, most, lines int) *Clients {
-	f := &Clients{gateway: g, log: log, most: most, lines: lines, open: map[*client]bool{}, serving: true,
+// NewPlatformListener makes the front for at most so many connections, whose unfinished lines may hold so many bytes.
+func NewPlatformListener(d *dispatcher.Dispatcher, log *slog.Logger, most, lines int) *PlatformListener {
+	f := &PlatformListener{dispatcher: d, log: log, most: most, lines: lines, open: map[*client]bool{}, serving: true,
 		patient: askWait}
 	f.lingering = newLingerSet(most, func() int { return len(f.open) })
 	return f
 }
 
 // Serve listens and accepts until Stop.
-func (f *Clients) Serve(addr string) error {
+func (f *PlatformListener) Serve(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
 	f.ln = ln
-	go accept(f.gateway.Loop, f.log, ln, f.take, func() {
+	go accept(f.dispatcher.Loop, f.log, ln, f.take, func() {
 		if f.stopped != nil {
 			f.stopped()
 		}
@@ -79,7 +84,7 @@
 // accept hands every connection to the loop, one at a time: what is accepted and not yet taken holds a descriptor that
 // no share counts. Want of descriptors is waited out. Where the listener has been given an end, it takes what came until
 // then and tells done.
-func accept(loop *Loop, log *slog.Logger, ln net.Listener, take func(net.Conn), done func()) {
+func accept(loop *eventloop.Loop, log *slog.Logger, ln net.Listener, take func(net.Conn), done func()) {
 	for {
 		nc, err := ln.Accept()
 		switch {
@@ -97,11 +102,11 @@
 }
 
 // Drain makes ping say that this gateway stops serving; all else goes on.
-func (f *Clients) Drain() { f.serving = false }
+func (f *PlatformListener) Drain() { f.serving = false }
 
 // Stop takes no more connections. Those that the machine has accepted are still taken, since their clients may have
 // asked already; then done runs. Both on the loop.
-func (f *Clients) Stop(done func()) {
+func (f *PlatformListener) Stop(done func()) {
 	f.stopped = done
 	if f.ln == nil {
 		done()
@@ -119,7 +124,7 @@
 }
 
 // CloseIdle shuts the connections on which nothing is open and nothing has come, and reports whether that were all of them.
-func (f *Clients) CloseIdle() bool {
+func (f *PlatformListener) CloseIdle() bool {
 	for c := range f.open {
 		if c.unread == 0 { // else its line may still end
 			c.retire("stopped")
@@ -129,32 +134,32 @@
 }
 
 // WhenEmpty sets what runs once no connection is open or being shut.
-func (f *Clients) WhenEmpty(run func()) { f.lingering.whenEmpty(run) }
+func (f *PlatformListener) WhenEmpty(run func()) { f.lingering.whenEmpty(run) }
 
 // Finish shuts the connections once what they were to get is written.
-func (f *Clients) Finish() {
+func (f *PlatformListener) Finish() {
 	for c := range f.open {
 		c.end("stopped")
 	}
 }
 
-func (f *Clients) take(nc net.Conn) {
+func (f *PlatformListener) take(nc net.Conn) {
 	if len(f.open) >= max(1, f.most-f.lingering.limit) && !f.closeOneIdle() {
 		f.log.Warn("too many client connections", "open", len(f.open))
 		nc.Close()
 		return
 	}
-	c := &client{front: f, session: jsonrpc.NewSession(f.gateway.Core), calls: map[string]core.ID{}}
+	c := &client{front: f, session: jsonrpc.NewSession(f.dispatcher.Core), calls: map[string]core.ID{}}
 	f.open[c] = true
-	c.conn = NewConn(f.gateway.Loop, nc, c, clientQueue)
-	c.since = f.gateway.Loop.Now()
-	c.idle = f.gateway.Loop.After(f.patient, c.askedNothing)
+	c.conn = eventloop.NewConn(f.dispatcher.Loop, nc, c, clientQueue)
+	c.since = f.dispatcher.Loop.Now()
+	c.idle = f.dispatcher.Loop.After(f.patient, c.askedNothing)
 }
 
 // closeOneIdle makes room for a new connection: of those with nothing open the one goes that is missed least, and
 // among equals the one that was quiet for longest.
-func (f *Clients) closeOneIdle() bool {
-	now := f.gateway.Loop.Now()
+func (f *PlatformListener) closeOneIdle() bool {
+	now := f.dispatcher.Loop.Now()
 	for range f.most { // one that has just asked for something after all stays, and another goes
 		var next *client
 		for c := range f.open {
@@ -196,13 +201,13 @@
 		return
 	}
 	c.idle.Stop()
-	c.since = c.front.gateway.Loop.Now()
+	c.since = c.front.dispatcher.Loop.Now()
 	if len(c.calls) == 0 {
 		if c.stopReading {
 			c.end("no more lines can be read")
 			return
 		}
-		c.idle = c.front.gateway.Loop.After(clientIdle, func() { c.retire("idle") })
+		c.idle = c.front.dispatcher.Loop.After(clientIdle, func() { c.retire("idle") })
 	}
 }
 
@@ -216,7 +221,7 @@
 		c.half = nil
 	}
 	if c.unread > 0 && c.half == nil {
-		c.half = c.front.gateway.Loop.After(c.front.patient, c.lineLate)
+		c.half = c.front.dispatcher.Loop.After(c.front.patient, c.lineLate)
 	}
 }
 
@@ -225,17 +230,17 @@
 	c.half = nil
 	c.conn.DeliverPending() // its end may have come
 	switch {
-	case !c.conn.isOpen() || c.unread == 0:
+	case !c.conn.IsOpen() || c.unread == 0:
 	case len(c.calls) == 0:
 		c.end("half a line")
 	case c.half == nil:
-		c.half = c.front.gateway.Loop.After(c.front.patient, c.lineLate)
+		c.half = c.front.dispatcher.Loop.After(c.front.patient, c.lineLate)
 	}
 }
 
 // askedNothing ends a connection that has not asked for anything in its time.
 func (c *client) askedNothing() {
-	if c.conn.DeliverPending(); c.conn.isOpen() && !c.asked {
+	if c.conn.DeliverPending(); c.conn.IsOpen() && !c.asked {
 		c.end("it asked for nothing")
 	}
 }
@@ -312,7 +317,7 @@
 func (c *client) leaveAll() {
 	for id, number := range c.calls {
 		delete(c.calls, id)
-		c.front.gateway.Leave(number)
+		c.front.dispatcher.Leave(number)
 	}
 }
 
@@ -321,14 +326,14 @@
 	if open {
 		c.session.Done(id)
 		delete(c.calls, id)
-		c.front.gateway.Leave(number)
+		c.front.dispatcher.Leave(number)
 	}
 }
 
 func (c *client) call(call *jsonrpc.Call) {
 	ask := core.Ask{Name: call.RID, Class: call.Class, TableGroup: core.TableGroup(string(call.Statement)), Cost: call.Cost,
 		NeedMB: call.NeedMB, Remaining: call.Budget, Repeat: call.Repeat}
-	c.front.gateway.Take(ask, &request{client: c, call: call}, func(id core.ID) { c.calls[call.ID] = id })
+	c.front.dispatcher.Take(ask, &request{client: c, call: call}, func(id core.ID) { c.calls[call.ID] = id })
 }
 
 // request is a call of a client.
@@ -338,18 +343,18 @@
 }
 
 // Attempt sends the query to an engine.
-func (r *request) Attempt(a core.Start) Attempt {
+func (r *request) Attempt(a core.Start) dispatcher.Attempt {
 	machine, steps := enginehttp.NewQuery(enginehttp.Request{Host: a.Engine.Addr, ID: r.call.RID,
-		Class: r.client.front.gateway.Core.ClassName(r.call.Class), Key: r.call.Token, Statement: r.call.Statement})
-	g := r.client.front.gateway
-	return fly(g, g.Pool, a, a.Engine.Addr, machine, steps, func([]byte) {})
+		Class: r.client.front.dispatcher.Core.ClassName(r.call.Class), Key: r.call.Token, Statement: r.call.Statement})
+	g := r.client.front.dispatcher
+	return dispatcher.StartAttempt(g, g.Pool, a, a.Engine.Addr, machine, steps, func([]byte) {})
 }
 
 // ReadPending takes in what the client has sent by now.
 func (r *request) ReadPending() { r.client.conn.DeliverPending() }
 
 // Unread tells what of the client is not taken in yet.
-func (r *request) Unread() (some, gone bool) { return r.client.conn.peek() }
+func (r *request) Unread() (some, gone bool) { return r.client.conn.Peek() }
 
 // Answer writes the one answer of the call.
 func (r *request) Answer(reply core.Reply, result any) {
--- a/internal/netio/clients_test.go
+++ b/internal/transport/frontend/platform_test.go
@@ -1,4 +1,4 @@
-package netio
+package frontend
 
 import (
 	"bufio"
@@ -11,18 +11,20 @@
 	"testing"
 	"time"
 
+	"frostpier/internal/testutil/nettest"
+
 	"frostpier/internal/core"
 	"frostpier/internal/invariant"
 	"frostpier/internal/settings"
+	"frostpier/internal/transport/dispatcher"
+	"frostpier/internal/transport/eventloop"
 	"frostpier/policy"
 )
 
-const patience = 20 * time.Second
-
 // front starts the platform's front with no engines behind it.
-func front(t *testing.T, most, lines int, patient time.Duration) *Clients {
+func front(t *testing.T, most, lines int, patient time.Duration) *PlatformListener {
 	t.Helper()
-	loop, p := pool(t, 1)
+	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	class := policy.Class{Name: "lookup", Aim: time.Second, Deadline: time.Minute, Worth: 1, Threads: 1}
 	heart, err := core.New(settings.Host{Module: policy.Settings{Classes: []policy.Class{class}, Siblings: 1,
@@ -30,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewClients(NewGateway(loop, heart, p, log), log, most, lines)
+	f := NewPlatformListener(dispatcher.New(loop, heart, p, log), log, most, lines)
 	f.patient = patient
 	if err := f.Serve("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -40,14 +42,14 @@
 }
 
 // sendText connects and says something.
-func sendText(t *testing.T, f *Clients, text string) net.Conn {
+func sendText(t *testing.T, f *PlatformListener, text string) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", f.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(nettest.Patience))
 	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +93,7 @@
 	}
 	io.WriteString(stays, ping)
 	answered(t, stays)
-	f.gateway.Loop.Do(func() {
+	f.dispatcher.Loop.Do(func() {
 		if len(f.open) != 1 || f.unread != 0 {
 			t.Errorf("%d connections and %d bytes are left", len(f.open), f.unread)
 		}
@@ -105,9 +107,9 @@
 	half := len(ping) / 2
 	nc := sendText(t, f, ping[:half])
 	var c *client
-	line := func() (wait *Timer) {
-		until(t, "half a line", func() (some bool) {
-			f.gateway.Loop.Do(func() {
+	line := func() (wait *eventloop.Timer) {
+		nettest.Until(t, "half a line", func() (some bool) {
+			f.dispatcher.Loop.Do(func() {
 				for c = range f.open {
 					some, wait = c.unread == half, c.half
 				}
@@ -117,13 +119,13 @@
 		return wait
 	}
 	first := line()
-	sends(t, nc, ping[half:]+ping[:half])
+	nettest.Send(t, nc, ping[half:]+ping[:half])
 	answered(t, nc)
 	second := line()
 	if first == nil || second == nil || first == second {
 		t.Fatal("a line that has begun is closed when the time of the line before it is over")
 	}
-	f.gateway.Loop.Do(c.lineLate) // its own time is over now
+	f.dispatcher.Loop.Do(c.lineLate) // its own time is over now
 	ended(t, "half a line", nc)
 }
 
@@ -132,12 +134,12 @@
 // they alone had asked for nothing yet, and a call in twelve was lost with them.
 func TestWhoIsMissedLeastMakesRoom(t *testing.T) {
 	f := front(t, 4, 1<<20, time.Hour)
-	f.gateway.Loop.Do(func() {
-		now := f.gateway.Loop.Now()
+	f.dispatcher.Loop.Do(func() {
+		now := f.dispatcher.Loop.Now()
 		add := func(asked, called bool, quiet time.Duration, calls ...string) *client {
 			nc, _ := net.Pipe()
 			c := &client{front: f, called: called, asked: asked, since: now - quiet, calls: map[string]core.ID{}}
-			c.conn = NewConn(f.gateway.Loop, nc, c, 1)
+			c.conn = eventloop.NewConn(f.dispatcher.Loop, nc, c, 1)
 			for i, id := range calls {
 				c.calls[id] = core.ID(i + 1)
 			}
@@ -170,9 +172,10 @@
 	long := strings.Repeat("y", 8<<20) // more than the sockets between hold
 	first := sendText(t, f, ping)
 	answered(t, first)
-	f.gateway.Loop.Do(func() {
+	f.dispatcher.Loop.Do(func() {
 		for c := range f.open {
-			c.conn.limit, f.gateway.Loop.room = 2*len(long), 2*int64(len(long))
+			c.conn.SetWriteLimit(2 * len(long))
+			f.dispatcher.Loop.SetWriteBudget(2 * int64(len(long)))
 			c.conn.Write([]byte(long))
 		}
 	})
@@ -189,7 +192,7 @@
 	sendText(t, f, long)
 	for {
 		held := 0
-		if f.gateway.Loop.Do(func() { held = f.unread }); held == len(long) {
+		if f.dispatcher.Loop.Do(func() { held = f.unread }); held == len(long) {
 			break
 		}
 	}
