--- a/cmd/simadapter/link.go
+++ b/cmd/simadapter/link.go
@@ -19,7 +19,7 @@
 
 type instance struct {
 	gateway *policy.Gateway
-	figures []policy.Figure
+	figures []policy.Metric
 }
 
 func newLink() *link { return &link{instances: map[uint32]*instance{}} }
@@ -53,7 +53,7 @@
 		if err != nil {
 			return fmt.Errorf("settings of instance %d: %w", e.Inst, err)
 		}
-		l.instances[e.Inst] = &instance{gateway: g, figures: told.Figures}
+		l.instances[e.Inst] = &instance{gateway: g, figures: told.Metrics}
 		return nil
 	case *simproto.Teardown:
 		delete(l.instances, e.Inst)
@@ -107,24 +107,24 @@
 	switch e := ev.(type) {
 	case *simproto.WorkItem:
 		a := policy.Arrival{ID: policy.RequestID(e.Request), Class: int(e.Class), Key: e.Key,
-			TableGroup: tableGroup(e.Tables), NeedMB: float64(e.NeedMB), Remaining: span(e.Remaining),
-			Repeat: e.Opts&2 != 0}
+			TableGroup: tableGroup(e.Tables), EstimatedMemoryMB: float64(e.NeedMB), Remaining: span(e.Remaining),
+			IsClientRetry: e.Opts&2 != 0}
 		if e.Opts&1 != 0 {
-			a.Cost = span(e.Expected)
+			a.EstimatedWork = span(e.Expected)
 		}
 		return e.Inst, a
 	case *simproto.Vanished:
-		return e.Inst, policy.ClientLeft{ID: policy.RequestID(e.Request)}
+		return e.Inst, policy.ClientGone{ID: policy.RequestID(e.Request)}
 	case *simproto.Flowing:
-		return e.Inst, policy.AnswerStarted{ID: policy.RequestID(e.Request), Attempt: int(e.Attempt)}
+		return e.Inst, policy.ResponseStarted{ID: policy.RequestID(e.Request), Attempt: int(e.Attempt)}
 	case *simproto.Done:
 		return e.Inst, policy.AttemptEnded{ID: policy.RequestID(e.Request), Attempt: int(e.Attempt),
-			Engine: engineID(e.Engine), Outcome: outcome(e.Ending), Took: span(e.Took), Terminal: e.Terminal != 0,
+			Engine: engineID(e.Engine), Outcome: outcome(e.Ending), Duration: span(e.Took), Terminal: e.Terminal != 0,
 			Work: time.Duration(e.Note/4096) * time.Millisecond, UsedMB: float64(e.Note%4096) * 4,
 			Report: l.report(e.Inst, e.Load)}
 	case *simproto.CheckResult:
 		return e.Inst, policy.ProbeEnded{Engine: engineID(e.Engine), Outcome: outcome(e.Ending),
-			Took: span(e.Took), Report: l.report(e.Inst, e.Load)}
+			Duration: span(e.Took), Report: l.report(e.Inst, e.Load)}
 	case *simproto.Heartbeat:
 		if e.Kind != 1 {
 			return e.Inst, nil
@@ -142,7 +142,7 @@
 	if in == nil || load.N == 0 {
 		return policy.Report{}
 	}
-	r := policy.Report{Present: true, Values: make(map[policy.Figure]float64, load.N)}
+	r := policy.Report{Present: true, Values: make(map[policy.Metric]float64, load.N)}
 	for i := 0; i < int(load.N) && i < len(in.figures); i++ {
 		r.Values[in.figures[i]] = float64(load.Values[i])
 	}
@@ -150,8 +150,8 @@
 }
 
 var outcomes = map[uint16]policy.Outcome{
-	100: policy.OK, 301: policy.Error, 302: policy.Full, 303: policy.Timeout, 304: policy.NoConnection,
-	305: policy.Reset, 306: policy.Cancelled, 307: policy.Moot,
+	100: policy.OK, 301: policy.Error, 302: policy.Rejected, 303: policy.Timeout, 304: policy.NoConnection,
+	305: policy.Reset, 306: policy.Cancelled, 307: policy.NotSent,
 }
 
 // outcome reads an ending; an unknown one is an error, the outcome that proves nothing.
@@ -190,11 +190,11 @@
 	case policy.Send:
 		return &simproto.Dispatch{Inst: inst, Request: uint32(a.ID), Engine: wireEngine(a.Engine),
 			AllowFor: uint64(a.Timeout)}
-	case policy.Terms:
+	case policy.SetTerms:
 		return &simproto.SetTerms{Inst: inst, Request: uint32(a.ID), GrantMB: float32(a.GrantMB),
 			Priority: uint8(a.Priority)}
-	case policy.Refuse:
-		return &simproto.Refuse{Inst: inst, Request: uint32(a.ID), ComeBack: uint64(a.ComeBack)}
+	case policy.Reject:
+		return &simproto.Refuse{Inst: inst, Request: uint32(a.ID), ComeBack: uint64(a.RetryAfter)}
 	case policy.Fail:
 		return &simproto.Surrender{Inst: inst, Request: uint32(a.ID)}
 	case policy.Cancel:
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -8,45 +8,45 @@
 	"frostpier/policy"
 )
 
-// Lane is one of the two connections that an attempt may use: calling it off must not queue behind it.
-type Lane uint8
+// Channel is one of the two connections that an attempt may use: calling it off must not queue behind it.
+type Channel uint8
 
 // The lanes.
 const (
-	Main Lane = iota
-	Side
+	Primary Channel = iota
+	Control
 )
 
-// Alarm is a wait of an attempt.
-type Alarm uint8
+// Timer is a wait of an attempt.
+type Timer uint8
 
 // The alarms.
 const (
-	Silence Alarm = iota // no answer to a call for longer than it takes
-	Lost                 // the engine is out of reach for so long that the attempt cannot be out any more
-	Again                // pause before a further try to reach the engine
-	Early                // no answer without news can have come before it
-	Alarms
+	ResponseTimeout    Timer = iota // no answer to a call for longer than it takes
+	UnreachableTimeout              // the engine is out of reach for so long that the attempt cannot be out any more
+	RetryBackoff                    // pause before a further try to reach the engine
+	EarliestUpdate                  // no answer without news can have come before it
+	TimerCount
 )
 
-// Leave is asked before the first byte that makes an engine work: how long the attempt may take, and whether it
+// Permission is asked before the first byte that makes an engine work: how long the attempt may take, and whether it
 // may go out at all. Again is set where it went out before and the engine seems not to have read it.
-type Leave func(again bool) (time.Duration, bool)
+type Permission func(again bool) (time.Duration, bool)
 
 // Machine carries one attempt. Its methods return what the driver is to do, in order.
 type Machine interface {
-	// Opened says that a lane has its connection; memory stays with the connection while it lives.
-	Opened(lane Lane, memory *any, leave Leave) []Step
-	// Failed says that a lane got no connection.
-	Failed(lane Lane) []Step
-	// Fed takes bytes that a lane brought.
-	Fed(lane Lane, b []byte) []Step
-	// Broke says that a lane's connection ended.
-	Broke(lane Lane) []Step
-	// Rang says that an alarm went off.
-	Rang(a Alarm) []Step
-	// GiveUp calls the attempt off; it ends with outcome, if nothing else ends it first.
-	GiveUp(outcome policy.Outcome) []Step
+	// Connected says that a lane has its connection; memory stays with the connection while it lives.
+	Connected(lane Channel, memory *any, leave Permission) []Step
+	// ConnectFailed says that a lane got no connection.
+	ConnectFailed(lane Channel) []Step
+	// Received takes bytes that a lane brought.
+	Received(lane Channel, b []byte) []Step
+	// ConnectionLost says that a lane's connection ended.
+	ConnectionLost(lane Channel) []Step
+	// TimerFired says that an alarm went off.
+	TimerFired(a Timer) []Step
+	// Cancel calls the attempt off; it ends with outcome, if nothing else ends it first.
+	Cancel(outcome policy.Outcome) []Step
 }
 
 // Step is something that the driver is to do.
@@ -55,28 +55,28 @@
 type (
 	// Open asks for a connection: an idle one or, if Fresh, a new one.
 	Open struct {
-		Lane  Lane
-		Fresh bool
+		Channel Channel
+		Fresh   bool
 	}
 	// Write sends bytes.
 	Write struct {
-		Lane  Lane
-		Bytes []byte
+		Channel Channel
+		Bytes   []byte
 	}
 	// Release gives a connection back for others.
-	Release struct{ Lane Lane }
-	// Drop closes a connection, or ends the wait for one.
-	Drop struct{ Lane Lane }
-	// Set starts an alarm anew; 0 stops it.
-	Set struct {
-		Alarm Alarm
+	Release struct{ Channel Channel }
+	// Close closes a connection, or ends the wait for one.
+	Close struct{ Channel Channel }
+	// SetTimer starts an alarm anew; 0 stops it.
+	SetTimer struct {
+		Timer Timer
 		After time.Duration
 	}
-	// News is a note on a running query: the share done.
-	News struct{ Done float64 }
-	// Overdue says that the engine withholds the answer: it gave no word of the query in the time in which it must, and
+	// Progress is a note on a running query: the share done.
+	Progress struct{ Done float64 }
+	// ResponseOverdue says that the engine withholds the answer: it gave no word of the query in the time in which it must, and
 	// when asked again says that it is not over.
-	Overdue struct{}
+	ResponseOverdue struct{}
 	// Relay passes bytes of the answer on to the client; with the first the answer has begun.
 	Relay struct{ Bytes []byte }
 	// End is the one end of the attempt: it is not out any more.
@@ -87,12 +87,12 @@
 	}
 )
 
-func (Open) step()    {}
-func (Write) step()   {}
-func (Release) step() {}
-func (Drop) step()    {}
-func (Set) step()     {}
-func (News) step()    {}
-func (Overdue) step() {}
-func (Relay) step()   {}
-func (End) step()     {}
+func (Open) step()            {}
+func (Write) step()           {}
+func (Release) step()         {}
+func (Close) step()           {}
+func (SetTimer) step()        {}
+func (Progress) step()        {}
+func (ResponseOverdue) step() {}
+func (Relay) step()           {}
+func (End) step()             {}
--- a/internal/control/rollout/controller/gateways.go
+++ b/internal/control/rollout/controller/gateways.go
@@ -55,12 +55,12 @@
 		var classes []string
 		f.Aims = nil
 		for _, c := range host.Module.Classes {
-			classes, f.Aims = append(classes, c.Name), append(f.Aims, c.Aim)
+			classes, f.Aims = append(classes, c.Name), append(f.Aims, c.LatencyObjective)
 		}
 		n := host.Module.Number
 		switch {
-		case host.Module.Siblings != len(paths) || n < 0 || n >= len(paths):
-			return f, fmt.Errorf("%w: %s: number %d of %d, there are %d configurations", errFleet, path, n, host.Module.Siblings, len(paths))
+		case host.Module.Gateways != len(paths) || n < 0 || n >= len(paths):
+			return f, fmt.Errorf("%w: %s: number %d of %d, there are %d configurations", errFleet, path, n, host.Module.Gateways, len(paths))
 		case f.Gateways[n].Config != "":
 			return f, fmt.Errorf("%w: %s: number %d is %s's", errFleet, path, n, f.Gateways[n].Name)
 		case f.Classes != nil && !slices.Equal(f.Classes, classes):
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -23,10 +23,10 @@
 
 // Reply is the one final answer of a request. Served comes in answer to the Ended that brought the result.
 type Reply struct {
-	ID       ID
-	Verdict  Verdict
-	ComeBack time.Duration // of a refusal
-	Late     bool          // the client's time is over
+	ID               ID
+	Verdict          Verdict
+	RetryAfter       time.Duration // of a refusal
+	DeadlineExceeded bool          // the client's time is over
 }
 
 // Timer asks for a Due with this token.
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -35,15 +35,15 @@
 			return 0, false
 		}
 	}
-	if again && !c.gateway.SendAgain(now, id, n) || !again && !c.gateway.StillMay(now, id, n) {
+	if again && !c.gateway.MayResend(now, id, n) || !again && !c.gateway.AttemptAllowed(now, id, n) {
 		return 0, false
 	}
 	a.sent = true
 	return left, true
 }
 
-// Ended reports the one end of an attempt. It must come only once the attempt is certainly not out any more.
-func (c *Core) Ended(now time.Duration, id ID, n int, outcome policy.Outcome, fields []Field) []Action {
+// AttemptEnded reports the one end of an attempt. It must come only once the attempt is certainly not out any more.
+func (c *Core) AttemptEnded(now time.Duration, id ID, n int, outcome policy.Outcome, fields []Field) []Action {
 	r := c.requests[id]
 	known := r != nil && n < len(r.attempts) && !r.attempts[n].over
 	if !c.keep.Holds(known, "an attempt ends once", "request", id, "attempt", n) {
@@ -59,7 +59,7 @@
 			"engine", engineName(a.engine), "outcome", outcome, "took_ms", int64((now-a.started)/time.Millisecond))
 	}
 	c.recordLoad(now, a.engine, fields)
-	end := policy.AttemptEnded{ID: id, Attempt: n, Engine: a.engine, Outcome: outcome, Took: now - a.started,
+	end := policy.AttemptEnded{ID: id, Attempt: n, Engine: a.engine, Outcome: outcome, Duration: now - a.started,
 		Terminal: r.replied || r.begun || outcome == policy.OK, Report: c.report(fields)}
 	c.actions = nil
 	switch {
@@ -75,9 +75,9 @@
 	return actions
 }
 
-// Began says that a part of an attempt's answer goes out to the client. From then on there is no other attempt, and
+// ResponseStarted says that a part of an attempt's answer goes out to the client. From then on there is no other attempt, and
 // no time-out of the request; it reports whether the client still wants it.
-func (c *Core) Began(now time.Duration, id ID, n int) (bool, []Action) {
+func (c *Core) ResponseStarted(now time.Duration, id ID, n int) (bool, []Action) {
 	r := c.requests[id]
 	if r == nil || r.replied || n >= len(r.attempts) || r.attempts[n].over {
 		return false, nil
@@ -86,7 +86,7 @@
 		return true, nil
 	}
 	r.begun = true
-	return true, c.dispatch(now, policy.AnswerStarted{ID: id, Attempt: n})
+	return true, c.dispatch(now, policy.ResponseStarted{ID: id, Attempt: n})
 }
 
 // Progress passes on an engine's word of how far an attempt is.
@@ -94,9 +94,9 @@
 	return c.dispatch(now, policy.Progress{ID: id, Attempt: n, Done: done})
 }
 
-// Overdue passes on that an engine withholds an attempt's answer.
-func (c *Core) Overdue(now time.Duration, id ID, n int) []Action {
-	return c.dispatch(now, policy.AnswerOverdue{ID: id, Attempt: n})
+// ResponseOverdue passes on that an engine withholds an attempt's answer.
+func (c *Core) ResponseOverdue(now time.Duration, id ID, n int) []Action {
+	return c.dispatch(now, policy.ResponseOverdue{ID: id, Attempt: n})
 }
 
 func (c *Core) start(now time.Duration, s policy.Send) {
@@ -122,7 +122,7 @@
 	if len(fields) == 0 {
 		return policy.Report{}
 	}
-	out := policy.Report{Present: true, Values: make(map[policy.Figure]float64, len(fields))}
+	out := policy.Report{Present: true, Values: make(map[policy.Metric]float64, len(fields))}
 	for _, f := range fields {
 		out.Values[settings.FigureOf(f.Name)] = f.Value
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -22,7 +22,7 @@
 // The verdicts.
 const (
 	Served Verdict = iota
-	Refused
+	Rejected
 	Failed
 	Broken // failed after a part of the answer went out
 )
@@ -30,16 +30,16 @@
 // lateTicks before its client's end a request counts as answered at its deadline: the module looks every few ticks.
 const lateTicks = 10
 
-// Ask is a query as the core sees it.
-type Ask struct {
-	Name       string // by which engines know it, where they do; no two that are open or out may share one
-	Class      int
-	TableGroup int
-	Key        uint64
-	Cost       time.Duration // 0 = not told
-	NeedMB     float64
-	Remaining  time.Duration // until the client gives up
-	Repeat     bool          // a client's own retry
+// Query is a query as the core sees it.
+type Query struct {
+	Name              string // by which engines know it, where they do; no two that are open or out may share one
+	Class             int
+	TableGroup        int
+	Key               uint64
+	EstimatedWork     time.Duration // 0 = not told
+	EstimatedMemoryMB float64
+	Remaining         time.Duration // until the client gives up
+	IsClientRetry     bool          // a client's own retry
 }
 
 // Field is one value of a load report, by the name that the settings give it.
@@ -64,11 +64,11 @@
 // decisions is the part of the decision module that a Core uses.
 type decisions interface {
 	Handle(now time.Duration, event policy.Event) []policy.Action
-	SendAgain(now time.Duration, id policy.RequestID, attempt int) bool
-	StillMay(now time.Duration, id policy.RequestID, attempt int) bool
-	Believed(now time.Duration, id policy.EngineID) policy.Look
-	Explain(now time.Duration, id policy.RequestID) (held bool, by policy.Guard, looks []policy.Look)
-	Filled() policy.Fill
+	MayResend(now time.Duration, id policy.RequestID, attempt int) bool
+	AttemptAllowed(now time.Duration, id policy.RequestID, attempt int) bool
+	Estimate(now time.Duration, id policy.EngineID) policy.EngineEstimate
+	Explain(now time.Duration, id policy.RequestID) (held bool, by policy.Guard, looks []policy.EngineEstimate)
+	Utilization() policy.Utilization
 }
 
 // Core is the heart of one gateway.
@@ -106,7 +106,7 @@
 	c := &Core{gateway: gateway, host: host, log: log, keep: keep, requests: map[ID]*request{},
 		engines: map[policy.EngineID]*Engine{}, classes: map[string]int{}, names: map[string]bool{},
 		byClass: make([]ClassCounts, len(host.Module.Classes)), outAt: map[policy.EngineID]int{},
-		inService: host.Module.Siblings, reportedService: policy.InService{Count: host.Module.Siblings}}
+		inService: host.Module.Gateways, reportedService: policy.InService{Count: host.Module.Gateways}}
 	for i, class := range host.Module.Classes {
 		c.classes[class.Name] = i
 	}
@@ -119,27 +119,29 @@
 	return i, known
 }
 
-// Keyed reports whether queries of a class need a replay key.
-func (c *Core) Keyed(class int) bool { return c.host.Module.Classes[class].Effect == policy.Keyed }
+// NeedsIdempotencyKey reports whether queries of a class need a replay key.
+func (c *Core) NeedsIdempotencyKey(class int) bool {
+	return c.host.Module.Classes[class].Idempotency == policy.IdempotentWithKey
+}
 
-// Open is how many requests have no answer yet, and Out how many attempts are out.
-func (c *Core) Open() int { return c.open }
+// PendingRequests is how many requests have no answer yet, and Out how many attempts are out.
+func (c *Core) PendingRequests() int { return c.open }
 
-// Out is how many attempts have not ended.
-func (c *Core) Out() int { return c.out }
+// AttemptsInFlight is how many attempts have not ended.
+func (c *Core) AttemptsInFlight() int { return c.out }
 
 // aim is the time in which an answer is wanted; the work is known by its estimate only.
-func (c *Core) aim(a Ask) time.Duration {
+func (c *Core) aim(a Query) time.Duration {
 	if a.Class < 0 || a.Class >= len(c.byClass) {
 		return 0
 	}
 	k := c.host.Module.Classes[a.Class]
-	return k.Aim + time.Duration(k.AimStretch*float64(a.Cost)/float64(max(1, k.Threads)))
+	return k.LatencyObjective + time.Duration(k.ObjectivePerWork*float64(a.EstimatedWork)/float64(max(1, k.Threads)))
 }
 
-// Take takes a request in and gives it its number. One whose name another bears that is not over fails: the engines
+// Submit takes a request in and gives it its number. One whose name another bears that is not over fails: the engines
 // could not tell them apart, and news or the end of the one would be taken for the other's.
-func (c *Core) Take(now time.Duration, a Ask) (ID, []Action) {
+func (c *Core) Submit(now time.Duration, a Query) (ID, []Action) {
 	c.next++
 	id := c.next
 	twin := a.Name != "" && c.names[a.Name]
@@ -159,15 +161,15 @@
 	// Nobody would see it through, or it is more than the settings let one gateway hold.
 	if c.closing || c.host.MaxOpen > 0 && c.open > c.host.MaxOpen {
 		c.actions = nil
-		c.reply(now, id, Refused, c.host.ComeBack)
+		c.reply(now, id, Rejected, c.host.ComeBack)
 		return id, c.actions
 	}
-	return id, c.dispatch(now, policy.Arrival{ID: id, Class: a.Class, Key: a.Key, TableGroup: a.TableGroup, Cost: a.Cost,
-		NeedMB: a.NeedMB, Remaining: a.Remaining, Repeat: a.Repeat})
+	return id, c.dispatch(now, policy.Arrival{ID: id, Class: a.Class, Key: a.Key, TableGroup: a.TableGroup, EstimatedWork: a.EstimatedWork,
+		EstimatedMemoryMB: a.EstimatedMemoryMB, Remaining: a.Remaining, IsClientRetry: a.IsClientRetry})
 }
 
-// Leave says that the client wants no answer any more. What is out is called off.
-func (c *Core) Leave(now time.Duration, id ID) []Action {
+// Cancel says that the client wants no answer any more. What is out is called off.
+func (c *Core) Cancel(now time.Duration, id ID) []Action {
 	r := c.requests[id]
 	if r == nil || r.replied {
 		return nil
@@ -175,7 +177,7 @@
 	r.replied = true
 	c.open--
 	c.counts.Left++
-	actions := c.dispatch(now, policy.ClientLeft{ID: id})
+	actions := c.dispatch(now, policy.ClientGone{ID: id})
 	if r.begun { // the module calls off no answer that has begun, but here nobody reads it any more
 		for n, a := range r.attempts {
 			if !a.over {
@@ -187,8 +189,8 @@
 	return actions
 }
 
-// Due passes on a timer that the module asked for.
-func (c *Core) Due(now time.Duration, token uint64) []Action {
+// TimerFired passes on a timer that the module asked for.
+func (c *Core) TimerFired(now time.Duration, token uint64) []Action {
 	c.recordHeld(now)
 	return c.dispatch(now, policy.TimerFired{Token: token})
 }
@@ -206,7 +208,7 @@
 // Close has all that is open answered now, and all that comes after it refused at once.
 func (c *Core) Close(now time.Duration) []Action {
 	c.closing = true
-	return c.dispatch(now, policy.Closing{})
+	return c.dispatch(now, policy.ShuttingDown{})
 }
 
 // dispatch hands the module an event and turns its actions into the host's.
@@ -224,19 +226,19 @@
 		c.start(now, a)
 	case policy.Cancel:
 		c.actions = append(c.actions, Stop{ID: a.ID, Attempt: a.Attempt})
-	case policy.Refuse:
-		back := a.ComeBack
+	case policy.Reject:
+		back := a.RetryAfter
 		if back == 0 {
 			back = c.host.ComeBack
 		}
-		c.reply(now, a.ID, Refused, back)
+		c.reply(now, a.ID, Rejected, back)
 	case policy.Fail:
 		c.reply(now, a.ID, Failed, 0)
 	case policy.SetTimer:
 		c.actions = append(c.actions, Timer{After: a.After, Token: a.Token})
 	case policy.Log:
 		c.log.Info("decision module", "says", a.Text)
-	case policy.Subscribe, policy.Probe, policy.Terms: // discovery pushes; probes and terms are ignored here
+	case policy.Subscribe, policy.Probe, policy.SetTerms: // discovery pushes; probes and terms are ignored here
 	}
 }
 
@@ -264,15 +266,15 @@
 	case v == Served:
 		c.counts.Served++
 		k.Late++
-	case v == Refused:
+	case v == Rejected:
 		c.counts.Refused++
 		k.Refused++
 	default:
 		c.counts.Failed++
 		k.Failed++
 	}
-	c.actions = append(c.actions, Reply{ID: id, Verdict: v, ComeBack: min(back, c.host.ComeBack),
-		Late: r.end-now <= lateTicks*c.host.Module.Tick})
+	c.actions = append(c.actions, Reply{ID: id, Verdict: v, RetryAfter: min(back, c.host.ComeBack),
+		DeadlineExceeded: r.end-now <= lateTicks*c.host.Module.Tick})
 	c.forget(id, r)
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -20,12 +20,12 @@
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	keep := invariant.New(log)
-	class := policy.Class{Name: "lookup", Aim: 800 * time.Millisecond, Deadline: 4 * time.Second, Worth: 1, Threads: 1}
+	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
 	keyed := class
-	keyed.Name, keyed.Effect, keyed.Window = "form-load", policy.Keyed, 12*time.Second
+	keyed.Name, keyed.Idempotency, keyed.DedupWindow = "form-load", policy.IdempotentWithKey, 12*time.Second
 	host := settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"}, MaxOpen: 100,
-		Module: policy.Settings{Classes: []policy.Class{class, keyed}, Siblings: 1, Tick: 5 * time.Millisecond,
-			CanCancel: true, MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 8}}}}
+		Module: policy.Settings{Classes: []policy.Class{class, keyed}, Gateways: 1, Tick: 5 * time.Millisecond,
+			MayCancel: true, MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 8}}}}
 	c, err := New(host, 1, log, keep)
 	if err != nil {
 		t.Fatal(err)
@@ -48,20 +48,20 @@
 	panic("unreachable")
 }
 
-var ask = Ask{Remaining: 4 * time.Second}
+var ask = Query{Remaining: 4 * time.Second}
 
 func TestServedOnce(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, actions := c.Take(start, ask)
+	id, actions := c.Submit(start, ask)
 	s := first[Start](t, actions)
 	if left, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); !ok || left > 4*time.Second {
 		t.Fatalf("may send: %v, %v left", ok, left)
 	}
-	if r := first[Reply](t, c.Ended(start+time.Second, id, 0, policy.OK, nil)); r.Verdict != Served {
+	if r := first[Reply](t, c.AttemptEnded(start+time.Second, id, 0, policy.OK, nil)); r.Verdict != Served {
 		t.Fatalf("%+v", r)
 	}
-	if c.Leave(start+time.Second, id) != nil || c.Open() != 0 || c.Out() != 0 {
+	if c.Cancel(start+time.Second, id) != nil || c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 {
 		t.Fatal("something is left of it")
 	}
 }
@@ -71,7 +71,7 @@
 func TestDrainIsLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, _ := c.Take(start, ask)
+	id, _ := c.Submit(start, ask)
 	c.UpdateEngines(start, false, []ListedEngine{engineLine("a", policy.Draining)})
 	if _, ok := c.MaySend(start+100*time.Millisecond, id, 0, false); ok {
 		t.Fatal("a draining engine gets new work")
@@ -82,12 +82,12 @@
 func TestDeadlineAndClientAreLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	late, _ := c.Take(start, ask)
-	gone, _ := c.Take(start, ask)
+	late, _ := c.Submit(start, ask)
+	gone, _ := c.Submit(start, ask)
 	if _, ok := c.MaySend(start+4*time.Second, late, 0, false); ok {
 		t.Error("sent after the client's end")
 	}
-	first[Stop](t, c.Leave(start, gone))
+	first[Stop](t, c.Cancel(start, gone))
 	if _, ok := c.MaySend(start, gone, 0, false); ok {
 		t.Error("sent for a client that left")
 	}
@@ -97,29 +97,29 @@
 func TestLeavingMidAnswerStopsTheAttempt(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, _ := c.Take(start, ask)
+	id, _ := c.Submit(start, ask)
 	c.MaySend(start, id, 0, false)
-	if wanted, _ := c.Began(start, id, 0); !wanted {
+	if wanted, _ := c.ResponseStarted(start, id, 0); !wanted {
 		t.Fatal("not wanted")
 	}
-	first[Stop](t, c.Leave(start, id))
-	if wanted, _ := c.Began(start, id, 0); wanted {
+	first[Stop](t, c.Cancel(start, id))
+	if wanted, _ := c.ResponseStarted(start, id, 0); wanted {
 		t.Fatal("still wanted")
 	}
-	if c.Out() != 1 {
+	if c.AttemptsInFlight() != 1 {
 		t.Fatal("not out any more before the engine confirmed")
 	}
-	c.Ended(start, id, 0, policy.Cancelled, nil)
+	c.AttemptEnded(start, id, 0, policy.Cancelled, nil)
 }
 
 // Guards against a second attempt after the first row: the client would see rows of two.
 func TestNoFurtherAttemptAfterTheFirstRow(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
-	id, _ := c.Take(start, ask)
+	id, _ := c.Submit(start, ask)
 	c.MaySend(start, id, 0, false)
-	c.Began(start, id, 0)
-	actions := c.Ended(start, id, 0, policy.Reset, nil)
+	c.ResponseStarted(start, id, 0)
+	actions := c.AttemptEnded(start, id, 0, policy.Reset, nil)
 	if r := first[Reply](t, actions); r.Verdict != Broken || len(actions) != 1 {
 		t.Fatalf("%+v", actions)
 	}
@@ -127,8 +127,8 @@
 
 func TestCloseAnswersWhatIsOpen(t *testing.T) {
 	c, _ := newCore(t)
-	held, _ := c.Take(start, ask) // no engine: it is held
-	if r := first[Reply](t, c.Close(start)); r.ID != held || r.Verdict != Refused || r.ComeBack != 500*time.Millisecond {
+	held, _ := c.Submit(start, ask) // no engine: it is held
+	if r := first[Reply](t, c.Close(start)); r.ID != held || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -198,12 +198,12 @@
 			now += time.Duration(rapid.IntRange(0, 700).Draw(rt, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(rt, "event") {
 			case 0, 1:
-				id, actions := c.Take(now, Ask{Class: rapid.IntRange(0, 1).Draw(rt, "class"), Remaining: 4 * time.Second,
+				id, actions := c.Submit(now, Query{Class: rapid.IntRange(0, 1).Draw(rt, "class"), Remaining: 4 * time.Second,
 					Name: rapid.SampledFrom([]string{"", "", "n1", "n2"}).Draw(rt, "name")})
 				ids = append(ids, id)
 				carry(actions)
 			case 2:
-				carry(c.Due(now, 1<<63))
+				carry(c.TimerFired(now, 1<<63))
 			case 3:
 				health := policy.Health(rapid.IntRange(0, 2).Draw(rt, "health"))
 				carryRoster(c.UpdateEngines(now, false, []ListedEngine{engineLine(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "engine"), health)}))
@@ -212,7 +212,7 @@
 					id := rapid.SampledFrom(ids).Draw(rt, "leaves")
 					if answered[id] == 0 {
 						answered[id]++
-						carry(c.Leave(now, id))
+						carry(c.Cancel(now, id))
 					}
 				}
 			case 5:
@@ -223,11 +223,11 @@
 				if len(out[id]) == 1 {
 					n := out[id][0]
 					out[id] = nil
-					outcome := rapid.SampledFrom([]policy.Outcome{policy.OK, policy.Error, policy.Full, policy.Reset}).Draw(rt, "outcome")
+					outcome := rapid.SampledFrom([]policy.Outcome{policy.OK, policy.Error, policy.Rejected, policy.Reset}).Draw(rt, "outcome")
 					if _, ok := c.MaySend(now, id, n, false); !ok {
-						outcome = policy.Moot
+						outcome = policy.NotSent
 					}
-					carry(c.Ended(now, id, n, outcome, nil))
+					carry(c.AttemptEnded(now, id, n, outcome, nil))
 				}
 			}
 		}
@@ -237,11 +237,11 @@
 				rt.Fatalf("request %d has %d answers", id, answered[id])
 			}
 			if len(out[id]) == 1 {
-				c.Ended(now, id, out[id][0], policy.Cancelled, nil)
+				c.AttemptEnded(now, id, out[id][0], policy.Cancelled, nil)
 			}
 		}
-		if c.Open() != 0 || c.Out() != 0 || len(c.requests) != 0 || len(c.names) != 0 || keep.Broken() != 0 {
-			rt.Fatalf("left: %d open, %d out, %d known; %d broken", c.Open(), c.Out(), len(c.requests), keep.Broken())
+		if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 || len(c.requests) != 0 || len(c.names) != 0 || keep.Broken() != 0 {
+			rt.Fatalf("left: %d open, %d out, %d known; %d broken", c.PendingRequests(), c.AttemptsInFlight(), len(c.requests), keep.Broken())
 		}
 	})
 }
@@ -254,18 +254,18 @@
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	named := ask
 	named.Name = "9b1f"
-	id, _ := c.Take(start, named)
+	id, _ := c.Submit(start, named)
 	c.MaySend(start, id, 0, false)
-	_, actions := c.Take(start, named)
+	_, actions := c.Submit(start, named)
 	if r := first[Reply](t, actions); r.Verdict != Failed || len(actions) != 1 {
 		t.Fatalf("%+v, want a failure and nothing sent", actions)
 	}
-	c.Leave(start, id) // its attempt is still out
-	if _, actions = c.Take(start, named); first[Reply](t, actions).Verdict != Failed {
+	c.Cancel(start, id) // its attempt is still out
+	if _, actions = c.Submit(start, named); first[Reply](t, actions).Verdict != Failed {
 		t.Fatal("taken beside an attempt that is out")
 	}
-	c.Ended(start, id, 0, policy.Cancelled, nil)
-	if _, actions = c.Take(start, named); first[Start](t, actions).Attempt != 0 {
+	c.AttemptEnded(start, id, 0, policy.Cancelled, nil)
+	if _, actions = c.Submit(start, named); first[Start](t, actions).Attempt != 0 {
 		t.Fatal("not free again")
 	}
 }
@@ -275,7 +275,7 @@
 func TestSentAgainAsTheModuleAllows(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, _ := c.Take(start, ask)
+	id, _ := c.Submit(start, ask)
 	sent := 0
 	for ok := true; ok; sent++ {
 		_, ok = c.MaySend(start+time.Millisecond, id, 0, sent > 0)
@@ -283,7 +283,7 @@
 	if sent != 5 { // four attempts are permitted, and the fifth try is not allowed
 		t.Errorf("asked %d times until it was denied", sent)
 	}
-	id, _ = c.Take(start+time.Second, ask)
+	id, _ = c.Submit(start+time.Second, ask)
 	c.MaySend(start+time.Second, id, 0, false)
 	c.UpdateEngines(start+time.Second, false, []ListedEngine{engineLine("a", policy.Draining)})
 	if _, ok := c.MaySend(start+time.Second, id, 0, true); ok {
@@ -296,14 +296,14 @@
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	for _, took := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second} {
-		id, _ := c.Take(start, ask)
+		id, _ := c.Submit(start, ask)
 		c.MaySend(start, id, 0, false)
-		c.Ended(start+took, id, 0, policy.OK, nil)
+		c.AttemptEnded(start+took, id, 0, policy.OK, nil)
 	}
-	c.Take(start, Ask{Class: 7, Remaining: time.Second}) // of no class: fails, and counts nowhere
-	id, _ := c.Take(start, ask)
-	c.Leave(start, id)
-	c.Take(start, Ask{Class: 1, Remaining: time.Millisecond})
+	c.Submit(start, Query{Class: 7, Remaining: time.Second}) // of no class: fails, and counts nowhere
+	id, _ := c.Submit(start, ask)
+	c.Cancel(start, id)
+	c.Submit(start, Query{Class: 1, Remaining: time.Millisecond})
 	want := ClassCounts{Taken: 4, InTime: 2, Late: 1, Fast: 1}
 	if got := c.ByClass()[0]; got != want {
 		t.Errorf("look-ups: %+v, want %+v", got, want)
@@ -321,13 +321,13 @@
 	for late, want := range map[time.Duration]bool{0: true, 10 * time.Millisecond: true, time.Second: false} {
 		c, _ := newCore(t)
 		c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
-		id, actions := c.Take(start, Ask{Class: 1, Key: 7, Remaining: 20 * time.Second})
+		id, actions := c.Submit(start, Query{Class: 1, Key: 7, Remaining: 20 * time.Second})
 		s := first[Start](t, actions)
 		if _, ok := c.MaySend(start, id, s.Attempt, false); !ok {
 			t.Fatal("the first attempt may not go out")
 		}
 		at := start + window - 50*time.Millisecond
-		s = first[Start](t, c.Ended(at, id, s.Attempt, policy.Reset, nil))
+		s = first[Start](t, c.AttemptEnded(at, id, s.Attempt, policy.Reset, nil))
 		if _, ok := c.MaySend(at+late, id, s.Attempt, false); ok != want {
 			t.Errorf("%v after the decision: %t, want %t", late, ok, want)
 		}
@@ -339,8 +339,8 @@
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
 	c.Close(start)
-	_, actions := c.Take(start, ask)
-	if r := first[Reply](t, actions); r.Verdict != Refused || len(actions) != 1 {
+	_, actions := c.Submit(start, ask)
+	if r := first[Reply](t, actions); r.Verdict != Rejected || len(actions) != 1 {
 		t.Fatalf("%+v", actions)
 	}
 }
@@ -350,7 +350,7 @@
 func TestAddressIsLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, actions := c.Take(start, ask)
+	id, actions := c.Submit(start, ask)
 	s := first[Start](t, actions)
 	moved := engineLine("a", policy.Ready)
 	moved.Addr = "elsewhere:1"
@@ -358,7 +358,7 @@
 	if _, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); ok {
 		t.Fatal("the former address gets the query")
 	}
-	if s = first[Start](t, c.Ended(start+time.Millisecond, id, 0, policy.Moot, nil)); s.Engine.Addr != moved.Addr {
+	if s = first[Start](t, c.AttemptEnded(start+time.Millisecond, id, 0, policy.NotSent, nil)); s.Engine.Addr != moved.Addr {
 		t.Fatalf("%+v", s)
 	}
 }
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -27,12 +27,12 @@
 		return
 	}
 	r := c.requests[id]
-	look, fill := c.gateway.Believed(now, r.attempts[n].engine), c.gateway.Filled()
+	look, fill := c.gateway.Estimate(now, r.attempts[n].engine), c.gateway.Utilization()
 	c.log.Debug("attempt decided", "at", int64(now/time.Millisecond), "request", id, "attempt", n, "class", r.class,
-		"engine", engineName(look.Engine), "held_ms", int64((now-r.taken)/time.Millisecond), "own", look.Own,
-		"others", look.Others, "limit", look.Limit, "target", look.Target, "age_ms", ageMS(look.ReportAge),
-		"threads", c.host.Module.Classes[r.class].Threads, "out", fill.Threads, "window", fill.Window, "mean", fill.Mean,
-		"strain", fill.Strain)
+		"engine", engineName(look.Engine), "held_ms", int64((now-r.taken)/time.Millisecond), "own", look.OwnThreads,
+		"others", look.PeerThreads, "limit", look.Limit, "target", look.Target, "age_ms", ageMS(look.ReportAge),
+		"threads", c.host.Module.Classes[r.class].Threads, "out", fill.Threads, "window", fill.Window, "mean", fill.MeanPeerLoad,
+		"strain", fill.OverloadRatio)
 }
 
 // ageMS is the age of a report in milliseconds, -1 where there is none.
@@ -66,7 +66,7 @@
 }
 
 // countGuards counts engines by the guard there, and names the guards in an order of their own.
-func countGuards(looks []policy.Look) (counts map[policy.Guard]int, guards []policy.Guard) {
+func countGuards(looks []policy.EngineEstimate) (counts map[policy.Guard]int, guards []policy.Guard) {
 	counts = map[policy.Guard]int{}
 	for _, l := range looks {
 		counts[l.Guard]++
@@ -75,9 +75,9 @@
 }
 
 // whyHeld is the one word for a record: the guard on the request itself, else the one that keeps most engines from it.
-func whyHeld(by policy.Guard, looks []policy.Look) policy.Guard {
+func whyHeld(by policy.Guard, looks []policy.EngineEstimate) policy.Guard {
 	counts, guards := countGuards(looks)
-	if by != policy.ByLine || counts[policy.None] > 0 || len(looks) == 0 {
+	if by != policy.GuardQueue || counts[policy.GuardNone] > 0 || len(looks) == 0 {
 		return by
 	}
 	most := by
@@ -89,7 +89,7 @@
 	return most
 }
 
-func guardCounts(looks []policy.Look) string {
+func guardCounts(looks []policy.EngineEstimate) string {
 	counts, guards := countGuards(looks)
 	var out []string
 	for _, g := range guards {
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -49,7 +49,7 @@
 	}
 	var reports []policy.PeerReport
 	for _, w := range c.digest.Receive(now, body) {
-		reports = append(reports, policy.PeerReport{Engine: policy.EngineID(w.Engine), Inflight: float64(w.Load), At: w.At})
+		reports = append(reports, policy.PeerReport{Engine: policy.EngineID(w.Engine), Inflight: float64(w.Load), ReportedAt: w.At})
 	}
 	if len(reports) == 0 {
 		return nil
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -28,8 +28,8 @@
 // SubsetCounts describes the subset of the engines that the gateway uses.
 type SubsetCounts struct {
 	Listed, Subset, Serving int     // engines of the list, of the subset, and of the subset that are ready
-	Holders                 float64 // mean number of gateways that use an engine of the subset
-	Sharers                 int     // gateways that the decision module divides targets and memory by
+	MeanGateways            float64 // mean number of gateways that use an engine of the subset
+	GatewaysSharing         int     // gateways that the decision module divides targets and memory by
 	Added, Removed          uint64  // engines, since the start
 }
 
@@ -137,7 +137,7 @@
 
 // cold reports whether an engine may still be warming up, by the same rule as the decision module.
 func (c *Core) cold(now time.Duration, e *Engine) bool {
-	return e.info.Started > 0 && now-e.info.Started < c.host.Module.Rules.WarmAfter
+	return e.info.Started > 0 && now-e.info.Started < c.host.Module.Rules.WarmupTime
 }
 
 // anyWarmedUp reports whether an engine that the chooser counts as cold has warmed up.
@@ -349,12 +349,12 @@
 
 // SubsetCounts describes the subset for the log.
 func (c *Core) SubsetCounts() SubsetCounts {
-	out := SubsetCounts{Sharers: c.reportedService.Count}
+	out := SubsetCounts{GatewaysSharing: c.reportedService.Count}
 	out.Listed, out.Subset = c.SubsetSize()
 	if c.subset == nil {
 		return out
 	}
-	out.Holders, out.Added, out.Removed = c.subset.chooser.Holders(), c.subset.added, c.subset.removed
+	out.MeanGateways, out.Added, out.Removed = c.subset.chooser.Holders(), c.subset.added, c.subset.removed
 	for _, e := range c.engines {
 		if e.Health == policy.Ready && c.inSubset(e) {
 			out.Serving++
--- a/internal/core/subset_bench_test.go
+++ b/internal/core/subset_bench_test.go
@@ -31,9 +31,9 @@
 	b.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	host := settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, MaxOpen: 1000,
-		Module: policy.Settings{Classes: []policy.Class{{Name: "lookup", Aim: 800 * time.Millisecond, Deadline: 4 * time.Second,
-			Worth: 1, Threads: 1}}, Siblings: benchGateways, Number: 3, Zone: 3, Zones: benchZones, Tick: 5 * time.Millisecond,
-			CanCancel: true, MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 32}}}}
+		Module: policy.Settings{Classes: []policy.Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
+			Weight: 1, Threads: 1}}, Gateways: benchGateways, Number: 3, Zone: 3, Zones: benchZones, Tick: 5 * time.Millisecond,
+			MayCancel: true, MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 32}}}}
 	for zone := range benchZones {
 		host.Zones = append(host.Zones, fmt.Sprintf("z%d", zone))
 	}
@@ -100,7 +100,7 @@
 func (p *benchPlay) one() {
 	p.now += benchTook / benchOut
 	p.asked++
-	_, actions := p.core.Take(p.now, Ask{Remaining: 4 * time.Second, TableGroup: p.asked * 7919 % benchGroups, Cost: benchTook})
+	_, actions := p.core.Submit(p.now, Query{Remaining: 4 * time.Second, TableGroup: p.asked * 7919 % benchGroups, EstimatedWork: benchTook})
 	if len(starts(actions)) == 0 {
 		p.held++
 	}
@@ -108,11 +108,11 @@
 	for len(p.due) > 0 && p.due[0] <= p.now {
 		s := p.out[0]
 		p.out, p.due = p.out[1:], p.due[1:]
-		p.carry(p.core.Ended(p.now, s.ID, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 20}}))
+		p.carry(p.core.AttemptEnded(p.now, s.ID, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 20}}))
 	}
 	if p.now-p.beaten >= benchBeat {
 		p.beaten = p.now
-		p.carry(p.core.Due(p.now, 1<<63))
+		p.carry(p.core.TimerFired(p.now, 1<<63))
 	}
 }
 
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -54,10 +54,10 @@
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	keep := invariant.New(log)
-	class := policy.Class{Name: "lookup", Aim: 800 * time.Millisecond, Deadline: 4 * time.Second, Worth: 1, Threads: 1}
+	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
 	host := settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"}, MaxOpen: 1000,
-		Module: policy.Settings{Classes: []policy.Class{class}, Siblings: subsetGateways, Number: 3, Tick: 5 * time.Millisecond, CanCancel: true,
-			MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 40}}, Rules: policy.Rules{WarmAfter: 20 * time.Second}}}
+		Module: policy.Settings{Classes: []policy.Class{class}, Gateways: subsetGateways, Number: 3, Tick: 5 * time.Millisecond, MayCancel: true,
+			MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 40}}, Rules: policy.Rules{WarmupTime: 20 * time.Second}}}
 	c, err := New(host, 1, log, keep)
 	if err != nil {
 		t.Fatal(err)
@@ -160,12 +160,12 @@
 				})
 			case 1, 2:
 				both("take", func(c *Core) any {
-					id, actions := c.Take(now, ask)
+					id, actions := c.Submit(now, ask)
 					open[id] = 0
 					return actions
 				})
 			case 3:
-				both("due", func(c *Core) any { return c.Due(now, 1<<63) })
+				both("due", func(c *Core) any { return c.TimerFired(now, 1<<63) })
 			case 4:
 				gateways := rapid.IntRange(1, subsetGateways).Draw(rt, "gateways")
 				both("in service", func(c *Core) any { return c.InService(now, gateways) })
@@ -177,7 +177,7 @@
 						if r == nil || r.out == 0 || !ends {
 							return nil
 						}
-						return c.Ended(now, id, len(r.attempts)-1, policy.NoConnection, nil)
+						return c.AttemptEnded(now, id, len(r.attempts)-1, policy.NoConnection, nil)
 					})
 				}
 			case 6:
@@ -202,7 +202,7 @@
 	c.UpdateEngines(start, true, wholeList())
 	var out []Start
 	for range 40 {
-		_, actions := c.Take(start, ask)
+		_, actions := c.Submit(start, ask)
 		for _, s := range starts(actions) {
 			if _, ok := c.MaySend(start, s.ID, s.Attempt, false); !ok {
 				t.Fatal("not sent")
@@ -223,7 +223,7 @@
 			t.Fatalf("inside the subset: %t, told as %v while an attempt is out", inside, info.Health)
 		}
 		replies, disconnects := 0, 0
-		for _, a := range c.Ended(start+time.Second, s.ID, s.Attempt, policy.OK, nil) {
+		for _, a := range c.AttemptEnded(start+time.Second, s.ID, s.Attempt, policy.OK, nil) {
 			switch a := a.(type) {
 			case Reply:
 				replies++
@@ -247,12 +247,12 @@
 		t.Fatal("no engine with an attempt out has left")
 	}
 	for range 300 {
-		_, actions := c.Take(start+time.Second, ask)
+		_, actions := c.Submit(start+time.Second, ask)
 		for _, s := range starts(actions) {
 			if !c.inSubset(c.engines[s.Engine.ID]) {
 				t.Fatalf("a new attempt to %s, which has left", s.Engine.Name)
 			}
-			c.Ended(start+time.Second, s.ID, s.Attempt, policy.Moot, nil)
+			c.AttemptEnded(start+time.Second, s.ID, s.Attempt, policy.NotSent, nil)
 		}
 	}
 	if keep.Broken() > 0 {
@@ -276,7 +276,7 @@
 	if info, known := told.lastTold(other.ID); known {
 		t.Errorf("the module was told of an engine outside the subset: %+v", info)
 	}
-	_, actions := c.Take(start+time.Second, ask)
+	_, actions := c.Submit(start+time.Second, ask)
 	s := first[Start](t, actions)
 	c.UpdateEngines(start+time.Second, false, []ListedEngine{engineLine(s.Engine.Name, policy.Draining)})
 	if _, ok := c.MaySend(start+time.Second, s.ID, s.Attempt, false); ok {
@@ -306,7 +306,7 @@
 	if !known || info.Health != policy.Ready || info.Started != line.Started {
 		t.Errorf("told as %+v", info)
 	}
-	cold, warm := told.Believed(start+3*time.Second, other.ID), told.Believed(start+3*time.Second, engineID(name(0)))
+	cold, warm := told.Estimate(start+3*time.Second, other.ID), told.Estimate(start+3*time.Second, engineID(name(0)))
 	if cold.Target >= warm.Target {
 		t.Errorf("a target of %g threads at the cold engine, %g at a warm one", cold.Target, warm.Target)
 	}
@@ -355,10 +355,10 @@
 		c.TickSubset(now)
 	}
 	other, own := outside(t, c)
-	if look := told.Believed(start+2*forgetDelay, other.ID); look.Limit != 0 {
+	if look := told.Estimate(start+2*forgetDelay, other.ID); look.Limit != 0 {
 		t.Errorf("still known: %+v", look)
 	}
-	if look := told.Believed(start+2*forgetDelay, own.ID); look.Limit == 0 {
+	if look := told.Estimate(start+2*forgetDelay, own.ID); look.Limit == 0 {
 		t.Errorf("forgotten: %+v", look)
 	}
 }
@@ -380,11 +380,11 @@
 				rt.Fatalf("request %d has %d answers", id, p.answered[id])
 			}
 			if s, isOut := p.out[id]; isOut {
-				c.Ended(p.now, id, s.Attempt, policy.Cancelled, nil)
+				c.AttemptEnded(p.now, id, s.Attempt, policy.Cancelled, nil)
 			}
 		}
-		if c.Open() != 0 || c.Out() != 0 || len(c.requests) != 0 || len(c.outAt) != 0 || keep.Broken() != 0 {
-			rt.Fatalf("left: %d open, %d out, %d known, %v; %d broken", c.Open(), c.Out(), len(c.requests), c.outAt, keep.Broken())
+		if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 || len(c.requests) != 0 || len(c.outAt) != 0 || keep.Broken() != 0 {
+			rt.Fatalf("left: %d open, %d out, %d known, %v; %d broken", c.PendingRequests(), c.AttemptsInFlight(), len(c.requests), c.outAt, keep.Broken())
 		}
 		p.carry(c.UseSubset(p.now, nil))
 		for id, e := range c.engines {
@@ -440,11 +440,11 @@
 	c := p.core
 	switch rapid.IntRange(0, 9).Draw(p.t, "event") {
 	case 0, 1, 2:
-		id, actions := c.Take(p.now, ask)
+		id, actions := c.Submit(p.now, ask)
 		p.ids = append(p.ids, id)
 		p.carry(actions)
 	case 3:
-		p.carry(c.Due(p.now, 1<<63))
+		p.carry(c.TimerFired(p.now, 1<<63))
 	case 4:
 		var lines []ListedEngine
 		for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, subsetEngines-1), 0, 12, rapid.ID).Draw(p.t, "engines") {
@@ -497,12 +497,12 @@
 
 // end ends an attempt in some way.
 func (p *subsetPlay) end(s Start) {
-	outcome := rapid.SampledFrom([]policy.Outcome{policy.OK, policy.Error, policy.Full, policy.Reset}).Draw(p.t, "outcome")
+	outcome := rapid.SampledFrom([]policy.Outcome{policy.OK, policy.Error, policy.Rejected, policy.Reset}).Draw(p.t, "outcome")
 	if _, ok := p.core.MaySend(p.now, s.ID, s.Attempt, false); !ok {
-		outcome = policy.Moot
+		outcome = policy.NotSent
 	}
 	delete(p.out, s.ID)
-	p.carry(p.core.Ended(p.now, s.ID, s.Attempt, outcome, nil))
+	p.carry(p.core.AttemptEnded(p.now, s.ID, s.Attempt, outcome, nil))
 }
 
 // The module is told which engines lie beyond the core of the subset and that it works with a part of the fleet's engines;
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -52,7 +52,7 @@
 		case out.Accounts[a.User] != nil:
 			return out, fmt.Errorf("account %q stands twice", a.User)
 		}
-		out.Accounts[a.User] = &mysql.Account{User: a.User, Hash: hash, Class: class, Keyed: c.Keyed(class),
+		out.Accounts[a.User] = &mysql.Account{User: a.User, Hash: hash, Class: class, Keyed: c.NeedsIdempotencyKey(class),
 			Budget: time.Duration(a.BudgetMS) * time.Millisecond}
 	}
 	return out, nil
@@ -82,8 +82,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	if len(peers) != host.Module.Siblings {
-		return nil, fmt.Errorf("membership: %d peers, but the settings tell of %d gateways", len(peers), host.Module.Siblings)
+	if len(peers) != host.Module.Gateways {
+		return nil, fmt.Errorf("membership: %d peers, but the settings tell of %d gateways", len(peers), host.Module.Gateways)
 	}
 	interval, timeout, suspect := op.Times()
 	extensionInterval := time.Duration(0)
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -201,7 +201,7 @@
 		}
 		p.logMix()
 		p.logSubset()
-		p.log.Info("counts", "total", c.Counts(), "open", c.Open(), "out", c.Out(), "lag", p.loop.Lag(), "invariants", p.keep.Broken())
+		p.log.Info("counts", "total", c.Counts(), "open", c.PendingRequests(), "out", c.AttemptsInFlight(), "lag", p.loop.Lag(), "invariants", p.keep.Broken())
 		p.stats()
 	})
 }
--- a/internal/program/run_test.go
+++ b/internal/program/run_test.go
@@ -66,11 +66,11 @@
 	for want, change := range map[string]func(*settings.Config, *settings.Host){
 		"":            func(*settings.Config, *settings.Host) {},
 		"peer_listen": func(c *settings.Config, _ *settings.Host) { c.PeerListen = "nowhere" },
-		"3 gateways":  func(_ *settings.Config, h *settings.Host) { h.Module.Siblings = 3 },
+		"3 gateways":  func(_ *settings.Config, h *settings.Host) { h.Module.Gateways = 3 },
 		"own number":  func(_ *settings.Config, h *settings.Host) { h.Module.Number = 2 },
 		"of its own":  func(c *settings.Config, _ *settings.Host) { c.Peers = []string{"127.0.0.2:5", "127.0.0.2:5"} },
 	} {
-		conf, host := good, settings.Host{Module: policy.Settings{Siblings: 2}}
+		conf, host := good, settings.Host{Module: policy.Settings{Gateways: 2}}
 		change(&conf, &host)
 		m, err := members(&settings.Membership{Fleet: "f"}, conf, host, eventloop.New(time.Now(), 1), log, invariant.New(log), nil, false, nil, nil)
 		if m != nil {
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -23,7 +23,7 @@
 // drain is the planned stop: ping tells at once, connections and requests are still taken for the stated time, all that
 // was taken is answered, and the connections are shut in an order in which nothing that came is lost.
 func (p *program) drain() {
-	p.log.Info("stopping", "open", p.dispatcher.Core.Open(), "out", p.dispatcher.Core.Out())
+	p.log.Info("stopping", "open", p.dispatcher.Core.PendingRequests(), "out", p.dispatcher.Core.AttemptsInFlight())
 	p.clients.Drain()
 	if p.version != nil {
 		p.version.serve(false)
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -26,7 +26,7 @@
 
 // placeOf is where the settings put this gateway in its fleet.
 func placeOf(host settings.Host) driver.Place {
-	return driver.Place{Number: host.Module.Number, Gateways: host.Module.Siblings, Zones: host.Zones, Zone: host.Module.Zone}
+	return driver.Place{Number: host.Module.Number, Gateways: host.Module.Gateways, Zones: host.Zones, Zone: host.Module.Zone}
 }
 
 // ReceiveZones records the zones that another gateway reports. The next update of the subset uses them.
@@ -40,6 +40,6 @@
 		return
 	}
 	c := p.dispatcher.Core.SubsetCounts()
-	p.log.Info("subset counts", "engines", c.Listed, "subset", c.Subset, "serving", c.Serving, "holders", c.Holders, "sharers", c.Sharers,
+	p.log.Info("subset counts", "engines", c.Listed, "subset", c.Subset, "serving", c.Serving, "holders", c.MeanGateways, "sharers", c.GatewaysSharing,
 		"added", c.Added, "removed", c.Removed)
 }
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -66,7 +66,7 @@
 	if v.id.Settings, err = HashFile(os.Getenv("FROSTPIER_OPERATOR")); err != nil {
 		return nil, fmt.Errorf("FROSTPIER_OPERATOR: %w", err)
 	}
-	v.mix = rollout.NewMix(max(1, host.Module.Siblings), v.id)
+	v.mix = rollout.NewMix(max(1, host.Module.Gateways), v.id)
 	v.reporter, err = datagram.NewReporter(loop, op.Rollout.ReportTo, op.Rollout.Every(), v.compose)
 	return v, err
 }
--- a/internal/protocol/enginehttp/calls.go
+++ b/internal/protocol/enginehttp/calls.go
@@ -10,11 +10,11 @@
 )
 
 func (q *Query) askDelete() {
-	if q.up[attempt.Side] {
-		q.write(attempt.Side, q.call("DELETE", ""))
+	if q.up[attempt.Control] {
+		q.write(attempt.Control, q.call("DELETE", ""))
 		return
 	}
-	q.do(attempt.Open{Lane: attempt.Side, Fresh: q.deletes > 0})
+	q.do(attempt.Open{Channel: attempt.Control, Fresh: q.deletes > 0})
 	q.deletes++
 }
 
@@ -22,9 +22,9 @@
 // engine does not know the query: it never read it, or has nothing more of it, so there are never two out. Whether
 // it may be repeated at all, now and there, leave tells.
 func (q *Query) postAgain() {
-	if !q.up[attempt.Main] {
+	if !q.up[attempt.Primary] {
 		q.due = true
-		q.do(attempt.Open{Lane: attempt.Main, Fresh: true})
+		q.do(attempt.Open{Channel: attempt.Primary, Fresh: true})
 		return
 	}
 	if left, ok := q.leave(true); ok {
@@ -37,7 +37,7 @@
 func (q *Query) writePost(left time.Duration) {
 	q.state, q.due, q.responded, q.unread, q.unanswered = running, false, false, false, false
 	q.posted++
-	q.write(attempt.Main, q.post(left))
+	q.write(attempt.Primary, q.post(left))
 }
 
 // deleted takes the response to a DELETE: 204 confirms, anything else does not.
@@ -46,26 +46,26 @@
 		q.end(q.final)
 		return
 	}
-	q.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+	q.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 }
 
-func (q *Query) write(lane attempt.Lane, b []byte) {
+func (q *Query) write(lane attempt.Channel, b []byte) {
 	q.asked[lane] = true
-	q.do(attempt.Write{Lane: lane, Bytes: b})
+	q.do(attempt.Write{Channel: lane, Bytes: b})
 	switch {
-	case lane == attempt.Main && q.state == running:
+	case lane == attempt.Primary && q.state == running:
 		q.early = true
-		q.do(attempt.Set{Alarm: attempt.Silence, After: pollSilent}, attempt.Set{Alarm: attempt.Lost, After: lostWait},
-			attempt.Set{Alarm: attempt.Early, After: earlyWait})
-	case lane == attempt.Main && q.state == paging:
-		q.do(attempt.Set{Alarm: attempt.Silence, After: pageSilent})
+		q.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: pollSilent}, attempt.SetTimer{Timer: attempt.UnreachableTimeout, After: lostWait},
+			attempt.SetTimer{Timer: attempt.EarliestUpdate, After: earlyWait})
+	case lane == attempt.Primary && q.state == paging:
+		q.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: pageSilent})
 	}
 }
 
-func (q *Query) drop(lane attempt.Lane) {
+func (q *Query) drop(lane attempt.Channel) {
 	if q.up[lane] {
 		q.up[lane], q.asked[lane] = false, false
-		q.do(attempt.Drop{Lane: lane})
+		q.do(attempt.Close{Channel: lane})
 	}
 }
 
--- a/internal/protocol/enginehttp/enginehttp_test.go
+++ b/internal/protocol/enginehttp/enginehttp_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	q, _ := NewQuery(Request{Host: "e:1", ID: "9b1f", Class: "lookup", Statement: []byte("SELECT 1")})
 	var memory any
-	steps := q.Opened(attempt.Main, &memory, leave)
+	steps := q.Connected(attempt.Primary, &memory, leave)
 	if w := wrote(steps); !strings.HasPrefix(w, "POST /v2/q HTTP/1.1\r\n") || !strings.HasSuffix(w, "\r\n\r\nSELECT 1") {
 		t.Fatalf("wrote %q", w)
 	}
@@ -46,17 +46,17 @@
 	return nil
 }
 
-func opens(steps []attempt.Step, lane attempt.Lane) bool {
+func opens(steps []attempt.Step, lane attempt.Channel) bool {
 	for _, s := range steps {
-		if o, ok := s.(attempt.Open); ok && o.Lane == lane {
+		if o, ok := s.(attempt.Open); ok && o.Channel == lane {
 			return true
 		}
 	}
 	return false
 }
 
-func drops(steps []attempt.Step, lane attempt.Lane) bool {
-	return slices.Contains(steps, attempt.Step(attempt.Drop{Lane: lane}))
+func drops(steps []attempt.Step, lane attempt.Channel) bool {
+	return slices.Contains(steps, attempt.Step(attempt.Close{Channel: lane}))
 }
 
 func response(status int, body string, heads ...string) []byte {
@@ -66,10 +66,10 @@
 
 func TestOutcomes(t *testing.T) {
 	for want, bytes := range map[policy.Outcome][]byte{
-		policy.OK: response(200, "a\n", "Page-Count: 1"), policy.Full: response(503, "", "X-No-Effect: 1"),
-		policy.Error: response(500, ""), policy.Moot: response(504, "", "X-No-Effect: 1"),
+		policy.OK: response(200, "a\n", "Page-Count: 1"), policy.Rejected: response(503, "", "X-No-Effect: 1"),
+		policy.Error: response(500, ""), policy.NotSent: response(504, "", "X-No-Effect: 1"),
 	} {
-		if e := endOf(begin(t).Fed(attempt.Main, bytes)); e == nil || e.Outcome != want {
+		if e := endOf(begin(t).Received(attempt.Primary, bytes)); e == nil || e.Outcome != want {
 			t.Errorf("%.20q ends as %+v, want %v", bytes, e, want)
 		}
 	}
@@ -80,16 +80,16 @@
 // not even that proves an end.
 func TestBrokenConnectionIsNoEnd(t *testing.T) {
 	q := begin(t)
-	if steps := q.Broke(attempt.Main); endOf(steps) != nil || !opens(steps, attempt.Main) {
+	if steps := q.ConnectionLost(attempt.Primary); endOf(steps) != nil || !opens(steps, attempt.Primary) {
 		t.Fatalf("%+v", steps)
 	}
-	if steps := q.Failed(attempt.Main); endOf(steps) != nil {
+	if steps := q.ConnectFailed(attempt.Primary); endOf(steps) != nil {
 		t.Fatalf("refused: %+v", steps)
 	}
-	if steps := q.Rang(attempt.Again); !opens(steps, attempt.Main) {
+	if steps := q.TimerFired(attempt.RetryBackoff); !opens(steps, attempt.Primary) {
 		t.Fatalf("does not try again: %+v", steps)
 	}
-	if e := endOf(q.Rang(attempt.Lost)); e == nil || e.Outcome != policy.Reset {
+	if e := endOf(q.TimerFired(attempt.UnreachableTimeout)); e == nil || e.Outcome != policy.Reset {
 		t.Fatalf("after 2 s unasked: %+v", e)
 	}
 }
@@ -97,55 +97,55 @@
 // Guards against reporting a cancelled attempt as ended before the engine has confirmed it.
 func TestGivenUpIsOutUntilConfirmed(t *testing.T) {
 	q := begin(t)
-	if steps := q.GiveUp(policy.Cancelled); endOf(steps) != nil || !opens(steps, attempt.Side) {
+	if steps := q.Cancel(policy.Cancelled); endOf(steps) != nil || !opens(steps, attempt.Control) {
 		t.Fatalf("%+v", steps)
 	}
 	var memory any
-	if w := wrote(q.Opened(attempt.Side, &memory, leave)); !strings.HasPrefix(w, "DELETE /v2/q/9b1f HTTP/1.1\r\n") {
+	if w := wrote(q.Connected(attempt.Control, &memory, leave)); !strings.HasPrefix(w, "DELETE /v2/q/9b1f HTTP/1.1\r\n") {
 		t.Fatalf("wrote %q", w)
 	}
-	if steps := q.Fed(attempt.Main, response(202, "")); endOf(steps) != nil || wrote(steps) != "" {
+	if steps := q.Received(attempt.Primary, response(202, "")); endOf(steps) != nil || wrote(steps) != "" {
 		t.Fatalf("asked for again, or ended: %+v", steps)
 	}
-	if steps := q.Fed(attempt.Side, response(500, "")); endOf(steps) != nil {
+	if steps := q.Received(attempt.Control, response(500, "")); endOf(steps) != nil {
 		t.Fatalf("500 taken for a confirmation: %+v", steps)
 	}
-	q.Rang(attempt.Again)
-	if e := endOf(q.Fed(attempt.Side, response(204, ""))); e == nil || e.Outcome != policy.Cancelled {
+	q.TimerFired(attempt.RetryBackoff)
+	if e := endOf(q.Received(attempt.Control, response(204, ""))); e == nil || e.Outcome != policy.Cancelled {
 		t.Fatalf("%+v", e)
 	}
 }
 
 func TestNothingWrittenNeverRan(t *testing.T) {
 	q, _ := NewQuery(Request{})
-	if e := endOf(q.GiveUp(policy.Cancelled)); e == nil || e.Outcome != policy.Moot {
+	if e := endOf(q.Cancel(policy.Cancelled)); e == nil || e.Outcome != policy.NotSent {
 		t.Fatalf("given up before its connection: %+v", e)
 	}
 	q, _ = NewQuery(Request{})
-	if e := endOf(q.Failed(attempt.Main)); e == nil || e.Outcome != policy.NoConnection {
+	if e := endOf(q.ConnectFailed(attempt.Primary)); e == nil || e.Outcome != policy.NoConnection {
 		t.Fatalf("no connection: %+v", e)
 	}
 	q, _ = NewQuery(Request{})
 	var memory any
-	steps := q.Opened(attempt.Main, &memory, func(bool) (time.Duration, bool) { return 0, false })
-	if e := endOf(steps); e == nil || e.Outcome != policy.Moot || wrote(steps) != "" {
+	steps := q.Connected(attempt.Primary, &memory, func(bool) (time.Duration, bool) { return 0, false })
+	if e := endOf(steps); e == nil || e.Outcome != policy.NotSent || wrote(steps) != "" {
 		t.Fatalf("no leave: %+v", steps)
 	}
 }
 
 func TestPages(t *testing.T) {
 	q := begin(t)
-	if w := wrote(q.Fed(attempt.Main, response(200, "a\n", "Page-Count: 2"))); !strings.HasPrefix(w, "GET /v2/q/9b1f/1 ") {
+	if w := wrote(q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))); !strings.HasPrefix(w, "GET /v2/q/9b1f/1 ") {
 		t.Fatalf("wrote %q", w)
 	}
-	if e := endOf(q.Fed(attempt.Main, response(200, "b\n", "Page-No: 1"))); e == nil || string(e.Result) != "a\nb\n" {
+	if e := endOf(q.Received(attempt.Primary, response(200, "b\n", "Page-No: 1"))); e == nil || string(e.Result) != "a\nb\n" {
 		t.Fatalf("%+v", e)
 	}
 	for name, page := range map[string][]byte{"missing": response(500, ""),
 		"too large": response(200, strings.Repeat("x", maxResult)+"\n", "Page-No: 1")} {
 		q := begin(t)
-		q.Fed(attempt.Main, response(200, "a\n", "Page-Count: 2"))
-		if e := endOf(q.Fed(attempt.Main, page)); e == nil || e.Outcome != policy.Error {
+		q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))
+		if e := endOf(q.Received(attempt.Primary, page)); e == nil || e.Outcome != policy.Error {
 			t.Errorf("%s page: %+v", name, e)
 		}
 	}
@@ -176,19 +176,19 @@
 	for name, b := range spoilt {
 		q := begin(t)
 		for range tries - 1 {
-			steps := q.Fed(attempt.Main, b)
-			if endOf(steps) != nil || !opens(steps, attempt.Main) || !drops(steps, attempt.Main) {
+			steps := q.Received(attempt.Primary, b)
+			if endOf(steps) != nil || !opens(steps, attempt.Primary) || !drops(steps, attempt.Primary) {
 				t.Fatalf("%s: %+v", name, steps)
 			}
-			if w := wrote(q.Opened(attempt.Main, &memory, leave)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
+			if w := wrote(q.Connected(attempt.Primary, &memory, leave)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
 				t.Fatalf("%s: wrote %q", name, w)
 			}
 		}
 		good := *q
-		if e := endOf(good.Fed(attempt.Main, response(200, "a\n", "Page-Count: 1"))); e == nil || string(e.Result) != "a\n" {
+		if e := endOf(good.Received(attempt.Primary, response(200, "a\n", "Page-Count: 1"))); e == nil || string(e.Result) != "a\n" {
 			t.Errorf("%s: %+v after it came well", name, e)
 		}
-		if steps := q.Fed(attempt.Main, b); endOf(steps) != nil || !opens(steps, attempt.Side) {
+		if steps := q.Received(attempt.Primary, b); endOf(steps) != nil || !opens(steps, attempt.Control) {
 			t.Errorf("%s: %+v, want it called off at last", name, steps)
 		}
 	}
@@ -199,22 +199,22 @@
 func TestSpoiltPageIsAskedForAgain(t *testing.T) {
 	var memory any
 	for name, lose := range map[string]func(q *Query) []attempt.Step{
-		"another": func(q *Query) []attempt.Step { return q.Fed(attempt.Main, response(200, "b\n", "Page-No: 2")) },
-		"noise":   func(q *Query) []attempt.Step { return q.Fed(attempt.Main, []byte("\x9b\r\n\r\n")) },
-		"cut row": func(q *Query) []attempt.Step { return q.Fed(attempt.Main, response(200, "b", "Page-No: 1")) },
-		"broken":  func(q *Query) []attempt.Step { return q.Broke(attempt.Main) },
-		"silence": func(q *Query) []attempt.Step { return q.Rang(attempt.Silence) },
+		"another": func(q *Query) []attempt.Step { return q.Received(attempt.Primary, response(200, "b\n", "Page-No: 2")) },
+		"noise":   func(q *Query) []attempt.Step { return q.Received(attempt.Primary, []byte("\x9b\r\n\r\n")) },
+		"cut row": func(q *Query) []attempt.Step { return q.Received(attempt.Primary, response(200, "b", "Page-No: 1")) },
+		"broken":  func(q *Query) []attempt.Step { return q.ConnectionLost(attempt.Primary) },
+		"silence": func(q *Query) []attempt.Step { return q.TimerFired(attempt.ResponseTimeout) },
 	} {
 		q := begin(t)
-		q.Fed(attempt.Main, response(200, "a\n", "Page-Count: 2"))
+		q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))
 		for range tries - 1 {
-			if steps := lose(q); endOf(steps) != nil || !opens(steps, attempt.Main) {
+			if steps := lose(q); endOf(steps) != nil || !opens(steps, attempt.Primary) {
 				t.Fatalf("%s: %+v", name, steps)
 			}
-			q.Opened(attempt.Main, &memory, leave)
+			q.Connected(attempt.Primary, &memory, leave)
 		}
 		good := *q
-		if e := endOf(good.Fed(attempt.Main, response(200, "b\n", "Page-No: 1"))); e == nil || string(e.Result) != "a\nb\n" {
+		if e := endOf(good.Received(attempt.Primary, response(200, "b\n", "Page-No: 1"))); e == nil || string(e.Result) != "a\nb\n" {
 			t.Errorf("%s: %+v after it came well", name, e)
 		}
 		if e := endOf(lose(q)); e == nil || e.Outcome != policy.Error {
@@ -228,8 +228,8 @@
 	good := response(200, "a\n", "Page-Count: 1")
 	for _, more := range [][]byte{good, []byte("noise")} {
 		b := append([]byte("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"), good...)
-		steps := begin(t).Fed(attempt.Main, append(b, more...))
-		if e := endOf(steps); e == nil || string(e.Result) != "a\n" || !drops(steps, attempt.Main) {
+		steps := begin(t).Received(attempt.Primary, append(b, more...))
+		if e := endOf(steps); e == nil || string(e.Result) != "a\n" || !drops(steps, attempt.Primary) {
 			t.Errorf("%+v", steps)
 		}
 	}
@@ -244,7 +244,7 @@
 		var e *attempt.End
 		for len(rest) > 0 {
 			n := rapid.IntRange(1, len(rest)).Draw(rt, "piece")
-			e = endOf(q.Fed(attempt.Main, rest[:n]))
+			e = endOf(q.Received(attempt.Primary, rest[:n]))
 			rest = rest[n:]
 		}
 		if e == nil || e.Outcome != policy.OK || !bytes.Equal(e.Result, []byte("abcd\n")) {
@@ -261,21 +261,21 @@
 		q, ends := begin(t), 0
 		var memory any
 		for range rapid.IntRange(1, 25).Draw(rt, "events") {
-			lane := attempt.Lane(rapid.IntRange(0, 1).Draw(rt, "lane"))
+			lane := attempt.Channel(rapid.IntRange(0, 1).Draw(rt, "lane"))
 			var steps []attempt.Step
 			switch rapid.IntRange(0, 7).Draw(rt, "event") {
 			case 0:
-				steps = q.GiveUp(policy.Cancelled)
+				steps = q.Cancel(policy.Cancelled)
 			case 1:
-				steps = q.Broke(lane)
+				steps = q.ConnectionLost(lane)
 			case 2:
-				steps = q.Opened(lane, &memory, leave)
+				steps = q.Connected(lane, &memory, leave)
 			case 3:
-				steps = q.Rang(attempt.Alarm(rapid.IntRange(0, 2).Draw(rt, "alarm")))
+				steps = q.TimerFired(attempt.Timer(rapid.IntRange(0, 2).Draw(rt, "alarm")))
 			case 4:
-				steps = q.Fed(lane, rapid.SliceOfN(rapid.Byte(), 1, 50).Draw(rt, "bytes"))
+				steps = q.Received(lane, rapid.SliceOfN(rapid.Byte(), 1, 50).Draw(rt, "bytes"))
 			default:
-				steps = q.Fed(lane, []byte(strings.Join(rapid.SliceOf(heads).Draw(rt, "heads"), "")))
+				steps = q.Received(lane, []byte(strings.Join(rapid.SliceOf(heads).Draw(rt, "heads"), "")))
 			}
 			if endOf(steps) != nil {
 				ends++
@@ -300,12 +300,12 @@
 			allowed--
 			return time.Second, allowed >= 0 && again == (allowed < all-1)
 		}
-		for w := wrote(q.Opened(attempt.Main, &memory, leave)); strings.HasPrefix(w, "POST "); w = wrote(steps) {
-			q.Broke(attempt.Main)
-			if w := wrote(q.Opened(attempt.Main, &memory, leave)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
+		for w := wrote(q.Connected(attempt.Primary, &memory, leave)); strings.HasPrefix(w, "POST "); w = wrote(steps) {
+			q.ConnectionLost(attempt.Primary)
+			if w := wrote(q.Connected(attempt.Primary, &memory, leave)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
 				t.Fatalf("wrote %q", w)
 			}
-			steps = q.Fed(attempt.Main, response(500, ""))
+			steps = q.Received(attempt.Primary, response(500, ""))
 		}
 		return q, steps
 	}
@@ -316,20 +316,20 @@
 		}
 	}
 	q := begin(t)
-	q.Broke(attempt.Main)
-	q.Opened(attempt.Main, &memory, leave)
-	steps := q.Fed(attempt.Main, response(500, "", "Connection: close"))
-	if !opens(steps, attempt.Main) || endOf(steps) != nil {
+	q.ConnectionLost(attempt.Primary)
+	q.Connected(attempt.Primary, &memory, leave)
+	steps := q.Received(attempt.Primary, response(500, "", "Connection: close"))
+	if !opens(steps, attempt.Primary) || endOf(steps) != nil {
 		t.Fatalf("%+v", steps)
 	}
-	if w := wrote(q.Opened(attempt.Main, &memory, leave)); !strings.HasPrefix(w, "POST ") {
+	if w := wrote(q.Connected(attempt.Primary, &memory, leave)); !strings.HasPrefix(w, "POST ") {
 		t.Fatalf("wrote %q on the new connection", w)
 	}
 	q = begin(t) // one that the engine had
-	q.Fed(attempt.Main, response(202, ""))
-	q.Broke(attempt.Main)
-	q.Opened(attempt.Main, &memory, leave)
-	if e := endOf(q.Fed(attempt.Main, response(500, ""))); e == nil || e.Outcome != policy.Error {
+	q.Received(attempt.Primary, response(202, ""))
+	q.ConnectionLost(attempt.Primary)
+	q.Connected(attempt.Primary, &memory, leave)
+	if e := endOf(q.Received(attempt.Primary, response(500, ""))); e == nil || e.Outcome != policy.Error {
 		t.Fatalf("sent again though it ran: %+v", e)
 	}
 }
@@ -338,8 +338,8 @@
 // arrives is answered 500, as the query is not known any more.
 func TestUnknownAfterGivingUpIsItsEnd(t *testing.T) {
 	q := begin(t)
-	q.GiveUp(policy.Cancelled)
-	if e := endOf(q.Fed(attempt.Main, response(500, ""))); e == nil || e.Outcome != policy.Cancelled {
+	q.Cancel(policy.Cancelled)
+	if e := endOf(q.Received(attempt.Primary, response(500, ""))); e == nil || e.Outcome != policy.Cancelled {
 		t.Fatalf("%+v", e)
 	}
 }
@@ -350,20 +350,20 @@
 	var memory any
 	silence := func(steps []attempt.Step) time.Duration {
 		for _, s := range steps {
-			if a, ok := s.(attempt.Set); ok && a.Alarm == attempt.Silence && a.After > 0 {
+			if a, ok := s.(attempt.SetTimer); ok && a.Timer == attempt.ResponseTimeout && a.After > 0 {
 				return a.After
 			}
 		}
 		return 0
 	}
 	q, _ := NewQuery(Request{})
-	if d := silence(q.Opened(attempt.Main, &memory, leave)); d <= pollWait || d > pollWait+100*time.Millisecond {
+	if d := silence(q.Connected(attempt.Primary, &memory, leave)); d <= pollWait || d > pollWait+100*time.Millisecond {
 		t.Errorf("%v after a POST", d)
 	}
-	if d := silence(q.Fed(attempt.Main, response(202, ""))); d <= pollWait || d > pollWait+100*time.Millisecond {
+	if d := silence(q.Received(attempt.Primary, response(202, ""))); d <= pollWait || d > pollWait+100*time.Millisecond {
 		t.Errorf("%v after a poll", d)
 	}
-	if d := silence(q.Fed(attempt.Main, response(200, "a\n", "Page-Count: 2"))); d <= 0 || d >= pollWait {
+	if d := silence(q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))); d <= 0 || d >= pollWait {
 		t.Errorf("%v after asking for a page", d)
 	}
 }
@@ -373,22 +373,24 @@
 // was only lost gets it again at once, and one that had a word before runs on.
 func TestWithheldAnswerIsTold(t *testing.T) {
 	var memory any
-	overdue := func(steps []attempt.Step) bool { return slices.Contains(steps, attempt.Step(attempt.Overdue{})) }
+	overdue := func(steps []attempt.Step) bool {
+		return slices.Contains(steps, attempt.Step(attempt.ResponseOverdue{}))
+	}
 	q := begin(t)
-	q.Rang(attempt.Silence)
-	q.Opened(attempt.Main, &memory, leave)
-	steps := q.Fed(attempt.Main, response(202, ""))
+	q.TimerFired(attempt.ResponseTimeout)
+	q.Connected(attempt.Primary, &memory, leave)
+	steps := q.Received(attempt.Primary, response(202, ""))
 	if !overdue(steps) || endOf(steps) != nil {
 		t.Fatalf("%+v", steps)
 	}
-	if overdue(q.Fed(attempt.Main, response(202, ""))) {
+	if overdue(q.Received(attempt.Primary, response(202, ""))) {
 		t.Error("told twice")
 	}
 	q = begin(t)
-	q.Fed(attempt.Main, response(202, ""))
-	q.Rang(attempt.Silence)
-	q.Opened(attempt.Main, &memory, leave)
-	if overdue(q.Fed(attempt.Main, response(202, ""))) {
+	q.Received(attempt.Primary, response(202, ""))
+	q.TimerFired(attempt.ResponseTimeout)
+	q.Connected(attempt.Primary, &memory, leave)
+	if overdue(q.Received(attempt.Primary, response(202, ""))) {
 		t.Error("told of one that had a word before")
 	}
 }
@@ -399,12 +401,12 @@
 	for _, status := range []int{503, 504} {
 		var memory any
 		q := begin(t)
-		q.Broke(attempt.Main)
-		q.Opened(attempt.Main, &memory, leave)
-		if w := wrote(q.Fed(attempt.Main, response(500, ""))); !strings.HasPrefix(w, "POST ") {
+		q.ConnectionLost(attempt.Primary)
+		q.Connected(attempt.Primary, &memory, leave)
+		if w := wrote(q.Received(attempt.Primary, response(500, ""))); !strings.HasPrefix(w, "POST ") {
 			t.Fatalf("wrote %q, want the query once more", w)
 		}
-		if e := endOf(q.Fed(attempt.Main, response(status, "", "X-No-Effect: 1"))); e == nil || e.Outcome.NeverRan() {
+		if e := endOf(q.Received(attempt.Primary, response(status, "", "X-No-Effect: 1"))); e == nil || e.Outcome.NeverRan() {
 			t.Errorf("%d: %+v", status, e)
 		}
 	}
@@ -439,14 +441,14 @@
 		"news, then none in time": {note, bare, true, false}, "news again in time": {note, note, true, false},
 	} {
 		q := begin(t)
-		q.Rang(attempt.Early)
-		q.Fed(attempt.Main, c.first)
+		q.TimerFired(attempt.EarliestUpdate)
+		q.Received(attempt.Primary, c.first)
 		if c.due {
-			q.Rang(attempt.Early)
+			q.TimerFired(attempt.EarliestUpdate)
 		}
-		q.Fed(attempt.Main, c.second)
-		steps := q.Fed(attempt.Main, response(200, "a\n", "Page-Count: 1"))
-		if e := endOf(steps); e == nil || e.Outcome != policy.OK || drops(steps, attempt.Main) != c.spoils {
+		q.Received(attempt.Primary, c.second)
+		steps := q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 1"))
+		if e := endOf(steps); e == nil || e.Outcome != policy.OK || drops(steps, attempt.Primary) != c.spoils {
 			t.Errorf("%s: %+v", name, steps)
 		}
 	}
--- a/internal/protocol/enginehttp/golden_test.go
+++ b/internal/protocol/enginehttp/golden_test.go
@@ -20,47 +20,47 @@
 
 var goldenConversations = []conversation{
 	{"served at once", func(q *Query, note func(string, []attempt.Step)) {
-		note("200", q.Fed(attempt.Main, response(200, "a\n", "Page-Count: 1")))
+		note("200", q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 1")))
 	}},
 	{"served in pages after polls", func(q *Query, note func(string, []attempt.Step)) {
-		note("202", q.Fed(attempt.Main, response(202, "", "X-Tell: done", "Figure: 0.25", "X-Report: inflight=3")))
-		note("202", q.Fed(attempt.Main, response(202, "", "X-Tell: spill", "Figure: 40")))
-		note("200", q.Fed(attempt.Main, response(200, "a\n", "Page-Count: 2", "X-Report: inflight=4")))
-		note("200", q.Fed(attempt.Main, response(200, "b\n", "Page-No: 1")))
+		note("202", q.Received(attempt.Primary, response(202, "", "X-Tell: done", "Figure: 0.25", "X-Report: inflight=3")))
+		note("202", q.Received(attempt.Primary, response(202, "", "X-Tell: spill", "Figure: 40")))
+		note("200", q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2", "X-Report: inflight=4")))
+		note("200", q.Received(attempt.Primary, response(200, "b\n", "Page-No: 1")))
 	}},
 	{"turned away", func(q *Query, note func(string, []attempt.Step)) {
-		note("503", q.Fed(attempt.Main, response(503, "", "X-No-Effect: 1")))
+		note("503", q.Received(attempt.Primary, response(503, "", "X-No-Effect: 1")))
 	}},
 	{"failed", func(q *Query, note func(string, []attempt.Step)) {
-		note("500", q.Fed(attempt.Main, response(500, "x")))
+		note("500", q.Received(attempt.Primary, response(500, "x")))
 	}},
 	{"connection lost, then found", func(q *Query, note func(string, []attempt.Step)) {
 		var memory any
-		note("lost", q.Broke(attempt.Main))
-		note("opened", q.Opened(attempt.Main, &memory, leave))
-		note("404", q.Fed(attempt.Main, response(404, "")))
-		note("opened", q.Opened(attempt.Main, &memory, leave))
-		note("200", q.Fed(attempt.Main, response(200, "a\n", "Page-Count: 1")))
+		note("lost", q.ConnectionLost(attempt.Primary))
+		note("opened", q.Connected(attempt.Primary, &memory, leave))
+		note("404", q.Received(attempt.Primary, response(404, "")))
+		note("opened", q.Connected(attempt.Primary, &memory, leave))
+		note("200", q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 1")))
 	}},
 	{"cancelled and confirmed", func(q *Query, note func(string, []attempt.Step)) {
 		var memory any
-		note("cancel", q.GiveUp(policy.Cancelled))
-		note("opened", q.Opened(attempt.Side, &memory, leave))
-		note("204", q.Fed(attempt.Side, response(204, "")))
+		note("cancel", q.Cancel(policy.Cancelled))
+		note("opened", q.Connected(attempt.Control, &memory, leave))
+		note("204", q.Received(attempt.Control, response(204, "")))
 	}},
 	{"no answer in time", func(q *Query, note func(string, []attempt.Step)) {
-		for a := range attempt.Alarms {
-			note("timer", q.Rang(a))
+		for a := range attempt.TimerCount {
+			note("timer", q.TimerFired(a))
 		}
 	}},
 	{"no connection", func(q *Query, note func(string, []attempt.Step)) {
-		note("broke", q.Broke(attempt.Main))
-		note("failed", q.Failed(attempt.Main))
-		note("timer", q.Rang(attempt.Again))
-		note("timer", q.Rang(attempt.Lost))
+		note("broke", q.ConnectionLost(attempt.Primary))
+		note("failed", q.ConnectFailed(attempt.Primary))
+		note("timer", q.TimerFired(attempt.RetryBackoff))
+		note("timer", q.TimerFired(attempt.UnreachableTimeout))
 	}},
 	{"unreadable answer", func(q *Query, note func(string, []attempt.Step)) {
-		note("noise", q.Fed(attempt.Main, []byte("noise\r\n\r\n")))
+		note("noise", q.Received(attempt.Primary, []byte("noise\r\n\r\n")))
 	}},
 }
 
@@ -74,7 +74,7 @@
 		var memory any
 		q, steps := NewQuery(goldenRequest)
 		note("new", steps)
-		note("opened", q.Opened(attempt.Main, &memory, leave))
+		note("opened", q.Connected(attempt.Primary, &memory, leave))
 		c.play(q, note)
 	}
 	testutil.Golden(t, "engine.golden", []byte(out.String()))
--- a/internal/protocol/enginehttp/pages.go
+++ b/internal/protocol/enginehttp/pages.go
@@ -10,10 +10,10 @@
 func (q *Query) firstPage(res *Response) {
 	total, err := strconv.Atoi(res.Head.Get("Page-Count"))
 	if err != nil || total < 1 || total > maxPages || !wholeRows(res.Body) {
-		q.malformed(attempt.Main)
+		q.malformed(attempt.Primary)
 		return
 	}
-	q.do(attempt.Set{Alarm: attempt.Lost, After: 0})
+	q.do(attempt.SetTimer{Timer: attempt.UnreachableTimeout, After: 0})
 	if q.state == closing && total > 1 { // the DELETE takes its pages away
 		q.end(q.final)
 		return
@@ -27,7 +27,7 @@
 	case res.Status == 500:
 		q.end(policy.Error) // a page that the engine no longer knows
 	case res.Status != 200 || number != strconv.Itoa(len(q.pages)) || !wholeRows(res.Body):
-		q.malformed(attempt.Main)
+		q.malformed(attempt.Primary)
 	default:
 		q.keepPage(res.Body)
 	}
@@ -43,10 +43,10 @@
 		q.end(policy.Error)
 	case len(q.pages) == q.total:
 		q.end(policy.OK)
-	case q.up[attempt.Main]:
-		q.write(attempt.Main, q.call("GET", "/"+strconv.Itoa(len(q.pages))))
+	case q.up[attempt.Primary]:
+		q.write(attempt.Primary, q.call("GET", "/"+strconv.Itoa(len(q.pages))))
 	default:
-		q.do(attempt.Open{Lane: attempt.Main})
+		q.do(attempt.Open{Channel: attempt.Primary})
 	}
 }
 
@@ -56,5 +56,5 @@
 		q.end(policy.Error)
 		return
 	}
-	q.do(attempt.Set{Alarm: attempt.Silence, After: 0}, attempt.Open{Lane: attempt.Main, Fresh: true})
+	q.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: 0}, attempt.Open{Channel: attempt.Primary, Fresh: true})
 }
--- a/internal/protocol/enginehttp/query.go
+++ b/internal/protocol/enginehttp/query.go
@@ -57,7 +57,7 @@
 	spoilt     int // answers in a row that could not be read
 	report     string
 	deletes    int
-	leave      attempt.Leave
+	leave      attempt.Permission
 	posted     int       // how often the POST was written
 	due        bool      // it is to be written anew
 	responded  bool      // something came since it was
@@ -72,7 +72,7 @@
 // NewQuery makes a query and its first steps.
 func NewQuery(req Request) (*Query, []attempt.Step) {
 	q := &Query{req: req}
-	return q, q.flush(attempt.Open{Lane: attempt.Main})
+	return q, q.flush(attempt.Open{Channel: attempt.Primary})
 }
 
 func (q *Query) do(s ...attempt.Step) { q.steps = append(q.steps, s...) }
@@ -84,43 +84,43 @@
 	return out
 }
 
-// Opened says that a lane has its connection. leave tells, before the first byte, whether the attempt may still go
+// Connected says that a lane has its connection. leave tells, before the first byte, whether the attempt may still go
 // out, and how long it may take.
-func (q *Query) Opened(lane attempt.Lane, _ *any, leave attempt.Leave) []attempt.Step {
+func (q *Query) Connected(lane attempt.Channel, _ *any, leave attempt.Permission) []attempt.Step {
 	if q.state == ended {
-		return q.flush(attempt.Release{Lane: lane})
+		return q.flush(attempt.Release{Channel: lane})
 	}
 	q.up[lane], q.read[lane] = true, Reader{}
-	if lane == attempt.Main {
+	if lane == attempt.Primary {
 		q.doubt, q.news = false, [2]string{}
 	}
 	switch {
-	case lane == attempt.Side:
-		q.write(attempt.Side, q.call("DELETE", ""))
+	case lane == attempt.Control:
+		q.write(attempt.Control, q.call("DELETE", ""))
 	case q.state == opening:
 		q.leave = leave
 		if left, ok := leave(false); ok {
 			q.writePost(left)
 			break
 		}
-		q.do(attempt.Release{Lane: attempt.Main})
-		q.up[attempt.Main] = false
-		q.end(policy.Moot)
+		q.do(attempt.Release{Channel: attempt.Primary})
+		q.up[attempt.Primary] = false
+		q.end(policy.NotSent)
 	case q.state == running && q.due:
 		q.postAgain()
 	case q.state == running:
-		q.write(attempt.Main, q.call("GET", "/0"))
+		q.write(attempt.Primary, q.call("GET", "/0"))
 	case q.state == paging:
-		q.write(attempt.Main, q.call("GET", "/"+strconv.Itoa(len(q.pages))))
+		q.write(attempt.Primary, q.call("GET", "/"+strconv.Itoa(len(q.pages))))
 	default:
-		q.do(attempt.Release{Lane: attempt.Main})
-		q.up[attempt.Main] = false
+		q.do(attempt.Release{Channel: attempt.Primary})
+		q.up[attempt.Primary] = false
 	}
 	return q.flush()
 }
 
-// Failed says that a lane got no connection.
-func (q *Query) Failed(lane attempt.Lane) []attempt.Step {
+// ConnectFailed says that a lane got no connection.
+func (q *Query) ConnectFailed(lane attempt.Channel) []attempt.Step {
 	switch {
 	case q.state == opening:
 		q.end(policy.NoConnection)
@@ -128,13 +128,13 @@
 		q.pageLost()
 	case q.state == running || q.state == closing:
 		// No proof that the query is over: an engine whose table of connections is full refuses too.
-		q.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+		q.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 	}
 	return q.flush()
 }
 
-// Broke says that a lane's connection ended.
-func (q *Query) Broke(lane attempt.Lane) []attempt.Step {
+// ConnectionLost says that a lane's connection ended.
+func (q *Query) ConnectionLost(lane attempt.Channel) []attempt.Step {
 	if !q.up[lane] {
 		return nil
 	}
@@ -143,37 +143,37 @@
 	return q.flush()
 }
 
-func (q *Query) broken(lane attempt.Lane) {
+func (q *Query) broken(lane attempt.Channel) {
 	switch {
-	case q.state == running && lane == attempt.Main:
+	case q.state == running && lane == attempt.Primary:
 		q.unread = q.unread || !q.responded
 		// The query is tied to no connection: ask for it anew. An engine that breaks every one is not asked in a rush.
-		q.do(attempt.Set{Alarm: attempt.Silence, After: 0})
+		q.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: 0})
 		if q.spoilt++; q.spoilt > 1 {
-			q.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+			q.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 			return
 		}
-		q.do(attempt.Open{Lane: attempt.Main, Fresh: true})
+		q.do(attempt.Open{Channel: attempt.Primary, Fresh: true})
 	case q.state == paging:
 		q.pageLost()
-	case q.state == closing && lane == attempt.Side:
-		q.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+	case q.state == closing && lane == attempt.Control:
+		q.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 	}
 }
 
-// Fed takes bytes of a lane.
-func (q *Query) Fed(lane attempt.Lane, b []byte) []attempt.Step {
+// Received takes bytes of a lane.
+func (q *Query) Received(lane attempt.Channel, b []byte) []attempt.Step {
 	if !q.up[lane] {
 		return nil
 	}
-	q.responded = q.responded || lane == attempt.Main
+	q.responded = q.responded || lane == attempt.Primary
 	res, err := q.read[lane].Feed(b)
 	if res != nil && q.asked[lane] {
 		q.asked[lane] = false
 		if res.Close || err != nil {
 			q.drop(lane)
 		}
-		if lane == attempt.Side {
+		if lane == attempt.Control {
 			q.deleted(res)
 		} else {
 			q.answered(res)
@@ -186,37 +186,37 @@
 	return q.flush()
 }
 
-// Rang says that an alarm went off.
-func (q *Query) Rang(a attempt.Alarm) []attempt.Step {
+// TimerFired says that an alarm went off.
+func (q *Query) TimerFired(a attempt.Timer) []attempt.Step {
 	switch {
 	case q.state == ended:
-	case a == attempt.Early:
+	case a == attempt.EarliestUpdate:
 		q.early = false
-	case a == attempt.Lost && (q.state == running || q.state == closing):
+	case a == attempt.UnreachableTimeout && (q.state == running || q.state == closing):
 		if q.state == running {
 			q.final = policy.Reset
 		}
 		q.end(q.final)
-	case a == attempt.Silence && q.state == running:
+	case a == attempt.ResponseTimeout && q.state == running:
 		q.unanswered = q.unanswered || !q.responded
-		q.drop(attempt.Main)
-		q.do(attempt.Open{Lane: attempt.Main, Fresh: true})
-	case a == attempt.Silence && q.state == paging:
-		q.malformed(attempt.Main)
-	case a == attempt.Again && q.state == running && !q.up[attempt.Main]:
-		q.do(attempt.Open{Lane: attempt.Main, Fresh: true})
-	case a == attempt.Again && q.state == closing && !q.asked[attempt.Side]:
+		q.drop(attempt.Primary)
+		q.do(attempt.Open{Channel: attempt.Primary, Fresh: true})
+	case a == attempt.ResponseTimeout && q.state == paging:
+		q.malformed(attempt.Primary)
+	case a == attempt.RetryBackoff && q.state == running && !q.up[attempt.Primary]:
+		q.do(attempt.Open{Channel: attempt.Primary, Fresh: true})
+	case a == attempt.RetryBackoff && q.state == closing && !q.asked[attempt.Control]:
 		q.askDelete()
 	}
 	return q.flush()
 }
 
-// GiveUp calls the attempt off; outcome is what it ends with once the engine has confirmed.
-func (q *Query) GiveUp(outcome policy.Outcome) []attempt.Step {
+// Cancel calls the attempt off; outcome is what it ends with once the engine has confirmed.
+func (q *Query) Cancel(outcome policy.Outcome) []attempt.Step {
 	switch q.state {
 	case opening: // nothing was written: a connection that is there serves others
-		q.do(attempt.Release{Lane: attempt.Main})
-		q.end(policy.Moot)
+		q.do(attempt.Release{Channel: attempt.Primary})
+		q.end(policy.NotSent)
 	case running:
 		q.giveUp(outcome)
 	case paging: // it is over at the engine: only the rest of its result is not wanted
@@ -227,9 +227,9 @@
 
 func (q *Query) giveUp(outcome policy.Outcome) {
 	q.state, q.final = closing, outcome
-	q.do(attempt.Set{Alarm: attempt.Silence, After: 0})
-	if !q.up[attempt.Main] {
-		q.do(attempt.Drop{Lane: attempt.Main}) // a reconnect under way is not wanted any more
+	q.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: 0})
+	if !q.up[attempt.Primary] {
+		q.do(attempt.Close{Channel: attempt.Primary}) // a reconnect under way is not wanted any more
 	}
 	q.askDelete()
 }
@@ -237,7 +237,7 @@
 // answered takes a response of the main lane.
 func (q *Query) answered(res *Response) {
 	q.calls++
-	q.do(attempt.Set{Alarm: attempt.Silence, After: 0})
+	q.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: 0})
 	if q.state == paging {
 		q.page(res)
 		return
@@ -252,24 +252,24 @@
 		q.suspect(res)
 		q.note(res)
 		if q.state == closing { // no further poll: the engine gives it up by itself, if the DELETE fails
-			q.do(attempt.Set{Alarm: attempt.Lost, After: unasked + slack})
+			q.do(attempt.SetTimer{Timer: attempt.UnreachableTimeout, After: unasked + slack})
 			return
 		}
-		if q.up[attempt.Main] {
-			q.write(attempt.Main, q.call("GET", "/0"))
+		if q.up[attempt.Primary] {
+			q.write(attempt.Primary, q.call("GET", "/0"))
 		} else {
-			q.do(attempt.Open{Lane: attempt.Main})
+			q.do(attempt.Open{Channel: attempt.Primary})
 		}
 		if q.unanswered { // an answer that was only lost would have been given again by now
 			q.unanswered = false
-			q.do(attempt.Overdue{})
+			q.do(attempt.ResponseOverdue{})
 		}
 	case res.Status == 200:
 		q.firstPage(res)
 	case res.Status == 503 && never:
-		q.end(policy.Full)
+		q.end(policy.Rejected)
 	case res.Status == 504 && never:
-		q.end(policy.Moot)
+		q.end(policy.NotSent)
 	case res.Status == 500 && q.state == closing: // it is not known any more: given up, as was asked
 		q.end(q.final)
 	case res.Status == 500 && q.unread && q.posted < posts:
@@ -277,18 +277,18 @@
 	case res.Status == 500:
 		q.end(policy.Error)
 	default:
-		q.malformed(attempt.Main)
+		q.malformed(attempt.Primary)
 	}
 }
 
 // malformed: an answer that cannot be read proves no end, and its connection is of no more use. The engine gives the
 // answer of a query that ended well again, so it is asked for on a new one; only if that comes spoilt time after time
 // is the query called off, and counts as failed.
-func (q *Query) malformed(lane attempt.Lane) {
+func (q *Query) malformed(lane attempt.Channel) {
 	q.drop(lane)
 	switch {
-	case lane == attempt.Side:
-		q.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+	case lane == attempt.Control:
+		q.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 	case q.state == paging:
 		q.pageLost()
 	case q.state == running:
@@ -296,7 +296,7 @@
 			q.giveUp(policy.Error)
 			return
 		}
-		q.do(attempt.Set{Alarm: attempt.Silence, After: 0}, attempt.Open{Lane: attempt.Main, Fresh: true})
+		q.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: 0}, attempt.Open{Channel: attempt.Primary, Fresh: true})
 	}
 }
 
@@ -314,7 +314,7 @@
 		return
 	}
 	if done, err := strconv.ParseFloat(res.Head.Get("Figure"), 64); err == nil && done >= 0 && done <= 1 {
-		q.do(attempt.News{Done: done})
+		q.do(attempt.Progress{Done: done})
 	}
 }
 
@@ -325,15 +325,15 @@
 		outcome = policy.Error
 	}
 	q.state = ended
-	for a := range attempt.Alarms {
-		q.do(attempt.Set{Alarm: a, After: 0})
+	for a := range attempt.TimerCount {
+		q.do(attempt.SetTimer{Timer: a, After: 0})
 	}
-	for _, lane := range []attempt.Lane{attempt.Main, attempt.Side} {
+	for _, lane := range []attempt.Channel{attempt.Primary, attempt.Control} {
 		switch {
-		case q.up[lane] && !q.asked[lane] && q.read[lane].Idle() && !(q.doubt && lane == attempt.Main):
-			q.do(attempt.Release{Lane: lane})
+		case q.up[lane] && !q.asked[lane] && q.read[lane].Idle() && !(q.doubt && lane == attempt.Primary):
+			q.do(attempt.Release{Channel: lane})
 		default:
-			q.do(attempt.Drop{Lane: lane})
+			q.do(attempt.Close{Channel: lane})
 		}
 		q.up[lane] = false
 	}
--- a/internal/protocol/jsonrpc/golden_test.go
+++ b/internal/protocol/jsonrpc/golden_test.go
@@ -32,13 +32,13 @@
 		for _, e := range events {
 			if c := e.Call; c != nil {
 				fmt.Fprintf(&out, "  call class %d id %s rid %s token %s statement %q budget %v cost %v memory %g repeat %v\n",
-					c.Class, c.ID, c.RID, c.Token, c.Statement, c.Budget, c.Cost, c.NeedMB, c.Repeat)
+					c.Class, c.ID, c.RID, c.Token, c.Statement, c.Budget, c.EstimatedWork, c.EstimatedMemoryMB, c.IsClientRetry)
 			}
 			fmt.Fprintf(&out, "  abort %q ping %q reply %q\n", e.Abort, e.Ping, e.Reply)
 		}
 		fmt.Fprintf(&out, "  error %v\n", err != nil)
 	}
-	for _, answer := range [][]byte{Result("7", []byte("rows\n")), Refused("7", 1500*time.Millisecond), Refused(`"a"`, 0),
+	for _, answer := range [][]byte{Result("7", []byte("rows\n")), Rejected("7", 1500*time.Millisecond), Rejected(`"a"`, 0),
 		Failed("7", "failed"), Pong("8", true), Pong("8", false)} {
 		fmt.Fprintf(&out, "out %q\n", answer)
 	}
--- a/internal/protocol/jsonrpc/jsonrpc.go
+++ b/internal/protocol/jsonrpc/jsonrpc.go
@@ -29,20 +29,20 @@
 	codeFailed  = -32013
 )
 
-// ErrLost says that the framing is lost: the connection is to be closed.
-var ErrLost = errors.New("line too long")
+// ErrLineTooLong says that the framing is lost: the connection is to be closed.
+var ErrLineTooLong = errors.New("line too long")
 
 // Call is a query that a client asks for.
 type Call struct {
-	Class     int
-	ID        string // as it came
-	RID       string
-	Token     string
-	Statement []byte
-	Budget    time.Duration
-	Cost      time.Duration
-	NeedMB    float64
-	Repeat    bool
+	Class             int
+	ID                string // as it came
+	RID               string
+	Token             string
+	Statement         []byte
+	Budget            time.Duration
+	EstimatedWork     time.Duration
+	EstimatedMemoryMB float64
+	IsClientRetry     bool
 }
 
 // Event is what a line means: exactly one of its fields is set.
@@ -56,7 +56,7 @@
 // Classes tells the front which methods there are.
 type Classes interface {
 	Class(name string) (int, bool)
-	Keyed(class int) bool
+	NeedsIdempotencyKey(class int) bool
 }
 
 // Session is one connection of a client.
@@ -92,7 +92,7 @@
 		end := bytes.IndexByte(s.buf[s.seen:], '\n')
 		if end < 0 {
 			if s.seen = len(s.buf); s.seen > maxLine {
-				return out, ErrLost
+				return out, ErrLineTooLong
 			}
 			if s.seen == 0 {
 				s.buf = nil
@@ -102,7 +102,7 @@
 		line := s.buf[:s.seen+end]
 		s.buf, s.seen = s.buf[s.seen+end+1:], 0
 		if len(line) > maxLine {
-			return out, ErrLost
+			return out, ErrLineTooLong
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
 			out = append(out, s.line(line))
@@ -179,7 +179,7 @@
 		return bad(id, codeParams, "rid is not a name")
 	case !headerSafe(p.Token):
 		return bad(id, codeParams, "token is not a key")
-	case s.classes.Keyed(class) && p.Token == "":
+	case s.classes.NeedsIdempotencyKey(class) && p.Token == "":
 		return bad(id, codeParams, "this class needs a token")
 	case !(p.Est >= 0) || !(p.RAM >= 0) || p.Est > 1e9 || p.RAM > 1e9:
 		return bad(id, codeParams, "est or ram is no figure")
@@ -188,7 +188,7 @@
 	}
 	s.open[id] = p.RID
 	return Event{Call: &Call{Class: class, ID: id, RID: p.RID, Token: p.Token, Statement: statement,
-		Budget: ms(p.Budget), Cost: ms(p.Est), NeedMB: p.RAM, Repeat: p.Again != nil && p.Again != false && p.Again != 0.0}}
+		Budget: ms(p.Budget), EstimatedWork: ms(p.Est), EstimatedMemoryMB: p.RAM, IsClientRetry: p.Again != nil && p.Again != false && p.Again != 0.0}}
 }
 
 // abort finds the call that is meant: by the id or the rid in its params, or by its own id.
@@ -240,8 +240,8 @@
 	return append(b, "\"}}\n"...)
 }
 
-// Refused is the line that refuses a call and says when to come back.
-func Refused(id string, back time.Duration) []byte {
+// Rejected is the line that refuses a call and says when to come back.
+func Rejected(id string, back time.Duration) []byte {
 	return fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%s,"error":{"code":%d,"message":"Overloaded","data":{"backoff":%d}}}`+"\n",
 		id, codeRefused, back.Milliseconds())
 }
--- a/internal/protocol/jsonrpc/jsonrpc_test.go
+++ b/internal/protocol/jsonrpc/jsonrpc_test.go
@@ -16,7 +16,7 @@
 type classes struct{}
 
 func (classes) Class(name string) (int, bool) { return 3, name == "report" }
-func (classes) Keyed(int) bool                { return false }
+func (classes) NeedsIdempotencyKey(int) bool  { return false }
 
 const good = `{"jsonrpc":"2.0","id":7,"method":"report","params":{"rid":"9b1f03aa5c7e2d41","budget":1500,"again":1,"token":"5c0f","est":820.0,"ram":96,"blob":"U0VMRUNU"}}` + "\n"
 
@@ -36,8 +36,8 @@
 			rt.Fatalf("%+v", got)
 		}
 		if c := got[0].Call; c.Class != 3 || c.ID != "7" || c.RID != "9b1f03aa5c7e2d41" || c.Token != "5c0f" ||
-			string(c.Statement) != "SELECT" || c.Budget != 1500*time.Millisecond || c.Cost != 820*time.Millisecond ||
-			c.NeedMB != 96 || !c.Repeat {
+			string(c.Statement) != "SELECT" || c.Budget != 1500*time.Millisecond || c.EstimatedWork != 820*time.Millisecond ||
+			c.EstimatedMemoryMB != 96 || !c.IsClientRetry {
 			rt.Fatalf("%+v", c)
 		}
 	})
@@ -89,7 +89,7 @@
 	for i := 0; err == nil && i < 2*maxLine/len(line); i++ {
 		_, err = s.Feed(line)
 	}
-	if !errors.Is(err, ErrLost) {
+	if !errors.Is(err, ErrLineTooLong) {
 		t.Fatal(err)
 	}
 }
--- a/internal/protocol/mysql/exchange.go
+++ b/internal/protocol/mysql/exchange.go
@@ -60,7 +60,7 @@
 	lane   [2]*session
 	up     [2]bool
 	reused bool // the main lane's connection has served before
-	leave  attempt.Leave
+	leave  attempt.Permission
 	todo   []setup
 	skip   int // packets of a preparation that are still to come
 	stmt   uint32
@@ -73,7 +73,7 @@
 // NewExchange makes an exchange and its first steps.
 func NewExchange(call *Call, user, password string) (*Exchange, []attempt.Step) {
 	x := &Exchange{call: call, login: login{user, password}}
-	return x, x.flush(attempt.Open{Lane: attempt.Main})
+	return x, x.flush(attempt.Open{Channel: attempt.Primary})
 }
 
 func (x *Exchange) do(s ...attempt.Step) { x.steps = append(x.steps, s...) }
@@ -85,23 +85,23 @@
 	return out
 }
 
-func (x *Exchange) write(lane attempt.Lane, b []byte) {
+func (x *Exchange) write(lane attempt.Channel, b []byte) {
 	if len(b) > 0 {
-		x.do(attempt.Write{Lane: lane, Bytes: b})
+		x.do(attempt.Write{Channel: lane, Bytes: b})
 	}
 }
 
-// Opened says that a lane has its connection.
-func (x *Exchange) Opened(lane attempt.Lane, memory *any, leave attempt.Leave) []attempt.Step {
+// Connected says that a lane has its connection.
+func (x *Exchange) Connected(lane attempt.Channel, memory *any, leave attempt.Permission) []attempt.Step {
 	s, _ := (*memory).(*session)
 	if s == nil {
 		s = newSession()
 		*memory = s
 	}
 	x.lane[lane], x.up[lane] = s, true
-	if lane == attempt.Main {
+	if lane == attempt.Primary {
 		x.leave, x.reused = leave, s.ready
-		x.do(attempt.Set{Alarm: attempt.Silence, After: loginWait})
+		x.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: loginWait})
 	}
 	if s.ready {
 		x.loggedIn(lane)
@@ -109,20 +109,20 @@
 	return x.flush()
 }
 
-// Failed says that a lane got no connection.
-func (x *Exchange) Failed(lane attempt.Lane) []attempt.Step {
+// ConnectFailed says that a lane got no connection.
+func (x *Exchange) ConnectFailed(lane attempt.Channel) []attempt.Step {
 	switch {
 	case x.phase == finished:
-	case lane == attempt.Main:
+	case lane == attempt.Primary:
 		x.end(policy.NoConnection)
 	default:
-		x.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+		x.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 	}
 	return x.flush()
 }
 
-// Broke says that a lane's connection ended.
-func (x *Exchange) Broke(lane attempt.Lane) []attempt.Step {
+// ConnectionLost says that a lane's connection ended.
+func (x *Exchange) ConnectionLost(lane attempt.Channel) []attempt.Step {
 	if x.up[lane] {
 		x.up[lane] = false
 		x.lost(lane)
@@ -130,16 +130,16 @@
 	return x.flush()
 }
 
-func (x *Exchange) lost(lane attempt.Lane) {
+func (x *Exchange) lost(lane attempt.Channel) {
 	switch {
 	case x.phase == finished:
-	case lane == attempt.Side:
+	case lane == attempt.Control:
 		x.killed = false
-		x.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+		x.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 	case x.phase == logging, x.phase == setting:
 		if x.reused { // the engine closed an idle connection: that says nothing against it
 			x.phase, x.reused, x.todo, x.skip = logging, false, nil, 0
-			x.do(attempt.Open{Lane: attempt.Main, Fresh: true})
+			x.do(attempt.Open{Channel: attempt.Primary, Fresh: true})
 			return
 		}
 		x.end(policy.NoConnection)
@@ -148,29 +148,29 @@
 	}
 }
 
-// Rang says that an alarm went off.
-func (x *Exchange) Rang(a attempt.Alarm) []attempt.Step {
+// TimerFired says that an alarm went off.
+func (x *Exchange) TimerFired(a attempt.Timer) []attempt.Step {
 	switch {
 	case x.phase == finished:
-	case a == attempt.Silence && x.phase < asked:
-		x.drop(attempt.Main)
+	case a == attempt.ResponseTimeout && x.phase < asked:
+		x.drop(attempt.Primary)
 		x.end(policy.NoConnection)
-	case a == attempt.Silence && x.phase == asked:
+	case a == attempt.ResponseTimeout && x.phase == asked:
 		x.giveUp(policy.Reset)
-	case a == attempt.Again && x.phase == killing && !x.killed:
+	case a == attempt.RetryBackoff && x.phase == killing && !x.killed:
 		x.kill()
-	case a == attempt.Lost:
+	case a == attempt.UnreachableTimeout:
 		x.end(x.final)
 	}
 	return x.flush()
 }
 
-// GiveUp calls the attempt off.
-func (x *Exchange) GiveUp(outcome policy.Outcome) []attempt.Step {
+// Cancel calls the attempt off.
+func (x *Exchange) Cancel(outcome policy.Outcome) []attempt.Step {
 	switch x.phase {
 	case logging, setting: // nothing ran
-		x.drop(attempt.Main)
-		x.end(policy.Moot)
+		x.drop(attempt.Primary)
+		x.end(policy.NotSent)
 	case asked:
 		x.giveUp(outcome)
 	}
@@ -181,27 +181,27 @@
 // confirms the kill.
 func (x *Exchange) giveUp(outcome policy.Outcome) {
 	x.phase, x.final = killing, outcome
-	x.do(attempt.Set{Alarm: attempt.Silence}, attempt.Set{Alarm: attempt.Lost, After: lostWait})
+	x.do(attempt.SetTimer{Timer: attempt.ResponseTimeout}, attempt.SetTimer{Timer: attempt.UnreachableTimeout, After: lostWait})
 	x.kill()
 }
 
 func (x *Exchange) kill() {
-	if !x.up[attempt.Side] {
-		x.do(attempt.Open{Lane: attempt.Side, Fresh: x.final == policy.Reset})
+	if !x.up[attempt.Control] {
+		x.do(attempt.Open{Channel: attempt.Control, Fresh: x.final == policy.Reset})
 		return
 	}
-	if x.lane[attempt.Side].ready {
+	if x.lane[attempt.Control].ready {
 		x.killed = true
-		x.write(attempt.Side, command(comQuery, fmt.Appendf(nil, "KILL QUERY %d", x.lane[attempt.Main].thread)))
+		x.write(attempt.Control, command(comQuery, fmt.Appendf(nil, "KILL QUERY %d", x.lane[attempt.Primary].thread)))
 	}
 }
 
-// Fed takes bytes that a lane brought.
-func (x *Exchange) Fed(lane attempt.Lane, b []byte) []attempt.Step {
+// Received takes bytes that a lane brought.
+func (x *Exchange) Received(lane attempt.Channel, b []byte) []attempt.Step {
 	if !x.up[lane] || x.phase == finished {
 		return nil
 	}
-	if lane == attempt.Main && x.phase >= asked {
+	if lane == attempt.Primary && x.phase >= asked {
 		x.answered(b)
 		return x.flush()
 	}
@@ -221,7 +221,7 @@
 	return x.flush()
 }
 
-func (x *Exchange) packet(lane attempt.Lane, s *session, p packet) {
+func (x *Exchange) packet(lane attempt.Channel, s *session, p packet) {
 	switch {
 	case !s.ready:
 		out, err := s.greet(p, x.login)
@@ -233,7 +233,7 @@
 		if s.ready {
 			x.loggedIn(lane)
 		}
-	case lane == attempt.Side:
+	case lane == attempt.Control:
 		x.confirmed(p)
 	case x.skip > 0:
 		if x.skip--; x.skip == 0 {
@@ -245,25 +245,25 @@
 }
 
 // refused: the engine did not let us in. That it has too many connections is no fault of its health.
-func (x *Exchange) refused(lane attempt.Lane, err error) {
+func (x *Exchange) refused(lane attempt.Channel, err error) {
 	x.drop(lane)
 	var said *engineError
 	switch {
-	case lane == attempt.Side:
-		x.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+	case lane == attempt.Control:
+		x.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 	case errors.As(err, &said) && (said.code == codeTooMany || said.code == codeTooManyUser):
-		x.end(policy.Full)
+		x.end(policy.Rejected)
 	default:
 		x.end(policy.NoConnection)
 	}
 }
 
-func (x *Exchange) loggedIn(lane attempt.Lane) {
-	if lane == attempt.Side {
+func (x *Exchange) loggedIn(lane attempt.Channel) {
+	if lane == attempt.Control {
 		x.kill()
 		return
 	}
-	s := x.lane[attempt.Main]
+	s := x.lane[attempt.Primary]
 	if x.call.Schema != "" && x.call.Schema != s.schema {
 		x.todo = append(x.todo, setup{command(comInitDB, []byte(x.call.Schema)), plainOK})
 	}
@@ -277,7 +277,7 @@
 		}
 	}
 	if _, ok := x.leave(false); !ok {
-		x.end(policy.Moot)
+		x.end(policy.NotSent)
 		return
 	}
 	x.phase = setting
@@ -290,33 +290,33 @@
 // next sends what goes before the query, one after the other, and then the query.
 func (x *Exchange) next() {
 	if len(x.todo) > 0 {
-		x.write(attempt.Main, x.todo[0].bytes)
+		x.write(attempt.Primary, x.todo[0].bytes)
 		return
 	}
 	if _, ok := x.leave(false); !ok { // the engine may drain since: what was prepared there is prepared elsewhere
-		x.end(policy.Moot)
+		x.end(policy.NotSent)
 		return
 	}
 	x.phase = asked
-	x.do(attempt.Set{Alarm: attempt.Silence})
+	x.do(attempt.SetTimer{Timer: attempt.ResponseTimeout})
 	if e := x.call.Execute; e != nil {
-		x.write(attempt.Main, append(e.longData(x.stmt), e.command(x.stmt)...))
+		x.write(attempt.Primary, append(e.longData(x.stmt), e.command(x.stmt)...))
 		return
 	}
-	x.write(attempt.Main, command(comQuery, []byte(x.call.Text)))
+	x.write(attempt.Primary, command(comQuery, []byte(x.call.Text)))
 }
 
 // setUp takes the answer to a command that goes before the query.
 func (x *Exchange) setUp(p packet) {
 	if len(x.todo) == 0 || len(p.payload) == 0 {
-		x.malformed(attempt.Main)
+		x.malformed(attempt.Primary)
 		return
 	}
 	if p.payload[0] == 0xff {
 		x.setUpFailed(p)
 		return
 	}
-	s, todo := x.lane[attempt.Main], x.todo[0]
+	s, todo := x.lane[attempt.Primary], x.todo[0]
 	x.todo = x.todo[1:]
 	switch {
 	case todo.reply == plainOK && p.payload[0] == 0:
@@ -328,7 +328,7 @@
 		x.stmt = binary.LittleEndian.Uint32(p.payload[1:])
 		columns, params := int(binary.LittleEndian.Uint16(p.payload[5:])), int(binary.LittleEndian.Uint16(p.payload[7:]))
 		if params != x.call.Execute.Params {
-			x.malformed(attempt.Main) // the execute would bind other parameters than the client means
+			x.malformed(attempt.Primary) // the execute would bind other parameters than the client means
 			return
 		}
 		s.prepared[x.prepareKey()] = x.stmt
@@ -341,20 +341,20 @@
 			x.next()
 		}
 	default:
-		x.malformed(attempt.Main)
+		x.malformed(attempt.Primary)
 	}
 }
 
 // setUpFailed: an error before the query. One of the statement's own is its answer.
 func (x *Exchange) setUpFailed(p packet) {
-	x.do(attempt.Set{Alarm: attempt.Silence})
+	x.do(attempt.SetTimer{Timer: attempt.ResponseTimeout})
 	switch o := outcomeOf(errorCode(p.payload)); o {
 	case policy.OK:
 		x.finish(policy.OK, errorAs(1, p))
-	case policy.Full:
-		x.end(policy.Full)
+	case policy.Rejected:
+		x.end(policy.Rejected)
 	default:
-		x.drop(attempt.Main)
+		x.drop(attempt.Primary)
 		x.end(policy.NoConnection) // nothing ran
 	}
 }
@@ -367,7 +367,7 @@
 func outcomeOf(code int) policy.Outcome {
 	switch code {
 	case codeTooMany, codeTooManyUser:
-		return policy.Full
+		return policy.Rejected
 	case codeShutdown, codeInterrupted, codeUnknownStmt, codeQueryTime:
 		return policy.Error
 	}
@@ -378,11 +378,11 @@
 func (x *Exchange) answered(b []byte) {
 	pass, last, err := x.answer.feed(b)
 	if x.phase == asked && len(pass) > 0 {
-		x.do(attempt.Set{Alarm: attempt.Silence, After: stallWait}, attempt.Relay{Bytes: pass})
+		x.do(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: stallWait}, attempt.Relay{Bytes: pass})
 	}
 	switch {
 	case err != nil:
-		x.malformed(attempt.Main)
+		x.malformed(attempt.Primary)
 	case !x.answer.over:
 	case x.phase == killing: // whatever it says, it is over
 		x.finish(x.final, nil)
@@ -401,21 +401,21 @@
 func (x *Exchange) confirmed(p packet) {
 	ok := len(p.payload) > 0 && (p.payload[0] == 0 || p.payload[0] == 0xff && errorCode(p.payload) == codeNoThread)
 	switch {
-	case ok && !x.up[attempt.Main]:
+	case ok && !x.up[attempt.Primary]:
 		x.finish(x.final, nil)
 	case !ok:
 		x.killed = false
-		x.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+		x.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 	}
 }
 
 // malformed: what cannot be read proves no end. Before the query nothing ran; after, it is killed.
-func (x *Exchange) malformed(lane attempt.Lane) {
+func (x *Exchange) malformed(lane attempt.Channel) {
 	x.drop(lane)
 	switch {
-	case lane == attempt.Side:
+	case lane == attempt.Control:
 		x.killed = false
-		x.do(attempt.Set{Alarm: attempt.Again, After: againWait})
+		x.do(attempt.SetTimer{Timer: attempt.RetryBackoff, After: againWait})
 	case x.phase < asked:
 		x.end(policy.NoConnection)
 	case x.phase == asked:
@@ -423,9 +423,9 @@
 	}
 }
 
-func (x *Exchange) drop(lane attempt.Lane) {
+func (x *Exchange) drop(lane attempt.Channel) {
 	x.up[lane] = false
-	x.do(attempt.Drop{Lane: lane})
+	x.do(attempt.Close{Channel: lane})
 }
 
 func (x *Exchange) end(outcome policy.Outcome) { x.finish(outcome, nil) }
@@ -437,18 +437,18 @@
 	}
 	clean := x.phase == logging || x.phase == asked // a late KILL must not hit another's query
 	x.phase = finished
-	for a := range attempt.Alarms {
-		x.do(attempt.Set{Alarm: a})
+	for a := range attempt.TimerCount {
+		x.do(attempt.SetTimer{Timer: a})
 	}
-	for _, lane := range []attempt.Lane{attempt.Main, attempt.Side} {
+	for _, lane := range []attempt.Channel{attempt.Primary, attempt.Control} {
 		s := x.lane[lane]
 		switch {
 		case !x.up[lane]:
-			x.do(attempt.Drop{Lane: lane})
-		case s.ready && len(s.in.buf) == 0 && len(s.prepared) <= maxPrepared && (lane == attempt.Main && clean):
-			x.do(attempt.Release{Lane: lane})
+			x.do(attempt.Close{Channel: lane})
+		case s.ready && len(s.in.buf) == 0 && len(s.prepared) <= maxPrepared && (lane == attempt.Primary && clean):
+			x.do(attempt.Release{Channel: lane})
 		default: // in the middle of something
-			x.do(attempt.Drop{Lane: lane})
+			x.do(attempt.Close{Channel: lane})
 		}
 		x.up[lane] = false
 	}
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -176,24 +176,24 @@
 		var memory [2]any
 		ends, asked := 0, 0
 		for range rapid.IntRange(1, 30).Draw(rt, "events") {
-			lane := attempt.Lane(rapid.IntRange(0, 1).Draw(rt, "lane"))
+			lane := attempt.Channel(rapid.IntRange(0, 1).Draw(rt, "lane"))
 			var steps []attempt.Step
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 0:
-				steps = x.GiveUp(policy.Cancelled)
+				steps = x.Cancel(policy.Cancelled)
 			case 1:
-				steps = x.Broke(lane)
+				steps = x.ConnectionLost(lane)
 			case 2:
-				steps = x.Rang(attempt.Alarm(rapid.IntRange(0, 2).Draw(rt, "alarm")))
+				steps = x.TimerFired(attempt.Timer(rapid.IntRange(0, 2).Draw(rt, "alarm")))
 			case 3:
-				steps = x.Fed(lane, rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(rt, "bytes"))
+				steps = x.Received(lane, rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(rt, "bytes"))
 			case 4, 5:
-				if x.phase != finished && !x.up[lane] && (lane == attempt.Side) == (x.phase == killing) {
+				if x.phase != finished && !x.up[lane] && (lane == attempt.Control) == (x.phase == killing) {
 					memory[lane] = nil
-					steps = x.Opened(lane, &memory[lane], func(bool) (time.Duration, bool) { return time.Second, true })
+					steps = x.Connected(lane, &memory[lane], func(bool) (time.Duration, bool) { return time.Second, true })
 				}
 			default:
-				steps = x.Fed(lane, parts.Draw(rt, "part"))
+				steps = x.Received(lane, parts.Draw(rt, "part"))
 			}
 			for _, s := range steps {
 				switch s := s.(type) {
@@ -217,9 +217,9 @@
 func TestKilledConnectionIsNotUsedAgain(t *testing.T) {
 	x, _ := NewExchange(&Call{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
 	var memory any = &session{in: framer{limit: maxControl}, ready: true, prepared: map[string]uint32{}}
-	x.Opened(attempt.Main, &memory, func(bool) (time.Duration, bool) { return time.Second, true })
-	x.GiveUp(policy.Cancelled)
-	for _, s := range x.Fed(attempt.Main, rows("a")) {
+	x.Connected(attempt.Primary, &memory, func(bool) (time.Duration, bool) { return time.Second, true })
+	x.Cancel(policy.Cancelled)
+	for _, s := range x.Received(attempt.Primary, rows("a")) {
 		if _, released := s.(attempt.Release); released {
 			t.Fatal("released")
 		}
@@ -242,23 +242,23 @@
 		for i := range memory {
 			memory[i] = &session{in: framer{limit: maxControl}, ready: true, prepared: map[string]uint32{}}
 		}
-		x.Opened(attempt.Main, &memory[0], leave)
+		x.Connected(attempt.Primary, &memory[0], leave)
 		return x
 	}
 	x := begin()
-	if ended(x.GiveUp(policy.Cancelled)) || ended(x.Opened(attempt.Side, &memory[1], leave)) ||
-		ended(x.Fed(attempt.Side, errorPacket(1, 1095, "not yours"))) || ended(x.Rang(attempt.Again)) ||
-		ended(x.Fed(attempt.Side, okPacket(1))) {
+	if ended(x.Cancel(policy.Cancelled)) || ended(x.Connected(attempt.Control, &memory[1], leave)) ||
+		ended(x.Received(attempt.Control, errorPacket(1, 1095, "not yours"))) || ended(x.TimerFired(attempt.RetryBackoff)) ||
+		ended(x.Received(attempt.Control, okPacket(1))) {
 		t.Fatal("ended before the query did")
 	}
-	if !ended(x.Fed(attempt.Main, errorPacket(1, codeInterrupted, "killed"))) {
+	if !ended(x.Received(attempt.Primary, errorPacket(1, codeInterrupted, "killed"))) {
 		t.Fatal("still out after its own end")
 	}
 	x = begin()
-	if ended(x.Broke(attempt.Main)) || ended(x.Opened(attempt.Side, &memory[1], leave)) || ended(x.Failed(attempt.Side)) {
+	if ended(x.ConnectionLost(attempt.Primary)) || ended(x.Connected(attempt.Control, &memory[1], leave)) || ended(x.ConnectFailed(attempt.Control)) {
 		t.Fatal("a lost connection taken for the end")
 	}
-	if !ended(x.Fed(attempt.Side, errorPacket(1, codeNoThread, "unknown"))) {
+	if !ended(x.Received(attempt.Control, errorPacket(1, codeNoThread, "unknown"))) {
 		t.Fatal("still out though the engine knows no such thread")
 	}
 }
--- a/internal/protocol/vrrp/golden_test.go
+++ b/internal/protocol/vrrp/golden_test.go
@@ -25,8 +25,8 @@
 	for _, priority := range []uint8{100, 255} {
 		r := router(t, priority, true)
 		note(fmt.Sprintf("startup at priority %d", priority), r.Startup())
-		note("timer", r.Rang())
-		note("timer", r.Rang())
+		note("timer", r.TimerFired())
+		note("timer", r.TimerFired())
 		steps, err := r.Received(high, advert(7, 200, time.Second))
 		note(fmt.Sprintf("advertisement, error %v", err != nil), steps)
 		note("shutdown", r.Shutdown())
--- a/internal/protocol/vrrp/router.go
+++ b/internal/protocol/vrrp/router.go
@@ -115,8 +115,8 @@
 	return steps
 }
 
-// Rang says that the alarm went off: a master's to advertise, a backup's that the master is silent.
-func (r *Router) Rang() []Step {
+// TimerFired says that the alarm went off: a master's to advertise, a backup's that the master is silent.
+func (r *Router) TimerFired() []Step {
 	switch r.state {
 	case Backup:
 		return r.lead()
--- a/internal/protocol/vrrp/vrrp_test.go
+++ b/internal/protocol/vrrp/vrrp_test.go
@@ -68,7 +68,7 @@
 	if got := alarm(receive(t, r, high, advert(7, 200, 500*time.Millisecond))); got != 1500*time.Millisecond+skew/2 {
 		t.Fatalf("with the master's own interval: %v", got) // RFC 9568, 6.4.2: the interval is learned
 	}
-	steps := r.Rang()
+	steps := r.TimerFired()
 	if m, ok := sent(t, steps); r.State() != Master || !ok || m.priority != 100 || alarm(steps) != time.Second {
 		t.Fatalf("%v, %+v", r.State(), steps)
 	}
@@ -80,12 +80,12 @@
 	if got := alarm(receive(t, r, high, advert(7, 0, time.Second))); got != 156*time.Second/256 {
 		t.Fatalf("waits %v, want the skew", got)
 	}
-	r.Rang()
+	r.TimerFired()
 	m, ok := sent(t, r.Shutdown())
 	if !ok || m.priority != 0 || r.State() != Initialize {
 		t.Fatalf("a master that stops says %+v", m)
 	}
-	if r.Rang() != nil || r.Shutdown() != nil {
+	if r.TimerFired() != nil || r.Shutdown() != nil {
 		t.Fatal("a stopped router acts")
 	}
 }
@@ -112,7 +112,7 @@
 	} {
 		r := router(t, 100, true)
 		r.Startup()
-		r.Rang()
+		r.TimerFired()
 		steps := receive(t, r, c.from, advert(7, c.priority, time.Second))
 		if _, answered := sent(t, steps); r.State() != c.want || answered != (c.want == Master) {
 			t.Errorf("%s: %v, %+v", name, r.State(), steps)
@@ -151,7 +151,7 @@
 		r.Startup()
 		for _, b := range rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 0, 40)).Draw(rt, "messages") {
 			r.Received(high, b)
-			r.Rang()
+			r.TimerFired()
 		}
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -80,17 +80,17 @@
 	Zones     []string      `json:"zones"`
 }
 
-var figures = map[string]policy.Figure{
+var figures = map[string]policy.Metric{
 	"inflight": policy.Inflight, "queue": policy.Queued, "util": policy.Util, "latency_ms": policy.LatencyMS,
-	"qps": policy.PerSecond, "eps": policy.ErrorsPerSecond, "x0": policy.MemoryShare, "x1": policy.DiskShare,
+	"qps": policy.QueriesPerSecond, "eps": policy.ErrorsPerSecond, "x0": policy.MemoryShare, "x1": policy.DiskShare,
 }
 
-var effects = map[string]policy.Effect{
-	"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe,
+var effects = map[string]policy.Idempotency{
+	"retryable": policy.Idempotent, "dedup": policy.IdempotentWithKey, "fragile": policy.NotIdempotent,
 }
 
-var groups = map[string]policy.Group{
-	"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell,
+var groups = map[string]policy.DedupScope{
+	"": policy.DedupAll, "all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell,
 }
 
 // Parse reads the first message of an instance.
@@ -105,31 +105,31 @@
 // forModule turns the object into what the module is told.
 func (s *setup) forModule() (policy.Settings, error) {
 	out := policy.Settings{
-		Zones: len(s.Zones), Zone: s.Zone, Siblings: s.Siblings, Number: s.SelfIndex, Tick: s.Tick,
-		AskForList: s.MembershipMode == "on_request", GrantCap: s.Family.GrantCap,
-		TakesGrants: s.Family.TakesGrants, TakesPriority: s.Family.TakesPriority,
-		ShortMemoryWaits: s.Family.Overbooked == "line_up", CostInAnswers: s.Family.CostInAnswers,
-		CanCancel: s.Permissions.Cancel, CanProbe: s.Permissions.Probes,
-		SecondCopies: s.Permissions.ParallelTries, MaxAttempts: s.Permissions.AttemptsCap,
+		Zones: len(s.Zones), Zone: s.Zone, Gateways: s.Siblings, Number: s.SelfIndex, Tick: s.Tick,
+		PollEngineList: s.MembershipMode == "on_request", MaxGrantShare: s.Family.GrantCap,
+		HonorsGrants: s.Family.TakesGrants, HonorsPriority: s.Family.TakesPriority,
+		QueuesForMemory: s.Family.Overbooked == "line_up", WorkInResponses: s.Family.CostInAnswers,
+		MayCancel: s.Permissions.Cancel, MayProbe: s.Permissions.Probes,
+		MayHedge: s.Permissions.ParallelTries, MaxAttempts: s.Permissions.AttemptsCap,
 		CrossZoneCost: s.Costs.CrossZone,
 		Rules: policy.Rules{
-			AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace, ColdShare: s.Rules.ColdShare,
-			WarmAfter: s.Rules.WarmAfter, FallMultiple: s.Rules.FallMultiple, FallSpan: s.Rules.Fall,
-			KeyRest: s.Rules.KeyRest, ExtraSpan: s.Rules.RatioSpan, MustAskIn: s.Rules.MustAskIn,
-			Budgeted: s.Rules.ExtraShare != nil || s.Rules.FreeResends != nil,
+			ResponseSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace, InitialCapacityShare: s.Rules.ColdShare,
+			WarmupTime: s.Rules.WarmAfter, WarmupBudgetMultiple: s.Rules.FallMultiple, WarmupBudgetSpan: s.Rules.Fall,
+			OrderedKeyPause: s.Rules.KeyRest, RetryBudgetSpan: s.Rules.RatioSpan, EngineListPollInterval: s.Rules.MustAskIn,
+			RetryBudget: s.Rules.ExtraShare != nil || s.Rules.FreeResends != nil,
 		},
 	}
 	if s.Permissions.RetryAfter {
 		out.MaxRetryAfter = s.Permissions.MaxRetryAfter
 	}
 	if p := s.Rules.FreeResends; p != nil {
-		out.Rules.FreeExtras = *p
+		out.Rules.FreeRetries = *p
 	}
 	if p := s.Rules.ExtraShare; p != nil {
-		out.Rules.ExtraShare = *p
+		out.Rules.RetryShare = *p
 	}
 	for _, name := range s.Report.Fields {
-		out.Figures = append(out.Figures, figures[name])
+		out.Metrics = append(out.Metrics, figures[name])
 	}
 	for i := range s.Models {
 		out.Kinds = append(out.Kinds, policy.Kind{Cores: at(s.Family.Cores, i), MemoryMB: at(s.Family.SizeMB, i)})
@@ -144,10 +144,10 @@
 			return out, fmt.Errorf("class %d has group %q", i, c.Group)
 		}
 		out.Classes = append(out.Classes, policy.Class{
-			Name: c.Name, Aim: c.Objective, AimStretch: c.AimStretch, Deadline: c.GiveUp, Worth: c.Worth,
-			LateWorth: c.LateValue, Effect: effect, Group: group, Window: c.Window, InOrder: c.InOrder,
+			Name: c.Name, LatencyObjective: c.Objective, ObjectivePerWork: c.AimStretch, Deadline: c.GiveUp, Weight: c.Worth,
+			LateWeightShare: c.LateValue, Idempotency: effect, DedupScope: group, DedupWindow: c.Window, Ordered: c.InOrder,
 			Stream: c.Stream, Threads: at(s.Family.Threads, i), IsLoad: at(s.Family.IsLoad, i),
-			WaitsLoads: at(s.Family.WaitsForLoads, i), BoundZones: c.ZonesOpen != nil, BoundKinds: c.AllowedOn != nil,
+			WaitsForLoads: at(s.Family.WaitsForLoads, i), RestrictZones: c.ZonesOpen != nil, RestrictKinds: c.AllowedOn != nil,
 			Zones: positions(c.ZonesOpen, s.Zones), Kinds: positions(c.AllowedOn, s.Models),
 		})
 	}
@@ -206,4 +206,4 @@
 }
 
 // FigureOf reports which figure a report's field is; Unknown for one that the module has no use for.
-func FigureOf(field string) policy.Figure { return figures[field] }
+func FigureOf(field string) policy.Metric { return figures[field] }
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -30,12 +30,12 @@
 // decisionSettings are those of a fleet with one class of statements.
 func decisionSettings(gateways int) policy.Settings {
 	return policy.Settings{
-		Classes:  []policy.Class{{Name: "lookup", Aim: time.Second, Deadline: decisionPatience, Worth: 1, Threads: 1}},
+		Classes:  []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: decisionPatience, Weight: 1, Threads: 1}},
 		Kinds:    []policy.Kind{{Cores: engineCores, MemoryMB: engineMemoryMB}},
 		Zones:    1,
-		Siblings: gateways,
+		Gateways: gateways,
 		Tick:     decisionTick,
-		Figures:  []policy.Figure{policy.Inflight},
+		Metrics:  []policy.Metric{policy.Inflight},
 		Rules:    policy.Rules{DrainGrace: time.Second},
 	}
 }
@@ -55,9 +55,9 @@
 	for _, action := range m.gateway.Handle(now, what.(policy.Event)) {
 		switch a := action.(type) {
 		case policy.Send:
-			report := policy.Report{Present: true, Values: map[policy.Figure]float64{policy.Inflight: 1}}
+			report := policy.Report{Present: true, Values: map[policy.Metric]float64{policy.Inflight: 1}}
 			followUps = append(followUps, followUp{AnswerTime, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK,
-				Took: AnswerTime, Terminal: true, Report: report}, true})
+				Duration: AnswerTime, Terminal: true, Report: report}, true})
 		case policy.SetTimer:
 			followUps = append(followUps, followUp{a.After, policy.TimerFired{Token: a.Token}, false})
 		}
@@ -91,16 +91,16 @@
 }
 
 func (m coreModule) arrive(now time.Duration, number int) []followUp {
-	_, actions := m.core.Take(now, core.Ask{TableGroup: tableGroup(number), Remaining: decisionPatience})
+	_, actions := m.core.Submit(now, core.Query{TableGroup: tableGroup(number), Remaining: decisionPatience})
 	return m.followUps(now, actions)
 }
 
 func (m coreModule) resume(now time.Duration, what any) []followUp {
 	switch w := what.(type) {
 	case attemptEnd:
-		return m.followUps(now, m.core.Ended(now, w.id, w.attempt, policy.OK, []core.Field{{Name: "inflight", Value: 1}}))
+		return m.followUps(now, m.core.AttemptEnded(now, w.id, w.attempt, policy.OK, []core.Field{{Name: "inflight", Value: 1}}))
 	case core.Timer:
-		return m.followUps(now, m.core.Due(now, w.Token))
+		return m.followUps(now, m.core.TimerFired(now, w.Token))
 	}
 	return nil
 }
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -76,7 +76,7 @@
 	case RefusesClass:
 		return program.Hooks{Host: func(h *settings.Host) {
 			i := slices.IndexFunc(h.Module.Classes, func(c policy.Class) bool { return c.Threads > 2 })
-			h.Module.Classes[max(0, i)].BoundKinds = true // to no kind at all
+			h.Module.Classes[max(0, i)].RestrictKinds = true // to no kind at all
 		}}, nil
 	case Spoils:
 		return program.Hooks{}, spoilAnswers()
--- a/internal/testutil/transcript/transcript.go
+++ b/internal/testutil/transcript/transcript.go
@@ -22,18 +22,18 @@
 func line(s attempt.Step) string {
 	switch s := s.(type) {
 	case attempt.Open:
-		return fmt.Sprintf("open %d new %v", s.Lane, s.Fresh)
+		return fmt.Sprintf("open %d new %v", s.Channel, s.Fresh)
 	case attempt.Write:
-		return fmt.Sprintf("write %d %q", s.Lane, s.Bytes)
+		return fmt.Sprintf("write %d %q", s.Channel, s.Bytes)
 	case attempt.Release:
-		return fmt.Sprintf("release %d", s.Lane)
-	case attempt.Drop:
-		return fmt.Sprintf("close %d", s.Lane)
-	case attempt.Set:
-		return fmt.Sprintf("timer %d %v", s.Alarm, s.After)
-	case attempt.News:
+		return fmt.Sprintf("release %d", s.Channel)
+	case attempt.Close:
+		return fmt.Sprintf("close %d", s.Channel)
+	case attempt.SetTimer:
+		return fmt.Sprintf("timer %d %v", s.Timer, s.After)
+	case attempt.Progress:
 		return fmt.Sprintf("progress %g", s.Done)
-	case attempt.Overdue:
+	case attempt.ResponseOverdue:
 		return "overdue"
 	case attempt.Relay:
 		return fmt.Sprintf("relay %q", s.Bytes)
--- a/internal/transport/datagram/vrrp.go
+++ b/internal/transport/datagram/vrrp.go
@@ -72,7 +72,7 @@
 			s.alarm.Stop()
 		}
 		if step.Alarm > 0 {
-			s.alarm = s.loop.After(step.Alarm, func() { s.carryOut(s.router.Rang()) })
+			s.alarm = s.loop.After(step.Alarm, func() { s.carryOut(s.router.TimerFired()) })
 		}
 		if step.Now != nil {
 			s.log.Info("vrrp state", "state", step.Now.String())
--- a/internal/transport/dispatcher/attempt.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -21,13 +21,13 @@
 	machine    attempt.Machine
 	relay      func([]byte)
 	lanes      [2]*lane
-	alarms     map[attempt.Alarm]*eventloop.Timer
+	alarms     map[attempt.Timer]*eventloop.Timer
 }
 
 // lane is one of its connections, or the wait for one.
 type lane struct {
 	driver *AttemptDriver
-	lane   attempt.Lane
+	lane   attempt.Channel
 	link   *enginepool.Conn
 	stop   func()
 	gone   bool
@@ -37,7 +37,7 @@
 func StartAttempt(d *Dispatcher, pool *enginepool.Pool, start core.Start, addr string, machine attempt.Machine, steps []attempt.Step,
 	relay func([]byte)) *AttemptDriver {
 	f := &AttemptDriver{dispatcher: d, pool: pool, start: start, addr: addr, machine: machine, relay: relay,
-		alarms: map[attempt.Alarm]*eventloop.Timer{}}
+		alarms: map[attempt.Timer]*eventloop.Timer{}}
 	f.carryOut(steps)
 	return f
 }
@@ -49,15 +49,15 @@
 func (f *AttemptDriver) Resume() { f.reading((*eventloop.Conn).Resume) }
 
 func (f *AttemptDriver) reading(do func(*eventloop.Conn)) {
-	if l := f.lanes[attempt.Main]; l != nil && l.link != nil {
+	if l := f.lanes[attempt.Primary]; l != nil && l.link != nil {
 		do(l.link.Conn)
 	}
 }
 
-// GiveUp calls the attempt off.
-func (f *AttemptDriver) GiveUp(outcome policy.Outcome) {
+// Cancel calls the attempt off.
+func (f *AttemptDriver) Cancel(outcome policy.Outcome) {
 	f.Resume()
-	f.carryOut(f.machine.GiveUp(outcome))
+	f.carryOut(f.machine.Cancel(outcome))
 }
 
 func (f *AttemptDriver) carryOut(steps []attempt.Step) {
@@ -66,60 +66,60 @@
 		case attempt.Open:
 			f.open(s)
 		case attempt.Write:
-			if l := f.lanes[s.Lane]; l != nil && l.link != nil {
+			if l := f.lanes[s.Channel]; l != nil && l.link != nil {
 				l.link.Write(s.Bytes)
 			}
 		case attempt.Release:
-			f.leave(s.Lane, true)
-		case attempt.Drop:
-			f.leave(s.Lane, false)
-		case attempt.Set:
-			f.alarms[s.Alarm].Stop()
-			delete(f.alarms, s.Alarm)
+			f.leave(s.Channel, true)
+		case attempt.Close:
+			f.leave(s.Channel, false)
+		case attempt.SetTimer:
+			f.alarms[s.Timer].Stop()
+			delete(f.alarms, s.Timer)
 			if s.After > 0 {
 				after := s.After
-				if s.Alarm == attempt.Silence { // what came while this process waited for its turn is not read yet
+				if s.Timer == attempt.ResponseTimeout { // what came while this process waited for its turn is not read yet
 					after += 2 * f.dispatcher.Loop.Lag()
 				}
-				f.alarms[s.Alarm] = f.dispatcher.Loop.After(after, func() { f.carryOut(f.machine.Rang(s.Alarm)) })
+				f.alarms[s.Timer] = f.dispatcher.Loop.After(after, func() { f.carryOut(f.machine.TimerFired(s.Timer)) })
 			}
-		case attempt.News:
+		case attempt.Progress:
 			f.dispatcher.Progress(f.start.ID, f.start.Attempt, s.Done)
-		case attempt.Overdue:
-			f.dispatcher.Overdue(f.start.ID, f.start.Attempt)
+		case attempt.ResponseOverdue:
+			f.dispatcher.ResponseOverdue(f.start.ID, f.start.Attempt)
 		case attempt.Relay:
-			if f.dispatcher.Began(f.start.ID, f.start.Attempt) {
+			if f.dispatcher.ResponseStarted(f.start.ID, f.start.Attempt) {
 				f.relay(s.Bytes)
 			}
 		case attempt.End:
-			f.dispatcher.Ended(f.start.ID, f.start.Attempt, s.Outcome, fields(s.Report), s.Result)
+			f.dispatcher.AttemptEnded(f.start.ID, f.start.Attempt, s.Outcome, fields(s.Report), s.Result)
 		}
 	}
 }
 
 func (f *AttemptDriver) open(s attempt.Open) {
-	f.leave(s.Lane, false)
-	l := &lane{driver: f, lane: s.Lane}
-	f.lanes[s.Lane] = l
+	f.leave(s.Channel, false)
+	l := &lane{driver: f, lane: s.Channel}
+	f.lanes[s.Channel] = l
 	e := f.start.Engine
-	l.stop = f.pool.Get(e.ID, f.addr, s.Fresh, s.Lane == attempt.Side, l, func(link *enginepool.Conn, err error) {
+	l.stop = f.pool.Get(e.ID, f.addr, s.Fresh, s.Channel == attempt.Control, l, func(link *enginepool.Conn, err error) {
 		l.stop = nil
 		if err != nil {
-			f.carryOut(f.machine.Failed(l.lane))
+			f.carryOut(f.machine.ConnectFailed(l.lane))
 			return
 		}
 		l.link = link
-		if f.dispatcher.Listen(f.start.ID); l.gone { // the client has called it off
+		if f.dispatcher.ReadClient(f.start.ID); l.gone { // the client has called it off
 			return
 		}
-		f.carryOut(f.machine.Opened(l.lane, &link.Memory, func(again bool) (time.Duration, bool) {
+		f.carryOut(f.machine.Connected(l.lane, &link.Memory, func(again bool) (time.Duration, bool) {
 			return f.dispatcher.MaySend(f.start.ID, f.start.Attempt, again)
 		}))
 	})
 }
 
 // leave ends a lane's connection or the wait for it.
-func (f *AttemptDriver) leave(which attempt.Lane, keep bool) {
+func (f *AttemptDriver) leave(which attempt.Channel, keep bool) {
 	l := f.lanes[which]
 	if l == nil {
 		return
@@ -138,7 +138,7 @@
 // Data feeds the machine.
 func (l *lane) Data(b []byte) {
 	if !l.gone {
-		l.driver.carryOut(l.driver.machine.Fed(l.lane, b))
+		l.driver.carryOut(l.driver.machine.Received(l.lane, b))
 	}
 }
 
@@ -146,7 +146,7 @@
 func (l *lane) Closed(error) {
 	if !l.gone {
 		l.link = nil
-		l.driver.carryOut(l.driver.machine.Broke(l.lane))
+		l.driver.carryOut(l.driver.machine.ConnectionLost(l.lane))
 	}
 }
 
--- a/internal/transport/dispatcher/dispatcher.go
+++ b/internal/transport/dispatcher/dispatcher.go
@@ -13,8 +13,8 @@
 	"frostpier/policy"
 )
 
-// Caller is a front's side of a request: how its attempts are made and its answer is given.
-type Caller interface {
+// Client is a front's side of a request: how its attempts are made and its answer is given.
+type Client interface {
 	// Attempt starts an attempt, which calls Dispatcher.Ended once.
 	Attempt(a core.Start) Attempt
 	// Answer gives the final answer; result is what the attempt that served it brought.
@@ -28,8 +28,8 @@
 
 // Attempt is one that is out.
 type Attempt interface {
-	// GiveUp calls it off; it ends with outcome once it is not out any more.
-	GiveUp(outcome policy.Outcome)
+	// Cancel calls it off; it ends with outcome once it is not out any more.
+	Cancel(outcome policy.Outcome)
 }
 
 // Dispatcher drives the core on the loop.
@@ -44,7 +44,7 @@
 }
 
 type call struct {
-	caller  Caller
+	caller  Client
 	attempt Attempt
 	timer   *eventloop.Timer // the attempt's time-out
 	number  int
@@ -69,20 +69,20 @@
 	return remaining - min(leastMargin+2*lag, time.Duration(mostMargin*float64(remaining)))
 }
 
-// Take hands a request to the core.
-func (d *Dispatcher) Take(ask core.Ask, caller Caller, numbered func(core.ID)) {
+// Submit hands a request to the core.
+func (d *Dispatcher) Submit(ask core.Query, caller Client, numbered func(core.ID)) {
 	ask.Remaining = withinReach(ask.Remaining, d.Loop.Lag())
-	id, actions := d.Core.Take(d.Loop.Now(), ask)
+	id, actions := d.Core.Submit(d.Loop.Now(), ask)
 	d.calls[id] = &call{caller: caller}
 	numbered(id)
 	d.carryOut(actions, nil)
 }
 
-// Leave says that a request's client wants no answer any more.
-func (d *Dispatcher) Leave(id core.ID) {
+// Cancel says that a request's client wants no answer any more.
+func (d *Dispatcher) Cancel(id core.ID) {
 	if c := d.calls[id]; c != nil {
 		c.replied = true
-		d.carryOut(d.Core.Leave(d.Loop.Now(), id), nil)
+		d.carryOut(d.Core.Cancel(d.Loop.Now(), id), nil)
 		d.forget(id, c)
 	}
 }
@@ -117,16 +117,16 @@
 	return d.Core.MaySend(d.Loop.Now(), id, n, again)
 }
 
-// Listen takes in what a request's client has sent by now: it may have called the request off.
-func (d *Dispatcher) Listen(id core.ID) {
+// ReadClient takes in what a request's client has sent by now: it may have called the request off.
+func (d *Dispatcher) ReadClient(id core.ID) {
 	if c := d.calls[id]; c != nil {
 		c.caller.ReadPending()
 	}
 }
 
-// Began says that a part of an attempt's answer is there, and reports whether it is to go out.
-func (d *Dispatcher) Began(id core.ID, n int) bool {
-	wanted, actions := d.Core.Began(d.Loop.Now(), id, n)
+// ResponseStarted says that a part of an attempt's answer is there, and reports whether it is to go out.
+func (d *Dispatcher) ResponseStarted(id core.ID, n int) bool {
+	wanted, actions := d.Core.ResponseStarted(d.Loop.Now(), id, n)
 	if c := d.calls[id]; c != nil && len(actions) > 0 {
 		c.timer.Stop()
 	}
@@ -139,13 +139,13 @@
 	d.carryOut(d.Core.Progress(d.Loop.Now(), id, n, done), nil)
 }
 
-// Overdue passes on that an engine withholds an answer.
-func (d *Dispatcher) Overdue(id core.ID, n int) {
-	d.carryOut(d.Core.Overdue(d.Loop.Now(), id, n), nil)
+// ResponseOverdue passes on that an engine withholds an answer.
+func (d *Dispatcher) ResponseOverdue(id core.ID, n int) {
+	d.carryOut(d.Core.ResponseOverdue(d.Loop.Now(), id, n), nil)
 }
 
-// Ended reports the one end of an attempt.
-func (d *Dispatcher) Ended(id core.ID, n int, outcome policy.Outcome, report []core.Field, result any) {
+// AttemptEnded reports the one end of an attempt.
+func (d *Dispatcher) AttemptEnded(id core.ID, n int, outcome policy.Outcome, report []core.Field, result any) {
 	c := d.calls[id]
 	if c != nil && c.number == n {
 		c.timer.Stop()
@@ -153,10 +153,10 @@
 	}
 	if outcome != policy.OK && c != nil && !c.replied {
 		if _, gone := c.caller.Unread(); gone {
-			d.Leave(id) // else the module would try again for nobody
+			d.Cancel(id) // else the module would try again for nobody
 		}
 	}
-	d.carryOut(d.Core.Ended(d.Loop.Now(), id, n, outcome, report), result)
+	d.carryOut(d.Core.AttemptEnded(d.Loop.Now(), id, n, outcome, report), result)
 	if c != nil {
 		d.forget(id, c)
 	}
@@ -182,7 +182,7 @@
 }
 
 func (d *Dispatcher) checkIdle() {
-	if d.idle != nil && d.Core.Open() == 0 && d.Core.Out() == 0 {
+	if d.idle != nil && d.Core.PendingRequests() == 0 && d.Core.AttemptsInFlight() == 0 {
 		f := d.idle
 		d.idle = nil
 		f()
@@ -196,7 +196,7 @@
 			d.start(a)
 		case core.Stop:
 			if c := d.calls[a.ID]; c != nil && c.attempt != nil && c.number == a.Attempt {
-				c.attempt.GiveUp(policy.Cancelled)
+				c.attempt.Cancel(policy.Cancelled)
 			}
 		case core.Reply:
 			if c := d.calls[a.ID]; c != nil {
@@ -207,7 +207,7 @@
 		case core.Disconnect:
 			d.forgetEngine(a.Engine)
 		case core.Timer:
-			d.Loop.After(a.After, func() { d.carryOut(d.Core.Due(d.Loop.Now(), a.Token), nil) })
+			d.Loop.After(a.After, func() { d.carryOut(d.Core.TimerFired(d.Loop.Now(), a.Token), nil) })
 		}
 	}
 	d.checkIdle()
@@ -219,7 +219,7 @@
 	c.attempt = c.caller.Attempt(a)
 	c.timer = d.Loop.After(a.Timeout, func() {
 		if c.attempt != nil {
-			c.attempt.GiveUp(policy.Timeout)
+			c.attempt.Cancel(policy.Timeout)
 		}
 	})
 }
--- a/internal/transport/frontend/crossings_test.go
+++ b/internal/transport/frontend/crossings_test.go
@@ -179,7 +179,7 @@
 	r.t.Helper()
 	nettest.Until(r.t, "the request's end", func() bool { return r.counts().Left == 1 })
 	r.loop.Do(func() {
-		if out := r.dispatcher.Core.Out(); out != 0 {
+		if out := r.dispatcher.Core.AttemptsInFlight(); out != 0 {
 			r.t.Errorf("%d attempts are out", out)
 		}
 	})
@@ -348,7 +348,7 @@
 			nettest.Send(t, nc, abort)
 		}
 		nettest.Until(t, "the attempt's end", func() (over bool) {
-			r.loop.Do(func() { over = r.dispatcher.Core.Out() == 0 && r.dispatcher.Core.Open() == 0 })
+			r.loop.Do(func() { over = r.dispatcher.Core.AttemptsInFlight() == 0 && r.dispatcher.Core.PendingRequests() == 0 })
 			return over
 		})
 		nettest.Send(t, nc, ping)
@@ -651,7 +651,7 @@
 			t.Fatalf("%q, want the DELETE", call)
 		}
 		r.loop.Do(func() {
-			if out := r.dispatcher.Core.Out(); out != 1 {
+			if out := r.dispatcher.Core.AttemptsInFlight(); out != 1 {
 				t.Errorf("%d attempts are out before the engine has confirmed", out)
 			}
 		})
@@ -661,7 +661,7 @@
 			nettest.Send(t, side.Conn, confirmed)
 		}
 		nettest.Until(t, "the attempt's end", func() (over bool) {
-			r.loop.Do(func() { over = r.dispatcher.Core.Out() == 0 })
+			r.loop.Do(func() { over = r.dispatcher.Core.AttemptsInFlight() == 0 })
 			return over
 		})
 		in := bufio.NewReader(nc)
@@ -709,8 +709,8 @@
 		for c := range r.open {
 			c.conn.DeliverPending()
 		}
-		if len(r.open) != 0 || r.dispatcher.Core.Open() != 0 {
-			t.Errorf("%d connections, %d requests", len(r.open), r.dispatcher.Core.Open())
+		if len(r.open) != 0 || r.dispatcher.Core.PendingRequests() != 0 {
+			t.Errorf("%d connections, %d requests", len(r.open), r.dispatcher.Core.PendingRequests())
 		}
 	})
 }
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -180,7 +180,7 @@
 func (c *mysqlClient) leave() {
 	if c.call != nil {
 		c.call = nil
-		c.front.dispatcher.Leave(c.id)
+		c.front.dispatcher.Cancel(c.id)
 	}
 }
 
@@ -210,7 +210,7 @@
 		group = core.SchemaGroup(call.Schema)
 	}
 	c.call = call
-	c.front.dispatcher.Take(core.Ask{Class: call.Account.Class, TableGroup: group, Remaining: call.Account.Budget},
+	c.front.dispatcher.Submit(core.Query{Class: call.Account.Class, TableGroup: group, Remaining: call.Account.Budget},
 		c, func(id core.ID) { c.id = id })
 }
 
@@ -256,10 +256,10 @@
 	case r.Verdict == core.Broken:
 		c.end()
 		return
-	case r.Late:
+	case r.DeadlineExceeded:
 		c.conn.Write(mysql.Deadline())
-	case r.Verdict == core.Refused:
-		c.conn.Write(mysql.Refusal(r.ComeBack))
+	case r.Verdict == core.Rejected:
+		c.conn.Write(mysql.Refusal(r.RetryAfter))
 	default:
 		c.conn.Write(mysql.Failure())
 	}
@@ -270,4 +270,4 @@
 	})
 }
 
-var _ dispatcher.Caller = (*mysqlClient)(nil)
+var _ dispatcher.Client = (*mysqlClient)(nil)
--- a/internal/transport/frontend/platform.go
+++ b/internal/transport/frontend/platform.go
@@ -317,7 +317,7 @@
 func (c *client) leaveAll() {
 	for id, number := range c.calls {
 		delete(c.calls, id)
-		c.front.dispatcher.Leave(number)
+		c.front.dispatcher.Cancel(number)
 	}
 }
 
@@ -326,14 +326,14 @@
 	if open {
 		c.session.Done(id)
 		delete(c.calls, id)
-		c.front.dispatcher.Leave(number)
+		c.front.dispatcher.Cancel(number)
 	}
 }
 
 func (c *client) call(call *jsonrpc.Call) {
-	ask := core.Ask{Name: call.RID, Class: call.Class, TableGroup: core.TableGroup(string(call.Statement)), Cost: call.Cost,
-		NeedMB: call.NeedMB, Remaining: call.Budget, Repeat: call.Repeat}
-	c.front.dispatcher.Take(ask, &request{client: c, call: call}, func(id core.ID) { c.calls[call.ID] = id })
+	ask := core.Query{Name: call.RID, Class: call.Class, TableGroup: core.TableGroup(string(call.Statement)), EstimatedWork: call.EstimatedWork,
+		EstimatedMemoryMB: call.EstimatedMemoryMB, Remaining: call.Budget, IsClientRetry: call.IsClientRetry}
+	c.front.dispatcher.Submit(ask, &request{client: c, call: call}, func(id core.ID) { c.calls[call.ID] = id })
 }
 
 // request is a call of a client.
@@ -365,11 +365,11 @@
 	case core.Served:
 		body, _ := result.([]byte)
 		c.conn.Write(jsonrpc.Result(r.call.ID, body))
-	case core.Refused:
-		c.conn.Write(jsonrpc.Refused(r.call.ID, reply.ComeBack))
+	case core.Rejected:
+		c.conn.Write(jsonrpc.Rejected(r.call.ID, reply.RetryAfter))
 	default:
 		why := "the query failed"
-		if reply.Late {
+		if reply.DeadlineExceeded {
 			why = "no answer in time"
 		}
 		c.conn.Write(jsonrpc.Failed(r.call.ID, why))
--- a/internal/transport/frontend/platform_test.go
+++ b/internal/transport/frontend/platform_test.go
@@ -25,8 +25,8 @@
 	t.Helper()
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	class := policy.Class{Name: "lookup", Aim: time.Second, Deadline: time.Minute, Worth: 1, Threads: 1}
-	heart, err := core.New(settings.Host{Module: policy.Settings{Classes: []policy.Class{class}, Siblings: 1,
+	class := policy.Class{Name: "lookup", LatencyObjective: time.Second, Deadline: time.Minute, Weight: 1, Threads: 1}
+	heart, err := core.New(settings.Host{Module: policy.Settings{Classes: []policy.Class{class}, Gateways: 1,
 		Tick: 5 * time.Millisecond}}, 1, log, invariant.New(log))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/frontend/scripted_test.go
+++ b/internal/transport/frontend/scripted_test.go
@@ -52,14 +52,14 @@
 	t.Helper()
 	loop, p := newPool(t, budget)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	class := policy.Class{Name: safe, Aim: 4 * time.Second, Deadline: time.Minute, Worth: 1, Threads: 1}
+	class := policy.Class{Name: safe, LatencyObjective: 4 * time.Second, Deadline: time.Minute, Weight: 1, Threads: 1}
 	fragile, dedup := class, class
-	fragile.Name, fragile.Effect = once, policy.Unsafe
-	dedup.Name, dedup.Effect, dedup.Window = keyed, policy.Keyed, window
+	fragile.Name, fragile.Idempotency = once, policy.NotIdempotent
+	dedup.Name, dedup.Idempotency, dedup.DedupWindow = keyed, policy.IdempotentWithKey, window
 	keep := invariant.New(log)
 	heart, err := core.New(settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"},
-		Module: policy.Settings{Classes: []policy.Class{class, fragile, dedup}, Kinds: []policy.Kind{{Cores: 8}}, Siblings: 1,
-			Tick: 5 * time.Millisecond, CanCancel: true, MaxAttempts: 4}}, 1, log, keep)
+		Module: policy.Settings{Classes: []policy.Class{class, fragile, dedup}, Kinds: []policy.Kind{{Cores: 8}}, Gateways: 1,
+			Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4}}, 1, log, keep)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -20,46 +20,46 @@
 // EngineID names an engine; it stays the same when the engine's process restarts.
 type EngineID uint64
 
-// Effect says what happens when a query of a class runs twice.
-type Effect uint8
+// Idempotency says what happens when a query of a class runs twice.
+type Idempotency uint8
 
 // The effects.
 const (
-	Safe   Effect = iota // may be repeated and refused freely
-	Keyed                // its group of engines drops repeats for a while
-	Unsafe               // must not run twice
+	Idempotent        Idempotency = iota // may be repeated and refused freely
+	IdempotentWithKey                    // its group of engines drops repeats for a while
+	NotIdempotent                        // must not run twice
 )
 
-// Group says which engines drop a keyed query's repeats together.
-type Group uint8
+// DedupScope says which engines drop a keyed query's repeats together.
+type DedupScope uint8
 
 // The groups.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // Class is a class of queries.
 type Class struct {
-	Name       string
-	Aim        time.Duration // an answer within it earns the full worth
-	AimStretch float64       // the aim grows by this times the query's work over its threads
-	Deadline   time.Duration // the client's patience over all its tries
-	Worth      float64
-	LateWorth  float64 // share of the worth of an answer between aim and deadline
-	Effect     Effect
-	Group      Group
-	Window     time.Duration // how long repeats of a keyed query are dropped
-	InOrder    bool          // queries of one key run one at a time, in turn
-	Stream     bool
-	Threads    int
-	IsLoad     bool  // it holds its table group on its engine while it runs
-	WaitsLoads bool  // it stands still there while a load holds its table group
-	Zones      []int // if Bound*: the only zones allowed
-	Kinds      []int // if Bound*: the only machine kinds allowed
-	BoundZones bool
-	BoundKinds bool
+	Name             string
+	LatencyObjective time.Duration // an answer within it earns the full worth
+	ObjectivePerWork float64       // the aim grows by this times the query's work over its threads
+	Deadline         time.Duration // the client's patience over all its tries
+	Weight           float64
+	LateWeightShare  float64 // share of the worth of an answer between aim and deadline
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	DedupWindow      time.Duration // how long repeats of a keyed query are dropped
+	Ordered          bool          // queries of one key run one at a time, in turn
+	Stream           bool
+	Threads          int
+	IsLoad           bool  // it holds its table group on its engine while it runs
+	WaitsForLoads    bool  // it stands still there while a load holds its table group
+	Zones            []int // if Bound*: the only zones allowed
+	Kinds            []int // if Bound*: the only machine kinds allowed
+	RestrictZones    bool
+	RestrictKinds    bool
 }
 
 // Kind is a kind of machine.
@@ -68,17 +68,17 @@
 	MemoryMB float64 // 0 = not told
 }
 
-// Figure names one value of a load report.
-type Figure uint8
+// Metric names one value of a load report.
+type Metric uint8
 
 // The figures.
 const (
-	Unknown Figure = iota
+	UnknownMetric Metric = iota
 	Inflight
 	Queued
 	Util
 	LatencyMS
-	PerSecond
+	QueriesPerSecond
 	ErrorsPerSecond
 	MemoryShare
 	DiskShare
@@ -86,38 +86,38 @@
 
 // Settings is all that a Gateway is told at its start.
 type Settings struct {
-	Classes          []Class
-	Kinds            []Kind
-	Zones            int // how many zones there are
-	Zone             int // the zone of this gateway
-	Siblings         int // gateways that the configuration names, this one included
-	Number           int // of this gateway among them, from 0
-	Tick             time.Duration
-	AskForList       bool // the list of engines comes only to those who ask
-	Figures          []Figure
-	GrantCap         float64 // share of an engine's memory that one query gets at most
-	TakesGrants      bool
-	TakesPriority    bool
-	ShortMemoryWaits bool // a query whose grant does not fit waits in the engine's line
-	CostInAnswers    bool
-	CanCancel        bool
-	CanProbe         bool
-	SecondCopies     bool
-	MaxRetryAfter    time.Duration // 0 where clients cannot be told when to come back
-	MaxAttempts      int
-	CrossZoneCost    float64
-	Rules            Rules
+	Classes         []Class
+	Kinds           []Kind
+	Zones           int // how many zones there are
+	Zone            int // the zone of this gateway
+	Gateways        int // gateways that the configuration names, this one included
+	Number          int // of this gateway among them, from 0
+	Tick            time.Duration
+	PollEngineList  bool // the list of engines comes only to those who ask
+	Metrics         []Metric
+	MaxGrantShare   float64 // share of an engine's memory that one query gets at most
+	HonorsGrants    bool
+	HonorsPriority  bool
+	QueuesForMemory bool // a query whose grant does not fit waits in the engine's line
+	WorkInResponses bool
+	MayCancel       bool
+	MayProbe        bool
+	MayHedge        bool
+	MaxRetryAfter   time.Duration // 0 where clients cannot be told when to come back
+	MaxAttempts     int
+	CrossZoneCost   float64
+	Rules           Rules
 }
 
 // check reports settings that make no sense.
 func (s Settings) check() error {
-	if len(s.Classes) == 0 || s.Siblings < 1 || s.Tick <= 0 {
-		return fmt.Errorf("%d classes, %d gateways and a tick of %v", len(s.Classes), s.Siblings, s.Tick)
+	if len(s.Classes) == 0 || s.Gateways < 1 || s.Tick <= 0 {
+		return fmt.Errorf("%d classes, %d gateways and a tick of %v", len(s.Classes), s.Gateways, s.Tick)
 	}
 	for i, c := range s.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || !(c.Worth >= 0) || !(c.AimStretch >= 0) {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || !(c.Weight >= 0) || !(c.ObjectivePerWork >= 0) {
 			return fmt.Errorf("class %d has aim %v, deadline %v, worth %v, stretch %v",
-				i, c.Aim, c.Deadline, c.Worth, c.AimStretch)
+				i, c.LatencyObjective, c.Deadline, c.Weight, c.ObjectivePerWork)
 		}
 	}
 	return nil
@@ -125,18 +125,18 @@
 
 // Rules holds the figures of the rules.
 type Rules struct {
-	AnswerSlack  time.Duration
-	DrainGrace   time.Duration
-	ColdShare    float64 // an engine starts with no less of its capacity
-	WarmAfter    time.Duration
-	FallMultiple float64
-	FallSpan     time.Duration
-	KeyRest      time.Duration
-	Budgeted     bool // the three below hold
-	FreeExtras   float64
-	ExtraShare   float64
-	ExtraSpan    time.Duration
-	MustAskIn    time.Duration
+	ResponseSlack          time.Duration
+	DrainGrace             time.Duration
+	InitialCapacityShare   float64 // an engine starts with no less of its capacity
+	WarmupTime             time.Duration
+	WarmupBudgetMultiple   float64
+	WarmupBudgetSpan       time.Duration
+	OrderedKeyPause        time.Duration
+	RetryBudget            bool // the three below hold
+	FreeRetries            float64
+	RetryShare             float64
+	RetryBudgetSpan        time.Duration
+	EngineListPollInterval time.Duration
 }
 
 // Event is something a Gateway is told.
@@ -186,21 +186,21 @@
 
 // Arrival is a client's request, taken by this gateway.
 type Arrival struct {
-	ID         RequestID
-	Class      int
-	Key        uint64 // 0 = none
-	TableGroup int
-	Cost       time.Duration // estimated work of all its threads; 0 = no estimate
-	NeedMB     float64       // estimated memory; 0 = no estimate
-	Remaining  time.Duration // until the client gives this try up
-	Repeat     bool
+	ID                RequestID
+	Class             int
+	Key               uint64 // 0 = none
+	TableGroup        int
+	EstimatedWork     time.Duration // estimated work of all its threads; 0 = no estimate
+	EstimatedMemoryMB float64       // estimated memory; 0 = no estimate
+	Remaining         time.Duration // until the client gives this try up
+	IsClientRetry     bool
 }
 
-// ClientLeft says that the client of a request is gone.
-type ClientLeft struct{ ID RequestID }
+// ClientGone says that the client of a request is gone.
+type ClientGone struct{ ID RequestID }
 
-// AnswerStarted says that a streamed answer has begun.
-type AnswerStarted struct {
+// ResponseStarted says that a streamed answer has begun.
+type ResponseStarted struct {
 	ID      RequestID
 	Attempt int
 }
@@ -212,21 +212,21 @@
 const (
 	OK Outcome = iota
 	Error
-	Full // turned away unseen
+	Rejected // turned away unseen
 	Timeout
 	NoConnection // never arrived
 	Reset
 	Cancelled
-	Moot // never sent
+	NotSent // never sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
-func (o Outcome) NeverRan() bool { return o == Full || o == NoConnection || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Rejected || o == NoConnection || o == NotSent }
 
 // Report is an engine's load report.
 type Report struct {
 	Present bool
-	Values  map[Figure]float64
+	Values  map[Metric]float64
 }
 
 // AttemptEnded is the one outcome of an attempt.
@@ -235,7 +235,7 @@
 	Attempt  int
 	Engine   EngineID
 	Outcome  Outcome
-	Took     time.Duration
+	Duration time.Duration
 	Terminal bool          // the request is over
 	Work     time.Duration // what it needed, where answers tell; 0 = not told
 	UsedMB   float64
@@ -244,10 +244,10 @@
 
 // ProbeEnded is what a probe found.
 type ProbeEnded struct {
-	Engine  EngineID
-	Outcome Outcome
-	Took    time.Duration
-	Report  Report
+	Engine   EngineID
+	Outcome  Outcome
+	Duration time.Duration
+	Report   Report
 }
 
 // Progress is news of a running attempt: the share of its work that is done.
@@ -257,8 +257,8 @@
 	Done    float64
 }
 
-// AnswerOverdue says that an engine withholds the answer of a running attempt.
-type AnswerOverdue struct {
+// ResponseOverdue says that an engine withholds the answer of a running attempt.
+type ResponseOverdue struct {
 	ID      RequestID
 	Attempt int
 }
@@ -275,29 +275,29 @@
 
 // PeerReport is what an engine's report told another gateway.
 type PeerReport struct {
-	Engine   EngineID
-	Inflight float64
-	At       time.Duration // when it came there
+	Engine     EngineID
+	Inflight   float64
+	ReportedAt time.Duration // when it came there
 }
 
 // PeerReports are reports that other gateways pass on.
 type PeerReports struct{ Reports []PeerReport }
 
-// Closing says that the host goes down: whatever is open and has no answer under way is answered now.
-type Closing struct{}
-
-func (EngineList) event()    {}
-func (Arrival) event()       {}
-func (ClientLeft) event()    {}
-func (AnswerStarted) event() {}
-func (AttemptEnded) event()  {}
-func (ProbeEnded) event()    {}
-func (Progress) event()      {}
-func (AnswerOverdue) event() {}
-func (TimerFired) event()    {}
-func (InService) event()     {}
-func (PeerReports) event()   {}
-func (Closing) event()       {}
+// ShuttingDown says that the host goes down: whatever is open and has no answer under way is answered now.
+type ShuttingDown struct{}
+
+func (EngineList) event()      {}
+func (Arrival) event()         {}
+func (ClientGone) event()      {}
+func (ResponseStarted) event() {}
+func (AttemptEnded) event()    {}
+func (ProbeEnded) event()      {}
+func (Progress) event()        {}
+func (ResponseOverdue) event() {}
+func (TimerFired) event()      {}
+func (InService) event()       {}
+func (PeerReports) event()     {}
+func (ShuttingDown) event()    {}
 
 // Action is something the host is to do.
 type Action interface{ action() }
@@ -309,17 +309,17 @@
 	Timeout time.Duration
 }
 
-// Terms sets memory and priority of a request's further sends; the priority also holds for those that are out.
-type Terms struct {
+// SetTerms sets memory and priority of a request's further sends; the priority also holds for those that are out.
+type SetTerms struct {
 	ID       RequestID
 	GrantMB  float64 // 0 = the engine's own choice
 	Priority int     // 0 to 3
 }
 
-// Refuse is the final answer that says trying again is harmless.
-type Refuse struct {
-	ID       RequestID
-	ComeBack time.Duration // when to come back; 0 = not said
+// Reject is the final answer that says trying again is harmless.
+type Reject struct {
+	ID         RequestID
+	RetryAfter time.Duration // when to come back; 0 = not said
 }
 
 // Fail is the final answer that promises nothing.
@@ -347,8 +347,8 @@
 type Log struct{ Text string }
 
 func (Send) action()      {}
-func (Terms) action()     {}
-func (Refuse) action()    {}
+func (SetTerms) action()  {}
+func (Reject) action()    {}
 func (Fail) action()      {}
 func (Cancel) action()    {}
 func (Probe) action()     {}
@@ -364,8 +364,8 @@
 		return nil, err
 	}
 	g := &Gateway{s: s, byID: map[EngineID]*engine{}, groups: map[int]*group{},
-		requests: map[RequestID]*request{}, keys: map[uint64]*keyLine{}, wave: 1, inService: float64(s.Siblings), rnd: rand.New(rand.NewPCG(seed, 0))}
-	g.unseen = 1 - 1/math.Sqrt(float64(s.Siblings))
+		requests: map[RequestID]*request{}, keys: map[uint64]*keyLine{}, wave: 1, inService: float64(s.Gateways), rnd: rand.New(rand.NewPCG(seed, 0))}
+	g.unseen = 1 - 1/math.Sqrt(float64(s.Gateways))
 	for _, c := range s.Classes {
 		g.classes = append(g.classes, g.priors(c))
 	}
@@ -378,7 +378,7 @@
 	g.now, g.acts = now, nil
 	if !g.begun {
 		g.begun, g.started = true, now
-		if g.s.AskForList {
+		if g.s.PollEngineList {
 			g.do(Subscribe{})
 		}
 	}
@@ -387,28 +387,28 @@
 		g.list(e)
 	case Arrival:
 		g.arrive(e)
-	case ClientLeft:
+	case ClientGone:
 		if r := g.requests[e.ID]; r != nil {
 			g.left(r)
 		}
-	case AnswerStarted:
+	case ResponseStarted:
 		if r := g.requests[e.ID]; r != nil {
 			r.streaming = true
 		}
 	case AttemptEnded:
 		g.ended(e)
-	case AnswerOverdue:
+	case ResponseOverdue:
 		g.overdue(e)
 	case ProbeEnded:
 		g.probed(e)
 	case InService:
-		g.inService = float64(min(max(1, e.Count), g.s.Siblings))
+		g.inService = float64(min(max(1, e.Count), g.s.Gateways))
 		if e.Subset != g.subset {
 			g.subset, g.homes = e.Subset, nil
 		}
 	case PeerReports:
 		g.applyPeerReports(e.Reports)
-	case Closing:
+	case ShuttingDown:
 		for _, r := range slices.Clone(g.open) {
 			if !r.streaming {
 				g.answer(r)
@@ -426,17 +426,17 @@
 	return g.acts
 }
 
-// SendAgain asks whether an attempt may go out once more to its engine, which seems not to have read it: the connection
+// MayResend asks whether an attempt may go out once more to its engine, which seems not to have read it: the connection
 // broke before an answer, and the engine does not know the query. If so, it counts as a further attempt.
-func (g *Gateway) SendAgain(now time.Duration, id RequestID, n int) bool {
+func (g *Gateway) MayResend(now time.Duration, id RequestID, n int) bool {
 	g.now = max(now, g.now)
 	r := g.requests[id]
 	return r != nil && n >= 0 && n < len(r.attempts) && g.sendAgain(r.attempts[n])
 }
 
-// StillMay asks, when an attempt's first byte could go out, whether its class still permits that: a dial or a wait for a
+// AttemptAllowed asks, when an attempt's first byte could go out, whether its class still permits that: a dial or a wait for a
 // connection may have outlasted the window in which repeats are dropped.
-func (g *Gateway) StillMay(now time.Duration, id RequestID, n int) bool {
+func (g *Gateway) AttemptAllowed(now time.Duration, id RequestID, n int) bool {
 	g.now = max(now, g.now)
 	r := g.requests[id]
 	return r != nil && n >= 0 && n < len(r.attempts) && (r.mayRun == r.attempts[n] || g.mayRepeat(r) && g.inWindow(r))
--- a/policy/containers.go
+++ b/policy/containers.go
@@ -132,7 +132,7 @@
 }
 
 // figure reads a value of a report, if it is there and makes sense.
-func figure(r Report, f Figure) (float64, bool) {
+func figure(r Report, f Metric) (float64, bool) {
 	v, ok := r.Values[f]
 	return v, ok && r.Present && v >= 0 && !math.IsInf(v, 0)
 }
@@ -169,7 +169,7 @@
 // homesOf is how many homes a group has. Few gateways do not crowd one, and two would only read the group cold; gateways
 // that work with subsets of the engines have different homes anyway.
 func (g *Gateway) homesOf() int {
-	if g.s.Siblings < homesFrom || g.subset {
+	if g.s.Gateways < homesFrom || g.subset {
 		return 1
 	}
 	return 2
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -26,9 +26,9 @@
 
 func newBenchHost(b *testing.B, engines int) *benchHost {
 	gateway, err := policy.New(policy.Settings{
-		Classes:  []policy.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1}},
+		Classes:  []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1, Threads: 1}},
 		Kinds:    []policy.Kind{{Cores: 32, MemoryMB: 65536}},
-		Siblings: 800, Tick: 5 * time.Millisecond, Figures: []policy.Figure{policy.Inflight},
+		Gateways: 800, Tick: 5 * time.Millisecond, Metrics: []policy.Metric{policy.Inflight},
 	}, 1)
 	if err != nil {
 		b.Fatal(err)
@@ -47,8 +47,8 @@
 		switch a := action.(type) {
 		case policy.Send:
 			h.endAt = append(h.endAt, h.now+benchAnswerTime)
-			h.ends = append(h.ends, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK, Took: benchAnswerTime,
-				Terminal: true, Report: policy.Report{Present: true, Values: map[policy.Figure]float64{policy.Inflight: 1}}})
+			h.ends = append(h.ends, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK, Duration: benchAnswerTime,
+				Terminal: true, Report: policy.Report{Present: true, Values: map[policy.Metric]float64{policy.Inflight: 1}}})
 		case policy.SetTimer:
 			h.timers[a.Token] = h.now + a.After
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,8 +10,8 @@
 // A host drives a Gateway by hand: it tells of an engine, takes a request and reports how the attempt ended.
 func ExampleGateway() {
 	gateway, err := policy.New(policy.Settings{
-		Classes: []policy.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1}},
-		Kinds:   []policy.Kind{{Cores: 8, MemoryMB: 16384}}, Siblings: 1, Tick: 5 * time.Millisecond,
+		Classes: []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1, Threads: 1}},
+		Kinds:   []policy.Kind{{Cores: 8, MemoryMB: 16384}}, Gateways: 1, Tick: 5 * time.Millisecond,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -31,7 +31,7 @@
 	show(gateway.Handle(now, policy.EngineList{Engines: []policy.EngineInfo{{ID: 7}}}))
 	show(gateway.Handle(now, policy.Arrival{ID: 1, TableGroup: 3, Remaining: 5 * time.Second}))
 	show(gateway.Handle(now+80*time.Millisecond, policy.AttemptEnded{ID: 1, Engine: 7, Outcome: policy.OK,
-		Took: 80 * time.Millisecond, Terminal: true}))
+		Duration: 80 * time.Millisecond, Terminal: true}))
 	// Output:
 	// send request 1 to engine 7, time-out 5s
 	// call back in 20ms
--- a/policy/explain.go
+++ b/policy/explain.go
@@ -7,78 +7,78 @@
 
 // The guards that depend on the engine, then those that do not. None = nothing does.
 const (
-	None      Guard = "none"
-	ByPlace   Guard = "place"  // its class may not go there
-	ByCold    Guard = "cold"   // the cold budget, or another gateway's turn
-	ByHealth  Guard = "shut"   // shut out, or on trial and busy
-	ByTried   Guard = "tried"  // the request was there before
-	ByFull    Guard = "full"   // it turned work away and rests
-	ByRate    Guard = "rate"   // the class is let in at a rate
-	ByLoad    Guard = "load"   // a load of the same group is out there
-	ByLimit   Guard = "limit"  // this gateway's threads there
-	ByMemory  Guard = "memory" // the grants there
-	ByWindow  Guard = "window" // this gateway's threads everywhere
-	ByRation  Guard = "ration" // of further attempts
-	ByRequest Guard = "rules"  // another rule on the request itself
-	ByLine    Guard = "line"   // others of its class are looked at first
+	GuardNone        Guard = "none"
+	GuardPlacement   Guard = "place"  // its class may not go there
+	GuardWarmup      Guard = "cold"   // the cold budget, or another gateway's turn
+	GuardHealth      Guard = "shut"   // shut out, or on trial and busy
+	GuardAttempted   Guard = "tried"  // the request was there before
+	GuardRejected    Guard = "full"   // it turned work away and rests
+	GuardRate        Guard = "rate"   // the class is let in at a rate
+	GuardLoad        Guard = "load"   // a load of the same group is out there
+	GuardConcurrency Guard = "limit"  // this gateway's threads there
+	GuardMemory      Guard = "memory" // the grants there
+	GuardWindow      Guard = "window" // this gateway's threads everywhere
+	GuardRetryBudget Guard = "ration" // of further attempts
+	GuardRequest     Guard = "rules"  // another rule on the request itself
+	GuardQueue       Guard = "line"   // others of its class are looked at first
 )
 
-// Look is what a gateway believes of an engine.
-type Look struct {
-	Engine        EngineID
-	Own, Others   float64       // threads out there: own, and those that others are believed to have
-	Limit, Target float64       // threads: for this gateway, for all together
-	ReportAge     time.Duration // of the latest report; -1 = none
-	Guard         Guard         // that keeps the request away
+// EngineEstimate is what a gateway believes of an engine.
+type EngineEstimate struct {
+	Engine                  EngineID
+	OwnThreads, PeerThreads float64       // threads out there: own, and those that others are believed to have
+	Limit, Target           float64       // threads: for this gateway, for all together
+	ReportAge               time.Duration // of the latest report; -1 = none
+	Guard                   Guard         // that keeps the request away
 }
 
-// Fill is how much a gateway has out against what it lets out, and how full it believes the fleet to be.
-type Fill struct {
-	Threads float64 // out, everywhere
-	Window  float64 // threads that may be out
-	Mean    float64 // threads a core that others are believed to have out, over the fleet
-	Strain  float64 // the fleet's load over that at which the window may fall
+// Utilization is how much a gateway has out against what it lets out, and how full it believes the fleet to be.
+type Utilization struct {
+	Threads       float64 // out, everywhere
+	Window        float64 // threads that may be out
+	MeanPeerLoad  float64 // threads a core that others are believed to have out, over the fleet
+	OverloadRatio float64 // the fleet's load over that at which the window may fall
 }
 
-// Filled reports how full this gateway and the fleet are held to be.
-func (g *Gateway) Filled() Fill {
-	return Fill{Threads: g.threads, Window: g.window * g.able / max(1/windowWiden, min(1, g.strain())), Mean: g.mean,
-		Strain: g.strain()}
+// Utilization reports how full this gateway and the fleet are held to be.
+func (g *Gateway) Utilization() Utilization {
+	return Utilization{Threads: g.threads, Window: g.window * g.able / max(1/windowWiden, min(1, g.strain())), MeanPeerLoad: g.mean,
+		OverloadRatio: g.strain()}
 }
 
 // Explain reports which guard keeps an open request in line, what is believed of each listed engine, and how many
 // threads this gateway has out against its window. It changes nothing that decides.
-func (g *Gateway) Explain(now time.Duration, id RequestID) (held bool, by Guard, looks []Look) {
+func (g *Gateway) Explain(now time.Duration, id RequestID) (held bool, by Guard, looks []EngineEstimate) {
 	r := g.requests[id]
 	if r == nil || !r.held {
-		return false, None, nil
+		return false, GuardNone, nil
 	}
 	g.now = max(now, g.now)
-	by = ByLine
+	by = GuardQueue
 	switch {
 	case !g.inWidth(r):
-		by = ByWindow
+		by = GuardWindow
 	case !g.inBudget(r):
-		by = ByRation
+		by = GuardRetryBudget
 	case !g.mayGo(r):
-		by = ByRequest
+		by = GuardRequest
 	}
 	for _, e := range g.ready {
-		look := g.Believed(g.now, e.ID)
+		look := g.Estimate(g.now, e.ID)
 		look.Guard = g.guardAt(r, e)
 		looks = append(looks, look)
 	}
 	return true, by, looks
 }
 
-// Believed is what is believed of an engine.
-func (g *Gateway) Believed(now time.Duration, id EngineID) Look {
+// Estimate is what is believed of an engine.
+func (g *Gateway) Estimate(now time.Duration, id EngineID) EngineEstimate {
 	e := g.byID[id]
 	if e == nil {
-		return Look{Engine: id, ReportAge: -1}
+		return EngineEstimate{Engine: id, ReportAge: -1}
 	}
 	g.now = max(now, g.now)
-	look := Look{Engine: id, Own: e.threads, Others: g.others(e), Limit: g.limit(e, 1), Target: g.target(e), ReportAge: -1}
+	look := EngineEstimate{Engine: id, OwnThreads: e.threads, PeerThreads: g.others(e), Limit: g.limit(e, 1), Target: g.target(e), ReportAge: -1}
 	if e.reportAt > 0 {
 		look.ReportAge = g.now - e.reportAt
 	}
@@ -89,23 +89,23 @@
 func (g *Gateway) guardAt(r *request, e *engine) Guard {
 	switch {
 	case !g.placed(r, e) || !g.sameGroup(r, e):
-		return ByPlace
+		return GuardPlacement
 	case !g.coldBudget(r, e):
-		return ByCold
+		return GuardWarmup
 	case g.ill(e):
-		return ByHealth
+		return GuardHealth
 	case g.tried(r, e):
-		return ByTried
+		return GuardAttempted
 	case g.now < e.fullUntil:
-		return ByFull
+		return GuardRejected
 	case g.now < e.rates[r.Class].next:
-		return ByRate
+		return GuardRate
 	case !g.usable(r, e):
-		return ByLoad
+		return GuardLoad
 	case g.room(r, e):
-		return None
+		return GuardNone
 	case !g.fits(r, e):
-		return ByMemory
+		return GuardMemory
 	}
-	return ByLimit
+	return GuardConcurrency
 }
--- a/policy/failures_test.go
+++ b/policy/failures_test.go
@@ -40,7 +40,7 @@
 
 // id8956d: a long query without an answer was taken for a hang; the class's own longest usual time decides.
 func TestOneLongQueryIsNoHang(t *testing.T) {
-	g := handMade(t, 2, func(s *Settings) { s.CanProbe = false })
+	g := handMade(t, 2, func(s *Settings) { s.MayProbe = false })
 	e := g.engines[0]
 	put(g, e, 1, g.now+time.Second)
 	g.now += 4500 * time.Millisecond
@@ -60,7 +60,7 @@
 
 // wien big-1: a reopened engine was shut again at once for a query that it still held from before, for 15 s.
 func TestOldSilenceDoesNotShutAReopenedEngine(t *testing.T) {
-	g := handMade(t, 2, func(s *Settings) { s.CanProbe = false })
+	g := handMade(t, 2, func(s *Settings) { s.MayProbe = false })
 	e := g.engines[0]
 	put(g, e, 1, g.now+time.Second)
 	g.now += 20 * time.Second
@@ -116,7 +116,7 @@
 	put(g, e, 1, g.now+time.Second)
 	e.granted = 0.95 * e.memoryMB
 	r := fresh(g, 1, g.now+time.Second)
-	r.NeedMB = 0.2 * e.memoryMB
+	r.EstimatedMemoryMB = 0.2 * e.memoryMB
 	if g.room(r, e) {
 		t.Fatal("a grant that does not fit is let in")
 	}
@@ -130,10 +130,10 @@
 func TestMemoryCoverFollowsNeeds(t *testing.T) {
 	g := handMade(t, 1, nil)
 	r := fresh(g, 1, g.now+time.Second)
-	r.NeedMB, r.Cost = 100, time.Second
+	r.EstimatedMemoryMB, r.EstimatedWork = 100, time.Second
 	a := &attempt{req: r, engine: g.engines[0], threads: 1, wants: 1}
 	for range 40 {
-		g.learnFrom(a, AttemptEnded{Took: time.Second, Work: time.Second, UsedMB: 300})
+		g.learnFrom(a, AttemptEnded{Duration: time.Second, Work: time.Second, UsedMB: 300})
 	}
 	if mb := g.grant(r, g.engines[0]); mb < 300 {
 		t.Fatalf("grant of %v MB where 300 are needed each time", mb)
@@ -146,7 +146,7 @@
 	e := g.engines[0]
 	report := func(util float64) {
 		g.now += time.Second
-		g.takeReport(e, Report{Present: true, Values: map[Figure]float64{Util: util}})
+		g.takeReport(e, Report{Present: true, Values: map[Metric]float64{Util: util}})
 	}
 	start := g.target(e)
 	for range 30 {
@@ -207,12 +207,12 @@
 
 // Grown wien, quiet day: a client came back with less time left than the next look was away, and got no answer.
 func TestArrivalWithNextToNoTimeIsAnsweredAtOnce(t *testing.T) {
-	g := handMade(t, 1, func(s *Settings) { s.Classes[0].Worth = 0.001 })
+	g := handMade(t, 1, func(s *Settings) { s.Classes[0].Weight = 0.001 })
 	for range 40 {
 		put(g, g.engines[0], 1, g.now+time.Second)
 	}
 	acts := g.Handle(g.now, Arrival{ID: 9, Remaining: 3 * time.Millisecond})
-	if len(acts) == 0 || acts[0] != (Refuse{9, time.Second}) {
+	if len(acts) == 0 || acts[0] != (Reject{9, time.Second}) {
 		t.Fatalf("actions %v, want a refusal", acts)
 	}
 }
@@ -220,17 +220,17 @@
 // First score of the grown deployments: a gateway with one query in a hundred saw no limit, as its own share of an
 // engine was below one query. What the reports of some engines tell must bind at the others too.
 func TestLoadSeenAtSomeEnginesBindsAtAll(t *testing.T) {
-	g := handMade(t, 6, func(s *Settings) { s.Siblings = 200 })
+	g := handMade(t, 6, func(s *Settings) { s.Gateways = 200 })
 	put(g, g.engines[0], 1, g.now+time.Second)
 	report := func(queries float64) {
 		for range 40 {
 			g.now += 100 * time.Millisecond
-			g.takeReport(g.engines[0], Report{Present: true, Values: map[Figure]float64{Inflight: queries}})
+			g.takeReport(g.engines[0], Report{Present: true, Values: map[Metric]float64{Inflight: queries}})
 		}
 	}
 	costly := func() *request {
 		r := fresh(g, 1, g.now+time.Second)
-		r.Cost = 10 * time.Second // worth little for its work
+		r.EstimatedWork = 10 * time.Second // worth little for its work
 		return r
 	}
 	report(2)
@@ -253,12 +253,12 @@
 	for _, cost := range []time.Duration{0, 100 * time.Millisecond} {
 		g := handMade(t, 1, nil)
 		r := fresh(g, 1, g.now+time.Second)
-		r.Cost = cost
+		r.EstimatedWork = cost
 		a := &attempt{req: r, engine: g.engines[0], threads: 1, wants: 1}
 		for range 100 {
-			g.learnFrom(a, AttemptEnded{Took: 20 * time.Second, Work: cost})
+			g.learnFrom(a, AttemptEnded{Duration: 20 * time.Second, Work: cost})
 		}
-		r.due = g.now + g.classes[0].Aim
+		r.due = g.now + g.classes[0].LatencyObjective
 		if g.tooLate(r) {
 			t.Fatalf("cost %v: a query that has just come is thought too late", cost)
 		}
@@ -267,9 +267,9 @@
 
 // Grown felles: queries spilled, as a gateway with one query at an engine saw none of what fills its memory.
 func TestMemoryOfOtherGatewaysCounts(t *testing.T) {
-	g := handMade(t, 1, func(s *Settings) { s.Siblings = 100 })
+	g := handMade(t, 1, func(s *Settings) { s.Gateways = 100 })
 	e, r := g.engines[0], fresh(g, 1, g.now+time.Second)
-	r.NeedMB, g.grantThread = 0.1*e.memoryMB, 0.2*e.memoryMB
+	r.EstimatedMemoryMB, g.grantThread = 0.1*e.memoryMB, 0.2*e.memoryMB
 	g.noteLoad(e, 2)
 	if !g.fits(r, e) {
 		t.Fatal("a grant that fits beside two threads of others is kept out")
@@ -283,15 +283,15 @@
 // Grown wien, big-1: reports came seconds late and load poured in until 95% of the attempts were turned away. How
 // attempts end moves the window, but only while the fleet is under strain, and not for a gateway that sees it all.
 func TestWindowFollowsOutcomesUnderStrain(t *testing.T) {
-	g := handMade(t, 4, func(s *Settings) { s.Siblings = 100 })
+	g := handMade(t, 4, func(s *Settings) { s.Gateways = 100 })
 	a := put(g, g.engines[0], 1, g.now+time.Second)
 	first := g.window
 	g.told, g.mean = true, 0.1
-	if g.widen(a, AttemptEnded{Outcome: Full}); g.window != first {
+	if g.widen(a, AttemptEnded{Outcome: Rejected}); g.window != first {
 		t.Fatal("the window fell on an idle fleet")
 	}
 	g.mean = 3
-	if g.widen(a, AttemptEnded{Outcome: Full}); g.window >= first {
+	if g.widen(a, AttemptEnded{Outcome: Rejected}); g.window >= first {
 		t.Fatal("the window did not fall under strain")
 	}
 	fell := g.window
@@ -302,27 +302,27 @@
 	alone := handMade(t, 4, nil)
 	before := alone.window
 	alone.mean, alone.told = 3, true
-	if alone.widen(put(alone, alone.engines[0], 1, alone.now), AttemptEnded{Outcome: Full}); alone.window != before {
+	if alone.widen(put(alone, alone.engines[0], 1, alone.now), AttemptEnded{Outcome: Rejected}); alone.window != before {
 		t.Fatal("a gateway that sees the whole fleet narrowed its window")
 	}
 }
 
 // Grown wien, give_up: where a cancel is not permitted, what a client left behind ran on beside what is waited for.
 func TestWhatNobodyWaitsForYields(t *testing.T) {
-	g := handMade(t, 1, func(s *Settings) { s.CanCancel = false })
+	g := handMade(t, 1, func(s *Settings) { s.MayCancel = false })
 	g.Handle(g.now, Arrival{ID: 5, Remaining: 4 * time.Second})
-	acts := g.Handle(g.now, ClientLeft{5})
-	if len(acts) == 0 || acts[0] != (Terms{ID: 5}) {
+	acts := g.Handle(g.now, ClientGone{5})
+	if len(acts) == 0 || acts[0] != (SetTerms{ID: 5}) {
 		t.Fatalf("actions %v, want the lowest priority", acts)
 	}
 }
 
 // Grown wien, quiet day: look-ups were held to their end behind one long report, beside a fleet with room.
 func TestWindowIsWiderWhileTheFleetHasRoom(t *testing.T) {
-	g := handMade(t, 4, func(s *Settings) { s.Siblings = 100 })
+	g := handMade(t, 4, func(s *Settings) { s.Gateways = 100 })
 	g.threads, g.told = 1.2*g.window*g.able, true
 	r := fresh(g, 1, g.now+time.Second)
-	r.Cost = 10 * time.Second // worth little for its work
+	r.EstimatedWork = 10 * time.Second // worth little for its work
 	if g.mean = 3; g.inWidth(r) {
 		t.Fatal("beyond its window under strain")
 	}
@@ -337,14 +337,14 @@
 func TestNothingGrowsWithoutBound(t *testing.T) {
 	t.Parallel()
 	for _, budgeted := range []bool{true, false} {
-		g := handMade(t, 2, func(s *Settings) { s.Rules.Budgeted = budgeted })
+		g := handMade(t, 2, func(s *Settings) { s.Rules.RetryBudget = budgeted })
 		id := RequestID(0)
 		for day := range 400 {
 			e := EngineInfo{ID: EngineID(1000 + day), Zone: 1}
 			g.Handle(g.now+time.Minute, EngineList{Kind: ListDelta, Engines: []EngineInfo{e}})
 			for i := range 20 {
 				id++
-				a := Arrival{ID: id, Class: i % 2, Key: uint64(id), TableGroup: day, Cost: time.Millisecond,
+				a := Arrival{ID: id, Class: i % 2, Key: uint64(id), TableGroup: day, EstimatedWork: time.Millisecond,
 					Remaining: 4 * time.Second}
 				for _, act := range g.Handle(g.now+100*time.Millisecond, a) {
 					if s, ok := act.(Send); ok {
@@ -388,7 +388,7 @@
 		again := &attempt{req: a.req, n: 1, engine: good, threads: 1, sent: g.now, wants: 1}
 		g.book(again)
 		g.land(again)
-		g.observe(again, AttemptEnded{Outcome: OK, Took: time.Second})
+		g.observe(again, AttemptEnded{Outcome: OK, Duration: time.Second})
 	}
 	if !bad.shut || good.shut {
 		t.Fatal("an engine that fails what another serves is still trusted")
@@ -415,13 +415,13 @@
 // is refused at once where there is none for it, and one sent again to an engine that did not read it counts.
 func TestRationIsKeptForWhatIsWorthMore(t *testing.T) {
 	g := handMade(t, 3, func(s *Settings) {
-		s.Classes[0].Worth, s.Classes[0].Effect, s.Classes[1].Worth, s.Classes[1].Effect = 1, Safe, 10, Safe
-		s.Rules.Budgeted, s.Rules.FreeExtras, s.Rules.ExtraShare, s.Rules.ExtraSpan = true, 5, 0, 5*time.Second
+		s.Classes[0].Weight, s.Classes[0].Idempotency, s.Classes[1].Weight, s.Classes[1].Idempotency = 1, Idempotent, 10, Idempotent
+		s.Rules.RetryBudget, s.Rules.FreeRetries, s.Rules.RetryShare, s.Rules.RetryBudgetSpan = true, 5, 0, 5*time.Second
 	})
 	id := RequestID(0)
 	lost := func(class int) ([]Action, *attempt) {
 		id++
-		g.Handle(g.now, Arrival{ID: id, Class: class, TableGroup: int(id), Cost: time.Millisecond, Remaining: 10 * time.Second})
+		g.Handle(g.now, Arrival{ID: id, Class: class, TableGroup: int(id), EstimatedWork: time.Millisecond, Remaining: 10 * time.Second})
 		a := g.requests[id].attempts[0]
 		return g.Handle(g.now, AttemptEnded{ID: id, Engine: a.engine.ID, Outcome: Error}), a
 	}
@@ -432,14 +432,14 @@
 	}
 	a := g.requests[id].attempts[1]
 	for range 2 {
-		if !g.SendAgain(g.now, id, 1) {
+		if !g.MayResend(g.now, id, 1) {
 			t.Fatal("not sent again while there is a ration")
 		}
 	}
-	if g.SendAgain(g.now, id, 1) || a.req.resent != 2 {
+	if g.MayResend(g.now, id, 1) || a.req.resent != 2 {
 		t.Fatal("sent again beyond its part of the ration")
 	}
-	if acts, _ := lost(0); len(acts) != 1 || acts[0] != (Refuse{id, soonAgain}) {
+	if acts, _ := lost(0); len(acts) != 1 || acts[0] != (Reject{id, soonAgain}) {
 		t.Fatalf("%v, want a refusal at once", acts)
 	}
 	if acts, _ := lost(1); len(g.requests[id].attempts) != 2 {
@@ -456,15 +456,15 @@
 func TestWithheldAnswerIsTriedElsewhere(t *testing.T) {
 	for _, ration := range []float64{5, 0} {
 		g := handMade(t, 2, func(s *Settings) {
-			s.Rules.Budgeted, s.Rules.FreeExtras, s.Rules.ExtraShare, s.Rules.ExtraSpan = true, ration, 0, 5*time.Second
+			s.Rules.RetryBudget, s.Rules.FreeRetries, s.Rules.RetryShare, s.Rules.RetryBudgetSpan = true, ration, 0, 5*time.Second
 		})
-		g.Handle(g.now, Arrival{ID: 1, Cost: time.Second, Remaining: time.Minute})
-		acts := g.Handle(g.now, AnswerOverdue{ID: 1})
+		g.Handle(g.now, Arrival{ID: 1, EstimatedWork: time.Second, Remaining: time.Minute})
+		acts := g.Handle(g.now, ResponseOverdue{ID: 1})
 		if called := len(acts) > 0 && acts[0] == (Cancel{ID: 1}); called != (ration > 0) {
 			t.Errorf("ration %v: %v", ration, acts)
 		}
-		g.Handle(g.now, AnswerOverdue{ID: 1, Attempt: 3})
-		g.Handle(g.now, AnswerOverdue{ID: 7})
+		g.Handle(g.now, ResponseOverdue{ID: 1, Attempt: 3})
+		g.Handle(g.now, ResponseOverdue{ID: 7})
 	}
 }
 
@@ -472,9 +472,11 @@
 // 5 s where 41 requests of others allowed 8, and the ration was broken. What is withdrawn earns none.
 func TestWithdrawnRequestsEarnNoFurtherAttempts(t *testing.T) {
 	g := handMade(t, 2, func(s *Settings) {
-		s.Rules.Budgeted, s.Rules.FreeExtras, s.Rules.ExtraShare, s.Rules.ExtraSpan = true, 0, 0.1, 5*time.Second
+		s.Rules.RetryBudget, s.Rules.FreeRetries, s.Rules.RetryShare, s.Rules.RetryBudgetSpan = true, 0, 0.1, 5*time.Second
 	})
-	ask := func(id RequestID) { g.Handle(g.now, Arrival{ID: id, Cost: time.Second, Remaining: time.Minute}) }
+	ask := func(id RequestID) {
+		g.Handle(g.now, Arrival{ID: id, EstimatedWork: time.Second, Remaining: time.Minute})
+	}
 	again := func(id RequestID) int { // how many attempts it has had once its first has failed
 		ask(id)
 		r := g.requests[id]
@@ -484,8 +486,8 @@
 	for id := range RequestID(200) {
 		g.now += time.Millisecond
 		ask(id + 1)
-		g.Handle(g.now+time.Millisecond, ClientLeft{ID: id + 1})
-		g.Handle(g.now+time.Millisecond, ClientLeft{ID: id + 1})
+		g.Handle(g.now+time.Millisecond, ClientGone{ID: id + 1})
+		g.Handle(g.now+time.Millisecond, ClientGone{ID: id + 1})
 	}
 	for _, a := range g.engines { // what was withdrawn is over there too
 		for _, out := range slices.Clone(a.out) {
@@ -498,7 +500,7 @@
 	for id := range RequestID(20) {
 		ask(2000 + id)
 		e := g.requests[2000+id].attempts[0].engine.ID
-		g.Handle(g.now, AttemptEnded{ID: 2000 + id, Engine: e, Outcome: OK, Took: time.Second, Terminal: true})
+		g.Handle(g.now, AttemptEnded{ID: 2000 + id, Engine: e, Outcome: OK, Duration: time.Second, Terminal: true})
 	}
 	if n := again(3000); n != 2 {
 		t.Fatalf("%d attempts beside 20 requests that are waited for", n)
@@ -524,14 +526,14 @@
 		g.send(r, e)
 		a, o := r.attempts[0], OK
 		if token < 1 {
-			o = Full
+			o = Rejected
 			away++
 		} else {
 			token--
 			answered++
 		}
 		g.land(a)
-		g.observe(a, AttemptEnded{Outcome: o, Took: 10 * time.Millisecond})
+		g.observe(a, AttemptEnded{Outcome: o, Duration: 10 * time.Millisecond})
 		if !g.takes(other, e) {
 			t.Fatal("another class has no room where only one is turned away")
 		}
@@ -543,7 +545,7 @@
 		r := fresh(g, 1, g.now+time.Second)
 		g.send(r, e)
 		g.land(r.attempts[0])
-		g.observe(r.attempts[0], AttemptEnded{Outcome: OK, Took: 10 * time.Millisecond})
+		g.observe(r.attempts[0], AttemptEnded{Outcome: OK, Duration: 10 * time.Millisecond})
 	}
 	if e.rates[0].rate != 0 || !g.takes(a0, e) {
 		t.Errorf("still sent at %v a second", e.rates[0].rate)
@@ -551,7 +553,7 @@
 	g.believe(e, 10*g.target(e))
 	a := put(g, e, 1, g.now)
 	g.land(a)
-	if g.observe(a, AttemptEnded{Outcome: Full}); g.now >= e.fullUntil || g.takes(other, e) {
+	if g.observe(a, AttemptEnded{Outcome: Rejected}); g.now >= e.fullUntil || g.takes(other, e) {
 		t.Error("a full engine does not rest")
 	}
 }
@@ -561,10 +563,10 @@
 // queries in 15 s to one silent engine and never shut it. Called off after a second of silence, it is not reached.
 func TestAttemptCalledOffAtASilentEngineCountsAsNotReached(t *testing.T) {
 	for _, heard := range []bool{false, true} {
-		g := handMade(t, 2, func(s *Settings) { s.CanProbe = false })
+		g := handMade(t, 2, func(s *Settings) { s.MayProbe = false })
 		var first *engine
 		for id := RequestID(1); id <= 2; id++ {
-			g.Handle(g.now, Arrival{ID: id, Cost: 100 * time.Millisecond, Remaining: 1500 * time.Millisecond})
+			g.Handle(g.now, Arrival{ID: id, EstimatedWork: 100 * time.Millisecond, Remaining: 1500 * time.Millisecond})
 			r := g.requests[id]
 			if r == nil || r.out != 1 {
 				t.Fatalf("request %d is not out", id)
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -22,17 +22,17 @@
 	base := testSettings()
 	base.Classes = append([]Class{}, base.Classes...)
 	load, waits := base.Classes[0], base.Classes[0]
-	load.Effect, load.IsLoad, load.Threads = Keyed, true, 2
-	waits.WaitsLoads, waits.Threads = true, 3
+	load.Idempotency, load.IsLoad, load.Threads = IdempotentWithKey, true, 2
+	waits.WaitsForLoads, waits.Threads = true, 3
 	base.Classes = append(base.Classes, load, waits)
 
 	fleet, lone, bare, priced, asking := base, base, base, base, base
-	fleet.Siblings, fleet.Number = 120, 7
-	lone.Siblings, lone.ShortMemoryWaits = 1, true
-	bare.Figures, bare.CanProbe, bare.CanCancel, bare.TakesGrants, bare.TakesPriority = nil, false, false, false, false
-	bare.Rules.Budgeted, bare.MaxAttempts, bare.CostInAnswers = false, 3, false
-	priced.CrossZoneCost, priced.Siblings, priced.Zone = 0.2, 9, 1
-	asking.AskForList, asking.MaxRetryAfter, asking.Siblings = true, 0, 40
+	fleet.Gateways, fleet.Number = 120, 7
+	lone.Gateways, lone.QueuesForMemory = 1, true
+	bare.Metrics, bare.MayProbe, bare.MayCancel, bare.HonorsGrants, bare.HonorsPriority = nil, false, false, false, false
+	bare.Rules.RetryBudget, bare.MaxAttempts, bare.WorkInResponses = false, 3, false
+	priced.CrossZoneCost, priced.Gateways, priced.Zone = 0.2, 9, 1
+	asking.PollEngineList, asking.MaxRetryAfter, asking.Gateways = true, 0, 40
 	return map[string]Settings{"base": base, "fleet": fleet, "lone": lone, "bare": bare, "priced": priced, "asking": asking}
 }
 
@@ -80,10 +80,10 @@
 		r.write("send %d %x %d", a.ID, uint64(a.Engine), a.Timeout)
 		r.sent = append(r.sent, recordedSend{a.ID, r.attempt[a.ID], a.Engine, r.now})
 		r.attempt[a.ID]++
-	case Terms:
+	case SetTerms:
 		r.write("terms %d %g %d", a.ID, a.GrantMB, a.Priority)
-	case Refuse:
-		r.write("refuse %d %d", a.ID, a.ComeBack)
+	case Reject:
+		r.write("refuse %d %d", a.ID, a.RetryAfter)
 	case Fail:
 		r.write("fail %d", a.ID)
 	case Cancel:
@@ -107,7 +107,7 @@
 	if r.rnd.IntN(3) == 0 {
 		return Report{}
 	}
-	return Report{Present: true, Values: map[Figure]float64{Inflight: float64(r.rnd.IntN(40)), Util: r.rnd.Float64(),
+	return Report{Present: true, Values: map[Metric]float64{Inflight: float64(r.rnd.IntN(40)), Util: r.rnd.Float64(),
 		Queued: float64(r.rnd.IntN(4)), MemoryShare: r.rnd.Float64(), DiskShare: r.rnd.Float64()}}
 }
 
@@ -139,12 +139,12 @@
 	class := r.rnd.IntN(len(r.s.Classes))
 	a := Arrival{ID: r.nextID, Class: class, TableGroup: r.rnd.IntN(6), Remaining: time.Duration(100+r.rnd.IntN(6000)) * time.Millisecond}
 	if r.rnd.IntN(4) > 0 {
-		a.Cost, a.NeedMB = time.Duration(20+r.rnd.IntN(900))*time.Millisecond, 20+900*r.rnd.Float64()
+		a.EstimatedWork, a.EstimatedMemoryMB = time.Duration(20+r.rnd.IntN(900))*time.Millisecond, 20+900*r.rnd.Float64()
 	}
 	if r.rnd.IntN(2) == 0 {
 		a.Key = uint64(1 + r.rnd.IntN(5))
 	}
-	a.Repeat = r.rnd.IntN(10) == 0
+	a.IsClientRetry = r.rnd.IntN(10) == 0
 	r.open = append(r.open, a.ID)
 	r.handle(a)
 }
@@ -158,10 +158,10 @@
 	r.sent = append(r.sent[:i], r.sent[i+1:]...)
 	outcome := OK
 	if r.rnd.IntN(4) == 0 {
-		outcome = Outcome(r.rnd.IntN(int(Moot) + 1))
+		outcome = Outcome(r.rnd.IntN(int(NotSent) + 1))
 	}
 	took := r.now - s.at
-	r.handle(AttemptEnded{ID: s.id, Attempt: s.attempt, Engine: s.engine, Outcome: outcome, Took: took, Terminal: outcome == OK,
+	r.handle(AttemptEnded{ID: s.id, Attempt: s.attempt, Engine: s.engine, Outcome: outcome, Duration: took, Terminal: outcome == OK,
 		Work: time.Duration(float64(took) * r.rnd.Float64()), UsedMB: 500 * r.rnd.Float64(), Report: r.report()})
 }
 
@@ -182,18 +182,18 @@
 		r.end()
 	case n < 80 && len(r.sent) > 0:
 		s := r.sent[r.rnd.IntN(len(r.sent))]
-		r.write("may %v %v", r.g.StillMay(r.now, s.id, s.attempt), r.g.SendAgain(r.now, s.id, s.attempt))
+		r.write("may %v %v", r.g.AttemptAllowed(r.now, s.id, s.attempt), r.g.MayResend(r.now, s.id, s.attempt))
 	case n < 83 && len(r.sent) > 0:
 		s := r.sent[r.rnd.IntN(len(r.sent))]
-		r.handle(AnswerOverdue{s.id, s.attempt})
+		r.handle(ResponseOverdue{s.id, s.attempt})
 	case n < 85 && len(r.sent) > 0:
 		s := r.sent[r.rnd.IntN(len(r.sent))]
 		r.handle(Progress{s.id, s.attempt, r.rnd.Float64()})
 	case n < 86 && len(r.sent) > 0:
 		s := r.sent[r.rnd.IntN(len(r.sent))]
-		r.handle(AnswerStarted{s.id, s.attempt})
+		r.handle(ResponseStarted{s.id, s.attempt})
 	case n < 89:
-		r.handle(ClientLeft{r.open[r.rnd.IntN(len(r.open))]})
+		r.handle(ClientGone{r.open[r.rnd.IntN(len(r.open))]})
 	case n < 93:
 		r.probed()
 	case n < 95:
@@ -201,7 +201,7 @@
 	case n < 96:
 		r.list(ListKind(r.rnd.IntN(4)), 4+r.rnd.IntN(2*goldenEngines))
 	case n < 97:
-		r.handle(InService{Count: r.rnd.IntN(r.s.Siblings + 2), Subset: r.rnd.IntN(3) == 0})
+		r.handle(InService{Count: r.rnd.IntN(r.s.Gateways + 2), Subset: r.rnd.IntN(3) == 0})
 	default:
 		r.handle(PeerReports{[]PeerReport{{EngineID(1 + r.rnd.IntN(goldenEngines)), float64(r.rnd.IntN(60)),
 			r.now - time.Duration(r.rnd.IntN(3000))*time.Millisecond}}})
@@ -223,13 +223,13 @@
 
 // believed writes down what the operators' records say of the decisions.
 func (r *recorder) believed() {
-	f := r.g.Filled()
-	r.write("filled %g %g %g %g", f.Threads, f.Window, f.Mean, f.Strain)
+	f := r.g.Utilization()
+	r.write("filled %g %g %g %g", f.Threads, f.Window, f.MeanPeerLoad, f.OverloadRatio)
 	for _, id := range r.open[max(0, len(r.open)-8):] {
 		held, by, looks := r.g.Explain(r.now, id)
 		r.write("held %v %s", held, by)
 		for _, l := range looks {
-			r.write("look %x %g %g %g %g %d %s", uint64(l.Engine), l.Own, l.Others, l.Limit, l.Target, l.ReportAge, l.Guard)
+			r.write("look %x %g %g %g %g %d %s", uint64(l.Engine), l.OwnThreads, l.PeerThreads, l.Limit, l.Target, l.ReportAge, l.Guard)
 		}
 	}
 }
@@ -249,7 +249,7 @@
 			r.believed()
 		}
 	}
-	r.handle(Closing{})
+	r.handle(ShuttingDown{})
 	sum := fnv.New64a()
 	sum.Write(r.out.Bytes())
 	return sum.Sum64(), r.actions
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -15,9 +15,9 @@
 		"rule 2: unsafe ran":    func(g *Gateway, r *request, e *engine) { r.class, r.mayRun = g.classes[2], &attempt{} },
 		"rule 3: drains":        func(g *Gateway, r *request, e *engine) { e.Health = Draining },
 		"rule 3: gone":          func(g *Gateway, r *request, e *engine) { e.Health = Gone },
-		"rule 4: cold":          func(g *Gateway, r *request, e *engine) { e.Started, r.Cost = g.now, time.Minute },
+		"rule 4: cold":          func(g *Gateway, r *request, e *engine) { e.Started, r.EstimatedWork = g.now, time.Minute },
 		"rule 6: placement":     func(g *Gateway, r *request, e *engine) { r.class, e.Zone = g.classes[3], 0 },
-		"rule 7: budget is out": func(g *Gateway, r *request, e *engine) { g.s.Rules.FreeExtras, r.attempts = 0, []*attempt{{}} },
+		"rule 7: budget is out": func(g *Gateway, r *request, e *engine) { g.s.Rules.FreeRetries, r.attempts = 0, []*attempt{{}} },
 	} {
 		g := handMade(t, 2, nil)
 		g.acts = nil
--- a/policy/mechanism_test.go
+++ b/policy/mechanism_test.go
@@ -9,7 +9,7 @@
 func handMade(t *testing.T, engines int, change func(*Settings)) *Gateway {
 	t.Helper()
 	s := testSettings()
-	s.Siblings, s.Kinds = 1, []Kind{{4, 8192}}
+	s.Gateways, s.Kinds = 1, []Kind{{4, 8192}}
 	if change != nil {
 		change(&s)
 	}
@@ -130,7 +130,7 @@
 		}
 	}
 	r := fresh(g, 1, g.now+3*time.Second)
-	r.class = &class{Class: Class{Worth: 100, Aim: time.Second}, threads: 1, bias: 1, stretch: 1} // may go over the limit
+	r.class = &class{Class: Class{Weight: 100, LatencyObjective: time.Second}, threads: 1, bias: 1, stretch: 1} // may go over the limit
 	if e := g.choose(r); e != g.engines[1] {
 		t.Fatalf("chose %v", e)
 	}
@@ -230,7 +230,7 @@
 		t.Fatal("own #T until a report arrives")
 	}
 	e.ownThen = 1
-	g.takeReport(e, Report{Present: true, Values: map[Figure]float64{Inflight: 8}})
+	g.takeReport(e, Report{Present: true, Values: map[Metric]float64{Inflight: 8}})
 	if got := g.sharedLoad(e); got != (7*g.wave+1)/4 {
 		t.Fatalf("load %v after a report of 8 queries on 4 cores", got)
 	}
