--- a/policy/policy.go
+++ b/policy/policy.go
@@ -102,7 +102,7 @@
 
 // priors is what is thought of a class before any answer is in.
 func (g *Gateway) priors(c Class) *class {
-	threads, took := max(1, float64(c.Threads)), priorShare*c.Aim.Seconds()
+	threads, took := max(1, float64(c.Threads)), priorShare*c.LatencyObjective.Seconds()
 	return &class{Class: c, threads: threads, bias: 1, memory: memPrior, memorySpread: memSpread, took: took,
 		usual: took * threads, stretch: stretchPrior, tail: tailPrior}
 }
@@ -121,10 +121,10 @@
 	}
 	c := g.classes[a.Class]
 	r := &request{Arrival: a, class: c, group: g.groupOf(a.TableGroup), end: g.now + a.Remaining}
-	r.due = min(g.now+c.Aim+secs(c.AimStretch*g.work(r)/c.threads), r.end)
+	r.due = min(g.now+c.LatencyObjective+secs(c.ObjectivePerWork*g.work(r)/c.threads), r.end)
 	g.requests[a.ID] = r
 	g.open = append(g.open, r)
-	if c.InOrder && a.Key != 0 {
+	if c.Ordered && a.Key != 0 {
 		if g.keys[a.Key] == nil {
 			g.keys[a.Key] = &keyLine{}
 		}
@@ -144,9 +144,9 @@
 // work is the expected work of a request in seconds on one thread: its estimate, or the class's usual,
 // corrected by what answers told.
 func (g *Gateway) work(r *request) float64 {
-	base := r.Cost.Seconds()
+	base := r.EstimatedWork.Seconds()
 	if base <= 0 {
-		base = priorShare * r.class.Aim.Seconds() * r.class.threads
+		base = priorShare * r.class.LatencyObjective.Seconds() * r.class.threads
 	}
 	return base * r.class.bias
 }
@@ -155,8 +155,8 @@
 // learn from, and those of a jam would end all admission for good: then it is at most a share of the aim.
 func (g *Gateway) wants(r *request) float64 {
 	s := g.work(r) / r.class.threads * r.class.stretch
-	if r.Cost <= 0 {
-		s = min(s, wantsMost*r.class.Aim.Seconds())
+	if r.EstimatedWork <= 0 {
+		s = min(s, wantsMost*r.class.LatencyObjective.Seconds())
 	}
 	return s
 }
@@ -367,9 +367,9 @@
 
 // more is the share by which a request may pass limits: above 0 if its worth for its work tops the mean.
 func (g *Gateway) more(r *request) float64 {
-	worth := sum(g.classes, func(c *class) float64 { return float64(c.seen+1) * c.Worth })
+	worth := sum(g.classes, func(c *class) float64 { return float64(c.seen+1) * c.Weight })
 	work := sum(g.classes, func(c *class) float64 { return float64(c.seen+1) * c.took * c.threads })
-	if r.class.Worth*work > g.work(r)*worth {
+	if r.class.Weight*work > g.work(r)*worth {
 		return denseRoom - 1
 	}
 	return 0
@@ -397,8 +397,8 @@
 	if !g.cold(e) {
 		return 1
 	}
-	from := g.s.Rules.ColdShare
-	return from + (1-from)*float64(g.now-e.Started)/float64(g.s.Rules.WarmAfter)
+	from := g.s.Rules.InitialCapacityShare
+	return from + (1-from)*float64(g.now-e.Started)/float64(g.s.Rules.WarmupTime)
 }
 
 // before orders the line: those that can still meet their aim, then worth for work in steps of two, then due.
@@ -408,7 +408,7 @@
 }
 
 func (g *Gateway) rankInLine(r *request) float64 {
-	rank := -math.Floor(math.Log2((r.class.Worth + 1e-6) / max(1e-3, g.work(r))))
+	rank := -math.Floor(math.Log2((r.class.Weight + 1e-6) / max(1e-3, g.work(r))))
 	if g.tooLate(r) {
 		rank += 100
 	}
@@ -444,19 +444,19 @@
 // giveUp ends at once what can no longer be answered in time, and what is late while others fill the line.
 func (g *Gateway) giveUp(r *request, lineWork float64) bool {
 	return r.held && (g.now+secs(g.wants(r)) > r.end ||
-		g.tooLate(r) && (r.class.LateWorth == 0 || lineWork > backlog*g.cores))
+		g.tooLate(r) && (r.class.LateWeightShare == 0 || lineWork > backlog*g.cores))
 }
 
 // ---- Terms ----
 
 // grant is the memory to ask for: the estimate as answers corrected it; 0 leaves it to the engine.
 func (g *Gateway) grant(r *request, e *engine) float64 {
-	if !g.s.TakesGrants || r.NeedMB <= 0 {
+	if !g.s.HonorsGrants || r.EstimatedMemoryMB <= 0 {
 		return 0
 	}
-	mb := r.NeedMB * math.Exp(r.class.memory+memCover*math.Sqrt(r.class.memorySpread))
-	if g.s.GrantCap > 0 && e.memoryMB > 0 {
-		mb = min(mb, g.s.GrantCap*e.memoryMB)
+	mb := r.EstimatedMemoryMB * math.Exp(r.class.memory+memCover*math.Sqrt(r.class.memorySpread))
+	if g.s.MaxGrantShare > 0 && e.memoryMB > 0 {
+		mb = min(mb, g.s.MaxGrantShare*e.memoryMB)
 	}
 	return mb
 }
@@ -480,8 +480,8 @@
 		g.hold(r)
 		return
 	}
-	t := Terms{ID: r.ID, GrantMB: g.grant(r, e), Priority: g.priority(r)}
-	if g.s.TakesGrants || g.s.TakesPriority {
+	t := SetTerms{ID: r.ID, GrantMB: g.grant(r, e), Priority: g.priority(r)}
+	if g.s.HonorsGrants || g.s.HonorsPriority {
 		g.do(t)
 	}
 	a := &attempt{req: r, n: len(r.attempts), engine: e, sent: g.now, threads: r.class.threads, grant: t.GrantMB,
@@ -515,7 +515,7 @@
 		r.mayRun = nil
 	}
 	if k := g.keys[r.Key]; k != nil && (e.Outcome == Timeout || e.Outcome == Reset || e.Outcome == Cancelled) {
-		k.restUntil, k.restOf = g.now+g.s.Rules.KeyRest, r
+		k.restUntil, k.restOf = g.now+g.s.Rules.OrderedKeyPause, r
 	}
 	if e.Terminal || r.over {
 		g.finish(r)
@@ -534,7 +534,7 @@
 	// Where the ration is used up, a query worth little would wait past its aim: the client's next try is a
 	// first one.
 	if !g.inBudget(r) && g.worthLittle(r) && g.mayRefuse(r) {
-		g.do(Refuse{r.ID, soonAgain})
+		g.do(Reject{r.ID, soonAgain})
 		g.finish(r)
 		return
 	}
@@ -558,7 +558,7 @@
 func (g *Gateway) answer(r *request) {
 	g.cancel(r.attempts...)
 	if g.mayRefuse(r) {
-		g.do(Refuse{r.ID, g.s.MaxRetryAfter})
+		g.do(Reject{r.ID, g.s.MaxRetryAfter})
 	} else {
 		g.do(Fail{r.ID})
 	}
@@ -580,7 +580,7 @@
 // reached: one of hundreds of gateways holds a query at a time at a cut-off engine, and never learned it.
 func (g *Gateway) cancel(attempts ...*attempt) {
 	for _, a := range attempts {
-		if g.s.CanCancel && !a.over && !a.cancelled && !a.req.streaming {
+		if g.s.MayCancel && !a.over && !a.cancelled && !a.req.streaming {
 			if a.engine.heard <= a.sent && g.now-a.sent > silentLeast {
 				g.fail(a.engine, 2*badStep)
 			}
@@ -632,7 +632,7 @@
 
 // overdue calls off an attempt whose answer the engine withholds, if another can still help. It should help
 // where an engine loses some of its answers; one that only paused loses the work that it did until then.
-func (g *Gateway) overdue(e AnswerOverdue) {
+func (g *Gateway) overdue(e ResponseOverdue) {
 	r := g.requests[e.ID]
 	if r != nil && !r.over && e.Attempt >= 0 && e.Attempt < len(r.attempts) && g.worthAgain(r) {
 		g.cancel(r.attempts[e.Attempt])
@@ -641,14 +641,15 @@
 
 // yield gives what still runs of a request the lowest priority: it is past its aim, or nobody waits for it.
 func (g *Gateway) yield(r *request) {
-	if g.s.TakesPriority && r.out > 0 {
-		g.do(Terms{ID: r.ID, GrantMB: r.attempts[len(r.attempts)-1].grant, Priority: 0})
+	if g.s.HonorsPriority && r.out > 0 {
+		g.do(SetTerms{ID: r.ID, GrantMB: r.attempts[len(r.attempts)-1].grant, Priority: 0})
 	}
 }
 
 // worthAgain reports whether a further attempt is permitted and can still be in time.
 func (g *Gateway) worthAgain(r *request) bool {
-	return g.s.CanCancel && r.Cost > 0 && len(r.attempts) < 2 && r.class.Effect != Unsafe && g.inBudget(r) &&
+	return g.s.MayCancel && r.EstimatedWork > 0 && len(r.attempts) < 2 &&
+		r.class.Idempotency != NotIdempotent && g.inBudget(r) &&
 		g.inWindow(r) && g.now+secs(againMargin*g.wants(r)) < r.end
 }
 
@@ -672,14 +673,14 @@
 		a.erred = true
 	case Reset:
 		g.fail(e, badStep)
-	case Full:
+	case Rejected:
 		g.turnedAway(a)
 	case Timeout, Cancelled:
 		if e.heard <= a.sent && !a.req.over {
 			g.fail(e, badStep)
 		}
 	}
-	if o.Outcome <= Full {
+	if o.Outcome <= Rejected {
 		e.heard = g.now
 	}
 }
@@ -735,7 +736,7 @@
 	switch {
 	case counted:
 		g.noteLoad(e, max(0, n-e.ownThen)*g.wave)
-	case busy && g.s.Siblings > 1:
+	case busy && g.s.Gateways > 1:
 		g.noteLoad(e, max(0, g.target(e)*u/fullUtil-e.ownThen*g.wave))
 	}
 	g.adjust(e, r)
@@ -778,7 +779,7 @@
 			g.window += windowUp * a.threads / g.able
 		}
 	case g.told && !strained: // it is not load that makes it late
-	case o.Outcome == OK, o.Outcome == Full, o.Outcome == Timeout:
+	case o.Outcome == OK, o.Outcome == Rejected, o.Outcome == Timeout:
 		fall := min(windowDown*a.threads/g.able, windowMost*g.window)
 		g.window = max(g.window-g.unseen*fall, g.firstWindow()/windowSpan)
 	}
@@ -788,7 +789,7 @@
 // hundreds sees a report a second, and with even steps would have learned its estimates' lies by the evening.
 func (g *Gateway) learnFrom(a *attempt, o AttemptEnded) {
 	c, r := a.req.class, a.req
-	took, work, guess := o.Took.Seconds(), o.Work.Seconds(), g.work(r)
+	took, work, guess := o.Duration.Seconds(), o.Work.Seconds(), g.work(r)
 	c.seen++
 	weight := max(learn, 1/float64(c.seen+learnPrior))
 	c.tail = max(1, c.tail*tailDown)
@@ -807,8 +808,8 @@
 	}
 	c.usual += weight * (min(work, 5*c.usual) - c.usual)
 	c.bias *= math.Exp(weight * max(-1.5, min(1.5, math.Log(max(1e-3, work)/guess))))
-	if o.UsedMB > 0 && r.NeedMB > 0 {
-		off := math.Log(o.UsedMB/r.NeedMB) - c.memory
+	if o.UsedMB > 0 && r.EstimatedMemoryMB > 0 {
+		off := math.Log(o.UsedMB/r.EstimatedMemoryMB) - c.memory
 		c.memory += weight * off
 		c.memorySpread += weight * (off*off - c.memorySpread)
 	}
@@ -841,7 +842,7 @@
 	e.shut = true
 	e.shutUntil = g.now + e.pause // the first probe goes out at once
 	e.pause = min(max(shutFirst, 2*e.pause), shutMost)
-	if !g.s.CanProbe {
+	if !g.s.MayProbe {
 		e.shutUntil = g.now + e.pause
 	}
 	g.do(Log{fmt.Sprintf("engine %x is shut out for %v", uint64(e.ID), e.shutUntil-g.now)})
@@ -850,9 +851,9 @@
 // watch reopens a shut engine on trial when its pause is over, and shuts one that answers nothing.
 func (g *Gateway) watch(e *engine) {
 	if e.shut && g.now >= e.shutUntil {
-		if g.s.CanProbe && !e.probing && e.Health == Ready {
+		if g.s.MayProbe && !e.probing && e.Health == Ready {
 			g.probe(e)
-		} else if !g.s.CanProbe {
+		} else if !g.s.MayProbe {
 			g.onTrial(e)
 		}
 	}
@@ -860,7 +861,7 @@
 	if e.shut || !suspect {
 		return
 	}
-	if g.s.CanProbe && !e.probing && g.now >= e.probeAt {
+	if g.s.MayProbe && !e.probing && g.now >= e.probeAt {
 		g.probe(e)
 	}
 	if silence >= silentProof {
@@ -953,25 +954,29 @@
 func (g *Gateway) alone(r *request) bool { return r.out == 0 }
 
 // mayRepeat: an unsafe query that may have run is not sent again (rule 2).
-func (g *Gateway) mayRepeat(r *request) bool { return r.class.Effect != Unsafe || r.mayRun == nil }
+func (g *Gateway) mayRepeat(r *request) bool {
+	return r.class.Idempotency != NotIdempotent || r.mayRun == nil
+}
 
 // inWindow: a keyed query that may have run goes out again only while its repeats are dropped (rule 2).
 func (g *Gateway) inWindow(r *request) bool {
-	return r.class.Effect != Keyed || r.mayRun == nil || g.now-r.mayRun.sent < r.class.Window-g.s.Tick*2
+	return r.class.Idempotency != IdempotentWithKey || r.mayRun == nil ||
+		g.now-r.mayRun.sent < r.class.DedupWindow-g.s.Tick*2
 }
 
 // sameGroup: and only to the engines that drop them (rule 2).
 func (g *Gateway) sameGroup(r *request, e *engine) bool {
-	if r.class.Effect != Keyed || r.mayRun == nil || r.class.Group == GroupAll {
+	if r.class.Idempotency != IdempotentWithKey || r.mayRun == nil || r.class.DedupScope == DedupAll {
 		return true
 	}
 	first := r.mayRun.engine
-	return first.Zone == e.Zone && (r.class.Group == GroupZone || first.Cell == e.Cell)
+	return first.Zone == e.Zone && (r.class.DedupScope == DedupZone || first.Cell == e.Cell)
 }
 
 // mayRefuse: a refusal says that trying again is harmless (rule 2).
 func (g *Gateway) mayRefuse(r *request) bool {
-	return r.class.Effect == Safe || r.mayRun == nil || r.class.Effect == Keyed && r.class.Group == GroupAll
+	return r.class.Idempotency == Idempotent || r.mayRun == nil ||
+		r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupAll
 }
 
 // notDraining: nothing new once told (rule 3).
@@ -979,7 +984,7 @@
 
 // cold reports whether the engine may still be warming up.
 func (g *Gateway) cold(e *engine) bool {
-	return e.Started > 0 && g.now-e.Started < g.s.Rules.WarmAfter
+	return e.Started > 0 && g.now-e.Started < g.s.Rules.WarmupTime
 }
 
 // coldBudget: this gateway's part of what a cold engine may be sent within the span (rule 4). An equal part
@@ -988,23 +993,24 @@
 // budget. A gateway that has just started does not know what it sent before and waits a span.
 func (g *Gateway) coldBudget(r *request, e *engine) bool {
 	ru := g.s.Rules
-	if !g.cold(e) || ru.FallMultiple <= 0 || ru.FallSpan <= 0 {
+	if !g.cold(e) || ru.WarmupBudgetMultiple <= 0 || ru.WarmupBudgetSpan <= 0 {
 		return true
 	}
-	if g.now-g.started < ru.FallSpan && e.Started < g.started {
+	if g.now-g.started < ru.WarmupBudgetSpan && e.Started < g.started {
 		return false
 	}
-	turn := int((g.now - e.Started) / ru.FallSpan)
+	turn := int((g.now - e.Started) / ru.WarmupBudgetSpan)
 	sized := g.classes[turn%len(g.classes)] // each span's shares fit another class
-	n := float64(g.s.Siblings)
-	budget := coldMargin * ru.ColdShare * e.cores * ru.FallMultiple * ru.FallSpan.Seconds()
+	n := float64(g.s.Gateways)
+	budget := coldMargin * ru.InitialCapacityShare * e.cores *
+		ru.WarmupBudgetMultiple * ru.WarmupBudgetSpan.Seconds()
 	together := min(n, max(1, math.Floor(budget/2/max(1e-3, coldQuery*coldWork*sized.usual))))
 	rounds := int(math.Ceil(n / together))
 	if (turn/len(g.classes)+g.s.Number+int(e.ID&0xffff))%rounds != 0 {
 		return false
 	}
 	part := budget / min(n, 2*together) // of those whose turns a span can touch
-	return e.sentWork.total(g.now, ru.FallSpan+g.s.Tick)+g.coldCharge(r) <= part
+	return e.sentWork.total(g.now, ru.WarmupBudgetSpan+g.s.Tick)+g.coldCharge(r) <= part
 }
 
 // coldCharge is what a query counts there: its work, half its class's usual at least; cold engines read more.
@@ -1014,7 +1020,7 @@
 
 // inTurn: queries of one key run one at a time, in the order they were taken (rule 5).
 func (g *Gateway) inTurn(r *request) bool {
-	if !r.class.InOrder || r.Key == 0 {
+	if !r.class.Ordered || r.Key == 0 {
 		return true
 	}
 	k := g.keys[r.Key]
@@ -1024,25 +1030,25 @@
 // placed: a class that is bound goes only where it may (rule 6).
 func (g *Gateway) placed(r *request, e *engine) bool {
 	c := &r.class.Class
-	return (!c.BoundZones || slices.Contains(c.Zones, e.Zone)) &&
-		(!c.BoundKinds || slices.Contains(c.Kinds, e.Kind))
+	return (!c.RestrictZones || slices.Contains(c.Zones, e.Zone)) &&
+		(!c.RestrictKinds || slices.Contains(c.Kinds, e.Kind))
 }
 
 // inBudget: further attempts stay within a share of the requests taken (rule 7).
 func (g *Gateway) inBudget(r *request) bool {
 	ru := g.s.Rules
-	if !ru.Budgeted || len(r.attempts) == 0 {
+	if !ru.RetryBudget || len(r.attempts) == 0 {
 		return true
 	}
-	ration := ru.FreeExtras + ru.ExtraShare*g.taken.total(g.now, ru.ExtraSpan-g.s.Tick)
+	ration := ru.FreeRetries + ru.RetryShare*g.taken.total(g.now, ru.RetryBudgetSpan-g.s.Tick)
 	if g.worthLittle(r) {
 		ration *= cheapExtras
 	}
-	return g.extras.total(g.now, ru.ExtraSpan+g.s.Tick)+1 <= ration
+	return g.extras.total(g.now, ru.RetryBudgetSpan+g.s.Tick)+1 <= ration
 }
 
 // worthLittle reports whether a query is worth less than the mean one.
 func (g *Gateway) worthLittle(r *request) bool {
-	worth := sum(g.classes, func(c *class) float64 { return float64(c.seen+1) * c.Worth })
-	return r.class.Worth*sum(g.classes, func(c *class) float64 { return float64(c.seen + 1) }) < worth
+	worth := sum(g.classes, func(c *class) float64 { return float64(c.seen+1) * c.Weight })
+	return r.class.Weight*sum(g.classes, func(c *class) float64 { return float64(c.seen + 1) }) < worth
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -237,9 +237,9 @@
 // applyPeerReports takes over the reports of peers on engines that the own list names, where they are later than the own report.
 func (g *Gateway) applyPeerReports(reports []PeerReport) {
 	for _, r := range reports {
-		if e := g.byID[r.Engine]; e != nil && r.At > e.reportAt && r.At <= g.now {
+		if e := g.byID[r.Engine]; e != nil && r.ReportedAt > e.reportAt && r.ReportedAt <= g.now {
 			g.noteLoad(e, max(0, r.Inflight-e.ownThen)*g.wave)
-			e.reportAt = r.At
+			e.reportAt = r.ReportedAt
 		}
 	}
 	// The mean over reports leaves out engines that are too crowded to answer; over engines it does not.
@@ -332,9 +332,9 @@
 
 // count notes an event for the budget of further attempts, where there is one.
 func (g *Gateway) count(w *window) {
-	if g.s.Rules.Budgeted {
+	if g.s.Rules.RetryBudget {
 		w.add(g.now, 1)
-		w.total(g.now, g.s.Rules.ExtraSpan+g.s.Tick)
+		w.total(g.now, g.s.Rules.RetryBudgetSpan+g.s.Tick)
 	}
 }
 
