--- /dev/null
+++ b/cmd/frostpier/oncall_test.go
@@ -0,0 +1,146 @@
+package main
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const onCallPage = "../../docs/ONCALL.md"
+
+// productSources are the folders whose log messages operators see.
+var productSources = []string{"../../cmd/frostpier", "../../policy", "../../internal/core", "../../internal/invariant", "../../internal/program",
+	"../../internal/settings", "../../internal/control", "../../internal/protocol", "../../internal/transport"}
+
+var logMethods = []string{"Debug", "Info", "Warn", "Error", "Log"}
+
+// logMessages returns the messages that the functions of a file log. Of a message that is put together, its literal part counts.
+func logMessages(file *ast.File) []string {
+	var messages []string
+	for _, declaration := range file.Decls {
+		function, ok := declaration.(*ast.FuncDecl)
+		if !ok || function.Body == nil {
+			continue
+		}
+		ast.Inspect(function.Body, func(n ast.Node) bool {
+			if call, ok := n.(*ast.CallExpr); ok {
+				if argument := messageArgument(call); argument != nil {
+					messages = append(messages, literals(function.Body, argument)...)
+				}
+			}
+			return true
+		})
+	}
+	return messages
+}
+
+// messageArgument returns the message of a call of a logger; nil for any other call.
+func messageArgument(call *ast.CallExpr) ast.Expr {
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || !slices.Contains(logMethods, method.Sel.Name) || !isLogger(method.X) {
+		return nil
+	}
+	index := 0
+	if method.Sel.Name == "Log" {
+		index = 2 // behind the context and the level
+	}
+	if len(call.Args) <= index {
+		return nil
+	}
+	return call.Args[index]
+}
+
+// isLogger reports whether an expression is a variable or field that holds a logger, by its name.
+func isLogger(expression ast.Expr) bool {
+	name := ""
+	switch x := expression.(type) {
+	case *ast.Ident:
+		name = x.Name
+	case *ast.SelectorExpr:
+		name = x.Sel.Name
+	}
+	return strings.HasSuffix(strings.ToLower(name), "log") || strings.HasSuffix(strings.ToLower(name), "logger")
+}
+
+// literals returns the strings that an expression may be: its own, and those assigned to the variable that it names.
+func literals(body *ast.BlockStmt, expression ast.Expr) []string {
+	switch x := expression.(type) {
+	case *ast.BasicLit:
+		if text, err := strconv.Unquote(x.Value); err == nil {
+			return []string{text}
+		}
+	case *ast.BinaryExpr:
+		return append(literals(body, x.X), literals(body, x.Y)...)
+	case *ast.Ident:
+		return assigned(body, x.Name)
+	}
+	return nil
+}
+
+// assigned returns the strings that are assigned to a variable.
+func assigned(body *ast.BlockStmt, name string) []string {
+	var found []string
+	ast.Inspect(body, func(n ast.Node) bool {
+		assignment, ok := n.(*ast.AssignStmt)
+		if !ok || len(assignment.Lhs) != len(assignment.Rhs) {
+			return true
+		}
+		for i, left := range assignment.Lhs {
+			if ident, ok := left.(*ast.Ident); ok && ident.Name == name {
+				found = append(found, literals(body, assignment.Rhs[i])...)
+			}
+		}
+		return true
+	})
+	return found
+}
+
+// Every message that the program logs has its place on the on-call page.
+func TestOnCallPageHasEveryLogMessage(t *testing.T) {
+	t.Parallel()
+	page, err := os.ReadFile(onCallPage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var quoted []string
+	for _, match := range regexp.MustCompile("`([^`]+)`").FindAllStringSubmatch(string(page), -1) {
+		quoted = append(quoted, match[1])
+	}
+	found := 0
+	for _, folder := range productSources {
+		err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+			if err != nil {
+				return err
+			}
+			for _, message := range logMessages(file) {
+				found++
+				listed := slices.ContainsFunc(quoted, func(text string) bool {
+					return text == message || strings.HasPrefix(message, " ") && strings.HasSuffix(text, message)
+				})
+				if !listed {
+					t.Errorf("%s logs %q, which is not on %s", path, message, onCallPage)
+				}
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	const atLeast = 40 // fewer would mean that the search misses calls
+	if found < atLeast {
+		t.Errorf("found only %d log messages", found)
+	}
+}
