--- a/internal/transport/dispatcher/attempt.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -12,7 +12,8 @@
 	"frostpier/policy"
 )
 
-// AttemptDriver drives one attempt, whatever its engine speaks.
+// AttemptDriver executes the steps of one attempt's state machine, whatever protocol its engine speaks: it owns the attempt's
+// connections and timers and feeds their events to the machine. All methods are called on the event loop.
 type AttemptDriver struct {
 	dispatcher *Dispatcher
 	pool       *enginepool.Pool
@@ -20,138 +21,159 @@
 	addr       string
 	machine    attempt.Machine
 	relay      func([]byte)
-	lanes      [2]*lane
-	alarms     map[attempt.Timer]*eventloop.Timer
+	channels   [2]*channel // by attempt.Channel; nil while not in use
+	timers     map[attempt.Timer]*eventloop.Timer
 }
 
-// lane is one of its connections, or the wait for one.
-type lane struct {
-	driver *AttemptDriver
-	lane   attempt.Channel
-	link   *enginepool.Conn
-	stop   func()
-	gone   bool
+// channel is a connection of an attempt, or the wait for one.
+type channel struct {
+	driver    *AttemptDriver
+	id        attempt.Channel
+	conn      *enginepool.Conn
+	cancelGet func() // ends the wait; nil once it is over
+	closed    bool   // no longer used by the attempt
 }
 
-// StartAttempt starts an attempt that the machine carries; relay takes what goes out before the end.
+// StartAttempt starts an attempt on the engine at addr and executes the machine's first steps. relay is called with the parts of
+// the response that go to the client before the attempt ends.
 func StartAttempt(d *Dispatcher, pool *enginepool.Pool, start core.Start, addr string, machine attempt.Machine, steps []attempt.Step,
 	relay func([]byte)) *AttemptDriver {
-	f := &AttemptDriver{dispatcher: d, pool: pool, start: start, addr: addr, machine: machine, relay: relay,
-		alarms: map[attempt.Timer]*eventloop.Timer{}}
-	f.carryOut(steps)
-	return f
+	a := &AttemptDriver{
+		dispatcher: d,
+		pool:       pool,
+		start:      start,
+		addr:       addr,
+		machine:    machine,
+		relay:      relay,
+		timers:     map[attempt.Timer]*eventloop.Timer{},
+	}
+	a.execute(steps)
+	return a
 }
 
-// Pause stops reading the answer until Resume.
-func (f *AttemptDriver) Pause() { f.reading((*eventloop.Conn).Pause) }
+// Pause stops reading the response until Resume.
+func (a *AttemptDriver) Pause() { a.onPrimary((*eventloop.Conn).Pause) }
 
-// Resume goes on reading it.
-func (f *AttemptDriver) Resume() { f.reading((*eventloop.Conn).Resume) }
+// Resume continues reading the response.
+func (a *AttemptDriver) Resume() { a.onPrimary((*eventloop.Conn).Resume) }
 
-func (f *AttemptDriver) reading(do func(*eventloop.Conn)) {
-	if l := f.lanes[attempt.Primary]; l != nil && l.link != nil {
-		do(l.link.Conn)
+// onPrimary calls do with the connection of the primary channel, if there is one.
+func (a *AttemptDriver) onPrimary(do func(*eventloop.Conn)) {
+	if c := a.channels[attempt.Primary]; c != nil && c.conn != nil {
+		do(c.conn.Conn)
 	}
 }
 
-// Cancel calls the attempt off.
-func (f *AttemptDriver) Cancel(outcome policy.Outcome) {
-	f.Resume()
-	f.carryOut(f.machine.Cancel(outcome))
+// Cancel cancels the attempt. It ends with outcome, unless something else ends it first.
+func (a *AttemptDriver) Cancel(outcome policy.Outcome) {
+	a.Resume()
+	a.execute(a.machine.Cancel(outcome))
 }
 
-func (f *AttemptDriver) carryOut(steps []attempt.Step) {
+func (a *AttemptDriver) execute(steps []attempt.Step) {
+	id, number := a.start.ID, a.start.Attempt
 	for _, step := range steps {
 		switch s := step.(type) {
 		case attempt.Open:
-			f.open(s)
+			a.openChannel(s)
 		case attempt.Write:
-			if l := f.lanes[s.Channel]; l != nil && l.link != nil {
-				l.link.Write(s.Bytes)
+			if c := a.channels[s.Channel]; c != nil && c.conn != nil {
+				c.conn.Write(s.Bytes)
 			}
 		case attempt.Release:
-			f.leave(s.Channel, true)
+			a.closeChannel(s.Channel, (*enginepool.Conn).Release)
 		case attempt.Close:
-			f.leave(s.Channel, false)
+			a.closeChannel(s.Channel, (*enginepool.Conn).Drop)
 		case attempt.SetTimer:
-			f.alarms[s.Timer].Stop()
-			delete(f.alarms, s.Timer)
-			if s.After > 0 {
-				after := s.After
-				if s.Timer == attempt.ResponseTimeout { // what came while this process waited for its turn is not read yet
-					after += 2 * f.dispatcher.Loop.Lag()
-				}
-				f.alarms[s.Timer] = f.dispatcher.Loop.After(after, func() { f.carryOut(f.machine.TimerFired(s.Timer)) })
-			}
+			a.setTimer(s)
 		case attempt.Progress:
-			f.dispatcher.Progress(f.start.ID, f.start.Attempt, s.Done)
+			a.dispatcher.Progress(id, number, s.Done)
 		case attempt.ResponseOverdue:
-			f.dispatcher.ResponseOverdue(f.start.ID, f.start.Attempt)
+			a.dispatcher.ResponseOverdue(id, number)
 		case attempt.Relay:
-			if f.dispatcher.ResponseStarted(f.start.ID, f.start.Attempt) {
-				f.relay(s.Bytes)
+			if a.dispatcher.ResponseStarted(id, number) {
+				a.relay(s.Bytes)
 			}
 		case attempt.End:
-			f.dispatcher.AttemptEnded(f.start.ID, f.start.Attempt, s.Outcome, fields(s.Report), s.Result)
+			a.dispatcher.AttemptEnded(id, number, s.Outcome, parseLoadReport(s.Report), s.Result)
 		}
 	}
 }
 
-func (f *AttemptDriver) open(s attempt.Open) {
-	f.leave(s.Channel, false)
-	l := &lane{driver: f, lane: s.Channel}
-	f.lanes[s.Channel] = l
-	e := f.start.Engine
-	l.stop = f.pool.Get(e.ID, f.addr, s.Fresh, s.Channel == attempt.Control, l, func(link *enginepool.Conn, err error) {
-		l.stop = nil
-		if err != nil {
-			f.carryOut(f.machine.ConnectFailed(l.lane))
-			return
-		}
-		l.link = link
-		if f.dispatcher.ReadClient(f.start.ID); l.gone { // the client has called it off
-			return
-		}
-		f.carryOut(f.machine.Connected(l.lane, &link.Memory, func(again bool) (time.Duration, bool) {
-			return f.dispatcher.MaySend(f.start.ID, f.start.Attempt, again)
-		}))
-	})
+// setTimer restarts or stops a timer. A response timeout is extended by twice the loop's lag, since a response that came while
+// this process waited for its turn has not been read yet.
+func (a *AttemptDriver) setTimer(s attempt.SetTimer) {
+	a.timers[s.Timer].Stop()
+	delete(a.timers, s.Timer)
+	if s.After <= 0 {
+		return
+	}
+	after := s.After
+	if s.Timer == attempt.ResponseTimeout {
+		after += 2 * a.dispatcher.Loop.Lag()
+	}
+	a.timers[s.Timer] = a.dispatcher.Loop.After(after, func() { a.execute(a.machine.TimerFired(s.Timer)) })
+}
+
+func (a *AttemptDriver) openChannel(s attempt.Open) {
+	a.closeChannel(s.Channel, (*enginepool.Conn).Drop)
+	c := &channel{driver: a, id: s.Channel}
+	a.channels[s.Channel] = c
+	urgent := s.Channel == attempt.Control
+	c.cancelGet = a.pool.Get(a.start.Engine.ID, a.addr, s.Fresh, urgent, c, c.connected)
+}
+
+// connected handles the result of Pool.Get.
+func (c *channel) connected(conn *enginepool.Conn, err error) {
+	a := c.driver
+	c.cancelGet = nil
+	if err != nil {
+		a.execute(a.machine.ConnectFailed(c.id))
+		return
+	}
+	c.conn = conn
+	a.dispatcher.ReadClient(a.start.ID)
+	if c.closed { // the client has cancelled the request
+		return
+	}
+	a.execute(a.machine.Connected(c.id, &conn.Memory, func(again bool) (time.Duration, bool) {
+		return a.dispatcher.MaySend(a.start.ID, a.start.Attempt, again)
+	}))
 }
 
-// leave ends a lane's connection or the wait for it.
-func (f *AttemptDriver) leave(which attempt.Channel, keep bool) {
-	l := f.lanes[which]
-	if l == nil {
+// closeChannel ends the use of a channel: the wait for its connection is cancelled, or the connection is given to dispose.
+func (a *AttemptDriver) closeChannel(id attempt.Channel, dispose func(*enginepool.Conn)) {
+	c := a.channels[id]
+	if c == nil {
 		return
 	}
-	f.lanes[which], l.gone = nil, true
+	a.channels[id] = nil
+	c.closed = true
 	switch {
-	case l.stop != nil:
-		l.stop()
-	case l.link != nil && keep:
-		l.link.Release()
-	case l.link != nil:
-		l.link.Drop()
+	case c.cancelGet != nil:
+		c.cancelGet()
+	case c.conn != nil:
+		dispose(c.conn)
 	}
 }
 
-// Data feeds the machine.
-func (l *lane) Data(b []byte) {
-	if !l.gone {
-		l.driver.carryOut(l.driver.machine.Received(l.lane, b))
+// Data feeds received bytes to the machine.
+func (c *channel) Data(b []byte) {
+	if !c.closed {
+		c.driver.execute(c.driver.machine.Received(c.id, b))
 	}
 }
 
-// Closed tells the machine that the connection ended.
-func (l *lane) Closed(error) {
-	if !l.gone {
-		l.link = nil
-		l.driver.carryOut(l.driver.machine.ConnectionLost(l.lane))
+// Closed reports the end of the connection to the machine.
+func (c *channel) Closed(error) {
+	if !c.closed {
+		c.conn = nil
+		c.driver.execute(c.driver.machine.ConnectionLost(c.id))
 	}
 }
 
-// fields reads a load report, as in inflight:7;util:0.61; what is no figure is left out.
-func fields(report string) []core.Field {
+// parseLoadReport parses a load report such as "inflight:7;util:0.61". Fields whose value is not a number are left out.
+func parseLoadReport(report string) []core.Field {
 	if report == "" {
 		return nil
 	}
--- a/internal/transport/dispatcher/dispatcher.go
+++ b/internal/transport/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher connects the fronts and the connection pools with the core: it hands requests, engine lists and outcomes of
-// attempts to the core, and carries out the actions that the core returns. It owns the requests' timers and attempts, and decides
-// nothing itself. All methods are called on the event loop.
+// Package dispatcher connects the frontends and the connection pools with the core: it hands requests, engine lists and outcomes
+// of attempts to the core, and executes the actions that the core returns. It owns the requests' timers and attempts, and decides
+// nothing itself. All methods are called on the event loop, and no goroutine is started here.
 package dispatcher
 
 import (
@@ -13,221 +13,235 @@
 	"frostpier/policy"
 )
 
-// Client is a front's side of a request: how its attempts are made and its answer is given.
+// Client is a frontend's side of a request: it starts the attempts and gives the reply.
 type Client interface {
-	// Attempt starts an attempt, which calls Dispatcher.Ended once.
-	Attempt(a core.Start) Attempt
-	// Answer gives the final answer; result is what the attempt that served it brought.
-	Answer(r core.Reply, result any)
-	// ReadPending takes in what the client has sent by now. It is not called from within one of the caller's own calls.
+	// StartAttempt starts an attempt, which calls Dispatcher.AttemptEnded once.
+	StartAttempt(start core.Start) Attempt
+	// Reply gives the final reply; result is what the attempt that served it returned.
+	Reply(reply core.Reply, result any)
+	// ReadPending handles all bytes that the client has sent by now. It is not called from within a call of the client's own.
 	ReadPending()
-	// Unread reports whether something of the client's waits to be taken in, and whether the client has ended its connection,
-	// which nobody may have read yet.
-	Unread() (some, gone bool)
+	// Unread reports whether bytes of the client wait to be handled, and whether the client has closed its connection,
+	// which may be known only from the socket.
+	Unread() (pending, closed bool)
 }
 
-// Attempt is one that is out.
+// Attempt is an attempt in flight.
 type Attempt interface {
-	// Cancel calls it off; it ends with outcome once it is not out any more.
+	// Cancel cancels the attempt. It ends with outcome as soon as it is no longer in flight.
 	Cancel(outcome policy.Outcome)
 }
 
-// Dispatcher drives the core on the loop.
+// Dispatcher drives the core on the event loop.
 type Dispatcher struct {
 	Loop  *eventloop.Loop
 	Core  *core.Core
-	Pool  *enginepool.Pool   // of the platform's engines
-	Pools []*enginepool.Pool // all that hold connections to engines
+	Pool  *enginepool.Pool   // connections to the platform's engines
+	Pools []*enginepool.Pool // all pools of connections to engines
 	Log   *slog.Logger
-	calls map[core.ID]*call
-	idle  func() // runs when nothing is open or out
+
+	requests map[core.ID]*request
+	onIdle   func() // called once when no request is open and no attempt in flight
 }
 
-type call struct {
-	caller  Client
-	attempt Attempt
-	timer   *eventloop.Timer // the attempt's time-out
-	number  int
-	replied bool
+// request is a request that has no reply yet, or still has an attempt in flight.
+type request struct {
+	client        Client
+	attempt       Attempt          // nil while none is in flight
+	attemptNumber int              // of the latest attempt
+	timeout       *eventloop.Timer // of the latest attempt
+	replied       bool             // or cancelled by the client
 }
 
-// New makes a Dispatcher.
+// New returns a Dispatcher that uses a single pool.
 func New(loop *eventloop.Loop, c *core.Core, pool *enginepool.Pool, log *slog.Logger) *Dispatcher {
-	return &Dispatcher{Loop: loop, Core: c, Pool: pool, Pools: []*enginepool.Pool{pool}, Log: log, calls: map[core.ID]*call{}}
+	return &Dispatcher{
+		Loop:     loop,
+		Core:     c,
+		Pool:     pool,
+		Pools:    []*enginepool.Pool{pool},
+		Log:      log,
+		requests: map[core.ID]*request{},
+	}
 }
 
-// Margins of a client's time.
+// The margin that is kept between the core's deadline and the client's.
 const (
-	leastMargin = 60 * time.Millisecond
-	mostMargin  = 0.25 // of the time that a client gives
+	minDeadlineMargin      = 60 * time.Millisecond
+	maxDeadlineMarginShare = 0.25 // of the client's remaining time
 )
 
-// withinReach is what is left of a client's time for the core to use, where this process gets its turn late: by
-// that much a request may have waited to be read, and by as much its answer may wait to be written. An answer that
-// comes too late for this reason is a request lost, however early the core decided on it.
-func withinReach(remaining, lag time.Duration) time.Duration {
-	return remaining - min(leastMargin+2*lag, time.Duration(mostMargin*float64(remaining)))
+// usableBudget returns the part of a client's remaining time that the core may use. The loop's lag counts twice: a request may
+// have waited that long to be read, and its reply may wait as long to be written. A reply that is late for this reason is a lost
+// request, however early the core decided on it.
+func usableBudget(remaining, lag time.Duration) time.Duration {
+	margin := minDeadlineMargin + 2*lag
+	maxMargin := time.Duration(maxDeadlineMarginShare * float64(remaining))
+	return remaining - min(margin, maxMargin)
 }
 
-// Submit hands a request to the core.
-func (d *Dispatcher) Submit(ask core.Query, caller Client, numbered func(core.ID)) {
-	ask.Remaining = withinReach(ask.Remaining, d.Loop.Lag())
-	id, actions := d.Core.Submit(d.Loop.Now(), ask)
-	d.calls[id] = &call{caller: caller}
+// Submit submits a request to the core. numbered is called with its ID before anything else happens to it.
+func (d *Dispatcher) Submit(query core.Query, client Client, numbered func(core.ID)) {
+	query.Remaining = usableBudget(query.Remaining, d.Loop.Lag())
+	id, actions := d.Core.Submit(d.Loop.Now(), query)
+	d.requests[id] = &request{client: client}
 	numbered(id)
-	d.carryOut(actions, nil)
+	d.execute(actions, nil)
 }
 
-// Cancel says that a request's client wants no answer any more.
+// Cancel cancels a request: its client does not wait for a reply any more.
 func (d *Dispatcher) Cancel(id core.ID) {
-	if c := d.calls[id]; c != nil {
-		c.replied = true
-		d.carryOut(d.Core.Cancel(d.Loop.Now(), id), nil)
-		d.forget(id, c)
+	if r := d.requests[id]; r != nil {
+		r.replied = true
+		d.execute(d.Core.Cancel(d.Loop.Now(), id), nil)
+		d.removeIfDone(id, r)
 	}
 }
 
-// UpdateEngines hands a list of engines to the core, and returns how many engines are listed now.
-func (d *Dispatcher) UpdateEngines(whole bool, lines []core.ListedEngine) (engines int) {
-	gone, actions := d.Core.UpdateEngines(d.Loop.Now(), whole, lines)
-	for _, e := range gone {
-		d.forgetEngine(e.ID)
+// UpdateEngines applies an engine list, the full one or only its changes, and returns how many engines are listed now.
+func (d *Dispatcher) UpdateEngines(full bool, engines []core.ListedEngine) (listed int) {
+	removed, actions := d.Core.UpdateEngines(d.Loop.Now(), full, engines)
+	for _, e := range removed {
+		d.disconnect(e.ID)
 	}
-	d.carryOut(actions, nil)
+	d.execute(actions, nil)
 	return d.Core.ListedEngines()
 }
 
-// forgetEngine ends the use of the connections to an engine.
-func (d *Dispatcher) forgetEngine(engine policy.EngineID) {
+// disconnect ends the use of all present connections to an engine.
+func (d *Dispatcher) disconnect(engine policy.EngineID) {
 	for _, p := range d.Pools {
 		p.Forget(engine)
 	}
 }
 
-// MaySend asks leave for an attempt's first byte, or for its first byte again. For a client that has gone meanwhile
-// nothing is sent: its close may stand unread behind other bytes, or wait for this loop.
-func (d *Dispatcher) MaySend(id core.ID, n int, again bool) (time.Duration, bool) {
-	c := d.calls[id]
-	if c == nil {
+// MaySend is called before the first byte of an attempt, or before it is sent again, and returns how long the attempt may take
+// and whether it may be sent at all. Nothing is sent for a client that has closed its connection or may have cancelled the
+// request: that may be unread behind other bytes, or queued for the loop.
+func (d *Dispatcher) MaySend(id core.ID, attempt int, again bool) (time.Duration, bool) {
+	r := d.requests[id]
+	if r == nil {
 		return 0, false
 	}
-	if some, gone := c.caller.Unread(); gone || some && again { // what waits may call the request off
+	pending, closed := r.client.Unread()
+	if closed || pending && again {
 		return 0, false
 	}
-	return d.Core.MaySend(d.Loop.Now(), id, n, again)
+	return d.Core.MaySend(d.Loop.Now(), id, attempt, again)
 }
 
-// ReadClient takes in what a request's client has sent by now: it may have called the request off.
+// ReadClient handles all bytes that a request's client has sent by now: they may cancel the request.
 func (d *Dispatcher) ReadClient(id core.ID) {
-	if c := d.calls[id]; c != nil {
-		c.caller.ReadPending()
+	if r := d.requests[id]; r != nil {
+		r.client.ReadPending()
 	}
 }
 
-// ResponseStarted says that a part of an attempt's answer is there, and reports whether it is to go out.
-func (d *Dispatcher) ResponseStarted(id core.ID, n int) bool {
-	wanted, actions := d.Core.ResponseStarted(d.Loop.Now(), id, n)
-	if c := d.calls[id]; c != nil && len(actions) > 0 {
-		c.timer.Stop()
+// ResponseStarted reports the first part of an attempt's response to the core, and returns whether it goes to the client.
+func (d *Dispatcher) ResponseStarted(id core.ID, attempt int) bool {
+	wanted, actions := d.Core.ResponseStarted(d.Loop.Now(), id, attempt)
+	if r := d.requests[id]; r != nil && len(actions) > 0 {
+		r.timeout.Stop()
 	}
-	d.carryOut(actions, nil)
+	d.execute(actions, nil)
 	return wanted
 }
 
-// Progress passes on a note.
-func (d *Dispatcher) Progress(id core.ID, n int, done float64) {
-	d.carryOut(d.Core.Progress(d.Loop.Now(), id, n, done), nil)
+// Progress reports the share done of a running query, between 0 and 1.
+func (d *Dispatcher) Progress(id core.ID, attempt int, done float64) {
+	d.execute(d.Core.Progress(d.Loop.Now(), id, attempt, done), nil)
 }
 
-// ResponseOverdue passes on that an engine withholds an answer.
-func (d *Dispatcher) ResponseOverdue(id core.ID, n int) {
-	d.carryOut(d.Core.ResponseOverdue(d.Loop.Now(), id, n), nil)
+// ResponseOverdue reports that an engine withholds the response of an attempt.
+func (d *Dispatcher) ResponseOverdue(id core.ID, attempt int) {
+	d.execute(d.Core.ResponseOverdue(d.Loop.Now(), id, attempt), nil)
 }
 
-// AttemptEnded reports the one end of an attempt.
-func (d *Dispatcher) AttemptEnded(id core.ID, n int, outcome policy.Outcome, report []core.Field, result any) {
-	c := d.calls[id]
-	if c != nil && c.number == n {
-		c.timer.Stop()
-		c.attempt = nil
+// AttemptEnded reports the end of an attempt. It is called once for each attempt.
+func (d *Dispatcher) AttemptEnded(id core.ID, attempt int, outcome policy.Outcome, report []core.Field, result any) {
+	r := d.requests[id]
+	if r != nil && r.attemptNumber == attempt {
+		r.timeout.Stop()
+		r.attempt = nil
 	}
-	if outcome != policy.OK && c != nil && !c.replied {
-		if _, gone := c.caller.Unread(); gone {
-			d.Cancel(id) // else the module would try again for nobody
+	if outcome != policy.OK && r != nil && !r.replied {
+		if _, closed := r.client.Unread(); closed {
+			d.Cancel(id) // otherwise the core would retry for a client that has gone
 		}
 	}
-	d.carryOut(d.Core.AttemptEnded(d.Loop.Now(), id, n, outcome, report), result)
-	if c != nil {
-		d.forget(id, c)
+	d.execute(d.Core.AttemptEnded(d.Loop.Now(), id, attempt, outcome, report), result)
+	if r != nil {
+		d.removeIfDone(id, r)
 	}
 }
 
-// InService passes on how many gateways are held to be in service.
+// InService reports how many gateways are in service.
 func (d *Dispatcher) InService(gateways int) {
-	d.carryOut(d.Core.InService(d.Loop.Now(), gateways), nil)
+	d.execute(d.Core.InService(d.Loop.Now(), gateways), nil)
 }
 
 // ReceiveLoadReports applies the load reports of another gateway.
 func (d *Dispatcher) ReceiveLoadReports(body []byte) {
-	d.carryOut(d.Core.ReceiveLoadReports(d.Loop.Now(), body), nil)
+	d.execute(d.Core.ReceiveLoadReports(d.Loop.Now(), body), nil)
 }
 
-// Close has all that is open answered.
-func (d *Dispatcher) Close() { d.carryOut(d.Core.Close(d.Loop.Now()), nil) }
+// Close makes the core reply to all open requests at once.
+func (d *Dispatcher) Close() { d.execute(d.Core.Close(d.Loop.Now()), nil) }
 
-// WhenIdle sets what runs as soon as nothing is open or out.
+// WhenIdle sets a function that is called once, as soon as no request is open and no attempt in flight.
 func (d *Dispatcher) WhenIdle(f func()) {
-	d.idle = f
+	d.onIdle = f
 	d.checkIdle()
 }
 
 func (d *Dispatcher) checkIdle() {
-	if d.idle != nil && d.Core.PendingRequests() == 0 && d.Core.AttemptsInFlight() == 0 {
-		f := d.idle
-		d.idle = nil
+	if d.onIdle != nil && d.Core.PendingRequests() == 0 && d.Core.AttemptsInFlight() == 0 {
+		f := d.onIdle
+		d.onIdle = nil
 		f()
 	}
 }
 
-func (d *Dispatcher) carryOut(actions []core.Action, result any) {
+// execute executes actions of the core; result is what the attempt that caused them returned.
+func (d *Dispatcher) execute(actions []core.Action, result any) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case core.Start:
-			d.start(a)
+			d.startAttempt(a)
 		case core.Stop:
-			if c := d.calls[a.ID]; c != nil && c.attempt != nil && c.number == a.Attempt {
-				c.attempt.Cancel(policy.Cancelled)
+			if r := d.requests[a.ID]; r != nil && r.attempt != nil && r.attemptNumber == a.Attempt {
+				r.attempt.Cancel(policy.Cancelled)
 			}
 		case core.Reply:
-			if c := d.calls[a.ID]; c != nil {
-				c.replied = true
-				c.caller.Answer(a, result)
-				d.forget(a.ID, c)
+			if r := d.requests[a.ID]; r != nil {
+				r.replied = true
+				r.client.Reply(a, result)
+				d.removeIfDone(a.ID, r)
 			}
 		case core.Disconnect:
-			d.forgetEngine(a.Engine)
+			d.disconnect(a.Engine)
 		case core.Timer:
-			d.Loop.After(a.After, func() { d.carryOut(d.Core.TimerFired(d.Loop.Now(), a.Token), nil) })
+			d.Loop.After(a.After, func() { d.execute(d.Core.TimerFired(d.Loop.Now(), a.Token), nil) })
 		}
 	}
 	d.checkIdle()
 }
 
-func (d *Dispatcher) start(a core.Start) {
-	c := d.calls[a.ID]
-	c.number = a.Attempt
-	c.attempt = c.caller.Attempt(a)
-	c.timer = d.Loop.After(a.Timeout, func() {
-		if c.attempt != nil {
-			c.attempt.Cancel(policy.Timeout)
+func (d *Dispatcher) startAttempt(start core.Start) {
+	r := d.requests[start.ID]
+	r.attemptNumber = start.Attempt
+	r.attempt = r.client.StartAttempt(start)
+	r.timeout = d.Loop.After(start.Timeout, func() {
+		if r.attempt != nil {
+			r.attempt.Cancel(policy.Timeout)
 		}
 	})
 }
 
-// forget drops what is answered and has nothing out.
-func (d *Dispatcher) forget(id core.ID, c *call) {
-	if c.replied && c.attempt == nil {
-		c.timer.Stop()
-		delete(d.calls, id)
+// removeIfDone removes a request that has its reply and no attempt in flight.
+func (d *Dispatcher) removeIfDone(id core.ID, r *request) {
+	if r.replied && r.attempt == nil {
+		r.timeout.Stop()
+		delete(d.requests, id)
 	}
 }
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -214,8 +214,8 @@
 		c, func(id core.ID) { c.id = id })
 }
 
-// Attempt sends the query to an engine.
-func (c *mysqlClient) Attempt(a core.Start) dispatcher.Attempt {
+// StartAttempt sends the query to an engine.
+func (c *mysqlClient) StartAttempt(a core.Start) dispatcher.Attempt {
 	f := c.front
 	machine, steps := mysql.NewExchange(c.call, f.setup.User, f.setup.Password)
 	c.flight = dispatcher.StartAttempt(f.dispatcher, f.pool, a, f.engineAddr(a.Engine), machine, steps, c.relay)
@@ -246,8 +246,8 @@
 // Unread tells what of the client is not taken in yet.
 func (c *mysqlClient) Unread() (some, gone bool) { return c.conn.Peek() }
 
-// Answer ends the query. An answer that broke off in the middle of a row can only be told by the connection's end.
-func (c *mysqlClient) Answer(r core.Reply, result any) {
+// Reply ends the query. An answer that broke off in the middle of a row can only be told by the connection's end.
+func (c *mysqlClient) Reply(r core.Reply, result any) {
 	last, _ := result.([]byte)
 	c.call, c.flight, c.held = nil, nil, false
 	switch {
--- a/internal/transport/frontend/platform.go
+++ b/internal/transport/frontend/platform.go
@@ -342,8 +342,8 @@
 	call   *jsonrpc.Call
 }
 
-// Attempt sends the query to an engine.
-func (r *request) Attempt(a core.Start) dispatcher.Attempt {
+// StartAttempt sends the query to an engine.
+func (r *request) StartAttempt(a core.Start) dispatcher.Attempt {
 	machine, steps := enginehttp.NewQuery(enginehttp.Request{Host: a.Engine.Addr, ID: r.call.RID,
 		Class: r.client.front.dispatcher.Core.ClassName(r.call.Class), Key: r.call.Token, Statement: r.call.Statement})
 	g := r.client.front.dispatcher
@@ -356,8 +356,8 @@
 // Unread tells what of the client is not taken in yet.
 func (r *request) Unread() (some, gone bool) { return r.client.conn.Peek() }
 
-// Answer writes the one answer of the call.
-func (r *request) Answer(reply core.Reply, result any) {
+// Reply writes the one answer of the call.
+func (r *request) Reply(reply core.Reply, result any) {
 	c := r.client
 	c.session.Done(r.call.ID)
 	delete(c.calls, r.call.ID)
