--- a/internal/transport/enginepool/pool_test.go
+++ b/internal/transport/enginepool/pool_test.go
@@ -13,13 +13,14 @@
 	"frostpier/policy"
 )
 
-// user takes a connection and hears nothing of it.
-type user struct{}
+// discard is a handler that ignores everything.
+type discard struct{}
 
-func (user) Data([]byte)  {}
-func (user) Closed(error) {}
+func (discard) Data([]byte)  {}
+func (discard) Closed(error) {}
 
-func listener(t *testing.T) string {
+// listen returns the address of a server that reads everything and never answers.
+func listen(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,53 +43,53 @@
 	t.Helper()
 	loop := eventlooptest.Start(t)
 	p := New(loop, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Second, time.Minute, Budget{budget, 1})
-	p.drainDelay = 0 // tests of what comes late on a connection that rests set it themselves
+	p.drainDelay = 0 // tests of late bytes on idle connections set it themselves
 	return loop, p
 }
 
-// Guards against taking want of descriptors for an engine that is down: seen on an overloaded day, where 512
-// connections were out, every further attempt counted as not connected, engines were shut out for that, and the
-// rest got all the load. An attempt now waits for one to end; what gives attempts up does not wait.
-func TestWantOfDescriptorsIsWaitedOut(t *testing.T) {
+// A lack of descriptors is no fault of an engine: attempts wait for one, and cancellations, which are urgent, do not. On an
+// overloaded day with 512 connections in use, every further attempt had counted as not connected, engines were ejected for that,
+// and the others got all the load.
+func TestAttemptsWaitForADescriptor(t *testing.T) {
 	loop, p := newPool(t, 1)
-	addr, got := listener(t), make(chan *Conn, 3)
-	take := func(l *Conn, err error) {
+	addr, got := listen(t), make(chan *Conn, 3)
+	deliver := func(c *Conn, err error) {
 		if err != nil {
 			t.Error(err)
 		}
-		got <- l
+		got <- c
 	}
-	loop.Do(func() { p.Get(1, addr, false, false, user{}, take) })
+	loop.Do(func() { p.Get(1, addr, false, false, discard{}, deliver) })
 	first := <-got
 	loop.Do(func() {
-		p.Get(2, addr, false, false, user{}, take)
-		if p.held != 1 || len(p.queue) != 1 {
-			t.Errorf("%d held, %d wait", p.held, len(p.queue))
+		p.Get(2, addr, false, false, discard{}, deliver)
+		if p.inUse != 1 || len(p.waiters) != 1 {
+			t.Errorf("%d in use, %d waiting", p.inUse, len(p.waiters))
 		}
-		p.Get(1, addr, false, true, user{}, take)
+		p.Get(1, addr, false, true, discard{}, deliver)
 	})
 	urgent := <-got
-	if urgent.to.engine != 1 {
-		t.Fatal("the one that should wait came first")
+	if urgent.key.engine != 1 {
+		t.Fatal("the request that should wait was served first")
 	}
 	loop.Do(func() { urgent.Drop(); first.Release() })
-	if second := <-got; second.to.engine != 2 {
-		t.Fatal("another came")
+	if second := <-got; second.key.engine != 2 {
+		t.Fatal("another connection came")
 	}
 	loop.Do(func() {
-		if p.held != 1 || len(p.queue) != 0 || len(p.idle) != 0 {
-			t.Errorf("%d held, %d wait, idle %v", p.held, len(p.queue), p.idle)
+		if p.inUse != 1 || len(p.waiters) != 0 || len(p.idle) != 0 {
+			t.Errorf("%d in use, %d waiting, idle %v", p.inUse, len(p.waiters), p.idle)
 		}
 	})
 }
 
-// Guards against one engine's connections serving another that took its address over: they go by name.
-func TestIdleConnectionsGoByEngine(t *testing.T) {
+// A connection to one engine never serves another that has taken over its address.
+func TestIdleConnectionsAreKeptByEngine(t *testing.T) {
 	loop, p := newPool(t, 8)
-	addr, got := listener(t), make(chan *Conn, 1)
-	take := func(l *Conn, _ error) { got <- l }
+	addr, got := listen(t), make(chan *Conn, 1)
+	deliver := func(c *Conn, _ error) { got <- c }
 	get := func(e policy.EngineID) *Conn {
-		loop.Do(func() { p.Get(e, addr, false, false, user{}, take) })
+		loop.Do(func() { p.Get(e, addr, false, false, discard{}, deliver) })
 		return <-got
 	}
 	first := get(1)
@@ -96,78 +97,78 @@
 	if other := get(2); other == first {
 		t.Fatal("engine 2 got engine 1's connection")
 	}
-	if again := get(1); again != first {
+	if reused := get(1); reused != first {
 		t.Fatal("engine 1 did not get its idle connection")
 	}
 	loop.Do(first.Release)
 	loop.Do(func() {
-		if p.Forget(1); p.held != 1 || first.IsOpen() {
-			t.Errorf("%d held after engine 1 has gone", p.held)
+		if p.Forget(1); p.inUse != 1 || first.IsOpen() {
+			t.Errorf("%d in use after engine 1 was removed", p.inUse)
 		}
 	})
 }
 
-// Guards against a wait that cannot be ended: the function that ends it once called itself without end, and the
-// program died of its stack on the first overloaded day on which an attempt was given up while it waited.
-func TestWaitsCanBeEnded(t *testing.T) {
+// A request can be cancelled at every stage. The function that cancels it once called itself without end, which overflowed the
+// stack on the first overloaded day on which an attempt was cancelled while it waited.
+func TestRequestsCanBeCancelled(t *testing.T) {
 	loop, p := newPool(t, 1)
-	addr, got := listener(t), make(chan *Conn, 4)
-	take := func(l *Conn, _ error) { got <- l }
-	loop.Do(func() { p.Get(1, addr, false, false, user{}, take) })
+	addr, got := listen(t), make(chan *Conn, 4)
+	deliver := func(c *Conn, _ error) { got <- c }
+	loop.Do(func() { p.Get(1, addr, false, false, discard{}, deliver) })
 	first := <-got
 	loop.Do(func() {
-		p.Get(2, addr, false, false, user{}, take)() // in the queue
+		p.Get(2, addr, false, false, discard{}, deliver)() // while it waits for a descriptor
 		first.Release()
 	})
-	loop.Do(func() { p.Get(1, addr, false, false, user{}, take)() }) // an idle one
-	loop.Do(func() { p.Get(3, addr, true, false, user{}, take)() })  // a dial
-	loop.Do(func() { p.Get(1, addr, false, false, user{}, take) })
-	if last := <-got; last.to.engine != 1 {
-		t.Fatalf("engine %d answers a wait that was ended", last.to.engine)
+	loop.Do(func() { p.Get(1, addr, false, false, discard{}, deliver)() }) // during a drain delay
+	loop.Do(func() { p.Get(3, addr, true, false, discard{}, deliver)() })  // during a dial
+	loop.Do(func() { p.Get(1, addr, false, false, discard{}, deliver) })
+	if last := <-got; last.key.engine != 1 {
+		t.Fatalf("engine %d serves a request that was cancelled", last.key.engine)
 	}
 }
 
-// Guards against closing a free connection to make room for a dial to the same engine.
-func TestFreeConnectionGoesToTheNextThatWaits(t *testing.T) {
+// A released connection is handed to a request that waits for one to the same engine, and not closed for the sake of its dial.
+func TestReleasedConnectionGoesToAWaiter(t *testing.T) {
 	loop, p := newPool(t, 1)
-	addr, got := listener(t), make(chan *Conn, 2)
-	take := func(l *Conn, _ error) { got <- l }
-	loop.Do(func() { p.Get(1, addr, false, false, user{}, take) })
+	addr, got := listen(t), make(chan *Conn, 2)
+	deliver := func(c *Conn, _ error) { got <- c }
+	loop.Do(func() { p.Get(1, addr, false, false, discard{}, deliver) })
 	first := <-got
 	loop.Do(func() {
-		p.Get(2, addr, false, false, user{}, take)
-		p.Get(1, addr, false, false, user{}, take)
+		p.Get(2, addr, false, false, discard{}, deliver)
+		p.Get(1, addr, false, false, discard{}, deliver)
 		first.Release()
 	})
 	if next := <-got; next != first {
 		t.Fatal("another connection was made")
 	}
-	loop.Do(first.Release) // nobody waits for this engine any more: the other's turn
-	if other := <-got; other.to.engine != 2 {
-		t.Fatal("the other still waits")
+	loop.Do(first.Release) // no other request waits for this engine
+	if other := <-got; other.key.engine != 2 {
+		t.Fatal("the request for the other engine still waits")
 	}
 }
 
-// A connection that comes up after its attempt has ended serves others, unless the engine has gone or is elsewhere by then;
-// and one that was in use meanwhile is not used again either.
+// A connection that comes up after its attempt has ended serves others, unless the engine was removed or has moved by then; and
+// one that was in use meanwhile is not reused either.
 func TestLateConnectionToAnEngineThatHasMoved(t *testing.T) {
 	loop, p := newPool(t, 4)
 	e := nettest.NewEngine(t, "e")
 	addr, got := e.Addr(), make(chan *Conn, 1)
 	loop.Do(func() {
-		end := p.Get(1, addr, false, false, user{}, func(*Conn, error) { t.Error("an attempt that has ended got a connection") })
+		cancel := p.Get(1, addr, false, false, discard{}, func(*Conn, error) { t.Error("a cancelled request got a connection") })
 		nettest.Until(t, "the dial", func() bool { return loop.Queued() > 0 })
-		end()
+		cancel()
 		p.Forget(1)
 	})
 	e.Accept().ExpectNothing()
-	loop.Do(func() { p.Get(1, addr, false, false, user{}, func(l *Conn, _ error) { got <- l }) })
+	loop.Do(func() { p.Get(1, addr, false, false, discard{}, func(c *Conn, _ error) { got <- c }) })
 	used := <-got
 	loop.Do(func() {
 		p.Forget(1)
 		used.Release()
-		if len(p.idle) != 0 || p.held != 0 || len(p.links) != 0 {
-			t.Errorf("idle %v, %d held, %d links", p.idle, p.held, len(p.links))
+		if len(p.idle) != 0 || p.inUse != 0 || len(p.conns) != 0 {
+			t.Errorf("idle %v, %d in use, %d connections", p.idle, p.inUse, len(p.conns))
 		}
 	})
 	e.Accept().ExpectNothing()
