--- a/internal/transport/enginepool/pool.go
+++ b/internal/transport/enginepool/pool.go
@@ -94,9 +94,9 @@
 	p.admitWaiters()
 }
 
-// takeIdle returns an idle connection, or nil. The one released last is the least likely to be stale, but one whose drain delay is
+// acquireIdle returns an idle connection, or nil. The one released last is the least likely to be stale, but one whose drain delay is
 // over is preferred.
-func (p *Pool) takeIdle(key endpointKey) *Conn {
+func (p *Pool) acquireIdle(key endpointKey) *Conn {
 	conns := p.idle[key]
 	if len(conns) == 0 {
 		return nil
--- a/internal/transport/enginepool/request.go
+++ b/internal/transport/enginepool/request.go
@@ -22,7 +22,7 @@
 // start reserves an idle connection, or dials one as soon as there is a descriptor for it.
 func (r *request) start() {
 	if !r.fresh {
-		if c := r.pool.takeIdle(r.key); c != nil {
+		if c := r.pool.acquireIdle(r.key); c != nil {
 			// An idle connection that the engine has closed says nothing against the engine: start again.
 			c.settle(func(usable bool) { r.offered(c, usable, r.start) })
 			return
--- a/internal/transport/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/transport/eventloop/eventlooptest/eventlooptest.go
@@ -9,10 +9,10 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// WriteBudget is how many bytes the connections of a test's loop may hold to be written.
+// WriteBudget is how many bytes the connections of a test's loop together may queue.
 const WriteBudget = 8 << 20
 
-// Start returns a running loop that ends with the test.
+// Start returns a loop that runs on a goroutine of its own and ends with the test.
 func Start(t testing.TB) *eventloop.Loop {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/transport/eventloop/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -1,6 +1,6 @@
 // Package eventloop provides the single goroutine on which a gateway's state machines run, with its timers and TCP connections.
-// Blocking reads, writes and dials run on goroutines of their own and post what they bring to the Loop. The package decides
-// nothing: it does not know what the bytes mean.
+// Blocking reads and writes run on goroutines of their own and post their results to the Loop. The package decides nothing: it
+// does not know what the bytes mean. Unless stated otherwise, methods are called on the loop.
 package eventloop
 
 import (
@@ -9,50 +9,57 @@
 	"time"
 )
 
-// Loop runs what is handed to it, one after the other.
+const queueLength = 1024 // functions that may be queued before Post blocks
+
+// Loop calls the functions that are posted to it, one after the other, on the goroutine that calls Run.
 type Loop struct {
-	work    chan func()
-	done    chan struct{}
-	start   time.Time
-	base    time.Duration
-	waiting atomic.Int64  // bytes to be written, over all connections
-	room    int64         // how many of them there may be before the largest are cut off
-	lag     time.Duration // how late work has lately been done: the worst, fading
+	queue       chan func()
+	done        chan struct{} // closed when Run returns
+	start       time.Time
+	base        time.Duration // start, since the Unix epoch
+	queuedBytes atomic.Int64  // to be written, over all connections
+	writeBudget int64         // bytes; above it the connections with the longest queues are closed
+	lag         time.Duration // largest recent delay of a timer, decaying
 }
 
-// New makes a Loop whose connections together may hold so many bytes to be written. Its clock is the Unix clock at
-// its start, advanced by the steady one: it never goes back.
-func New(start time.Time, room int64) *Loop {
-	return &Loop{work: make(chan func(), 1024), done: make(chan struct{}), start: start, room: room,
-		base: time.Duration(start.UnixNano())}
+// New returns a Loop whose connections together may queue writeBudget bytes. Its clock is the Unix clock at start, advanced by
+// the monotonic clock, so that it never goes back.
+func New(start time.Time, writeBudget int64) *Loop {
+	return &Loop{
+		queue:       make(chan func(), queueLength),
+		done:        make(chan struct{}),
+		start:       start,
+		base:        time.Duration(start.UnixNano()),
+		writeBudget: writeBudget,
+	}
 }
 
-// Now is the time since the Unix epoch.
+// Now returns the time since the Unix epoch. It may be called on any goroutine.
 func (l *Loop) Now() time.Duration { return l.base + time.Since(l.start) }
 
 const (
-	lagEvery = 50 * time.Millisecond // between two looks at how late the loop is
-	lagFade  = 0.97                  // of the worst a look: a half in a second
+	lagInterval = 50 * time.Millisecond // between two measurements
+	lagDecay    = 0.97                  // factor for each measurement: half in about a second
 )
 
-// WatchLag measures from now on how late the loop is. It is called on the loop.
+// WatchLag starts measuring how late the loop runs its timers.
 func (l *Loop) WatchLag() {
-	due := l.Now() + lagEvery
-	l.After(lagEvery, func() {
-		l.lag = max(l.Now()-due, time.Duration(float64(l.lag)*lagFade))
+	due := l.Now() + lagInterval
+	l.After(lagInterval, func() {
+		l.lag = max(l.Now()-due, time.Duration(float64(l.lag)*lagDecay))
 		l.WatchLag()
 	})
 }
 
-// Lag is how late work has lately been done at the worst.
+// Lag returns the largest recent delay of the loop. It is 0 before WatchLag.
 func (l *Loop) Lag() time.Duration { return l.lag }
 
-// Run works until the context ends.
+// Run calls posted functions until the context ends.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	for {
 		select {
-		case f := <-l.work:
+		case f := <-l.queue:
 			f()
 		case <-ctx.Done():
 			return
@@ -60,22 +67,23 @@
 	}
 }
 
-// Post hands work over; it must not be called from the loop itself.
+// Post queues a function for the loop. It blocks while the queue is full, so it must not be called on the loop itself. After the
+// loop has ended, the function is dropped.
 func (l *Loop) Post(f func()) {
 	select {
-	case l.work <- f:
+	case l.queue <- f:
 	case <-l.done:
 	}
 }
 
-// Do hands work over and waits until it is done.
+// Do calls a function on the loop and waits until it has returned. It must not be called on the loop itself.
 func (l *Loop) Do(f func()) {
 	done := make(chan struct{}, 1)
-	l.wait(func() { f(); done <- struct{}{} }, done)
+	l.postAndWait(func() { f(); done <- struct{}{} }, done)
 }
 
-// wait hands over work that says itself when it is done, and reports whether it was: not if the loop has ended.
-func (l *Loop) wait(f func(), done <-chan struct{}) bool {
+// postAndWait posts a function that sends on done when it is finished, and waits for that. It returns false if the loop has ended.
+func (l *Loop) postAndWait(f func(), done <-chan struct{}) bool {
 	l.Post(f)
 	select {
 	case <-done:
@@ -85,7 +93,7 @@
 	}
 }
 
-// After runs f on the loop when the time has passed. The returned timer's Stop is to be called on the loop.
+// After calls f on the loop after d. It may be called on any goroutine.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
 	t := &Timer{}
 	t.timer = time.AfterFunc(d, func() {
@@ -99,13 +107,13 @@
 	return t
 }
 
-// Timer is one wait; one that has been stopped never runs, even if it had already gone off.
+// Timer is a pending call of After.
 type Timer struct {
 	timer   *time.Timer
-	stopped bool
+	stopped bool // or expired
 }
 
-// Stop ends the wait.
+// Stop prevents the call, also if the timer has expired and the call is queued. It does nothing on a nil Timer.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.stopped = true
@@ -113,12 +121,12 @@
 	}
 }
 
-// Queued returns how many functions have been posted and not yet run.
-func (l *Loop) Queued() int { return len(l.work) }
+// Queued returns how many functions are queued. It may be called on any goroutine.
+func (l *Loop) Queued() int { return len(l.queue) }
 
-// RunNext runs the function that was posted first, waiting for one if there is none. It is called on the loop, by tests that hold
-// the loop to force an order of events.
-func (l *Loop) RunNext() { (<-l.work)() }
+// RunNext calls the first queued function, waiting for one if there is none. Tests that hold the loop use it to force an order of
+// events.
+func (l *Loop) RunNext() { (<-l.queue)() }
 
-// SetWriteBudget sets how many bytes all connections together may hold to be written. It is called on the loop.
-func (l *Loop) SetWriteBudget(bytes int64) { l.room = bytes }
+// SetWriteBudget sets how many bytes all connections together may queue.
+func (l *Loop) SetWriteBudget(bytes int64) { l.writeBudget = bytes }
--- /dev/null
+++ b/internal/transport/eventloop/write.go
@@ -0,0 +1,106 @@
+package eventloop
+
+import (
+	"net"
+	"time"
+)
+
+// Write queues bytes, which must not be changed afterwards. A connection whose queue is over its limit is closed, and so is one
+// with more than a fair share of the queue when the loop's write budget is used up.
+func (c *Conn) Write(b []byte) {
+	if !c.IsOpen() {
+		return
+	}
+	c.mu.Lock()
+	c.writeQueue = append(c.writeQueue, b)
+	c.queuedBytes += len(b)
+	total := c.loop.queuedBytes.Add(int64(len(b)))
+	overLimit := c.queuedBytes > c.writeLimit || total > c.loop.writeBudget && c.queuedBytes > fairQueuedBytes
+	c.mu.Unlock()
+	if overLimit {
+		c.loop.After(0, func() {
+			if c.IsOpen() {
+				c.connectionLost(errSlowPeer)
+			}
+		})
+		return
+	}
+	c.signalWriter()
+}
+
+// QueuedBytes returns how many bytes have not been written yet.
+func (c *Conn) QueuedBytes() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.queuedBytes
+}
+
+// OnDrained sets a function that is called on the loop whenever all bytes have been written.
+func (c *Conn) OnDrained(f func()) {
+	c.mu.Lock()
+	c.onDrained = f
+	c.mu.Unlock()
+}
+
+func (c *Conn) signalWriter() {
+	select {
+	case c.writeSignal <- struct{}{}:
+	default:
+	}
+}
+
+// writeLoop is the writer goroutine.
+func (c *Conn) writeLoop() {
+	for range c.writeSignal {
+		bufs, size, phase := c.takeWriteQueue()
+		if size > 0 {
+			if err := c.writeBuffers(bufs); err != nil {
+				c.loop.Post(func() {
+					c.connectionLost(err)
+					c.Close() // one that is flushing has no other end; its queued bytes no longer count
+				})
+				return
+			}
+		}
+		drained, onDrained := c.markWritten(size)
+		switch {
+		case phase == connClosed:
+			return
+		case drained && phase == connFlushing:
+			c.closeWrite()
+			return
+		case drained && onDrained != nil:
+			c.loop.Post(onDrained)
+		}
+	}
+}
+
+// takeWriteQueue empties the queue and returns its buffers, their size in bytes and the present phase.
+func (c *Conn) takeWriteQueue() (bufs net.Buffers, size int, phase phase) {
+	c.mu.Lock()
+	bufs, phase = c.writeQueue, c.phase
+	c.writeQueue = nil
+	c.mu.Unlock()
+	for _, b := range bufs {
+		size += len(b)
+	}
+	return bufs, size, phase
+}
+
+func (c *Conn) writeBuffers(bufs net.Buffers) error {
+	// Without the deadline, which fails only on a closed connection, the write would fail too.
+	_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := bufs.WriteTo(c.nc)
+	return err
+}
+
+// markWritten subtracts written bytes from the queue, and reports whether all are written, and what to call then.
+func (c *Conn) markWritten(size int) (drained bool, onDrained func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase != connClosed { // otherwise close has subtracted them
+		c.queuedBytes -= size
+		c.loop.queuedBytes.Add(-int64(size))
+	}
+	return c.queuedBytes == 0, c.onDrained
+}
--- a/internal/transport/frontend/crossings_test.go
+++ b/internal/transport/frontend/crossings_test.go
@@ -67,7 +67,7 @@
 	nettest.Send(t, nc, ask(7, safe))
 	nettest.CloseWrite(t, nc)
 	nettest.Until(t, "the descriptor", func() (gone bool) {
-		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 && c.conn.IsEnded() })
+		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 && c.conn.IsClosed() })
 		return gone
 	})
 	if n := r.counts(); n.Taken != 0 {
@@ -625,7 +625,7 @@
 		r.loop.Do(func() {
 			held := 0 // descriptors: a connection that is closed leaves the list a moment later
 			for _, conn := range r.lingering.conns {
-				if !conn.IsEnded() {
+				if !conn.IsClosed() {
 					held++
 				}
 			}
--- a/internal/transport/frontend/linger.go
+++ b/internal/transport/frontend/linger.go
@@ -46,7 +46,7 @@
 		s.check()
 	})
 	s.conns = append(s.conns, c)
-	c.Finish()
+	c.CloseGracefully()
 	if len(s.conns) > s.limit {
 		i := max(0, slices.IndexFunc(s.conns, func(o *eventloop.Conn) bool { return o.IsLingering() }))
 		s.conns[i].Close()
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -225,7 +225,7 @@
 // relay passes a part of the answer on; the engine's side waits while the client is behind.
 func (c *mysqlClient) relay(b []byte) {
 	c.conn.Write(b)
-	if !c.held && c.conn.Waiting() > relayAhead && c.flight != nil {
+	if !c.held && c.conn.QueuedBytes() > relayAhead && c.flight != nil {
 		c.held = true
 		c.flight.Pause()
 		c.drained() // in case all has been written meanwhile
@@ -234,7 +234,7 @@
 
 // drained goes on with the engine's side.
 func (c *mysqlClient) drained() {
-	if c.held && c.conn.Waiting() <= relayAhead/2 && c.flight != nil {
+	if c.held && c.conn.QueuedBytes() <= relayAhead/2 && c.flight != nil {
 		c.held = false
 		c.flight.Resume()
 	}
