--- a/internal/protocol/jsonrpc/jsonrpc.go
+++ b/internal/protocol/jsonrpc/jsonrpc.go
@@ -14,9 +14,9 @@
 
 // Bounds of what a client may send.
 const (
-	maxLine = 256 << 10 // a statement is text that somebody wrote; what waits for a line's end counts against the memory
-	maxOpen = 32
-	maxWait = 24 * time.Hour
+	maxLineBytes = 256 << 10 // a statement is text that somebody wrote; what waits for a line's end counts against the memory
+	maxOpenCalls = 32
+	maxBudget = 24 * time.Hour
 )
 
 // The codes of errors.
@@ -25,7 +25,7 @@
 	codeRequest = -32600
 	codeMethod  = -32601
 	codeParams  = -32602
-	codeRefused = -32008
+	codeRejected = -32008
 	codeFailed  = -32013
 )
 
@@ -63,49 +63,49 @@
 type Session struct {
 	classes Classes
 	buf     []byte
-	seen    int               // of buf, without a line feed
-	open    map[string]string // rid by id
+	scanned    int               // of buf, without a line feed
+	openRIDs    map[string]string // rid by id
 }
 
 // NewSession makes a Session.
 func NewSession(classes Classes) *Session {
-	return &Session{classes: classes, open: map[string]string{}}
+	return &Session{classes: classes, openRIDs: map[string]string{}}
 }
 
 // Open is how many calls have no answer yet.
-func (s *Session) Open() int { return len(s.open) }
+func (s *Session) Open() int { return len(s.openRIDs) }
 
-// Unread is how many bytes of a line that is not whole have come.
-func (s *Session) Unread() int { return len(s.buf) }
+// BufferedBytes is how many bytes of a line that is not whole have come.
+func (s *Session) BufferedBytes() int { return len(s.buf) }
 
-// Abandon drops what has come of a line: nothing more is read, but what is open is still to be answered.
-func (s *Session) Abandon() { s.buf, s.seen = nil, 0 }
+// DiscardInput drops what has come of a line: nothing more is read, but what is open is still to be answered.
+func (s *Session) DiscardInput() { s.buf, s.scanned = nil, 0 }
 
 // Done says that a call got its answer or needs none.
-func (s *Session) Done(id string) { delete(s.open, id) }
+func (s *Session) Done(id string) { delete(s.openRIDs, id) }
 
 // Feed takes bytes in and returns what the lines that are whole with them mean.
 func (s *Session) Feed(b []byte) ([]Event, error) {
 	s.buf = append(s.buf, b...)
 	var out []Event
 	for {
-		end := bytes.IndexByte(s.buf[s.seen:], '\n')
+		end := bytes.IndexByte(s.buf[s.scanned:], '\n')
 		if end < 0 {
-			if s.seen = len(s.buf); s.seen > maxLine {
+			if s.scanned = len(s.buf); s.scanned > maxLineBytes {
 				return out, ErrLineTooLong
 			}
-			if s.seen == 0 {
+			if s.scanned == 0 {
 				s.buf = nil
 			}
 			return out, nil
 		}
-		line := s.buf[:s.seen+end]
-		s.buf, s.seen = s.buf[s.seen+end+1:], 0
-		if len(line) > maxLine {
+		line := s.buf[:s.scanned+end]
+		s.buf, s.scanned = s.buf[s.scanned+end+1:], 0
+		if len(line) > maxLineBytes {
 			return out, ErrLineTooLong
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			out = append(out, s.line(line))
+			out = append(out, s.parseLine(line))
 		}
 	}
 }
@@ -121,84 +121,84 @@
 	RID    string          `json:"rid"`
 	ID     json.RawMessage `json:"id"`
 	Budget float64         `json:"budget"`
-	Again  any             `json:"again"`
+	IsRetry  any             `json:"again"`
 	Token  string          `json:"token"`
-	Est    float64         `json:"est"`
-	RAM    float64         `json:"ram"`
+	EstimatedMS    float64         `json:"est"`
+	EstimatedMemoryMB    float64         `json:"ram"`
 	Blob   *string         `json:"blob"`
 }
 
-func (s *Session) line(line []byte) Event {
+func (s *Session) parseLine(line []byte) Event {
 	var m message
 	if err := json.Unmarshal(line, &m); err != nil {
-		return bad("null", codeParse, "not a JSON-RPC line")
+		return errorReply("null", codeParse, "not a JSON-RPC line")
 	}
 	id := string(m.ID)
 	if id == "" {
 		id = "null"
 	}
 	if m.Version != "2.0" || m.Method == "" || !plainID(id) {
-		return bad("null", codeRequest, "not a JSON-RPC 2.0 request")
+		return errorReply("null", codeRequest, "not a JSON-RPC 2.0 request")
 	}
-	_, twice := s.open[id]
+	_, twice := s.openRIDs[id]
 	if twice && m.Method != "abort" { // an error under that id would be taken for the first call's answer
-		return bad("null", codeRequest, "the id is in use")
+		return errorReply("null", codeRequest, "the id is in use")
 	}
 	var p params
 	if len(m.Params) > 0 {
 		if err := json.Unmarshal(m.Params, &p); err != nil && twice {
-			return bad("null", codeParams, "params are of another form")
+			return errorReply("null", codeParams, "params are of another form")
 		} else if err != nil {
-			return bad(id, codeParams, "params are of another form")
+			return errorReply(id, codeParams, "params are of another form")
 		}
 	}
 	switch m.Method {
 	case "ping":
 		return Event{Ping: id}
 	case "abort":
-		return s.abort(id, p)
+		return s.findAborted(id, p)
 	}
 	class, known := s.classes.Class(m.Method)
 	if !known {
-		return bad(id, codeMethod, "no such method")
+		return errorReply(id, codeMethod, "no such method")
 	}
 	if id == "null" {
-		return bad(id, codeRequest, "a query needs an id")
+		return errorReply(id, codeRequest, "a query needs an id")
 	}
-	return s.call(id, class, p)
+	return s.parseCall(id, class, p)
 }
 
-func (s *Session) call(id string, class int, p params) Event {
-	statement, err := decode(p.Blob)
+func (s *Session) parseCall(id string, class int, p params) Event {
+	statement, err := decodeBlob(p.Blob)
 	switch {
 	case err != nil:
-		return bad(id, codeParams, "blob is not base64")
-	case !(p.Budget > 0) || p.Budget > float64(maxWait/time.Millisecond):
-		return bad(id, codeParams, "budget is not a time")
+		return errorReply(id, codeParams, "blob is not base64")
+	case !(p.Budget > 0) || p.Budget > float64(maxBudget/time.Millisecond):
+		return errorReply(id, codeParams, "budget is not a time")
 	case !headerSafe(p.RID) || p.RID == "" || strings.ContainsAny(p.RID, "/ ?#%"):
-		return bad(id, codeParams, "rid is not a name")
+		return errorReply(id, codeParams, "rid is not a name")
 	case !headerSafe(p.Token):
-		return bad(id, codeParams, "token is not a key")
+		return errorReply(id, codeParams, "token is not a key")
 	case s.classes.NeedsIdempotencyKey(class) && p.Token == "":
-		return bad(id, codeParams, "this class needs a token")
-	case !(p.Est >= 0) || !(p.RAM >= 0) || p.Est > 1e9 || p.RAM > 1e9:
-		return bad(id, codeParams, "est or ram is no figure")
-	case len(s.open) >= maxOpen:
-		return bad(id, codeRequest, "too many calls are open")
+		return errorReply(id, codeParams, "this class needs a token")
+	case !(p.EstimatedMS >= 0) || !(p.EstimatedMemoryMB >= 0) || p.EstimatedMS > 1e9 || p.EstimatedMemoryMB > 1e9:
+		return errorReply(id, codeParams, "est or ram is no figure")
+	case len(s.openRIDs) >= maxOpenCalls:
+		return errorReply(id, codeRequest, "too many calls are open")
 	}
-	s.open[id] = p.RID
+	s.openRIDs[id] = p.RID
 	return Event{Call: &Call{Class: class, ID: id, RID: p.RID, Token: p.Token, Statement: statement,
-		Budget: ms(p.Budget), EstimatedWork: ms(p.Est), EstimatedMemoryMB: p.RAM, IsClientRetry: p.Again != nil && p.Again != false && p.Again != 0.0}}
+		Budget: milliseconds(p.Budget), EstimatedWork: milliseconds(p.EstimatedMS), EstimatedMemoryMB: p.EstimatedMemoryMB, IsClientRetry: p.IsRetry != nil && p.IsRetry != false && p.IsRetry != 0.0}}
 }
 
-// abort finds the call that is meant: by the id or the rid in its params, or by its own id.
-func (s *Session) abort(id string, p params) Event {
+// findAborted finds the call that is meant: by the id or the rid in its params, or by its own id.
+func (s *Session) findAborted(id string, p params) Event {
 	for _, name := range []string{string(p.ID), id} {
-		if _, open := s.open[name]; open {
+		if _, open := s.openRIDs[name]; open {
 			return Event{Abort: name}
 		}
 	}
-	for open, rid := range s.open {
+	for open, rid := range s.openRIDs {
 		if p.RID != "" && rid == p.RID {
 			return Event{Abort: open}
 		}
@@ -206,7 +206,7 @@
 	return Event{}
 }
 
-func decode(blob *string) ([]byte, error) {
+func decodeBlob(blob *string) ([]byte, error) {
 	if blob == nil {
 		return nil, errors.New("no blob")
 	}
@@ -217,7 +217,7 @@
 	return out, nil
 }
 
-func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
+func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
 // plainID reports whether an id can be given back: a number, a string or null.
 func plainID(id string) bool {
@@ -229,7 +229,7 @@
 	return len(s) <= 256 && strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f }) < 0
 }
 
-func bad(id string, code int, text string) Event {
+func errorReply(id string, code int, text string) Event {
 	return Event{Reply: fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%s,"error":{"code":%d,"message":%q}}`+"\n", id, code, text)}
 }
 
@@ -243,11 +243,11 @@
 // Rejected is the line that refuses a call and says when to come back.
 func Rejected(id string, back time.Duration) []byte {
 	return fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%s,"error":{"code":%d,"message":"Overloaded","data":{"backoff":%d}}}`+"\n",
-		id, codeRefused, back.Milliseconds())
+		id, codeRejected, back.Milliseconds())
 }
 
 // Failed is the line that fails a call.
-func Failed(id, why string) []byte { return bad(id, codeFailed, why).Reply }
+func Failed(id, why string) []byte { return errorReply(id, codeFailed, why).Reply }
 
 // Pong answers a ping.
 func Pong(id string, serving bool) []byte {
--- a/internal/protocol/jsonrpc/jsonrpc_test.go
+++ b/internal/protocol/jsonrpc/jsonrpc_test.go
@@ -86,7 +86,7 @@
 func TestOverlongLineLosesTheFraming(t *testing.T) {
 	s, line := NewSession(classes{}), bytes.Repeat([]byte("x"), 1<<16)
 	var err error
-	for i := 0; err == nil && i < 2*maxLine/len(line); i++ {
+	for i := 0; err == nil && i < 2*maxLineBytes/len(line); i++ {
 		_, err = s.Feed(line)
 	}
 	if !errors.Is(err, ErrLineTooLong) {
--- a/internal/transport/frontend/crossings_test.go
+++ b/internal/transport/frontend/crossings_test.go
@@ -24,10 +24,10 @@
 // reader has it already and waits for the loop. The close came over it, and the request was lost with a reset.
 func TestRequestUnreadAsItsConnectionIsShut(t *testing.T) {
 	for name, shut := range map[string]func(*rig, *client) bool{
-		"idle":       func(r *rig, c *client) bool { return c.retire("idle") },
+		"idle":       func(r *rig, c *client) bool { return c.closeIfIdle("idle") },
 		"stop":       func(r *rig, _ *client) bool { return r.CloseIdle() },
-		"make room":  func(r *rig, _ *client) bool { return r.closeOneIdle() },
-		"first word": func(r *rig, c *client) bool { c.asked = false; c.askedNothing(); return !c.conn.IsOpen() },
+		"make room":  func(r *rig, _ *client) bool { return r.evictIdle() },
+		"first word": func(r *rig, c *client) bool { c.sentRequest = false; c.requestTimedOut(); return !c.conn.IsOpen() },
 	} {
 		for _, read := range []bool{false, true} {
 			e := nettest.NewEngine(t, "e")
@@ -59,7 +59,7 @@
 	r := newRig(t, 4)
 	nc, c := r.client()
 	r.loop.Do(func() {
-		if !c.retire("idle") {
+		if !c.closeIfIdle("idle") {
 			t.Error("a connection that rests was not shut")
 		}
 	})
@@ -98,7 +98,7 @@
 	nc, c := r.client()
 	r.loop.Do(func() {
 		c.conn.SetLingerTimeout(time.Millisecond)
-		c.retire("idle")
+		c.closeIfIdle("idle")
 	})
 	cleanEnd(t, nc)
 	nettest.Until(t, "the descriptor", func() (gone bool) {
@@ -117,7 +117,7 @@
 	at.ReadCall()
 	go io.Copy(nc, strings.NewReader(strings.Repeat("x", 1<<20)))
 	nettest.Until(t, "the bad line", func() (stopped bool) {
-		r.loop.Do(func() { stopped = c.stopReading })
+		r.loop.Do(func() { stopped = c.framingLost })
 		return stopped
 	})
 	io.WriteString(at, served)
@@ -418,7 +418,7 @@
 	line := ask(11, safe)
 	nettest.Send(t, nc, line[:30])
 	nettest.Until(t, "half a line", func() (some bool) {
-		r.loop.Do(func() { some = r.unread > 0 })
+		r.loop.Do(func() { some = r.incompleteBytes > 0 })
 		return some
 	})
 	r.loop.Do(func() {
@@ -620,7 +620,7 @@
 	r := newRig(t, 4)
 	for range 3 * r.lingering.limit {
 		nc, c := r.client()
-		r.loop.Do(func() { c.retire("others came") })
+		r.loop.Do(func() { c.closeIfIdle("others came") })
 		cleanEnd(t, nc) // and the client stays
 		r.loop.Do(func() {
 			held := 0 // descriptors: a connection that is closed leaves the list a moment later
--- a/internal/transport/frontend/linger.go
+++ b/internal/transport/frontend/linger.go
@@ -6,49 +6,50 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// lingerShare is the part of a front's connections that may be in the course of being shut: each holds its descriptor until its
-// peer has ended it too, and peers that do not must not keep others out.
-const lingerShare = 8
+// lingerFraction bounds the connections of a listener that are being closed to one in so many: each holds its descriptor until its
+// peer has closed it too, and peers that do not must not keep others out.
+const lingerFraction = 8
 
-// lingerSet holds the connections of a front that are being shut down, oldest first.
+// lingerSet holds the connections of a listener that are being closed gracefully, oldest first. It is used on the loop.
 type lingerSet struct {
 	conns   []*eventloop.Conn
 	limit   int
-	open    func() int // how many of the front's are not being shut
-	emptied func()     // runs once there are none of either
+	open    func() int // returns how many connections of the listener are open
+	onEmpty func()     // called once when there are no open or lingering connections
 }
 
-func newLingerSet(connections int, open func() int) *lingerSet {
-	return &lingerSet{limit: max(1, connections/lingerShare), open: open}
+func newLingerSet(maxConns int, open func() int) *lingerSet {
+	return &lingerSet{limit: max(1, maxConns/lingerFraction), open: open}
 }
 
-// whenEmpty sets what runs once no connection of the front is open or being shut.
-func (s *lingerSet) whenEmpty(run func()) {
-	s.emptied = run
-	s.check()
+// whenEmpty sets a function that is called once no connection of the listener is open or being closed.
+func (s *lingerSet) whenEmpty(f func()) {
+	s.onEmpty = f
+	s.checkEmpty()
 }
 
-// check is called whenever a connection has gone.
-func (s *lingerSet) check() {
-	if run := s.emptied; run != nil && s.open() == 0 && len(s.conns) == 0 {
-		s.emptied = nil
-		run()
+// checkEmpty is called whenever a connection was removed.
+func (s *lingerSet) checkEmpty() {
+	if f := s.onEmpty; f != nil && s.open() == 0 && len(s.conns) == 0 {
+		s.onEmpty = nil
+		f()
 	}
 }
 
-// finish shuts a connection. Where too many are being shut, one that was told all there is goes before one that was not.
-func (s *lingerSet) finish(c *eventloop.Conn) {
+// closeGracefully closes a connection gracefully. If too many are being closed, one of them is closed at once: the oldest to which
+// everything has been written, or the oldest of all.
+func (s *lingerSet) closeGracefully(c *eventloop.Conn) {
 	if !c.IsOpen() {
 		return
 	}
 	c.OnReleased(func() {
-		s.conns = slices.DeleteFunc(s.conns, func(o *eventloop.Conn) bool { return o == c })
-		s.check()
+		s.conns = slices.DeleteFunc(s.conns, func(other *eventloop.Conn) bool { return other == c })
+		s.checkEmpty()
 	})
 	s.conns = append(s.conns, c)
 	c.CloseGracefully()
 	if len(s.conns) > s.limit {
-		i := max(0, slices.IndexFunc(s.conns, func(o *eventloop.Conn) bool { return o.IsLingering() }))
+		i := max(0, slices.IndexFunc(s.conns, (*eventloop.Conn).IsLingering))
 		s.conns[i].Close()
 	}
 }
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -15,259 +15,124 @@
 )
 
 const (
-	relayAhead = 256 << 10 // bytes of an answer that wait for its client before the engine's side is not read on
-	loginWait  = 10 * time.Second
-	mysqlQueue = relayAhead + 2<<20
+	relayBufferBytes    = 256 << 10                // queued for a client before its engine's response is not read on
+	mysqlWriteLimit     = relayBufferBytes + 2<<20 // bytes: with a margin, as the engine is paused only after its present read
+	defaultLoginTimeout = 10 * time.Second
+	scrambleBytes       = 20
 )
 
-// MySQLConfig is how the front is to be.
+// MySQLConfig configures a MySQLListener.
 type MySQLConfig struct {
-	Listen     string
-	MostOpen   int
+	Listen     string // address
+	MostOpen   int    // connections
 	Accounts   map[string]*mysql.Account
 	User       string // at the engines
-	Password   string
+	Password   string // at the engines
 	EnginePort string
-	Engines    map[string]string // addresses by the engine's name, where the port alone does not tell
+	Engines    map[string]string // MySQL addresses by engine name, for those that EnginePort does not give
 }
 
-// MySQLListener is the front for clients that speak MySQL.
+// MySQLListener accepts clients that speak MySQL. Its methods are called on the loop.
 type MySQLListener struct {
-	dispatcher *dispatcher.Dispatcher
-	pool       *enginepool.Pool
-	log        *slog.Logger
-	setup      MySQLConfig
-	ln         net.Listener
-	open       map[*mysqlClient]bool
-	lingering  *lingerSet // beside those that are open
-	threads    uint32
-	again      *eventloop.Timer
-	patient    time.Duration // how long a client may take to log in
+	connSet[*mysqlClient]
+
+	dispatcher   *dispatcher.Dispatcher
+	pool         *enginepool.Pool
+	log          *slog.Logger
+	config       MySQLConfig
+	ln           net.Listener // nil while not listening
+	lastThreadID uint32       // MySQL's number of a connection
+	retryTimer   *eventloop.Timer
+	loginTimeout time.Duration
 }
 
-// NewMySQLListener makes the front; pool is for its connections to engines alone.
-func NewMySQLListener(d *dispatcher.Dispatcher, pool *enginepool.Pool, log *slog.Logger, setup MySQLConfig) *MySQLListener {
-	f := &MySQLListener{dispatcher: d, pool: pool, log: log, setup: setup, open: map[*mysqlClient]bool{}, patient: loginWait}
-	f.lingering = newLingerSet(setup.MostOpen, func() int { return len(f.open) })
-	return f
+// NewMySQLListener returns a listener that does not listen yet. pool is for its connections to engines alone.
+func NewMySQLListener(d *dispatcher.Dispatcher, pool *enginepool.Pool, log *slog.Logger, config MySQLConfig) *MySQLListener {
+	return &MySQLListener{
+		connSet:      newConnSet[*mysqlClient](config.MostOpen),
+		dispatcher:   d,
+		pool:         pool,
+		log:          log,
+		config:       config,
+		loginTimeout: defaultLoginTimeout,
+	}
 }
 
-// Listen opens the listener; it is called on the loop. A second call while it is open does nothing.
-func (f *MySQLListener) Listen() error {
-	if f.ln != nil {
+// Listen starts to accept connections. It does nothing if the listener is open.
+func (l *MySQLListener) Listen() error {
+	if l.ln != nil {
 		return nil
 	}
-	ln, err := net.Listen("tcp", f.setup.Listen)
+	ln, err := net.Listen("tcp", l.config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen for MySQL clients: %w", err)
 	}
-	f.ln = ln
-	f.log.Info("mysql front listens", "listen", ln.Addr().String())
-	go accept(f.dispatcher.Loop, f.log, ln, f.take, func() {})
+	l.ln = ln
+	l.log.Info("mysql front listens", "listen", ln.Addr().String())
+	go accept(l.dispatcher.Loop, l.log, ln, l.handleConn, func() {})
 	return nil
 }
 
-// Addr is where it listens; nil while it does not.
-func (f *MySQLListener) Addr() net.Addr {
-	if f.ln == nil {
+// Addr returns the address of the listener, or nil while it is not open.
+func (l *MySQLListener) Addr() net.Addr {
+	if l.ln == nil {
 		return nil
 	}
-	return f.ln.Addr()
-}
-
-// StopAccepting closes the listener; connections that are open stay, and those that the machine has accepted are still taken.
-func (f *MySQLListener) StopAccepting() {
-	f.again.Stop()
-	if f.ln != nil {
-		stopAccepting(f.ln)
-		f.ln = nil
-		f.log.Info("mysql front listens no more")
-	}
+	return l.ln.Addr()
 }
 
-// Retry has f run later, unless the listener is to be closed before.
-func (f *MySQLListener) Retry(after time.Duration, try func()) {
-	f.again = f.dispatcher.Loop.After(after, try)
-}
-
-// CloseIdle shuts the connections on which no query runs and nothing has come, and reports whether that were all of them.
-func (f *MySQLListener) CloseIdle() bool {
-	for c := range f.open {
-		if c.conn.DeliverPending() && c.call == nil {
-			c.end()
-		}
+// StopAccepting closes the listener and cancels a pending Retry. Open connections stay, and those that the kernel has accepted by
+// now are still handled.
+func (l *MySQLListener) StopAccepting() {
+	l.retryTimer.Stop()
+	if l.ln != nil {
+		stopAccepting(l.ln)
+		l.ln = nil
+		l.log.Info("mysql front listens no more")
 	}
-	return len(f.open) == 0
 }
 
-// WhenEmpty sets what runs once no connection is open or being shut.
-func (f *MySQLListener) WhenEmpty(run func()) { f.lingering.whenEmpty(run) }
-
-// Finish shuts the connections once what they were to get is written.
-func (f *MySQLListener) Finish() {
-	for c := range f.open {
-		c.end()
-	}
+// Retry calls try after a delay, unless StopAccepting is called before.
+func (l *MySQLListener) Retry(after time.Duration, try func()) {
+	l.retryTimer = l.dispatcher.Loop.After(after, try)
 }
 
-func (f *MySQLListener) take(nc net.Conn) {
-	if len(f.open) >= f.setup.MostOpen {
-		f.log.Warn("too many mysql clients", "open", len(f.open))
-		nc.Close()
+// handleConn handles an accepted connection.
+func (l *MySQLListener) handleConn(nc net.Conn) {
+	if len(l.open) >= l.config.MostOpen {
+		l.log.Warn("too many mysql clients", "open", len(l.open))
+		_ = nc.Close() // the client gets its end either way
 		return
 	}
-	f.threads++
-	c := &mysqlClient{front: f}
-	machine, greeting := mysql.NewFront(f.setup.Accounts, f.threads, scramble())
+	l.lastThreadID++
+	c := &mysqlClient{listener: l}
+	machine, greeting := mysql.NewFront(l.config.Accounts, l.lastThreadID, newScramble())
 	c.machine = machine
-	f.open[c] = true
-	c.conn = eventloop.NewConn(f.dispatcher.Loop, nc, c, mysqlQueue)
-	c.conn.OnDrained(c.drained)
+	l.open[c] = true
+	c.conn = eventloop.NewConn(l.dispatcher.Loop, nc, c, mysqlWriteLimit)
+	c.conn.OnDrained(c.resumeIfDrained)
 	c.conn.Write(greeting)
-	c.login = f.dispatcher.Loop.After(f.patient, func() {
-		if !machine.LoggedIn() {
-			f.log.Warn("mysql client did not log in")
-			c.end()
-		}
-	})
+	c.loginTimer = l.dispatcher.Loop.After(l.loginTimeout, c.loginTimedOut)
 }
 
-// scramble is 20 bytes of chance, none of them zero or a dollar sign, as clients expect.
-func scramble() []byte {
-	b := make([]byte, 20)
-	rand.Read(b)
+// newScramble returns the random bytes of a greeting. Clients expect none of them to be zero or a dollar sign, so all are letters.
+func newScramble() []byte {
+	b := make([]byte, scrambleBytes)
+	_, _ = rand.Read(b) // never fails
 	for i := range b {
 		b[i] = 'A' + b[i]%26 + 32*(b[i]>>7)
 	}
 	return b
 }
 
-// engineAddr is where an engine speaks MySQL.
-func (f *MySQLListener) engineAddr(e core.Engine) string {
-	if addr, told := f.setup.Engines[e.Name]; told {
+// engineAddr returns the address at which an engine speaks MySQL.
+func (l *MySQLListener) engineAddr(e core.Engine) string {
+	if addr, configured := l.config.Engines[e.Name]; configured {
 		return addr
 	}
 	host, _, err := net.SplitHostPort(e.Addr)
 	if err != nil {
 		return e.Addr
 	}
-	return net.JoinHostPort(host, f.setup.EnginePort)
-}
-
-// mysqlClient is one connection.
-type mysqlClient struct {
-	front   *MySQLListener
-	conn    *eventloop.Conn
-	machine *mysql.Front
-	call    *mysql.Call // the query that runs
-	id      core.ID
-	flight  *dispatcher.AttemptDriver
-	login   *eventloop.Timer
-	held    bool // the engine's side is not read, as the client is behind
-}
-
-// Data feeds the machine.
-func (c *mysqlClient) Data(b []byte) { c.carryOut(c.machine.Feed(b)) }
-
-// Closed calls off what runs.
-func (c *mysqlClient) Closed(error) {
-	c.login.Stop()
-	delete(c.front.open, c)
-	c.leave()
-	c.front.lingering.check()
-}
-
-func (c *mysqlClient) leave() {
-	if c.call != nil {
-		c.call = nil
-		c.front.dispatcher.Cancel(c.id)
-	}
-}
-
-func (c *mysqlClient) end() {
-	c.login.Stop()
-	c.front.lingering.finish(c.conn)
-	delete(c.front.open, c)
-	c.leave()
-}
-
-func (c *mysqlClient) carryOut(events []mysql.Event) {
-	for _, e := range events {
-		switch {
-		case e.Write != nil:
-			c.conn.Write(e.Write)
-		case e.Call != nil:
-			c.run(e.Call)
-		case e.Close:
-			c.end()
-		}
-	}
-}
-
-func (c *mysqlClient) run(call *mysql.Call) {
-	group := core.TableGroup(call.Text)
-	if group == 0 {
-		group = core.SchemaGroup(call.Schema)
-	}
-	c.call = call
-	c.front.dispatcher.Submit(core.Query{Class: call.Account.Class, TableGroup: group, Remaining: call.Account.Budget},
-		c, func(id core.ID) { c.id = id })
-}
-
-// StartAttempt sends the query to an engine.
-func (c *mysqlClient) StartAttempt(a core.Start) dispatcher.Attempt {
-	f := c.front
-	machine, steps := mysql.NewExchange(c.call, f.setup.User, f.setup.Password)
-	c.flight = dispatcher.StartAttempt(f.dispatcher, f.pool, a, f.engineAddr(a.Engine), machine, steps, c.relay)
-	return c.flight
-}
-
-// relay passes a part of the answer on; the engine's side waits while the client is behind.
-func (c *mysqlClient) relay(b []byte) {
-	c.conn.Write(b)
-	if !c.held && c.conn.QueuedBytes() > relayAhead && c.flight != nil {
-		c.held = true
-		c.flight.Pause()
-		c.drained() // in case all has been written meanwhile
-	}
+	return net.JoinHostPort(host, l.config.EnginePort)
 }
-
-// drained goes on with the engine's side.
-func (c *mysqlClient) drained() {
-	if c.held && c.conn.QueuedBytes() <= relayAhead/2 && c.flight != nil {
-		c.held = false
-		c.flight.Resume()
-	}
-}
-
-// ReadPending takes in what the client has sent by now.
-func (c *mysqlClient) ReadPending() { c.conn.DeliverPending() }
-
-// Unread tells what of the client is not taken in yet.
-func (c *mysqlClient) Unread() (some, gone bool) { return c.conn.Peek() }
-
-// Reply ends the query. An answer that broke off in the middle of a row can only be told by the connection's end.
-func (c *mysqlClient) Reply(r core.Reply, result any) {
-	last, _ := result.([]byte)
-	c.call, c.flight, c.held = nil, nil, false
-	switch {
-	case r.Verdict == core.Served, r.Verdict == core.Broken && last != nil:
-		c.conn.Write(last)
-	case r.Verdict == core.Broken:
-		c.end()
-		return
-	case r.DeadlineExceeded:
-		c.conn.Write(mysql.Deadline())
-	case r.Verdict == core.Rejected:
-		c.conn.Write(mysql.Refusal(r.RetryAfter))
-	default:
-		c.conn.Write(mysql.Failure())
-	}
-	c.front.dispatcher.Loop.After(0, func() {
-		if c.conn.IsOpen() {
-			c.carryOut(c.machine.Done())
-		}
-	})
-}
-
-var _ dispatcher.Client = (*mysqlClient)(nil)
--- a/internal/transport/frontend/mysql_test.go
+++ b/internal/transport/frontend/mysql_test.go
@@ -15,7 +15,7 @@
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	f := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 1})
-	f.patient = 20 * time.Millisecond
+	f.loginTimeout = 20 * time.Millisecond
 	var addr string
 	loop.Do(func() {
 		if err := f.Listen(); err != nil {
--- /dev/null
+++ b/internal/transport/frontend/platform_request.go
@@ -0,0 +1,62 @@
+package frontend
+
+import (
+	"frostpier/internal/core"
+	"frostpier/internal/protocol/enginehttp"
+	"frostpier/internal/protocol/jsonrpc"
+	"frostpier/internal/transport/dispatcher"
+)
+
+// Messages of failed queries.
+const (
+	failedMessage   = "the query failed"
+	deadlineMessage = "no answer in time"
+)
+
+// request is an open query of a client.
+type request struct {
+	client *client
+	call   *jsonrpc.Call
+}
+
+var _ dispatcher.Client = (*request)(nil)
+
+// StartAttempt sends the query to an engine.
+func (r *request) StartAttempt(start core.Start) dispatcher.Attempt {
+	d := r.client.listener.dispatcher
+	machine, steps := enginehttp.NewQuery(enginehttp.Request{
+		Host:      start.Engine.Addr,
+		ID:        r.call.RID,
+		Class:     d.Core.ClassName(r.call.Class),
+		Key:       r.call.Token,
+		Statement: r.call.Statement,
+	})
+	return dispatcher.StartAttempt(d, d.Pool, start, start.Engine.Addr, machine, steps, func([]byte) {})
+}
+
+// ReadPending handles all bytes that the client has sent by now.
+func (r *request) ReadPending() { r.client.conn.DeliverPending() }
+
+// Unread reports whether bytes of the client wait to be handled, and whether it has closed its connection.
+func (r *request) Unread() (pending, closed bool) { return r.client.conn.Peek() }
+
+// Reply writes the response of the query.
+func (r *request) Reply(reply core.Reply, result any) {
+	c := r.client
+	c.session.Done(r.call.ID)
+	delete(c.requests, r.call.ID)
+	switch reply.Verdict {
+	case core.Served:
+		body, _ := result.([]byte)
+		c.conn.Write(jsonrpc.Result(r.call.ID, body))
+	case core.Rejected:
+		c.conn.Write(jsonrpc.Rejected(r.call.ID, reply.RetryAfter))
+	default:
+		message := failedMessage
+		if reply.DeadlineExceeded {
+			message = deadlineMessage
+		}
+		c.conn.Write(jsonrpc.Failed(r.call.ID, message))
+	}
+	c.restartIdleTimer()
+}
--- a/internal/transport/frontend/platform_test.go
+++ b/internal/transport/frontend/platform_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	f := NewPlatformListener(dispatcher.New(loop, heart, p, log), log, most, lines)
-	f.patient = patient
+	f.requestTimeout = patient
 	if err := f.Serve("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -93,8 +93,8 @@
 	io.WriteString(stays, ping)
 	answered(t, stays)
 	f.dispatcher.Loop.Do(func() {
-		if len(f.open) != 1 || f.unread != 0 {
-			t.Errorf("%d connections and %d bytes are left", len(f.open), f.unread)
+		if len(f.open) != 1 || f.incompleteBytes != 0 {
+			t.Errorf("%d connections and %d bytes are left", len(f.open), f.incompleteBytes)
 		}
 	})
 }
@@ -110,7 +110,7 @@
 		nettest.Until(t, "half a line", func() (some bool) {
 			f.dispatcher.Loop.Do(func() {
 				for c = range f.open {
-					some, wait = c.unread == half, c.half
+					some, wait = c.incompleteBytes == half, c.lineTimer
 				}
 			})
 			return some
@@ -124,7 +124,7 @@
 	if first == nil || second == nil || first == second {
 		t.Fatal("a line that has begun is closed when the time of the line before it is over")
 	}
-	f.dispatcher.Loop.Do(c.lineLate) // its own time is over now
+	f.dispatcher.Loop.Do(c.lineTimedOut) // its own time is over now
 	ended(t, "half a line", nc)
 }
 
@@ -137,28 +137,28 @@
 		now := f.dispatcher.Loop.Now()
 		add := func(asked, called bool, quiet time.Duration, calls ...string) *client {
 			nc, _ := net.Pipe()
-			c := &client{front: f, called: called, asked: asked, since: now - quiet, calls: map[string]core.ID{}}
+			c := &client{listener: f, sentQuery: called, sentRequest: asked, idleSince: now - quiet, requests: map[string]core.ID{}}
 			c.conn = eventloop.NewConn(f.dispatcher.Loop, nc, c, 1)
 			for i, id := range calls {
-				c.calls[id] = core.ID(i + 1)
+				c.requests[id] = core.ID(i + 1)
 			}
 			f.open[c] = true
 			return c
 		}
 		add(true, true, time.Hour, "1") // has a call open
-		fresh := add(false, false, callGrace/2)
-		served := add(true, true, callGrace/2)
-		refused := add(true, false, callGrace/2)
+		fresh := add(false, false, queryGrace/2)
+		served := add(true, true, queryGrace/2)
+		refused := add(true, false, queryGrace/2)
 		called := add(true, true, time.Second)
-		calledLater := add(true, true, 2*callGrace)
-		silent := add(false, false, 2*callGrace)
-		silentLonger := add(false, false, 3*callGrace)
+		calledLater := add(true, true, 2*queryGrace)
+		silent := add(false, false, 2*queryGrace)
+		silentLonger := add(false, false, 3*queryGrace)
 		for i, want := range []*client{silentLonger, silent, called, calledLater, refused, served, fresh} {
-			if !f.closeOneIdle() || f.open[want] {
+			if !f.evictIdle() || f.open[want] {
 				t.Errorf("another than the expected made room as number %d", i+1)
 			}
 		}
-		if f.closeOneIdle() || len(f.open) != 1 {
+		if f.evictIdle() || len(f.open) != 1 {
 			t.Error("one with a call open made room")
 		}
 	})
@@ -186,12 +186,12 @@
 
 // Guards against unfinished lines that fill the memory: where all together hold too much, a long one ends.
 func TestUnfinishedLinesAreBounded(t *testing.T) {
-	f := front(t, 100, 3*fairLine, time.Hour)
-	long := strings.Repeat("x", 2*fairLine)
+	f := front(t, 100, 3*fairLineBytes, time.Hour)
+	long := strings.Repeat("x", 2*fairLineBytes)
 	sendText(t, f, long)
 	for {
 		held := 0
-		if f.dispatcher.Loop.Do(func() { held = f.unread }); held == len(long) {
+		if f.dispatcher.Loop.Do(func() { held = f.incompleteBytes }); held == len(long) {
 			break
 		}
 	}
--- /dev/null
+++ b/internal/transport/frontend/platform_timeouts.go
@@ -0,0 +1,96 @@
+package frontend
+
+import "time"
+
+// restartIdleTimer restarts the idle timeout if no query is open. A connection that has not sent a request yet keeps the timer of
+// its first request.
+func (c *client) restartIdleTimer() {
+	if !c.sentRequest {
+		return
+	}
+	loop := c.listener.dispatcher.Loop
+	c.idleTimer.Stop()
+	c.idleSince = loop.Now()
+	if len(c.requests) > 0 {
+		return
+	}
+	if c.framingLost {
+		c.close("no more lines can be read")
+		return
+	}
+	c.idleTimer = loop.After(idleTimeout, func() { c.closeIfIdle("idle") })
+}
+
+// requestTimedOut closes a connection that has not sent a request in time.
+func (c *client) requestTimedOut() {
+	c.conn.DeliverPending()
+	if c.conn.IsOpen() && !c.sentRequest {
+		c.close("no request")
+	}
+}
+
+// updateLineTimer keeps the timer for the rest of an incomplete line. Each line has its own timer: lineEnded reports that the bytes
+// just received completed a line, so that what is incomplete now is another one.
+func (c *client) updateLineTimer(lineEnded bool) {
+	incomplete := c.session.BufferedBytes()
+	c.listener.incompleteBytes += incomplete - c.incompleteBytes
+	c.incompleteBytes = incomplete
+	if lineEnded || incomplete == 0 {
+		c.lineTimer.Stop()
+		c.lineTimer = nil
+	}
+	if incomplete > 0 && c.lineTimer == nil {
+		c.startLineTimer()
+	}
+}
+
+func (c *client) startLineTimer() {
+	c.lineTimer = c.listener.dispatcher.Loop.After(c.listener.requestTimeout, c.lineTimedOut)
+}
+
+// lineTimedOut closes a connection whose line was not completed in time, once its queries have their response.
+func (c *client) lineTimedOut() {
+	c.lineTimer = nil
+	c.conn.DeliverPending() // may complete the line
+	switch {
+	case !c.conn.IsOpen() || c.incompleteBytes == 0:
+	case len(c.requests) == 0:
+		c.close("incomplete line")
+	case c.lineTimer == nil:
+		c.startLineTimer()
+	}
+}
+
+// evictionPriority ranks connections without open queries; the lowest is closed first.
+type evictionPriority int
+
+const (
+	quietWithoutQuery evictionPriority = iota // hundreds of them may come at a time
+	quietAfterQuery
+	recentWithoutQuery // got the response it is owed
+	recentAfterQuery   // the client can send its next query on a new connection
+	recentWithoutRequest
+)
+
+// evictionPriority returns the priority of a connection. The highest is that of a new one, whose first request may be on its way
+// and would be lost.
+func (c *client) evictionPriority(now time.Duration) evictionPriority {
+	quiet := now-c.idleSince > queryGrace
+	switch {
+	case quiet && !c.sentQuery:
+		return quietWithoutQuery
+	case quiet:
+		return quietAfterQuery
+	case c.sentRequest && !c.sentQuery:
+		return recentWithoutQuery
+	case c.sentQuery:
+		return recentAfterQuery
+	}
+	return recentWithoutRequest
+}
+
+// evictedBefore reports whether c is closed before other to make room for a new connection.
+func (c *client) evictedBefore(other *client, now time.Duration) bool {
+	a, b := c.evictionPriority(now), other.evictionPriority(now)
+	return a < b || a == b && c.idleSince < other.idleSince
+}
