--- a/internal/protocol/jsonrpc/golden_test.go
+++ b/internal/protocol/jsonrpc/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 var goldenLines = []string{
-	good,
+	validCall,
 	`{"jsonrpc":"2.0","id":"a","method":"report","params":{"rid":"0000000000000001","budget":900,"blob":"U0VMRUNU"}}` + "\n",
 	`{"jsonrpc":"2.0","id":8,"method":"ping"}` + "\n",
 	`{"jsonrpc":"2.0","id":9,"method":"abort","params":{"id":7}}` + "\n",
@@ -21,7 +21,7 @@
 	"[]\n",
 }
 
-// The platform's calls are read, and its answers are written, as they were before the code was rearranged.
+// The events of the platform's lines, and the lines of the responses, are those of the golden file.
 func TestPlatformTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
