--- a/internal/transport/datagram/membership.go
+++ b/internal/transport/datagram/membership.go
@@ -1,6 +1,6 @@
-// Package datagram drives what gateways send each other over UDP: the membership protocol, VRRP advertisements, and reports to the
-// controller of a staged change. It owns the sockets and timers of these state machines and decides nothing. Each socket has a
-// reading goroutine; all else runs on the event loop.
+// Package datagram drives the state machines of gateways that use UDP: the membership protocol, VRRP, and the reports to the
+// controller of a rollout. It owns their sockets and timers and decides nothing. Each socket that is read has a reading goroutine,
+// which ends when the socket is closed; all other code runs on the event loop.
 package datagram
 
 import (
@@ -19,17 +19,17 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// readMost is more than a datagram may have: one that is too long must be seen to be.
-const readMost = 2 * membership.MaxDatagram
+// maxReadBytes exceeds the limit of a datagram, so that one over the limit is not truncated to a valid one.
+const maxReadBytes = 2 * membership.MaxDatagram
 
-// Socket carries datagrams between members: a UDP socket, or one that a test rig cuts links in.
+// Socket sends and receives the datagrams of members: a UDP socket, or one in which a test cuts links.
 type Socket interface {
 	ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
 	Close() error
 }
 
-// Listen opens the UDP socket on which the datagrams of peers arrive.
+// Listen opens the UDP socket for the datagrams of peers.
 func Listen(listen netip.AddrPort) (*net.UDPConn, error) {
 	sock, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
@@ -38,117 +38,138 @@
 	return sock, nil
 }
 
-// MembershipListener receives what the other gateways send. It is called on the loop.
+// MembershipListener receives changes of the membership and messages of other gateways. It is called on the loop.
 type MembershipListener interface {
-	// InService is called whenever another number of gateways is held to be in service.
+	// InService is called whenever the number of gateways in service has changed.
 	InService(gateways int)
 	// ReceiveLoadReports is called with each load report message of another gateway.
 	ReceiveLoadReports(body []byte)
 	// ReceiveVersion is called with each version message of another gateway.
 	ReceiveVersion(member int, body []byte)
-	// ReceiveZones is called with each message of another gateway on the zones that gateways are in.
+	// ReceiveZones is called with each message of another gateway on the zones of gateways.
 	ReceiveZones(member int, body []byte)
 }
 
-// MembershipDriver drives the membership protocol over UDP.
+// MembershipDriver drives the membership protocol over UDP. Its methods are called on the loop.
 type MembershipDriver struct {
-	loop     *eventloop.Loop
-	log      *slog.Logger
-	keep     *invariant.Keeper
-	node     *membership.Node
-	peers    []netip.AddrPort
-	sock     Socket
-	alarm    *eventloop.Timer
-	listener MembershipListener
-	serving  int // as last reported to the listener
-	unsent   int // datagrams that the system did not take
-}
-
-// NewMembershipDriver makes a driver that sends and receives on sock; Stop closes it.
-func NewMembershipDriver(loop *eventloop.Loop, log *slog.Logger, keep *invariant.Keeper, node *membership.Node, sock Socket,
-	peers []netip.AddrPort, to MembershipListener) *MembershipDriver {
-	return &MembershipDriver{loop: loop, log: log, keep: keep, node: node, peers: peers, sock: sock, listener: to,
-		serving: node.InService()}
-}
-
-// Start is called on the loop.
+	loop       *eventloop.Loop
+	log        *slog.Logger
+	invariants *invariant.Keeper
+	node       *membership.Node
+	peers      []netip.AddrPort
+	socket     Socket
+	timer      *eventloop.Timer
+	listener   MembershipListener
+	inService  int // gateways, as last reported to the listener
+	unsent     int // datagrams that could not be sent
+}
+
+// NewMembershipDriver returns a driver that sends and receives on socket, which Stop closes. peers has the addresses of all members.
+func NewMembershipDriver(loop *eventloop.Loop, log *slog.Logger, invariants *invariant.Keeper, node *membership.Node, socket Socket,
+	peers []netip.AddrPort, listener MembershipListener) *MembershipDriver {
+	return &MembershipDriver{
+		loop:       loop,
+		log:        log,
+		invariants: invariants,
+		node:       node,
+		peers:      peers,
+		socket:     socket,
+		listener:   listener,
+		inService:  node.InService(),
+	}
+}
+
+// Start starts the reading goroutine and the protocol.
 func (m *MembershipDriver) Start() {
-	go readDatagrams(m.loop, m.log, "peers", m.sock, readMost, m.received)
+	go readDatagrams(m.loop, m.log, "peers", m.socket, maxReadBytes, m.received)
 	m.node.Start(m.loop.Now())
-	m.carryOut()
+	m.execute()
 }
 
-// Leave is called on the loop: the others are told that this gateway goes out of service. It goes on answering them.
+// Leave announces that this gateway goes out of service. It still answers the others.
 func (m *MembershipDriver) Leave() {
 	m.node.Leave(m.loop.Now())
-	m.carryOut()
+	m.execute()
 }
 
-// Adjust is called on the loop, for times that may change while the protocol runs; 0 means the default.
+// Adjust changes the probe timeout and the suspicion timeout of the running protocol; 0 means the default.
 func (m *MembershipDriver) Adjust(timeout, suspect time.Duration) error {
 	return m.node.Adjust(timeout, suspect)
 }
 
-// Serves reports whether a member is held to be in service. It is called on the loop.
+// Serves reports whether a member is in service.
 func (m *MembershipDriver) Serves(member int) bool {
 	state, _ := m.node.Member(member)
 	return state.Serves()
 }
 
-// Started reports when a member last started, by its own Unix clock; 0 where it was never heard of. It is called on the loop.
+// Started returns when a member last started, by its own Unix clock, or 0 if it is unknown.
 func (m *MembershipDriver) Started(member int) time.Duration {
 	_, incarnation := m.node.Member(member)
 	return time.Duration(incarnation) * time.Second
 }
 
-// Stop is called on the loop.
+// Stop ends the protocol and closes the socket.
 func (m *MembershipDriver) Stop() {
-	m.alarm.Stop()
-	m.sock.Close()
+	m.timer.Stop()
+	_ = m.socket.Close() // it is not used any more
 }
 
 func (m *MembershipDriver) received(from netip.AddrPort, b []byte) {
 	m.node.Receive(m.loop.Now(), from, b)
-	m.carryOut()
+	m.execute()
 }
 
-func (m *MembershipDriver) carryOut() {
-	for _, d := range m.node.Datagrams() {
-		if _, err := m.sock.WriteToUDPAddrPort(d.Bytes, m.peers[d.To]); err != nil {
-			m.unsent++ // counted only: to the protocol it is one more that was lost
-		}
-	}
+// execute sends what the node has to send, handles its events, and restarts its timer. It is called after every change of the node.
+func (m *MembershipDriver) execute() {
+	m.sendDatagrams()
 	for _, e := range m.node.Events() {
-		switch {
-		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == loadreport.ExtensionKind:
-			m.listener.ReceiveLoadReports(e.Body)
-			continue
-		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == rollout.ExtensionKind:
-			m.listener.ReceiveVersion(e.Member, e.Body)
-			continue
-		case e.Kind == membership.ExtensionReceived && e.ExtensionKind == zonetable.ExtensionKind:
-			m.listener.ReceiveZones(e.Member, e.Body)
-			continue
-		}
-		m.logEvent(e)
+		m.handle(e)
 	}
 	if invariant.Checks {
 		err := m.node.Check()
-		m.keep.Holds(err == nil, "membership", "error", err)
+		m.invariants.Holds(err == nil, "membership", "error", err)
 	}
-	m.alarm.Stop()
-	m.alarm = m.loop.After(m.node.Next()-m.loop.Now(), func() {
+	m.restartTimer()
+	if n := m.node.InService(); n != m.inService {
+		m.inService = n
+		m.listener.InService(n)
+	}
+}
+
+func (m *MembershipDriver) sendDatagrams() {
+	for _, d := range m.node.Datagrams() {
+		if _, err := m.socket.WriteToUDPAddrPort(d.Bytes, m.peers[d.To]); err != nil {
+			m.unsent++ // the protocol tolerates lost datagrams
+		}
+	}
+}
+
+func (m *MembershipDriver) restartTimer() {
+	m.timer.Stop()
+	m.timer = m.loop.After(m.node.Next()-m.loop.Now(), func() {
 		m.node.Tick(m.loop.Now())
-		m.carryOut()
+		m.execute()
 	})
-	if n := m.node.InService(); n != m.serving {
-		m.serving = n
-		m.listener.InService(n)
+}
+
+// handle passes a message of another gateway to the listener, and logs other events.
+func (m *MembershipDriver) handle(e membership.Event) {
+	if e.Kind != membership.ExtensionReceived {
+		m.logEvent(e)
+		return
+	}
+	switch e.ExtensionKind {
+	case loadreport.ExtensionKind:
+		m.listener.ReceiveLoadReports(e.Body)
+	case rollout.ExtensionKind:
+		m.listener.ReceiveVersion(e.Member, e.Body)
+	case zonetable.ExtensionKind:
+		m.listener.ReceiveZones(e.Member, e.Body)
 	}
 }
 
-// logEvent logs what a person would want to know: who goes out of service and who comes back. A suspicion comes to
-// nothing as a rule: it is for debugging.
+// logEvent logs which members go out of service and come back. Suspicions are logged for debugging only, as most are refuted.
 func (m *MembershipDriver) logEvent(e membership.Event) {
 	level, msg := slog.LevelInfo, "member changed"
 	switch {
@@ -165,7 +186,8 @@
 		"by", e.By, "incarnation", e.Incarnation, "in_service", m.node.InService())
 }
 
-// Counts is for the log.
+// Counts returns the number of gateways in service, the local health score, how many datagrams could not be sent, and the counters
+// of the protocol.
 func (m *MembershipDriver) Counts() (inService, health, unsent int, c membership.Counts) {
 	return m.node.InService(), m.node.Health(), m.unsent, m.node.Counts()
 }
--- a/internal/transport/datagram/read.go
+++ b/internal/transport/datagram/read.go
@@ -9,20 +9,21 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// readDatagrams hands each datagram of a socket over on the loop, until the socket is closed. Bytes beyond most are cut
-// off, and b is valid until take returns.
-func readDatagrams(loop *eventloop.Loop, log *slog.Logger, what string, sock Socket, most int,
-	take func(from netip.AddrPort, b []byte)) {
-	buf := make([]byte, most)
+// readDatagrams is the reading goroutine of a socket: it calls handle on the loop for each datagram, until the socket is closed.
+// Datagrams are truncated to maxBytes, and b is valid until handle returns. name is for the log.
+func readDatagrams(loop *eventloop.Loop, log *slog.Logger, name string, socket Socket, maxBytes int,
+	handle func(from netip.AddrPort, b []byte)) {
+	buf := make([]byte, maxBytes)
 	for {
-		n, from, err := sock.ReadFromUDPAddrPort(buf)
+		n, from, err := socket.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an answer that a peer is not there
-			log.Debug(what+" read", "error", err)
+		if err != nil { // an ICMP error, for a peer that does not listen
+			log.Debug(name+" read", "error", err)
 			continue
 		}
-		loop.Do(func() { take(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n]) })
+		sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+		loop.Do(func() { handle(sender, buf[:n]) })
 	}
 }
--- a/internal/transport/datagram/vrrp.go
+++ b/internal/transport/datagram/vrrp.go
@@ -5,78 +5,83 @@
 	"log/slog"
 	"net"
 	"net/netip"
+	"slices"
 
 	"frostpier/internal/protocol/vrrp"
 	"frostpier/internal/transport/eventloop"
 )
 
-// VRRPDriver drives a virtual router over UDP.
+// maxVRRPBytes exceeds the size of an advertisement.
+const maxVRRPBytes = 2048
+
+// VRRPDriver drives a virtual router over UDP. Its methods are called on the loop.
 type VRRPDriver struct {
-	loop   *eventloop.Loop
-	log    *slog.Logger
-	router *vrrp.Router
-	sock   *net.UDPConn
-	peers  []netip.AddrPort
-	alarm  *eventloop.Timer
-	change func(vrrp.State)
+	loop    *eventloop.Loop
+	log     *slog.Logger
+	router  *vrrp.Router
+	socket  *net.UDPConn
+	peers   []netip.AddrPort
+	timer   *eventloop.Timer
+	onState func(vrrp.State)
 }
 
-// NewVRRPDriver opens the socket; change runs on the loop whenever the state changes.
+// NewVRRPDriver opens the socket. onState is called on the loop whenever the state has changed.
 func NewVRRPDriver(loop *eventloop.Loop, log *slog.Logger, router *vrrp.Router, listen netip.AddrPort, peers []netip.AddrPort,
-	change func(vrrp.State)) (*VRRPDriver, error) {
-	sock, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
+	onState func(vrrp.State)) (*VRRPDriver, error) {
+	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("listen for VRRP: %w", err)
 	}
-	return &VRRPDriver{loop: loop, log: log, router: router, sock: sock, peers: peers, change: change}, nil
+	return &VRRPDriver{loop: loop, log: log, router: router, socket: socket, peers: peers, onState: onState}, nil
 }
 
-// Start is called on the loop.
-func (s *VRRPDriver) Start() {
-	go readDatagrams(s.loop, s.log, "vrrp", s.sock, 2048, s.received)
-	s.carryOut(s.router.Startup())
+// Start starts the reading goroutine and the protocol.
+func (d *VRRPDriver) Start() {
+	go readDatagrams(d.loop, d.log, "vrrp", d.socket, maxVRRPBytes, d.received)
+	d.execute(d.router.Startup())
 }
 
-// Stop is called on the loop; a master tells the others.
-func (s *VRRPDriver) Stop() {
-	s.carryOut(s.router.Shutdown())
-	s.sock.Close()
+// Stop ends the protocol, which a master announces, and closes the socket.
+func (d *VRRPDriver) Stop() {
+	d.execute(d.router.Shutdown())
+	_ = d.socket.Close() // it is not used any more
 }
 
-func (s *VRRPDriver) received(from netip.AddrPort, b []byte) {
-	listed := false
-	for _, p := range s.peers {
-		listed = listed || p == from
-	}
-	if !listed {
-		s.log.Warn("vrrp message discarded", "from", from, "error", "no peer of this router")
+func (d *VRRPDriver) received(from netip.AddrPort, b []byte) {
+	if !slices.Contains(d.peers, from) {
+		d.log.Warn("vrrp message discarded", "from", from, "error", "no peer of this router")
 		return
 	}
-	steps, err := s.router.Received(from.Addr(), b)
+	steps, err := d.router.Received(from.Addr(), b)
 	if err != nil {
-		s.log.Warn("vrrp message discarded", "from", from, "error", err)
+		d.log.Warn("vrrp message discarded", "from", from, "error", err)
 	}
-	s.carryOut(steps)
+	d.execute(steps)
 }
 
-func (s *VRRPDriver) carryOut(steps []vrrp.Step) {
+func (d *VRRPDriver) execute(steps []vrrp.Step) {
 	for _, step := range steps {
 		if step.Send != nil {
-			for _, p := range s.peers {
-				if _, err := s.sock.WriteToUDPAddrPort(step.Send, p); err != nil {
-					s.log.Debug("vrrp send", "to", p, "error", err)
-				}
-			}
+			d.send(step.Send)
 		}
 		if step.Quiet || step.Alarm > 0 {
-			s.alarm.Stop()
+			d.timer.Stop()
 		}
 		if step.Alarm > 0 {
-			s.alarm = s.loop.After(step.Alarm, func() { s.carryOut(s.router.TimerFired()) })
+			d.timer = d.loop.After(step.Alarm, func() { d.execute(d.router.TimerFired()) })
 		}
 		if step.Now != nil {
-			s.log.Info("vrrp state", "state", step.Now.String())
-			s.change(*step.Now)
+			d.log.Info("vrrp state", "state", step.Now.String())
+			d.onState(*step.Now)
+		}
+	}
+}
+
+// send sends an advertisement to all peers.
+func (d *VRRPDriver) send(advertisement []byte) {
+	for _, peer := range d.peers {
+		if _, err := d.socket.WriteToUDPAddrPort(advertisement, peer); err != nil {
+			d.log.Debug("vrrp send", "to", peer, "error", err)
 		}
 	}
 }
--- a/internal/transport/enginewatch/watch_test.go
+++ b/internal/transport/enginewatch/watch_test.go
@@ -12,15 +12,15 @@
 	"frostpier/internal/transport/eventloop/eventlooptest"
 )
 
-// asked listens as a discovery server that never answers, and reports each request and the end of each connection.
-func asked(t *testing.T) (addr string, lines, ends chan string) {
+// silentServer starts a discovery server that never answers, and reports each request and the end of each connection.
+func silentServer(t *testing.T) (addr string, requests, ends chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	lines, ends = make(chan string, 16), make(chan string, 16)
+	requests, ends = make(chan string, 16), make(chan string, 16)
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -31,42 +31,42 @@
 				r := bufio.NewReader(nc)
 				line, err := r.ReadString('\n')
 				if err == nil {
-					lines <- line
+					requests <- line
 					io.Copy(io.Discard, r)
 				}
 				ends <- line
 			}()
 		}
 	}()
-	return ln.Addr().String(), lines, ends
+	return ln.Addr().String(), requests, ends
 }
 
-// Guards against two watches at once: whatever the watch does when it is moved to another server (it dials,
-// it waits to dial again, it listens), nothing of that goes on.
+// There is one watch at a time: whatever the watch does when it is moved to another server (a dial, a backoff, an open
+// connection), none of that goes on.
 func TestWatchFollowsOneServer(t *testing.T) {
 	loop := eventlooptest.Start(t)
-	first, firstLines, firstEnds := asked(t)
-	second, secondLines, secondEnds := asked(t)
-	f := New(loop, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), "", &discovery.Stream{})
+	first, firstRequests, firstEnds := silentServer(t)
+	second, secondRequests, secondEnds := silentServer(t)
+	w := New(loop, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), "", &discovery.Stream{})
 	loop.Do(func() {
-		f.Follow(first) // dials, and is told at once to leave that
-		f.Follow(second)
+		w.Follow(first) // the dial is cancelled at once
+		w.Follow(second)
 	})
-	if line := <-secondLines; line != "after 0\n" {
-		t.Fatalf("asked %q", line)
+	if line := <-secondRequests; line != "after 0\n" {
+		t.Fatalf("request %q", line)
 	}
 	loop.Do(func() {
-		f.reconnect() // waits to dial the second again
-		f.Follow(first)
+		w.Reconnect() // starts the backoff before another dial of the second
+		w.Follow(first)
 	})
 	<-secondEnds
-	<-firstLines
-	loop.Do(func() { f.Follow(second) })
+	<-firstRequests
+	loop.Do(func() { w.Follow(second) })
 	<-firstEnds
-	<-secondLines
-	time.Sleep(2 * watchRetryDelay) // long enough for a wait left behind to show, were there one
-	if len(firstLines) > 0 || len(secondLines) > 0 {
+	<-secondRequests
+	time.Sleep(2 * retryBackoff) // long enough for a timer that was not stopped to show
+	if len(firstRequests) > 0 || len(secondRequests) > 0 {
 		t.Fatal("a second watch was opened")
 	}
-	loop.Do(func() { f.Follow("") })
+	loop.Do(func() { w.Follow("") })
 }
