--- a/internal/testutil/fixedseed/fixedseed.go
+++ b/internal/testutil/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed makes rapid's property tests repeatable: a test file imports it for its effect alone. The seed is fixed, so
-// that CI draws the same cases in every run, and no file of failed cases is left in the tree.
+// Package fixedseed makes rapid's property tests repeatable. Test files import it for its side effect: the seed is fixed, so that
+// every run draws the same cases, and no files of failed cases are written.
 package fixedseed
 
 import (
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// updateVariable names the environment variable that makes Golden write its files instead of comparing with them.
+// updateVariable names the environment variable that makes Golden write its files instead of comparing.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Golden compares got, byte for byte, with the file testdata/name of the calling test's package. The files record what an
-// earlier version of the program did; one is only written anew when a change of that behavior is intended.
+// Golden fails the test unless got is equal, byte for byte, to the file testdata/name of its package. The files record the behavior
+// of an earlier version of the program; they are only updated when a change of that behavior is intended.
 func Golden(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -40,7 +40,7 @@
 	}
 }
 
-// lineAt returns line i, or a note that there is none.
+// lineAt returns line i, or a placeholder if there are fewer lines.
 func lineAt(lines [][]byte, i int) string {
 	if i >= len(lines) {
 		return "(no such line)"
--- a/internal/testutil/keys.go
+++ b/internal/testutil/keys.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// FieldKeys lists the keys, one a line with the kind of the value, by which an encoder that heeds the struct tag reads and
-// writes values of v's type. Names of Go types do not appear, and those of Go fields only where no tag replaces them.
+// FieldKeys returns the keys under which an encoder that uses the struct tag reads and writes values of v's type: one a line, with
+// the kind of the value. Names of Go types do not appear, and names of Go fields only where there is no tag.
 func FieldKeys(tag, label string, v any) string {
 	var out strings.Builder
 	writeKeys(&out, tag, label, reflect.TypeOf(v))
--- a/internal/testutil/nettest/engine.go
+++ b/internal/testutil/nettest/engine.go
@@ -16,10 +16,10 @@
 	"frostpier/policy"
 )
 
-// maxConns bounds the connections to an Engine that its test has not taken yet.
+// maxConns bounds the connections to an Engine that its test has not accepted yet.
 const maxConns = 64
 
-// Engine listens as an engine of the platform: a test takes its connections and says what happens on them.
+// Engine is a scripted engine of the platform: its test accepts the connections and reads and writes on them.
 type Engine struct {
 	ID       string
 	t        testing.TB
@@ -31,17 +31,17 @@
 type EngineConn struct {
 	net.Conn
 	t      testing.TB
-	Reader *textproto.Reader // reads what comes on it
+	Reader *textproto.Reader // buffers what is read from Conn
 }
 
-// NewEngine starts an engine that ends with the test.
+// NewEngine starts an engine that is closed at the end of the test.
 func NewEngine(t testing.TB, id string) *Engine {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	e := &Engine{ID: id, t: t, listener: listener, conns: make(chan *EngineConn, maxConns)}
 	go e.accept()
 	return e
@@ -53,21 +53,21 @@
 		if err != nil {
 			return
 		}
-		e.t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(Patience))
+		e.t.Cleanup(func() { _ = nc.Close() })
+		_ = nc.SetDeadline(time.Now().Add(Timeout)) // fails on a closed connection only
 		e.conns <- &EngineConn{nc, e.t, textproto.NewReader(bufio.NewReader(nc))}
 	}
 }
 
-// Addr is the engine's address.
+// Addr returns the engine's address.
 func (e *Engine) Addr() string { return e.listener.Addr().String() }
 
-// Listed is the engine's entry in an engine list.
+// Listed returns the engine's entry in an engine list.
 func (e *Engine) Listed(health policy.Health) core.ListedEngine {
 	return core.ListedEngine{Name: e.ID, Addr: e.Addr(), Zone: "z", Kind: "m", Health: health, Weight: 1}
 }
 
-// Connections is how many connections the test has not taken yet.
+// Connections returns how many connections the test has not accepted yet.
 func (e *Engine) Connections() int { return len(e.conns) }
 
 // Accept returns the engine's next connection.
@@ -76,38 +76,38 @@
 	select {
 	case c := <-e.conns:
 		return c
-	case <-time.After(Patience):
-		e.t.Fatalf("engine %s: nobody connects", e.ID)
+	case <-time.After(Timeout):
+		e.t.Fatalf("engine %s: no connection", e.ID)
 		return nil
 	}
 }
 
-// ReadCall reads the next call and returns its method and path.
-func (c *EngineConn) ReadCall() string {
+// ReadRequest reads the next request and returns its method and path.
+func (c *EngineConn) ReadRequest() string {
 	c.t.Helper()
 	line, err := c.Reader.ReadLine()
 	if err != nil {
-		c.t.Fatalf("no call: %v", err)
+		c.t.Fatalf("no request: %v", err)
 	}
-	head, err := c.Reader.ReadMIMEHeader()
+	header, err := c.Reader.ReadMIMEHeader()
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	n, _ := strconv.Atoi(head.Get("Content-Length"))
+	n, _ := strconv.Atoi(header.Get("Content-Length"))
 	if _, err := io.ReadFull(c.Reader.R, make([]byte, n)); err != nil {
 		c.t.Fatal(err)
 	}
 	return strings.TrimSuffix(line, " HTTP/1.1")
 }
 
-// ExpectNothing waits for the connection's end, before which not a byte may come.
-func (c *EngineConn) ExpectNothing() {
+// ExpectClosed waits for the end of the connection, before which nothing may come.
+func (c *EngineConn) ExpectClosed() {
 	c.t.Helper()
 	n, err := c.Reader.R.Read(make([]byte, 1))
 	if n > 0 || err == nil {
-		c.t.Errorf("an engine that should get nothing got a call")
+		c.t.Errorf("the engine received bytes before the end of the connection")
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		c.t.Errorf("a connection that should have been closed stays open")
+		c.t.Errorf("the connection was not closed")
 	}
 }
--- a/internal/testutil/transcript/transcript.go
+++ b/internal/testutil/transcript/transcript.go
@@ -1,5 +1,5 @@
-// Package transcript writes down, for golden files, what the state machines of attempts ask of their driver. The form does not
-// depend on the names in the code, so that a transcript stays the same while these change.
+// Package transcript formats the steps that state machines of attempts return, for golden files. The format does not depend on Go
+// names, so that renaming does not change a transcript. Only test files import it.
 package transcript
 
 import (
@@ -9,7 +9,7 @@
 	"frostpier/internal/attempt"
 )
 
-// Steps returns one line for each step. Bytes are quoted as Go strings.
+// Steps returns a line with the name of the event and an indented line for each step. Bytes are quoted as Go strings.
 func Steps(event string, steps []attempt.Step) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s\n", event)
--- a/internal/transport/enginepool/pool_test.go
+++ b/internal/transport/enginepool/pool_test.go
@@ -157,11 +157,11 @@
 	addr, got := e.Addr(), make(chan *Conn, 1)
 	loop.Do(func() {
 		cancel := p.Get(1, addr, false, false, discard{}, func(*Conn, error) { t.Error("a cancelled request got a connection") })
-		nettest.Until(t, "the dial", func() bool { return loop.Queued() > 0 })
+		nettest.Eventually(t, "the dial", func() bool { return loop.Queued() > 0 })
 		cancel()
 		p.Forget(1)
 	})
-	e.Accept().ExpectNothing()
+	e.Accept().ExpectClosed()
 	loop.Do(func() { p.Get(1, addr, false, false, discard{}, func(c *Conn, _ error) { got <- c }) })
 	used := <-got
 	loop.Do(func() {
@@ -171,5 +171,5 @@
 			t.Errorf("idle %v, %d in use, %d connections", p.idle, p.inUse, len(p.conns))
 		}
 	})
-	e.Accept().ExpectNothing()
+	e.Accept().ExpectClosed()
 }
--- a/internal/transport/frontend/mysql_test.go
+++ b/internal/transport/frontend/mysql_test.go
@@ -10,18 +10,18 @@
 	"frostpier/internal/transport/dispatcher"
 )
 
-// Guards against connections that never log in and hold a descriptor for good.
+// A connection whose client never logs in does not hold its descriptor.
 func TestMySQLClientThatDoesNotLogInIsClosed(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	f := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 1})
-	f.loginTimeout = 20 * time.Millisecond
+	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 1})
+	l.loginTimeout = 20 * time.Millisecond
 	var addr string
 	loop.Do(func() {
-		if err := f.Listen(); err != nil {
+		if err := l.Listen(); err != nil {
 			t.Error(err)
 		}
-		addr = f.Addr().String()
+		addr = l.Addr().String()
 	})
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -34,9 +34,9 @@
 		t.Fatalf("%q, %v", greeting, err)
 	}
 	loop.Do(func() {
-		if len(f.open) != 0 {
-			t.Error("it still counts")
+		if len(l.open) != 0 {
+			t.Error("the connection still counts")
 		}
-		f.StopAccepting()
+		l.StopAccepting()
 	})
 }
--- a/internal/transport/frontend/scripted_test.go
+++ b/internal/transport/frontend/scripted_test.go
@@ -21,124 +21,127 @@
 	"frostpier/policy"
 )
 
-// The tests of events that cross hold the loop while a scripted peer makes its move, so that the order that is seldom seen
-// comes about every time. Nothing in them sleeps: they wait until they have seen the move.
+// The tests of crossing events hold the loop while a scripted peer acts, so that the rare order of events is forced every time. They
+// never sleep: they wait until the action is seen.
 
+// Responses of engines.
 const (
-	served    = "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 2\r\n\r\na\n"
-	notOver   = "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n"
-	erred     = "HTTP/1.1 500 OK\r\nContent-Length: 0\r\n\r\n"
-	confirmed = "HTTP/1.1 204 OK\r\n\r\n"
+	succeeded    = "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 2\r\n\r\na\n"
+	stillRunning = "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n"
+	failed       = "HTTP/1.1 500 OK\r\nContent-Length: 0\r\n\r\n"
+	confirmed    = "HTTP/1.1 204 OK\r\n\r\n"
 )
 
-// rig is the platform's front before scripted engines.
-type rig struct {
+// fixture is a platform listener of a gateway with scripted engines.
+type fixture struct {
 	*PlatformListener
-	t    *testing.T
-	loop *eventloop.Loop
-	pool *enginepool.Pool
-	keep *invariant.Keeper
+	t          *testing.T
+	loop       *eventloop.Loop
+	pool       *enginepool.Pool
+	invariants *invariant.Keeper
 }
 
-// The classes of a rig, by what may be done with a query that may have run.
+// The classes of a fixture, by whether a query that may have run can be retried.
 const (
-	safe   = "safe"
-	once   = "once"
-	keyed  = "keyed"
-	window = 2 * time.Second
+	idempotentClass    = "safe"
+	nonIdempotentClass = "once"
+	keyedClass         = "keyed"
+	dedupWindow        = 2 * time.Second
 )
 
-func newRig(t *testing.T, budget int, engines ...*nettest.Engine) *rig {
+func newFixture(t *testing.T, budget int, engines ...*nettest.Engine) *fixture {
 	t.Helper()
 	loop, p := newPool(t, budget)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	class := policy.Class{Name: safe, LatencyObjective: 4 * time.Second, Deadline: time.Minute, Weight: 1, Threads: 1}
-	fragile, dedup := class, class
-	fragile.Name, fragile.Idempotency = once, policy.NotIdempotent
-	dedup.Name, dedup.Idempotency, dedup.DedupWindow = keyed, policy.IdempotentWithKey, window
-	keep := invariant.New(log)
-	heart, err := core.New(settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"},
-		Module: policy.Settings{Classes: []policy.Class{class, fragile, dedup}, Kinds: []policy.Kind{{Cores: 8}}, Gateways: 1,
-			Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4}}, 1, log, keep)
+	class := policy.Class{Name: idempotentClass, LatencyObjective: 4 * time.Second, Deadline: time.Minute, Weight: 1, Threads: 1}
+	nonIdempotent, keyed := class, class
+	nonIdempotent.Name, nonIdempotent.Idempotency = nonIdempotentClass, policy.NotIdempotent
+	keyed.Name, keyed.Idempotency, keyed.DedupWindow = keyedClass, policy.IdempotentWithKey, dedupWindow
+	invariants := invariant.New(log)
+	gatewayCore, err := core.New(settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"},
+		Module: policy.Settings{Classes: []policy.Class{class, nonIdempotent, keyed}, Kinds: []policy.Kind{{Cores: 8}}, Gateways: 1,
+			Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4}}, 1, log, invariants)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := dispatcher.New(loop, heart, p, log)
-	r := &rig{NewPlatformListener(g, log, 100, 1<<20), t, loop, p, keep}
+	g := dispatcher.New(loop, gatewayCore, p, log)
+	r := &fixture{NewPlatformListener(g, log, 100, 1<<20), t, loop, p, invariants}
 	if err := r.Serve("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		loop.Do(func() {
 			r.Stop(func() {})
-			if n := keep.Broken(); n != 0 {
+			if n := invariants.Broken(); n != 0 {
 				t.Errorf("%d invariants broken", n)
 			}
 		})
 	})
-	r.publish(engines...)
+	r.listEngines(engines...)
 	return r
 }
 
-func (r *rig) publish(engines ...*nettest.Engine) {
-	var lines []core.ListedEngine
+// listEngines makes the engines the full engine list.
+func (r *fixture) listEngines(engines ...*nettest.Engine) {
+	var listed []core.ListedEngine
 	for _, e := range engines {
-		lines = append(lines, e.Listed(policy.Ready))
+		listed = append(listed, e.Listed(policy.Ready))
 	}
-	if len(lines) > 0 {
-		r.loop.Do(func() { r.dispatcher.UpdateEngines(true, lines) })
+	if len(listed) > 0 {
+		r.loop.Do(func() { r.dispatcher.UpdateEngines(true, listed) })
 	}
 }
 
-func ask(id int, class string) string {
+// queryLine returns the line of a query.
+func queryLine(id int, class string) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016x","budget":20000,"token":"k%d","blob":"eA=="}}`+"\n",
 		id, class, id, id)
 }
 
-// client connects, and is known to the front when it returns.
-func (r *rig) client() (net.Conn, *client) {
+// connect connects a client, and returns when the listener has handled a ping of it.
+func (r *fixture) connect() (net.Conn, *client) {
 	r.t.Helper()
-	nc := sendText(r.t, r.PlatformListener, ping)
-	answered(r.t, nc)
-	return nc, r.find(nc)
+	nc := dialAndSend(r.t, r.PlatformListener, ping)
+	expectPong(r.t, nc)
+	return nc, r.clientOf(nc)
 }
 
-// find is the front's side of a client's connection, if the front knows it.
-func (r *rig) find(nc net.Conn) (at *client) {
+// clientOf returns the listener's side of a connection, or nil.
+func (r *fixture) clientOf(nc net.Conn) (found *client) {
 	r.loop.Do(func() {
 		for c := range r.open {
 			if c.conn.RemoteAddr().String() == nc.LocalAddr().String() {
-				at = c
+				found = c
 			}
 		}
 	})
-	return at
+	return found
 }
 
-// clientNotReading is one whose reader waits, as one that does not get its turn: what the client does from now on stands in the
-// socket until somebody looks for it.
-func (r *rig) clientNotReading() (net.Conn, *client) {
+// connectPaused connects a client whose reader is paused, as if it were not scheduled: what the client does is only found in the
+// socket.
+func (r *fixture) connectPaused() (net.Conn, *client) {
 	r.t.Helper()
-	nc := sendText(r.t, r.PlatformListener, "")
+	nc := dialAndSend(r.t, r.PlatformListener, "")
 	var c *client
-	nettest.Until(r.t, "the connection", func() bool { c = r.find(nc); return c != nil })
+	nettest.Eventually(r.t, "the connection", func() bool { c = r.clientOf(nc); return c != nil })
 	r.loop.Do(c.conn.Pause)
-	io.WriteString(nc, ping) // the read that is under way ends with it
-	answered(r.t, nc)
+	io.WriteString(nc, ping) // ends the present read
+	expectPong(r.t, nc)
 	return nc, c
 }
 
-// queued waits, on the loop, until other goroutines have handed it so much work.
-func (r *rig) queued(n int) {
-	nettest.Until(r.t, "work for the loop", func() bool { return r.loop.Queued() >= n })
+// waitQueued waits, on the loop, until other goroutines have posted n functions.
+func (r *fixture) waitQueued(n int) {
+	nettest.Eventually(r.t, "posted functions", func() bool { return r.loop.Queued() >= n })
 }
 
-func (r *rig) counts() (n core.Counts) {
+func (r *fixture) counts() (n core.Counts) {
 	r.loop.Do(func() { n = r.dispatcher.Core.Counts() })
 	return n
 }
 
-// expectLine waits for a line with a text in it.
+// expectLine reads a line, which must contain a text.
 func expectLine(t *testing.T, r *bufio.Reader, text string) {
 	t.Helper()
 	if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, text) {
@@ -146,19 +149,19 @@
 	}
 }
 
-// cleanEnd waits for the connection's end, which must not be a reset.
-func cleanEnd(t *testing.T, r io.Reader) {
+// expectCleanEnd reads the end of a connection, which must not be a reset, and nothing before it.
+func expectCleanEnd(t *testing.T, r io.Reader) {
 	t.Helper()
 	if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
 		t.Fatalf("%q, %v, want the end and nothing before it", b, err)
 	}
 }
 
-// newPool returns a running loop and a pool of at most budget connections that are used again at once.
+// newPool returns a running loop and a pool of at most budget connections without a drain delay.
 func newPool(t *testing.T, budget int) (*eventloop.Loop, *enginepool.Pool) {
 	t.Helper()
 	loop := eventlooptest.Start(t)
 	p := enginepool.New(loop, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Second, time.Minute, enginepool.Budget{Most: budget, Urgent: 1})
-	p.SetDrainDelay(0) // tests of what comes late on a connection that rests set it themselves
+	p.SetDrainDelay(0) // tests of late bytes on idle connections set it themselves
 	return loop, p
 }
