--- a/policy/explain.go
+++ b/policy/explain.go
@@ -2,109 +2,128 @@
 
 import "time"
 
-// Guard names what keeps a request from being sent, for the operators' records.
+// Guard names what keeps a request from being sent, for the operators' records. The values are part of those records
+// and keep their spelling.
 type Guard string
 
-// The guards that depend on the engine, then those that do not. None = nothing does.
+// Values of Guard: first those that concern an engine, then those that concern the request.
 const (
-	GuardNone        Guard = "none"
-	GuardPlacement   Guard = "place"  // its class may not go there
-	GuardWarmup      Guard = "cold"   // the cold budget, or another gateway's turn
-	GuardHealth      Guard = "shut"   // shut out, or on trial and busy
-	GuardAttempted   Guard = "tried"  // the request was there before
-	GuardRejected    Guard = "full"   // it turned work away and rests
-	GuardRate        Guard = "rate"   // the class is let in at a rate
-	GuardLoad        Guard = "load"   // a load of the same group is out there
-	GuardConcurrency Guard = "limit"  // this gateway's threads there
-	GuardMemory      Guard = "memory" // the grants there
-	GuardWindow      Guard = "window" // this gateway's threads everywhere
-	GuardRetryBudget Guard = "ration" // of further attempts
+	GuardNone        Guard = "none"   // nothing does
+	GuardPlacement   Guard = "place"  // the class may not be sent there
+	GuardWarmup      Guard = "cold"   // the warm-up budget, or another gateway's turn
+	GuardHealth      Guard = "shut"   // ejected, or half-open and busy
+	GuardAttempted   Guard = "tried"  // the request was sent there before
+	GuardRejected    Guard = "full"   // the engine rejected a query and gets none for a backoff
+	GuardRate        Guard = "rate"   // the class is rate-limited there
+	GuardLoad        Guard = "load"   // a load of the same table group runs there
+	GuardConcurrency Guard = "limit"  // this gateway's concurrency limit there
+	GuardMemory      Guard = "memory" // the memory grants there
+	GuardWindow      Guard = "window" // this gateway's concurrency window
+	GuardRetryBudget Guard = "ration" // the retry budget
 	GuardRequest     Guard = "rules"  // another rule on the request itself
-	GuardQueue       Guard = "line"   // others of its class are looked at first
+	GuardQueue       Guard = "line"   // other requests of its class come first
 )
 
-// EngineEstimate is what a gateway believes of an engine.
+// EngineEstimate is what a gateway estimates about an engine.
 type EngineEstimate struct {
-	Engine                  EngineID
-	OwnThreads, PeerThreads float64       // threads out there: own, and those that others are believed to have
-	Limit, Target           float64       // threads: for this gateway, for all together
-	ReportAge               time.Duration // of the latest report; -1 = none
-	Guard                   Guard         // that keeps the request away
+	Engine      EngineID
+	OwnThreads  float64       // threads of this gateway's attempts in flight there
+	PeerThreads float64       // estimated threads of other gateways there
+	Limit       float64       // threads that this gateway may have there
+	Target      float64       // threads that all gateways together should have there
+	ReportAge   time.Duration // age of the latest load report; -1 = none
+	Guard       Guard         // what keeps the request from being sent there; only set by Explain
 }
 
-// Utilization is how much a gateway has out against what it lets out, and how full it believes the fleet to be.
+// Utilization is the load of a gateway and of the fleet.
 type Utilization struct {
-	Threads       float64 // out, everywhere
-	Window        float64 // threads that may be out
-	MeanPeerLoad  float64 // threads a core that others are believed to have out, over the fleet
-	OverloadRatio float64 // the fleet's load over that at which the window may fall
+	Threads       float64 // threads of this gateway's attempts in flight
+	Window        float64 // threads that it may have in flight
+	MeanPeerLoad  float64 // estimated threads of other gateways per core, over the fleet
+	OverloadRatio float64 // the fleet's load over the load from which the window decreases
 }
 
-// Utilization reports how full this gateway and the fleet are held to be.
+// Utilization reports the load of this gateway and the estimated load of the fleet.
 func (g *Gateway) Utilization() Utilization {
-	return Utilization{Threads: g.threads, Window: g.window * g.able / max(1/windowWiden, min(1, g.strain())), MeanPeerLoad: g.mean,
-		OverloadRatio: g.strain()}
+	return Utilization{
+		Threads:       g.ownThreads,
+		Window:        g.windowThreads(1),
+		MeanPeerLoad:  g.meanPeerLoad,
+		OverloadRatio: g.overloadRatio(),
+	}
 }
 
-// Explain reports which guard keeps an open request in line, what is believed of each listed engine, and how many
-// threads this gateway has out against its window. It changes nothing that decides.
-func (g *Gateway) Explain(now time.Duration, id RequestID) (held bool, by Guard, looks []EngineEstimate) {
+// Explain reports whether a request is queued, which guard keeps it in the queue, and what is estimated about each
+// ready engine. For a request that is not queued it returns false, GuardNone and nil. It has no influence on decisions.
+func (g *Gateway) Explain(now time.Duration, id RequestID) (queued bool, guard Guard, engines []EngineEstimate) {
 	r := g.requests[id]
-	if r == nil || !r.held {
+	if r == nil || !r.queued {
 		return false, GuardNone, nil
 	}
 	g.now = max(now, g.now)
-	by = GuardQueue
-	switch {
-	case !g.inWidth(r):
-		by = GuardWindow
-	case !g.inBudget(r):
-		by = GuardRetryBudget
-	case !g.mayGo(r):
-		by = GuardRequest
+	guard = g.requestGuard(r)
+	for _, e := range g.readyEngines {
+		estimate := g.Estimate(g.now, e.ID)
+		estimate.Guard = g.engineGuard(r, e)
+		engines = append(engines, estimate)
 	}
-	for _, e := range g.ready {
-		look := g.Estimate(g.now, e.ID)
-		look.Guard = g.guardAt(r, e)
-		looks = append(looks, look)
-	}
-	return true, by, looks
+	return true, guard, engines
 }
 
-// Estimate is what is believed of an engine.
+// Estimate reports what is estimated about an engine. For an unknown engine only Engine and ReportAge (-1) are set.
 func (g *Gateway) Estimate(now time.Duration, id EngineID) EngineEstimate {
-	e := g.byID[id]
+	e := g.engineByID[id]
 	if e == nil {
 		return EngineEstimate{Engine: id, ReportAge: -1}
 	}
 	g.now = max(now, g.now)
-	look := EngineEstimate{Engine: id, OwnThreads: e.threads, PeerThreads: g.others(e), Limit: g.limit(e, 1), Target: g.target(e), ReportAge: -1}
-	if e.reportAt > 0 {
-		look.ReportAge = g.now - e.reportAt
+	estimate := EngineEstimate{
+		Engine:      id,
+		OwnThreads:  e.ownThreads,
+		PeerThreads: g.peerThreads(e),
+		Limit:       g.concurrencyLimit(e, 1),
+		Target:      g.concurrencyTarget(e),
+		ReportAge:   -1,
+	}
+	if e.reportedAt > 0 {
+		estimate.ReportAge = g.now - e.reportedAt
+	}
+	return estimate
+}
+
+// requestGuard is the first guard that keeps a request in the queue, whatever the engine.
+func (g *Gateway) requestGuard(r *request) Guard {
+	switch {
+	case !g.withinWindow(r):
+		return GuardWindow
+	case !g.withinRetryBudget(r):
+		return GuardRetryBudget
+	case !g.requestAllowed(r):
+		return GuardRequest
 	}
-	return look
+	return GuardQueue
 }
 
-// guardAt is the first guard that keeps a request from an engine.
-func (g *Gateway) guardAt(r *request, e *engine) Guard {
+// engineGuard is the first guard that keeps a request from an engine.
+func (g *Gateway) engineGuard(r *request, e *engine) Guard {
 	switch {
-	case !g.placed(r, e) || !g.sameGroup(r, e):
+	case !g.placementAllowed(r, e) || !g.withinDedupScope(r, e):
 		return GuardPlacement
-	case !g.coldBudget(r, e):
+	case !g.withinWarmupBudget(r, e):
 		return GuardWarmup
-	case g.ill(e):
+	case g.unavailable(e):
 		return GuardHealth
-	case g.tried(r, e):
+	case g.alreadyAttempted(r, e):
 		return GuardAttempted
-	case g.now < e.fullUntil:
+	case g.now < e.rejectingUntil:
 		return GuardRejected
-	case g.now < e.rates[r.Class].next:
+	case g.now < e.classRates[r.Class].nextSendAt:
 		return GuardRate
-	case !g.usable(r, e):
+	case !g.eligible(r, e):
 		return GuardLoad
-	case g.room(r, e):
+	case g.hasCapacity(r, e):
 		return GuardNone
-	case !g.fits(r, e):
+	case !g.fitsInMemory(r, e):
 		return GuardMemory
 	}
 	return GuardConcurrency
