--- /dev/null
+++ b/policy/concurrency_test.go
@@ -0,0 +1,111 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// No fixed target suits all sites: it follows the reported utilization of cores and disks, within its bounds.
+func TestConcurrencyTargetFollowsUtilizationReports(t *testing.T) {
+	g := newTestGateway(t, 1, nil)
+	e := g.engines[0]
+	report := func(util float64) {
+		g.now += time.Second
+		g.applyReport(e, Report{Present: true, Values: map[Metric]float64{Util: util}})
+	}
+	start := g.concurrencyTarget(e)
+	for range 30 {
+		report(1)
+	}
+	low := g.concurrencyTarget(e)
+	for range 4 {
+		addInFlight(g, e, 1, g.now)
+		addInFlight(g, e, 1, g.now)
+	}
+	for range 30 {
+		report(0.5)
+	}
+	if high := g.concurrencyTarget(e); low >= start || high <= start || low < minTargetFactor*start*0.99 || high > maxTargetFactor*start*1.01 {
+		t.Fatalf("targets %v, %v, %v", start, low, high)
+	}
+	before := g.concurrencyTarget(e)
+	g.applyReport(e, Report{})
+	if g.concurrencyTarget(e) != before {
+		t.Fatal("a missing report moved the target")
+	}
+}
+
+// The limit is an even share among the gateways in service, whose number is between 1 and the configured one.
+func TestConcurrencyLimitFollowsGatewaysInService(t *testing.T) {
+	g := newTestGateway(t, 1, func(s *Settings) { s.Gateways = 10 })
+	e := g.engines[0]
+	whole := g.concurrencyTarget(e)
+	for count, part := range map[int]float64{10: 10, 4: 4, 1: 1, 0: 1, -3: 1, 99: 10} {
+		g.Handle(g.now, InService{Count: count})
+		if got := g.concurrencyLimit(e, 1); got < whole/part*0.999 || got > whole/part*1.001 {
+			t.Errorf("%d in service: a limit of %.2f, want %.2f", count, got, whole/part)
+		}
+	}
+}
+
+// A gateway that sends one query in a hundred saw no limit, as its share of an engine was below one query. The load
+// that some engines report limits the others too.
+func TestLoadReportedBySomeEnginesLimitsAll(t *testing.T) {
+	g := newTestGateway(t, 6, func(s *Settings) { s.Gateways = 200 })
+	addInFlight(g, g.engines[0], 1, g.now+time.Second)
+	report := func(queries float64) {
+		for range 40 {
+			g.now += 100 * time.Millisecond
+			g.applyReport(g.engines[0], Report{Present: true, Values: map[Metric]float64{Inflight: queries}})
+		}
+	}
+	costly := func() *request {
+		r := newTestRequest(g, 1, g.now+time.Second)
+		r.EstimatedWork = 10 * time.Second // worth little for its work
+		return r
+	}
+	report(2)
+	if !g.hasCapacity(costly(), g.engines[5]) {
+		t.Fatal("no room in a fleet that is nearly empty")
+	}
+	report(20)
+	if g.hasCapacity(costly(), g.engines[5]) {
+		t.Fatal("room at an engine never heard of while those heard of hold five threads a core")
+	}
+	g.releaseAttempt(g.engines[0].inFlight[0])
+	if g.selectEngine(costly()) == nil {
+		t.Fatal("a gateway with nothing out may send nothing, and so would learn nothing")
+	}
+}
+
+// With more threads per engine, grants exceeded the engines' memory and queries spilled to disk.
+func TestGrantedMemoryLimitsAdmission(t *testing.T) {
+	g := newTestGateway(t, 1, nil)
+	e := g.engines[0]
+	addInFlight(g, e, 1, g.now+time.Second)
+	e.grantedMB = 0.95 * e.memoryMB
+	r := newTestRequest(g, 1, g.now+time.Second)
+	r.EstimatedMemoryMB = 0.2 * e.memoryMB
+	if g.hasCapacity(r, e) {
+		t.Fatal("a grant that does not fit is let in")
+	}
+	e.grantedMB = 0
+	if !g.hasCapacity(r, e) {
+		t.Fatal("a grant that fits is kept out")
+	}
+}
+
+// Queries spilled to disk, as a gateway with one query at an engine saw nothing else of what fills its memory.
+func TestPeerMemoryLimitsAdmission(t *testing.T) {
+	g := newTestGateway(t, 1, func(s *Settings) { s.Gateways = 100 })
+	e, r := g.engines[0], newTestRequest(g, 1, g.now+time.Second)
+	r.EstimatedMemoryMB, g.grantPerThread = 0.1*e.memoryMB, 0.2*e.memoryMB
+	g.recordPeerThreads(e, 2)
+	if !g.fitsInMemory(r, e) {
+		t.Fatal("a grant that fits beside two threads of others is kept out")
+	}
+	g.recordPeerThreads(e, 4.9)
+	if g.fitsInMemory(r, e) {
+		t.Fatal("a grant is let in beside others that fill the memory")
+	}
+}
--- a/policy/explain_test.go
+++ b/policy/explain_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Each guard that keeps a request in line is named, and looking changes nothing.
+// Each guard that keeps a request from an engine is named, and asking has no influence on decisions.
 func TestExplainNamesTheBlockingGuard(t *testing.T) {
 	for want, change := range map[Guard]func(g *Gateway, e *engine){
 		GuardHealth:      func(_ *Gateway, e *engine) { e.ejected = true },
--- /dev/null
+++ b/policy/fleetviews_test.go
@@ -0,0 +1,164 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	_ "frostpier/internal/testutil/fixedseed"
+)
+
+// The gateways' views of the fleet are arbitrary, contradict each other, and change at any moment (partitions, false
+// failure detections, late reports, absurd counts). Together they still keep the warm-up budget, and each keeps its
+// retry budget.
+func TestRulesHoldUnderInconsistentFleetViews(t *testing.T) {
+	t.Parallel()
+	used := 0.0 // of the cold budget, over all runs: nobody sending proves nothing
+	rapid.Check(t, func(t *rapid.T) {
+		s := testSettings()
+		s.Classes = s.Classes[:1]
+		s.Gateways = rapid.IntRange(2, 12).Draw(t, "gateways")
+		start := time.Hour
+		cold := EngineInfo{ID: 77, Started: start}
+		all := make([]*viewedGateway, s.Gateways)
+		begin := func(i int, now time.Duration) *viewedGateway {
+			own := s
+			own.Number = i
+			g, err := New(own, uint64(i))
+			if err != nil {
+				t.Fatal(err)
+			}
+			v := &viewedGateway{gateway: g}
+			v.apply(now, g.Handle(now, EngineList{Kind: ListFull, Engines: []EngineInfo{cold, {ID: 5}}}))
+			return v
+		}
+		for i := range all {
+			all[i] = begin(i, start)
+		}
+		ru, sends := s.Rules, []warmupSend{}
+		budget := ru.WarmupBudgetMultiple * ru.InitialCapacityShare * s.Kinds[0].Cores * ru.WarmupBudgetSpan.Seconds()
+		views := rapid.SliceOfN(rapid.SampledFrom([]int{-5, 0, 1, 1, 2, 3, 12, 1 << 40}), 16, 16).Draw(t, "views")
+		bad := rapid.IntRange(1, 6).Draw(t, "failing") // of ten attempts
+		step := 0
+		for now := start; now < start+6*time.Second; now += 40 * time.Millisecond {
+			for i, v := range all {
+				step++
+				if step%97 == 0 {
+					v = begin(i, now)
+					all[i] = v
+				}
+				if step%5 == 0 {
+					v.apply(now, v.gateway.Handle(now, InService{Count: views[(step/5)%len(views)]}))
+				}
+				v.next++
+				v.accepted = append(v.accepted, now)
+				v.apply(now, v.gateway.Handle(now, Arrival{ID: v.next, Class: 0, EstimatedWork: 150 * time.Millisecond, Remaining: 4 * time.Second}))
+				v.endAttempts(now, step, bad)
+				for _, send := range v.sent {
+					if send.engine == cold.ID {
+						sends = append(sends, warmupSend{now, 0.15})
+					}
+					if send.isRetry {
+						v.retries = append(v.retries, now)
+					}
+				}
+				v.sent = nil
+				if n, ration := countWithin(v.retries, now, ru.RetryBudgetSpan), ru.FreeRetries+ru.RetryShare*float64(countWithin(v.accepted, now, ru.RetryBudgetSpan)); float64(n) > ration {
+					t.Fatalf("at %v gateway %d made %d further attempts, %.1f allowed", now-start, i, n, ration)
+				}
+			}
+			sum := 0.0
+			for _, c := range sends {
+				if c.at > now-ru.WarmupBudgetSpan {
+					sum += c.work
+				}
+			}
+			if sum > budget {
+				t.Fatalf("at %v a cold engine was sent %.2f s in a span, %.2f allowed", now-start, sum, budget)
+			}
+			used = max(used, sum/budget)
+		}
+	})
+	if used < 0.1 {
+		t.Errorf("no more than %.2f of the cold budget was ever used", used)
+	}
+}
+
+// viewedGateway is a gateway with what it accepted and sent.
+type viewedGateway struct {
+	gateway  *Gateway
+	next     RequestID
+	accepted []time.Duration
+	retries  []time.Duration
+	attempts map[RequestID]int
+	open     []sentAttempt
+	sent     []sentAttempt
+	timers   []pendingTimer
+}
+
+type sentAttempt struct {
+	id      RequestID
+	attempt int
+	engine  EngineID
+	isRetry bool
+	endsAt  time.Duration
+}
+
+type pendingTimer struct {
+	at    time.Duration
+	token uint64
+}
+
+// apply records sends and timers.
+func (v *viewedGateway) apply(now time.Duration, acts []Action) {
+	for _, a := range acts {
+		switch a := a.(type) {
+		case Send:
+			if v.attempts == nil {
+				v.attempts = map[RequestID]int{}
+			}
+			s := sentAttempt{a.ID, v.attempts[a.ID], a.Engine, v.attempts[a.ID] > 0, now + 200*time.Millisecond}
+			v.attempts[a.ID]++
+			v.open, v.sent = append(v.open, s), append(v.sent, s)
+		case SetTimer:
+			v.timers = append(v.timers, pendingTimer{now + a.After, a.Token})
+		}
+	}
+}
+
+// endAttempts fires the timers and ends the attempts that are due; failing of ten attempts fail.
+func (v *viewedGateway) endAttempts(now time.Duration, step, bad int) {
+	for k := 0; k < len(v.timers); {
+		if tm := v.timers[k]; tm.at <= now {
+			v.timers = append(v.timers[:k], v.timers[k+1:]...)
+			v.apply(now, v.gateway.Handle(now, TimerFired{tm.token}))
+			continue
+		}
+		k++
+	}
+	for k := 0; k < len(v.open); {
+		s := v.open[k]
+		if s.endsAt > now {
+			k++
+			continue
+		}
+		v.open = append(v.open[:k], v.open[k+1:]...)
+		outcome := OK
+		if (step*7+k)%10 < bad {
+			outcome = Error
+		}
+		v.apply(now, v.gateway.Handle(now, AttemptEnded{ID: s.id, Attempt: s.attempt, Engine: s.engine, Outcome: outcome,
+			Duration: 200 * time.Millisecond, Terminal: outcome == OK}))
+	}
+}
+
+// countWithin is how many of the times lie within the span before now.
+func countWithin(list []time.Duration, now, span time.Duration) (n int) {
+	for _, at := range list {
+		if at > now-span {
+			n++
+		}
+	}
+	return n
+}
