--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -26,7 +26,8 @@
 
 func newBenchHost(b *testing.B, engines int) *benchHost {
 	gateway, err := policy.New(policy.Settings{
-		Classes:  []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1, Threads: 1}},
+		Classes: []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second,
+			Weight: 1, Threads: 1}},
 		Kinds:    []policy.Kind{{Cores: 32, MemoryMB: 65536}},
 		Gateways: 800, Tick: 5 * time.Millisecond, Metrics: []policy.Metric{policy.Inflight},
 	}, 1)
@@ -47,15 +48,16 @@
 		switch a := action.(type) {
 		case policy.Send:
 			h.endAt = append(h.endAt, h.now+benchAnswerTime)
-			h.ends = append(h.ends, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK, Duration: benchAnswerTime,
-				Terminal: true, Report: policy.Report{Present: true, Values: map[policy.Metric]float64{policy.Inflight: 1}}})
+			report := policy.Report{Present: true, Values: map[policy.Metric]float64{policy.Inflight: 1}}
+			h.ends = append(h.ends, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK,
+				Duration: benchAnswerTime, Terminal: true, Report: report})
 		case policy.SetTimer:
 			h.timers[a.Token] = h.now + a.After
 		}
 	}
 }
 
-// statement has one arrive, and what is due by then happen.
+// statement fires the timers and ends the attempts that are due, and lets a statement arrive.
 func (h *benchHost) statement(number int) {
 	h.now += benchInterval
 	for token, at := range h.timers {
@@ -69,7 +71,8 @@
 		h.ends, h.endAt = h.ends[1:], h.endAt[1:]
 		h.handle(end)
 	}
-	h.handle(policy.Arrival{ID: policy.RequestID(number), TableGroup: number * 7919 % benchTableGroups, Remaining: 5 * time.Second})
+	h.handle(policy.Arrival{ID: policy.RequestID(number), TableGroup: number * 7919 % benchTableGroups,
+		Remaining: 5 * time.Second})
 }
 
 // BenchmarkDecision is a statement's arrival, the choice of its engine and its end, at 1,625 statements a second.
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -33,7 +33,7 @@
 			}
 			r.objectiveDeadline = g.now + g.classes[0].LatencyObjective
 			if g.willMissObjective(r) {
-				t.Fatalf("a query that has just arrived is expected to miss its objective")
+				t.Fatal("a query that has just arrived is expected to miss its objective")
 			}
 		})
 	}
--- a/policy/fleetviews_test.go
+++ b/policy/fleetviews_test.go
@@ -37,7 +37,8 @@
 			all[i] = begin(i, start)
 		}
 		rules, sends := s.Rules, []warmupSend{}
-		budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.Kinds[0].Cores * rules.WarmupBudgetSpan.Seconds()
+		budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.Kinds[0].Cores *
+			rules.WarmupBudgetSpan.Seconds()
 		views := rapid.SliceOfN(rapid.SampledFrom([]int{-5, 0, 1, 1, 2, 3, 12, 1 << 40}), 16, 16).Draw(t, "views")
 		failing := rapid.IntRange(1, 6).Draw(t, "failing") // of ten attempts
 		step := 0
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -33,11 +33,13 @@
 	bare.Rules.RetryBudget, bare.MaxAttempts, bare.WorkInResponses = false, 3, false
 	priced.CrossZoneCost, priced.Gateways, priced.Zone = 0.2, 9, 1
 	asking.PollEngineList, asking.MaxRetryAfter, asking.Gateways = true, 0, 40
-	return map[string]Settings{"base": base, "fleet": fleet, "lone": lone, "bare": bare, "priced": priced, "asking": asking}
+	return map[string]Settings{
+		"base": base, "fleet": fleet, "lone": lone, "bare": bare, "priced": priced, "asking": asking,
+	}
 }
 
-// recorder plays a seeded stream of events into a Gateway and writes down every action, in a form that does not depend on
-// the names in the code.
+// recorder passes a seeded stream of events to a Gateway and records every action, in a form that does not depend on
+// the names in the code: the words in its records must not change, or the golden file would.
 type recorder struct {
 	g       *Gateway
 	s       Settings
@@ -137,7 +139,8 @@
 func (r *recorder) arrive() {
 	r.nextID++
 	class := r.rnd.IntN(len(r.s.Classes))
-	a := Arrival{ID: r.nextID, Class: class, TableGroup: r.rnd.IntN(6), Remaining: time.Duration(100+r.rnd.IntN(6000)) * time.Millisecond}
+	a := Arrival{ID: r.nextID, Class: class, TableGroup: r.rnd.IntN(6),
+		Remaining: time.Duration(100+r.rnd.IntN(6000)) * time.Millisecond}
 	if r.rnd.IntN(4) > 0 {
 		a.EstimatedWork, a.EstimatedMemoryMB = time.Duration(20+r.rnd.IntN(900))*time.Millisecond, 20+900*r.rnd.Float64()
 	}
@@ -160,12 +163,13 @@
 	if r.rnd.IntN(4) == 0 {
 		outcome = Outcome(r.rnd.IntN(int(NotSent) + 1))
 	}
-	took := r.now - s.at
-	r.handle(AttemptEnded{ID: s.id, Attempt: s.attempt, Engine: s.engine, Outcome: outcome, Duration: took, Terminal: outcome == OK,
-		Work: time.Duration(float64(took) * r.rnd.Float64()), UsedMB: 500 * r.rnd.Float64(), Report: r.report()})
+	duration := r.now - s.at
+	r.handle(AttemptEnded{ID: s.id, Attempt: s.attempt, Engine: s.engine, Outcome: outcome, Duration: duration,
+		Terminal: outcome == OK, Work: time.Duration(float64(duration) * r.rnd.Float64()), UsedMB: 500 * r.rnd.Float64(),
+		Report: r.report()})
 }
 
-// step advances the time, fires what is due and plays one event.
+// step advances the time, fires the timers that are due and passes one event.
 func (r *recorder) step() {
 	r.now += time.Duration(r.rnd.IntN(20)) * time.Millisecond
 	for i := 0; i < len(r.timers); i++ {
@@ -223,13 +227,14 @@
 
 // recordEstimates writes down what the operators' records say of the decisions.
 func (r *recorder) recordEstimates() {
-	f := r.g.Utilization()
-	r.write("filled %g %g %g %g", f.Threads, f.Window, f.MeanPeerLoad, f.OverloadRatio)
+	u := r.g.Utilization()
+	r.write("filled %g %g %g %g", u.Threads, u.Window, u.MeanPeerLoad, u.OverloadRatio)
 	for _, id := range r.open[max(0, len(r.open)-8):] {
-		held, by, looks := r.g.Explain(r.now, id)
-		r.write("held %v %s", held, by)
-		for _, l := range looks {
-			r.write("look %x %g %g %g %g %d %s", uint64(l.Engine), l.OwnThreads, l.PeerThreads, l.Limit, l.Target, l.ReportAge, l.Guard)
+		queued, guard, engines := r.g.Explain(r.now, id)
+		r.write("held %v %s", queued, guard)
+		for _, e := range engines {
+			r.write("look %x %g %g %g %g %d %s", uint64(e.Engine), e.OwnThreads, e.PeerThreads, e.Limit, e.Target,
+				e.ReportAge, e.Guard)
 		}
 	}
 }
@@ -255,7 +260,7 @@
 	return sum.Sum64(), r.actions
 }
 
-// The decisions on seeded streams of events are those that the module made before it was rearranged.
+// The decisions on seeded streams of events equal the recorded ones: changes of the code's structure must not alter them.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	t.Parallel()
 	var lines bytes.Buffer
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -10,18 +10,20 @@
 func testSettings() Settings {
 	base := Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1, LateWeightShare: 0.1, Threads: 1,
 		ObjectivePerWork: 1.5, DedupWindow: 3 * time.Second}
-	plain, keyed, unsafe, bound, cell := base, base, base, base, base
+	plain, keyed, unsafe, restricted, cell := base, base, base, base, base
 	keyed.Idempotency, keyed.Ordered, keyed.Threads = IdempotentWithKey, true, 2
 	unsafe.Idempotency = NotIdempotent
-	bound.RestrictZones, bound.Zones, bound.RestrictKinds, bound.Kinds = true, []int{1}, true, []int{0}
+	restricted.RestrictZones, restricted.Zones = true, []int{1}
+	restricted.RestrictKinds, restricted.Kinds = true, []int{0}
 	cell.Idempotency, cell.DedupScope, cell.Threads, cell.Weight = IdempotentWithKey, DedupCell, 4, 4
-	return Settings{Classes: []Class{plain, keyed, unsafe, bound, cell}, Kinds: []Kind{{8, 16384}, {4, 8192}},
+	return Settings{Classes: []Class{plain, keyed, unsafe, restricted, cell}, Kinds: []Kind{{8, 16384}, {4, 8192}},
 		Zones: 2, Gateways: 2, Tick: 5 * time.Millisecond, Metrics: []Metric{Inflight, Util}, MaxGrantShare: 0.4,
 		HonorsGrants: true, HonorsPriority: true, WorkInResponses: true, MayCancel: true, MayProbe: true,
 		MaxRetryAfter: time.Second, MaxAttempts: 4,
 		Rules: Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond, InitialCapacityShare: 0.3,
 			WarmupTime: 10 * time.Second, WarmupBudgetMultiple: 2, WarmupBudgetSpan: 2 * time.Second,
-			OrderedKeyPause: 300 * time.Millisecond, RetryBudget: true, FreeRetries: 3, RetryShare: 0.1, RetryBudgetSpan: 2 * time.Second}}
+			OrderedKeyPause: 300 * time.Millisecond,
+			RetryBudget:     true, FreeRetries: 3, RetryShare: 0.1, RetryBudgetSpan: 2 * time.Second}}
 }
 
 // newTestGateway creates a Gateway with ready engines of 4 cores and the IDs 1, 2, 3 ... change may modify the
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -57,11 +57,11 @@
 			c := newRulesChecker(t, s, seed)
 			var infos []EngineInfo
 			for i := range 6 {
-				in := EngineInfo{ID: EngineID(i + 10), Zone: i % 2, Kind: i % 4 / 2, Cell: i % 2, Scale: 1}
+				info := EngineInfo{ID: EngineID(i + 10), Zone: i % 2, Kind: i % 4 / 2, Cell: i % 2, Scale: 1}
 				if i == 5 {
-					in.Started = c.now - time.Second
+					info.Started = c.now - time.Second
 				}
-				infos = append(infos, in)
+				infos = append(infos, info)
 			}
 			c.applyEngineList(ListCached, infos...)
 			for range 4000 {
@@ -76,8 +76,9 @@
 			for range 1200 {
 				c.step(5 * time.Millisecond)
 			}
-			if c.sends < 200 || len(c.gateway.requests) > 0 || len(c.gateway.openRequests) > 0 || len(c.gateway.queue) > 0 {
-				t.Fatalf("%d sends, %d requests left behind", c.sends, len(c.gateway.requests))
+			g := c.gateway
+			if c.sends < 200 || len(g.requests) > 0 || len(g.openRequests) > 0 || len(g.queue) > 0 {
+				t.Fatalf("%d sends, want 200 or more; %d requests known at the end, want 0", c.sends, len(g.requests))
 			}
 		})
 	}
@@ -97,8 +98,8 @@
 		for range 300 {
 			c.randomArrival()
 			c.step(5 * time.Millisecond)
-			for _, f := range c.pending {
-				log += fmt.Sprint(f.at, f.attempt, f.engine, f.outcome, ";")
+			for _, p := range c.pending {
+				log += fmt.Sprint(p.at, p.attempt, p.engine, p.outcome, ";")
 			}
 		}
 		return log
--- a/policy/ruleschecker_test.go
+++ b/policy/ruleschecker_test.go
@@ -39,7 +39,7 @@
 // listedEngine is an engine as it was last listed.
 type listedEngine struct {
 	info             EngineInfo
-	unavailableSince time.Duration // when it was told to drain or go; 0 = ready
+	unavailableSince time.Duration // when it was listed as draining or gone; 0 = ready
 }
 
 // testTimer is a timer that the Gateway set.
@@ -70,10 +70,10 @@
 }
 
 // inFlight is how many attempts have not ended.
-func (q *trackedRequest) inFlight() int {
+func (tracked *trackedRequest) inFlight() int {
 	n := 0
-	for _, e := range q.ended {
-		if !e {
+	for _, ended := range tracked.ended {
+		if !ended {
 			n++
 		}
 	}
@@ -85,8 +85,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &rulesChecker{t: t, settings: s, gateway: g, random: rand.New(rand.NewSource(seed)), now: time.Hour, nextID: 1,
-		engines: map[EngineID]*listedEngine{}, requests: map[RequestID]*trackedRequest{}, warmupSends: map[EngineID][]warmupSend{}}
+	return &rulesChecker{t: t, settings: s, gateway: g, random: rand.New(rand.NewSource(seed)),
+		now: time.Hour, nextID: 1, engines: map[EngineID]*listedEngine{},
+		requests: map[RequestID]*trackedRequest{}, warmupSends: map[EngineID][]warmupSend{}}
 }
 
 func (c *rulesChecker) fail(format string, args ...any) {
@@ -101,19 +102,19 @@
 }
 
 func (c *rulesChecker) applyEngineList(kind ListKind, infos ...EngineInfo) {
-	for _, in := range infos {
-		l := c.engines[in.ID]
-		if l == nil {
-			l = &listedEngine{}
-			c.engines[in.ID] = l
-			c.ids = append(c.ids, in.ID)
+	for _, info := range infos {
+		listed := c.engines[info.ID]
+		if listed == nil {
+			listed = &listedEngine{}
+			c.engines[info.ID] = listed
+			c.ids = append(c.ids, info.ID)
 		}
-		if in.Health == Ready {
-			l.unavailableSince = 0
-		} else if l.unavailableSince == 0 {
-			l.unavailableSince = c.now
+		if info.Health == Ready {
+			listed.unavailableSince = 0
+		} else if listed.unavailableSince == 0 {
+			listed.unavailableSince = c.now
 		}
-		l.info = in
+		listed.info = info
 	}
 	c.handle(EngineList{Kind: kind, Engines: infos})
 }
@@ -121,12 +122,12 @@
 func (c *rulesChecker) arrive(a Arrival) *trackedRequest {
 	a.ID = c.nextID
 	c.nextID++
-	q := &trackedRequest{arrival: a, deadline: c.now + a.Remaining}
-	c.requests[a.ID] = q
-	c.inOrder = append(c.inOrder, q)
+	tracked := &trackedRequest{arrival: a, deadline: c.now + a.Remaining}
+	c.requests[a.ID] = tracked
+	c.inOrder = append(c.inOrder, tracked)
 	c.acceptedAt = append(c.acceptedAt, c.now)
 	c.handle(a)
-	return q
+	return tracked
 }
 
 // apply executes an action and checks it.
@@ -137,82 +138,98 @@
 	case Send:
 		c.recordSend(a)
 	case Reject:
-		q := c.recordFinal(a.ID)
-		for i, o := range q.outcomes {
-			mayHaveRun := !q.ended[i] || !o.NeverRan()
-			cl := c.settings.Classes[q.arrival.Class]
-			if mayHaveRun && (cl.Idempotency == NotIdempotent || cl.Idempotency == IdempotentWithKey && cl.DedupScope != DedupAll) {
-				c.fail("rule 2: request %d refused though it may have run", a.ID)
-			}
-		}
+		c.checkReject(c.recordFinal(a.ID))
 	case Fail:
 		c.recordFinal(a.ID)
 	case Cancel:
-		for i := range c.pending {
-			if f := &c.pending[i]; f.attempt >= 0 && f.request.arrival.ID == a.ID && f.attempt == a.Attempt {
-				f.at, f.outcome = c.now+5*time.Millisecond, Cancelled
-			}
-		}
+		c.cancel(a)
 	case Probe:
-		o := OK
+		outcome := OK
 		if c.random.Intn(3) == 0 {
-			o = Timeout
+			outcome = Timeout
+		}
+		c.pending = append(c.pending, pendingOutcome{at: c.now + 10*time.Millisecond, engine: a.Engine, attempt: -1,
+			outcome: outcome})
+	}
+}
+
+// cancel lets an attempt end as cancelled.
+func (c *rulesChecker) cancel(a Cancel) {
+	for i := range c.pending {
+		p := &c.pending[i]
+		if p.attempt >= 0 && p.request.arrival.ID == a.ID && p.attempt == a.Attempt {
+			p.at, p.outcome = c.now+5*time.Millisecond, Cancelled
+		}
+	}
+}
+
+// checkReject checks rule 2: what may have run is rejected only where a repetition is harmless.
+func (c *rulesChecker) checkReject(tracked *trackedRequest) {
+	class := c.settings.Classes[tracked.arrival.Class]
+	harmful := class.Idempotency == NotIdempotent ||
+		class.Idempotency == IdempotentWithKey && class.DedupScope != DedupAll
+	for i, outcome := range tracked.outcomes {
+		mayHaveRun := !tracked.ended[i] || !outcome.NeverRan()
+		if mayHaveRun && harmful {
+			c.fail("rule 2: request %d rejected though it may have run", tracked.arrival.ID)
 		}
-		c.pending = append(c.pending, pendingOutcome{at: c.now + 10*time.Millisecond, engine: a.Engine, attempt: -1, outcome: o})
 	}
 }
 
 // recordFinal checks that a request gets one final answer only.
 func (c *rulesChecker) recordFinal(id RequestID) *trackedRequest {
-	q := c.requests[id]
-	if q == nil || q.done {
+	tracked := c.requests[id]
+	if tracked == nil || tracked.done {
 		c.fail("rule 1: second final answer of request %d", id)
 	}
-	q.done = true
+	tracked.done = true
 	c.finals++
-	return q
+	return tracked
 }
 
 // recordSend checks a send against the rules and draws its outcome.
 func (c *rulesChecker) recordSend(a Send) {
-	q, l := c.requests[a.ID], c.engines[a.Engine]
-	if q == nil || q.done {
-		c.fail("rule 1: send for request %d, which is over", a.ID)
+	tracked, listed := c.requests[a.ID], c.engines[a.Engine]
+	if tracked == nil || tracked.done {
+		c.fail("rule 1: send for request %d, which is done", a.ID)
 	}
-	if l == nil {
+	if listed == nil {
 		c.fail("send to an engine that was never listed")
 	}
-	if a.Timeout <= 0 || c.now+a.Timeout > q.deadline {
-		c.fail("rule 1: time-out %v outlives the request", a.Timeout)
+	if a.Timeout <= 0 || c.now+a.Timeout > tracked.deadline {
+		c.fail("rule 1: timeout %v exceeds the deadline", a.Timeout)
+	}
+	class := c.settings.Classes[tracked.arrival.Class]
+	if listed.unavailableSince != 0 && c.now-listed.unavailableSince > c.settings.Rules.DrainGrace {
+		c.fail("rule 3: send to an engine that is draining or gone")
 	}
-	cl := c.settings.Classes[q.arrival.Class]
-	if l.unavailableSince != 0 && c.now-l.unavailableSince > c.settings.Rules.DrainGrace {
-		c.fail("rule 3: send to an engine that drains or is gone")
+	if class.RestrictZones && !slices.Contains(class.Zones, listed.info.Zone) {
+		c.fail("rule 6: class sent to zone %d, which it must not use", listed.info.Zone)
 	}
-	if cl.RestrictZones && !slices.Contains(cl.Zones, l.info.Zone) || cl.RestrictKinds && !slices.Contains(cl.Kinds, l.info.Kind) {
-		c.fail("rule 6: bound class sent elsewhere")
+	if class.RestrictKinds && !slices.Contains(class.Kinds, listed.info.Kind) {
+		c.fail("rule 6: class sent to kind %d, which it must not use", listed.info.Kind)
 	}
-	if !c.settings.MayHedge && q.inFlight() > 0 {
-		c.fail("rule 2: two attempts together")
+	if !c.settings.MayHedge && tracked.inFlight() > 0 {
+		c.fail("rule 2: two attempts in flight")
 	}
-	if c.settings.MaxAttempts > 0 && len(q.sentAt) >= c.settings.MaxAttempts {
-		c.fail("attempt %d of %d", len(q.sentAt)+1, c.settings.MaxAttempts)
+	if c.settings.MaxAttempts > 0 && len(tracked.sentAt) >= c.settings.MaxAttempts {
+		c.fail("attempt %d, want at most %d", len(tracked.sentAt)+1, c.settings.MaxAttempts)
 	}
-	c.checkRepeat(q, l, cl)
-	c.checkKeyOrder(q, cl)
-	if len(q.sentAt) > 0 {
+	c.checkRepeat(tracked, listed, class)
+	c.checkKeyOrder(tracked, class)
+	if len(tracked.sentAt) > 0 {
 		c.checkRetryBudget()
 	}
-	c.checkWarmupBudget(q, l)
-	q.sentAt, q.engines = append(q.sentAt, c.now), append(q.engines, a.Engine)
-	q.ended, q.outcomes = append(q.ended, false), append(q.outcomes, OK)
+	c.checkWarmupBudget(tracked, listed)
+	tracked.sentAt, tracked.engines = append(tracked.sentAt, c.now), append(tracked.engines, a.Engine)
+	tracked.ended, tracked.outcomes = append(tracked.ended, false), append(tracked.outcomes, OK)
 	c.sends++
-	outcome, took := c.drawOutcome(), time.Duration(1+c.random.Intn(1500))*time.Millisecond
-	if took >= a.Timeout {
-		outcome, took = Timeout, a.Timeout
+	outcome, duration := c.drawOutcome(), time.Duration(1+c.random.Intn(1500))*time.Millisecond
+	if duration >= a.Timeout {
+		outcome, duration = Timeout, a.Timeout
 	}
-	c.pending = append(c.pending, pendingOutcome{at: c.now + took, request: q, attempt: len(q.sentAt) - 1, engine: a.Engine,
-		sent: c.now, outcome: outcome})
+	c.pending = append(c.pending, pendingOutcome{at: c.now + duration, request: tracked,
+		attempt: len(tracked.sentAt) - 1, engine: a.Engine, sent: c.now, outcome: outcome})
 }
 
 func (c *rulesChecker) drawOutcome() Outcome {
@@ -223,46 +240,48 @@
 }
 
 // checkRepeat checks rule 2: what may have run is repeated only where that is harmless.
-func (c *rulesChecker) checkRepeat(q *trackedRequest, l *listedEngine, cl Class) {
-	for i := range q.sentAt {
-		if q.ended[i] && q.outcomes[i].NeverRan() {
+func (c *rulesChecker) checkRepeat(tracked *trackedRequest, listed *listedEngine, class Class) {
+	for i := range tracked.sentAt {
+		if tracked.ended[i] && tracked.outcomes[i].NeverRan() {
 			continue
 		}
-		if cl.Idempotency == NotIdempotent {
-			c.fail("rule 2: unsafe request sent again")
+		if class.Idempotency == NotIdempotent {
+			c.fail("rule 2: request that is not idempotent sent again")
 		}
-		if cl.Idempotency != IdempotentWithKey {
+		if class.Idempotency != IdempotentWithKey {
 			continue
 		}
-		first := c.engines[q.engines[i]].info
-		if c.now-q.sentAt[i] > cl.DedupWindow {
-			c.fail("rule 2: keyed request sent again after its window")
+		first := c.engines[tracked.engines[i]].info
+		if c.now-tracked.sentAt[i] > class.DedupWindow {
+			c.fail("rule 2: keyed request sent again after its deduplication window")
 		}
-		if cl.DedupScope == DedupCell && first.Cell != l.info.Cell || cl.DedupScope == DedupZone && first.Zone != l.info.Zone {
-			c.fail("rule 2: keyed request sent out of its group")
+		otherCell := class.DedupScope == DedupCell && first.Cell != listed.info.Cell
+		otherZone := class.DedupScope == DedupZone && first.Zone != listed.info.Zone
+		if otherCell || otherZone {
+			c.fail("rule 2: keyed request sent out of its deduplication scope")
 		}
 	}
 }
 
 // checkKeyOrder checks rule 5: requests of a key run one at a time, in order, with a pause after doubtful outcomes.
-func (c *rulesChecker) checkKeyOrder(q *trackedRequest, cl Class) {
-	if !cl.Ordered || q.arrival.Key == 0 {
+func (c *rulesChecker) checkKeyOrder(tracked *trackedRequest, class Class) {
+	if !class.Ordered || tracked.arrival.Key == 0 {
 		return
 	}
-	for _, o := range c.inOrder {
-		if o == q {
+	for _, earlier := range c.inOrder {
+		if earlier == tracked {
 			return
 		}
-		if o.arrival.Key != q.arrival.Key || !c.settings.Classes[o.arrival.Class].Ordered {
+		if earlier.arrival.Key != tracked.arrival.Key || !c.settings.Classes[earlier.arrival.Class].Ordered {
 			continue
 		}
-		if !o.done || o.inFlight() > 0 {
-			c.fail("rule 5: request %d sent before %d of its key was over", q.arrival.ID, o.arrival.ID)
+		if !earlier.done || earlier.inFlight() > 0 {
+			c.fail("rule 5: request %d sent before %d of its key was done", tracked.arrival.ID, earlier.arrival.ID)
 		}
-		for i, outcome := range o.outcomes {
-			rest := outcome == Timeout || outcome == Reset || outcome == Cancelled
-			if rest && c.now < o.sentAt[i]+c.settings.Rules.OrderedKeyPause {
-				c.fail("rule 5: key did not rest")
+		for i, outcome := range earlier.outcomes {
+			mayStillRun := outcome == Timeout || outcome == Reset || outcome == Cancelled
+			if mayStillRun && c.now < earlier.sentAt[i]+c.settings.Rules.OrderedKeyPause {
+				c.fail("rule 5: key did not pause")
 			}
 		}
 	}
@@ -273,44 +292,46 @@
 	if !c.settings.Rules.RetryBudget {
 		return
 	}
-	from, extra, took := c.now-c.settings.Rules.RetryBudgetSpan, 1, 0
+	from, retries, accepted := c.now-c.settings.Rules.RetryBudgetSpan, 1, 0
 	for _, at := range c.retries {
 		if at >= from {
-			extra++
+			retries++
 		}
 	}
 	for _, at := range c.acceptedAt {
 		if at >= from {
-			took++
+			accepted++
 		}
 	}
 	c.retries = append(c.retries, c.now)
-	if float64(extra) > c.settings.Rules.FreeRetries+c.settings.Rules.RetryShare*float64(took) {
-		c.fail("rule 7: %d further attempts with %d requests taken", extra, took)
+	if float64(retries) > c.settings.Rules.FreeRetries+c.settings.Rules.RetryShare*float64(accepted) {
+		c.fail("rule 7: %d retries with %d requests accepted", retries, accepted)
 	}
 }
 
 // checkWarmupBudget checks rule 4, for this gateway's even share.
-func (c *rulesChecker) checkWarmupBudget(q *trackedRequest, l *listedEngine) {
-	ru := c.settings.Rules
-	if l.info.Started == 0 || c.now-l.info.Started >= ru.WarmupTime {
+func (c *rulesChecker) checkWarmupBudget(tracked *trackedRequest, listed *listedEngine) {
+	rules := c.settings.Rules
+	if listed.info.Started == 0 || c.now-listed.info.Started >= rules.WarmupTime {
 		return
 	}
-	work := q.arrival.EstimatedWork.Seconds()
-	if c.now-c.gateway.startedAt < ru.WarmupBudgetSpan && l.info.Started < c.gateway.startedAt {
-		c.fail("rule 4: a gateway just started sends to a cold engine")
+	work := tracked.arrival.EstimatedWork.Seconds()
+	if c.now-c.gateway.startedAt < rules.WarmupBudgetSpan && listed.info.Started < c.gateway.startedAt {
+		c.fail("rule 4: a gateway that has just started sends to a warming engine")
 	}
-	id := l.info.ID
+	id := listed.info.ID
 	c.warmupSends[id] = append(c.warmupSends[id], warmupSend{c.now, work})
 	sum := 0.0
 	for _, s := range c.warmupSends[id] {
-		if s.at >= c.now-ru.WarmupBudgetSpan {
+		if s.at >= c.now-rules.WarmupBudgetSpan {
 			sum += s.work
 		}
 	}
-	limit := ru.WarmupBudgetMultiple * ru.InitialCapacityShare * c.settings.Kinds[l.info.Kind].Cores * ru.WarmupBudgetSpan.Seconds() / float64(c.settings.Gateways)
+	cores := c.settings.Kinds[listed.info.Kind].Cores
+	budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * cores * rules.WarmupBudgetSpan.Seconds()
+	limit := budget / float64(c.settings.Gateways)
 	if sum > limit {
-		c.fail("rule 4: %.2f s of work sent to a cold engine, %.2f allowed", sum, limit)
+		c.fail("rule 4: %.2f s of work sent to a warming engine, want at most %.2f", sum, limit)
 	}
 }
 
@@ -330,24 +351,24 @@
 		c.deliver(f)
 		i = 0
 	}
-	for _, q := range c.inOrder {
-		if !q.done && c.now > q.deadline+c.settings.Rules.ResponseSlack {
-			c.fail("rule 1: request %d has no final answer in time", q.arrival.ID)
+	for _, tracked := range c.inOrder {
+		if !tracked.done && c.now > tracked.deadline+c.settings.Rules.ResponseSlack {
+			c.fail("rule 1: request %d has no final answer in time", tracked.arrival.ID)
 		}
 	}
 }
 
 // removeDueTimers removes and returns the timers that are due.
 func (c *rulesChecker) removeDueTimers() []testTimer {
-	var ripe []testTimer
+	var fired []testTimer
 	c.timers = slices.DeleteFunc(c.timers, func(d testTimer) bool {
 		if d.at <= c.now {
-			ripe = append(ripe, d)
+			fired = append(fired, d)
 			return true
 		}
 		return false
 	})
-	return ripe
+	return fired
 }
 
 func (c *rulesChecker) deliver(f pendingOutcome) {
@@ -368,32 +389,34 @@
 
 func (c *rulesChecker) randomArrival() {
 	class := c.random.Intn(len(c.settings.Classes))
-	a := Arrival{Class: class, TableGroup: c.random.Intn(5), EstimatedWork: time.Duration(20+c.random.Intn(300)) * time.Millisecond,
-		EstimatedMemoryMB: float64(50 + c.random.Intn(200)), Remaining: time.Duration(20+c.random.Intn(5000)) * time.Millisecond}
+	a := Arrival{Class: class, TableGroup: c.random.Intn(5),
+		EstimatedWork:     time.Duration(20+c.random.Intn(300)) * time.Millisecond,
+		EstimatedMemoryMB: float64(50 + c.random.Intn(200)),
+		Remaining:         time.Duration(20+c.random.Intn(5000)) * time.Millisecond}
 	if c.settings.Classes[class].Ordered {
 		a.Key = uint64(1 + c.random.Intn(3))
 	}
-	q := c.arrive(a)
-	if c.random.Intn(40) == 0 && !q.done {
-		q.done = true
-		c.handle(ClientGone{q.arrival.ID})
+	tracked := c.arrive(a)
+	if c.random.Intn(40) == 0 && !tracked.done {
+		tracked.done = true
+		c.handle(ClientGone{tracked.arrival.ID})
 	}
 }
 
 func (c *rulesChecker) randomList() {
 	id := c.ids[c.random.Intn(len(c.ids))]
-	in := c.engines[id].info
+	info := c.engines[id].info
 	switch c.random.Intn(5) {
 	case 0:
-		in.Health = Draining
+		info.Health = Draining
 	case 1:
-		in.Health = Gone
+		info.Health = Gone
 	default:
-		if in.Health != Ready || c.random.Intn(3) == 0 {
-			in.Started = c.now
+		if info.Health != Ready || c.random.Intn(3) == 0 {
+			info.Started = c.now
 			c.warmupSends[id] = nil
 		}
-		in.Health = Ready
+		info.Health = Ready
 	}
-	c.applyEngineList(ListDelta, in)
+	c.applyEngineList(ListDelta, info)
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -29,7 +29,8 @@
 				all = append(all, newGateway(i, start))
 			}
 			rules, sent, total := s.Rules, []warmupSend{}, 0.0
-			budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.Kinds[0].Cores * rules.WarmupBudgetSpan.Seconds()
+			budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.Kinds[0].Cores *
+				rules.WarmupBudgetSpan.Seconds()
 			for now := start; now < start+rules.WarmupTime; now += 50 * time.Millisecond {
 				for i, g := range all {
 					if now == start+5*time.Second && i%3 == 0 {
