--- /dev/null
+++ b/policy/ruleschecker_test.go
@@ -0,0 +1,422 @@
+package policy
+
+import (
+	"fmt"
+	"math/rand"
+	"slices"
+	"testing"
+	"time"
+)
+
+// rulesChecker drives a Gateway with legal events and checks the seven rules on its actions. It models no engine and
+// measures nothing.
+type rulesChecker struct {
+	t           *testing.T
+	settings    Settings
+	gateway     *Gateway
+	random      *rand.Rand
+	now         time.Duration
+	engines     map[EngineID]*listedEngine
+	ids         []EngineID
+	requests    map[RequestID]*trackedRequest
+	inOrder     []*trackedRequest
+	nextID      RequestID
+	timers      []testTimer
+	pending     []pendingOutcome
+	retries     []time.Duration
+	acceptedAt  []time.Duration
+	sends       int
+	warmupSends map[EngineID][]warmupSend
+	finals      int
+}
+
+// warmupSend is a send to a warming engine.
+type warmupSend struct {
+	at   time.Duration
+	work float64
+}
+
+// listedEngine is an engine as it was last listed.
+type listedEngine struct {
+	info             EngineInfo
+	unavailableSince time.Duration // when it was listed as draining or gone; 0 = ready
+}
+
+// testTimer is a timer that the Gateway set.
+type testTimer struct {
+	at    time.Duration
+	token uint64
+}
+
+// pendingOutcome is an outcome to be delivered later. For a probe, attempt is -1 and request nil.
+type pendingOutcome struct {
+	at      time.Duration
+	request *trackedRequest
+	attempt int
+	engine  EngineID
+	sent    time.Duration
+	outcome Outcome
+}
+
+// trackedRequest is a request with all its attempts.
+type trackedRequest struct {
+	arrival  Arrival
+	deadline time.Duration
+	done     bool
+	sentAt   []time.Duration
+	engines  []EngineID
+	ended    []bool
+	outcomes []Outcome
+}
+
+// inFlight is how many attempts have not ended.
+func (tracked *trackedRequest) inFlight() int {
+	n := 0
+	for _, ended := range tracked.ended {
+		if !ended {
+			n++
+		}
+	}
+	return n
+}
+
+func newRulesChecker(t *testing.T, s Settings, seed int64) *rulesChecker {
+	g, err := New(s, uint64(seed))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &rulesChecker{t: t, settings: s, gateway: g, random: rand.New(rand.NewSource(seed)),
+		now: time.Hour, nextID: 1, engines: map[EngineID]*listedEngine{},
+		requests: map[RequestID]*trackedRequest{}, warmupSends: map[EngineID][]warmupSend{}}
+}
+
+func (c *rulesChecker) fail(format string, args ...any) {
+	c.t.Helper()
+	c.t.Fatalf("at %v: %s", c.now-time.Hour, fmt.Sprintf(format, args...))
+}
+
+func (c *rulesChecker) handle(e Event) {
+	for _, a := range c.gateway.Handle(c.now, e) {
+		c.apply(a)
+	}
+}
+
+func (c *rulesChecker) applyEngineList(kind ListKind, infos ...EngineInfo) {
+	for _, info := range infos {
+		listed := c.engines[info.ID]
+		if listed == nil {
+			listed = &listedEngine{}
+			c.engines[info.ID] = listed
+			c.ids = append(c.ids, info.ID)
+		}
+		if info.Health == Ready {
+			listed.unavailableSince = 0
+		} else if listed.unavailableSince == 0 {
+			listed.unavailableSince = c.now
+		}
+		listed.info = info
+	}
+	c.handle(EngineList{Kind: kind, Engines: infos})
+}
+
+func (c *rulesChecker) arrive(a Arrival) *trackedRequest {
+	a.ID = c.nextID
+	c.nextID++
+	tracked := &trackedRequest{arrival: a, deadline: c.now + a.Remaining}
+	c.requests[a.ID] = tracked
+	c.inOrder = append(c.inOrder, tracked)
+	c.acceptedAt = append(c.acceptedAt, c.now)
+	c.handle(a)
+	return tracked
+}
+
+// apply executes an action and checks it.
+func (c *rulesChecker) apply(act Action) {
+	switch a := act.(type) {
+	case SetTimer:
+		c.timers = append(c.timers, testTimer{c.now + max(a.After, 1), a.Token})
+	case Send:
+		c.recordSend(a)
+	case Reject:
+		c.checkReject(c.recordFinal(a.ID))
+	case Fail:
+		c.recordFinal(a.ID)
+	case Cancel:
+		c.cancel(a)
+	case Probe:
+		outcome := OK
+		if c.random.Intn(3) == 0 {
+			outcome = Timeout
+		}
+		c.pending = append(c.pending, pendingOutcome{at: c.now + 10*time.Millisecond, engine: a.Engine, attempt: -1,
+			outcome: outcome})
+	}
+}
+
+// cancel lets an attempt end as cancelled.
+func (c *rulesChecker) cancel(a Cancel) {
+	for i := range c.pending {
+		p := &c.pending[i]
+		if p.attempt >= 0 && p.request.arrival.ID == a.ID && p.attempt == a.Attempt {
+			p.at, p.outcome = c.now+5*time.Millisecond, Cancelled
+		}
+	}
+}
+
+// checkReject checks rule 2: what may have run is rejected only where a repetition is harmless.
+func (c *rulesChecker) checkReject(tracked *trackedRequest) {
+	class := c.settings.Classes[tracked.arrival.Class]
+	harmful := class.Idempotency == NotIdempotent ||
+		class.Idempotency == IdempotentWithKey && class.DedupScope != DedupAll
+	for i, outcome := range tracked.outcomes {
+		mayHaveRun := !tracked.ended[i] || !outcome.NeverRan()
+		if mayHaveRun && harmful {
+			c.fail("rule 2: request %d rejected though it may have run", tracked.arrival.ID)
+		}
+	}
+}
+
+// recordFinal checks that a request gets one final answer only.
+func (c *rulesChecker) recordFinal(id RequestID) *trackedRequest {
+	tracked := c.requests[id]
+	if tracked == nil || tracked.done {
+		c.fail("rule 1: second final answer of request %d", id)
+	}
+	tracked.done = true
+	c.finals++
+	return tracked
+}
+
+// recordSend checks a send against the rules and draws its outcome.
+func (c *rulesChecker) recordSend(a Send) {
+	tracked, listed := c.requests[a.ID], c.engines[a.Engine]
+	if tracked == nil || tracked.done {
+		c.fail("rule 1: send for request %d, which is done", a.ID)
+	}
+	if listed == nil {
+		c.fail("send to an engine that was never listed")
+	}
+	if a.Timeout <= 0 || c.now+a.Timeout > tracked.deadline {
+		c.fail("rule 1: timeout %v exceeds the deadline", a.Timeout)
+	}
+	class := c.settings.Classes[tracked.arrival.Class]
+	if listed.unavailableSince != 0 && c.now-listed.unavailableSince > c.settings.Rules.DrainGrace {
+		c.fail("rule 3: send to an engine that is draining or gone")
+	}
+	if class.RestrictZones && !slices.Contains(class.Zones, listed.info.Zone) {
+		c.fail("rule 6: class sent to zone %d, which it must not use", listed.info.Zone)
+	}
+	if class.RestrictKinds && !slices.Contains(class.Kinds, listed.info.Kind) {
+		c.fail("rule 6: class sent to kind %d, which it must not use", listed.info.Kind)
+	}
+	if !c.settings.MayHedge && tracked.inFlight() > 0 {
+		c.fail("rule 2: two attempts in flight")
+	}
+	if c.settings.MaxAttempts > 0 && len(tracked.sentAt) >= c.settings.MaxAttempts {
+		c.fail("attempt %d, want at most %d", len(tracked.sentAt)+1, c.settings.MaxAttempts)
+	}
+	c.checkRepeat(tracked, listed, class)
+	c.checkKeyOrder(tracked, class)
+	if len(tracked.sentAt) > 0 {
+		c.checkRetryBudget()
+	}
+	c.checkWarmupBudget(tracked, listed)
+	tracked.sentAt, tracked.engines = append(tracked.sentAt, c.now), append(tracked.engines, a.Engine)
+	tracked.ended, tracked.outcomes = append(tracked.ended, false), append(tracked.outcomes, OK)
+	c.sends++
+	outcome, duration := c.drawOutcome(), time.Duration(1+c.random.Intn(1500))*time.Millisecond
+	if duration >= a.Timeout {
+		outcome, duration = Timeout, a.Timeout
+	}
+	c.pending = append(c.pending, pendingOutcome{at: c.now + duration, request: tracked,
+		attempt: len(tracked.sentAt) - 1, engine: a.Engine, sent: c.now, outcome: outcome})
+}
+
+func (c *rulesChecker) drawOutcome() Outcome {
+	if c.random.Intn(20) < 17 {
+		return OK
+	}
+	return []Outcome{Error, Rejected, Timeout, NoConnection, Reset, NotSent}[c.random.Intn(6)]
+}
+
+// checkRepeat checks rule 2: what may have run is repeated only where that is harmless.
+func (c *rulesChecker) checkRepeat(tracked *trackedRequest, listed *listedEngine, class Class) {
+	for i := range tracked.sentAt {
+		if tracked.ended[i] && tracked.outcomes[i].NeverRan() {
+			continue
+		}
+		if class.Idempotency == NotIdempotent {
+			c.fail("rule 2: request that is not idempotent sent again")
+		}
+		if class.Idempotency != IdempotentWithKey {
+			continue
+		}
+		first := c.engines[tracked.engines[i]].info
+		if c.now-tracked.sentAt[i] > class.DedupWindow {
+			c.fail("rule 2: keyed request sent again after its deduplication window")
+		}
+		otherCell := class.DedupScope == DedupCell && first.Cell != listed.info.Cell
+		otherZone := class.DedupScope == DedupZone && first.Zone != listed.info.Zone
+		if otherCell || otherZone {
+			c.fail("rule 2: keyed request sent out of its deduplication scope")
+		}
+	}
+}
+
+// checkKeyOrder checks rule 5: requests of a key run one at a time, in order, with a pause after doubtful outcomes.
+func (c *rulesChecker) checkKeyOrder(tracked *trackedRequest, class Class) {
+	if !class.Ordered || tracked.arrival.Key == 0 {
+		return
+	}
+	for _, earlier := range c.inOrder {
+		if earlier == tracked {
+			return
+		}
+		if earlier.arrival.Key != tracked.arrival.Key || !c.settings.Classes[earlier.arrival.Class].Ordered {
+			continue
+		}
+		if !earlier.done || earlier.inFlight() > 0 {
+			c.fail("rule 5: request %d sent before %d of its key was done", tracked.arrival.ID, earlier.arrival.ID)
+		}
+		for i, outcome := range earlier.outcomes {
+			mayStillRun := outcome == Timeout || outcome == Reset || outcome == Cancelled
+			if mayStillRun && c.now < earlier.sentAt[i]+c.settings.Rules.OrderedKeyPause {
+				c.fail("rule 5: key did not pause")
+			}
+		}
+	}
+}
+
+// checkRetryBudget checks rule 7.
+func (c *rulesChecker) checkRetryBudget() {
+	if !c.settings.Rules.RetryBudget {
+		return
+	}
+	from, retries, accepted := c.now-c.settings.Rules.RetryBudgetSpan, 1, 0
+	for _, at := range c.retries {
+		if at >= from {
+			retries++
+		}
+	}
+	for _, at := range c.acceptedAt {
+		if at >= from {
+			accepted++
+		}
+	}
+	c.retries = append(c.retries, c.now)
+	if float64(retries) > c.settings.Rules.FreeRetries+c.settings.Rules.RetryShare*float64(accepted) {
+		c.fail("rule 7: %d retries with %d requests accepted", retries, accepted)
+	}
+}
+
+// checkWarmupBudget checks rule 4, for this gateway's even share.
+func (c *rulesChecker) checkWarmupBudget(tracked *trackedRequest, listed *listedEngine) {
+	rules := c.settings.Rules
+	if listed.info.Started == 0 || c.now-listed.info.Started >= rules.WarmupTime {
+		return
+	}
+	work := tracked.arrival.EstimatedWork.Seconds()
+	if c.now-c.gateway.startedAt < rules.WarmupBudgetSpan && listed.info.Started < c.gateway.startedAt {
+		c.fail("rule 4: a gateway that has just started sends to a warming engine")
+	}
+	id := listed.info.ID
+	c.warmupSends[id] = append(c.warmupSends[id], warmupSend{c.now, work})
+	sum := 0.0
+	for _, s := range c.warmupSends[id] {
+		if s.at >= c.now-rules.WarmupBudgetSpan {
+			sum += s.work
+		}
+	}
+	cores := c.settings.Kinds[listed.info.Kind].Cores
+	budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * cores * rules.WarmupBudgetSpan.Seconds()
+	limit := budget / float64(c.settings.Gateways)
+	if sum > limit {
+		c.fail("rule 4: %.2f s of work sent to a warming engine, want at most %.2f", sum, limit)
+	}
+}
+
+// step advances the time and delivers what is due.
+func (c *rulesChecker) step(d time.Duration) {
+	c.now += d
+	for _, tm := range c.removeDueTimers() {
+		c.handle(TimerFired{tm.token})
+	}
+	for i := 0; i < len(c.pending); {
+		f := c.pending[i]
+		if f.at > c.now {
+			i++
+			continue
+		}
+		c.pending = slices.Delete(c.pending, i, i+1)
+		c.deliver(f)
+		i = 0
+	}
+	for _, tracked := range c.inOrder {
+		if !tracked.done && c.now > tracked.deadline+c.settings.Rules.ResponseSlack {
+			c.fail("rule 1: request %d has no final answer in time", tracked.arrival.ID)
+		}
+	}
+}
+
+// removeDueTimers removes and returns the timers that are due.
+func (c *rulesChecker) removeDueTimers() []testTimer {
+	var fired []testTimer
+	c.timers = slices.DeleteFunc(c.timers, func(d testTimer) bool {
+		if d.at <= c.now {
+			fired = append(fired, d)
+			return true
+		}
+		return false
+	})
+	return fired
+}
+
+func (c *rulesChecker) deliver(f pendingOutcome) {
+	rep := Report{Present: c.random.Intn(2) == 0, Values: map[Metric]float64{Inflight: float64(c.random.Intn(30))}}
+	if f.attempt < 0 {
+		c.handle(ProbeEnded{Engine: f.engine, Outcome: f.outcome, Report: rep})
+		return
+	}
+	f.request.ended[f.attempt], f.request.outcomes[f.attempt] = true, f.outcome
+	terminal := f.request.done
+	if f.outcome == OK && !f.request.done {
+		f.request.done, terminal = true, true
+		c.finals++
+	}
+	c.handle(AttemptEnded{ID: f.request.arrival.ID, Attempt: f.attempt, Engine: f.engine, Outcome: f.outcome,
+		Duration: c.now - f.sent, Terminal: terminal, Work: f.request.arrival.EstimatedWork, UsedMB: 100, Report: rep})
+}
+
+func (c *rulesChecker) randomArrival() {
+	class := c.random.Intn(len(c.settings.Classes))
+	a := Arrival{Class: class, TableGroup: c.random.Intn(5),
+		EstimatedWork:     time.Duration(20+c.random.Intn(300)) * time.Millisecond,
+		EstimatedMemoryMB: float64(50 + c.random.Intn(200)),
+		Remaining:         time.Duration(20+c.random.Intn(5000)) * time.Millisecond}
+	if c.settings.Classes[class].Ordered {
+		a.Key = uint64(1 + c.random.Intn(3))
+	}
+	tracked := c.arrive(a)
+	if c.random.Intn(40) == 0 && !tracked.done {
+		tracked.done = true
+		c.handle(ClientGone{tracked.arrival.ID})
+	}
+}
+
+func (c *rulesChecker) randomList() {
+	id := c.ids[c.random.Intn(len(c.ids))]
+	info := c.engines[id].info
+	switch c.random.Intn(5) {
+	case 0:
+		info.Health = Draining
+	case 1:
+		info.Health = Gone
+	default:
+		if info.Health != Ready || c.random.Intn(3) == 0 {
+			info.Started = c.now
+			c.warmupSends[id] = nil
+		}
+		info.Health = Ready
+	}
+	c.applyEngineList(ListDelta, info)
+}
