--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -2,12 +2,14 @@
 
 import (
 	"time"
+
+	"frostpier/policy"
 )
 
-// Action is something that the host is to do.
+// Action is something that the host must do.
 type Action interface{ action() }
 
-// Start asks for an attempt; before its first byte the host asks MaySend.
+// Start starts an attempt. The host must ask MaySend before the first byte goes out.
 type Start struct {
 	ID      ID
 	Attempt int
@@ -15,27 +17,33 @@
 	Timeout time.Duration
 }
 
-// Stop calls an attempt off; the host reports Ended once it is not out any more.
+// Stop cancels an attempt. The host must report AttemptEnded once the engine certainly no longer executes it.
 type Stop struct {
 	ID      ID
 	Attempt int
 }
 
-// Reply is the one final answer of a request. Served comes in answer to the Ended that brought the result.
+// Reply is the one final reply to a request. A Reply with the verdict Served is always returned by the AttemptEnded that
+// reported the result.
 type Reply struct {
 	ID               ID
 	Verdict          Verdict
-	RetryAfter       time.Duration // of a refusal
-	DeadlineExceeded bool          // the client's time is over
+	RetryAfter       time.Duration // of a rejection
+	DeadlineExceeded bool          // the client's deadline has passed, or is about to
 }
 
-// Timer asks for a Due with this token.
+// Timer asks for a TimerFired with this token.
 type Timer struct {
 	After time.Duration
 	Token uint64
 }
 
-func (Start) action() {}
-func (Stop) action()  {}
-func (Reply) action() {}
-func (Timer) action() {}
+// Disconnect closes the connections to an engine that is no longer used: idle ones now, the others when they are
+// released.
+type Disconnect struct{ Engine policy.EngineID }
+
+func (Start) action()      {}
+func (Stop) action()       {}
+func (Reply) action()      {}
+func (Timer) action()      {}
+func (Disconnect) action() {}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -33,7 +33,7 @@
 	return c, keep
 }
 
-func engineLine(name string, h policy.Health) ListedEngine {
+func listedEngine(name string, h policy.Health) ListedEngine {
 	return ListedEngine{Name: name, Addr: name + ":1", Zone: "z", Kind: "m", Health: h, Weight: 1}
 }
 
@@ -48,12 +48,12 @@
 	panic("unreachable")
 }
 
-var ask = Query{Remaining: 4 * time.Second}
+var testQuery = Query{Remaining: 4 * time.Second}
 
 func TestServedOnce(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, actions := c.Submit(start, ask)
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, actions := c.Submit(start, testQuery)
 	s := first[Start](t, actions)
 	if left, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); !ok || left > 4*time.Second {
 		t.Fatalf("may send: %v, %v left", ok, left)
@@ -70,9 +70,9 @@
 // grace of 2 s counts from the listing, not from the choice.
 func TestDrainIsLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, _ := c.Submit(start, ask)
-	c.UpdateEngines(start, false, []ListedEngine{engineLine("a", policy.Draining)})
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, _ := c.Submit(start, testQuery)
+	c.UpdateEngines(start, false, []ListedEngine{listedEngine("a", policy.Draining)})
 	if _, ok := c.MaySend(start+100*time.Millisecond, id, 0, false); ok {
 		t.Fatal("a draining engine gets new work")
 	}
@@ -81,9 +81,9 @@
 // Guards likewise against an attempt that goes out when nobody waits for it any more.
 func TestDeadlineAndClientAreLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	late, _ := c.Submit(start, ask)
-	gone, _ := c.Submit(start, ask)
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	late, _ := c.Submit(start, testQuery)
+	gone, _ := c.Submit(start, testQuery)
 	if _, ok := c.MaySend(start+4*time.Second, late, 0, false); ok {
 		t.Error("sent after the client's end")
 	}
@@ -96,8 +96,8 @@
 // Guards against an answer that has begun going on for a client that closed: the module calls off none of those.
 func TestLeavingMidAnswerStopsTheAttempt(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, _ := c.Submit(start, ask)
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, _ := c.Submit(start, testQuery)
 	c.MaySend(start, id, 0, false)
 	if wanted, _ := c.ResponseStarted(start, id, 0); !wanted {
 		t.Fatal("not wanted")
@@ -115,8 +115,8 @@
 // Guards against a second attempt after the first row: the client would see rows of two.
 func TestNoFurtherAttemptAfterTheFirstRow(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
-	id, _ := c.Submit(start, ask)
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
+	id, _ := c.Submit(start, testQuery)
 	c.MaySend(start, id, 0, false)
 	c.ResponseStarted(start, id, 0)
 	actions := c.AttemptEnded(start, id, 0, policy.Reset, nil)
@@ -127,7 +127,7 @@
 
 func TestCloseAnswersWhatIsOpen(t *testing.T) {
 	c, _ := newCore(t)
-	held, _ := c.Submit(start, ask) // no engine: it is held
+	held, _ := c.Submit(start, testQuery) // no engine: it is held
 	if r := first[Reply](t, c.Close(start)); r.ID != held || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
 		t.Fatalf("%+v", r)
 	}
@@ -135,12 +135,12 @@
 
 func TestEnginesThatAreGoneAreTold(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
-	if gone, _ := c.UpdateEngines(start, true, []ListedEngine{engineLine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
+	if gone, _ := c.UpdateEngines(start, true, []ListedEngine{listedEngine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
 		t.Fatalf("a new whole list: %+v", gone)
 	}
 	reused := ListedEngine{Name: "c", Addr: "a:1", Zone: "z", Kind: "m", Health: policy.Ready}
-	if gone, _ := c.UpdateEngines(start, false, []ListedEngine{reused, engineLine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
+	if gone, _ := c.UpdateEngines(start, false, []ListedEngine{reused, listedEngine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
 		t.Fatalf("an address that changes hands: %+v", gone)
 	}
 }
@@ -148,8 +148,8 @@
 // Guards against a list that grows with every deploy.
 func TestEnginesLongGoneAreForgotten(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Gone), engineLine("b", policy.Ready)})
-	c.UpdateEngines(start+goneFor+time.Second, false, []ListedEngine{engineLine("b", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Gone), listedEngine("b", policy.Ready)})
+	c.UpdateEngines(start+goneRetention+time.Second, false, []ListedEngine{listedEngine("b", policy.Ready)})
 	if len(c.engines) != 1 {
 		t.Fatalf("%d engines are known", len(c.engines))
 	}
@@ -193,7 +193,7 @@
 			}
 		}
 		carryRoster := func(_ []Engine, actions []Action) { carry(actions) }
-		carryRoster(c.UpdateEngines(now, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)}))
+		carryRoster(c.UpdateEngines(now, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)}))
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
 			now += time.Duration(rapid.IntRange(0, 700).Draw(rt, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(rt, "event") {
@@ -206,7 +206,7 @@
 				carry(c.TimerFired(now, 1<<63))
 			case 3:
 				health := policy.Health(rapid.IntRange(0, 2).Draw(rt, "health"))
-				carryRoster(c.UpdateEngines(now, false, []ListedEngine{engineLine(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "engine"), health)}))
+				carryRoster(c.UpdateEngines(now, false, []ListedEngine{listedEngine(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "engine"), health)}))
 			case 4:
 				if len(ids) > 0 {
 					id := rapid.SampledFrom(ids).Draw(rt, "leaves")
@@ -240,7 +240,7 @@
 				c.AttemptEnded(now, id, out[id][0], policy.Cancelled, nil)
 			}
 		}
-		if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 || len(c.requests) != 0 || len(c.names) != 0 || keep.Broken() != 0 {
+		if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 || len(c.requests) != 0 || len(c.activeNames) != 0 || keep.Broken() != 0 {
 			rt.Fatalf("left: %d open, %d out, %d known; %d broken", c.PendingRequests(), c.AttemptsInFlight(), len(c.requests), keep.Broken())
 		}
 	})
@@ -251,8 +251,8 @@
 // of the first is open or out.
 func TestANameIsTakenWhileItsRequestLasts(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	named := ask
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	named := testQuery
 	named.Name = "9b1f"
 	id, _ := c.Submit(start, named)
 	c.MaySend(start, id, 0, false)
@@ -274,8 +274,8 @@
 // attempt only as the module allows, and never to an engine that drains.
 func TestSentAgainAsTheModuleAllows(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, _ := c.Submit(start, ask)
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, _ := c.Submit(start, testQuery)
 	sent := 0
 	for ok := true; ok; sent++ {
 		_, ok = c.MaySend(start+time.Millisecond, id, 0, sent > 0)
@@ -283,9 +283,9 @@
 	if sent != 5 { // four attempts are permitted, and the fifth try is not allowed
 		t.Errorf("asked %d times until it was denied", sent)
 	}
-	id, _ = c.Submit(start+time.Second, ask)
+	id, _ = c.Submit(start+time.Second, testQuery)
 	c.MaySend(start+time.Second, id, 0, false)
-	c.UpdateEngines(start+time.Second, false, []ListedEngine{engineLine("a", policy.Draining)})
+	c.UpdateEngines(start+time.Second, false, []ListedEngine{listedEngine("a", policy.Draining)})
 	if _, ok := c.MaySend(start+time.Second, id, 0, true); ok {
 		t.Error("sent again to an engine that drains")
 	}
@@ -294,14 +294,14 @@
 // What is counted by class is what a staged change is judged by: each answer once, by its class and its aim.
 func TestCountsByClass(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	for _, took := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second} {
-		id, _ := c.Submit(start, ask)
+		id, _ := c.Submit(start, testQuery)
 		c.MaySend(start, id, 0, false)
 		c.AttemptEnded(start+took, id, 0, policy.OK, nil)
 	}
 	c.Submit(start, Query{Class: 7, Remaining: time.Second}) // of no class: fails, and counts nowhere
-	id, _ := c.Submit(start, ask)
+	id, _ := c.Submit(start, testQuery)
 	c.Cancel(start, id)
 	c.Submit(start, Query{Class: 1, Remaining: time.Millisecond})
 	want := ClassCounts{Taken: 4, InTime: 2, Late: 1, Fast: 1}
@@ -320,7 +320,7 @@
 	const window = 12 * time.Second
 	for late, want := range map[time.Duration]bool{0: true, 10 * time.Millisecond: true, time.Second: false} {
 		c, _ := newCore(t)
-		c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready), engineLine("b", policy.Ready)})
+		c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
 		id, actions := c.Submit(start, Query{Class: 1, Key: 7, Remaining: 20 * time.Second})
 		s := first[Start](t, actions)
 		if _, ok := c.MaySend(start, id, s.Attempt, false); !ok {
@@ -337,9 +337,9 @@
 // After the last word of a stop nothing is taken any more that nobody would see through: it is refused at once.
 func TestWhatComesAfterCloseIsRefused(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	c.Close(start)
-	_, actions := c.Submit(start, ask)
+	_, actions := c.Submit(start, testQuery)
 	if r := first[Reply](t, actions); r.Verdict != Rejected || len(actions) != 1 {
 		t.Fatalf("%+v", actions)
 	}
@@ -349,10 +349,10 @@
 // connection to its former address is made, and addresses change hands.
 func TestAddressIsLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
-	id, actions := c.Submit(start, ask)
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, actions := c.Submit(start, testQuery)
 	s := first[Start](t, actions)
-	moved := engineLine("a", policy.Ready)
+	moved := listedEngine("a", policy.Ready)
 	moved.Addr = "elsewhere:1"
 	c.UpdateEngines(start, false, []ListedEngine{moved})
 	if _, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); ok {
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -1,34 +1,66 @@
 package core
 
-// ClassCounts is what happened to one class so far: how a version of the program does.
+import "time"
+
+// ClassCounts counts the requests and attempts of one class since the start. A rollout judges a version by them.
 type ClassCounts struct {
-	Taken   uint64
-	InTime  uint64 // served within the aim
+	Taken   uint64 // submitted
+	InTime  uint64 // served within the latency objective
 	Late    uint64 // served after it
-	Refused uint64
-	Failed  uint64
-	Fast    uint64 // served within a quarter of the aim
-	Further uint64 // attempts beyond a request's first
+	Refused uint64 // rejected
+	Failed  uint64 // without a complete response, for any other reason than a rejection
+	Fast    uint64 // of InTime: served within a quarter of the latency objective
+	Further uint64 // attempts after a request's first
 }
 
-// fastShare is the share of the aim within which an answer counts as fast: a version that is slower shows there first.
-const fastShare = 4
+// fastFraction divides the latency objective: a reply within that part of it counts as fast. A slower version of the
+// program shows there before its replies are late.
+const fastFraction = 4
 
-// Counts is what happened so far, for the log.
+// Counts counts requests and attempts since the start, for the log. Left are requests that their clients cancelled;
+// Further are attempts after a request's first.
 type Counts struct {
 	Taken, Served, Refused, Failed, Left, Attempts, Further int
 }
 
-// Counts tells what happened so far.
+// Counts returns the counts since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// ByClass tells what happened to each class so far; the list is the Core's own.
-func (c *Core) ByClass() []ClassCounts { return c.byClass }
+// ByClass returns the counts of each class since the start. The caller must not change or keep the slice.
+func (c *Core) ByClass() []ClassCounts { return c.countsByClass }
 
-// classOf is what is counted of a request's class; one of no class counts nowhere.
-func (c *Core) classOf(r *request) *ClassCounts {
-	if r.class < 0 || r.class >= len(c.byClass) {
+// classCounts returns the counts of a request's class. A request of an unknown class is counted nowhere.
+func (c *Core) classCounts(r *request) *ClassCounts {
+	if r.class < 0 || r.class >= len(c.countsByClass) {
 		return &ClassCounts{}
 	}
-	return &c.byClass[r.class]
+	return &c.countsByClass[r.class]
+}
+
+// countReply counts a final reply that took so long from the submission.
+func (c *Core) countReply(r *request, v Verdict, took time.Duration) {
+	class := c.classCounts(r)
+	switch v {
+	case Served:
+		c.counts.Served++
+		class.countServed(took, r.objective)
+	case Rejected:
+		c.counts.Refused++
+		class.Refused++
+	default:
+		c.counts.Failed++
+		class.Failed++
+	}
+}
+
+// countServed counts a served request by its latency.
+func (k *ClassCounts) countServed(took, objective time.Duration) {
+	if took > objective {
+		k.Late++
+		return
+	}
+	k.InTime++
+	if took <= objective/fastFraction {
+		k.Fast++
+	}
 }
--- a/internal/core/records_test.go
+++ b/internal/core/decisionlog_test.go
@@ -22,9 +22,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.UpdateEngines(start, true, []ListedEngine{engineLine("a", policy.Ready)})
+	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	for range 12 {
-		c.Submit(start, ask)
+		c.Submit(start, testQuery)
 	}
 	c.TimerFired(start+200*time.Millisecond, 0)
 	for _, want := range []string{`msg="attempt decided"`, "own=1", "age_ms=-1", `msg="request held"`, "held_ms=200", "engines="} {
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -8,26 +8,26 @@
 	"frostpier/policy"
 )
 
-// Engine is an engine of the list.
+// Engine is an engine that the engine list names.
 type Engine struct {
 	ID        policy.EngineID
-	Name      string // its name in the list, the same after a restart of its process
+	Name      string // name in the list; it survives restarts of the engine
 	Addr      string
 	Health    policy.Health
-	updatedAt time.Duration     // when a list last named it
-	info      policy.EngineInfo // as last listed, but for the health
+	updatedAt time.Duration     // when a list named it last
+	info      policy.EngineInfo // as listed last, except for the health
 }
 
-// listed is the current list entry of the engine.
+// listed returns the engine's current entry in the list.
 func (e *Engine) listed() policy.EngineInfo {
 	info := e.info
 	info.Health = e.Health
 	return info
 }
 
-// goneFor is how long an engine that has gone stays known: longer than a client waits for an attempt there. Where
-// engines are replaced all the time, what is kept of each adds up.
-const goneFor = 30 * time.Second
+// goneRetention is how long a gone engine stays known: longer than any client waits for an attempt there, but bounded,
+// as otherwise the state would grow with every engine that is replaced.
+const goneRetention = 30 * time.Second
 
 // ListedEngine is an entry of the engine list.
 type ListedEngine struct {
@@ -38,45 +38,72 @@
 	Started                time.Duration // since the Unix epoch; 0 = long ago
 }
 
-// UpdateEngines applies an engine list, the full one or only its changes. It returns the engines that have gone.
-func (c *Core) UpdateEngines(now time.Duration, whole bool, lines []ListedEngine) (gone []Engine, actions []Action) {
+// UpdateEngines applies an engine list: the full one, or only the entries that changed. It returns the engines that are
+// gone or have another address now; connections to their former processes are of no more use.
+func (c *Core) UpdateEngines(now time.Duration, full bool, entries []ListedEngine) (gone []Engine, actions []Action) {
 	list := policy.EngineList{Kind: policy.ListDelta}
-	if whole {
+	if full {
 		list.Kind = policy.ListFull
-		for id, e := range c.engines {
-			named := slices.ContainsFunc(lines, func(l ListedEngine) bool { return engineID(l.Name) == id })
-			if !named && e.Health != policy.Gone {
-				e.Health, e.updatedAt = policy.Gone, now
-				gone = append(gone, *e)
-			}
-		}
+		gone = c.removeUnlisted(now, entries)
 	}
-	for _, l := range lines {
-		id := engineID(l.Name)
-		e := c.engines[id]
-		if e == nil {
-			e = &Engine{ID: id, Name: l.Name}
-			c.engines[id] = e
-		}
-		if l.Health == policy.Gone && e.Health != policy.Gone || e.Addr != "" && e.Addr != l.Addr {
-			gone = append(gone, *e) // connections to the old process or address are of no more use
+	for _, entry := range entries {
+		e := c.engineNamed(entry.Name)
+		wentAway := entry.Health == policy.Gone && e.Health != policy.Gone
+		moved := e.Addr != "" && e.Addr != entry.Addr
+		if wentAway || moved {
+			gone = append(gone, *e)
 		}
-		e.Addr, e.Health, e.updatedAt = l.Addr, l.Health, now
-		e.info = policy.EngineInfo{ID: id, Zone: place(c.host.Zones, l.Zone), Kind: place(c.host.Models, l.Kind), Cell: l.Cell,
-			Health: l.Health, Scale: l.Weight, Started: l.Started}
+		c.updateEngine(now, e, entry)
 		list.Engines = append(list.Engines, e.info)
 	}
+	c.forgetGoneEngines(now)
+	actions = c.dispatchList(now, list)
+	c.updateSharedEngines()
+	return gone, actions
+}
+
+// removeUnlisted marks the engines that a full list lacks as gone, and returns them.
+func (c *Core) removeUnlisted(now time.Duration, entries []ListedEngine) (gone []Engine) {
 	for id, e := range c.engines {
-		if e.Health == policy.Gone && now-e.updatedAt > goneFor {
+		named := slices.ContainsFunc(entries, func(entry ListedEngine) bool { return engineID(entry.Name) == id })
+		if !named && e.Health != policy.Gone {
+			e.Health, e.updatedAt = policy.Gone, now
+			gone = append(gone, *e)
+		}
+	}
+	return gone
+}
+
+// engineNamed returns the engine with this name and adds it if it is not known.
+func (c *Core) engineNamed(name string) *Engine {
+	id := engineID(name)
+	e := c.engines[id]
+	if e == nil {
+		e = &Engine{ID: id, Name: name}
+		c.engines[id] = e
+	}
+	return e
+}
+
+// updateEngine sets an engine to what the list says of it.
+func (c *Core) updateEngine(now time.Duration, e *Engine, entry ListedEngine) {
+	e.Addr, e.Health, e.updatedAt = entry.Addr, entry.Health, now
+	e.info = policy.EngineInfo{
+		ID: e.ID, Zone: indexOf(c.host.Zones, entry.Zone), Kind: indexOf(c.host.Models, entry.Kind), Cell: entry.Cell,
+		Health: entry.Health, Scale: entry.Weight, Started: entry.Started,
+	}
+}
+
+// forgetGoneEngines removes the engines that have been gone for goneRetention.
+func (c *Core) forgetGoneEngines(now time.Duration) {
+	for id, e := range c.engines {
+		if e.Health == policy.Gone && now-e.updatedAt > goneRetention {
 			delete(c.engines, id)
 		}
 	}
-	actions = c.dispatchList(now, list)
-	c.updateShared()
-	return gone, actions
 }
 
-// ListedEngines returns how many engines the list names that have not gone.
+// ListedEngines returns how many engines are listed and not gone.
 func (c *Core) ListedEngines() (engines int) {
 	for _, e := range c.engines {
 		if e.Health != policy.Gone {
@@ -86,15 +113,16 @@
 	return engines
 }
 
-// place finds a name; one that the settings lack gets a number past their end, which matches nothing.
-func place(names []string, name string) int {
+// indexOf returns the index of a name. A name that the settings lack gets an index past their end, which matches nothing.
+func indexOf(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
 	}
 	return len(names)
 }
 
-// engineID is the same for a name at every gateway, as the module's agreement on turns and homes needs.
+// engineID derives an engine's ID from its name, so that all gateways agree on it: they order engines and choose home
+// engines by ID.
 func engineID(name string) policy.EngineID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- /dev/null
+++ b/internal/core/loadreports.go
@@ -0,0 +1,65 @@
+package core
+
+import (
+	"time"
+
+	"frostpier/internal/control/loadreport"
+	"frostpier/policy"
+)
+
+// Field is one value of an engine's load report, under the name that the settings give it.
+type Field struct {
+	Name  string
+	Value float64
+}
+
+// inflightField is the load report field that gateways share: how many queries run at the engine.
+const inflightField = "inflight"
+
+// ShareLoadReports has the gateway publish and receive load reports. It must be called before the first event.
+func (c *Core) ShareLoadReports(d *loadreport.Digest) { c.loadReports = d }
+
+// EngineNumber returns the number that identifies the engine with this name in load reports.
+func EngineNumber(name string) uint64 { return uint64(engineID(name)) }
+
+// updateSharedEngines sets the engines whose load reports are shared: those that are ready and that the gateway uses.
+func (c *Core) updateSharedEngines() {
+	if c.loadReports == nil {
+		return
+	}
+	var numbers []uint64
+	for id, e := range c.engines {
+		if e.Health == policy.Ready && c.inSubset(e) {
+			numbers = append(numbers, uint64(id))
+		}
+	}
+	c.loadReports.SetEngines(numbers)
+}
+
+// recordLoad records the load that a response reported.
+func (c *Core) recordLoad(now time.Duration, engine policy.EngineID, fields []Field) {
+	if c.loadReports == nil {
+		return
+	}
+	for _, f := range fields {
+		if f.Name == inflightField {
+			c.loadReports.Record(now, uint64(engine), int(f.Value))
+		}
+	}
+}
+
+// ReceiveLoadReports handles a message of another gateway: it hands the module the load reports that are newer than the
+// known ones.
+func (c *Core) ReceiveLoadReports(now time.Duration, body []byte) []Action {
+	if c.loadReports == nil {
+		return nil
+	}
+	var reports []policy.PeerReport
+	for _, r := range c.loadReports.Receive(now, body) {
+		reports = append(reports, policy.PeerReport{Engine: policy.EngineID(r.Engine), Inflight: float64(r.Load), ReportedAt: r.At})
+	}
+	if len(reports) == 0 {
+		return nil
+	}
+	return c.dispatch(now, policy.PeerReports{Reports: reports})
+}
--- a/internal/core/subset_bench_test.go
+++ b/internal/core/subset_bench_test.go
@@ -17,13 +17,13 @@
 
 // The fleet that the benchmark's gateway belongs to, and what it has to do.
 const (
-	benchGateways = 800
-	benchZones    = 7
-	benchGroups   = 200
-	benchOut      = 40                     // attempts out at a time
-	benchTook     = 100 * time.Millisecond // each
-	benchBeat     = 20 * time.Millisecond  // the module's timer
-	benchSubset   = 80
+	benchGateways      = 800
+	benchZones         = 7
+	benchGroups        = 200
+	benchInFlight      = 40                     // attempts out at a time
+	benchDuration      = 100 * time.Millisecond // each
+	benchTimerInterval = 20 * time.Millisecond  // the module's timer
+	benchSubset        = 80
 )
 
 // benchCore makes a gateway before so many engines, in zones, with a subset if wanted.
@@ -55,7 +55,7 @@
 	}
 	var lines []ListedEngine
 	for i := range engines {
-		line := engineLine(fmt.Sprintf("e%04d", i), policy.Ready)
+		line := listedEngine(fmt.Sprintf("e%04d", i), policy.Ready)
 		line.Zone = host.Zones[i%benchZones]
 		lines = append(lines, line)
 	}
@@ -69,17 +69,17 @@
 		for _, narrowed := range []bool{false, true} {
 			b.Run(fmt.Sprintf("engines=%d/subset=%t", engines, narrowed), func(b *testing.B) {
 				c := benchCore(b, engines, narrowed)
-				p := &benchPlay{core: c, now: start}
+				p := &benchLoad{core: c, now: start}
 				for range 4000 {
-					p.one()
+					p.step()
 				}
 				b.ResetTimer()
 				began := processorTime(b)
 				for range b.N {
-					p.one()
+					p.step()
 				}
 				b.ReportMetric(float64(processorTime(b)-began)/float64(b.N), "cpu-ns/op")
-				b.ReportMetric(float64(p.held)/float64(p.asked), "held/op")
+				b.ReportMetric(float64(p.waiting)/float64(p.submitted), "held/op")
 				_, used := c.SubsetSize()
 				b.ReportMetric(float64(used), "engines")
 			})
@@ -87,39 +87,39 @@
 	}
 }
 
-// benchPlay keeps attempts out, each for its time.
-type benchPlay struct {
-	core        *Core
-	now, beaten time.Duration
-	out         []Start
-	due         []time.Duration // when each ends
-	asked, held int
+// benchLoad keeps attempts out, each for its time.
+type benchLoad struct {
+	core               *Core
+	now, timerFiredAt  time.Duration
+	inFlight           []Start
+	endsAt             []time.Duration // when each ends
+	submitted, waiting int
 }
 
-// one takes a request and ends the attempts whose time has come.
-func (p *benchPlay) one() {
-	p.now += benchTook / benchOut
-	p.asked++
-	_, actions := p.core.Submit(p.now, Query{Remaining: 4 * time.Second, TableGroup: p.asked * 7919 % benchGroups, EstimatedWork: benchTook})
+// step takes a request and ends the attempts whose time has come.
+func (p *benchLoad) step() {
+	p.now += benchDuration / benchInFlight
+	p.submitted++
+	_, actions := p.core.Submit(p.now, Query{Remaining: 4 * time.Second, TableGroup: p.submitted * 7919 % benchGroups, EstimatedWork: benchDuration})
 	if len(starts(actions)) == 0 {
-		p.held++
+		p.waiting++
 	}
-	p.carry(actions)
-	for len(p.due) > 0 && p.due[0] <= p.now {
-		s := p.out[0]
-		p.out, p.due = p.out[1:], p.due[1:]
-		p.carry(p.core.AttemptEnded(p.now, s.ID, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 20}}))
+	p.execute(actions)
+	for len(p.endsAt) > 0 && p.endsAt[0] <= p.now {
+		s := p.inFlight[0]
+		p.inFlight, p.endsAt = p.inFlight[1:], p.endsAt[1:]
+		p.execute(p.core.AttemptEnded(p.now, s.ID, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 20}}))
 	}
-	if p.now-p.beaten >= benchBeat {
-		p.beaten = p.now
-		p.carry(p.core.TimerFired(p.now, 1<<63))
+	if p.now-p.timerFiredAt >= benchTimerInterval {
+		p.timerFiredAt = p.now
+		p.execute(p.core.TimerFired(p.now, 1<<63))
 	}
 }
 
-func (p *benchPlay) carry(actions []Action) {
+func (p *benchLoad) execute(actions []Action) {
 	for _, s := range starts(actions) {
 		p.core.MaySend(p.now, s.ID, s.Attempt, false)
-		p.out, p.due = append(p.out, s), append(p.due, p.now+benchTook)
+		p.inFlight, p.endsAt = append(p.inFlight, s), append(p.endsAt, p.now+benchDuration)
 	}
 }
 
@@ -137,7 +137,7 @@
 		gateways = slices.Clone(gateways)
 		gateways[17].InService = i%2 == 1
 		c.SetGateways(now, gateways)
-		line := engineLine("e0007", health[i%2])
+		line := listedEngine("e0007", health[i%2])
 		line.Zone = "z0"
 		c.UpdateEngines(now, false, []ListedEngine{line})
 		c.TickSubset(now)
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -21,19 +21,19 @@
 	subsetEngines  = 48
 )
 
-// recorder keeps the events that the decision module is told.
-type recorder struct {
+// eventRecorder keeps the events that the decision module is told.
+type eventRecorder struct {
 	*policy.Gateway
 	events []policy.Event
 }
 
-func (r *recorder) Handle(now time.Duration, event policy.Event) []policy.Action {
+func (r *eventRecorder) Handle(now time.Duration, event policy.Event) []policy.Action {
 	r.events = append(r.events, event)
 	return r.Gateway.Handle(now, event)
 }
 
-// lastTold is what the module was last told of an engine.
-func (r *recorder) lastTold(id policy.EngineID) (info policy.EngineInfo, known bool) {
+// lastSent is what the module was last told of an engine.
+func (r *eventRecorder) lastSent(id policy.EngineID) (info policy.EngineInfo, known bool) {
 	for _, event := range r.events {
 		if list, ok := event.(policy.EngineList); ok {
 			if list.Kind == policy.ListFull { // those that it lacks have gone
@@ -49,8 +49,8 @@
 	return info, known
 }
 
-// newFleetCore makes the core of one of several gateways, and records what its module is told.
-func newFleetCore(t testing.TB) (*Core, *recorder, *invariant.Keeper) {
+// newRecordedCore makes the core of one of several gateways, and records what its module is told.
+func newRecordedCore(t testing.TB) (*Core, *eventRecorder, *invariant.Keeper) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	keep := invariant.New(log)
@@ -62,12 +62,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	module, ok := c.gateway.(*policy.Gateway)
+	module, ok := c.module.(*policy.Gateway)
 	if !ok {
 		t.Fatal("no module")
 	}
-	recorded := &recorder{Gateway: module}
-	c.gateway = recorded
+	recorded := &eventRecorder{Gateway: module}
+	c.module = recorded
 	return c, recorded, keep
 }
 
@@ -94,11 +94,11 @@
 	return out
 }
 
-func name(i int) string { return fmt.Sprintf("e%02d", i) }
+func engineNameAt(i int) string { return fmt.Sprintf("e%02d", i) }
 
-func wholeList() (lines []ListedEngine) {
+func fullList() (lines []ListedEngine) {
 	for i := range subsetEngines {
-		lines = append(lines, engineLine(name(i), policy.Ready))
+		lines = append(lines, listedEngine(engineNameAt(i), policy.Ready))
 	}
 	return lines
 }
@@ -113,11 +113,11 @@
 	return out
 }
 
-// outside is an engine of the list that the subset lacks, and inside one that it has.
-func outside(t testing.TB, c *Core) (out, in *Engine) {
+// engineOutsideAndInside is an engine of the list that the subset lacks, and inside one that it has.
+func engineOutsideAndInside(t testing.TB, c *Core) (out, in *Engine) {
 	t.Helper()
 	for i := range subsetEngines {
-		e := c.engines[engineID(name(i))]
+		e := c.engines[engineID(engineNameAt(i))]
 		if c.inSubset(e) {
 			in = e
 		} else {
@@ -133,8 +133,8 @@
 // While the subset is the whole list the module is told the very same events, in the same order, as without one.
 func TestWholeSubsetChangesNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		plain, plainTold, _ := newFleetCore(t)
-		with, withTold, _ := newFleetCore(t)
+		plain, plainTold, _ := newRecordedCore(t)
+		with, withTold, _ := newRecordedCore(t)
 		large := subsetConfig()
 		large.Least = subsetEngines
 		now, open := start, map[ID]int{}
@@ -152,7 +152,7 @@
 				whole := rapid.Bool().Draw(rt, "whole")
 				var lines []ListedEngine
 				for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 0, 6, rapid.ID).Draw(rt, "engines") {
-					lines = append(lines, engineLine(name(i), policy.Health(rapid.IntRange(0, 2).Draw(rt, "health"))))
+					lines = append(lines, listedEngine(engineNameAt(i), policy.Health(rapid.IntRange(0, 2).Draw(rt, "health"))))
 				}
 				both("list", func(c *Core) any {
 					_, actions := c.UpdateEngines(now, whole, lines)
@@ -160,7 +160,7 @@
 				})
 			case 1, 2:
 				both("take", func(c *Core) any {
-					id, actions := c.Submit(now, ask)
+					id, actions := c.Submit(now, testQuery)
 					open[id] = 0
 					return actions
 				})
@@ -174,7 +174,7 @@
 					ends := rapid.Bool().Draw(rt, "ends")
 					both("end", func(c *Core) any {
 						r := c.requests[id]
-						if r == nil || r.out == 0 || !ends {
+						if r == nil || r.inFlight == 0 || !ends {
 							return nil
 						}
 						return c.AttemptEnded(now, id, len(r.attempts)-1, policy.NoConnection, nil)
@@ -198,11 +198,11 @@
 // An engine that leaves the subset gets nothing new; what is out there ends as it would have, and is answered once; then the
 // module may forget the engine, and connections to it end.
 func TestEngineLeavesWhileAttemptsAreOut(t *testing.T) {
-	c, told, keep := newFleetCore(t)
-	c.UpdateEngines(start, true, wholeList())
+	c, told, keep := newRecordedCore(t)
+	c.UpdateEngines(start, true, fullList())
 	var out []Start
 	for range 40 {
-		_, actions := c.Submit(start, ask)
+		_, actions := c.Submit(start, testQuery)
 		for _, s := range starts(actions) {
 			if _, ok := c.MaySend(start, s.ID, s.Attempt, false); !ok {
 				t.Fatal("not sent")
@@ -217,7 +217,7 @@
 	}
 	left := 0
 	for _, s := range out {
-		info, _ := told.lastTold(s.Engine.ID)
+		info, _ := told.lastSent(s.Engine.ID)
 		inside := c.inSubset(c.engines[s.Engine.ID])
 		if !inside && info.Health != policy.Draining || inside && info.Health != policy.Ready {
 			t.Fatalf("inside the subset: %t, told as %v while an attempt is out", inside, info.Health)
@@ -236,7 +236,7 @@
 		if replies != 1 {
 			t.Fatalf("%d answers", replies)
 		}
-		if info, _ = told.lastTold(s.Engine.ID); !inside && c.outAt[s.Engine.ID] == 0 {
+		if info, _ = told.lastSent(s.Engine.ID); !inside && c.inFlightByEngine[s.Engine.ID] == 0 {
 			left++
 			if info.Health != policy.Gone || disconnects != 1 {
 				t.Errorf("after the last attempt told as %v, %d disconnects", info.Health, disconnects)
@@ -247,7 +247,7 @@
 		t.Fatal("no engine with an attempt out has left")
 	}
 	for range 300 {
-		_, actions := c.Submit(start+time.Second, ask)
+		_, actions := c.Submit(start+time.Second, testQuery)
 		for _, s := range starts(actions) {
 			if !c.inSubset(c.engines[s.Engine.ID]) {
 				t.Fatalf("a new attempt to %s, which has left", s.Engine.Name)
@@ -263,50 +263,50 @@
 // What the list says of an engine of the subset reaches the module and the last look before the first byte at once; of another
 // engine the module never hears.
 func TestDrainsPassThrough(t *testing.T) {
-	c, told, _ := newFleetCore(t)
+	c, told, _ := newRecordedCore(t)
 	c.UseSubset(start, newChooser(t, subsetConfig()))
 	c.SetGateways(start, allGateways(subsetGateways))
-	c.UpdateEngines(start, true, wholeList())
-	other, own := outside(t, c)
-	drains := []ListedEngine{engineLine(other.Name, policy.Draining), engineLine(own.Name, policy.Draining)}
+	c.UpdateEngines(start, true, fullList())
+	other, own := engineOutsideAndInside(t, c)
+	drains := []ListedEngine{listedEngine(other.Name, policy.Draining), listedEngine(own.Name, policy.Draining)}
 	c.UpdateEngines(start+time.Second, false, drains)
-	if info, known := told.lastTold(own.ID); !known || info.Health != policy.Draining {
+	if info, known := told.lastSent(own.ID); !known || info.Health != policy.Draining {
 		t.Errorf("the module holds an engine that drains as %+v", info)
 	}
-	if info, known := told.lastTold(other.ID); known {
+	if info, known := told.lastSent(other.ID); known {
 		t.Errorf("the module was told of an engine outside the subset: %+v", info)
 	}
-	_, actions := c.Submit(start+time.Second, ask)
+	_, actions := c.Submit(start+time.Second, testQuery)
 	s := first[Start](t, actions)
-	c.UpdateEngines(start+time.Second, false, []ListedEngine{engineLine(s.Engine.Name, policy.Draining)})
+	c.UpdateEngines(start+time.Second, false, []ListedEngine{listedEngine(s.Engine.Name, policy.Draining)})
 	if _, ok := c.MaySend(start+time.Second, s.ID, s.Attempt, false); ok {
 		t.Error("a draining engine gets new work")
 	}
-	c.UpdateEngines(start+2*time.Second, true, []ListedEngine{engineLine(other.Name, policy.Ready)})
-	if info, _ := told.lastTold(own.ID); info.Health != policy.Gone {
+	c.UpdateEngines(start+2*time.Second, true, []ListedEngine{listedEngine(other.Name, policy.Ready)})
+	if info, _ := told.lastSent(own.ID); info.Health != policy.Gone {
 		t.Errorf("the module holds an engine that a whole list lacks as %+v", info)
 	}
 }
 
 // An engine that enters while it warms up is told as what it is, so that the cold budget holds there.
 func TestEngineEntersCold(t *testing.T) {
-	c, told, _ := newFleetCore(t)
+	c, told, _ := newRecordedCore(t)
 	c.UseSubset(start, newChooser(t, subsetConfig()))
 	c.SetGateways(start, allGateways(subsetGateways))
-	c.UpdateEngines(start, true, wholeList())
-	other, _ := outside(t, c)
-	line := engineLine(other.Name, policy.Ready)
+	c.UpdateEngines(start, true, fullList())
+	other, _ := engineOutsideAndInside(t, c)
+	line := listedEngine(other.Name, policy.Ready)
 	line.Started = start + time.Second
 	c.UpdateEngines(start+2*time.Second, false, []ListedEngine{line})
-	if _, known := told.lastTold(other.ID); known {
+	if _, known := told.lastSent(other.ID); known {
 		t.Fatal("it has entered already")
 	}
 	c.SetGateways(start+3*time.Second, allGateways(0)) // alone, this gateway works with every engine
-	info, known := told.lastTold(other.ID)
+	info, known := told.lastSent(other.ID)
 	if !known || info.Health != policy.Ready || info.Started != line.Started {
 		t.Errorf("told as %+v", info)
 	}
-	cold, warm := told.Estimate(start+3*time.Second, other.ID), told.Estimate(start+3*time.Second, engineID(name(0)))
+	cold, warm := told.Estimate(start+3*time.Second, other.ID), told.Estimate(start+3*time.Second, engineID(engineNameAt(0)))
 	if cold.Target >= warm.Target {
 		t.Errorf("a target of %g threads at the cold engine, %g at a warm one", cold.Target, warm.Target)
 	}
@@ -315,8 +315,8 @@
 // Targets are divided by the number of gateways that share the subset's engines; those whose subset is not known count as using
 // every engine.
 func TestSharersFollowHolders(t *testing.T) {
-	c, told, _ := newFleetCore(t)
-	c.UpdateEngines(start, true, wholeList())
+	c, told, _ := newRecordedCore(t)
+	c.UpdateEngines(start, true, fullList())
 	c.UseSubset(start, newChooser(t, subsetConfig()))
 	c.SetGateways(start, allGateways(subsetGateways))
 	sharers := func() (count int) {
@@ -347,14 +347,14 @@
 
 // Guards against tables that grow by every engine that ever was in the subset.
 func TestModuleForgetsEnginesThatLeft(t *testing.T) {
-	c, told, _ := newFleetCore(t)
-	c.UpdateEngines(start, true, wholeList())
+	c, told, _ := newRecordedCore(t)
+	c.UpdateEngines(start, true, fullList())
 	c.UseSubset(start, newChooser(t, subsetConfig()))
 	c.SetGateways(start, allGateways(subsetGateways))
 	for now := start; now < start+2*forgetDelay; now += time.Second {
 		c.TickSubset(now)
 	}
-	other, own := outside(t, c)
+	other, own := engineOutsideAndInside(t, c)
 	if look := told.Estimate(start+2*forgetDelay, other.ID); look.Limit != 0 {
 		t.Errorf("still known: %+v", look)
 	}
@@ -367,62 +367,62 @@
 // engine that is not ready or outside the subset, and nothing left behind.
 func TestAnyOrderOfEventsWithSubsets(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c, told, keep := newFleetCore(t)
-		p := &subsetPlay{t: rt, core: c, now: start, answered: map[ID]int{}, out: map[ID]Start{}}
-		p.list(true, wholeList())
+		c, told, keep := newRecordedCore(t)
+		p := &subsetModelRun{t: rt, core: c, now: start, answered: map[ID]int{}, inFlight: map[ID]Start{}}
+		p.updateEngines(true, fullList())
 		for range rapid.IntRange(1, 80).Draw(rt, "events") {
 			p.now += time.Duration(rapid.IntRange(0, 1200).Draw(rt, "ms")) * time.Millisecond
 			p.step(t)
 		}
-		p.carry(c.Close(p.now))
+		p.execute(c.Close(p.now))
 		for _, id := range p.ids {
 			if p.answered[id] != 1 {
 				rt.Fatalf("request %d has %d answers", id, p.answered[id])
 			}
-			if s, isOut := p.out[id]; isOut {
+			if s, isOut := p.inFlight[id]; isOut {
 				c.AttemptEnded(p.now, id, s.Attempt, policy.Cancelled, nil)
 			}
 		}
-		if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 || len(c.requests) != 0 || len(c.outAt) != 0 || keep.Broken() != 0 {
-			rt.Fatalf("left: %d open, %d out, %d known, %v; %d broken", c.PendingRequests(), c.AttemptsInFlight(), len(c.requests), c.outAt, keep.Broken())
+		if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 || len(c.requests) != 0 || len(c.inFlightByEngine) != 0 || keep.Broken() != 0 {
+			rt.Fatalf("left: %d open, %d out, %d known, %v; %d broken", c.PendingRequests(), c.AttemptsInFlight(), len(c.requests), c.inFlightByEngine, keep.Broken())
 		}
-		p.carry(c.UseSubset(p.now, nil))
+		p.execute(c.UseSubset(p.now, nil))
 		for id, e := range c.engines {
-			if info, known := told.lastTold(id); !known && e.Health != policy.Gone || known && info.Health != e.Health {
+			if info, known := told.lastSent(id); !known && e.Health != policy.Gone || known && info.Health != e.Health {
 				rt.Fatalf("without a subset the module holds %s as %+v (%t), the list as %v", e.Name, info, known, e.Health)
 			}
 		}
 	})
 }
 
-// subsetPlay is one play of TestAnyOrderOfEventsWithSubsets.
-type subsetPlay struct {
+// subsetModelRun is one play of TestAnyOrderOfEventsWithSubsets.
+type subsetModelRun struct {
 	t        *rapid.T
 	core     *Core
 	now      time.Duration
 	ids      []ID
 	answered map[ID]int
-	out      map[ID]Start
+	inFlight map[ID]Start
 }
 
-func (p *subsetPlay) carry(actions []Action) {
+func (p *subsetModelRun) execute(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Start:
-			if _, isOut := p.out[a.ID]; isOut {
+			if _, isOut := p.inFlight[a.ID]; isOut {
 				p.t.Fatalf("request %d has two attempts out", a.ID)
 			}
 			e := p.core.engines[a.Engine.ID]
 			if e.Health != policy.Ready || !p.core.inSubset(e) {
 				p.t.Fatalf("an attempt to %+v, in the subset: %t", e, p.core.inSubset(e))
 			}
-			p.out[a.ID] = a
+			p.inFlight[a.ID] = a
 		case Reply:
 			if p.answered[a.ID]++; p.answered[a.ID] > 1 {
 				p.t.Fatalf("request %d is answered twice", a.ID)
 			}
 		case Disconnect:
-			for _, s := range p.out {
+			for _, s := range p.inFlight {
 				if s.Engine.ID == a.Engine {
 					p.t.Fatalf("disconnected from %s while an attempt is out there", s.Engine.Name)
 				}
@@ -431,37 +431,37 @@
 	}
 }
 
-func (p *subsetPlay) list(whole bool, lines []ListedEngine) {
+func (p *subsetModelRun) updateEngines(whole bool, lines []ListedEngine) {
 	_, actions := p.core.UpdateEngines(p.now, whole, lines)
-	p.carry(actions)
+	p.execute(actions)
 }
 
-func (p *subsetPlay) step(t *testing.T) {
+func (p *subsetModelRun) step(t *testing.T) {
 	c := p.core
 	switch rapid.IntRange(0, 9).Draw(p.t, "event") {
 	case 0, 1, 2:
-		id, actions := c.Submit(p.now, ask)
+		id, actions := c.Submit(p.now, testQuery)
 		p.ids = append(p.ids, id)
-		p.carry(actions)
+		p.execute(actions)
 	case 3:
-		p.carry(c.TimerFired(p.now, 1<<63))
+		p.execute(c.TimerFired(p.now, 1<<63))
 	case 4:
 		var lines []ListedEngine
 		for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, subsetEngines-1), 0, 12, rapid.ID).Draw(p.t, "engines") {
-			line := engineLine(name(i), policy.Health(rapid.IntRange(0, 2).Draw(p.t, "health")))
+			line := listedEngine(engineNameAt(i), policy.Health(rapid.IntRange(0, 2).Draw(p.t, "health")))
 			if rapid.Bool().Draw(p.t, "cold") {
 				line.Started = p.now
 			}
 			lines = append(lines, line)
 		}
-		p.list(rapid.IntRange(0, 9).Draw(p.t, "whole") == 0, lines)
+		p.updateEngines(rapid.IntRange(0, 9).Draw(p.t, "whole") == 0, lines)
 	case 5:
 		gateways := allGateways(rapid.IntRange(1, subsetGateways).Draw(p.t, "in service"))
 		gateways[rapid.IntRange(0, subsetGateways-1).Draw(p.t, "unknown")].Zone = -1
-		p.carry(c.InService(p.now, rapid.IntRange(1, subsetGateways).Draw(p.t, "count")))
-		p.carry(c.SetGateways(p.now, gateways))
+		p.execute(c.InService(p.now, rapid.IntRange(1, subsetGateways).Draw(p.t, "count")))
+		p.execute(c.SetGateways(p.now, gateways))
 	case 6:
-		p.carry(c.TickSubset(p.now))
+		p.execute(c.TickSubset(p.now))
 		if n := c.sharers(); n < 1 || n > subsetGateways {
 			p.t.Fatalf("%d sharers", n)
 		}
@@ -469,7 +469,7 @@
 		p.configure(t)
 	case 8, 9:
 		for _, id := range p.ids {
-			if s, isOut := p.out[id]; isOut && rapid.Bool().Draw(p.t, "ends") {
+			if s, isOut := p.inFlight[id]; isOut && rapid.Bool().Draw(p.t, "ends") {
 				p.end(s)
 			}
 		}
@@ -477,53 +477,53 @@
 }
 
 // configure has another part of the engines worked with, or all.
-func (p *subsetPlay) configure(t *testing.T) {
+func (p *subsetModelRun) configure(t *testing.T) {
 	config := subsetConfig()
 	config.Least = rapid.IntRange(1, subsetEngines).Draw(p.t, "least")
 	switch rapid.IntRange(0, 3).Draw(p.t, "change") {
 	case 0:
-		p.carry(p.core.UseSubset(p.now, nil))
+		p.execute(p.core.UseSubset(p.now, nil))
 	case 1:
 		actions, err := p.core.ConfigureSubset(p.now, config)
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		p.carry(actions)
+		p.execute(actions)
 	default:
-		p.carry(p.core.UseSubset(p.now, newChooser(t, config)))
-		p.carry(p.core.SetGateways(p.now, allGateways(subsetGateways)))
+		p.execute(p.core.UseSubset(p.now, newChooser(t, config)))
+		p.execute(p.core.SetGateways(p.now, allGateways(subsetGateways)))
 	}
 }
 
 // end ends an attempt in some way.
-func (p *subsetPlay) end(s Start) {
+func (p *subsetModelRun) end(s Start) {
 	outcome := rapid.SampledFrom([]policy.Outcome{policy.OK, policy.Error, policy.Rejected, policy.Reset}).Draw(p.t, "outcome")
 	if _, ok := p.core.MaySend(p.now, s.ID, s.Attempt, false); !ok {
 		outcome = policy.NotSent
 	}
-	delete(p.out, s.ID)
-	p.carry(p.core.AttemptEnded(p.now, s.ID, s.Attempt, outcome, nil))
+	delete(p.inFlight, s.ID)
+	p.execute(p.core.AttemptEnded(p.now, s.ID, s.Attempt, outcome, nil))
 }
 
 // The module is told which engines lie beyond the core of the subset and that it works with a part of the fleet's engines;
 // neither holds any more once the subset is lifted.
 func TestModuleKnowsOverflowEngines(t *testing.T) {
-	c, recorded, _ := newFleetCore(t)
+	c, recorded, _ := newRecordedCore(t)
 	chooser := newChooser(t, subsetConfig())
 	c.UseSubset(start, chooser)
-	c.UpdateEngines(start, true, wholeList())
+	c.UpdateEngines(start, true, fullList())
 	c.SetGateways(start, allGateways(subsetGateways))
 	var draining []ListedEngine
 	for i := range subsetEngines {
-		if chooser.Core(uint64(engineID(name(i)))) && len(draining) < 3 {
-			draining = append(draining, engineLine(name(i), policy.Draining))
+		if chooser.Core(uint64(engineID(engineNameAt(i)))) && len(draining) < 3 {
+			draining = append(draining, listedEngine(engineNameAt(i), policy.Draining))
 		}
 	}
 	c.UpdateEngines(start, false, draining) // others make up for them beyond the core
 	c.TickSubset(start + sharersInterval)
 	overflow := 0
 	for id := range c.engines {
-		info, known := recorded.lastTold(id)
+		info, known := recorded.lastSent(id)
 		if !known || info.Health != policy.Ready {
 			continue
 		}
@@ -534,16 +534,16 @@
 			overflow++
 		}
 	}
-	if overflow == 0 || !c.reportedService.Subset {
-		t.Fatalf("%d overflow engines, part of the fleet's: %v", overflow, c.reportedService.Subset)
+	if overflow == 0 || !c.sentInService.Subset {
+		t.Fatalf("%d overflow engines, part of the fleet's: %v", overflow, c.sentInService.Subset)
 	}
 	c.UseSubset(start+2*sharersInterval, nil)
 	for id := range c.engines {
-		if info, known := recorded.lastTold(id); !known || info.Overflow {
+		if info, known := recorded.lastSent(id); !known || info.Overflow {
 			t.Errorf("engine %x after the subset is lifted: %+v", id, info)
 		}
 	}
-	if c.reportedService.Subset {
+	if c.sentInService.Subset {
 		t.Error("part of the fleet's engines after the subset is lifted")
 	}
 }
