--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -6,37 +6,43 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"frostpier/internal/invariant"
 	"frostpier/internal/settings"
 	_ "frostpier/internal/testutil/fixedseed"
 	"frostpier/policy"
 )
 
+// start is the time at which the tests begin.
 const start = time.Duration(1_700_000_000) * time.Second
 
+// newCore returns the core of a single gateway with two classes, the second of which needs idempotency keys.
 func newCore(t testing.TB) (*Core, *invariant.Keeper) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	keep := invariant.New(log)
+	invariants := invariant.New(log)
 	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
 	keyed := class
 	keyed.Name, keyed.Idempotency, keyed.DedupWindow = "form-load", policy.IdempotentWithKey, 12*time.Second
-	host := settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"}, MaxOpen: 100,
-		Module: policy.Settings{Classes: []policy.Class{class, keyed}, Gateways: 1, Tick: 5 * time.Millisecond,
-			MayCancel: true, MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 8}}}}
-	c, err := New(host, 1, log, keep)
+	host := settings.Host{
+		ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"}, MaxOpen: 100,
+		Module: policy.Settings{
+			Classes: []policy.Class{class, keyed}, Gateways: 1, Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4,
+			Kinds: []policy.Kind{{Cores: 8}},
+		},
+	}
+	c, err := New(host, 1, log, invariants)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c, keep
+	return c, invariants
 }
 
+// listedEngine returns an entry of the engine list.
 func listedEngine(name string, h policy.Health) ListedEngine {
 	return ListedEngine{Name: name, Addr: name + ":1", Zone: "z", Kind: "m", Health: h, Weight: 1}
 }
 
+// first returns the first action of a type.
 func first[A Action](t testing.TB, actions []Action) A {
 	t.Helper()
 	for _, a := range actions {
@@ -44,13 +50,15 @@
 			return found
 		}
 	}
-	t.Fatalf("no such action in %+v", actions)
-	panic("unreachable")
+	var none A
+	t.Fatalf("no %T in %+v", none, actions)
+	return none
 }
 
+// testQuery is a query with the deadline of its class.
 var testQuery = Query{Remaining: 4 * time.Second}
 
-func TestServedOnce(t *testing.T) {
+func TestRequestServedOnce(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	id, actions := c.Submit(start, testQuery)
@@ -61,14 +69,17 @@
 	if r := first[Reply](t, c.AttemptEnded(start+time.Second, id, 0, policy.OK, nil)); r.Verdict != Served {
 		t.Fatalf("%+v", r)
 	}
-	if c.Cancel(start+time.Second, id) != nil || c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 {
-		t.Fatal("something is left of it")
+	if actions := c.Cancel(start+time.Second, id); actions != nil {
+		t.Fatalf("a cancellation after the reply: %+v", actions)
+	}
+	if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 {
+		t.Fatalf("%d requests pending, %d attempts in flight", c.PendingRequests(), c.AttemptsInFlight())
 	}
 }
 
-// Guards against work sent to an engine that was listed as draining while its connection was being dialled: the
-// grace of 2 s counts from the listing, not from the choice.
-func TestDrainIsLookedAtAgainAtTheFirstByte(t *testing.T) {
+// An engine that is listed as draining while its connection is being established gets no new work: the grace period of
+// 2 s starts with the listing, not with the selection of the engine.
+func TestMaySendDeniesDrainingEngine(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	id, _ := c.Submit(start, testQuery)
@@ -78,23 +89,24 @@
 	}
 }
 
-// Guards likewise against an attempt that goes out when nobody waits for it any more.
-func TestDeadlineAndClientAreLookedAtAgainAtTheFirstByte(t *testing.T) {
+// Nor does an attempt go out when nobody waits for its result any more.
+func TestMaySendDeniesAfterDeadlineOrCancel(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	late, _ := c.Submit(start, testQuery)
-	gone, _ := c.Submit(start, testQuery)
-	if _, ok := c.MaySend(start+4*time.Second, late, 0, false); ok {
-		t.Error("sent after the client's end")
+	expired, _ := c.Submit(start, testQuery)
+	cancelled, _ := c.Submit(start, testQuery)
+	if _, ok := c.MaySend(start+4*time.Second, expired, 0, false); ok {
+		t.Error("sent after the client's deadline")
 	}
-	first[Stop](t, c.Cancel(start, gone))
-	if _, ok := c.MaySend(start, gone, 0, false); ok {
-		t.Error("sent for a client that left")
+	first[Stop](t, c.Cancel(start, cancelled))
+	if _, ok := c.MaySend(start, cancelled, 0, false); ok {
+		t.Error("sent for a client that cancelled")
 	}
 }
 
-// Guards against an answer that has begun going on for a client that closed: the module calls off none of those.
-func TestLeavingMidAnswerStopsTheAttempt(t *testing.T) {
+// A started response is stopped when its client closes, although the module never cancels started responses. It stays in
+// flight until the engine confirms.
+func TestCancelStopsStartedResponse(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	id, _ := c.Submit(start, testQuery)
@@ -107,13 +119,13 @@
 		t.Fatal("still wanted")
 	}
 	if c.AttemptsInFlight() != 1 {
-		t.Fatal("not out any more before the engine confirmed")
+		t.Fatal("no longer in flight before the engine confirmed")
 	}
 	c.AttemptEnded(start, id, 0, policy.Cancelled, nil)
 }
 
-// Guards against a second attempt after the first row: the client would see rows of two.
-func TestNoFurtherAttemptAfterTheFirstRow(t *testing.T) {
+// After the first row there is no second attempt: the client would see the rows of both.
+func TestNoRetryAfterResponseStarted(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
 	id, _ := c.Submit(start, testQuery)
@@ -125,28 +137,28 @@
 	}
 }
 
-func TestCloseAnswersWhatIsOpen(t *testing.T) {
+func TestCloseRejectsPendingRequests(t *testing.T) {
 	c, _ := newCore(t)
-	held, _ := c.Submit(start, testQuery) // no engine: it is held
-	if r := first[Reply](t, c.Close(start)); r.ID != held || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
+	queued, _ := c.Submit(start, testQuery) // as there is no engine
+	if r := first[Reply](t, c.Close(start)); r.ID != queued || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
 		t.Fatalf("%+v", r)
 	}
 }
 
-func TestEnginesThatAreGoneAreTold(t *testing.T) {
+func TestUpdateEnginesReturnsGoneEngines(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
 	if gone, _ := c.UpdateEngines(start, true, []ListedEngine{listedEngine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
-		t.Fatalf("a new whole list: %+v", gone)
+		t.Fatalf("gone after a full list: %+v", gone)
 	}
 	reused := ListedEngine{Name: "c", Addr: "a:1", Zone: "z", Kind: "m", Health: policy.Ready}
 	if gone, _ := c.UpdateEngines(start, false, []ListedEngine{reused, listedEngine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
-		t.Fatalf("an address that changes hands: %+v", gone)
+		t.Fatalf("gone after an address was reused: %+v", gone)
 	}
 }
 
-// Guards against a list that grows with every deploy.
-func TestEnginesLongGoneAreForgotten(t *testing.T) {
+// The state must not grow with every engine that is replaced.
+func TestGoneEnginesAreForgotten(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Gone), listedEngine("b", policy.Ready)})
 	c.UpdateEngines(start+goneRetention+time.Second, false, []ListedEngine{listedEngine("b", policy.Ready)})
@@ -171,85 +183,9 @@
 	}
 }
 
-// Any legal order of events leaves one answer a request, one attempt out at a time, and nothing behind.
-func TestAnyOrderOfEvents(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		c, keep := newCore(t)
-		now, answered, out := start, map[ID]int{}, map[ID][]int{}
-		var ids []ID
-		carry := func(actions []Action) {
-			for _, a := range actions {
-				switch a := a.(type) {
-				case Start:
-					out[a.ID] = append(out[a.ID], a.Attempt)
-					if len(out[a.ID]) > 1 {
-						rt.Fatalf("request %d has attempts %v out", a.ID, out[a.ID])
-					}
-				case Reply:
-					if answered[a.ID]++; answered[a.ID] > 1 {
-						rt.Fatalf("request %d is answered twice", a.ID)
-					}
-				}
-			}
-		}
-		carryRoster := func(_ []Engine, actions []Action) { carry(actions) }
-		carryRoster(c.UpdateEngines(now, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)}))
-		for range rapid.IntRange(1, 60).Draw(rt, "events") {
-			now += time.Duration(rapid.IntRange(0, 700).Draw(rt, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 5).Draw(rt, "event") {
-			case 0, 1:
-				id, actions := c.Submit(now, Query{Class: rapid.IntRange(0, 1).Draw(rt, "class"), Remaining: 4 * time.Second,
-					Name: rapid.SampledFrom([]string{"", "", "n1", "n2"}).Draw(rt, "name")})
-				ids = append(ids, id)
-				carry(actions)
-			case 2:
-				carry(c.TimerFired(now, 1<<63))
-			case 3:
-				health := policy.Health(rapid.IntRange(0, 2).Draw(rt, "health"))
-				carryRoster(c.UpdateEngines(now, false, []ListedEngine{listedEngine(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "engine"), health)}))
-			case 4:
-				if len(ids) > 0 {
-					id := rapid.SampledFrom(ids).Draw(rt, "leaves")
-					if answered[id] == 0 {
-						answered[id]++
-						carry(c.Cancel(now, id))
-					}
-				}
-			case 5:
-				if len(ids) == 0 {
-					continue
-				}
-				id := rapid.SampledFrom(ids).Draw(rt, "ends")
-				if len(out[id]) == 1 {
-					n := out[id][0]
-					out[id] = nil
-					outcome := rapid.SampledFrom([]policy.Outcome{policy.OK, policy.Error, policy.Rejected, policy.Reset}).Draw(rt, "outcome")
-					if _, ok := c.MaySend(now, id, n, false); !ok {
-						outcome = policy.NotSent
-					}
-					carry(c.AttemptEnded(now, id, n, outcome, nil))
-				}
-			}
-		}
-		carry(c.Close(now))
-		for _, id := range ids {
-			if answered[id] != 1 {
-				rt.Fatalf("request %d has %d answers", id, answered[id])
-			}
-			if len(out[id]) == 1 {
-				c.AttemptEnded(now, id, out[id][0], policy.Cancelled, nil)
-			}
-		}
-		if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 || len(c.requests) != 0 || len(c.activeNames) != 0 || keep.Broken() != 0 {
-			rt.Fatalf("left: %d open, %d out, %d known; %d broken", c.PendingRequests(), c.AttemptsInFlight(), len(c.requests), keep.Broken())
-		}
-	})
-}
-
-// Guards against two queries that engines cannot tell apart: bad clients send the name of an open request with another
-// statement, and the news or the end of the one would be taken for the other's. The name is free again once nothing
-// of the first is open or out.
-func TestANameIsTakenWhileItsRequestLasts(t *testing.T) {
+// Engines could not tell two active requests of the same name apart, and faulty clients send the name of a pending request
+// with another statement. The name is free again once the first request is replied to and has no attempt in flight.
+func TestNameIsUniqueAmongActiveRequests(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	named := testQuery
@@ -258,21 +194,21 @@
 	c.MaySend(start, id, 0, false)
 	_, actions := c.Submit(start, named)
 	if r := first[Reply](t, actions); r.Verdict != Failed || len(actions) != 1 {
-		t.Fatalf("%+v, want a failure and nothing sent", actions)
+		t.Fatalf("%+v, want a failure and no attempt", actions)
 	}
-	c.Cancel(start, id) // its attempt is still out
+	c.Cancel(start, id) // its attempt is still in flight
 	if _, actions = c.Submit(start, named); first[Reply](t, actions).Verdict != Failed {
-		t.Fatal("taken beside an attempt that is out")
+		t.Fatal("accepted while an attempt of that name is in flight")
 	}
 	c.AttemptEnded(start, id, 0, policy.Cancelled, nil)
 	if _, actions = c.Submit(start, named); first[Start](t, actions).Attempt != 0 {
-		t.Fatal("not free again")
+		t.Fatal("the name is not free again")
 	}
 }
 
-// Guards against a query sent again that must not be: one that its engine seems not to have read goes out again in its
-// attempt only as the module allows, and never to an engine that drains.
-func TestSentAgainAsTheModuleAllows(t *testing.T) {
+// A query that its engine seems not to have read is sent again in the same attempt only if the module allows it, and never
+// to a draining engine.
+func TestResendNeedsModulesPermission(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	id, _ := c.Submit(start, testQuery)
@@ -280,18 +216,18 @@
 	for ok := true; ok; sent++ {
 		_, ok = c.MaySend(start+time.Millisecond, id, 0, sent > 0)
 	}
-	if sent != 5 { // four attempts are permitted, and the fifth try is not allowed
-		t.Errorf("asked %d times until it was denied", sent)
+	if sent != 5 { // the settings allow four; the fifth time is denied
+		t.Errorf("denied at send %d", sent)
 	}
 	id, _ = c.Submit(start+time.Second, testQuery)
 	c.MaySend(start+time.Second, id, 0, false)
 	c.UpdateEngines(start+time.Second, false, []ListedEngine{listedEngine("a", policy.Draining)})
 	if _, ok := c.MaySend(start+time.Second, id, 0, true); ok {
-		t.Error("sent again to an engine that drains")
+		t.Error("sent again to a draining engine")
 	}
 }
 
-// What is counted by class is what a staged change is judged by: each answer once, by its class and its aim.
+// A rollout judges a version by the counts of each class: each reply counts once, by the latency objective of its class.
 func TestCountsByClass(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
@@ -300,25 +236,25 @@
 		c.MaySend(start, id, 0, false)
 		c.AttemptEnded(start+took, id, 0, policy.OK, nil)
 	}
-	c.Submit(start, Query{Class: 7, Remaining: time.Second}) // of no class: fails, and counts nowhere
+	c.Submit(start, Query{Class: 7, Remaining: time.Second}) // of an unknown class: fails, and is counted nowhere
 	id, _ := c.Submit(start, testQuery)
 	c.Cancel(start, id)
 	c.Submit(start, Query{Class: 1, Remaining: time.Millisecond})
 	want := ClassCounts{Taken: 4, InTime: 2, Late: 1, Fast: 1}
 	if got := c.ByClass()[0]; got != want {
-		t.Errorf("look-ups: %+v, want %+v", got, want)
+		t.Errorf("lookup: %+v, want %+v", got, want)
 	}
 	if got := c.ByClass()[1]; got.Taken != 1 || got.Refused+got.Failed != 1 {
-		t.Errorf("loads: %+v", got)
+		t.Errorf("form-load: %+v", got)
 	}
 }
 
-// Guards against a repeat behind its window: the further attempt is decided within it, its connection comes up late, and by
-// then the engines may drop repeats no more. Broke the rule on a short day of another site, where engines crash and
-// connections come up to 1.5 s late.
+// A retry must not go out after its deduplication window, when engines no longer recognize it as a duplicate, even if it
+// was decided within the window and only its connection came up late. This rule was broken on a simulated day with engine
+// crashes and connections that take up to 1.5 s.
 func TestWindowIsLookedAtAgainAtTheFirstByte(t *testing.T) {
 	const window = 12 * time.Second
-	for late, want := range map[time.Duration]bool{0: true, 10 * time.Millisecond: true, time.Second: false} {
+	for delay, want := range map[time.Duration]bool{0: true, 10 * time.Millisecond: true, time.Second: false} {
 		c, _ := newCore(t)
 		c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
 		id, actions := c.Submit(start, Query{Class: 1, Key: 7, Remaining: 20 * time.Second})
@@ -328,13 +264,13 @@
 		}
 		at := start + window - 50*time.Millisecond
 		s = first[Start](t, c.AttemptEnded(at, id, s.Attempt, policy.Reset, nil))
-		if _, ok := c.MaySend(at+late, id, s.Attempt, false); ok != want {
-			t.Errorf("%v after the decision: %t, want %t", late, ok, want)
+		if _, ok := c.MaySend(at+delay, id, s.Attempt, false); ok != want {
+			t.Errorf("%v after the decision: %t, want %t", delay, ok, want)
 		}
 	}
 }
 
-// After the last word of a stop nothing is taken any more that nobody would see through: it is refused at once.
+// A request that comes after Close is rejected at once.
 func TestWhatComesAfterCloseIsRefused(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
@@ -345,8 +281,8 @@
 	}
 }
 
-// Guards against a query that goes to another engine than was chosen: the list says that the chosen one is elsewhere now, while a
-// connection to its former address is made, and addresses change hands.
+// Addresses are reused: if the list moves the selected engine while a connection to its former address is established, the
+// query must not go there, as another engine may listen there by now.
 func TestAddressIsLookedAtAgainAtTheFirstByte(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
@@ -356,7 +292,7 @@
 	moved.Addr = "elsewhere:1"
 	c.UpdateEngines(start, false, []ListedEngine{moved})
 	if _, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); ok {
-		t.Fatal("the former address gets the query")
+		t.Fatal("sent to the former address")
 	}
 	if s = first[Start](t, c.AttemptEnded(start+time.Millisecond, id, 0, policy.NotSent, nil)); s.Engine.Addr != moved.Addr {
 		t.Fatalf("%+v", s)
--- a/internal/core/decisionlog_test.go
+++ b/internal/core/decisionlog_test.go
@@ -12,10 +12,11 @@
 	"frostpier/policy"
 )
 
-// While debugging every send says what was believed of its engine, and what waits says which guard keeps it.
-func TestDecisionsAreRecorded(t *testing.T) {
-	text := &bytes.Buffer{}
-	log := slog.New(slog.NewTextHandler(text, &slog.HandlerOptions{Level: slog.LevelDebug}))
+// At debug level each attempt is logged with the estimate of its engine, and each queued request with the guard that keeps
+// it from being sent.
+func TestDecisionsAreLogged(t *testing.T) {
+	output := &bytes.Buffer{}
+	log := slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
 	c, err := New(settings.Host{Models: []string{"m"}, Zones: []string{"z"}, Module: policy.Settings{
 		Classes: []policy.Class{class}, Gateways: 1, Tick: 5 * time.Millisecond, Kinds: []policy.Kind{{Cores: 1}}}}, 1, log, invariant.New(log))
@@ -28,13 +29,13 @@
 	}
 	c.TimerFired(start+200*time.Millisecond, 0)
 	for _, want := range []string{`msg="attempt decided"`, "own=1", "age_ms=-1", `msg="request held"`, "held_ms=200", "engines="} {
-		if !strings.Contains(text.String(), want) {
-			t.Errorf("no %q in the records", want)
+		if !strings.Contains(output.String(), want) {
+			t.Errorf("no %q in the log", want)
 		}
 	}
-	lines := strings.Count(text.String(), "request held")
-	c.TimerFired(start+210*time.Millisecond, 0) // too soon for another record
-	if again := strings.Count(text.String(), "request held"); lines == 0 || again != lines {
-		t.Errorf("%d records, then %d", lines, again)
+	records := strings.Count(output.String(), "request held")
+	c.TimerFired(start+210*time.Millisecond, 0) // within waitingLogInterval
+	if later := strings.Count(output.String(), "request held"); records == 0 || later != records {
+		t.Errorf("%d records, then %d", records, later)
 	}
 }
--- a/internal/core/subset_bench_test.go
+++ b/internal/core/subset_bench_test.go
@@ -15,19 +15,19 @@
 	"frostpier/policy"
 )
 
-// The fleet that the benchmark's gateway belongs to, and what it has to do.
+// The fleet of the benchmark's gateway, and its load.
 const (
 	benchGateways      = 800
 	benchZones         = 7
 	benchGroups        = 200
-	benchInFlight      = 40                     // attempts out at a time
-	benchDuration      = 100 * time.Millisecond // each
-	benchTimerInterval = 20 * time.Millisecond  // the module's timer
+	benchInFlight      = 40                     // attempts at a time
+	benchDuration      = 100 * time.Millisecond // of an attempt
+	benchTimerInterval = 20 * time.Millisecond  // between expiries of the module's timer
 	benchSubset        = 80
 )
 
-// benchCore makes a gateway before so many engines, in zones, with a subset if wanted.
-func benchCore(b *testing.B, engines int, narrowed bool) *Core {
+// benchCore returns the core of a gateway of a fleet with so many engines, with or without a subset.
+func benchCore(b *testing.B, engines int, withSubset bool) *Core {
 	b.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	host := settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, MaxOpen: 1000,
@@ -41,7 +41,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	if narrowed {
+	if withSubset {
 		chooser, err := subset.New(subset.DefaultConfig(), 3, 3, benchGateways)
 		if err != nil {
 			b.Fatal(err)
@@ -53,33 +53,33 @@
 		}
 		c.SetGateways(start, gateways)
 	}
-	var lines []ListedEngine
+	var entries []ListedEngine
 	for i := range engines {
-		line := listedEngine(fmt.Sprintf("e%04d", i), policy.Ready)
-		line.Zone = host.Zones[i%benchZones]
-		lines = append(lines, line)
+		entry := listedEngine(fmt.Sprintf("e%04d", i), policy.Ready)
+		entry.Zone = host.Zones[i%benchZones]
+		entries = append(entries, entry)
 	}
-	c.UpdateEngines(start, true, lines)
+	c.UpdateEngines(start, true, entries)
 	return c
 }
 
-// BenchmarkDecision takes a request, sends its attempt and ends one, at the size of the list and with a subset or without.
+// BenchmarkDecision submits a request, sends its attempt and ends another, for list sizes with and without a subset.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{10, 80, 300, 1100} {
-		for _, narrowed := range []bool{false, true} {
-			b.Run(fmt.Sprintf("engines=%d/subset=%t", engines, narrowed), func(b *testing.B) {
-				c := benchCore(b, engines, narrowed)
-				p := &benchLoad{core: c, now: start}
+		for _, withSubset := range []bool{false, true} {
+			b.Run(fmt.Sprintf("engines=%d/subset=%t", engines, withSubset), func(b *testing.B) {
+				c := benchCore(b, engines, withSubset)
+				load := &benchLoad{core: c, now: start}
 				for range 4000 {
-					p.step()
+					load.step()
 				}
 				b.ResetTimer()
 				began := processorTime(b)
 				for range b.N {
-					p.step()
+					load.step()
 				}
 				b.ReportMetric(float64(processorTime(b)-began)/float64(b.N), "cpu-ns/op")
-				b.ReportMetric(float64(p.waiting)/float64(p.submitted), "held/op")
+				b.ReportMetric(float64(load.waiting)/float64(load.submitted), "held/op")
 				_, used := c.SubsetSize()
 				b.ReportMetric(float64(used), "engines")
 			})
@@ -87,44 +87,44 @@
 	}
 }
 
-// benchLoad keeps attempts out, each for its time.
+// benchLoad keeps benchInFlight attempts in flight.
 type benchLoad struct {
 	core               *Core
 	now, timerFiredAt  time.Duration
 	inFlight           []Start
-	endsAt             []time.Duration // when each ends
+	endsAt             []time.Duration // one for each of inFlight
 	submitted, waiting int
 }
 
-// step takes a request and ends the attempts whose time has come.
-func (p *benchLoad) step() {
-	p.now += benchDuration / benchInFlight
-	p.submitted++
-	_, actions := p.core.Submit(p.now, Query{Remaining: 4 * time.Second, TableGroup: p.submitted * 7919 % benchGroups, EstimatedWork: benchDuration})
+// step submits a request and ends the attempts whose time has come.
+func (l *benchLoad) step() {
+	l.now += benchDuration / benchInFlight
+	l.submitted++
+	_, actions := l.core.Submit(l.now, Query{Remaining: 4 * time.Second, TableGroup: l.submitted * 7919 % benchGroups, EstimatedWork: benchDuration})
 	if len(starts(actions)) == 0 {
-		p.waiting++
+		l.waiting++
 	}
-	p.execute(actions)
-	for len(p.endsAt) > 0 && p.endsAt[0] <= p.now {
-		s := p.inFlight[0]
-		p.inFlight, p.endsAt = p.inFlight[1:], p.endsAt[1:]
-		p.execute(p.core.AttemptEnded(p.now, s.ID, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 20}}))
+	l.execute(actions)
+	for len(l.endsAt) > 0 && l.endsAt[0] <= l.now {
+		s := l.inFlight[0]
+		l.inFlight, l.endsAt = l.inFlight[1:], l.endsAt[1:]
+		l.execute(l.core.AttemptEnded(l.now, s.ID, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 20}}))
 	}
-	if p.now-p.timerFiredAt >= benchTimerInterval {
-		p.timerFiredAt = p.now
-		p.execute(p.core.TimerFired(p.now, 1<<63))
+	if l.now-l.timerFiredAt >= benchTimerInterval {
+		l.timerFiredAt = l.now
+		l.execute(l.core.TimerFired(l.now, 1<<63))
 	}
 }
 
-func (p *benchLoad) execute(actions []Action) {
+func (l *benchLoad) execute(actions []Action) {
 	for _, s := range starts(actions) {
-		p.core.MaySend(p.now, s.ID, s.Attempt, false)
-		p.inFlight, p.endsAt = append(p.inFlight, s), append(p.endsAt, p.now+benchDuration)
+		l.core.MaySend(l.now, s.ID, s.Attempt, false)
+		l.inFlight, l.endsAt = append(l.inFlight, s), append(l.endsAt, l.now+benchDuration)
 	}
 }
 
-// BenchmarkSubsetChange has a member leave or come back and an engine drain or return, and works out what that means: what a
-// gateway has to do when something in the fleet changes.
+// BenchmarkSubsetChange measures the work of a gateway when the fleet changes: another gateway leaves or returns, and an
+// engine drains or returns.
 func BenchmarkSubsetChange(b *testing.B) {
 	c := benchCore(b, 1100, true)
 	gateways := slices.Clone(c.subset.gateways)
@@ -137,12 +137,12 @@
 		gateways = slices.Clone(gateways)
 		gateways[17].InService = i%2 == 1
 		c.SetGateways(now, gateways)
-		line := listedEngine("e0007", health[i%2])
-		line.Zone = "z0"
-		c.UpdateEngines(now, false, []ListedEngine{line})
+		entry := listedEngine("e0007", health[i%2])
+		entry.Zone = "z0"
+		c.UpdateEngines(now, false, []ListedEngine{entry})
 		c.TickSubset(now)
 		for number := range gateways {
-			if i%5 == 0 { // as often as the program asks
+			if i%5 == 0 { // as often as the program does
 				c.Overlap(number)
 			}
 		}
@@ -150,7 +150,7 @@
 	b.ReportMetric(float64(processorTime(b)-began)/float64(b.N), "cpu-ns/op")
 }
 
-// processorTime is what this process has used: the figure to compare on a machine that others use too.
+// processorTime returns the CPU time that this process has used. Unlike wall time it is comparable on a shared machine.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- /dev/null
+++ b/internal/core/subset_helpers_test.go
@@ -0,0 +1,131 @@
+package core
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"frostpier/internal/control/subset"
+	"frostpier/internal/invariant"
+	"frostpier/internal/settings"
+	"frostpier/policy"
+)
+
+const (
+	subsetGateways = 12
+	subsetEngines  = 48
+)
+
+// eventRecorder is a decision module that keeps the events that it is sent.
+type eventRecorder struct {
+	*policy.Gateway
+	events []policy.Event
+}
+
+func (r *eventRecorder) Handle(now time.Duration, event policy.Event) []policy.Action {
+	r.events = append(r.events, event)
+	return r.Gateway.Handle(now, event)
+}
+
+// lastSent returns the last state of an engine that the module was sent.
+func (r *eventRecorder) lastSent(id policy.EngineID) (info policy.EngineInfo, known bool) {
+	for _, event := range r.events {
+		list, ok := event.(policy.EngineList)
+		if !ok {
+			continue
+		}
+		if list.Kind == policy.ListFull { // engines that it lacks are gone
+			info.Health = policy.Gone
+		}
+		for _, e := range list.Engines {
+			if e.ID == id {
+				info, known = e, true
+			}
+		}
+	}
+	return info, known
+}
+
+// newRecordedCore returns the core of one gateway of several, and the recorder of what its module is sent.
+func newRecordedCore(t testing.TB) (*Core, *eventRecorder, *invariant.Keeper) {
+	t.Helper()
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	invariants := invariant.New(log)
+	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
+	host := settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"}, MaxOpen: 1000,
+		Module: policy.Settings{Classes: []policy.Class{class}, Gateways: subsetGateways, Number: 3, Tick: 5 * time.Millisecond, MayCancel: true,
+			MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 40}}, Rules: policy.Rules{WarmupTime: 20 * time.Second}}}
+	c, err := New(host, 1, log, invariants)
+	if err != nil {
+		t.Fatal(err)
+	}
+	module, ok := c.module.(*policy.Gateway)
+	if !ok {
+		t.Fatalf("the module is a %T", c.module)
+	}
+	recorded := &eventRecorder{Gateway: module}
+	c.module = recorded
+	return c, recorded, invariants
+}
+
+func subsetConfig() subset.Config {
+	config := subset.DefaultConfig()
+	config.Least, config.Coverage, config.Linger = 6, 1, 2*time.Second
+	return config
+}
+
+func newChooser(t testing.TB, config subset.Config) *subset.Chooser {
+	t.Helper()
+	chooser, err := subset.New(config, 3, 0, subsetGateways)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return chooser
+}
+
+// allGateways returns the gateways of the fleet, all in one zone; the first inService of them are in service.
+func allGateways(inService int) (gateways []subset.Gateway) {
+	for i := range subsetGateways {
+		gateways = append(gateways, subset.Gateway{InService: i < inService})
+	}
+	return gateways
+}
+
+func engineNameAt(i int) string { return fmt.Sprintf("e%02d", i) }
+
+// fullList returns an engine list with all engines ready.
+func fullList() (entries []ListedEngine) {
+	for i := range subsetEngines {
+		entries = append(entries, listedEngine(engineNameAt(i), policy.Ready))
+	}
+	return entries
+}
+
+// starts returns the attempts that the actions start.
+func starts(actions []Action) (started []Start) {
+	for _, a := range actions {
+		if s, ok := a.(Start); ok {
+			started = append(started, s)
+		}
+	}
+	return started
+}
+
+// engineOutsideAndInside returns a listed engine that the subset lacks, and one that it has.
+func engineOutsideAndInside(t testing.TB, c *Core) (outside, inside *Engine) {
+	t.Helper()
+	for i := range subsetEngines {
+		e := c.engines[engineID(engineNameAt(i))]
+		if c.inSubset(e) {
+			inside = e
+		} else {
+			outside = e
+		}
+	}
+	if outside == nil || inside == nil {
+		t.Fatalf("the subset has all or none of %d engines", subsetEngines)
+	}
+	return outside, inside
+}
