--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,5 +1,8 @@
-// Package attempt is what the state machines that carry one attempt have in common: the steps that they ask of a
-// driver, whatever the engines speak.
+// Package attempt defines the interface between the state machines that execute one attempt of a query and the driver
+// that does their I/O. There is one such machine per engine protocol: enginehttp and mysql.
+//
+// A machine owns the protocol's state of the attempt. It never does I/O, starts no goroutine and reads no clock: the
+// driver calls its methods on the event loop's goroutine and executes the returned steps in order.
 package attempt
 
 import (
@@ -8,48 +11,51 @@
 	"frostpier/policy"
 )
 
-// Channel is one of the two connections that an attempt may use: calling it off must not queue behind it.
+// Channel is one of the two connections that an attempt may use.
 type Channel uint8
 
-// The lanes.
+// The channels. Control exists so that the cancellation of a query need not queue behind the query itself.
 const (
-	Primary Channel = iota
-	Control
+	Primary Channel = iota // carries the query and its response
+	Control                // carries cancellations
 )
 
-// Timer is a wait of an attempt.
+// Timer identifies a timer of an attempt.
 type Timer uint8
 
-// The alarms.
+// The timers.
 const (
-	ResponseTimeout    Timer = iota // no answer to a call for longer than it takes
-	UnreachableTimeout              // the engine is out of reach for so long that the attempt cannot be out any more
-	RetryBackoff                    // pause before a further try to reach the engine
-	EarliestUpdate                  // no answer without news can have come before it
-	TimerCount
+	ResponseTimeout    Timer = iota // a call has had no response for longer than it takes
+	UnreachableTimeout              // the engine was unreachable for so long that it cannot be executing the query any more
+	RetryBackoff                    // pause before the next try to reach the engine
+	EarliestUpdate                  // a response without an update of the query cannot come before it expires
+	TimerCount                      // number of timers
 )
 
-// Permission is asked before the first byte that makes an engine work: how long the attempt may take, and whether it
-// may go out at all. Again is set where it went out before and the engine seems not to have read it.
-type Permission func(again bool) (time.Duration, bool)
+// Permission must be asked before the first byte that makes an engine execute a query. It returns how long the attempt
+// may take, and whether it may be sent at all. resend is set where it was sent before and the engine seems not to have
+// read it.
+type Permission func(resend bool) (timeout time.Duration, ok bool)
 
-// Machine carries one attempt. Its methods return what the driver is to do, in order.
+// Machine executes one attempt. Each method reports an event and returns the steps that the driver must execute, in
+// order.
 type Machine interface {
-	// Connected says that a lane has its connection; memory stays with the connection while it lives.
-	Connected(lane Channel, memory *any, leave Permission) []Step
-	// ConnectFailed says that a lane got no connection.
-	ConnectFailed(lane Channel) []Step
-	// Received takes bytes that a lane brought.
-	Received(lane Channel, b []byte) []Step
-	// ConnectionLost says that a lane's connection ended.
-	ConnectionLost(lane Channel) []Step
-	// TimerFired says that an alarm went off.
-	TimerFired(a Timer) []Step
-	// Cancel calls the attempt off; it ends with outcome, if nothing else ends it first.
+	// Connected reports that a channel has its connection. memory belongs to the connection: what the machine stores
+	// there is available to the next attempt on it. The machine asks permission before it sends the query.
+	Connected(channel Channel, memory *any, permission Permission) []Step
+	// ConnectFailed reports that no connection could be established for a channel.
+	ConnectFailed(channel Channel) []Step
+	// Received reports bytes that arrived on a channel.
+	Received(channel Channel, bytes []byte) []Step
+	// ConnectionLost reports that a channel's connection has ended.
+	ConnectionLost(channel Channel) []Step
+	// TimerFired reports that a timer expired.
+	TimerFired(timer Timer) []Step
+	// Cancel cancels the attempt. It ends with outcome unless it ends for another reason first.
 	Cancel(outcome policy.Outcome) []Step
 }
 
-// Step is something that the driver is to do.
+// Step is something that the driver must do.
 type Step interface{ step() }
 
 type (
@@ -63,27 +69,27 @@
 		Channel Channel
 		Bytes   []byte
 	}
-	// Release gives a connection back for others.
+	// Release returns a connection to the pool, for other attempts.
 	Release struct{ Channel Channel }
-	// Close closes a connection, or ends the wait for one.
+	// Close closes a connection, or cancels an Open.
 	Close struct{ Channel Channel }
-	// SetTimer starts an alarm anew; 0 stops it.
+	// SetTimer starts or restarts a timer; 0 stops it.
 	SetTimer struct {
 		Timer Timer
 		After time.Duration
 	}
-	// Progress is a note on a running query: the share done.
+	// Progress reports the share of its work, 0 to 1, that a running query has done.
 	Progress struct{ Done float64 }
-	// ResponseOverdue says that the engine withholds the answer: it gave no word of the query in the time in which it must, and
-	// when asked again says that it is not over.
+	// ResponseOverdue reports that the engine withholds the response: it sent no update of the query for longer than it
+	// may, and answers a poll with the query still running.
 	ResponseOverdue struct{}
-	// Relay passes bytes of the answer on to the client; with the first the answer has begun.
+	// Relay passes bytes of the response on to the client. The first Relay starts the response.
 	Relay struct{ Bytes []byte }
-	// End is the one end of the attempt: it is not out any more.
+	// End ends the attempt, once: the engine certainly no longer executes the query.
 	End struct {
 		Outcome policy.Outcome
 		Result  []byte
-		Report  string // the load report as it came
+		Report  string // the load report in the engine's encoding; empty = none
 	}
 )
 
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-func stop(what string) { panic("invariant broken: " + what) }
+func fail(name string) { panic("invariant broken: " + name) }
 
-// Checks reports whether this build looks for what costs too much to look for in service.
+// Checks reports whether this build makes checks that cost too much in service.
 const Checks = true
--- a/internal/invariant/debug_test.go
+++ b/internal/invariant/debug_test.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-const stops = true
+const panics = true
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,6 @@
-// Package invariant states what must hold. A build with the tag debug stops where it does not; any other build
-// counts and logs it and goes on.
+// Package invariant checks conditions that must always hold. A build with the tag debug panics where one does not; any
+// other build counts and logs the violation and goes on, so that one fault does not end the service. It never changes
+// the state that it checks. All functions are safe for concurrent use.
 package invariant
 
 import (
@@ -7,24 +8,25 @@
 	"sync/atomic"
 )
 
-// Keeper counts what did not hold.
+// Keeper counts violated invariants.
 type Keeper struct {
 	log    *slog.Logger
 	broken atomic.Int64
 }
 
-// New makes a Keeper that logs to log.
+// New returns a Keeper that logs violations to log.
 func New(log *slog.Logger) *Keeper { return &Keeper{log: log} }
 
-// Holds notes that what must hold does or does not, and passes that on.
-func (k *Keeper) Holds(ok bool, what string, args ...any) bool {
+// Holds reports whether an invariant holds, and returns ok. If it does not, Holds counts the violation, logs it with
+// the name of the invariant and the attributes in args, and in a debug build panics.
+func (k *Keeper) Holds(ok bool, name string, args ...any) bool {
 	if !ok {
 		n := k.broken.Add(1)
-		k.log.Error("invariant broken", append([]any{"what", what, "count", n}, args...)...)
-		stop(what)
+		k.log.Error("invariant broken", append([]any{"what", name, "count", n}, args...)...)
+		fail(name)
 	}
 	return ok
 }
 
-// Broken reports how often something did not hold.
+// Broken returns how many violations were counted.
 func (k *Keeper) Broken() int64 { return k.broken.Load() }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// Both builds count; only a debug build stops.
+// Both builds count a violation; only a debug build panics.
 func TestBrokenInvariants(t *testing.T) {
 	k := New(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if !k.Holds(true, "holds") || k.Broken() != 0 {
-		t.Fatal("what holds counts as broken")
+		t.Fatal("an invariant that holds counts as broken")
 	}
-	stopped := func() (stopped bool) {
-		defer func() { stopped = recover() != nil }()
+	panicked := func() (panicked bool) {
+		defer func() { panicked = recover() != nil }()
 		return k.Holds(false, "does not hold")
 	}()
-	if stopped != stops || k.Broken() != 1 {
-		t.Fatalf("stopped %v, %d broken", stopped, k.Broken())
+	if panicked != panics || k.Broken() != 1 {
+		t.Fatalf("panicked: %v, %d broken", panicked, k.Broken())
 	}
 }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-func stop(string) {}
+func fail(string) {}
 
-// Checks reports whether this build looks for what costs too much to look for in service.
+// Checks reports whether this build makes checks that cost too much in service.
 const Checks = false
--- a/internal/invariant/release_test.go
+++ b/internal/invariant/release_test.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-const stops = false
+const panics = false
