--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -157,7 +157,7 @@
 	}
 	report := policy.Report{Present: true, Values: make(map[policy.Metric]float64, len(fields))}
 	for _, f := range fields {
-		report.Values[settings.FigureOf(f.Name)] = f.Value
+		report.Values[settings.MetricOf(f.Name)] = f.Value
 	}
 	return report
 }
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -36,8 +36,8 @@
 func mysqlSetup(m *settings.MySQL, c *core.Core, most int) (frontend.MySQLConfig, error) {
 	out := frontend.MySQLConfig{Listen: m.Listen, MostOpen: most * 8 / 9, User: m.EngineUser, Password: m.EnginePassword,
 		EnginePort: strconv.Itoa(m.EnginePort), Engines: m.Engines, Accounts: map[string]*mysql.Account{}}
-	if m.MostClients > 0 {
-		out.MostOpen = min(out.MostOpen, m.MostClients)
+	if m.MaxClients > 0 {
+		out.MostOpen = min(out.MostOpen, m.MaxClients)
 	}
 	for _, a := range m.Accounts {
 		class, known := c.Class(a.Class)
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -67,7 +67,7 @@
 		return nil, fmt.Errorf("FROSTPIER_OPERATOR: %w", err)
 	}
 	v.mix = rollout.NewMix(max(1, host.Module.Gateways), v.id)
-	v.reporter, err = datagram.NewReporter(loop, op.Rollout.ReportTo, op.Rollout.Every(), v.compose)
+	v.reporter, err = datagram.NewReporter(loop, op.Rollout.ReportTo, op.Rollout.ReportInterval(), v.compose)
 	return v, err
 }
 
@@ -151,7 +151,7 @@
 		return
 	}
 	p.loop.Do(func() {
-		live := p.operator.Live(next)
+		live := p.operator.CanApplyLive(next)
 		if p.version != nil {
 			if p.version.pending = !live; live {
 				p.version.id.Settings = id
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -2,13 +2,19 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net/netip"
 	"strconv"
 )
 
-// Config is the configuration that a real workload manager is started with.
+// Limits of a configuration that names none.
+const (
+	defaultCores    = 1
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
+)
+
+// Config is the configuration file that the platform starts a gateway with.
 type Config struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -16,26 +22,26 @@
 	Limits struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int64   `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
+		Sockets  int     `json:"sockets"` // file descriptors
 	} `json:"limits"`
-	PeerListen string          `json:"peer_listen"` // where datagrams of other gateways arrive
-	Peers      []string        `json:"peers"`       // an address for each gateway, in the order of their numbers
-	Discovery  string          `json:"bulletin"`
-	Known      json.RawMessage `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	PeerListen string          `json:"peer_listen"` // UDP address for the datagrams of other gateways
+	Peers      []string        `json:"peers"`       // the UDP address of each gateway, by number
+	Discovery  string          `json:"bulletin"`    // address of the discovery server; empty = none
+	Known      json.RawMessage `json:"known"`       // engine events before the start, as discovery sends them
+	Settings   json.RawMessage `json:"settings"`    // for ParseHost
 }
 
-// ParseConfig reads a configuration.
+// ParseConfig reads a configuration. Unknown keys are ignored.
 func ParseConfig(text []byte) (Config, error) {
 	c := Config{}
-	c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets = 1, 192, 1024
+	c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets = defaultCores, defaultMemoryMB, defaultSockets
 	if err := json.Unmarshal(text, &c); err != nil {
-		return c, fmt.Errorf("configuration: %w", err)
+		return c, fmt.Errorf("%s: %w", SourceConfiguration, err)
 	}
 	return c, nil
 }
 
-// SeedNumber is the seed of all chance; one that is no hexadecimal number counts by its bytes.
+// SeedNumber returns the seed of every random choice. A seed that is no hexadecimal number is hashed.
 func (c Config) SeedNumber() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
@@ -47,23 +53,31 @@
 	return n
 }
 
-var errNoPeers = errors.New("peers: the configuration names none")
-
-// PeerAddrs reads the addresses of the peers and the one where their datagrams arrive. They are read only where
-// something uses them, so that a list which nothing needs stops no start.
+// PeerAddrs returns the address to listen on for datagrams and the addresses of all gateways. Only membership needs
+// them, so ParseConfig does not check them: a gateway without membership must start whatever they are. The error is a
+// *KeyError.
 func (c Config) PeerAddrs() (listen netip.AddrPort, peers []netip.AddrPort, err error) {
-	if listen, err = netip.ParseAddrPort(c.PeerListen); err != nil {
-		return listen, nil, fmt.Errorf("peer_listen: %w", err)
+	if listen, err = parseAddr("peer_listen", c.PeerListen); err != nil {
+		return listen, nil, err
+	}
+	if len(c.Peers) == 0 {
+		return listen, nil, &KeyError{Source: SourceConfiguration, Key: "peers", Reason: "the configuration names none"}
 	}
 	for i, text := range c.Peers {
-		addr, err := netip.ParseAddrPort(text)
+		peer, err := parseAddr(fmt.Sprintf("peers[%d]", i), text)
 		if err != nil {
-			return listen, nil, fmt.Errorf("peers, number %d: %w", i, err)
+			return listen, nil, err
 		}
-		peers = append(peers, addr)
-	}
-	if len(peers) == 0 {
-		return listen, nil, errNoPeers
+		peers = append(peers, peer)
 	}
 	return listen, peers, nil
 }
+
+// parseAddr parses the address that a key of the configuration has.
+func parseAddr(key, text string) (netip.AddrPort, error) {
+	addr, err := netip.ParseAddrPort(text)
+	if err != nil {
+		return addr, &KeyError{Source: SourceConfiguration, Key: key, Value: text, Reason: "no address with a port", Err: err}
+	}
+	return addr, nil
+}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,13 +1,19 @@
 package settings
 
 import (
+	"errors"
+	"fmt"
+	"regexp"
+
 	"os"
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/BurntSushi/toml"
 )
 
-// The file that operators copy must be one that the program takes.
+// The file that operators copy must be valid.
 func TestOperatorFileInDeployIsValid(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
@@ -29,38 +35,95 @@
 	}
 }
 
-const mysqlPart = "[mysql]\nlisten = \"127.0.0.1:1\"\nengine_user = \"u\"\n[[mysql.account]]\nuser = \"a\"\n"
+const mysqlSection = "[mysql]\nlisten = \"127.0.0.1:1\"\nengine_user = \"u\"\n[[mysql.account]]\nuser = \"a\"\n"
+
+// decoderKey finds the key in the text of an error of the TOML decoder, which has no type for values of a wrong type.
+var decoderKey = regexp.MustCompile(`toml: line \d+ \(last key "([^"]+)"\): `)
+
+// keyOf returns the key that an error names: that of a KeyError from source, or that of a value that the TOML decoder
+// rejects.
+func keyOf(t *testing.T, err error, source string) string {
+	t.Helper()
+	var syntax toml.ParseError
+	if errors.As(err, &syntax) {
+		return syntax.LastKey
+	}
+	if match := decoderKey.FindStringSubmatch(fmt.Sprint(err)); match != nil {
+		return match[1]
+	}
+	var invalid *KeyError
+	if !errors.As(err, &invalid) {
+		t.Errorf("no KeyError: %v", err)
+		return ""
+	}
+	if invalid.Source != source || !strings.Contains(err.Error(), invalid.Source+": "+invalid.Key+": ") {
+		t.Errorf("%v: want a key of %s, and its name in the text", err, source)
+	}
+	return invalid.Key
+}
 
-func TestOperatorFileErrors(t *testing.T) {
-	vrrp := "[vrrp]\nlisten = \"127.0.0.1:2\"\npeers = [\"127.0.0.2:2\"]\nid = 1\npriority = 9\ninterval_ms = 500\naddresses = [\"127.0.0.1\"]\n"
-	if o, err := ParseOperator([]byte(mysqlPart + vrrp)); err != nil || o.VRRP.Interval() != 500*time.Millisecond {
+func TestInvalidOperatorFiles(t *testing.T) {
+	const vrrp = "[vrrp]\nlisten = \"127.0.0.1:2\"\npeers = [\"127.0.0.2:2\"]\nid = 1\npriority = 9\n" +
+		"interval_ms = 500\naddresses = [\"127.0.0.1\"]\n"
+	if o, err := ParseOperator([]byte(mysqlSection + vrrp)); err != nil || o.VRRP.Interval() != 500*time.Millisecond {
 		t.Fatalf("%+v, %v", o.VRRP, err)
 	}
-	for name, text := range map[string]string{"unknown key": mysqlPart + "buget_ms = 1\n", "vrrp alone": vrrp,
-		"spread alone": "[spread]\n", "spread's key": "[membership]\nfleet = \"f\"\n[spread]\nevery = 1\n",
-		"no fleet": "[membership]\ninterval_ms = 1000\n", "interval": "[membership]\nfleet = \"f\"\ninterval_ms = 5\n",
-		"timeout": "[membership]\nfleet = \"f\"\ntimeout_ms = 1000\n", "suspect": "[membership]\nfleet = \"f\"\nsuspect_ms = 9\n",
-		"no account": "[mysql]\nlisten = \"x\"\nengine_user = \"u\"\n", "no TOML": "mysql", "id": mysqlPart + "[vrrp]\nid = 300\n"} {
-		if _, err := ParseOperator([]byte(text)); err == nil {
-			t.Errorf("%s: taken", name)
-		}
+	for _, test := range []struct{ name, text, key string }{
+		{"unknown key", mysqlSection + "buget_ms = 1\n", "mysql.account.buget_ms"},
+		{"vrrp alone", vrrp, "vrrp"},
+		{"spread alone", "[spread]\n", "spread"},
+		{"unknown key of spread", "[membership]\nfleet = \"f\"\n[spread]\nevery = 1\n", "spread.every"},
+		{"no fleet", "[membership]\ninterval_ms = 1000\n", "membership.fleet"},
+		{"interval", "[membership]\nfleet = \"f\"\ninterval_ms = 5\n", "membership.interval_ms"},
+		{"timeout", "[membership]\nfleet = \"f\"\ntimeout_ms = 1000\n", "membership.timeout_ms"},
+		{"suspect", "[membership]\nfleet = \"f\"\nsuspect_ms = 9\n", "membership.suspect_ms"},
+		{"no account", "[mysql]\nlisten = \"x\"\nengine_user = \"u\"\n", "mysql.account"},
+		{"no TOML", "mysql", ""},
+		{"id", mysqlSection + "[vrrp]\nid = 300\n", "vrrp.id"},
+		{"rollout without address", membershipSection + "[rollout]\n", "rollout.report_to"},
+		{"rollout to another machine", membershipSection + "[rollout]\nreport_to = \"10.0.0.1:1\"\n", "rollout.report_to"},
+		{"rollout interval", membershipSection + "[rollout]\nreport_to = \"127.0.0.1:1\"\nreport_ms = 1\n", "rollout.report_ms"},
+		{"rollout alone", "[rollout]\nreport_to = \"127.0.0.1:1\"\n", "rollout"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := ParseOperator([]byte(test.text))
+			if err == nil {
+				t.Fatal("accepted")
+			}
+			if key := keyOf(t, err, SourceOperator); key != test.key {
+				t.Errorf("%v: names %q, want %q", err, key, test.key)
+			}
+		})
 	}
 }
 
-// Each error of the membership section names the key at fault.
-func TestMembershipSection(t *testing.T) {
+// Each error of the section membership names the key at fault, its value and the bound.
+func TestMembershipErrorsNameTheKey(t *testing.T) {
 	o, err := ParseOperator([]byte("[membership]\nfleet = \"f\"\ninterval_ms = 500\nsuspect_ms = 900\n"))
 	if err != nil || o.Membership == nil {
 		t.Fatal(err)
 	}
-	if i, timeout, s := o.Membership.Times(); i != 500*time.Millisecond || timeout != 0 || s != 900*time.Millisecond {
-		t.Fatalf("%v %v %v", i, timeout, s)
-	}
-	for key, text := range map[string]string{"membership.fleet": "", "membership.interval_ms": "fleet = \"f\"\ninterval_ms = 70000\n",
-		"membership.timeout_ms": "fleet = \"f\"\ninterval_ms = 500\ntimeout_ms = 250\n", "membership.suspect_ms": "fleet = \"f\"\nsuspect_ms = -1\n"} {
-		if _, err := ParseOperator([]byte("[membership]\n" + text)); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", key, err)
-		}
+	interval, timeout, suspect := o.Membership.Times()
+	if interval != 500*time.Millisecond || timeout != 0 || suspect != 900*time.Millisecond {
+		t.Fatalf("%v %v %v", interval, timeout, suspect)
+	}
+	for _, test := range []struct{ key, text, want string }{
+		{"membership.fleet", "", "membership.fleet: the fleet needs a name"},
+		{"membership.interval_ms", "fleet = \"f\"\ninterval_ms = 70000\n", "membership.interval_ms: 70000: not between 100 and 60000"},
+		{"membership.timeout_ms", "fleet = \"f\"\ninterval_ms = 500\ntimeout_ms = 250\n",
+			"membership.timeout_ms: 250: not under half of the interval of 500"},
+		{"membership.suspect_ms", "fleet = \"f\"\ninterval_ms = 500\nsuspect_ms = -1\n",
+			"membership.suspect_ms: -1: not between half of the interval of 500 and 60000"},
+	} {
+		t.Run(test.key, func(t *testing.T) {
+			_, err := ParseOperator([]byte("[membership]\n" + test.text))
+			if key := keyOf(t, err, SourceOperator); key != test.key {
+				t.Errorf("%v: names %q", err, key)
+			}
+			if want := SourceOperator + ": " + test.want; err == nil || err.Error() != want {
+				t.Errorf("%v, want %s", err, want)
+			}
+		})
 	}
 }
 
@@ -72,12 +135,21 @@
 	if listen, peers, err := c.PeerAddrs(); err != nil || listen.Port() != 5 || len(peers) != 2 {
 		t.Fatal(listen, peers, err)
 	}
-	for key, text := range map[string]string{"peer_listen": `{"peers":["127.0.0.2:5"]}`, "peers": `{"peer_listen":"127.0.0.1:5"}`,
-		"number 1": `{"peer_listen":"127.0.0.1:5","peers":["127.0.0.2:5","nonsense"]}`} {
-		c, _ := ParseConfig([]byte(text))
-		if _, _, err := c.PeerAddrs(); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", key, err)
-		}
+	for key, text := range map[string]string{
+		"peer_listen": `{"peers":["127.0.0.2:5"]}`,
+		"peers":       `{"peer_listen":"127.0.0.1:5"}`,
+		"peers[1]":    `{"peer_listen":"127.0.0.1:5","peers":["127.0.0.2:5","nonsense"]}`,
+	} {
+		t.Run(key, func(t *testing.T) {
+			c, err := ParseConfig([]byte(text))
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, _, err = c.PeerAddrs()
+			if got := keyOf(t, err, SourceConfiguration); got != key {
+				t.Errorf("%v: names %q", err, got)
+			}
+		})
 	}
 }
 
@@ -87,27 +159,34 @@
 		t.Fatalf("%+v, %v", c, err)
 	}
 	if _, err := ParseConfig([]byte("{")); err == nil {
-		t.Fatal("half a configuration was taken")
+		t.Fatal("half a configuration was accepted")
 	}
-	if _, err := ParseHost([]byte(`{"classes":[{"repeat":"maybe"}]}`)); err == nil {
-		t.Fatal("an unknown effect was taken")
+	for key, text := range map[string]string{
+		"classes[0].repeat": `{"classes":[{"repeat":"maybe"}]}`,
+		"classes[1].group":  `{"classes":[{"repeat":"dedup"},{"repeat":"dedup","group":"maybe"}]}`,
+	} {
+		_, err := ParseHost([]byte(text))
+		if got := keyOf(t, err, SourceSettings); got != key {
+			t.Errorf("%v: names %q, want %q", err, got, key)
+		}
 	}
 }
 
-// What of the operator's file may change while the program runs: two times of membership, and whether a digest that the
-// start began is told; all else waits for the next start.
-func TestLiveSettings(t *testing.T) {
+// Two times of membership and the end of a spread that was on at the start can be applied while the program runs. Every
+// other change waits for the next start.
+func TestCanApplyLive(t *testing.T) {
 	parse := func(text string) Operator {
+		t.Helper()
 		o, err := ParseOperator([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return o
 	}
-	const base = "[membership]\nfleet = \"f\"\n"
-	for _, c := range []struct {
+	const base = membershipSection
+	for _, test := range []struct {
 		from, to string
-		live     bool
+		want     bool
 	}{
 		{base, base + "suspect_ms = 5000\ntimeout_ms = 300\n", true},
 		{base + "[spread]\n", base, true},
@@ -118,14 +197,8 @@
 		{"", base, false},
 		{base, base + "[rollout]\nreport_to = \"127.0.0.1:1\"\n", false},
 	} {
-		if got := parse(c.from).Live(parse(c.to)); got != c.live {
-			t.Errorf("%q to %q: %v", c.from, c.to, got)
-		}
-	}
-	for _, bad := range []string{base + "[rollout]\n", base + "[rollout]\nreport_to = \"10.0.0.1:1\"\n",
-		base + "[rollout]\nreport_to = \"127.0.0.1:1\"\nreport_ms = 1\n", "[rollout]\nreport_to = \"127.0.0.1:1\"\n"} {
-		if _, err := ParseOperator([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+		if got := parse(test.from).CanApplyLive(parse(test.to)); got != test.want {
+			t.Errorf("%q to %q: %v", test.from, test.to, got)
 		}
 	}
 }
--- /dev/null
+++ b/internal/settings/setup.go
@@ -0,0 +1,194 @@
+package settings
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"frostpier/policy"
+)
+
+// setup is the settings object as it is encoded: the keys that a gateway uses. Other keys are ignored. Durations are
+// nanoseconds.
+type setup struct {
+	Classes []struct {
+		Name             string        `json:"name"`
+		LatencyObjective time.Duration `json:"objective"`
+		ObjectivePerWork float64       `json:"aim_stretch"`
+		Deadline         time.Duration `json:"give_up"`
+		Weight           float64       `json:"worth"`
+		LateWeightShare  float64       `json:"late_value"`
+		Idempotency      string        `json:"repeat"`
+		DedupScope       string        `json:"group"`
+		DedupWindow      time.Duration `json:"window"`
+		Ordered          bool          `json:"in_order"`
+		Stream           bool          `json:"stream"`
+		Zones            []string      `json:"zones_open"`
+		Kinds            []string      `json:"allowed_on"`
+	} `json:"classes"`
+	Engines struct {
+		CoresByKind          []float64 `json:"cores_by_kind"`
+		WorkInResponses      bool      `json:"cost_in_answers"`
+		MaxGrantShare        float64   `json:"grant_cap"`
+		IsLoadByClass        []bool    `json:"is_load"`
+		MemoryOvercommit     string    `json:"overbooked"`
+		MemoryMBByKind       []float64 `json:"size_mb"`
+		HonorsGrants         bool      `json:"takes_grants"`
+		HonorsPriority       bool      `json:"takes_priority"`
+		ThreadsByClass       []int     `json:"threads_by_class"`
+		WaitsForLoadsByClass []bool    `json:"waits_for_loads"`
+	} `json:"family_info"`
+	Costs struct {
+		CrossZone float64 `json:"cross_zone"`
+	} `json:"costs"`
+	EngineListMode string   `json:"membership_mode"`
+	Models         []string `json:"models"`
+	Permissions    struct {
+		MaxAttempts    int           `json:"attempts_cap"`
+		ConnIdle       time.Duration `json:"conn_idle"`
+		ConnectTimeout time.Duration `json:"connect_timeout"`
+		MaxOpen        int           `json:"max_open"`
+		MayCancel      bool          `json:"cancel"`
+		MaxRetryAfter  time.Duration `json:"max_retry_after"`
+		PeerMessages   bool          `json:"peer_messages"`
+		MayHedge       bool          `json:"parallel_tries"`
+		MayProbe       bool          `json:"probes"`
+		RetryAfter     bool          `json:"retry_after"`
+	} `json:"permissions"`
+	Report struct {
+		Fields []string `json:"fields"`
+	} `json:"report"`
+	Rules struct {
+		ResponseSlack          time.Duration `json:"answer_slack"`
+		InitialCapacityShare   float64       `json:"cold_share"`
+		DrainGrace             time.Duration `json:"drain_grace"`
+		WarmupBudgetSpan       time.Duration `json:"fall"`
+		WarmupBudgetMultiple   float64       `json:"fall_multiple"`
+		EngineListPollInterval time.Duration `json:"must_ask_in"`
+		WarmupTime             time.Duration `json:"warm_after"`
+		FreeRetries            *float64      `json:"free_resends"`
+		RetryShare             *float64      `json:"extra_share"`
+		RetryBudgetSpan        time.Duration `json:"ratio_span"`
+		OrderedKeyPause        time.Duration `json:"key_rest"`
+	} `json:"rules"`
+	GatewayNumber int           `json:"self_index"`
+	Gateways      int           `json:"siblings"`
+	Tick          time.Duration `json:"tick"`
+	Zone          int           `json:"zone"`
+	Zones         []string      `json:"zones"`
+}
+
+// Values of the settings object that the translation compares with.
+const (
+	engineListOnRequest = "on_request" // of membership_mode
+	overcommitQueues    = "line_up"    // of overbooked
+)
+
+var metrics = map[string]policy.Metric{
+	"inflight": policy.Inflight, "queue": policy.Queued, "util": policy.Util, "latency_ms": policy.LatencyMS,
+	"qps": policy.QueriesPerSecond, "eps": policy.ErrorsPerSecond, "x0": policy.MemoryShare, "x1": policy.DiskShare,
+}
+
+var idempotencies = map[string]policy.Idempotency{
+	"retryable": policy.Idempotent, "dedup": policy.IdempotentWithKey, "fragile": policy.NotIdempotent,
+}
+
+var dedupScopes = map[string]policy.DedupScope{
+	"": policy.DedupAll, "all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell,
+}
+
+// moduleSettings translates the settings object to the settings of the decision module.
+func (s *setup) moduleSettings() (policy.Settings, error) {
+	out := policy.Settings{
+		Zones: len(s.Zones), Zone: s.Zone, Gateways: s.Gateways, Number: s.GatewayNumber, Tick: s.Tick,
+		PollEngineList: s.EngineListMode == engineListOnRequest, MaxGrantShare: s.Engines.MaxGrantShare,
+		HonorsGrants: s.Engines.HonorsGrants, HonorsPriority: s.Engines.HonorsPriority,
+		QueuesForMemory: s.Engines.MemoryOvercommit == overcommitQueues, WorkInResponses: s.Engines.WorkInResponses,
+		MayCancel: s.Permissions.MayCancel, MayProbe: s.Permissions.MayProbe,
+		MayHedge: s.Permissions.MayHedge, MaxAttempts: s.Permissions.MaxAttempts,
+		CrossZoneCost: s.Costs.CrossZone,
+		Rules:         s.rules(),
+	}
+	if s.Permissions.RetryAfter {
+		out.MaxRetryAfter = s.Permissions.MaxRetryAfter
+	}
+	for _, name := range s.Report.Fields {
+		out.Metrics = append(out.Metrics, metrics[name])
+	}
+	for i := range s.Models {
+		kind := policy.Kind{Cores: elementAt(s.Engines.CoresByKind, i), MemoryMB: elementAt(s.Engines.MemoryMBByKind, i)}
+		out.Kinds = append(out.Kinds, kind)
+	}
+	for i := range s.Classes {
+		class, err := s.class(i)
+		if err != nil {
+			return out, err
+		}
+		out.Classes = append(out.Classes, class)
+	}
+	return out, nil
+}
+
+// rules translates the rules. There is a retry budget if either of its two keys is set.
+func (s *setup) rules() policy.Rules {
+	r := s.Rules
+	rules := policy.Rules{
+		ResponseSlack: r.ResponseSlack, DrainGrace: r.DrainGrace, InitialCapacityShare: r.InitialCapacityShare,
+		WarmupTime: r.WarmupTime, WarmupBudgetMultiple: r.WarmupBudgetMultiple, WarmupBudgetSpan: r.WarmupBudgetSpan,
+		OrderedKeyPause: r.OrderedKeyPause, RetryBudgetSpan: r.RetryBudgetSpan, EngineListPollInterval: r.EngineListPollInterval,
+		RetryBudget: r.RetryShare != nil || r.FreeRetries != nil,
+	}
+	if r.FreeRetries != nil {
+		rules.FreeRetries = *r.FreeRetries
+	}
+	if r.RetryShare != nil {
+		rules.RetryShare = *r.RetryShare
+	}
+	return rules
+}
+
+// class translates class i.
+func (s *setup) class(i int) (policy.Class, error) {
+	c := s.Classes[i]
+	idempotency, known := idempotencies[c.Idempotency]
+	if !known {
+		return policy.Class{}, classError(i, "repeat", c.Idempotency, "not retryable, dedup or fragile")
+	}
+	scope, known := dedupScopes[c.DedupScope]
+	if !known {
+		return policy.Class{}, classError(i, "group", c.DedupScope, "not all, zone or cell")
+	}
+	return policy.Class{
+		Name: c.Name, LatencyObjective: c.LatencyObjective, ObjectivePerWork: c.ObjectivePerWork, Deadline: c.Deadline,
+		Weight: c.Weight, LateWeightShare: c.LateWeightShare, Idempotency: idempotency, DedupScope: scope,
+		DedupWindow: c.DedupWindow, Ordered: c.Ordered, Stream: c.Stream, Threads: elementAt(s.Engines.ThreadsByClass, i),
+		IsLoad: elementAt(s.Engines.IsLoadByClass, i), WaitsForLoads: elementAt(s.Engines.WaitsForLoadsByClass, i),
+		RestrictZones: c.Zones != nil, RestrictKinds: c.Kinds != nil,
+		Zones: indexesOf(c.Zones, s.Zones), Kinds: indexesOf(c.Kinds, s.Models),
+	}, nil
+}
+
+// classError returns the error of a key of class i.
+func classError(i int, key, value, reason string) error {
+	return &KeyError{Source: SourceSettings, Key: fmt.Sprintf("classes[%d].%s", i, key), Value: value, Reason: reason}
+}
+
+// elementAt returns element i of a list that may be shorter or missing; then it returns the zero value.
+func elementAt[T any](list []T, i int) T {
+	if i < len(list) {
+		return list[i]
+	}
+	var zero T
+	return zero
+}
+
+// indexesOf returns the index of each name in a list. Names that the list lacks are left out.
+func indexesOf(names, list []string) []int {
+	var indexes []int
+	for _, n := range names {
+		if i := slices.Index(list, n); i >= 0 {
+			indexes = append(indexes, i)
+		}
+	}
+	return indexes
+}
--- a/internal/settings/subset.go
+++ b/internal/settings/subset.go
@@ -10,33 +10,23 @@
 	"frostpier/internal/control/subset"
 )
 
-// Subset has the gateway use a subset of the engines. A missing key has the default of the package subset.
+// Subset has the gateway use a subset of the engines. A key that is nil has the default of the package subset.
 type Subset struct {
-	Least      *int64     `toml:"least"`       // engines, at the least
-	Rate       *float64   `toml:"rate"`        // statements a second of one gateway
-	EngineRate *float64   `toml:"engine_rate"` // statements a second that one gateway puts on one engine
-	Coverage   *int64     `toml:"coverage"`    // gateways an engine, on average, at the least
-	LingerMS   *int64     `toml:"linger_ms"`   // that an engine stays in use after it is no longer wanted
-	Regions    [][]string `toml:"regions"`     // names of zones
+	Least      *int64     `toml:"least"`       // minimum number of engines
+	Rate       *float64   `toml:"rate"`        // statements per second of one gateway
+	EngineRate *float64   `toml:"engine_rate"` // statements per second that one gateway sends to one engine
+	Coverage   *int64     `toml:"coverage"`    // minimum of the mean number of gateways per engine
+	LingerMS   *int64     `toml:"linger_ms"`   // how long an engine stays in use after the choice changes
+	Regions    [][]string `toml:"regions"`     // names of the zones of each region
 }
 
-// SubsetError names the key of the section that is invalid.
-type SubsetError struct {
-	Key    string
-	Reason string
-}
-
-func (e *SubsetError) Error() string {
-	return fmt.Sprintf("operator's file: subset.%s: %s", e.Key, e.Reason)
-}
-
-// subsetKeys maps keys of the package subset to those of the file, where they differ.
+// subsetKeys maps keys of subset.Config to keys of the file, where they differ.
 var subsetKeys = map[string]string{"linger": "linger_ms"}
 
-// mostLingerMS keeps the time within what a time.Duration holds; the package subset has a closer bound.
-const mostLingerMS = 1 << 40
+// maxLingerMS keeps linger_ms within what a time.Duration holds. The package subset checks a lower bound.
+const maxLingerMS = 1 << 40
 
-// Config returns the configuration that the section stands for in a fleet with these zones.
+// Config returns the section's configuration in a fleet with these zones. The error of an invalid key is a *KeyError.
 func (s Subset) Config(zones []string) (subset.Config, error) {
 	config, err := s.sizes()
 	if err != nil {
@@ -47,7 +37,8 @@
 		for _, name := range names {
 			zone := slices.Index(zones, name)
 			if zone < 0 {
-				return config, &SubsetError{"regions", fmt.Sprintf("%q is none of the settings' zones (%s)", name, strings.Join(zones, ", "))}
+				reason := fmt.Sprintf("none of the settings' zones (%s)", strings.Join(zones, ", "))
+				return config, operatorError("subset.regions", name, reason)
 			}
 			region = append(region, zone)
 		}
@@ -56,7 +47,7 @@
 	return config, subsetError(config.Check())
 }
 
-// sizes returns the configuration without the regions.
+// sizes returns the section's configuration without the regions.
 func (s Subset) sizes() (subset.Config, error) {
 	config := subset.DefaultConfig()
 	if s.Least != nil {
@@ -64,7 +55,7 @@
 	}
 	if s.Rate != nil {
 		if *s.Rate <= 0 {
-			return config, &SubsetError{"rate", fmt.Sprintf("%g is not above 0; without the key it is not known", *s.Rate)}
+			return config, operatorError("subset.rate", *s.Rate, "not above 0; without the key it is not known")
 		}
 		config.Rate = *s.Rate
 	}
@@ -75,28 +66,28 @@
 		config.Coverage = int(*s.Coverage)
 	}
 	if s.LingerMS != nil {
-		if *s.LingerMS > mostLingerMS {
-			return config, &SubsetError{"linger_ms", fmt.Sprintf("%d is too long", *s.LingerMS)}
+		if *s.LingerMS > maxLingerMS {
+			return config, operatorError("subset.linger_ms", *s.LingerMS, fmt.Sprintf("too long: over %d", int64(maxLingerMS)))
 		}
 		config.Linger = time.Duration(*s.LingerMS) * time.Millisecond
 	}
 	return config, subsetError(config.Check())
 }
 
-// subsetError translates an error of the package subset to the key of the file.
+// subsetError translates the error of an invalid subset.Config to one that names the key of the file.
 func subsetError(err error) error {
 	var fault *subset.ConfigError
 	if !errors.As(err, &fault) {
 		return err
 	}
-	key := fault.Key
-	if name, other := subsetKeys[key]; other {
-		key = name
+	key, differs := subsetKeys[fault.Key]
+	if !differs {
+		key = fault.Key
 	}
-	return &SubsetError{key, fmt.Sprintf("%v: %s", fault.Value, fault.Reason)}
+	return operatorError("subset."+key, fault.Value, fault.Reason)
 }
 
-// check validates what does not depend on the fleet's zones.
+// check checks what does not depend on the zones of the fleet.
 func (s Subset) check() error {
 	if _, err := s.sizes(); err != nil {
 		return err
@@ -104,11 +95,11 @@
 	seen := map[string]bool{}
 	for _, names := range s.Regions {
 		if len(names) == 0 {
-			return &SubsetError{"regions", "a region without zones"}
+			return operatorError("subset.regions", nil, "a region without zones")
 		}
 		for _, name := range names {
 			if name == "" || seen[name] {
-				return &SubsetError{"regions", fmt.Sprintf("zone %q has no name or is in two regions", name)}
+				return operatorError("subset.regions", name, "a zone that has no name or is in two regions")
 			}
 			seen[name] = true
 		}
