--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -242,7 +242,7 @@
 		t.Fatal(err)
 	}
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	n.waitLog("the old one stays")
+	n.waitLog("configuration reload failed, keeping the old one")
 
 	next := newDiscoveryServer(t, inService("e1", "127.0.0.1:1"))
 	next.events = append(next.events, event(2, []listed{{"e1", "127.0.0.1:1", "z", "m", "terminated"}}))
--- a/internal/program/extensions_test.go
+++ b/internal/program/extensions_test.go
@@ -10,8 +10,8 @@
 	"frostpier/internal/control/rollout"
 )
 
-// Guards against load reports that leave no room for the version: with so many engines they fill every datagram, and no
-// gateway would know which versions run in the fleet.
+// With so many engines load reports fill every datagram. They must leave room for the version, as otherwise no gateway
+// would know which versions run in the fleet.
 func TestVersionsAreSentBesideManyLoadReports(t *testing.T) {
 	const engines = 200
 	now := 1_800_000_000 * time.Second
@@ -24,7 +24,7 @@
 	for _, number := range numbers {
 		digest.Record(now, number, 3)
 	}
-	p := &program{digest: digest, version: &version{mix: rollout.NewMix(2, rollout.ID{Program: 1 << 40, Settings: 1 << 41})}}
+	p := &program{loadReports: digest, version: &versionReporter{versions: rollout.NewMix(2, rollout.ID{Program: 1 << 40, Settings: 1 << 41})}}
 	peers := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), netip.MustParseAddrPort("127.0.0.2:9")}
 	node := func(self int) *membership.Node {
 		n, err := membership.New(membership.Config{Self: self, Peers: peers, Fleet: "f", Seed: 1, Extensions: p.extensions(),
--- /dev/null
+++ b/internal/program/mysql.go
@@ -0,0 +1,85 @@
+package program
+
+import (
+	"fmt"
+	"log/slog"
+	"strconv"
+	"time"
+
+	"frostpier/internal/core"
+	"frostpier/internal/protocol/mysql"
+	"frostpier/internal/protocol/vrrp"
+	"frostpier/internal/settings"
+	"frostpier/internal/transport/datagram"
+	"frostpier/internal/transport/eventloop"
+	"frostpier/internal/transport/frontend"
+)
+
+// masterListenRetryInterval is the pause before another try to listen as master: the former master may still have the
+// address.
+const masterListenRetryInterval = 100 * time.Millisecond
+
+// mysqlConfig returns the configuration of the MySQL frontend. It checks the accounts against the classes of the
+// settings. sockets is the descriptor budget for clients.
+func mysqlConfig(m *settings.MySQL, c *core.Core, sockets int) (frontend.MySQLConfig, error) {
+	config := frontend.MySQLConfig{
+		Listen: m.Listen, MostOpen: sockets * 8 / 9, User: m.EngineUser, Password: m.EnginePassword,
+		EnginePort: strconv.Itoa(m.EnginePort), Engines: m.Engines, Accounts: map[string]*mysql.Account{},
+	}
+	if m.MaxClients > 0 {
+		config.MostOpen = min(config.MostOpen, m.MaxClients)
+	}
+	for _, a := range m.Accounts {
+		class, known := c.Class(a.Class)
+		hash, err := mysql.ParseHash(a.PasswordHash)
+		switch {
+		case !known:
+			return config, accountError(a.User, "class", a.Class, "no class of the settings", nil)
+		case err != nil:
+			return config, accountError(a.User, "password_hash", nil, "", err)
+		case a.BudgetMS <= 0:
+			return config, accountError(a.User, "budget_ms", a.BudgetMS, "not above 0", nil)
+		case config.Accounts[a.User] != nil:
+			return config, accountError(a.User, "user", a.User, "used by two accounts", nil)
+		}
+		config.Accounts[a.User] = &mysql.Account{
+			User: a.User, Hash: hash, Class: class, Keyed: c.NeedsIdempotencyKey(class),
+			Budget: time.Duration(a.BudgetMS) * time.Millisecond,
+		}
+	}
+	return config, nil
+}
+
+// accountError returns the error of a key of an account.
+func accountError(user, key string, value any, reason string, err error) error {
+	return &settings.KeyError{
+		Source: settings.SourceOperator, Key: fmt.Sprintf("mysql.account[%q].%s", user, key),
+		Value: value, Reason: reason, Err: err,
+	}
+}
+
+// newVRRP returns the virtual router whose master owns the MySQL frontend's listener.
+func newVRRP(v *settings.VRRP, loop *eventloop.Loop, log *slog.Logger, listener *frontend.MySQLListener) (*datagram.VRRPDriver, error) {
+	router, err := vrrp.New(vrrp.Config{
+		VRID: v.ID, Priority: v.Priority, Interval: v.Interval(), Preempt: v.Preempt,
+		Self: v.Listen.Addr(), Addrs: v.Addresses,
+	})
+	if err != nil {
+		return nil, err
+	}
+	return datagram.NewVRRPDriver(loop, log, router, v.Listen, v.Peers, func(s vrrp.State) {
+		if s != vrrp.Master {
+			listener.StopAccepting()
+			return
+		}
+		listenAsMaster(log, listener)
+	})
+}
+
+// listenAsMaster opens the MySQL frontend's listener, and retries until that succeeds.
+func listenAsMaster(log *slog.Logger, listener *frontend.MySQLListener) {
+	if err := listener.Listen(); err != nil {
+		log.Error("mysql front cannot listen", "error", err)
+		listener.Retry(masterListenRetryInterval, func() { listenAsMaster(log, listener) })
+	}
+}
--- a/internal/program/setup.go
+++ b/internal/program/setup.go
@@ -1,15 +1,14 @@
 package program
 
 import (
+	"fmt"
 	"log/slog"
 	"os"
 	"runtime"
 	"runtime/debug"
 	"time"
 
-	"frostpier/internal/control/loadreport"
 	"frostpier/internal/control/subset"
-	"frostpier/internal/control/subset/driver"
 	"frostpier/internal/core"
 	"frostpier/internal/invariant"
 	"frostpier/internal/protocol/discovery"
@@ -21,13 +20,24 @@
 	"frostpier/internal/transport/frontend"
 )
 
-// Shares of the memory limit.
+// Environment variables.
 const (
-	heapTenths   = 6 // of ten: the runtime's limit for the heap
-	bufferParts  = 8 // one part in so many is for unfinished lines of clients, and another for what waits to be written
-	leastThreads = 1
+	envConfig   = "GW_CONFIG"          // path of the configuration
+	envListen   = "GW_LISTEN"          // overrides the configuration's listen; empty = not
+	envOperator = "FROSTPIER_OPERATOR" // path of the operator's file; empty = none
 )
 
+// Limits of the Go runtime.
+const (
+	heapLimitTenths = 6   // of the memory limit, in tenths
+	gcPercent       = 400 // the live heap is a few MB, far below the limit, so collecting rarely saves CPU time
+	minThreads      = 1
+)
+
+// bufferDivisor is the part of the memory limit, one in so many, for incomplete lines of clients, and again for responses
+// that wait to be written.
+const bufferDivisor = 8
+
 // setup is what a gateway is started with.
 type setup struct {
 	conf     settings.Config
@@ -41,7 +51,7 @@
 	if s.conf, err = readConfig(); err != nil {
 		return s, err
 	}
-	if listen := os.Getenv("GW_LISTEN"); listen != "" {
+	if listen := os.Getenv(envListen); listen != "" {
 		s.conf.Listen = listen
 	}
 	if s.host, err = settings.ParseHost(s.conf.Settings); err != nil {
@@ -57,83 +67,100 @@
 	return s, err
 }
 
-// memory is the memory limit in bytes.
-func (s setup) memory() int64 { return s.conf.Limits.MemoryMB << 20 }
+// readConfig reads the configuration that the platform provides.
+func readConfig() (settings.Config, error) {
+	text, err := os.ReadFile(os.Getenv(envConfig))
+	if err != nil {
+		return settings.Config{}, fmt.Errorf("%s: %w", envConfig, err)
+	}
+	return settings.ParseConfig(text)
+}
+
+// readOperator reads the operator's file. Without one every section is off.
+func readOperator() (settings.Operator, error) {
+	path := os.Getenv(envOperator)
+	if path == "" {
+		return settings.Operator{}, nil
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return settings.Operator{}, fmt.Errorf("%s: %w", envOperator, err)
+	}
+	return settings.ParseOperator(text)
+}
+
+// memoryLimit returns the configuration's memory limit in bytes.
+func memoryLimit(conf settings.Config) int64 { return conf.Limits.MemoryMB << 20 }
 
 // limitRuntime keeps the Go runtime within the configuration's limits.
 func limitRuntime(conf settings.Config) {
-	runtime.GOMAXPROCS(max(leastThreads, int(conf.Limits.Cores)))
-	debug.SetMemoryLimit(conf.Limits.MemoryMB << 20 * heapTenths / 10)
+	runtime.GOMAXPROCS(max(minThreads, int(conf.Limits.Cores)))
+	debug.SetMemoryLimit(memoryLimit(conf) * heapLimitTenths / 10)
 	debug.SetGCPercent(gcPercent)
 }
 
-// newProgram wires the parts of a gateway together; nothing of it runs yet.
+// newProgram wires the parts of a gateway together. Nothing runs before its start.
 func newProgram(s setup, log *slog.Logger) (*program, error) {
-	loop := eventloop.New(time.Now(), s.memory()/bufferParts)
-	keep := invariant.New(log)
-	heart, err := core.New(s.host, s.conf.SeedNumber(), log, keep)
+	bufferLimit := memoryLimit(s.conf) / bufferDivisor
+	loop := eventloop.New(time.Now(), bufferLimit)
+	invariants := invariant.New(log)
+	c, err := core.New(s.host, s.conf.SeedNumber(), log, invariants)
 	if err != nil {
 		return nil, err
 	}
-	shares := divide(s.conf.Limits.Sockets, s.operator.MySQL != nil)
-	pool := enginepool.New(loop, log, s.host.ConnectTimeout, s.host.ConnIdle, shares.engines)
-	requests := dispatcher.New(loop, heart, pool, log)
-	stream := &discovery.Stream{}
-	initial, err := stream.Restore(s.conf.Known)
+	sockets := divideSockets(s.conf.Limits.Sockets, s.operator.MySQL != nil)
+	pool := enginepool.New(loop, log, s.host.ConnectTimeout, s.host.ConnIdle, sockets.engines)
+	requests := dispatcher.New(loop, c, pool, log)
+	engineEvents := &discovery.Stream{}
+	initialEvents, err := engineEvents.Restore(s.conf.Known)
 	if err != nil {
 		log.Warn("initial engine events not all used", "error", err)
 	}
-	p := &program{loop: loop, dispatcher: requests, keep: keep, log: log, stream: stream, initial: initial, longest: longest(s.host),
-		host: s.host, operator: s.operator, watch: enginewatch.New(loop, requests, log, s.conf.Discovery, stream),
-		clients: frontend.NewPlatformListener(requests, log, shares.clients.Most, int(s.memory()/bufferParts))}
-	if err := p.addMySQL(s, shares); err != nil {
+	p := &program{
+		loop: loop, dispatcher: requests, invariants: invariants, log: log, host: s.host, operator: s.operator,
+		engineEvents: engineEvents, initialEvents: initialEvents, maxDeadline: stopDeadline(s.host),
+		discovery: enginewatch.New(loop, requests, log, s.conf.Discovery, engineEvents),
+		clients:   frontend.NewPlatformListener(requests, log, sockets.clients.Most, int(bufferLimit)),
+	}
+	if err := p.addOperatorSections(s, sockets); err != nil {
 		return nil, err
 	}
-	if s.operator.Rollout != nil {
-		if p.version, err = newVersion(s.operator, s.host, s.conf, loop, log, heart); err != nil {
-			return nil, err
-		}
+	return p, nil
+}
+
+// addOperatorSections adds what the operator's file asks for. Membership needs the other sections and comes last.
+func (p *program) addOperatorSections(s setup, sockets socketBudgets) error {
+	if err := p.addMySQL(s, sockets); err != nil {
+		return err
 	}
-	return p, p.addMembership(s)
+	if err := p.addVersionReporter(s); err != nil {
+		return err
+	}
+	return p.addMembership(s)
 }
 
-// addMySQL adds the MySQL front and the virtual router that it may follow, where the operator's file has them.
-func (p *program) addMySQL(s setup, shares shares) (err error) {
+// addMySQL adds the MySQL frontend and its virtual router.
+func (p *program) addMySQL(s setup, sockets socketBudgets) (err error) {
 	if m := s.operator.MySQL; m != nil {
-		front, err := mysqlSetup(m, p.dispatcher.Core, shares.mysqlClients.Most)
+		config, err := mysqlConfig(m, p.dispatcher.Core, sockets.mysqlClients.Most)
 		if err != nil {
 			return err
 		}
-		engines := enginepool.New(p.loop, p.log, s.host.ConnectTimeout, s.host.ConnIdle, shares.mysqlEngines)
+		engines := enginepool.New(p.loop, p.log, s.host.ConnectTimeout, s.host.ConnIdle, sockets.mysqlEngines)
 		p.dispatcher.Pools = append(p.dispatcher.Pools, engines)
-		p.mysql = frontend.NewMySQLListener(p.dispatcher, engines, p.log, front)
+		p.mysql = frontend.NewMySQLListener(p.dispatcher, engines, p.log, config)
 	}
 	if v := s.operator.VRRP; v != nil {
-		p.standby, err = standby(v, p.loop, p.log, p.mysql)
+		p.vrrp, err = newVRRP(v, p.loop, p.log, p.mysql)
 	}
 	return err
 }
 
-// addMembership adds membership and what its datagrams carry, where the operator's file has it and the settings permit it.
-func (p *program) addMembership(s setup) (err error) {
-	section := s.operator.Membership
-	if section == nil {
-		return nil
-	}
-	if !s.host.PeerMessages {
-		p.log.Warn("membership stays off: the settings do not permit messages between gateways", "key", "permissions.peer_messages")
+// addVersionReporter adds the reports to the controller of a rollout.
+func (p *program) addVersionReporter(s setup) (err error) {
+	if s.operator.Rollout == nil {
 		return nil
 	}
-	if s.operator.Spread != nil {
-		p.digest = loadreport.New()
-		p.dispatcher.Core.ShareLoadReports(p.digest)
-	}
-	p.subset = driver.NewDriver(placeOf(s.host), p.loop, p.dispatcher, p.log)
-	listener := peers{Dispatcher: p.dispatcher, subset: p.subset}
-	if p.version != nil {
-		listener.mix = p.version.mix
-	}
-	p.members, err = members(section, s.conf, s.host, p.loop, p.log, p.keep, p.extensions(), p.digest != nil, p.subset.ReceiverWeights,
-		listener)
+	p.version, err = newVersionReporter(s, p.loop, p.log, p.dispatcher.Core)
 	return err
 }
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -5,90 +5,121 @@
 	"log/slog"
 	"runtime"
 	"time"
+
+	"frostpier/internal/settings"
+)
+
+// Times of a graceful shutdown. The platform opens new connections for 0.4 s after SIGTERM and sends requests for 0.2 s
+// more. It kills the process 0.7 s after the longest deadline of a class, which it counts as 3 s where it is longer.
+const (
+	acceptDuration   = 750 * time.Millisecond // connections and requests are accepted for so long
+	maxStopDeadline  = 3 * time.Second        // the longest deadline that a shutdown waits for
+	replyGrace       = 200 * time.Millisecond // after the deadline: pending requests get their replies, new ones are rejected
+	closeGrace       = 450 * time.Millisecond // after the deadline: all connections are closed
+	peerCloseGrace   = 150 * time.Millisecond // after closeGrace: the program exits even if peers keep their side open
+	peerCloseTimeout = 500 * time.Millisecond // for peers to close their side where the shutdown is early
+	hangGrace        = 50 * time.Millisecond  // after peerCloseGrace: the program exits even if the event loop hangs
+
+	idleChecks    = 15       // how often idle connections are checked for in acceptDuration
+	maxStackBytes = 64 << 10 // of the stacks that are logged if the event loop hangs
 )
 
-// ended waits for the end of a stop. A loop that hangs must not keep the program past its time: the kill would come,
-// and the next start might find the address still in use. The log then says where everything stood.
-func ended(ctx context.Context, overdue <-chan time.Time, log *slog.Logger) bool {
+// stopDeadline returns the longest deadline of a class, as the platform counts it for a shutdown.
+func stopDeadline(host settings.Host) time.Duration {
+	longest := time.Duration(0)
+	for _, c := range host.Module.Classes {
+		longest = max(longest, c.Deadline)
+	}
+	return min(longest, maxStopDeadline)
+}
+
+// waitStopped waits for the end of a shutdown, and reports whether it came before overdue. A hanging event loop must not
+// keep the process alive: it would be killed, and its successor might find the address in use. The stacks are logged, to
+// tell where it hangs.
+func waitStopped(ctx context.Context, overdue <-chan time.Time, log *slog.Logger) bool {
 	select {
 	case <-ctx.Done():
 		return true
 	case <-overdue:
-		stacks := make([]byte, stacksMost)
-		log.Error("stopped, though the loop hangs", "stacks", string(stacks[:runtime.Stack(stacks, true)]))
+		stacks := make([]byte, maxStackBytes)
+		stacks = stacks[:runtime.Stack(stacks, true)]
+		log.Error("stopped, though the loop hangs", "stacks", string(stacks))
 		return false
 	}
 }
 
-// drain is the planned stop: ping tells at once, connections and requests are still taken for the stated time, all that
-// was taken is answered, and the connections are shut in an order in which nothing that came is lost.
-func (p *program) drain() {
+// gracefulShutdown announces the shutdown at once, still accepts connections and requests for acceptDuration, gives every
+// accepted request its reply, and closes the connections in an order in which no received byte is lost.
+func (p *program) gracefulShutdown() {
 	p.log.Info("stopping", "open", p.dispatcher.Core.PendingRequests(), "out", p.dispatcher.Core.AttemptsInFlight())
 	p.clients.Drain()
 	if p.version != nil {
-		p.version.serve(false)
+		p.version.setServing(false)
 	}
-	if p.members != nil {
-		p.members.Leave() // at once: the others take its part over while it answers what it has taken
+	if p.membership != nil {
+		p.membership.Leave() // at once, so that the others take over while this gateway still replies
 	}
-	if p.standby != nil {
-		p.standby.Stop() // the next master takes the address over while this one answers what it has taken
+	if p.vrrp != nil {
+		p.vrrp.Stop() // likewise: the next master takes over the address
 	}
-	p.loop.After(acceptFor, func() {
-		if p.mysql != nil {
-			p.mysql.StopAccepting()
-		}
-		p.clients.Stop(p.closeIdleConnections)
-	})
-	p.loop.After(p.longest+answerIn, p.dispatcher.Close)
-	p.loop.After(p.longest+exitIn, p.closeConnections)
-	p.loop.After(p.longest+exitIn+closeIn, p.cancel)
+	p.loop.After(acceptDuration, p.stopAccepting)
+	p.loop.After(p.maxDeadline+replyGrace, p.dispatcher.Close)
+	p.loop.After(p.maxDeadline+closeGrace, p.closeConnections)
+	p.loop.After(p.maxDeadline+closeGrace+peerCloseGrace, p.exit)
 }
 
-// closeIdleConnections shuts the connections that rest as soon as nothing is open or out. A request that came on one of them just
-// then is answered first, and the rest are looked at again.
+// stopAccepting closes the listeners, and then the connections as they become idle.
+func (p *program) stopAccepting() {
+	if p.mysql != nil {
+		p.mysql.StopAccepting()
+	}
+	p.clients.Stop(p.closeIdleConnections)
+}
+
+// closeIdleConnections closes the idle connections once no request is pending and no attempt is in flight. A request
+// that has just come on one of them is replied to first, and the rest are checked again.
 func (p *program) closeIdleConnections() {
 	p.dispatcher.WhenIdle(func() {
 		if p.closeIdle() {
 			p.closeConnections()
 			return
 		}
-		p.loop.After(acceptFor/lookShare, p.closeIdleConnections)
+		p.loop.After(acceptDuration/idleChecks, p.closeIdleConnections)
 	})
 }
 
-// lookShare is how many times in the time for accepting the connections are looked at.
-const lookShare = 15
-
-// closeIdle shuts the clients' connections that rest, and reports whether that were all of them.
+// closeIdle closes the idle connections of clients, and reports whether those were all.
 func (p *program) closeIdle() bool {
 	all := p.clients.CloseIdle()
 	return (p.mysql == nil || p.mysql.CloseIdle()) && all
 }
 
-// closeConnections shuts what connections there are, and ends the program when their peers have ended them too.
+// closeConnections closes the remaining connections, and exits once their peers have closed their side too.
 func (p *program) closeConnections() {
 	if p.closing {
 		return
 	}
 	p.closing = true
-	p.dispatcher.Close() // where deadlines are short this may be the first time
+	p.dispatcher.Close() // if all deadlines are short, this comes before replyGrace ends
 	p.clients.Finish()
 	if p.version != nil {
-		p.version.reporter.Stop()
+		p.version.sender.Stop()
 	}
-	if p.members != nil {
-		p.members.Stop()
+	if p.membership != nil {
+		p.membership.Stop()
 	}
 	if p.mysql != nil {
 		p.mysql.Finish()
 	}
-	p.clients.WhenEmpty(func() {
-		if p.mysql == nil {
-			p.cancel()
-			return
-		}
-		p.mysql.WhenEmpty(p.cancel)
-	})
-	p.loop.After(closeFor, p.cancel)
+	p.clients.WhenEmpty(p.exitWhenMySQLEmpty)
+	p.loop.After(peerCloseTimeout, p.exit)
+}
+
+// exitWhenMySQLEmpty exits once the MySQL frontend, if there is one, has no connections.
+func (p *program) exitWhenMySQLEmpty() {
+	if p.mysql == nil {
+		p.exit()
+		return
+	}
+	p.mysql.WhenEmpty(p.exit)
 }
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -9,7 +9,7 @@
 	"frostpier/internal/settings"
 )
 
-// subsetConfig returns the configuration of a section; nil for none.
+// subsetConfig returns the configuration of the section subset; nil for no section.
 func subsetConfig(section *settings.Subset, zones []string) (*subset.Config, error) {
 	if section == nil {
 		return nil, nil
@@ -19,27 +19,16 @@
 		return nil, err
 	}
 	if len(zones) > zonetable.MostZones {
-		return nil, fmt.Errorf("operator's file: subset: the settings have %d zones, %d at most", len(zones), zonetable.MostZones)
+		reason := fmt.Sprintf("the settings have %d zones, %d at most", len(zones), zonetable.MostZones)
+		return nil, &settings.KeyError{Source: settings.SourceOperator, Key: "subset", Reason: reason}
 	}
 	return &config, nil
 }
 
-// placeOf is where the settings put this gateway in its fleet.
-func placeOf(host settings.Host) driver.Place {
-	return driver.Place{Number: host.Module.Number, Gateways: host.Module.Gateways, Zones: host.Zones, Zone: host.Module.Zone}
-}
-
-// ReceiveZones records the zones that another gateway reports. The next update of the subset uses them.
-func (p peers) ReceiveZones(member int, body []byte) {
-	p.subset.ReceiveZones(member, body)
-}
-
-// logSubset logs the size of the subset, and what it is shared with.
-func (p *program) logSubset() {
-	if p.subset == nil || !p.subset.On() {
-		return
+// placeInFleet returns where the settings put this gateway in its fleet.
+func placeInFleet(host settings.Host) driver.Place {
+	return driver.Place{
+		Number: host.Module.Number, Gateways: host.Module.Gateways,
+		Zones: host.Zones, Zone: host.Module.Zone,
 	}
-	c := p.dispatcher.Core.SubsetCounts()
-	p.log.Info("subset counts", "engines", c.Listed, "subset", c.Subset, "serving", c.Serving, "holders", c.MeanGateways, "sharers", c.GatewaysSharing,
-		"added", c.Added, "removed", c.Removed)
 }
