--- /dev/null
+++ b/internal/control/membership/bench_test.go
@@ -0,0 +1,60 @@
+package membership
+
+import (
+	"testing"
+	"time"
+)
+
+// connectedNodes returns members 0 and 1 of a fleet of 300, which have had contact with all others.
+func connectedNodes(tb failer) (a, b *Node) {
+	a, b = newNode(tb, 0, 300), newNode(tb, 1, 300)
+	for i := range 300 {
+		if i > 1 {
+			a.Receive(epoch, a.cfg.Peers[i], datagramFrom(a, i, nil))
+			b.Receive(epoch, b.cfg.Peers[i], datagramFrom(b, i, nil))
+		}
+	}
+	return a, b
+}
+
+// pingAndAck has member a ping member b, and handle the ACK: two datagrams encoded and decoded.
+func pingAndAck(a, b *Node, now time.Duration) {
+	a.reset()
+	a.ping(now, 1)
+	b.Receive(now, a.cfg.Peers[0], a.Datagrams()[0].Bytes)
+	a.Receive(now, a.cfg.Peers[1], b.Datagrams()[0].Bytes)
+}
+
+// The steady state allocates nothing: neither a Tick nor a ping with its ACK.
+func TestNothingIsAllocated(t *testing.T) {
+	a, b := connectedNodes(t)
+	now := epoch + time.Second
+	for range 100 {
+		now += 300 * time.Millisecond
+		pingAndAck(a, b, now)
+	}
+	if k := testing.AllocsPerRun(200, func() { pingAndAck(a, b, now) }); k > 0 {
+		t.Errorf("%v allocations in a ping and its ACK", k)
+	}
+	if k := testing.AllocsPerRun(200, func() { a.Tick(now) }); k > 0 {
+		t.Errorf("%v allocations in a tick", k)
+	}
+}
+
+func BenchmarkPingAndAnswer(b *testing.B) {
+	x, y := connectedNodes(b)
+	b.ReportAllocs()
+	for b.Loop() {
+		pingAndAck(x, y, epoch+time.Second)
+	}
+}
+
+func BenchmarkTick(b *testing.B) {
+	x, _ := connectedNodes(b)
+	now := epoch
+	b.ReportAllocs()
+	for b.Loop() {
+		now += 50 * time.Millisecond
+		x.Tick(now)
+	}
+}
--- a/internal/control/membership/budget_test.go
+++ b/internal/control/membership/budget_test.go
@@ -3,12 +3,10 @@
 import (
 	"testing"
 	"time"
-
-	"frostpier/internal/control/membership/membershippb"
 )
 
-// fullDatagram is the least length of a datagram that extensions fill.
-const fullDatagram = MaxDatagram - 3*listHead
+// fullDatagram is the lower bound of the length of a datagram that extensions fill.
+const fullDatagram = MaxDatagram - 3*listOverhead
 
 // lengths returns the lengths of the last call's datagrams.
 func (n *Node) lengths() (out []int) {
@@ -18,8 +16,9 @@
 	return out
 }
 
-// What detection needs is sent whatever the budget holds, and bare while it holds nothing; an empty budget fills again.
-func TestEmptyBudgetLeavesDetection(t *testing.T) {
+// Failure detection sends its datagrams whatever the budget, without piggybacked messages while it is empty; an empty
+// budget is refilled.
+func TestEmptyBudgetDoesNotStopDetection(t *testing.T) {
 	n := newNode(t, 0, 20, testExtension{1})
 	now := epoch + time.Second
 	pingLength := func() int {
@@ -30,13 +29,13 @@
 	if length := pingLength(); length < fullDatagram {
 		t.Fatalf("a ping of %d bytes with a full budget", length)
 	}
-	n.queueUpdate(now, 7, n.limit)
+	n.queueUpdate(now, 7, n.retransmitLimit)
 	n.budget.spend(int(n.budget.perInterval))
 	if length := pingLength(); length > 40 {
 		t.Errorf("a ping of %d bytes with an empty budget", length)
 	}
 	n.reset()
-	n.extensionsAt = now
+	n.nextExtensionsAt = now
 	n.tickExtensions(now)
 	if len(n.Datagrams()) > 0 || n.Counts().Postponed != 1 {
 		t.Errorf("%d datagrams for extensions with an empty budget, %d counted as postponed", len(n.Datagrams()), n.Counts().Postponed)
@@ -47,50 +46,46 @@
 	}
 }
 
-// Updates on members, and pieces of the whole state, go on at a slow rate however empty the budget is.
+// Updates on members and chunks of the full state are sent at a low rate however empty the budget is.
 func TestEmptyBudgetDoesNotStarveUpdates(t *testing.T) {
 	n := newNode(t, 0, 20)
-	n.askers = append(n.askers, asker{to: 3})
-	gossips, pieces := 0, 0
+	n.syncRequests = append(n.syncRequests, syncRequest{to: 3})
+	gossips, chunks := 0, 0
 	const intervals = 10
-	for now := epoch + time.Second; now < epoch+time.Second+intervals*n.cfg.Interval; now += n.cfg.part(gossipShare) {
+	for now := epoch + time.Second; now < epoch+time.Second+intervals*n.cfg.Interval; now += n.cfg.intervals(gossipShare) {
 		n.budget.spend(int(2 * n.budget.perInterval))
-		n.queueUpdate(now, 7, n.limit)
-		n.askers = append(n.askers[:0], asker{to: 3})
+		n.queueUpdate(now, 7, n.retransmitLimit)
+		n.syncRequests = append(n.syncRequests[:0], syncRequest{to: 3})
 		n.reset()
 		n.sendUpdates(now)
 		gossips += len(n.Datagrams())
 		n.reset()
-		n.sendPieces(now)
-		pieces += len(n.Datagrams())
+		n.sendSyncChunks(now)
+		chunks += len(n.Datagrams())
 	}
-	if least := int(intervals/updatePatience) - 1; gossips < least || gossips > least+2 {
+	if lowest := int(intervals/updatePatience) - 1; gossips < lowest || gossips > lowest+2 {
 		t.Errorf("%d datagrams of updates in %d intervals", gossips, intervals)
 	}
-	if least := int(intervals/piecePatience) - 1; pieces < least || pieces > least+2 {
-		t.Errorf("%d pieces in %d intervals", pieces, intervals)
+	if lowest := int(intervals/syncChunkPatience) - 1; chunks < lowest || chunks > lowest+2 {
+		t.Errorf("%d chunks in %d intervals", chunks, intervals)
 	}
 }
 
-// A member that is suspected is sent the suspicion, and nothing that would be lost with it.
-func TestSuspectsAreSentTheirSuspicionAlone(t *testing.T) {
+// A suspect is sent the update on itself, and no piggybacked messages, which would be lost with it.
+func TestSuspectsReceiveNoPiggybackedMessages(t *testing.T) {
 	n := newNode(t, 0, 20, testExtension{1})
-	n.get(t, 1, from(n, 1, withUpdate(5, Suspect, uint64(epoch/time.Second), 1)))
-	n.get(t, 1, from(n, 1, withUpdate(6, Left, uint64(epoch/time.Second), 6)))
+	n.deliverUpdate(t, 5, Suspect, startIncarnation, 1)
+	n.deliver(t, 1, datagramFrom(n, 1, withUpdate(6, Left, startIncarnation, 6)))
 	n.reset()
 	n.ping(epoch+time.Second, 5)
-	var d membershippb.Datagram
-	body, ok := verifyChecksum(n.Datagrams()[0].Bytes)
-	if err := reading.Unmarshal(body, &d); !ok || err != nil {
-		t.Fatal(ok, err)
-	}
+	d := n.firstDatagram(t)
 	if len(d.About) != 1 || d.About[0] != 5 || len(d.Payload) > 0 {
 		t.Errorf("a ping of a suspect names members %v and has %d extensions", d.About, len(d.Payload))
 	}
 }
 
-// The budget grows with datagrams for the extensions that are configured to go out often.
-func TestBudgetHasRoomForExtensions(t *testing.T) {
+// The budget is larger where the configuration sends datagrams for extensions often.
+func TestBudgetAllowsForExtensions(t *testing.T) {
 	usual := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: 300 * time.Millisecond})
 	often := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: minExtensionInterval})
 	if usual.perInterval != bytesPerInterval || often.perInterval < MaxDatagram*float64(DefaultInterval/minExtensionInterval)/extensionShare {
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -1,16 +1,25 @@
-// Package membership keeps, at each gateway, a view of which gateways of the fleet are in service. It is a state
-// machine: it is handed the time and datagrams, and hands back datagrams, events and the time of its next wait. It
-// knows no socket, clock or goroutine, and all its chance comes from one seed.
+// Package membership keeps, at each gateway, a view of which gateways of the fleet are in service: a SWIM failure
+// detector with gossip, and the Lifeguard extensions.
+//
+// A Node is a deterministic state machine. It is given the time and the datagrams received, and returns the datagrams
+// to send, the events and the time of the next Tick. It opens no socket, reads no clock and starts no goroutine; every
+// random draw comes from Config.Seed. It is not safe for concurrent use: one goroutine (the event loop of package
+// datagram, or a simulation) makes all calls.
 //
 // Sources: A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-// Protocol" (DSN 2002) for probes, indirect probes, suspicion and dissemination; A. Dadgar, J. Phillips, J. Currey,
-// "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (2017) for the local health figure, negative
-// answers of helpers, suspicion shortened by confirmations, and telling a suspect of its suspicion first. What departs
-// from them is marked "ours" where it stands; docs/design-membership.md weighs it.
+// Protocol" (DSN 2002): sections 3.1 (probe, indirect probe), 4.1 (dissemination by piggybacking), 4.2 (suspicion) and
+// 4.3 (round-robin probe targets). A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More
+// Accurate Failure Detection" (2017): sections IV-A (local health multiplier, nack), IV-B (suspicion timeout shortened
+// by confirmations) and IV-C (buddy system: a suspect is notified first). Deviations from the papers are marked
+// "deviation" with their reason; docs/design-membership.md discusses them.
+//
+// Files: node.go (API, state), probe.go (direct and indirect probes), suspicion.go, table.go (state of the members,
+// refutation), broadcast.go (queue of updates), gossip.go (rounds of gossip), extension.go (messages of other
+// subsystems), sync.go (exchange of full state), encode.go and decode.go (datagrams), budget.go (bytes sent),
+// invariants.go.
 package membership
 
 import (
-	"errors"
 	"fmt"
 	"hash/fnv"
 	"math"
@@ -18,130 +27,170 @@
 	"time"
 )
 
-// MaxDatagram is the length in bytes that no datagram exceeds, extension messages included.
+// MaxDatagram is the upper bound in bytes of a datagram, extension messages included.
 const MaxDatagram = 256
 
-// MostMembers bounds the list of peers, and with it every table.
-const MostMembers = 4096
+// MaxMembers is the upper bound of len(Config.Peers), and with it of every table.
+const MaxMembers = 4096
 
-// Defaults of Config, with their reasons.
+// DefaultInterval is the default of Config.Interval, the protocol period T' of SWIM. A pause of 2 s must not look like a
+// death, and the shortest suspicion lasts suspicionShare times the interval.
+const DefaultInterval = 2 * time.Second
+
+// Lower bounds of the intervals that a Config may set.
 const (
-	DefaultInterval      = 2 * time.Second // a pause of 2 s must not look like a death: suspicion lasts 1.75 of these
 	minInterval          = 100 * time.Millisecond
 	minExtensionInterval = 50 * time.Millisecond
+)
+
+// Durations of a probe, as multiples of the interval.
+const (
+	directProbeShare    = 0.2  // until indirect probes are requested
+	probeShare          = 0.5  // until the target is suspected
+	pauseGraceShare     = 0.02 // by which a Tick may be late before all timers are postponed (deviation)
+	unhealthyPauseShare = 0.25 // by which a Tick must be late to raise the local health score
+)
 
-	timeoutShare   = 0.2  // of the interval: time for a direct answer before others are asked
-	failShare      = 0.5  // of the interval: time for any answer before the target is suspected
-	suspicionShare = 1.75 // of the interval: shortest suspicion, so that the median detection takes three intervals
-	longest        = 2.0  // times that: the suspicion that nobody else confirms
-	secondHand     = 1.6  // intervals that a member waits longer who only heard of a suspicion (ours)
-	callShare      = 0.15 // of the interval between two pings of a suspect before it is declared dead (ours)
-	callLeast      = 1.0  // intervals that a suspect is pinged before it is declared dead, at the least (ours)
-	callsRound     = 8    // pings of suspects, all together, in that time (ours)
-	callsLeast     = 8    // pings without an answer before any is declared dead: loss alone must not do it (ours)
-	gossipShare    = 0.1  // of the interval between two rounds of gossip, while there is news
-	graceShare     = 0.02 // of the interval by which a wait may end late before all others are moved on (ours)
-	lateShare      = 0.25 // of the interval by which it must be late to speak against the own health
-
-	young         = 5  // intervals after the start in which what others hold is taken over as it stands
-	helpers       = 3  // members asked to probe a target that gave no answer: SWIM's k
-	askRounds     = 2  // times that helpers are asked, others each time (ours): loss alone must not bring suspicion
-	confirmations = 2  // accusers beside the first from which a suspicion is as short as it gets
-	fanout        = 2  // members that a round of gossip goes to
-	repeatTimes   = 4  // times log10(N+1), rounded up: how often a member passes a rumour on ...
-	repeatLeast   = 8  // ... and no less: in a small fleet a few losses would keep a member from hearing it (ours)
-	mostHealth    = 4  // of the local health figure; 0 is well (the paper's 8 keeps a lone survivor silent for minutes)
-	startRepeats  = 4  // of a member's own start: those who know nothing of its former self need no more
-	startPings    = 3  // members pinged at once by one that starts
-	leavePings    = 6  // members told at once by one that leaves
-	noticesRound  = 4  // notices to members whose state is in doubt, sent in a round
-	piecesRound   = 4  // pieces of the whole state sent in a round
-	mostAskers    = 8  // members whose requests for the whole state wait
-	mostRelays    = 32 // probes under way on behalf of others
-	mostNotices   = 256
+// Durations of a suspicion, as multiples of the interval unless stated otherwise.
+const (
+	suspicionShare         = 1.75 // shortest suspicion timeout, so that the median detection takes three intervals
+	maxSuspicionFactor     = 2.0  // longest suspicion timeout, without confirmations, as a multiple of the shortest
+	gossipedSuspicionDelay = 1.6  // added by a member that only heard of the suspicion (deviation)
+	suspectPingShare       = 0.15 // between two pings of a suspect before it is declared dead (deviation)
+	minSuspectPingTime     = 1.0  // for which a suspect is pinged at least before it is declared dead (deviation)
+)
+
+// Counts of probes and suspicions.
+const (
+	indirectProbeFanout  = 3 // members asked for an indirect probe: k of SWIM section 3.1
+	indirectProbeRounds  = 2 // requests for indirect probes, to other members each time (deviation): loss alone must not raise a suspicion
+	maxConfirmations     = 2 // members that suspect beside the first at which the suspicion timeout is shortest: K of Lifeguard
+	suspectPingsPerRound = 8 // pings of all suspects together per suspectPingShare (deviation)
+	minSuspectPings      = 8 // unanswered pings before a member is declared dead (deviation): loss alone must not do it
+	maxHealthScore       = 4 // of the local health score; 0 is healthy (S = 8 of Lifeguard keeps a lone survivor silent for minutes)
+	maxRelayedProbes     = 32
+)
+
+// Gossip and exchange of state.
+const (
+	gossipShare          = 0.1 // of the interval between two rounds of gossip, while updates are queued
+	startupIntervals     = 5   // after Start in which the state of others is adopted unverified
+	gossipFanout         = 2   // members to which a round of gossip goes
+	retransmitMultiplier = 4   // times log10(N+1), rounded up: retransmits of an update (lambda log n of SWIM section 4.1) ...
+	minRetransmits       = 8   // ... and the lower bound: in a small fleet a few losses would keep a member from learning it (deviation)
+	startRetransmits     = 4   // of a member's own start: members that know no former incarnation need no more
+	startPings           = 3   // sent by Start
+	leavePings           = 6   // gossip datagrams sent by Leave
+	noticesPerRound      = 4   // pings per round to members that must learn of their own state
+	syncChunksPerRound   = 4
+	maxSyncRequests      = 8 // queued
+	maxNotices           = 256
 )
 
 // Config holds the parameters of a Node.
 type Config struct {
-	Self              int              // own number: the place in Peers
-	Peers             []netip.AddrPort // an address for each gateway of the fleet, its own included, the same order everywhere
-	Fleet             string           // the fleet's name: datagrams of another are dropped
-	Seed              uint64           // of all chance
-	Interval          time.Duration    // between two probes; 0 = DefaultInterval. The same at every gateway
-	Timeout           time.Duration    // until a probe is passed to helpers; 0 = a fifth of the interval
-	Suspect           time.Duration    // shortest suspicion; 0 = 1.75 intervals
+	Self              int              // own member number: the index in Peers
+	Peers             []netip.AddrPort // the address of each gateway of the fleet, the own included, in the same order at each gateway
+	Fleet             string           // name of the fleet: datagrams of another are dropped
+	Seed              uint64           // of all random draws
+	Interval          time.Duration    // protocol period between two probes; 0 = DefaultInterval. The same at each gateway
+	Timeout           time.Duration    // of a direct probe, after which indirect probes are requested; 0 = a fifth of the interval
+	Suspect           time.Duration    // shortest suspicion timeout; 0 = 1.75 intervals
 	Extensions        []Extension      // subsystems that piggyback messages on the datagrams
-	ExtensionInterval time.Duration    // between two datagrams for the Extensions alone, each to one member; 0 = none
-	// Weights returns, by member, how much each is wanted as the receiver of a datagram for the Extensions alone. Where it is
-	// nil, or returns nil, all are wanted alike. Members without a weight above 0 get none.
+	ExtensionInterval time.Duration    // between two datagrams that carry extensions alone, each to one member; 0 = none
+	// Weights returns the weight of each member, by number, as the receiver of a datagram that carries extensions alone. Where
+	// it is nil, or returns nil, or no weight is above 0, all members are equally likely; otherwise a member without a weight
+	// above 0 receives none.
 	Weights func() []float64
 }
 
 // Extension is a subsystem that piggybacks small messages on the datagrams. The message of another gateway's Extension
-// arrives as an event of kind ExtensionReceived. A kind without a registered Extension is skipped.
+// arrives as an event of kind ExtensionReceived. A message of a kind without a registered Extension is skipped.
 type Extension interface {
-	// Kind identifies the subsystem on the wire; above 0.
+	// Kind identifies the subsystem on the wire; it is above 0.
 	Kind() uint32
-	// Append appends at most room bytes for the member to dst; appending nothing takes no room.
+	// Append appends a message of at most room bytes for member to, and returns the extended dst. A message of no bytes is not
+	// sent.
 	Append(now time.Duration, to, room int, dst []byte) []byte
 }
 
-var (
-	errSelf              = errors.New("the own number is none of the peers'")
-	errMany              = fmt.Errorf("more than %d peers", MostMembers)
-	errInterval          = fmt.Errorf("interval under %v", minInterval)
-	errTimeout           = errors.New("timeout not between 0 and half of the interval")
-	errExtensionInterval = fmt.Errorf("datagrams for extensions more often than each %v", minExtensionInterval)
-	errSuspect           = errors.New("suspicion shorter than half of the interval")
-)
+// ConfigError is returned by New and Adjust for an invalid Config.
+type ConfigError struct {
+	Field string // of Config, with the index for one of Peers
+	Value any
+	Bound string // that the value violates
+}
+
+// Error names the field, the value and the bound.
+func (e *ConfigError) Error() string {
+	return fmt.Sprintf("%s is %v, must be %s", e.Field, e.Value, e.Bound)
+}
+
+// validate sets the defaults and returns a *ConfigError for the first invalid field.
+func (c *Config) validate() error {
+	c.setDefaults()
+	if err := c.validatePeers(); err != nil {
+		return err
+	}
+	return c.validateDurations()
+}
 
-// check reports a configuration that makes no sense, and sets the defaults.
-func (c *Config) check() error {
+func (c *Config) setDefaults() {
 	if c.Interval == 0 {
 		c.Interval = DefaultInterval
 	}
 	if c.Timeout == 0 {
-		c.Timeout = c.part(timeoutShare)
+		c.Timeout = c.intervals(directProbeShare)
 	}
 	if c.Suspect == 0 {
-		c.Suspect = c.part(suspicionShare)
+		c.Suspect = c.intervals(suspicionShare)
 	}
+}
+
+func (c *Config) validatePeers() error {
 	seen := map[netip.AddrPort]bool{}
-	for _, p := range c.Peers {
-		if !p.IsValid() || p.Port() == 0 || seen[p] {
-			return fmt.Errorf("peer %q is no address of its own", p)
+	for i, peer := range c.Peers {
+		if !peer.IsValid() || peer.Port() == 0 || seen[peer] {
+			return &ConfigError{fmt.Sprintf("Peers[%d]", i), peer, "a valid address with a port, distinct from the others"}
 		}
-		seen[p] = true
+		seen[peer] = true
+	}
+	if c.Self < 0 || c.Self >= len(c.Peers) {
+		return &ConfigError{"Self", c.Self, fmt.Sprintf("an index in the %d Peers", len(c.Peers))}
+	}
+	if len(c.Peers) > MaxMembers {
+		return &ConfigError{"len(Peers)", len(c.Peers), fmt.Sprintf("at most %d", MaxMembers)}
 	}
+	return nil
+}
+
+func (c *Config) validateDurations() error {
 	switch {
-	case c.Self < 0 || c.Self >= len(c.Peers):
-		return errSelf
-	case len(c.Peers) > MostMembers:
-		return errMany
 	case c.Interval < minInterval:
-		return errInterval
+		return &ConfigError{"Interval", c.Interval, fmt.Sprintf("at least %v", minInterval)}
 	case c.Timeout <= 0 || c.Timeout >= c.Interval/2:
-		return errTimeout
+		return &ConfigError{"Timeout", c.Timeout, fmt.Sprintf("above 0 and below half of the interval, %v", c.Interval/2)}
 	case c.ExtensionInterval != 0 && c.ExtensionInterval < minExtensionInterval:
-		return errExtensionInterval
+		return &ConfigError{"ExtensionInterval", c.ExtensionInterval, fmt.Sprintf("0 or at least %v", minExtensionInterval)}
 	case c.Suspect < c.Interval/2:
-		return errSuspect
+		return &ConfigError{"Suspect", c.Suspect, fmt.Sprintf("at least half of the interval, %v", c.Interval/2)}
 	}
 	return nil
 }
 
-func (c *Config) part(share float64) time.Duration {
-	return time.Duration(share * float64(c.Interval))
+// intervals returns a multiple of the protocol period.
+func (c *Config) intervals(factor float64) time.Duration {
+	return time.Duration(factor * float64(c.Interval))
 }
 
-// fleetID is the fleet's name on the wire.
+// fleetID returns the hash that stands for the fleet's name on the wire (FNV-1a).
 func (c *Config) fleetID() uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(c.Fleet))
 	return h.Sum32()
 }
 
-// repeats is how often a member passes a rumour on: enough that with this many members nearly all hear of it.
-func repeats(members int) int {
-	return max(repeatLeast, int(math.Ceil(repeatTimes*math.Log10(float64(members+1)))))
+// retransmitLimit returns how often a member sends an update: enough that with this many members nearly all receive it.
+func retransmitLimit(members int) int {
+	return max(minRetransmits, int(math.Ceil(retransmitMultiplier*math.Log10(float64(members+1)))))
 }
--- /dev/null
+++ b/internal/control/membership/decode.go
@@ -0,0 +1,135 @@
+package membership
+
+import (
+	"net/netip"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"frostpier/internal/control/membership/membershippb"
+)
+
+// unmarshalOptions merge into a cleared message, which reuses the memory of its lists.
+var unmarshalOptions = proto.UnmarshalOptions{Merge: true, DiscardUnknown: true}
+
+// decode decodes a datagram into n.incoming and returns the member number of its sender. If it is invalid, decode counts
+// the reason and reports false.
+func (n *Node) decode(from netip.AddrPort, b []byte) (sender int, ok bool) {
+	sender, known := n.numbers[from]
+	if !known || sender == n.cfg.Self {
+		n.counts.Strangers++
+		return 0, false
+	}
+	if len(b) > MaxDatagram {
+		n.counts.Oversize++
+		return 0, false
+	}
+	d := &n.incoming
+	if !unmarshalDatagram(b, d) {
+		n.counts.Malformed++
+		return 0, false
+	}
+	switch {
+	case d.Fleet != n.fleet:
+		n.counts.OtherFleet++
+	case d.Least > Version:
+		n.counts.TooNew++
+	case int(d.From) != sender:
+		n.counts.Strangers++
+	default:
+		return sender, true
+	}
+	return 0, false
+}
+
+// unmarshalDatagram verifies the checksum, decodes the message, and reports whether its fields are in range.
+func unmarshalDatagram(b []byte, d *membershippb.Datagram) bool {
+	resetMessage(d)
+	message, ok := verifyChecksum(b)
+	if !ok || unmarshalOptions.Unmarshal(message, d) != nil {
+		return false
+	}
+	return d.Version != 0 && d.Incarnation != 0 && d.Incarnation < maxIncarnation && d.SubjectIncarnation < maxIncarnation
+}
+
+// handleDatagram handles a valid datagram. What a sender says of others is trusted only while it is in service here.
+func (n *Node) handleDatagram(now time.Duration, from int, d *membershippb.Datagram) {
+	trusted := n.recordContact(now, from, d.Incarnation)
+	if d.Kind == membershippb.Kind_KIND_SYNC {
+		if trusted {
+			n.applySyncChunk(now, from, d)
+		}
+		return
+	}
+	if trusted || n.members[from].state == Left {
+		n.applyUpdates(now, d)
+	} else {
+		n.applyUpdatesOnSelf(now, d) // what any member says of this one can be refuted
+	}
+	subject := int(d.Subject) - 1 // noMember if the field is 0
+	if subject >= len(n.members) {
+		n.counts.Unknown++
+		return
+	}
+	n.handleKind(now, from, subject, trusted, d)
+	acknowledged := d.Kind == membershippb.Kind_KIND_PING // the ACK held the notice
+	if !acknowledged && n.needsNotice(from) && (n.members[from].state != Left || n.members[from].staleIncarnation) {
+		n.notify(now, from)
+	}
+	if !trusted {
+		return
+	}
+	if d.Kind == membershippb.Kind_KIND_PING || d.Kind == membershippb.Kind_KIND_ACK {
+		n.compareDigest(now, from, d.Digest)
+	}
+	n.deliverExtensions(from, d)
+}
+
+// handleKind does what a datagram of its kind asks for.
+func (n *Node) handleKind(now time.Duration, from, subject int, trusted bool, d *membershippb.Datagram) {
+	switch d.Kind {
+	case membershippb.Kind_KIND_PING:
+		n.send(now, membershippb.Kind_KIND_ACK, from, d.Sequence, noMember, 0)
+	case membershippb.Kind_KIND_ACK:
+		if trusted {
+			n.handleAck(now, from, d.Sequence, subject, d.SubjectIncarnation)
+		}
+	case membershippb.Kind_KIND_PING_REQ:
+		if subject != noMember && subject != n.cfg.Self && subject != from {
+			n.relayProbe(now, from, d.Sequence, subject)
+		}
+	case membershippb.Kind_KIND_NACK:
+		n.handleNack(from, d.Sequence)
+	case membershippb.Kind_KIND_SYNC_ASK:
+		n.handleSyncRequest(now, from, int(d.First))
+	case membershippb.Kind_KIND_GOSSIP:
+	default:
+		n.counts.Unknown++ // of a newer program: its updates were applied nevertheless
+	}
+}
+
+// applyUpdates applies the updates of a datagram. Lists of unequal length are read as far as all go.
+func (n *Node) applyUpdates(now time.Duration, d *membershippb.Datagram) {
+	for k := range min(len(d.About), len(d.Word)) {
+		by := noMember
+		if k < len(d.By) {
+			by = int(d.By[k]) - 1
+		}
+		s, incarnation, ok := unpackState(d.Word[k])
+		if int64(d.About[k]) >= int64(len(n.members)) || by >= len(n.members) || !ok {
+			n.counts.Unknown++
+			continue
+		}
+		n.applyUpdate(now, int(d.About[k]), s, incarnation, by)
+	}
+}
+
+// applyUpdatesOnSelf applies only the updates on this member.
+func (n *Node) applyUpdatesOnSelf(now time.Duration, d *membershippb.Datagram) {
+	for k := range min(len(d.About), len(d.Word)) {
+		s, incarnation, ok := unpackState(d.Word[k])
+		if ok && int64(d.About[k]) == int64(n.cfg.Self) {
+			n.refute(now, s, incarnation, noMember)
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/membership/encode_test.go
@@ -0,0 +1,41 @@
+package membership
+
+import (
+	"testing"
+	"time"
+
+	"frostpier/internal/control/membership/membershippb"
+)
+
+// No datagram exceeds MaxDatagram, however many updates are queued; and extension messages arrive.
+func TestDatagramsAreBounded(t *testing.T) {
+	n := newNode(t, 4000, MaxMembers, testExtension{1}, testExtension{2})
+	other := newNode(t, 7, MaxMembers, testExtension{1})
+	sender := n.cfg.Peers[4000]
+	delivered := 0
+	for round := range 40 {
+		for k := range 60 { // updates of the greatest length
+			n.deliver(t, k, datagramFrom(n, k, withUpdate(round*100+k, Suspect, maxIncarnation-1, 3000)))
+		}
+		n.deliver(t, 7, datagramFrom(n, 7, func(d *membershippb.Datagram) {
+			d.Kind, d.Incarnation, d.Sequence = membershippb.Kind_KIND_SYNC_ASK, maxIncarnation-1, 1<<32-1
+		}))
+		for k := range 20 {
+			n.Tick(epoch + time.Duration(round*20+k+20)*200*time.Millisecond)
+			if err := n.Check(); err != nil { // checks the lengths
+				t.Fatal(err)
+			}
+			for _, d := range n.Datagrams() {
+				other.Receive(epoch+time.Second, sender, d.Bytes)
+				for _, e := range other.Events() {
+					if e.Kind == ExtensionReceived && e.Member == 4000 && e.ExtensionKind == 1 && len(e.Body) > 0 {
+						delivered++
+					}
+				}
+			}
+		}
+	}
+	if n.Counts().Sent < 200 || delivered == 0 || other.Counts().Malformed > 0 {
+		t.Errorf("sent %d, delivered %d, at the other %+v", n.Counts().Sent, delivered, other.Counts())
+	}
+}
--- a/internal/control/membership/gossip.go
+++ b/internal/control/membership/gossip.go
@@ -6,155 +6,68 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// queue holds the members that have updates to gossip, each once, the least gossiped first. It is a ring with
-// room for every member.
-type queue struct {
-	ring        []int32
-	head, count int
-}
-
-func (q *queue) init(members int) { q.ring = make([]int32, members) }
-
-func (q *queue) pushFront(i int) {
-	q.head = (q.head + len(q.ring) - 1) % len(q.ring)
-	q.ring[q.head] = int32(i)
-	q.count++
-}
-
-func (q *queue) pushBack(i int) {
-	q.ring[(q.head+q.count)%len(q.ring)] = int32(i)
-	q.count++
-}
-
-func (q *queue) pop() int {
-	i := q.ring[q.head]
-	q.head = (q.head + 1) % len(q.ring)
-	q.count--
-	return int(i)
-}
-
-// queueUpdate queues the present state of a member to be gossiped the given number of times.
-func (n *Node) queueUpdate(now time.Duration, i int, times int16) {
-	m := &n.members[i]
-	if m.repeats == 0 {
-		n.updates.pushFront(i)
-	}
-	m.repeats = times
-	n.updatedAt = now
-	n.wantRound(now)
-}
-
-// wantRound has a round of gossip take place.
-func (n *Node) wantRound(now time.Duration) {
-	if n.gossipAt == 0 {
-		n.gossipAt = now + n.cfg.part(gossipShare)
+// scheduleGossip schedules a round of gossip, if none is.
+func (n *Node) scheduleGossip(now time.Duration) {
+	if n.nextGossipAt == 0 {
+		n.nextGossipAt = now + n.cfg.intervals(gossipShare)
 	}
 }
 
-// tickGossip does a gossip round: updates to a few members, notices, and pieces of the full state. It sends nothing if
-// none of them is pending.
+// tickGossip runs a round of gossip if one is due: queued updates to random members, notices, and chunks of the full state.
 func (n *Node) tickGossip(now time.Duration) {
-	if n.gossipAt == 0 || now < n.gossipAt {
+	if n.nextGossipAt == 0 || now < n.nextGossipAt {
 		return
 	}
-	n.gossipAt = 0
+	n.nextGossipAt = 0
 	n.sendUpdates(now)
 	n.sendNotices(now)
-	n.sendPieces(now)
-	if n.updates.count > 0 || len(n.notices) > 0 || len(n.askers) > 0 {
-		n.gossipAt = now + n.cfg.part(gossipShare)
+	n.sendSyncChunks(now)
+	if n.broadcasts.count > 0 || len(n.notices) > 0 || len(n.syncRequests) > 0 {
+		n.scheduleGossip(now)
 	}
 }
 
-// sendUpdates sends queued updates to a few members, as the budget allows.
+// sendUpdates gossips queued updates to random members, as the budget allows.
 func (n *Node) sendUpdates(now time.Duration) {
-	for range fanout {
-		if n.updates.count == 0 {
+	for range gossipFanout {
+		if n.broadcasts.count == 0 {
 			return
 		}
-		if !n.budget.allowsUpdates(now) && now-n.gossipedAt < n.cfg.part(updatePatience) {
+		if !n.budget.allowsUpdates(now) && now-n.lastUpdatesSentAt < n.cfg.intervals(updatePatience) {
 			n.counts.Postponed++
 			return
 		}
-		if to := n.someone(-1); to >= 0 {
-			n.gossipedAt = now
-			n.send(now, membershippb.Kind_KIND_GOSSIP, to, 0, -1, 0)
+		if to := n.randomMember(noMember); to != noMember {
+			n.lastUpdatesSentAt = now
+			n.sendGossip(now, to)
 		}
 	}
 }
 
-// tickExtensions sends the messages of the extensions to a random member, drawn by the weights where there are any.
-func (n *Node) tickExtensions(now time.Duration) {
-	if n.extensionsAt == 0 || now < n.extensionsAt {
-		return
-	}
-	n.extensionsAt = now + n.cfg.ExtensionInterval
-	if !n.budget.allowsExtensions(now) {
-		n.counts.Postponed++
-		return
-	}
-	if to := n.receiver(); to >= 0 && !n.leaving {
-		n.send(now, membershippb.Kind_KIND_GOSSIP, to, 0, -1, 0)
-	}
-}
-
-// receiver is a random member in service other than this one, drawn by the weights where there are any; -1 if there is none.
-func (n *Node) receiver() int {
-	var weights []float64
-	if n.cfg.Weights != nil {
-		weights = n.cfg.Weights()
-	}
-	if weights == nil {
-		return n.someone(-1)
-	}
-	sum := n.sumWeights(weights)
-	if !(sum > 0) {
-		return n.someone(-1)
-	}
-	left := n.rnd.Float64() * sum
-	last := -1
-	for _, i := range n.order {
-		if w := n.weight(weights, i); w > 0 {
-			last = i
-			if left -= w; left < 0 {
-				break
-			}
-		}
-	}
-	return last
+// sendGossip sends a datagram that only carries updates and extension messages.
+func (n *Node) sendGossip(now time.Duration, to int) {
+	n.send(now, membershippb.Kind_KIND_GOSSIP, to, 0, noMember, 0)
 }
 
-// sumWeights adds up the weights of the members in service.
-func (n *Node) sumWeights(weights []float64) (sum float64) {
-	for _, i := range n.order {
-		sum += n.weight(weights, i)
-	}
-	return sum
-}
-
-// weight is that of a member; 0 if it is out of service or has none.
-func (n *Node) weight(weights []float64, member int) float64 {
-	if member >= len(weights) || !n.members[member].state.Serves() {
-		return 0
-	}
-	return max(0, weights[member])
-}
-
-// notify has a member told directly what is held of it, because that is in doubt: it will say if it is wrong. Once an
-// interval is enough for each.
+// notify queues a ping that notifies a member of its own state in this view, at most once an interval: if the state is
+// wrong, the member refutes it (Lifeguard section IV-C, buddy system).
 func (n *Node) notify(now time.Duration, i int) {
 	m := &n.members[i]
-	if i == n.cfg.Self || len(n.notices) == mostNotices || m.noticed > 0 && now-m.noticed < n.cfg.Interval {
+	if i == n.cfg.Self || len(n.notices) == maxNotices {
+		return
+	}
+	if m.lastNoticeAt > 0 && now-m.lastNoticeAt < n.cfg.Interval {
 		return
 	}
-	m.noticed = now
+	m.lastNoticeAt = now
 	n.notices = append(n.notices, i)
-	n.wantRound(now)
+	n.scheduleGossip(now)
 }
 
+// sendNotices pings the members that are to be notified; send adds the update on the receiver.
 func (n *Node) sendNotices(now time.Duration) {
 	sent := 0
-	for sent < min(noticesRound, len(n.notices)) {
+	for sent < min(noticesPerRound, len(n.notices)) {
 		n.ping(now, n.notices[sent])
 		sent++
 	}
--- /dev/null
+++ b/internal/control/membership/helpers_test.go
@@ -0,0 +1,104 @@
+package membership
+
+import (
+	"net/netip"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"frostpier/internal/control/membership/membershippb"
+	_ "frostpier/internal/testutil/fixedseed"
+)
+
+// epoch is the time at which the nodes of the tests start.
+const epoch = 1_800_000_000 * time.Second
+
+// startIncarnation is the incarnation of a member that starts at epoch.
+const startIncarnation = uint64(epoch / time.Second)
+
+// failer is the part of *testing.T, *testing.B and *rapid.T that the helpers use.
+type failer interface {
+	Helper()
+	Fatal(args ...any)
+}
+
+// peerAddresses returns n addresses on the loopback network.
+func peerAddresses(n int) (out []netip.AddrPort) {
+	for i := range n {
+		out = append(out, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 7946))
+	}
+	return out
+}
+
+// newNode returns a node of a fleet of n members that has started at epoch.
+func newNode(t failer, self, n int, extensions ...Extension) *Node {
+	t.Helper()
+	return startNode(t, Config{Self: self, Peers: peerAddresses(n), Fleet: "test", Seed: 1, Extensions: extensions})
+}
+
+// startNode returns a node that has started at epoch.
+func startNode(t failer, cfg Config) *Node {
+	t.Helper()
+	node, err := New(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	node.Start(epoch)
+	return node
+}
+
+// datagramFrom builds a datagram of another member; change may alter it before the checksum is added.
+func datagramFrom(n *Node, member int, change func(d *membershippb.Datagram)) []byte {
+	d := &membershippb.Datagram{Version: Version, Least: minReaderVersion, Fleet: n.fleet, From: uint32(member),
+		Incarnation: startIncarnation, Kind: membershippb.Kind_KIND_GOSSIP}
+	if change != nil {
+		change(d)
+	}
+	b, _ := proto.Marshal(d)
+	return appendChecksum(b)
+}
+
+// withUpdate is a change for datagramFrom that adds an update on a member.
+func withUpdate(about int, s State, incarnation uint64, by int) func(d *membershippb.Datagram) {
+	return func(d *membershippb.Datagram) {
+		d.About = append(d.About, uint32(about))
+		d.Word = append(d.Word, packState(s, incarnation))
+		d.By = append(d.By, uint32(by+1))
+	}
+}
+
+// deliver has the node receive a datagram of a member a second after epoch, and checks the invariants.
+func (n *Node) deliver(t failer, member int, b []byte) {
+	t.Helper()
+	n.Receive(epoch+time.Second, n.cfg.Peers[member], b)
+	if err := n.Check(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// deliverUpdate has the node receive an update on a member, gossiped by the member that reports it.
+func (n *Node) deliverUpdate(t failer, about int, s State, incarnation uint64, by int) {
+	t.Helper()
+	n.deliver(t, by, datagramFrom(n, by, withUpdate(about, s, incarnation, by)))
+}
+
+// firstDatagram decodes the first datagram of the last call.
+func (n *Node) firstDatagram(t failer) *membershippb.Datagram {
+	t.Helper()
+	d := &membershippb.Datagram{}
+	message, ok := verifyChecksum(n.Datagrams()[0].Bytes)
+	if err := proto.Unmarshal(message, d); !ok || err != nil {
+		t.Fatal(ok, err)
+	}
+	return d
+}
+
+// datagramsTo counts the datagrams of the last call to a member.
+func (n *Node) datagramsTo(member int) (count int) {
+	for _, d := range n.Datagrams() {
+		if d.To == member {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/control/membership/invariants.go
@@ -0,0 +1,75 @@
+package membership
+
+import "fmt"
+
+// Check returns an error for the first invariant that is violated. Tests, and programs built with -tags debug, call it
+// after every other call.
+func (n *Node) Check() error {
+	if err := n.checkMembers(); err != nil {
+		return err
+	}
+	if err := n.checkOwnState(); err != nil {
+		return err
+	}
+	if err := n.checkBounds(); err != nil {
+		return err
+	}
+	return n.checkDatagrams()
+}
+
+// checkMembers compares the cached totals with the table of members.
+func (n *Node) checkMembers() error {
+	serving, queued, suspects := 0, 0, 0
+	digest := uint32(0)
+	for i := range n.members {
+		m := &n.members[i]
+		if m.state < Alive || m.state > Left {
+			return fmt.Errorf("member %d in state %d", i, m.state)
+		}
+		digest ^= memberDigest(i, m.state)
+		if m.state.Serves() {
+			serving++
+		}
+		if m.retransmits > 0 {
+			queued++
+		}
+		if m.state == Suspect {
+			suspects++
+		}
+	}
+	switch {
+	case serving != n.serving:
+		return fmt.Errorf("%d members in service, counted as %d", serving, n.serving)
+	case queued != n.broadcasts.count:
+		return fmt.Errorf("%d members with an update to send, %d queued", queued, n.broadcasts.count)
+	case suspects != len(n.suspects):
+		return fmt.Errorf("%d suspects, %d listed", suspects, len(n.suspects))
+	case digest != n.digest:
+		return fmt.Errorf("digest %x, cached as %x", digest, n.digest)
+	}
+	return nil
+}
+
+func (n *Node) checkOwnState() error {
+	own := n.members[n.cfg.Self].state
+	if own != Alive && !n.left || own != Left && n.left {
+		return fmt.Errorf("own state %v", own)
+	}
+	return nil
+}
+
+func (n *Node) checkBounds() error {
+	if len(n.relayedProbes) > maxRelayedProbes || len(n.syncRequests) > maxSyncRequests || len(n.notices) > maxNotices {
+		return fmt.Errorf("%d relayed probes, %d sync requests, %d notices", len(n.relayedProbes), len(n.syncRequests), len(n.notices))
+	}
+	return nil
+}
+
+func (n *Node) checkDatagrams() error {
+	for _, d := range n.datagrams {
+		if len(d.Bytes) > MaxDatagram || d.To == n.cfg.Self || d.To < 0 || d.To >= len(n.members) {
+			return fmt.Errorf("datagram of %d bytes to member %d", len(d.Bytes), d.To)
+		}
+	}
+	return nil
+}
--- a/internal/control/membership/probe.go
+++ b/internal/control/membership/probe.go
@@ -8,244 +8,219 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// probe is the one under way.
+// probe is this member's own probe of a target, direct and indirect (SWIM section 3.1). The zero value is none.
 type probe struct {
-	open     bool
-	target   int
-	sequence uint32
-	helpAt   time.Duration // when others are asked; 0 = they were, twice
-	rounds   int           // how often they were asked
-	failAt   time.Duration
-	asked    []int // helpers
-	nacked   []int // and those of them that said that they have no answer either
+	pending        bool
+	target         int
+	sequence       uint32
+	indirectAt     time.Duration // when indirect probes are requested next; 0 = no more
+	indirectRounds int           // rounds of requests for indirect probes so far
+	failAt         time.Duration
+	helpers        []int // members asked for an indirect probe ...
+	nackedBy       []int // ... and those of them that answered with a NACK
 }
 
-func (p *probe) shift(d time.Duration) {
-	if p.helpAt > 0 {
-		p.helpAt += d
+// postpone moves the timers of the probe.
+func (p *probe) postpone(delay time.Duration) {
+	if p.indirectAt > 0 {
+		p.indirectAt += delay
 	}
-	p.failAt += d
+	p.failAt += delay
 }
 
-func (p *probe) next() time.Duration {
+// nextTickAt returns the earliest timer of the probe; 0 if it is not pending.
+func (p *probe) nextTickAt() time.Duration {
 	switch {
-	case !p.open:
+	case !p.pending:
 		return 0
-	case p.helpAt > 0:
-		return p.helpAt
+	case p.indirectAt > 0:
+		return p.indirectAt
 	}
 	return p.failAt
 }
 
-// relay is a probe on behalf of another member.
-type relay struct {
-	origin, subject        int
-	originSeq, ownSequence uint32
-	nackAt, endAt          time.Duration // nackAt 0 = it was sent
+// tickProbe advances the pending probe, and starts the next one in each protocol period.
+func (n *Node) tickProbe(now time.Duration) {
+	if n.probe.pending {
+		n.advanceProbe(now)
+	}
+	if n.left {
+		n.nextProbeAt = now + n.cfg.Interval
+		return
+	}
+	if now < n.nextProbeAt {
+		return
+	}
+	if n.probe.pending { // the health score slowed it down so much that the next one is due
+		n.probeFailed(now)
+	}
+	n.nextProbeAt = n.nextProbeTime(now)
+	if target := n.nextProbeTarget(now); target != noMember {
+		n.startProbe(now, target)
+	}
+	n.pingOutOfService(now)
 }
 
-func (r *relay) next() time.Duration {
-	if r.nackAt > 0 {
-		return r.nackAt
+// startProbe sends a direct probe to a target.
+func (n *Node) startProbe(now time.Duration, target int) {
+	n.counts.Probes++
+	n.probe = probe{
+		pending:    true,
+		target:     target,
+		indirectAt: now + n.scaleByHealth(n.cfg.Timeout),
+		failAt:     now + n.scaleByHealth(n.cfg.intervals(probeShare)),
+		helpers:    n.probe.helpers[:0],
+		nackedBy:   n.probe.nackedBy[:0],
 	}
-	return r.endAt
+	n.probe.sequence = n.ping(now, target)
 }
 
-// slowed is a time scaled by the own health, as Lifeguard has it.
-func (n *Node) slowed(d time.Duration) time.Duration { return d * time.Duration(1+n.health) }
-
-func (n *Node) tickProbe(now time.Duration) {
-	if p := &n.probe; p.open {
-		if p.helpAt > 0 && now >= p.helpAt {
-			p.helpAt = 0
-			if p.rounds++; p.rounds < askRounds {
-				p.helpAt = now + n.slowed(n.cfg.part(failShare)-n.cfg.Timeout)/askRounds
-			}
-			n.askHelpers(now)
-		}
-		if now >= p.failAt {
-			n.failed(now)
+// advanceProbe requests indirect probes, or ends the probe as failed, when that is due.
+func (n *Node) advanceProbe(now time.Duration) {
+	p := &n.probe
+	if p.indirectAt > 0 && now >= p.indirectAt {
+		p.indirectAt = 0
+		p.indirectRounds++
+		if p.indirectRounds < indirectProbeRounds {
+			p.indirectAt = now + n.scaleByHealth(n.cfg.intervals(probeShare)-n.cfg.Timeout)/indirectProbeRounds
 		}
+		n.requestIndirectProbes(now)
+	}
+	if now >= p.failAt {
+		n.probeFailed(now)
 	}
-	if now < n.probeAt || n.leaving {
-		if n.leaving {
-			n.probeAt = now + n.cfg.Interval
+}
+
+// requestIndirectProbes sends a PING_REQ to random members.
+func (n *Node) requestIndirectProbes(now time.Duration) {
+	p := &n.probe
+	for range indirectProbeFanout {
+		helper := n.randomMember(p.target)
+		if helper != noMember && !slices.Contains(p.helpers, helper) {
+			p.helpers = append(p.helpers, helper)
+			n.send(now, membershippb.Kind_KIND_PING_REQ, helper, p.sequence, p.target, 0)
 		}
-		return
 	}
-	if n.probe.open { // slowed down so much that the next one is due
-		n.failed(now)
+	n.send(now, membershippb.Kind_KIND_PING, p.target, p.sequence, noMember, 0) // again: loss of the first is the likeliest cause
+}
+
+// probeSucceeded ends the probe with an ACK.
+func (n *Node) probeSucceeded() {
+	n.probe.pending = false
+	n.adjustHealth(-1)
+}
+
+// probeFailed ends the probe without an ACK, and suspects the target. If no helper sent even a NACK, the fault may be this
+// member's own, and the local health score rises (Lifeguard section IV-A). Deviation: Lifeguard raises it for each missing
+// NACK; where most members died at once, that slowed the others down until they reported nothing for minutes.
+func (n *Node) probeFailed(now time.Duration) {
+	p := &n.probe
+	p.pending = false
+	n.counts.ProbesFailed++
+	if len(p.nackedBy) == 0 {
+		n.adjustHealth(2)
 	}
-	n.probeAt = n.nextProbe(now)
-	if i := n.nextTarget(now); i >= 0 {
-		n.counts.Probes++
-		n.probe = probe{open: true, target: i, helpAt: now + n.slowed(n.cfg.Timeout),
-			failAt: now + n.slowed(n.cfg.part(failShare)), asked: n.probe.asked[:0],
-			nacked: n.probe.nacked[:0]}
-		n.probe.sequence = n.ping(now, i)
+	if n.members[p.target].state.Serves() {
+		n.suspectAfterProbe(now, p.target, p.nackedBy)
 	}
-	n.tryLost(now)
 }
 
-// nextTarget goes round the others in a shuffled order, as SWIM has it. Ours: the order is of distances between
-// numbers, shuffled anew for each round by the fleet's name, and clocks tell the place in it. So in each interval
-// every member is probed by one other, where orders of their own leave a member unprobed for 4.6 intervals once in a
-// hundred. Clocks that differ take that away and nothing else. Where the target is out of service, any other is
-// probed: its own prober may be among the dead.
-func (n *Node) nextTarget(now time.Duration) int {
-	if len(n.order) == 0 {
-		return -1
+// nextProbeTarget returns the next target in a shuffled round-robin order (SWIM section 4.3); noMember if there is none.
+//
+// Deviation: the order is one of offsets between member numbers, shuffled anew for each round with the fleet's name as
+// the seed, and the clock gives the position in it. So each member is probed by exactly one other in every interval,
+// whereas independent orders leave a member unprobed for 4.6 intervals once in a hundred. Clock skew weakens this
+// property and nothing else. Where the target is out of service a random member is probed instead, because its own
+// prober may be among the dead.
+func (n *Node) nextProbeTarget(now time.Duration) int {
+	if len(n.others) == 0 {
+		return noMember
 	}
 	slot := uint64(now / n.cfg.Interval)
-	if round := slot / uint64(len(n.order)); round != n.round {
-		n.shuffle(round)
+	round := slot / uint64(len(n.others))
+	if round != n.probeRound {
+		n.shuffleProbeOrder(round)
 	}
-	i := (n.cfg.Self + n.distances[slot%uint64(len(n.order))]) % len(n.members)
-	if n.members[i].state.Serves() {
-		return i
+	offset := n.probeOffsets[slot%uint64(len(n.others))]
+	target := (n.cfg.Self + offset) % len(n.members)
+	if n.members[target].state.Serves() {
+		return target
 	}
-	return n.someone(-1)
+	return n.randomMember(noMember)
 }
 
-func (n *Node) shuffle(round uint64) {
-	n.round = round
-	for k := range n.distances {
-		n.distances[k] = k + 1
+// shuffleProbeOrder sets the order of probe targets in a round, which depends on the fleet and the round alone.
+func (n *Node) shuffleProbeOrder(round uint64) {
+	n.probeRound = round
+	for k := range n.probeOffsets {
+		n.probeOffsets[k] = k + 1
 	}
 	rnd := rand.New(rand.NewPCG(uint64(n.fleet), round))
-	rnd.Shuffle(len(n.distances), func(a, b int) {
-		n.distances[a], n.distances[b] = n.distances[b], n.distances[a]
+	rnd.Shuffle(len(n.probeOffsets), func(a, b int) {
+		n.probeOffsets[a], n.probeOffsets[b] = n.probeOffsets[b], n.probeOffsets[a]
 	})
 }
 
-// nextProbe is the next own moment of an interval: members do not probe in step, and one that was late is back in
-// its slot.
-func (n *Node) nextProbe(now time.Duration) time.Duration {
+// nextProbeTime returns the time of the own phase in the next interval: members do not probe in step, and a member that
+// was late returns to its phase. A bad health score skips intervals.
+func (n *Node) nextProbeTime(now time.Duration) time.Duration {
 	interval := n.cfg.Interval
-	at := now/interval*interval + n.phase
+	at := now/interval*interval + n.probePhase
 	if at <= now {
 		at += interval
 	}
-	return at + interval*time.Duration(n.health)
+	return at + interval*time.Duration(n.healthScore)
 }
 
-// tryLost pings one member a round that is out of service: so a cut that healed is noticed, and one that came back
-// while nobody heard it.
-func (n *Node) tryLost(now time.Duration) {
+// pingOutOfService pings one member per interval that is out of service, in turn, so that the end of a partition is
+// noticed, and a member that returned while nobody received its datagrams.
+func (n *Node) pingOutOfService(now time.Duration) {
 	if n.serving == len(n.members) {
 		return
 	}
 	for range n.members {
-		n.reach = (n.reach + 1) % len(n.members)
-		if n.reach != n.cfg.Self && !n.members[n.reach].state.Serves() {
-			n.ping(now, n.reach)
+		n.lastOutOfServiceProbed = (n.lastOutOfServiceProbed + 1) % len(n.members)
+		i := n.lastOutOfServiceProbed
+		if i != n.cfg.Self && !n.members[i].state.Serves() {
+			n.ping(now, i)
 			return
 		}
 	}
 }
 
-// ping sends one and returns its sequence number.
+// ping sends a PING and returns its sequence number.
 func (n *Node) ping(now time.Duration, to int) uint32 {
 	n.sequence++
-	if to >= 0 {
-		n.send(now, membershippb.Kind_KIND_PING, to, n.sequence, -1, 0)
-	}
+	n.send(now, membershippb.Kind_KIND_PING, to, n.sequence, noMember, 0)
 	return n.sequence
 }
 
-func (n *Node) askHelpers(now time.Duration) {
-	p := &n.probe
-	for range helpers {
-		if h := n.someone(p.target); h >= 0 && !slices.Contains(p.asked, h) {
-			p.asked = append(p.asked, h)
-			n.send(now, membershippb.Kind_KIND_PING_REQ, h, p.sequence, p.target, 0)
-		}
-	}
-	n.send(now, membershippb.Kind_KIND_PING, p.target, p.sequence, -1, 0) // once more: the first may just have been lost
-}
-
-// answered ends the probe well.
-func (n *Node) answered() {
-	n.probe.open = false
-	n.worsen(-1)
-}
-
-// failed ends it in vain. Where no helper said anything at all, the fault may well be here, and that speaks against the
-// own health. Ours: Lifeguard counts each helper that is silent; where most members die at once that slowed down the
-// others until they reported nothing for minutes.
-func (n *Node) failed(now time.Duration) {
-	p := &n.probe
-	p.open = false
-	n.counts.ProbesFailed++
-	if len(p.nacked) == 0 {
-		n.worsen(2)
-	}
-	if n.members[p.target].state.Serves() {
-		n.suspectFirstHand(now, p.target, p.nacked)
-	}
-}
-
-// took takes an ACK, direct (subject < 0) or relayed.
-func (n *Node) took(now time.Duration, from int, sequence uint32, subject int, incarnation uint64) {
-	if subject >= 0 {
-		if subject == n.cfg.Self {
-			return
-		}
-		if m := &n.members[subject]; incarnation > m.incarnation {
-			n.set(now, subject, Alive, incarnation, from, m.incarnation == 0 && m.state == Alive)
+// handleAck handles an ACK: of the sender itself if subject is noMember, else relayed by the sender for the subject.
+func (n *Node) handleAck(now time.Duration, from int, sequence uint32, subject int, incarnation uint64) {
+	target := subject
+	switch subject {
+	case n.cfg.Self:
+		return
+	case noMember:
+		target = from
+		n.relayAck(now, from, sequence)
+	default:
+		if incarnation > n.members[subject].incarnation {
+			n.setAlive(now, subject, incarnation, from)
 		}
-	} else {
-		subject = from
-		n.members[from].acked = now
-		n.relayed(now, from, sequence)
 	}
-	if n.probe.open && n.probe.sequence == sequence && n.probe.target == subject {
-		n.members[subject].acked = now
-		n.answered()
+	if n.probe.pending && n.probe.sequence == sequence && n.probe.target == target {
+		n.probeSucceeded()
 	}
 }
 
-// nack takes a helper's negative answer.
-func (n *Node) nack(from int, sequence uint32) {
+// handleNack records the NACK of a helper of the pending probe.
+func (n *Node) handleNack(from int, sequence uint32) {
 	p := &n.probe
-	if !p.open || p.sequence != sequence || !slices.Contains(p.asked, from) || slices.Contains(p.nacked, from) {
+	if !p.pending || p.sequence != sequence {
 		return
 	}
-	p.nacked = append(p.nacked, from)
-}
-
-// help probes a member on behalf of another.
-func (n *Node) help(now time.Duration, origin int, sequence uint32, subject int) {
-	if len(n.relays) == mostRelays {
-		n.relays = append(n.relays[:0], n.relays[1:]...) // the oldest is nearest its end
-	}
-	wait := n.cfg.Timeout / 2 // so that the negative answer is there before the probe fails
-	n.relays = append(n.relays, relay{origin: origin, subject: subject, originSeq: sequence,
-		ownSequence: n.ping(now, subject), nackAt: now + wait, endAt: now + n.cfg.Interval})
-}
-
-// relayed passes an answer on to the member who asked for it.
-func (n *Node) relayed(now time.Duration, from int, sequence uint32) {
-	for k := range n.relays {
-		if r := n.relays[k]; r.ownSequence == sequence && r.subject == from {
-			n.relays = append(n.relays[:k], n.relays[k+1:]...)
-			n.send(now, membershippb.Kind_KIND_ACK, r.origin, r.originSeq, from, n.members[from].incarnation)
-			return
-		}
-	}
-}
-
-func (n *Node) tickRelays(now time.Duration) {
-	for k := 0; k < len(n.relays); {
-		r := &n.relays[k]
-		if r.nackAt > 0 && now >= r.nackAt {
-			r.nackAt = 0
-			n.send(now, membershippb.Kind_KIND_NACK, r.origin, r.originSeq, r.subject, 0)
-		}
-		if now >= r.endAt {
-			n.relays = append(n.relays[:k], n.relays[k+1:]...)
-			continue
-		}
-		k++
+	if slices.Contains(p.helpers, from) && !slices.Contains(p.nackedBy, from) {
+		p.nackedBy = append(p.nackedBy, from)
 	}
 }
--- /dev/null
+++ b/internal/control/membership/relay.go
@@ -0,0 +1,77 @@
+package membership
+
+import (
+	"time"
+
+	"frostpier/internal/control/membership/membershippb"
+)
+
+// relayedProbe is an indirect probe: a probe of the subject on behalf of another member (SWIM section 3.1).
+type relayedProbe struct {
+	origin, subject             int
+	originSequence, ownSequence uint32
+	nackAt                      time.Duration // when the NACK is sent; 0 = it was
+	expiresAt                   time.Duration
+}
+
+// nextTickAt returns the earliest timer.
+func (r *relayedProbe) nextTickAt() time.Duration {
+	if r.nackAt > 0 {
+		return r.nackAt
+	}
+	return r.expiresAt
+}
+
+// postpone moves the timers.
+func (r *relayedProbe) postpone(delay time.Duration) {
+	r.nackAt += delay
+	r.expiresAt += delay
+}
+
+// relayProbe handles a PING_REQ: it pings the subject on behalf of the origin.
+func (n *Node) relayProbe(now time.Duration, origin int, sequence uint32, subject int) {
+	if len(n.relayedProbes) == maxRelayedProbes {
+		n.removeRelayedProbe(0) // the oldest is the next to expire
+	}
+	nackDelay := n.cfg.Timeout / 2 // so that the NACK arrives before the probe of the origin fails
+	n.relayedProbes = append(n.relayedProbes, relayedProbe{
+		origin:         origin,
+		subject:        subject,
+		originSequence: sequence,
+		ownSequence:    n.ping(now, subject),
+		nackAt:         now + nackDelay,
+		expiresAt:      now + n.cfg.Interval,
+	})
+}
+
+// relayAck forwards an ACK to the origin of the indirect probe that it answers, if any.
+func (n *Node) relayAck(now time.Duration, from int, sequence uint32) {
+	for k := range n.relayedProbes {
+		r := n.relayedProbes[k]
+		if r.ownSequence == sequence && r.subject == from {
+			n.removeRelayedProbe(k)
+			n.send(now, membershippb.Kind_KIND_ACK, r.origin, r.originSequence, from, n.members[from].incarnation)
+			return
+		}
+	}
+}
+
+// tickRelayedProbes sends the NACKs that are due, and drops the indirect probes that expired.
+func (n *Node) tickRelayedProbes(now time.Duration) {
+	for k := 0; k < len(n.relayedProbes); {
+		r := &n.relayedProbes[k]
+		if r.nackAt > 0 && now >= r.nackAt {
+			r.nackAt = 0
+			n.send(now, membershippb.Kind_KIND_NACK, r.origin, r.originSequence, r.subject, 0)
+		}
+		if now >= r.expiresAt {
+			n.removeRelayedProbe(k)
+			continue
+		}
+		k++
+	}
+}
+
+func (n *Node) removeRelayedProbe(k int) {
+	n.relayedProbes = append(n.relayedProbes[:k], n.relayedProbes[k+1:]...)
+}
--- a/internal/control/membership/suspicion.go
+++ b/internal/control/membership/suspicion.go
@@ -5,199 +5,232 @@
 	"time"
 )
 
-// suspicion is what is kept of a member under suspicion.
+// suspicion is the state of a suspected member (SWIM section 4.2, Lifeguard section IV-B). The zero value is none.
 type suspicion struct {
-	began        time.Duration
-	callFrom     time.Duration // from when on it has been pinged for an answer; 0 = not yet
-	calledAt     time.Duration // when it last was
-	calls        int16         // how often it was
-	firstHand    bool          // this member probed it in vain
-	reportedDead bool          // it was said to be dead while nothing was known of a suspicion
-	accusers     [confirmations + 1]int32
-	accused      int8 // how many of them there are
-}
-
-// begin starts a suspicion.
-func (n *Node) begin(now time.Duration, i, by int) {
-	n.members[i].suspicion = suspicion{began: now}
+	startedAt        time.Duration
+	pingFrom         time.Duration // since when it has been pinged for a refutation; 0 = not yet
+	lastPingAt       time.Duration
+	pings            int16 // sent so far, up to minSuspectPings
+	firstHand        bool  // an own probe of it failed
+	reportedDead     bool  // another member reported it dead before this one knew of any suspicion
+	suspectedBy      [maxConfirmations + 1]int32
+	suspectedByCount int8 // members in suspectedBy
+}
+
+// postpone moves the timers of the suspicion.
+func (s *suspicion) postpone(delay time.Duration) {
+	s.startedAt += delay
+	if s.pingFrom > 0 {
+		s.pingFrom += delay
+	}
+}
+
+// startSuspicion starts the suspicion of a member that another, or this one, suspects.
+func (n *Node) startSuspicion(now time.Duration, i, by int) {
+	n.members[i].suspicion = suspicion{startedAt: now}
 	n.suspects = append(n.suspects, i)
-	n.accuse(i, by)
+	n.confirmSuspicion(i, by)
 }
 
-// acquit ends a suspicion, whatever came of it.
-func (n *Node) acquit(i int) {
-	for k, s := range n.suspects {
-		if s == i {
-			n.suspects[k] = n.suspects[len(n.suspects)-1]
-			n.suspects = n.suspects[:len(n.suspects)-1]
+// endSuspicion ends a suspicion, whether by refutation, death or leave.
+func (n *Node) endSuspicion(i int) {
+	for k, suspect := range n.suspects {
+		if suspect == i {
+			last := len(n.suspects) - 1
+			n.suspects[k] = n.suspects[last]
+			n.suspects = n.suspects[:last]
 			break
 		}
 	}
 	n.members[i].suspicion = suspicion{}
 }
 
-// accuse adds one who found no answer; it reports whether that is news.
-func (n *Node) accuse(i, by int) bool {
+// confirmSuspicion adds a member that suspects i, and reports whether this is a new and independent confirmation.
+func (n *Node) confirmSuspicion(i, by int) bool {
 	m := &n.members[i]
-	if by < 0 || int(m.accused) == len(m.accusers) {
+	if by == noMember || int(m.suspectedByCount) == len(m.suspectedBy) {
 		return false
 	}
-	for _, a := range m.accusers[:m.accused] {
-		if a == int32(by) {
+	for _, known := range m.suspectedBy[:m.suspectedByCount] {
+		if known == int32(by) {
 			return false
 		}
 	}
-	m.accusers[m.accused] = int32(by)
-	m.accused++
-	m.by = int32(by)
+	m.suspectedBy[m.suspectedByCount] = int32(by)
+	m.suspectedByCount++
+	m.reportedBy = int32(by)
 	return true
 }
 
-// suspectFirstHand is what a probe in vain leads to.
-func (n *Node) suspectFirstHand(now time.Duration, i int, nacked []int) {
+// suspectAfterProbe suspects the target of a failed own probe, or confirms the suspicion of it.
+func (n *Node) suspectAfterProbe(now time.Duration, i int, nackedBy []int) {
 	m := &n.members[i]
 	if m.state == Alive {
 		n.counts.Suspected++
-		n.set(now, i, Suspect, m.incarnation, n.cfg.Self, false)
+		n.broadcastState(now, i, Suspect, m.incarnation, n.cfg.Self)
 	}
 	if m.state != Suspect {
 		return
 	}
-	news := n.accuse(i, n.cfg.Self)
-	for _, h := range nacked { // a helper's negative answer is a confirmation of its own
-		news = n.accuse(i, h) || news
+	confirmed := n.confirmSuspicion(i, n.cfg.Self)
+	for _, helper := range nackedBy { // a NACK is an independent confirmation
+		if n.confirmSuspicion(i, helper) {
+			confirmed = true
+		}
 	}
-	if news {
-		n.queueUpdate(now, i, n.limit)
+	if confirmed {
+		n.queueUpdate(now, i, n.retransmitLimit)
 	}
 	m.firstHand = true
-	m.callFrom = now
-	n.call(now, i) // it hears of the suspicion from this first
+	m.pingFrom = now
+	n.pingSuspect(now, i) // buddy system (Lifeguard section IV-C): this ping is the first to notify it
 }
 
-// doubt is a suspicion that a death declared at second hand leads to: the member itself is asked before that is believed.
-// A rumour from beyond a cut that healed must not kill a member among those who have been in touch with it all the
-// while. Further reports of the same death change nothing meanwhile.
-func (n *Node) doubt(now time.Duration, i int, incarnation uint64, by int) {
+// suspectReportedDead suspects a member that another one reports dead, instead of declaring it dead at once (deviation):
+// it is pinged first, since an update from beyond a partition that healed must not declare a member dead among those
+// that were in contact with it all the time. Further reports of the same death change nothing meanwhile.
+func (n *Node) suspectReportedDead(now time.Duration, i int, incarnation uint64, by int) {
 	m := &n.members[i]
-	if m.state == Alive {
-		n.set(now, i, Suspect, max(incarnation, m.incarnation), by, true)
-		m.reportedDead = true
+	latest := max(incarnation, m.incarnation)
+	if m.state != Alive {
+		m.incarnation = latest
 		return
 	}
-	m.incarnation = max(incarnation, m.incarnation)
-}
-
-// call pings a suspect for an answer.
-func (n *Node) call(now time.Duration, i int) {
-	m := &n.members[i]
-	m.calledAt = now
-	m.calls = min(m.calls+1, callsLeast)
-	wait := n.cfg.part(callShare) / callsRound
-	if !m.firstHand && !n.budget.allowsUpdates(now) {
-		wait *= scarceCalls
-	}
-	n.callAt = now + wait
-	n.ping(now, i)
+	n.setState(now, i, Suspect, latest, by)
+	m.reportedDead = true
 }
 
-// lasts is how long a suspicion goes on, and from when on the suspect is pinged for an answer: Lifeguard's figure,
-// from the longest down to the shortest as accusers come. The worse the own health, the longer (ours: the paper
-// scales only the probes).
-func (n *Node) lasts(m *member) (all, calls time.Duration) {
+// suspicionTimeout returns the time from the start of a suspicion until the suspect may be declared dead, and until it is
+// pinged: Lifeguard's formula (section IV-B), from the longest down to the shortest timeout as confirmations arrive.
+// Deviation: a bad local health score makes it longer, where Lifeguard scales only the probes.
+func (n *Node) suspicionTimeout(m *member) (timeout, pingDelay time.Duration) {
 	if m.reportedDead {
-		return n.cfg.part(callLeast), 0
+		return n.cfg.intervals(minSuspectPingTime), 0
 	}
 	shortest := float64(n.cfg.Suspect)
-	most := shortest * longest
-	d := most - (most-shortest)*math.Log(float64(max(1, m.accused)))/math.Log(confirmations+1)
-	d *= 1 + float64(n.health)/2
+	longest := shortest * maxSuspicionFactor
+	scaled := longest - (longest-shortest)*math.Log(float64(max(1, m.suspectedByCount)))/math.Log(maxConfirmations+1)
+	scaled *= 1 + float64(n.healthScore)/2
 	if m.firstHand {
-		return time.Duration(d), 0
+		return time.Duration(scaled), 0
 	}
-	// Ours: who probed it in vain goes on asking it until the end, and so hears of a refutation from the suspect
-	// itself. Who only heard of the suspicion lets them report first, and then asks for itself: rumours miss a
-	// member now and then, refutations as well.
-	return time.Duration(d + secondHand*float64(n.cfg.Interval)), time.Duration(d)
+	// Deviation: a member whose own probe failed pings the suspect until the end, and so receives a refutation from the
+	// suspect itself. A member that only heard of the suspicion lets those report first, and then pings as well: gossip
+	// misses a member now and then, refutations included.
+	return time.Duration(scaled + gossipedSuspicionDelay*float64(n.cfg.Interval)), time.Duration(scaled)
 }
 
-// deadAt is when the suspect is declared dead: at the suspicion's end, and never before it was pinged for long enough. The
-// end moves to and fro with accusers and the own health; it once jumped past all pings to a member that had long
-// refuted what this one missed.
-func (n *Node) deadAt(m *member) time.Duration {
-	all, _ := n.lasts(m)
-	least := n.cfg.part(callLeast)
+// declareDeadAt returns when the suspect is declared dead: at the suspicion's timeout, and not before it was pinged for
+// long enough. The timeout moves with confirmations and the local health score; without this bound it once passed over
+// all pings of a member that had long refuted an update which this one missed.
+func (n *Node) declareDeadAt(m *member) time.Duration {
+	timeout, _ := n.suspicionTimeout(m)
+	pingTime := n.cfg.intervals(minSuspectPingTime)
 	if !m.firstHand && !m.reportedDead {
-		least = n.cfg.part(secondHand)
+		pingTime = n.cfg.intervals(gossipedSuspicionDelay)
 	}
-	return max(m.began+all, m.callFrom+least)
+	return max(m.startedAt+timeout, m.pingFrom+pingTime)
 }
 
-// mayCall is when a suspect may be pinged next. All suspects together have so many pings a round: after a cut
-// between hundreds healed every member pinged a hundred others each round, and the flood itself lost the answers.
-func (n *Node) mayCall(m *member) time.Duration {
-	return max(m.calledAt+n.cfg.part(callShare), n.callAt)
+// pingAllowedAt returns when a suspect may be pinged next. The rate of all pings of suspects together is bounded: after a
+// partition between hundreds healed, every member pinged a hundred others each round, and the flood lost the answers.
+func (n *Node) pingAllowedAt(m *member) time.Duration {
+	return max(m.lastPingAt+n.cfg.intervals(suspectPingShare), n.nextSuspectPingAt)
 }
 
-// suspicionDue is when a suspicion wants attention.
+// suspicionDue returns the next timer of a suspicion.
 func (n *Node) suspicionDue(i int) time.Duration {
 	m := &n.members[i]
 	switch {
-	case m.callFrom == 0:
-		_, calls := n.lasts(m)
-		return m.began + calls
-	case m.calls < callsLeast: // nothing else ends it
-		return n.mayCall(m)
+	case m.pingFrom == 0:
+		_, pingDelay := n.suspicionTimeout(m)
+		return m.startedAt + pingDelay
+	case m.pings < minSuspectPings: // not declared dead before
+		return n.pingAllowedAt(m)
 	}
-	return min(n.deadAt(m), n.mayCall(m))
+	return min(n.declareDeadAt(m), n.pingAllowedAt(m))
 }
 
+// tickSuspicions declares suspects dead whose suspicion timed out, and pings one suspect.
 func (n *Node) tickSuspicions(now time.Duration) {
 	for k := 0; k < len(n.suspects); {
 		i := n.suspects[k]
-		m := &n.members[i]
-		if m.callFrom == 0 {
-			if _, calls := n.lasts(m); now >= m.began+calls {
-				m.callFrom = now
-			}
-		}
-		if m.callFrom > 0 && m.calls >= callsLeast && now >= n.deadAt(m) {
-			if n.health == 0 || now-m.contactedAt >= n.cfg.Interval {
-				n.set(now, i, Dead, m.incarnation, n.cfg.Self, false) // takes it off the list
-				continue
-			}
-			// Ours: it is still heard, and the own health is bad: perhaps only the way out of here is cut.
-			m.began += n.cfg.Interval
-		}
-		k++
+		n.startPinging(now, &n.members[i])
+		if !n.declareDeadIfDue(now, i) {
+			k++
+		} // else the last suspect took its place
 	}
-	if now >= n.callAt {
-		if i := n.nextCall(now); i >= 0 {
-			n.call(now, i)
-		}
+	if now < n.nextSuspectPingAt {
+		return
+	}
+	if i := n.nextSuspectToPing(now); i != noMember {
+		n.pingSuspect(now, i)
 	}
 }
 
-// nextCall is the suspect that is to be pinged: who was probed in vain first, then who was said to be dead, then who
-// was not pinged for longest. Members begin at different places, so that each suspect soon hears from some.
-func (n *Node) nextCall(now time.Duration) int {
-	best := -1
+// startPinging marks a suspect as one to ping, once its suspicion has lasted for the delay.
+func (n *Node) startPinging(now time.Duration, m *member) {
+	if m.pingFrom > 0 {
+		return
+	}
+	if _, pingDelay := n.suspicionTimeout(m); now >= m.startedAt+pingDelay {
+		m.pingFrom = now
+	}
+}
+
+// declareDeadIfDue declares a suspect dead if its suspicion timed out, which removes it from the list of suspects.
+func (n *Node) declareDeadIfDue(now time.Duration, i int) bool {
+	m := &n.members[i]
+	if m.pingFrom == 0 || m.pings < minSuspectPings || now < n.declareDeadAt(m) {
+		return false
+	}
+	if n.healthScore > 0 && now-m.lastContactAt < n.cfg.Interval {
+		// Deviation: its datagrams still arrive and the local health is bad: perhaps only the own datagrams are lost.
+		m.startedAt += n.cfg.Interval
+		return false
+	}
+	n.broadcastState(now, i, Dead, m.incarnation, n.cfg.Self)
+	return true
+}
+
+// pingSuspect pings a suspect, so that it can refute.
+func (n *Node) pingSuspect(now time.Duration, i int) {
+	m := &n.members[i]
+	m.lastPingAt = now
+	m.pings = min(m.pings+1, minSuspectPings)
+	delay := n.cfg.intervals(suspectPingShare) / suspectPingsPerRound
+	if !m.firstHand && !n.budget.allowsUpdates(now) {
+		delay *= lowBudgetPingFactor
+	}
+	n.nextSuspectPingAt = now + delay
+	n.ping(now, i)
+}
+
+// nextSuspectToPing returns the suspect to ping next; noMember if there is none. The search starts at a different place at
+// each member, so that every suspect is soon pinged by some.
+func (n *Node) nextSuspectToPing(now time.Duration) int {
+	best := noMember
 	for k := range n.suspects {
 		i := n.suspects[(k+n.cfg.Self)%len(n.suspects)]
 		m := &n.members[i]
-		if m.callFrom > 0 && now >= n.mayCall(m) && (best < 0 || m.callsBefore(&n.members[best].suspicion)) {
+		if m.pingFrom == 0 || now < n.pingAllowedAt(m) {
+			continue
+		}
+		if best == noMember || m.pingedBefore(&n.members[best].suspicion) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (s *suspicion) callsBefore(o *suspicion) bool {
-	if s.firstHand != o.firstHand {
+// pingedBefore reports whether s is pinged before other: first those whose own probe failed, then those that were
+// reported dead, then the one that was not pinged for longest.
+func (s *suspicion) pingedBefore(other *suspicion) bool {
+	if s.firstHand != other.firstHand {
 		return s.firstHand
 	}
-	if s.reportedDead != o.reportedDead {
+	if s.reportedDead != other.reportedDead {
 		return s.reportedDead
 	}
-	return s.calledAt < o.calledAt
+	return s.lastPingAt < other.lastPingAt
 }
--- a/internal/control/membership/sync.go
+++ b/internal/control/membership/sync.go
@@ -3,76 +3,138 @@
 import (
 	"time"
 
+	"google.golang.org/protobuf/encoding/protowire"
+	"google.golang.org/protobuf/proto"
+
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// asker is a member that asked for the whole state, and where its next piece starts.
-type asker struct{ to, first int }
+// Intervals between two requests for the full state, by reason.
+const (
+	convergenceIntervals = 1.5 // without a queued update, after which a difference is no longer one of gossip under way
+	syncIntervals        = 2   // where views differ although gossip has come to rest
+	maxSyncIntervals     = 5   // where views differ while there is always gossip
+)
+
+// syncRequest is a member that requested the full state, and the first member of its next chunk.
+type syncRequest struct{ to, first int }
 
-// compare looks at another's digest. While news is under way views differ for a moment; a difference that stays, or
-// one that meets a member just started, is mended by asking for the whole state.
-func (n *Node) compare(now time.Duration, from int, digest uint32) {
-	if digest == n.digest || n.leaving {
+// compareDigest compares the digest of another member's view with the own. Views differ briefly while gossip is under way;
+// if they still differ after that, or this member has just started, it requests the full state (anti-entropy).
+func (n *Node) compareDigest(now time.Duration, from int, digest uint32) {
+	if digest == n.digest || n.left || !n.needsSync(now) {
 		return
 	}
-	since, calm := now-n.askedAt, now-n.updatedAt
+	n.lastSyncRequestAt = now
+	n.counts.Syncs++
+	n.send(now, membershippb.Kind_KIND_SYNC_ASK, from, 0, noMember, 0)
+}
+
+// needsSync reports whether a difference between two views calls for the full state.
+func (n *Node) needsSync(now time.Duration) bool {
 	interval := n.cfg.Interval
-	fresh := !n.synced && now-n.started < young*interval && (n.askedAt == 0 || since > interval/2)
-	settled := calm > interval*3/2 && since > 2*interval
-	if fresh || settled || since > 5*interval {
-		n.askedAt = now
-		n.counts.Syncs++
-		n.send(now, membershippb.Kind_KIND_SYNC_ASK, from, 0, -1, 0)
+	sinceRequest := now - n.lastSyncRequestAt
+	sinceUpdate := now - n.lastUpdateQueuedAt
+	starting := !n.synced && now-n.startedAt < startupIntervals*interval
+	switch {
+	case starting && (n.lastSyncRequestAt == 0 || sinceRequest > interval/2):
+		return true
+	case sinceUpdate > n.cfg.intervals(convergenceIntervals) && sinceRequest > syncIntervals*interval:
+		return true
 	}
+	return sinceRequest > maxSyncIntervals*interval
 }
 
-// asked queues a request for the whole state; one that finds the queue full is dropped and will come again.
-func (n *Node) asked(now time.Duration, from, first int) {
-	for k := range n.askers {
-		if n.askers[k].to == from {
+// handleSyncRequest queues a request for the full state. It drops one that finds the queue full: the member will repeat it.
+func (n *Node) handleSyncRequest(now time.Duration, from, first int) {
+	for k := range n.syncRequests {
+		if n.syncRequests[k].to == from {
 			return
 		}
 	}
-	if len(n.askers) < mostAskers && first >= 0 && first < len(n.members) {
-		n.askers = append(n.askers, asker{from, first})
-		n.wantRound(now)
+	if len(n.syncRequests) < maxSyncRequests && first >= 0 && first < len(n.members) {
+		n.syncRequests = append(n.syncRequests, syncRequest{from, first})
+		n.scheduleGossip(now)
 	}
 }
 
-// sendPieces sends pieces of the whole state to those who asked for it, as the budget allows.
-func (n *Node) sendPieces(now time.Duration) {
-	for range piecesRound {
-		if len(n.askers) == 0 || !n.budget.allowsUpdates(now) && now-n.pieceSentAt < n.cfg.part(piecePatience) {
+// sendSyncChunks sends chunks of the full state to the members that requested it, in turn, as the budget allows.
+func (n *Node) sendSyncChunks(now time.Duration) {
+	for range syncChunksPerRound {
+		if len(n.syncRequests) == 0 {
+			return
+		}
+		if !n.budget.allowsUpdates(now) && now-n.lastSyncChunkAt < n.cfg.intervals(syncChunkPatience) {
 			return
 		}
-		n.pieceSentAt = now
-		a := n.askers[0]
-		n.askers = append(n.askers[:0], n.askers[1:]...)
-		if next := n.sendPiece(now, a.to, a.first); next < len(n.members) {
-			n.askers = append(n.askers, asker{a.to, next})
+		n.lastSyncChunkAt = now
+		request := n.syncRequests[0]
+		n.syncRequests = append(n.syncRequests[:0], n.syncRequests[1:]...)
+		if next := n.sendSyncChunk(request.to, request.first); next < len(n.members) {
+			n.syncRequests = append(n.syncRequests, syncRequest{request.to, next})
+		}
+	}
+}
+
+// sendSyncChunk sends the state of as many members as fit, from first on, and returns the first of the next chunk.
+func (n *Node) sendSyncChunk(to, first int) int {
+	d := n.newDatagram(membershippb.Kind_KIND_SYNC, 0)
+	d.First = uint32(first)
+	room := MaxDatagram - checksumSize - proto.Size(d) - listOverhead
+	next := first
+	for ; next < len(n.members); next++ {
+		m := &n.members[next]
+		state := m.state
+		if state == Suspect { // suspicions are gossiped, together with the members that confirm them
+			state = Alive
+		}
+		word := packState(state, m.incarnation)
+		size := protowire.SizeVarint(word)
+		if size > room {
+			break
+		}
+		room -= size
+		d.Word = append(d.Word, word)
+	}
+	n.enqueueDatagram(to, d)
+	return next
+}
+
+// applySyncChunk merges a chunk of the full state of another member.
+func (n *Node) applySyncChunk(now time.Duration, from int, d *membershippb.Datagram) {
+	for k, word := range d.Word {
+		about := int64(d.First) + int64(k)
+		s, incarnation, ok := unpackState(word)
+		if about >= int64(len(n.members)) || !ok {
+			n.counts.Unknown++
+			continue
 		}
+		n.mergeState(now, int(about), s, incarnation, from)
 	}
 }
 
-// merge takes what another holds of a member. It beats what is held here as a rumour does, but who has been in service
-// for a while, or heard from the member, does not believe its death at second hand: it doubts, and says so to the member.
-func (n *Node) merge(now time.Duration, about int, s State, incarnation uint64, from int) {
+// mergeState merges another member's view of a member. It overrides the own view as an update does, except that a member
+// which has served for a while, or is in contact with the one reported dead, suspects and notifies that one instead.
+func (n *Node) mergeState(now time.Duration, about int, s State, incarnation uint64, from int) {
 	n.synced = true
 	if about == n.cfg.Self {
-		n.aboutSelf(now, s, incarnation, from)
+		n.refute(now, s, incarnation, from)
 		return
 	}
 	m := &n.members[about]
+	trustsOwnView := m.lastContactAt > 0 || now-n.startedAt > startupIntervals*n.cfg.Interval
 	switch {
 	case incarnation == 0 && s != Dead:
 	case !m.overrides(s, incarnation):
 		if s.Serves() && incarnation == m.incarnation && !m.state.Serves() {
-			n.notify(now, about) // one of us is wrong: the member itself decides
+			n.notify(now, about) // one of the two views is wrong: the member itself decides
 		}
-	case s == Dead && m.state.Serves() && (m.contactedAt > 0 || now-n.started > young*n.cfg.Interval):
-		n.doubt(now, about, incarnation, from)
+	case s == Dead && m.state.Serves() && trustsOwnView:
+		n.suspectReportedDead(now, about, incarnation, from)
 		n.notify(now, about)
+	case m.state.Serves() == s.Serves():
+		n.setState(now, about, s, incarnation, from)
 	default:
-		n.set(now, about, s, incarnation, from, m.state.Serves() == s.Serves())
+		n.broadcastState(now, about, s, incarnation, from)
 	}
 }
