--- a/internal/control/zonetable/golden_test.go
+++ b/internal/control/zonetable/golden_test.go
@@ -8,7 +8,7 @@
 	"frostpier/internal/testutil"
 )
 
-// Zone messages are, byte for byte, what they were before the code was rearranged.
+// The bytes of the messages do not change.
 func TestZoneTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
--- /dev/null
+++ b/internal/control/zonetable/message.go
@@ -0,0 +1,133 @@
+package zonetable
+
+import (
+	"math/bits"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"frostpier/internal/control/zonetable/zonepb"
+)
+
+// When messages are sent, and their size.
+const (
+	sendInterval    = 2 * time.Second  // between two messages, other than to members that have just started
+	startupPeriod   = 30 * time.Second // after the start of a member, in which every datagram to it carries a message
+	joinPeriod      = 15 * time.Second // after the start of a member, in which it chooses its first subset
+	maxEntryBytes   = 96               // of the entries in a message: less than half of a datagram
+	maxJoinBytes    = 160              // likewise to a member in its joinPeriod: it has little use for load reports yet
+	minMessageBytes = 24               // room below which no message is sent
+	maxFieldBytes   = 18               // of all fields but the entries
+)
+
+// Kind returns ExtensionKind.
+func (t *Table) Kind() uint32 { return ExtensionKind }
+
+// Append appends a message with the own zone and the next entries of the table to dst: in every datagram for a member that
+// has just started, and to others at intervals. The message takes at most room bytes.
+func (t *Table) Append(now time.Duration, to, room int, dst []byte) []byte {
+	if !t.everUsedSubset || room < minMessageBytes {
+		return dst
+	}
+	age := now - t.startedAt(to)
+	if age > startupPeriod && now-t.lastSentAt < sendInterval {
+		return dst
+	}
+	if age > startupPeriod {
+		t.lastSentAt = now
+	}
+	limit := maxEntryBytes
+	if age <= joinPeriod {
+		limit = maxJoinBytes
+	}
+	message := &zonepb.Zones{List: t.zoneListHash, Own: zoneCode(t.Zone(t.self)), First: uint32(t.nextEntry)}
+	message.Others = t.encodeNextEntries(min(limit, room-maxFieldBytes))
+	out, err := proto.MarshalOptions{}.MarshalAppend(dst, message)
+	if err != nil {
+		return dst // does not happen: the message has no string that could be invalid UTF-8
+	}
+	return out
+}
+
+// encodeNextEntries encodes the next entries of the table into at most maxBytes, and advances nextEntry. The first entry
+// follows the last.
+func (t *Table) encodeNextEntries(maxBytes int) []byte {
+	width := t.codeWidth()
+	count := min(8*maxBytes/width, len(t.entries))
+	out := make([]byte, (count*width+7)/8)
+	for i := range count {
+		zone := t.Zone((t.nextEntry + i) % len(t.entries))
+		setBits(out, i*width, width, zoneCode(zone))
+	}
+	t.nextEntry = (t.nextEntry + count) % len(t.entries)
+	return out
+}
+
+// Receive merges a message of a member and reports whether it did. One that is malformed or refers to another list of
+// zones changes nothing.
+func (t *Table) Receive(member int, body []byte) bool {
+	if member < 0 || member >= len(t.entries) || member == t.self {
+		return false
+	}
+	var message zonepb.Zones
+	if proto.Unmarshal(body, &message) != nil || !t.valid(&message) {
+		return false
+	}
+	codes, ok := t.decodeCodes(message.Others)
+	if !ok {
+		return false
+	}
+	t.entries[member] = entry{zone: zoneOf(message.Own), firstHand: true}
+	for i, code := range codes {
+		gateway := (int(message.First) + i) % len(t.entries)
+		t.setReported(gateway, zoneOf(code))
+	}
+	return true
+}
+
+// valid reports whether a message refers to the own list of zones, and its fields are in range.
+func (t *Table) valid(message *zonepb.Zones) bool {
+	return message.List == t.zoneListHash && int64(message.Own) <= int64(t.zoneCount) && int64(message.First) < int64(len(t.entries))
+}
+
+// decodeCodes decodes the entries of a message; ok is false if one is no zone of the list.
+func (t *Table) decodeCodes(encoded []byte) (codes []uint32, ok bool) {
+	width := t.codeWidth()
+	count := min(8*len(encoded)/width, len(t.entries))
+	codes = make([]uint32, 0, count)
+	for i := range count {
+		code := getBits(encoded, i*width, width)
+		if code > uint32(t.zoneCount) {
+			return nil, false
+		}
+		codes = append(codes, code)
+	}
+	return codes, true
+}
+
+// zoneCode returns the code of a zone in a message: its index plus one, 0 for unknownZone.
+func zoneCode(zone int) uint32 { return uint32(zone + 1) }
+
+// zoneOf returns the zone of a code.
+func zoneOf(code uint32) int { return int(code) - 1 }
+
+// codeWidth returns the number of bits of a zone code in a message.
+func (t *Table) codeWidth() int { return max(1, bits.Len(uint(t.zoneCount))) }
+
+// setBits writes a value of at most eight bits into zeroed bytes, the lowest bit first.
+func setBits(bytes []byte, from, width int, value uint32) {
+	shifted := value << (from % 8)
+	bytes[from/8] |= byte(shifted)
+	if from%8+width > 8 {
+		bytes[from/8+1] |= byte(shifted >> 8)
+	}
+}
+
+// getBits reads a value that setBits wrote.
+func getBits(bytes []byte, from, width int) uint32 {
+	value := uint32(bytes[from/8])
+	if from%8+width > 8 {
+		value |= uint32(bytes[from/8+1]) << 8
+	}
+	return value >> (from % 8) & (1<<width - 1)
+}
--- a/internal/control/zonetable/mixed_test.go
+++ b/internal/control/zonetable/mixed_test.go
@@ -8,8 +8,8 @@
 	"frostpier/internal/control/membership/simulation"
 )
 
-// Half of a fleet tells zones; the other half, of the program before, skips the message and is a member as ever.
-func TestOldAndNewSideBySide(t *testing.T) {
+// Half of a fleet sends zones; the other half, of the version before, skips the messages, and membership is not affected.
+func TestMixedVersions(t *testing.T) {
 	const members = 20
 	tables := map[int]*Table{}
 	f, err := simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
@@ -35,11 +35,11 @@
 	f.Seen = func(at int, e membership.Event) error {
 		switch {
 		case e.Kind == membership.ExtensionReceived && tables[at] == nil:
-			t.Errorf("member %d got a message of kind %d", at, e.ExtensionKind)
+			t.Errorf("member %d received a message of kind %d", at, e.ExtensionKind)
 		case e.Kind == membership.ExtensionReceived && !tables[at].Receive(e.Member, e.Body):
-			t.Errorf("member %d cannot read what member %d wrote", at, e.Member)
+			t.Errorf("member %d dropped a message of member %d", at, e.Member)
 		case e.Kind == membership.Changed && e.Is == membership.Dead:
-			t.Errorf("member %d tells %d dead", at, e.Member)
+			t.Errorf("member %d declares %d dead", at, e.Member)
 		}
 		return nil
 	}
@@ -56,7 +56,7 @@
 				want = member % len(zones)
 			}
 			if got := table.Zone(member); got != want {
-				t.Errorf("member %d holds member %d in zone %d, not %d", at, member, got, want)
+				t.Errorf("at member %d: member %d in zone %d, want %d", at, member, got, want)
 			}
 		}
 	}
