--- a/internal/control/rollout/codec.go
+++ b/internal/control/rollout/codec.go
@@ -10,57 +10,121 @@
 	"frostpier/internal/control/rollout/rolloutpb"
 )
 
-// MostReport is the longest report in bytes: with it a fleet of hundreds fits any socket's buffer.
+// MostReport is the maximum length of a report in bytes: reports of hundreds of gateways fit into a socket's buffer.
 const MostReport = 1400
 
+// Bounds of the values of a report. Reports with greater ones are invalid.
 const (
-	mostClasses = 64
-	mostMemory  = 1 << 40 // kB: beyond, a report is absurd
+	maxReportClasses = 64
+	maxReportPID     = 1 << 30
+	maxStartedMS     = 1 << 43
+	maxMemoryKB      = 1 << 40
 )
 
+const kilobytesPerMB = 1024
+
 var (
-	errReport = errors.New("report")
-	errFleet  = fmt.Errorf("%w: of another fleet", errReport)
+	// ErrInvalidReport says that a report cannot be read, or is too long to be sent.
+	ErrInvalidReport = errors.New("report")
+
+	// ErrOtherFleet says that a report is of a gateway of another fleet. It is an ErrInvalidReport.
+	ErrOtherFleet = fmt.Errorf("%w: of another fleet", ErrInvalidReport)
 )
 
-// Append writes a report.
+// Append appends the report's encoding to dst. It fails with ErrInvalidReport where that is longer than MostReport.
 func (r Report) Append(dst []byte, fleet string) ([]byte, error) {
-	m := &rolloutpb.Report{Fleet: fleet, Gateway: uint32(r.Gateway), Pid: uint32(r.PID), StartedMs: uint64(r.Started / time.Millisecond),
-		Program: r.Program, Settings: r.Settings, Serving: r.Serving, Pending: r.Pending, MemoryKb: uint32(r.MemoryMB * 1024)}
+	message := &rolloutpb.Report{
+		Fleet:     fleet,
+		Gateway:   uint32(r.Gateway),
+		Pid:       uint32(r.PID),
+		StartedMs: uint64(r.Started / time.Millisecond),
+		Program:   r.Program,
+		Settings:  r.Settings,
+		Serving:   r.Serving,
+		Pending:   r.Pending,
+		MemoryKb:  uint32(r.MemoryMB * kilobytesPerMB),
+	}
 	for _, c := range r.Classes {
-		m.Classes = append(m.Classes, &rolloutpb.Class{Taken: c.Taken, InTime: c.InTime, Late: c.Late, Refused: c.Refused, Failed: c.Failed,
-			Fast: c.Fast, Further: c.Further})
+		message.Classes = append(message.Classes, encodeCounts(c))
 	}
-	out, err := proto.MarshalOptions{}.MarshalAppend(dst, m)
+	out, err := proto.MarshalOptions{}.MarshalAppend(dst, message)
 	if err != nil {
-		return dst, fmt.Errorf("%w: %w", errReport, err)
+		return dst, fmt.Errorf("%w: %w", ErrInvalidReport, err)
 	}
-	if len(out)-len(dst) > MostReport {
-		return dst, fmt.Errorf("%w: %d bytes", errReport, len(out)-len(dst))
+	if length := len(out) - len(dst); length > MostReport {
+		return dst, fmt.Errorf("%w: %d bytes", ErrInvalidReport, length)
 	}
 	return out, nil
 }
 
-// ParseReport reads one that a gateway of the fleet wrote; what a newer program adds is skipped.
+// ParseReport decodes a report of a gateway of the fleet. Fields that a newer program adds are skipped. It fails with
+// ErrOtherFleet for a gateway of another fleet, and else with ErrInvalidReport.
 func ParseReport(b []byte, fleet string, gateways, classes int) (Report, error) {
-	var m rolloutpb.Report
 	if len(b) > MostReport {
-		return Report{}, fmt.Errorf("%w: %d bytes", errReport, len(b))
+		return Report{}, fmt.Errorf("%w: %d bytes", ErrInvalidReport, len(b))
 	}
-	if err := proto.Unmarshal(b, &m); err != nil {
-		return Report{}, fmt.Errorf("%w: %w", errReport, err)
+	var message rolloutpb.Report
+	if err := proto.Unmarshal(b, &message); err != nil {
+		return Report{}, fmt.Errorf("%w: %w", ErrInvalidReport, err)
 	}
-	switch {
-	case m.Fleet != fleet:
-		return Report{}, errFleet
-	case int(m.Gateway) >= gateways || m.Pid == 0 || m.Pid > 1<<30 || len(m.Classes) != classes || classes > mostClasses ||
-		m.StartedMs > 1<<43 || uint64(m.MemoryKb) > mostMemory:
-		return Report{}, fmt.Errorf("%w: gateway %d, process %d, %d classes", errReport, m.Gateway, m.Pid, len(m.Classes))
+	if message.Fleet != fleet {
+		return Report{}, ErrOtherFleet
 	}
-	r := Report{Gateway: int(m.Gateway), PID: int(m.Pid), Started: time.Duration(m.StartedMs) * time.Millisecond, Program: m.Program,
-		Settings: m.Settings, Serving: m.Serving, Pending: m.Pending, MemoryMB: float64(m.MemoryKb) / 1024}
-	for _, c := range m.Classes {
-		r.Classes = append(r.Classes, Counts{c.GetTaken(), c.GetInTime(), c.GetLate(), c.GetRefused(), c.GetFailed(), c.GetFast(), c.GetFurther()})
+	if !validReport(&message, gateways, classes) {
+		return Report{}, fmt.Errorf("%w: gateway %d, process %d, %d classes",
+			ErrInvalidReport, message.Gateway, message.Pid, len(message.Classes))
+	}
+	r := Report{
+		Gateway:  int(message.Gateway),
+		PID:      int(message.Pid),
+		Started:  time.Duration(message.StartedMs) * time.Millisecond,
+		Program:  message.Program,
+		Settings: message.Settings,
+		Serving:  message.Serving,
+		Pending:  message.Pending,
+		MemoryMB: float64(message.MemoryKb) / kilobytesPerMB,
+	}
+	for _, c := range message.Classes {
+		r.Classes = append(r.Classes, decodeCounts(c))
 	}
 	return r, nil
 }
+
+// validReport reports whether a message is of one of so many gateways, has so many classes and values within bounds.
+func validReport(message *rolloutpb.Report, gateways, classes int) bool {
+	switch {
+	case int(message.Gateway) >= gateways:
+		return false
+	case message.Pid == 0 || message.Pid > maxReportPID:
+		return false
+	case len(message.Classes) != classes || classes > maxReportClasses:
+		return false
+	case message.StartedMs > maxStartedMS || uint64(message.MemoryKb) > maxMemoryKB:
+		return false
+	}
+	return true
+}
+
+func encodeCounts(c Counts) *rolloutpb.Class {
+	return &rolloutpb.Class{
+		Taken:   c.Taken,
+		InTime:  c.InTime,
+		Late:    c.Late,
+		Refused: c.Refused,
+		Failed:  c.Failed,
+		Fast:    c.Fast,
+		Further: c.Further,
+	}
+}
+
+func decodeCounts(c *rolloutpb.Class) Counts {
+	return Counts{
+		Taken:   c.GetTaken(),
+		InTime:  c.GetInTime(),
+		Late:    c.GetLate(),
+		Refused: c.GetRefused(),
+		Failed:  c.GetFailed(),
+		Fast:    c.GetFast(),
+		Further: c.GetFurther(),
+	}
+}
--- a/internal/control/rollout/controller/checks.go
+++ b/internal/control/rollout/controller/checks.go
@@ -32,7 +32,7 @@
 
 type checkedAt struct {
 	gateway, class int
-	c              rollout.Checked
+	c              rollout.CheckResults
 }
 
 func newChecker(c Checked, found chan<- checkedAt) *checker {
@@ -81,7 +81,7 @@
 func (k *checker) ask(ctx context.Context, i, n int) {
 	defer k.done.Done()
 	c := k.checks[n]
-	tick := time.NewTicker(time.Duration(c.EveryMS) * time.Millisecond)
+	tick := time.NewTicker(time.Duration(c.IntervalMS) * time.Millisecond)
 	defer tick.Stop()
 	var conn net.Conn
 	var lines *bufio.Reader
@@ -106,7 +106,7 @@
 		}
 		began := time.Now()
 		result, well := one(conn, lines, id, c)
-		if took := time.Since(began); result.Right+result.Wrong > 0 && took <= k.aims[n] {
+		if took := time.Since(began); result.Correct+result.Incorrect > 0 && took <= k.aims[n] {
 			result.InTime = 1
 			if took <= k.aims[n]/4 {
 				result.Fast = 1
@@ -120,7 +120,7 @@
 	}
 }
 
-func (k *checker) report(ctx context.Context, i, n int, c rollout.Checked) {
+func (k *checker) report(ctx context.Context, i, n int, c rollout.CheckResults) {
 	select {
 	case k.found <- checkedAt{i, k.classes[n], c}:
 	case <-ctx.Done():
@@ -129,26 +129,26 @@
 
 // one asks once; well reports whether the connection may be used again. Nothing is counted where the connection ended: a
 // gateway that died by chance and took a while to start again was blamed for the queries that it missed meanwhile.
-func one(conn net.Conn, lines *bufio.Reader, id int, c rollout.Check) (result rollout.Checked, well bool) {
+func one(conn net.Conn, lines *bufio.Reader, id int, c rollout.Check) (result rollout.CheckResults, well bool) {
 	var raw [8]byte
 	rand.Read(raw[:])
 	rid := hex.EncodeToString(raw[:])
 	call, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": id, "method": c.Class, "params": map[string]any{
 		"rid": rid, "budget": c.BudgetMS, "blob": base64.StdEncoding.EncodeToString([]byte(c.Statement))}})
 	if err != nil {
-		return rollout.Checked{Unserved: 1}, false
+		return rollout.CheckResults{Unserved: 1}, false
 	}
 	conn.SetDeadline(time.Now().Add(time.Duration(c.BudgetMS)*time.Millisecond + time.Second))
 	if _, err := conn.Write(append(call, '\n')); err != nil {
-		return rollout.Checked{}, false
+		return rollout.CheckResults{}, false
 	}
 	line, err := lines.ReadBytes('\n')
 	var late net.Error
 	switch {
 	case errors.As(err, &late) && late.Timeout():
-		return rollout.Checked{Unserved: 1}, false
+		return rollout.CheckResults{Unserved: 1}, false
 	case err != nil: // its process ended: that counts as a crash, and not here as well
-		return rollout.Checked{}, false
+		return rollout.CheckResults{}, false
 	}
 	var answer struct {
 		ID     int `json:"id"`
@@ -158,14 +158,14 @@
 		Error json.RawMessage `json:"error"`
 	}
 	if json.Unmarshal(line, &answer) != nil || answer.ID != id {
-		return rollout.Checked{Wrong: 1}, false // no answer to this: nothing on this connection can be trusted
+		return rollout.CheckResults{Incorrect: 1}, false // no answer to this: nothing on this connection can be trusted
 	}
 	if answer.Result == nil {
-		return rollout.Checked{Unserved: 1}, true
+		return rollout.CheckResults{Unserved: 1}, true
 	}
 	text, err := base64.StdEncoding.DecodeString(answer.Result.Blob)
 	if err != nil || string(text) != strings.ReplaceAll(c.Expect, "{rid}", rid) {
-		return rollout.Checked{Wrong: 1}, true
+		return rollout.CheckResults{Incorrect: 1}, true
 	}
-	return rollout.Checked{Right: 1}, true
+	return rollout.CheckResults{Correct: 1}, true
 }
--- a/internal/control/rollout/controller/checks_test.go
+++ b/internal/control/rollout/controller/checks_test.go
@@ -14,12 +14,12 @@
 // Guards against blaming a version for the queries that a gateway missed while its process was down: an answer that is
 // wrong, an error and no answer in time count, a connection that ends does not.
 func TestWhatAKnownQueryCounts(t *testing.T) {
-	for answer, want := range map[string]rollout.Checked{
-		`"result":{"blob":"MQ=="}`:  {Right: 1},
-		`"result":{"blob":"Mg=="}`:  {Wrong: 1},
-		`"result":{"blob":"***"}`:   {Wrong: 1},
+	for answer, want := range map[string]rollout.CheckResults{
+		`"result":{"blob":"MQ=="}`:  {Correct: 1},
+		`"result":{"blob":"Mg=="}`:  {Incorrect: 1},
+		`"result":{"blob":"***"}`:   {Incorrect: 1},
 		`"error":{"code":-32008}`:   {Unserved: 1},
-		"garbage":                   {Wrong: 1},
+		"garbage":                   {Incorrect: 1},
 		"nothing":                   {Unserved: 1},
 		"closed before any answer":  {},
 		"closed within the answer ": {},
--- a/internal/control/rollout/controller/control.go
+++ b/internal/control/rollout/controller/control.go
@@ -33,7 +33,7 @@
 	Name    string          `json:"name"`
 	Running bool            `json:"running"` // a controller carries it
 	State   rollout.State   `json:"state"`
-	Opinion rollout.Opinion `json:"opinion"`
+	Opinion rollout.Verdict `json:"opinion"`
 	On      map[string]int  `json:"on"` // gateways by the version that they were last started on
 	History []Line          `json:"history,omitempty"`
 	Error   string          `json:"error,omitempty"`
@@ -102,7 +102,7 @@
 		err = fmt.Errorf("unknown command %q", command)
 	}
 	s := statusOf(k.checked.Plan.Name, k.machine.State())
-	s.Running, s.Opinion, s.History = true, k.machine.Opinion(), history
+	s.Running, s.Opinion, s.History = true, k.machine.Verdict(), history
 	if err != nil {
 		s.Error = err.Error()
 	}
@@ -112,7 +112,7 @@
 func statusOf(name string, s rollout.State) Status {
 	on := map[string]int{}
 	for _, g := range s.Gateways {
-		on[g.Going]++
+		on[g.Started]++
 	}
 	return Status{Name: name, State: s, On: on}
 }
--- a/internal/control/rollout/controller/controller.go
+++ b/internal/control/rollout/controller/controller.go
@@ -126,7 +126,7 @@
 			k.machine.ReceiveReport(now(), r)
 			continue
 		case c := <-k.found:
-			k.machine.Checked(c.gateway, c.class, c.c)
+			k.machine.RecordChecks(c.gateway, c.class, c.c)
 			continue
 		case a := <-k.requests:
 			a.reply <- k.handleCommand(a.command)
@@ -141,7 +141,7 @@
 			}
 		}
 		for i, found := range k.procs.look() {
-			k.machine.Looked(i, found.pid, found.live)
+			k.machine.ObserveProcess(i, found.pid, found.live)
 		}
 		k.machine.Tick(now())
 		if err := k.carryOut(); err != nil {
@@ -199,7 +199,7 @@
 			if g.Step != rollout.Steady {
 				continue
 			}
-			if g.Going == rollout.NewVersion {
+			if g.Started == rollout.NewVersion {
 				list = append(list, i)
 			} else if olds < oldChecked {
 				olds++
--- a/internal/control/rollout/controller/controller_test.go
+++ b/internal/control/rollout/controller/controller_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("an empty journal: %v", err)
 	}
 	state := func(stage int) rollout.State {
-		return rollout.State{Phase: rollout.Watching, Stage: stage, Gateways: []rollout.GatewayState{{Want: "new", Step: rollout.Steady}}}
+		return rollout.State{Phase: rollout.Watching, Stage: stage, Gateways: []rollout.GatewayState{{Target: "new", Step: rollout.Steady}}}
 	}
 	if err := j.Begin("a", []byte("plan"), state(0)); err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Fleet.Gateways) != 4 || c.Fleet.Gateways[3].Name != "n3" || c.IDs["old"].Program == c.IDs["new"].Program || c.Plan.Watch.MostS != 300 {
+	if len(c.Fleet.Gateways) != 4 || c.Fleet.Gateways[3].Name != "n3" || c.IDs["old"].Program == c.IDs["new"].Program || c.Plan.Watch.MaxSeconds != 300 {
 		t.Errorf("%+v", c)
 	}
 	for _, w := range []struct{ from, to, want string }{
--- a/internal/control/rollout/controller/gateways.go
+++ b/internal/control/rollout/controller/gateways.go
@@ -83,7 +83,7 @@
 // CheckPlan reads a plan and all that it names, before anything is done.
 func CheckPlan(text []byte) (Checked, error) {
 	c := Checked{Text: text, IDs: map[string]rollout.ID{}}
-	pattern, err := rollout.Configs(text)
+	pattern, err := rollout.PlanConfigs(text)
 	if err != nil {
 		return c, err
 	}
--- a/internal/control/rollout/controller/golden_test.go
+++ b/internal/control/rollout/controller/golden_test.go
@@ -32,7 +32,7 @@
 	}
 	s := statusOf(c.Name, c.State)
 	s.Running, s.History, s.Error = true, c.History, "e"
-	s.Opinion = rollout.Opinion{Worse: true, Enough: true, Why: "why"}
+	s.Opinion = rollout.Verdict{Worse: true, Conclusive: true, Why: "why"}
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/rollout/controller/procs.go
+++ b/internal/control/rollout/controller/procs.go
@@ -202,7 +202,7 @@
 				if err := p.signal(i, found.pid, syscall.SIGTERM); err != nil && !errors.Is(err, errGone) {
 					return err
 				}
-				for end := time.Now().Add(time.Duration(c.Plan.Change.StopS * float64(time.Second))); p.look()[i].pid == found.pid; {
+				for end := time.Now().Add(time.Duration(c.Plan.Change.StopSeconds * float64(time.Second))); p.look()[i].pid == found.pid; {
 					if time.Now().After(end) {
 						p.signal(i, found.pid, syscall.SIGKILL)
 					}
--- a/internal/control/rollout/golden_test.go
+++ b/internal/control/rollout/golden_test.go
@@ -14,9 +14,9 @@
 func TestReportTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
-	report, err := someReport().Append(nil, "f")
+	report, err := testReport().Append(nil, "f")
 	fmt.Fprintf(&out, "report %x, error %v\n", report, err != nil)
-	other := someReport()
+	other := testReport()
 	other.Serving, other.Pending, other.Gateway = false, true, 0
 	report, err = other.Append(nil, "fleet of the north")
 	fmt.Fprintf(&out, "report %x, error %v\n", report, err != nil)
@@ -30,12 +30,12 @@
 // A state is stored, and a verdict printed, under the keys that earlier versions used; a plan has their keys.
 func TestStoredKeys(t *testing.T) {
 	t.Parallel()
-	keys := testutil.FieldKeys("json", "state", State{}) + testutil.FieldKeys("json", "opinion", Opinion{}) +
+	keys := testutil.FieldKeys("json", "state", State{}) + testutil.FieldKeys("json", "opinion", Verdict{}) +
 		testutil.FieldKeys("json", "id", ID{}) + testutil.FieldKeys("toml", "plan", Plan{}) + testutil.FieldKeys("json", "plan json", Plan{})
 	testutil.Golden(t, "keys.golden", []byte(keys))
-	state := State{Phase: Holding, Before: Watching, Stage: 2, Since: 5 * time.Second, Reason: "r", Crashes: [2]int{1, 2},
-		Gateways: []GatewayState{{Want: NewVersion, Step: Starting, Going: NewVersion, Since: time.Second, PID: 7}, {Want: OldVersion, Step: Steady}}}
-	text, err := json.MarshalIndent([]any{state, Opinion{Worse: true, Enough: true, Why: "w"}, ID{1, 2}}, "", " ")
+	state := State{Phase: Holding, ResumePhase: Watching, Stage: 2, Since: 5 * time.Second, Reason: "r", Crashes: [2]int{1, 2},
+		Gateways: []GatewayState{{Target: NewVersion, Step: Starting, Started: NewVersion, Since: time.Second, PID: 7}, {Target: OldVersion, Step: Steady}}}
+	text, err := json.MarshalIndent([]any{state, Verdict{Worse: true, Conclusive: true, Why: "w"}, ID{1, 2}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/rollout/mix.go
+++ b/internal/control/rollout/mix.go
@@ -14,8 +14,8 @@
 // ExtensionKind identifies this subsystem among the extensions of membership.
 const ExtensionKind = 2
 
-// resendAfter is when the own version is sent to a member again: datagrams are lost, and members restart.
-const resendAfter = 20 * time.Second
+// resendInterval is when the own version is sent to a member again: datagrams are lost, and members restart.
+const resendInterval = 20 * time.Second
 
 // Mix tracks the versions that run in the fleet: each gateway piggybacks its own on membership datagrams, to every member
 // now and then. Its size depends on the number of members alone.
@@ -27,15 +27,15 @@
 
 // NewMix makes one for a fleet of so many members.
 func NewMix(members int, own ID) *Mix {
-	return &Mix{own: short(own), sentAt: make([]time.Duration, members), received: make([]ID, members)}
+	return &Mix{own: truncateID(own), sentAt: make([]time.Duration, members), received: make([]ID, members)}
 }
 
-// short keeps the half that is sent.
-func short(id ID) ID { return ID{id.Program >> 32, id.Settings >> 32} }
+// truncateID keeps the half that is sent.
+func truncateID(id ID) ID { return ID{id.Program >> 32, id.Settings >> 32} }
 
 // Own sets the own version.
 func (m *Mix) Own(id ID) {
-	if id = short(id); id != m.own {
+	if id = truncateID(id); id != m.own {
 		m.own = id
 		clear(m.sentAt)
 	}
@@ -46,7 +46,7 @@
 
 // Append appends the own version if it was not sent to the member recently.
 func (m *Mix) Append(now time.Duration, to, room int, dst []byte) []byte {
-	if to < 0 || to >= len(m.sentAt) || m.sentAt[to] > 0 && now-m.sentAt[to] < resendAfter {
+	if to < 0 || to >= len(m.sentAt) || m.sentAt[to] > 0 && now-m.sentAt[to] < resendInterval {
 		return dst
 	}
 	v := &rolloutpb.Version{Program: uint32(m.own.Program), Settings: uint32(m.own.Settings)}
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Phase is where a change stands.
+// Phase is the phase that a change is in.
 type Phase string
 
 // The phases.
 const (
 	Changing  Phase = "changing"  // gateways of the stage are being changed
-	Watching  Phase = "watching"  // the stage is watched
-	Holding   Phase = "holding"   // an operator paused it, or too little is known: nothing goes on until resumed
-	Returning Phase = "returning" // all gateways go back to the old version
+	Watching  Phase = "watching"  // the stage is compared with the old gateways
+	Holding   Phase = "holding"   // paused by an operator, or inconclusive: nothing is changed until an operator resumes
+	Returning Phase = "returning" // rolling back: all gateways return to the old version
 	Done      Phase = "done"      // all gateways are on the new version
-	Returned  Phase = "returned"  // all gateways are on the old version again
+	Returned  Phase = "returned"  // rolled back: all gateways are on the old version again
 )
 
-// Over reports whether nothing is left to be done.
+// Over reports whether the change has ended.
 func (p Phase) Over() bool { return p == Done || p == Returned }
 
 // Step is what is being done to a gateway.
@@ -24,9 +24,9 @@
 // The steps.
 const (
 	Steady    Step = "steady"
-	Stopping  Step = "stopping"  // it was sent SIGTERM
-	Starting  Step = "starting"  // a process was started; it has not yet told that it serves
-	Reloading Step = "reloading" // it was sent SIGHUP, for settings alone
+	Stopping  Step = "stopping"  // its process was sent SIGTERM
+	Starting  Step = "starting"  // a process was started and has not reported yet that it serves
+	Reloading Step = "reloading" // its process was sent SIGHUP, for new settings alone
 )
 
 // The versions.
@@ -35,50 +35,62 @@
 	NewVersion = "new"
 )
 
-// GatewayState is what is to be remembered of one gateway.
+// GatewayState is what is stored of one gateway.
 type GatewayState struct {
-	Want  string        `json:"want"` // the version that it is to be on
-	Step  Step          `json:"step"`
-	Going string        `json:"going,omitempty"` // the version that was started last
-	Since time.Duration `json:"since,omitempty"` // Unix time of the step
-	PID   int           `json:"pid,omitempty"`   // of the process that is stopped or was told to reload
+	Target  string        `json:"want"` // the version that it is to run
+	Step    Step          `json:"step"`
+	Started string        `json:"going,omitempty"` // the version that was started last
+	Since   time.Duration `json:"since,omitempty"` // Unix time of the step
+	PID     int           `json:"pid,omitempty"`   // of the process that is being stopped or reloaded
 }
 
-// State is all that a change has to remember: written down after each call of a Machine, before what the call wants done
-// is done, it lets another take the change up.
+// State is all that is stored of a change. Stored after each call of a Machine and before its actions are carried out, it is
+// enough for another controller to resume the change.
 type State struct {
-	Phase    Phase          `json:"phase"`
-	Before   Phase          `json:"before,omitempty"` // of Holding: the phase that it goes on with
-	Stage    int            `json:"stage"`            // from 0
-	Since    time.Duration  `json:"since"`            // Unix time of the phase
-	Reason   string         `json:"reason,omitempty"` // why it holds or went back
-	Gateways []GatewayState `json:"gateways"`
-	Crashes  [2]int         `json:"crashes"` // of old and new gateways in this stage
+	Phase       Phase          `json:"phase"`
+	ResumePhase Phase          `json:"before,omitempty"` // of Holding: the phase that it interrupts
+	Stage       int            `json:"stage"`            // from 0
+	Since       time.Duration  `json:"since"`            // Unix time of the phase
+	Reason      string         `json:"reason,omitempty"` // why it holds or was rolled back
+	Gateways    []GatewayState `json:"gateways"`
+	Crashes     [2]int         `json:"crashes"` // in this stage, by oldCrashes and newCrashes
 }
 
-// Report is what a gateway tells of itself, once a second.
+// Places in State.Crashes.
+const (
+	oldCrashes = iota
+	newCrashes
+)
+
+// Report is what a gateway sends to the controller once a second.
 type Report struct {
-	Gateway  int           // its place among the plan's
+	Gateway  int           // its number in the fleet, from 0
 	PID      int           // of its process
-	Started  time.Duration // Unix time of its start
-	Program  uint64        // of the executable: the first bytes of its SHA-256
-	Settings uint64        // of the operator's file in force, likewise
-	Serving  bool          // it takes requests
-	Pending  bool          // a file was read again that holds in part only from the next start
+	Started  time.Duration // Unix time of the process's start
+	Program  uint64        // the first 8 bytes of the executable's SHA-256
+	Settings uint64        // those of the operator's file in force
+	Serving  bool          // it accepts requests
+	Pending  bool          // a file was reloaded, and some of it takes effect only at the next start
 	MemoryMB float64
-	Classes  []Counts // since its start
+	Classes  []Counts // since the process's start
 }
 
-// ID is how a version shows in reports.
-type ID struct{ Program, Settings uint64 }
+// id returns the version that the gateway runs.
+func (r Report) id() ID { return ID{r.Program, r.Settings} }
+
+// ID identifies a version in reports.
+type ID struct {
+	Program  uint64 `json:"Program"`
+	Settings uint64 `json:"Settings"`
+}
 
-// Action is something that the host is to do.
+// Action is something that the caller of a Machine has to carry out.
 type Action interface{ action() }
 
-// Stop asks a process for a planned stop (SIGTERM).
+// Stop asks a process to shut down gracefully (SIGTERM).
 type Stop struct{ Gateway, PID int }
 
-// Kill ends one that does not stop (SIGKILL).
+// Kill ends a process that does not stop (SIGKILL).
 type Kill struct{ Gateway, PID int }
 
 // Start starts a gateway's process on a version.
@@ -87,7 +99,7 @@
 	Version string
 }
 
-// Reload puts a version's settings in place and has the process read them (SIGHUP).
+// Reload installs a version's settings and has the process read them (SIGHUP).
 type Reload struct {
 	Gateway int
 	Version string
