--- a/internal/control/rollout/controller/control.go
+++ b/internal/control/rollout/controller/control.go
@@ -15,88 +15,109 @@
 )
 
 const (
-	controlName = "control" // the file that reports where a running controller listens
-	controlWait = 5 * time.Second
+	controlName       = "control" // the file with the address on which a running controller accepts commands
+	controlTimeout    = 5 * time.Second
+	dialTimeout       = time.Second
+	maxCommandLength  = 64 // bytes
+	controlListenAddr = "127.0.0.1:0"
 )
 
 // ErrNone says that no controller runs.
 var ErrNone = errors.New("no controller runs")
 
-// controlRequest is an operator's command on its way to the loop.
+// Operators' commands on the control connection.
+const (
+	commandStatus  = "status"
+	commandHistory = "history"
+	commandPause   = "pause"
+	commandResume  = "resume"
+	commandAbort   = "abort"
+)
+
+// controlRequest is an operator's command on its way to Run.
 type controlRequest struct {
 	command string
 	reply   chan Status
 }
 
-// Status is where a change stands.
+// Status is the state of a change, as operators see it. The keys of its JSON form are fixed: operators' scripts read it.
 type Status struct {
 	Name    string          `json:"name"`
 	Running bool            `json:"running"` // a controller carries it
 	State   rollout.State   `json:"state"`
-	Opinion rollout.Verdict `json:"opinion"`
-	On      map[string]int  `json:"on"` // gateways by the version that they were last started on
-	History []Line          `json:"history,omitempty"`
+	Opinion rollout.Verdict `json:"opinion"` // on the stage that is watched
+	On      map[string]int  `json:"on"`      // gateways by the version that they were last started on
+	History []HistoryEntry  `json:"history,omitempty"`
 	Error   string          `json:"error,omitempty"`
 }
 
+// listenControl listens for commands, and writes the address to a file in dir.
 func listenControl(dir string) (net.Listener, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", controlListenAddr)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	path := filepath.Join(dir, controlName)
-	if err := os.WriteFile(path+".new", []byte(ln.Addr().String()), 0o600); err != nil {
-		ln.Close()
-		return nil, fmt.Errorf("control: %w", err)
-	}
-	if err := os.Rename(path+".new", path); err != nil {
-		ln.Close()
+	if err := replaceFile(filepath.Join(dir, controlName), []byte(ln.Addr().String()), 0o600); err != nil {
+		_ = ln.Close()
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	return ln, nil
 }
 
-// serveControl accepts commands, one a connection.
+// replaceFile writes a file atomically: readers see the former content or the new one.
+func replaceFile(path string, content []byte, mode os.FileMode) error {
+	if err := os.WriteFile(path+".new", content, mode); err != nil {
+		return err
+	}
+	return os.Rename(path+".new", path)
+}
+
+// serveControl accepts commands, one per connection, until the listener is closed.
 func (k *Controller) serveControl() {
 	for {
-		nc, err := k.control.Accept()
+		conn, err := k.control.Accept()
 		if err != nil {
 			return
 		}
-		go func() {
-			defer nc.Close()
-			nc.SetDeadline(time.Now().Add(controlWait))
-			command, err := bufio.NewReaderSize(nc, 64).ReadSlice('\n')
-			if err != nil {
-				return
-			}
-			a := controlRequest{strings.TrimSpace(string(command)), make(chan Status, 1)}
-			select {
-			case k.requests <- a:
-			case <-k.quit:
-				return
-			}
-			json.NewEncoder(nc).Encode(<-a.reply)
-		}()
+		go k.serveCommand(conn)
 	}
 }
 
-// handleCommand does what an operator says; it runs on the loop.
+// serveCommand reads a command, passes it to Run, and writes the answer.
+func (k *Controller) serveCommand(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	if conn.SetDeadline(time.Now().Add(controlTimeout)) != nil {
+		return
+	}
+	command, err := bufio.NewReaderSize(conn, maxCommandLength).ReadSlice('\n')
+	if err != nil {
+		return
+	}
+	r := controlRequest{strings.TrimSpace(string(command)), make(chan Status, 1)}
+	select {
+	case k.requests <- r:
+	case <-k.quit:
+		return
+	}
+	_ = json.NewEncoder(conn).Encode(<-r.reply) // the operator's side reports a broken connection
+}
+
+// handleCommand carries out an operator's command. It is called by Run.
 func (k *Controller) handleCommand(command string) Status {
 	var err error
-	var history []Line
+	var history []HistoryEntry
 	switch command {
-	case "status":
-	case "history":
+	case commandStatus:
+	case commandHistory:
 		var c Change
 		if c, err = k.journal.Change(k.checked.Plan.Name); err == nil {
 			history = c.History
 		}
-	case "pause":
+	case commandPause:
 		err = k.machine.Pause(now())
-	case "resume":
+	case commandResume:
 		err = k.machine.Resume(now())
-	case "abort":
+	case commandAbort:
 		err = k.machine.Abort(now())
 	default:
 		err = fmt.Errorf("unknown command %q", command)
@@ -117,7 +138,8 @@
 	return Status{Name: name, State: s, On: on}
 }
 
-// SendCommand sends a command to the running controller: status, pause, resume or abort.
+// SendCommand sends a command to the running controller: status, history, pause, resume or abort. It fails with ErrNone if
+// none runs.
 func SendCommand(dir, command string) (s Status, err error) {
 	addr, err := os.ReadFile(filepath.Join(dir, controlName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -126,16 +148,18 @@
 	if err != nil {
 		return s, fmt.Errorf("control: %w", err)
 	}
-	nc, err := net.DialTimeout("tcp", string(addr), time.Second)
+	conn, err := net.DialTimeout("tcp", string(addr), dialTimeout)
 	if err != nil { // it was killed and left the file behind
 		return s, ErrNone
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(controlWait))
-	if _, err := fmt.Fprintln(nc, command); err != nil {
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(controlTimeout)); err != nil {
+		return s, fmt.Errorf("control: %w", err)
+	}
+	if _, err := fmt.Fprintln(conn, command); err != nil {
 		return s, fmt.Errorf("control: %w", err)
 	}
-	if err := json.NewDecoder(nc).Decode(&s); err != nil {
+	if err := json.NewDecoder(conn).Decode(&s); err != nil {
 		return s, fmt.Errorf("control: %w", err)
 	}
 	if s.Error != "" {
@@ -144,9 +168,9 @@
 	return s, nil
 }
 
-// Last reads where the last change stands from the controller that runs, else from the journal.
+// Last returns the state of the last change: from the running controller, else from the journal.
 func Last(dir string) (Status, error) {
-	s, err := SendCommand(dir, "status")
+	s, err := SendCommand(dir, commandStatus)
 	if !errors.Is(err, ErrNone) {
 		return s, err
 	}
@@ -157,9 +181,9 @@
 	return statusOf(c.Name, c.State), nil
 }
 
-// History is what happened in a change, the last one for "": from the controller that carries it, else from the journal.
-func History(dir, name string) ([]Line, error) {
-	s, err := SendCommand(dir, "history")
+// History returns the history of a change, of the last one for "": from the controller that carries it, else from the journal.
+func History(dir, name string) ([]HistoryEntry, error) {
+	s, err := SendCommand(dir, commandHistory)
 	if err == nil && (name == "" || name == s.Name) {
 		return s.History, nil
 	}
@@ -170,7 +194,8 @@
 	return c.History, err
 }
 
-// ReadChange reads a change from the journal of a controller that does not run; "" is the last one.
+// ReadChange reads a change, the last one for "", from the journal while no controller runs. It fails with ErrNoChange if there
+// is none, and with ErrRunning while a controller has the journal.
 func ReadChange(dir, name string) (c Change, err error) {
 	path := filepath.Join(dir, journalName)
 	if _, err := os.Stat(path); err != nil {
@@ -180,7 +205,7 @@
 	if err != nil {
 		return c, err
 	}
-	defer j.Close()
+	defer func() { _ = j.Close() }()
 	if name == "" {
 		return j.Last()
 	}
--- a/internal/control/rollout/controller/controller.go
+++ b/internal/control/rollout/controller/controller.go
@@ -8,36 +8,50 @@
 	"net"
 	"os"
 	"path/filepath"
+	"sync"
 	"syscall"
 	"time"
 
 	"frostpier/internal/control/rollout"
 )
 
-// Controller carries one change to its end.
+const (
+	tickInterval     = 100 * time.Millisecond
+	checkedOld       = 3       // old gateways that are checked too, to see whether incorrect results are the engines'
+	reportBufferSize = 4 << 20 // bytes: hundreds of gateways may report at the same moment
+	queueSize        = 4096    // reports, and check results, that wait for the loop
+	journalName      = "rollout.db"
+)
+
+// Controller carries one change to its end. Run owns its state.
 type Controller struct {
 	log      *slog.Logger
 	dir      string
 	checked  Checked
 	journal  *Journal
 	machine  *rollout.Machine
-	procs    *procs
-	sock     *net.UDPConn
+	procs    *processes
+	sock     *net.UDPConn // of reports
 	control  net.Listener
-	checks   *checker
+	checker  *checker
 	reports  chan rollout.Report
-	found    chan checkedAt
+	results  chan checkResult
 	requests chan controlRequest
-	quit     chan struct{}
+	quit     chan struct{}  // closed by Close
+	loops    sync.WaitGroup // that receive reports and accept commands
 }
 
-const (
-	tickEvery   = 100 * time.Millisecond
-	oldChecked  = 3 // old gateways that are asked known queries: to see whether wrong results are the engines'
-	journalName = "rollout.db"
-)
+// ConflictError says that the journal's state does not allow to begin or resume a change.
+type ConflictError struct {
+	Change string // the name of the change in the journal
+	Reason string
+}
 
-// Open begins a change, or takes up the one of this name that is not over; dir is where the controller keeps its state.
+// Error returns the text that operators see.
+func (e *ConflictError) Error() string { return fmt.Sprintf("change %q %s", e.Change, e.Reason) }
+
+// Open begins a change, or resumes the one of this name that is not over. The controller keeps its state in dir. Open fails
+// with ErrRunning while another controller has the journal, and with a *ConflictError while another change is under way.
 func Open(dir string, c Checked, log *slog.Logger) (_ *Controller, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -45,79 +59,111 @@
 	if dir, err = filepath.Abs(dir); err != nil {
 		return nil, err
 	}
-	k := &Controller{log: log, dir: dir, checked: c, reports: make(chan rollout.Report, 4096), found: make(chan checkedAt, 4096),
-		requests: make(chan controlRequest), quit: make(chan struct{}),
-		procs: fleetProcs(dir, c)}
+	k := &Controller{
+		log:      log,
+		dir:      dir,
+		checked:  c,
+		procs:    newProcesses(dir, c),
+		reports:  make(chan rollout.Report, queueSize),
+		results:  make(chan checkResult, queueSize),
+		requests: make(chan controlRequest),
+		quit:     make(chan struct{}),
+	}
 	if k.journal, err = OpenJournal(filepath.Join(dir, journalName)); err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			k.journal.Close()
+			_ = k.journal.Close()
 		}
 	}()
-	if err := k.takeUp(); err != nil {
+	if err := k.beginOrResume(); err != nil {
 		return nil, err
 	}
-	addr, err := net.ResolveUDPAddr("udp4", c.Plan.Listen)
-	if err != nil {
-		return nil, fmt.Errorf("plan: listen: %w", err)
-	}
-	if k.sock, err = net.ListenUDP("udp4", addr); err != nil {
-		return nil, fmt.Errorf("plan: listen: %w", err)
+	if k.sock, err = listenReports(c.Plan.Listen); err != nil {
+		return nil, err
 	}
-	k.sock.SetReadBuffer(4 << 20) // hundreds of gateways may report in one moment
 	if k.control, err = listenControl(dir); err != nil {
-		k.sock.Close()
+		_ = k.sock.Close()
 		return nil, err
 	}
-	k.checks = newChecker(c, k.found)
+	k.checker = newChecker(c, k.results)
 	return k, nil
 }
 
+// listenReports opens the socket to which gateways report.
+func listenReports(address string) (*net.UDPConn, error) {
+	invalid := func(err error) error {
+		return &rollout.PlanError{Kind: rollout.ErrPlanValue, Key: "listen", Value: address, Reason: err.Error(), Err: err}
+	}
+	addr, err := net.ResolveUDPAddr("udp4", address)
+	if err != nil {
+		return nil, invalid(err)
+	}
+	sock, err := net.ListenUDP("udp4", addr)
+	if err != nil {
+		return nil, invalid(err)
+	}
+	_ = sock.SetReadBuffer(reportBufferSize) // the system may grant less: a lost report is followed by the next
+	return sock, nil
+}
+
+// now returns the Unix time.
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// takeUp makes the machine: from the journal where the change is under way there.
-func (k *Controller) takeUp() error {
-	p, fleet := k.checked.Plan, k.checked.Fleet
-	old, new := k.checked.IDs[rollout.OldVersion], k.checked.IDs[rollout.NewVersion]
+// beginOrResume makes the state machine: from the journal if the change is under way there.
+func (k *Controller) beginOrResume() error {
 	last, err := k.journal.Last()
-	switch {
-	case err != nil && !errors.Is(err, ErrNoChange):
+	if err != nil && !errors.Is(err, ErrNoChange) {
 		return err
-	case err == nil && !last.State.Phase.Over() && last.Name != p.Name:
-		return fmt.Errorf("change %q is under way (%s): end it first", last.Name, last.State.Phase)
-	case err == nil && !last.State.Phase.Over():
-		if string(last.Plan) != string(k.checked.Text) {
-			return fmt.Errorf("change %q was begun with another plan", p.Name)
-		}
-		if len(last.State.Gateways) != len(fleet.Gateways) {
-			return fmt.Errorf("change %q was begun with %d gateways", p.Name, len(last.State.Gateways))
-		}
-		k.machine = rollout.Resume(now(), p, old, new, fleet.Classes, last.State)
-		k.log.Info("taken up", "change", p.Name, "phase", last.State.Phase, "stage", last.State.Stage+1)
-		return k.journal.Save(p.Name, k.machine.State(), now(), []string{"taken up by a controller that started"})
 	}
-	k.machine = rollout.New(now(), p, old, new, fleet.Classes, len(fleet.Gateways))
+	if err == nil && !last.State.Phase.Over() {
+		return k.resume(last)
+	}
+	return k.begin()
+}
+
+func (k *Controller) begin() error {
+	p, fleet := k.checked.Plan, k.checked.Fleet
+	k.machine = rollout.New(now(), p, k.checked.IDs[rollout.OldVersion], k.checked.IDs[rollout.NewVersion], fleet.Classes, len(fleet.Gateways))
 	return k.journal.Begin(p.Name, k.checked.Text, k.machine.State())
 }
 
-// Close ends the controller; gateways go on.
+// resume continues a change that is under way in the journal, if it is the plan's and was begun with the same plan.
+func (k *Controller) resume(last Change) error {
+	p, fleet := k.checked.Plan, k.checked.Fleet
+	switch {
+	case last.Name != p.Name:
+		return &ConflictError{last.Name, fmt.Sprintf("is under way (%s): end it first", last.State.Phase)}
+	case string(last.Plan) != string(k.checked.Text):
+		return &ConflictError{p.Name, "was begun with another plan"}
+	case len(last.State.Gateways) != len(fleet.Gateways):
+		return &ConflictError{p.Name, fmt.Sprintf("was begun with %d gateways", len(last.State.Gateways))}
+	}
+	k.machine = rollout.Resume(now(), p, k.checked.IDs[rollout.OldVersion], k.checked.IDs[rollout.NewVersion], fleet.Classes, last.State)
+	k.log.Info("change resumed", "change", p.Name, "phase", last.State.Phase, "stage", last.State.Stage+1)
+	return k.journal.Save(p.Name, k.machine.State(), now(), []string{"taken up by a controller that started"})
+}
+
+// Close ends the controller and its goroutines. The gateways keep running.
 func (k *Controller) Close() {
 	close(k.quit)
-	k.checks.close()
-	k.sock.Close()
-	k.control.Close()
-	os.Remove(filepath.Join(k.dir, controlName))
-	k.journal.Close()
+	k.checker.close()
+	_ = k.sock.Close()
+	_ = k.control.Close()
+	k.loops.Wait()
+	_ = os.Remove(filepath.Join(k.dir, controlName))
+	if err := k.journal.Close(); err != nil {
+		k.log.Error("journal not closed", "error", err)
+	}
 }
 
-// Run carries the change until it is over, or the context ends; it returns where it stands.
+// Run carries the change until it is over or the context ends, and returns its state. It is called once.
 func (k *Controller) Run(ctx context.Context) (rollout.State, error) {
-	go k.receiveReports()
-	go k.serveControl()
-	tick := time.NewTicker(tickEvery)
-	defer tick.Stop()
+	k.startLoop(k.receiveReports)
+	k.startLoop(k.serveControl)
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -125,44 +171,63 @@
 		case r := <-k.reports:
 			k.machine.ReceiveReport(now(), r)
 			continue
-		case c := <-k.found:
-			k.machine.RecordChecks(c.gateway, c.class, c.c)
+		case r := <-k.results:
+			k.machine.RecordChecks(r.gateway, r.class, r.results)
 			continue
-		case a := <-k.requests:
-			a.reply <- k.handleCommand(a.command)
-		case <-tick.C:
-		}
-		for drained := false; !drained; { // what was told before this moment counts in it
-			select {
-			case r := <-k.reports:
-				k.machine.ReceiveReport(now(), r)
-			default:
-				drained = true
-			}
+		case r := <-k.requests:
+			r.reply <- k.handleCommand(r.command)
+		case <-ticker.C:
 		}
-		for i, found := range k.procs.look() {
-			k.machine.ObserveProcess(i, found.pid, found.live)
-		}
-		k.machine.Tick(now())
-		if err := k.carryOut(); err != nil {
+		if err := k.tick(); err != nil {
 			return k.machine.State(), err
 		}
 		if s := k.machine.State(); s.Phase.Over() {
 			return s, nil
 		}
-		k.aim()
+		k.checker.setTargets(k.gatewaysToCheck())
 	}
 }
 
-// carryOut writes the state down, and only then does what is to be done: a controller that takes the change up does it
-// again where it cannot tell that it was done.
+// startLoop starts a goroutine that Close waits for.
+func (k *Controller) startLoop(loop func()) {
+	k.loops.Add(1)
+	go func() {
+		defer k.loops.Done()
+		loop()
+	}()
+}
+
+// tick updates what is observed, and carries out what the state machine decides.
+func (k *Controller) tick() error {
+	k.drainReports()
+	for i, p := range k.procs.find() {
+		k.machine.ObserveProcess(i, p.pid, p.reloadable)
+	}
+	k.machine.Tick(now())
+	return k.carryOut()
+}
+
+// drainReports records the reports that arrived before this moment, so that the next decision counts them.
+func (k *Controller) drainReports() {
+	for {
+		select {
+		case r := <-k.reports:
+			k.machine.ReceiveReport(now(), r)
+		default:
+			return
+		}
+	}
+}
+
+// carryOut stores the state, and only then carries out the actions: a controller that resumes the change repeats those of which it
+// cannot tell that they were carried out.
 func (k *Controller) carryOut() error {
 	actions := k.machine.Actions()
 	var notes []string
 	for _, a := range actions {
 		if n, is := a.(rollout.Note); is {
 			notes = append(notes, n.Text)
-			k.log.Info("rollout", "says", n.Text)
+			k.log.Info("change progressed", "note", n.Text)
 		}
 	}
 	if k.machine.Dirty() || len(notes) > 0 {
@@ -170,49 +235,54 @@
 			return err
 		}
 	}
-	for _, action := range actions {
-		var err error
-		switch a := action.(type) {
-		case rollout.Stop:
-			err = k.procs.signal(a.Gateway, a.PID, syscall.SIGTERM)
-		case rollout.Kill:
-			err = k.procs.signal(a.Gateway, a.PID, syscall.SIGKILL)
-		case rollout.Reload:
-			err = k.procs.reload(a.Gateway, a.Version, a.PID)
-		case rollout.Start:
-			err = k.procs.start(a.Gateway, a.Version)
-		}
-		if err != nil && !errors.Is(err, errGone) { // that it did not happen shows in what is looked at next
-			k.log.Error("not done", "what", fmt.Sprintf("%T", action), "error", err)
+	for _, a := range actions {
+		// A failed action shows in what is observed next, and the state machine decides again.
+		if err := k.execute(a); err != nil && !errors.Is(err, errProcessEnded) {
+			k.log.Error("action failed", "action", fmt.Sprintf("%T", a), "error", err)
 		}
 	}
 	return nil
 }
 
-// aim has the new gateways, and a few old ones, asked the known queries while a stage is watched.
-func (k *Controller) aim() {
+func (k *Controller) execute(action rollout.Action) error {
+	switch a := action.(type) {
+	case rollout.Stop:
+		return k.procs.signal(a.Gateway, a.PID, syscall.SIGTERM)
+	case rollout.Kill:
+		return k.procs.signal(a.Gateway, a.PID, syscall.SIGKILL)
+	case rollout.Reload:
+		return k.procs.reload(a.Gateway, a.Version, a.PID)
+	case rollout.Start:
+		return k.procs.start(a.Gateway, a.Version)
+	}
+	return nil
+}
+
+// gatewaysToCheck returns the new gateways and a few old ones while a stage is watched, else none.
+func (k *Controller) gatewaysToCheck() (gateways []int) {
 	s := k.machine.State()
-	var list []int
+	if s.Phase != rollout.Watching {
+		return nil
+	}
 	olds := 0
-	if s.Phase == rollout.Watching {
-		for i, g := range s.Gateways {
-			if g.Step != rollout.Steady {
-				continue
-			}
-			if g.Started == rollout.NewVersion {
-				list = append(list, i)
-			} else if olds < oldChecked {
-				olds++
-				list = append(list, i)
-			}
+	for i, g := range s.Gateways {
+		if g.Step != rollout.Steady {
+			continue
+		}
+		if g.Started == rollout.NewVersion {
+			gateways = append(gateways, i)
+		} else if olds < checkedOld {
+			olds++
+			gateways = append(gateways, i)
 		}
 	}
-	k.checks.target(list)
+	return gateways
 }
 
 // receiveReports reads reports until the socket is closed.
 func (k *Controller) receiveReports() {
 	buf := make([]byte, rollout.MostReport+1)
+	fleet := k.checked.Fleet
 	for {
 		n, _, err := k.sock.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -221,14 +291,14 @@
 		if err != nil {
 			continue
 		}
-		r, err := rollout.ParseReport(buf[:n], k.checked.Plan.Fleet, len(k.checked.Fleet.Gateways), len(k.checked.Fleet.Classes))
+		r, err := rollout.ParseReport(buf[:n], k.checked.Plan.Fleet, len(fleet.Gateways), len(fleet.Classes))
 		if err != nil {
 			k.log.Debug("report dropped", "error", err)
 			continue
 		}
 		select {
 		case k.reports <- r:
-		default: // the next one tells the same and more
+		default: // the gateway's next report includes what this one counts
 		}
 	}
 }
--- a/internal/control/rollout/controller/golden_test.go
+++ b/internal/control/rollout/controller/golden_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "status.golden", append(append(text, '\n'), c.Plan...))
-	keys := testutil.FieldKeys("json", "status", Status{}) + testutil.FieldKeys("json", "line", Line{}) +
+	keys := testutil.FieldKeys("json", "status", Status{}) + testutil.FieldKeys("json", "line", HistoryEntry{}) +
 		testutil.FieldKeys("json", "checked", Checked{})
 	testutil.Golden(t, "keys.golden", []byte(keys))
 }
--- a/internal/control/rollout/controller/journal.go
+++ b/internal/control/rollout/controller/journal.go
@@ -1,6 +1,3 @@
-// Package controller drives a change that goes out in stages: it keeps the change's state in a journal on disk, hears the
-// gateways' reports, looks for their processes, starts and stops them, asks known queries, and takes operators' commands. What
-// is done when is internal/rollout's affair.
 package controller
 
 import (
@@ -16,35 +13,39 @@
 	"frostpier/internal/control/rollout"
 )
 
-// Journal is the durable memory of changes: bbolt writes copy-on-write pages and syncs them before a commit returns, so
-// that one torn by a crash leaves the state before it. One process has it open to write.
+// Journal stores changes durably. bbolt writes copy-on-write pages and syncs them before a commit returns, so that a commit
+// torn by a crash leaves the state before it. One process at a time has it open.
 type Journal struct{ db *bbolt.DB }
 
 var (
-	// ErrRunning says that another controller has the journal.
+	// ErrRunning says that another controller has the journal open.
 	ErrRunning = errors.New("another controller runs")
-	// ErrNoChange says that the journal knows no such change.
+	// ErrNoChange says that the journal has no such change.
 	ErrNoChange = errors.New("no such change")
 )
 
+// lockTimeout is how long opening waits for a journal that another process has open.
+const lockTimeout = 200 * time.Millisecond
+
+// Names of buckets and keys. A bucket of all changes holds the name of the last one, and a bucket for each, by its name, with the
+// plan, the state and a bucket of its history.
 const (
-	lockWait  = 200 * time.Millisecond // another controller holds the journal for as long as it runs
-	planKey   = "plan"
-	stateKey  = "state"
-	notesName = "history"
-	lastKey   = "last"
+	changesBucket = "changes"
+	historyBucket = "history"
+	lastKey       = "last"
+	planKey       = "plan"
+	stateKey      = "state"
 )
 
-var changesName = []byte("changes")
-
-// OpenJournal opens the journal to write.
+// OpenJournal opens the journal to write, and creates it if it is missing. It fails with ErrRunning while another process has it
+// open.
 func OpenJournal(path string) (*Journal, error) { return open(path, false) }
 
-// ReadJournal opens it to read; while a controller runs that is refused as well.
+// ReadJournal opens the journal to read. It fails with ErrRunning while a controller has it open.
 func ReadJournal(path string) (*Journal, error) { return open(path, true) }
 
 func open(path string, readOnly bool) (*Journal, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: readOnly})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, ErrRunning
 	}
@@ -54,72 +55,78 @@
 	return &Journal{db}, nil
 }
 
-// Close closes it.
+// Close closes the journal.
 func (j *Journal) Close() error { return j.db.Close() }
 
-// Begin enters a change with its plan's text and its first state.
+// Begin adds a change with its plan's text and its first state. It fails with a *ConflictError if there is one of this name.
 func (j *Journal) Begin(name string, plan []byte, s rollout.State) error {
-	return j.update(func(all *bbolt.Bucket) error {
-		if all.Bucket([]byte(name)) != nil {
-			return fmt.Errorf("change %q stands in the journal already", name)
+	return j.update(func(changes *bbolt.Bucket) error {
+		if changes.Bucket([]byte(name)) != nil {
+			return &ConflictError{name, "stands in the journal already"}
 		}
-		b, err := all.CreateBucket([]byte(name))
+		change, err := changes.CreateBucket([]byte(name))
 		if err != nil {
 			return err
 		}
-		if err := b.Put([]byte(planKey), plan); err != nil {
+		if err := change.Put([]byte(planKey), plan); err != nil {
 			return err
 		}
-		if err := all.Put([]byte(lastKey), []byte(name)); err != nil {
+		if err := changes.Put([]byte(lastKey), []byte(name)); err != nil {
 			return err
 		}
-		return putState(b, s)
+		return putState(change, s)
 	})
 }
 
-// Save writes a state and lines of history down together; it is on disk when Save returns.
+// Save stores a state and adds entries to the history, in one transaction. It is on disk when Save returns.
 func (j *Journal) Save(name string, s rollout.State, at time.Duration, notes []string) error {
-	return j.update(func(all *bbolt.Bucket) error {
-		b := all.Bucket([]byte(name))
-		if b == nil {
+	return j.update(func(changes *bbolt.Bucket) error {
+		change := changes.Bucket([]byte(name))
+		if change == nil {
 			return ErrNoChange
 		}
-		list, err := b.CreateBucketIfNotExists([]byte(notesName))
+		history, err := change.CreateBucketIfNotExists([]byte(historyBucket))
 		if err != nil {
 			return err
 		}
 		for _, text := range notes {
-			n, err := list.NextSequence()
-			if err != nil {
-				return err
-			}
-			line, err := json.Marshal(Line{At: at, Text: text})
-			if err != nil {
-				return err
-			}
-			if err := list.Put(binary.BigEndian.AppendUint64(nil, n), line); err != nil {
+			if err := appendEntry(history, HistoryEntry{At: at, Text: text}); err != nil {
 				return err
 			}
 		}
-		return putState(b, s)
+		return putState(change, s)
 	})
 }
 
-func putState(b *bbolt.Bucket, s rollout.State) error {
+// appendEntry stores an entry under the next number: bbolt orders keys as bytes, hence big-endian.
+func appendEntry(history *bbolt.Bucket, entry HistoryEntry) error {
+	number, err := history.NextSequence()
+	if err != nil {
+		return err
+	}
+	text, err := json.Marshal(entry)
+	if err != nil {
+		return err
+	}
+	return history.Put(binary.BigEndian.AppendUint64(nil, number), text)
+}
+
+func putState(change *bbolt.Bucket, s rollout.State) error {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	return b.Put([]byte(stateKey), text)
+	return change.Put([]byte(stateKey), text)
 }
 
-func (j *Journal) update(do func(all *bbolt.Bucket) error) error {
+// update runs a transaction on the bucket of all changes.
+func (j *Journal) update(transaction func(changes *bbolt.Bucket) error) error {
 	err := j.db.Update(func(tx *bbolt.Tx) error {
-		all, err := tx.CreateBucketIfNotExists(changesName)
+		changes, err := tx.CreateBucketIfNotExists([]byte(changesBucket))
 		if err != nil {
 			return err
 		}
-		return do(all)
+		return transaction(changes)
 	})
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
@@ -127,26 +134,26 @@
 	return nil
 }
 
-// Line is one of a change's history.
-type Line struct {
+// HistoryEntry is an event of a change's history.
+type HistoryEntry struct {
 	At   time.Duration `json:"at"` // Unix time
 	Text string        `json:"text"`
 }
 
-// Change is what the journal holds of one.
+// Change is what the journal has of a change.
 type Change struct {
 	Name    string
-	Plan    []byte
+	Plan    []byte // its text
 	State   rollout.State
-	History []Line
+	History []HistoryEntry
 }
 
-// Last is the change that was begun last.
+// Last returns the change that was begun last. It fails with ErrNoChange if there is none.
 func (j *Journal) Last() (Change, error) {
 	name := ""
 	err := j.db.View(func(tx *bbolt.Tx) error {
-		if all := tx.Bucket(changesName); all != nil {
-			name = string(all.Get([]byte(lastKey)))
+		if changes := tx.Bucket([]byte(changesBucket)); changes != nil {
+			name = string(changes.Get([]byte(lastKey)))
 		}
 		return nil
 	})
@@ -156,34 +163,38 @@
 	return j.Change(name)
 }
 
-// Change is one by its name.
-func (j *Journal) Change(name string) (c Change, err error) {
-	c.Name = name
-	err = j.db.View(func(tx *bbolt.Tx) error {
-		all := tx.Bucket(changesName)
-		if name == "" || all == nil || all.Bucket([]byte(name)) == nil {
+// Change returns a change by its name. It fails with ErrNoChange if there is none.
+func (j *Journal) Change(name string) (Change, error) {
+	c := Change{Name: name}
+	err := j.db.View(func(tx *bbolt.Tx) error {
+		changes := tx.Bucket([]byte(changesBucket))
+		if name == "" || changes == nil || changes.Bucket([]byte(name)) == nil {
 			return ErrNoChange
 		}
-		b := all.Bucket([]byte(name))
-		c.Plan = append(c.Plan, b.Get([]byte(planKey))...)
-		if err := json.Unmarshal(b.Get([]byte(stateKey)), &c.State); err != nil {
-			return fmt.Errorf("state: %w", err)
-		}
-		list := b.Bucket([]byte(notesName))
-		if list == nil {
-			return nil
-		}
-		return list.ForEach(func(_, line []byte) error {
-			var l Line
-			if err := json.Unmarshal(line, &l); err != nil {
-				return fmt.Errorf("history: %w", err)
-			}
-			c.History = append(c.History, l)
-			return nil
-		})
+		return c.read(changes.Bucket([]byte(name)))
 	})
 	if err != nil {
 		return c, fmt.Errorf("journal: %w", err)
 	}
 	return c, nil
 }
+
+// read reads a change from its bucket.
+func (c *Change) read(change *bbolt.Bucket) error {
+	c.Plan = append(c.Plan, change.Get([]byte(planKey))...)
+	if err := json.Unmarshal(change.Get([]byte(stateKey)), &c.State); err != nil {
+		return fmt.Errorf("state: %w", err)
+	}
+	history := change.Bucket([]byte(historyBucket))
+	if history == nil {
+		return nil
+	}
+	return history.ForEach(func(_, text []byte) error {
+		var entry HistoryEntry
+		if err := json.Unmarshal(text, &entry); err != nil {
+			return fmt.Errorf("history: %w", err)
+		}
+		c.History = append(c.History, entry)
+		return nil
+	})
+}
--- /dev/null
+++ b/internal/control/rollout/controller/plan.go
@@ -0,0 +1,125 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+
+	"frostpier/internal/control/rollout"
+	"frostpier/internal/program"
+	"frostpier/internal/settings"
+)
+
+// Checked is a valid plan with what it names: the fleet and both versions exist and can be read.
+type Checked struct {
+	Plan  rollout.Plan
+	Text  []byte // of the plan
+	Fleet Fleet
+	IDs   map[string]rollout.ID // by version
+}
+
+// versionPlan is one version of a plan, and its key there.
+type versionPlan struct {
+	key     string
+	version rollout.Version
+}
+
+// CheckPlan reads and validates a plan and all that it names, before anything is changed. Errors are *rollout.PlanError and
+// *FleetError.
+func CheckPlan(text []byte) (Checked, error) {
+	c := Checked{Text: text, IDs: map[string]rollout.ID{}}
+	pattern, err := rollout.PlanConfigs(text)
+	if err != nil {
+		return c, err
+	}
+	if c.Fleet, err = ReadFleet(pattern); err != nil {
+		return c, err
+	}
+	if c.Plan, err = rollout.ParsePlan(text, len(c.Fleet.Gateways)); err != nil {
+		return c, err
+	}
+	versions := []versionPlan{{rollout.OldVersion, c.Plan.Old}, {rollout.NewVersion, c.Plan.New}}
+	for _, v := range versions {
+		if c.IDs[v.key], err = v.identify(c.Plan.Fleet, c.Plan.Reports); err != nil {
+			return c, err
+		}
+	}
+	if c.IDs[rollout.OldVersion] == c.IDs[rollout.NewVersion] {
+		return c, &rollout.PlanError{Kind: rollout.ErrPlanValue, Key: "new", Value: c.Plan.New,
+			Reason: "it is the old version: neither the program's nor the operator's file differs"}
+	}
+	for _, check := range c.Plan.Checks {
+		if !slices.Contains(c.Fleet.Classes, check.Class) {
+			return c, &rollout.PlanError{Kind: rollout.ErrPlanValue, Key: "check.class", Value: check.Class,
+				Reason: fmt.Sprintf("the fleet has no class %q", check.Class)}
+		}
+	}
+	return c, nil
+}
+
+// identify validates a version's files and returns how it shows in reports.
+func (v versionPlan) identify(fleet, reportTo string) (id rollout.ID, err error) {
+	if id.Program, err = hashProgram(v.version.Program); err != nil {
+		return id, v.invalid("program", v.version.Program, err)
+	}
+	if err := validateOperator(v.version.Operator, fleet, reportTo); err != nil {
+		return id, v.invalid("operator", v.version.Operator, err)
+	}
+	if id.Settings, err = program.HashFile(v.version.Operator); err != nil {
+		return id, v.invalid("operator", v.version.Operator, err)
+	}
+	return id, nil
+}
+
+func (v versionPlan) invalid(key, value string, err error) error {
+	return &rollout.PlanError{Kind: rollout.ErrPlanValue, Key: v.key + "." + key, Value: value, Reason: err.Error(), Err: err}
+}
+
+// hashProgram returns the hash of an executable file.
+func hashProgram(path string) (uint64, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return 0, err
+	}
+	if info.IsDir() || info.Mode()&0o111 == 0 {
+		return 0, fmt.Errorf("%s is no executable", path)
+	}
+	return program.HashFile(path)
+}
+
+// OperatorError says which key of an operator's file does not fit the plan.
+type OperatorError struct {
+	Path   string
+	Key    string
+	Reason string
+}
+
+// Error returns the text that operators see.
+func (e *OperatorError) Error() string { return e.Path + ": " + e.Reason }
+
+// validateOperator validates an operator's file: gateways that use it must be of the fleet, and report to the controller.
+func validateOperator(path, fleet, reportTo string) error {
+	if path == "" {
+		return errors.New("without an operator's file gateways report nothing")
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	op, err := settings.ParseOperator(text)
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	switch {
+	case op.Rollout == nil:
+		return &OperatorError{path, "rollout", "it has no section rollout"}
+	case op.Rollout.ReportTo.String() != reportTo:
+		return &OperatorError{path, "rollout.report_to",
+			fmt.Sprintf("rollout.report_to is %v, the plan has %s", op.Rollout.ReportTo, reportTo)}
+	case op.Membership.Fleet != fleet:
+		return &OperatorError{path, "membership.fleet",
+			fmt.Sprintf("membership.fleet is %q, the plan's fleet %q", op.Membership.Fleet, fleet)}
+	}
+	return nil
+}
