--- a/cmd/fleettest/demo.go
+++ b/cmd/fleettest/demo.go
@@ -106,7 +106,7 @@
 			r.inTime++
 		}
 		if o.Verdict == emulator.Served && o.Class == 0 {
-			r.lookups.RecordValue(o.Took.Microseconds())
+			r.lookups.RecordValue(o.Latency.Microseconds())
 		}
 	}
 	for k, r := range rows {
--- a/cmd/fleettest/spread.go
+++ b/cmd/fleettest/spread.go
@@ -74,8 +74,8 @@
 	if c.Plain {
 		for _, p := range []struct {
 			name   string
-			choice emulator.Choice
-		}{{"random", emulator.Random}, {"least reported", emulator.LeastReported}} {
+			choice emulator.BaselinePolicy
+		}{{"random", emulator.RandomEngine}, {"least reported", emulator.MinReportedLoad}} {
 			one, err := c.direct(p.name, p.choice, requests)
 			if err != nil {
 				return fmt.Errorf("%s: %w", p.name, err)
@@ -97,7 +97,7 @@
 }
 
 // direct plays plain gateways.
-func (c *spreadCommand) direct(name string, choice emulator.Choice, requests []emulator.Request) (out played, err error) {
+func (c *spreadCommand) direct(name string, choice emulator.BaselinePolicy, requests []emulator.Request) (out played, err error) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
 	pool, err := testfleet.NewPool(c.Engines, emulator.DefaultSpec(c.Cores), clock)
@@ -106,7 +106,7 @@
 	}
 	defer pool.Close()
 	note("%s plays", name)
-	d := emulator.NewDirect(c.Gateways, choice, c.Seed, pool.Engines, clock)
+	d := emulator.NewBaselineGateways(c.Gateways, choice, c.Seed, pool.Engines, clock)
 	defer d.Close()
 	out = c.watched(name, pool, nil, func() { d.Play(requests) })
 	out.outcomes, out.opened = d.Outcomes()
@@ -196,7 +196,7 @@
 		}
 	case "reports":
 		for _, e := range engines {
-			e.Delay(5 * time.Second)
+			e.SetReportDelay(5 * time.Second)
 		}
 	case "cut":
 		if f != nil {
@@ -229,13 +229,13 @@
 			took = append(took, hdrhistogram.New(1, 60_000_000, 3))
 		}
 		for _, o := range p.outcomes {
-			asked += classes[o.Class].Worth
+			asked += classes[o.Class].Weight
 			switch {
 			case o.Verdict == emulator.Served:
 				ends["served"]++
-				took[o.Class].RecordValue(o.Took.Microseconds())
+				took[o.Class].RecordValue(o.Latency.Microseconds())
 				if o.InTime {
-					worth += classes[o.Class].Worth
+					worth += classes[o.Class].Weight
 				}
 			case o.Verdict == emulator.Lost || o.Verdict == emulator.Unanswered || o.Verdict == emulator.Unreached:
 				ends["lost"]++
--- /dev/null
+++ b/internal/testbed/emulator/baseline.go
@@ -0,0 +1,294 @@
+package emulator
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/textproto"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// BaselinePolicy is how baseline gateways balance load over the engines.
+type BaselinePolicy uint8
+
+// Policies that gateways are compared with.
+const (
+	RandomEngine    BaselinePolicy = iota
+	MinReportedLoad                // fewest queries: those of the latest report seen, plus the own ones in flight
+)
+
+// BaselineGateways are gateways without admission control, queue or retries: each query is sent to an engine at once. A
+// gateway sees only the load reports in its own answers. It reuses connections for as long as the program's gateways do.
+type BaselineGateways struct {
+	policy            BaselinePolicy
+	engines           func() []*Engine
+	clock             func() time.Duration
+	mu                sync.Mutex
+	gateways          []baselineGateway
+	outcomes          []Outcome
+	connectionsOpened int
+	inFlight          sync.WaitGroup
+}
+
+// baselineGateway is the state of one gateway. Its maps are keyed by the engine's name.
+type baselineGateway struct {
+	random       *rand.Rand
+	reportedLoad map[string]int
+	inFlight     map[string]int
+	idle         map[string][]*engineConn
+}
+
+// engineConn is a connection to an engine, used by one query at a time.
+type engineConn struct {
+	conn     net.Conn
+	reader   *textproto.Reader
+	lastUsed time.Duration
+}
+
+// connIdleTimeout is how long an idle connection may be used again.
+const connIdleTimeout = 10 * time.Second
+
+// NewBaselineGateways returns so many gateways. The seed decides their random choices; engines lists those that run.
+func NewBaselineGateways(gateways int, policy BaselinePolicy, seed uint64, engines func() []*Engine,
+	clock func() time.Duration) *BaselineGateways {
+	b := &BaselineGateways{policy: policy, engines: engines, clock: clock, gateways: make([]baselineGateway, gateways)}
+	for i := range b.gateways {
+		b.gateways[i] = baselineGateway{
+			random:       rand.New(rand.NewPCG(seed, uint64(i))),
+			reportedLoad: map[string]int{},
+			inFlight:     map[string]int{},
+			idle:         map[string][]*engineConn{},
+		}
+	}
+	return b
+}
+
+// Play sends the requests at their times and returns once all have ended.
+func (b *BaselineGateways) Play(requests []Request) {
+	start := b.clock()
+	for _, r := range requests {
+		time.Sleep(start + r.At - b.clock())
+		b.inFlight.Add(1)
+		go b.send(r)
+	}
+	b.inFlight.Wait()
+}
+
+// Outcomes returns the outcomes of all requests so far, and how many connections were opened for them.
+func (b *BaselineGateways) Outcomes() (outcomes []Outcome, connections int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return append([]Outcome(nil), b.outcomes...), b.connectionsOpened
+}
+
+// chooseEngine returns the engine that a gateway sends its next query to, or nil where none runs; the lock is held.
+func (b *BaselineGateways) chooseEngine(g *baselineGateway) *Engine {
+	engines := b.engines()
+	if len(engines) == 0 {
+		return nil
+	}
+	best := engines[g.random.IntN(len(engines))]
+	if b.policy == RandomEngine {
+		return best
+	}
+	first := g.random.IntN(len(engines)) // so that ties do not all fall to one engine
+	for k := range engines {
+		if e := engines[(first+k)%len(engines)]; g.load(e) < g.load(best) {
+			best = e
+		}
+	}
+	return best
+}
+
+// load is how many queries the gateway believes to be at an engine.
+func (g *baselineGateway) load(e *Engine) int { return g.reportedLoad[e.Name()] + g.inFlight[e.Name()] }
+
+// send carries a request from its arrival to its outcome.
+func (b *BaselineGateways) send(r Request) {
+	defer b.inFlight.Done()
+	g := &b.gateways[r.Gateway]
+	b.mu.Lock()
+	e := b.chooseEngine(g)
+	if e == nil {
+		b.outcomes = append(b.outcomes, Outcome{At: b.clock(), Gateway: r.Gateway, Class: r.Class, Verdict: Failed})
+		b.mu.Unlock()
+		return
+	}
+	g.inFlight[e.Name()]++
+	b.mu.Unlock()
+	o := Outcome{At: b.clock(), Gateway: r.Gateway, Class: r.Class}
+	o.Verdict = b.execute(g, e, r, o.At)
+	o.Latency = b.clock() - o.At
+	o.InTime = o.Verdict == Served && o.Latency <= r.Objective
+	b.mu.Lock()
+	g.inFlight[e.Name()]--
+	b.outcomes = append(b.outcomes, o)
+	b.mu.Unlock()
+}
+
+// execute runs a query on an engine. It polls until the query has ended, or cancels it at the client's timeout.
+func (b *BaselineGateways) execute(g *baselineGateway, e *Engine, r Request, start time.Duration) Verdict {
+	c, err := b.connection(g, e)
+	if err != nil {
+		return Failed
+	}
+	request := submitRequest(r)
+	for {
+		resp, err := c.roundTrip(request)
+		if err != nil {
+			_ = c.conn.Close()
+			return Failed
+		}
+		b.recordReport(g, e, resp)
+		if resp.code != http.StatusAccepted {
+			b.release(g, e, c)
+			return resp.verdict(r)
+		}
+		if b.clock()-start >= r.Budget {
+			_, _ = c.roundTrip(fmt.Sprintf("DELETE %s%s HTTP/1.1\r\nHost: e\r\n\r\n", queryPath, r.ID))
+			b.release(g, e, c)
+			return Failed
+		}
+		request = fmt.Sprintf("GET %s%s/0 HTTP/1.1\r\nHost: e\r\n\r\n", queryPath, r.ID)
+	}
+}
+
+// submitRequest is the HTTP request that starts a query.
+func submitRequest(r Request) string {
+	statement := Statement(r.Query)
+	header := fmt.Sprintf("X-Hop-Id: %s\r\nX-Sort: c%d\r\nX-Budget: %d\r\n", r.ID, r.Class, r.Budget.Milliseconds())
+	return fmt.Sprintf("POST /v2/q HTTP/1.1\r\nHost: e\r\n%sContent-Length: %d\r\n\r\n%s", header, len(statement), statement)
+}
+
+// recordReport keeps the load report of a response, if it carries one.
+func (b *BaselineGateways) recordReport(g *baselineGateway, e *Engine, resp response) {
+	queries, ok := reportedInFlight(resp.header)
+	if !ok {
+		return
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	g.reportedLoad[e.Name()] = queries
+}
+
+// connection returns an idle connection to an engine, or a new one.
+func (b *BaselineGateways) connection(g *baselineGateway, e *Engine) (*engineConn, error) {
+	if c := b.reuse(g, e); c != nil {
+		return c, nil
+	}
+	conn, err := net.DialTimeout("tcp", e.Addr(), dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return &engineConn{conn: conn, reader: textproto.NewReader(bufio.NewReaderSize(conn, 1024))}, nil
+}
+
+// reuse returns the connection to an engine that was idle for the shortest time, and closes those idle for too long; nil
+// means that a connection has to be opened.
+func (b *BaselineGateways) reuse(g *baselineGateway, e *Engine) *engineConn {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for idle := g.idle[e.Name()]; len(idle) > 0; idle = g.idle[e.Name()] {
+		c := idle[len(idle)-1]
+		g.idle[e.Name()] = idle[:len(idle)-1]
+		if b.clock()-c.lastUsed < connIdleTimeout {
+			return c
+		}
+		_ = c.conn.Close()
+	}
+	b.connectionsOpened++
+	return nil
+}
+
+// release makes a connection idle.
+func (b *BaselineGateways) release(g *baselineGateway, e *Engine, c *engineConn) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c.lastUsed = b.clock()
+	g.idle[e.Name()] = append(g.idle[e.Name()], c)
+}
+
+// Close closes the idle connections.
+func (b *BaselineGateways) Close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, g := range b.gateways {
+		for _, idle := range g.idle {
+			for _, c := range idle {
+				_ = c.conn.Close()
+			}
+		}
+	}
+}
+
+// response is the response of an engine.
+type response struct {
+	code   int
+	header textproto.MIMEHeader
+	body   string
+}
+
+// verdict is what a final response means for a request.
+func (r response) verdict(request Request) Verdict {
+	switch {
+	case r.code == http.StatusOK && r.body == Rows(request.ID):
+		return Served
+	case r.code == http.StatusOK:
+		return Spoilt
+	case r.code == http.StatusServiceUnavailable:
+		return Refused
+	}
+	return Failed
+}
+
+// roundTrip writes a request and reads its response.
+func (c *engineConn) roundTrip(request string) (resp response, err error) {
+	if _, err := io.WriteString(c.conn, request); err != nil {
+		return resp, err
+	}
+	line, err := c.reader.ReadLine()
+	if err != nil {
+		return resp, err
+	}
+	if resp.header, err = c.reader.ReadMIMEHeader(); err != nil {
+		return resp, err
+	}
+	if resp.code, err = statusCode(line); err != nil {
+		return resp, err
+	}
+	length, _ := strconv.Atoi(resp.header.Get("Content-Length"))
+	body := make([]byte, length)
+	_, err = io.ReadFull(c.reader.R, body)
+	resp.body = string(body)
+	return resp, err
+}
+
+// statusCode reads the code of a status line.
+func statusCode(line string) (int, error) {
+	fields := strings.Fields(line)
+	if len(fields) < 2 {
+		return 0, fmt.Errorf("status line %q", line)
+	}
+	code, err := strconv.Atoi(fields[1])
+	if err != nil {
+		return 0, fmt.Errorf("status line %q: %w", line, err)
+	}
+	return code, nil
+}
+
+// reportedInFlight is the number of queries in a response's load report; false where there is none.
+func reportedInFlight(header textproto.MIMEHeader) (int, bool) {
+	for field := range strings.SplitSeq(header.Get("X-Report"), ";") {
+		if text, found := strings.CutPrefix(field, "inflight:"); found {
+			queries, err := strconv.Atoi(text)
+			return queries, err == nil
+		}
+	}
+	return 0, false
+}
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"encoding/base64"
 	"encoding/json"
-	"fmt"
 	"math"
 	"math/rand/v2"
 	"net"
@@ -12,241 +11,247 @@
 	"time"
 )
 
-// Verdict is what became of a request, as its client saw it.
-type Verdict uint8
-
-// The verdicts.
-const (
-	Served     Verdict = iota
-	Refused            // trying again is harmless
-	Failed             // any other error
-	Lost               // its connection ended without an answer
-	Spoilt             // served with something that no engine made for it
-	Unanswered         // no answer half a second after the client's time
-	Unreached          // no gateway took it
-)
-
-// String names a verdict.
-func (v Verdict) String() string {
-	return [...]string{"served", "refused", "failed", "lost", "spoilt", "unanswered", "unreached", ""}[v&7]
-}
-
-// Outcome is a request's end.
-type Outcome struct {
-	At      time.Duration // when it was sent
-	Gateway int
-	Class   int
-	Verdict Verdict
-	Took    time.Duration
-	InTime  bool // served within its aim
-	Twice   int  // answers beyond the first
-}
-
-// answerSlack is how long after its time a request may still be answered.
+// answerSlack is how long after its timeout a request may still be answered.
 const answerSlack = 500 * time.Millisecond
 
-// Clients send traffic to gateways, over one connection to each, and take note of every answer. A plain front layer
-// spreads them: who does not answer its ping is left out until it does.
+// Clients are open-loop clients: they send requests at the times that the traffic gives, over one connection to each
+// gateway, and record every outcome. A gateway that fails its health check gets no requests until it passes one.
 type Clients struct {
-	addr    []string
-	clock   func() time.Duration
-	classes []Class
-	mu      sync.Mutex
-	conns   []*clientConn
-	serving []bool
-	rnd     *rand.Rand
-	found   []*Outcome
-	open    sync.WaitGroup
-	quit    chan struct{}
-	pings   sync.WaitGroup
+	addrs        []string
+	clock        func() time.Duration
+	classes      []Class
+	mu           sync.Mutex
+	conns        []*clientConn
+	serving      []bool
+	random       *rand.Rand
+	outcomes     []*Outcome
+	inFlight     sync.WaitGroup
+	closing      chan struct{}
+	healthChecks sync.WaitGroup
 }
 
+// clientConn is the connection to a gateway.
 type clientConn struct {
-	nc      net.Conn
-	next    int
-	pending map[int]*asked
-	answers map[int]*Outcome // of what was answered, to see second answers
+	conn     net.Conn
+	lastID   int
+	pending  map[int]*pendingRequest
+	answered map[int]*Outcome // recent ones, to count second answers
 }
 
-type asked struct {
+// pendingRequest is a request, or a health check, that has no answer yet.
+type pendingRequest struct {
 	request Request
-	out     *Outcome
+	outcome *Outcome
 	timer   *time.Timer
 	ping    bool
-	again   bool // sent once more since its connection was closed at once
+	retried bool // sent a second time, since its connection was closed at once
 	sent    time.Duration
 }
 
-// pingEvery is the time between two looks of the front at a gateway.
-const pingEvery = 500 * time.Millisecond
+// Limits of a connection to a gateway.
+const (
+	pingInterval      = 500 * time.Millisecond // between two health checks of a gateway
+	unansweredPings   = 2                      // with more a gateway is out of service: it accepts connections and never answers
+	maxPendingPings   = 5                      // with so many no further one is sent
+	dialTimeout       = time.Second
+	closeRaceWindow   = 50 * time.Millisecond // a request sent less than this before its connection closed is retried
+	answersRemembered = 1000                  // for each connection
+	maxReplyBytes     = 1 << 20
+)
 
-// NewClients makes clients of the gateways at the addresses.
-func NewClients(addr []string, classes []Class, seed uint64, clock func() time.Duration) *Clients {
-	c := &Clients{addr: addr, clock: clock, classes: classes, conns: make([]*clientConn, len(addr)),
-		serving: make([]bool, len(addr)), rnd: rand.New(rand.NewPCG(seed, 41)), quit: make(chan struct{})}
-	for i := range addr {
+// NewClients makes clients of the gateways at the addresses and starts their health checks, which Close ends. The seed
+// decides which other gateway serves a request whose own is out of service.
+func NewClients(addrs []string, classes []Class, seed uint64, clock func() time.Duration) *Clients {
+	c := &Clients{
+		addrs:   addrs,
+		clock:   clock,
+		classes: classes,
+		conns:   make([]*clientConn, len(addrs)),
+		serving: make([]bool, len(addrs)),
+		random:  rand.New(rand.NewPCG(seed, 41)),
+		closing: make(chan struct{}),
+	}
+	for i := range addrs {
 		c.serving[i] = true
-		c.pings.Add(1)
-		go c.watch(i)
+		c.healthChecks.Add(1)
+		go c.checkHealth(i)
 	}
 	return c
 }
 
-// Serving reports whether the front takes a gateway to be in service.
-func (c *Clients) Serving(i int) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.serving[i]
-}
-
-// Play sends the requests, each in its time, and returns once all have ended. Stop ends it early.
+// Play sends the requests at their times and returns once all have ended. Once stop is closed it sends no more.
 func (c *Clients) Play(requests []Request, stop <-chan struct{}) {
-	began := c.clock()
+	start := c.clock()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for _, r := range requests {
-		if wait := began + r.At - c.clock(); wait > 0 {
+		if wait := start + r.At - c.clock(); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
 			case <-stop:
-				c.open.Wait()
+				c.inFlight.Wait()
 				return
 			}
 		}
 		c.send(r)
 	}
-	c.open.Wait()
+	c.inFlight.Wait()
 }
 
-// Close ends the front and all connections.
+// Close ends the health checks and all connections.
 func (c *Clients) Close() {
-	close(c.quit)
+	close(c.closing)
 	c.mu.Lock()
 	for _, k := range c.conns {
 		if k != nil {
-			k.nc.Close()
+			_ = k.conn.Close()
 		}
 	}
 	c.mu.Unlock()
-	c.pings.Wait()
+	c.healthChecks.Wait()
 }
 
-// Outcomes are those of the requests that ended so far, from a mark on.
+// Outcomes returns the outcomes of the requests that have ended, from mark on, and the mark to continue from.
 func (c *Clients) Outcomes(mark int) ([]Outcome, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Outcome
-	for _, o := range c.found[mark:] {
+	for _, o := range c.outcomes[mark:] {
 		out = append(out, *o)
 	}
-	return out, len(c.found)
+	return out, len(c.outcomes)
 }
 
-// pick is the gateway that a request goes to: its own, or while that is out of service any other.
-func (c *Clients) pick(i int) int {
-	if c.serving[i] {
-		return i
+// chooseGateway returns the request's own gateway, or while that is out of service any other; the lock is held.
+func (c *Clients) chooseGateway(own int) int {
+	if c.serving[own] {
+		return own
 	}
-	from := c.rnd.IntN(len(c.serving))
+	first := c.random.IntN(len(c.serving))
 	for k := range c.serving {
-		if j := (from + k) % len(c.serving); c.serving[j] {
-			return j
+		if i := (first + k) % len(c.serving); c.serving[i] {
+			return i
 		}
 	}
-	return i
+	return own
 }
 
 // send sends a request; the lock is not held during a dial.
 func (c *Clients) send(r Request) {
-	c.open.Add(1)
+	c.inFlight.Add(1)
 	c.mu.Lock()
-	i := c.pick(r.Gateway)
+	gateway := c.chooseGateway(r.Gateway)
 	c.mu.Unlock()
-	a := &asked{request: r, out: &Outcome{At: c.clock(), Gateway: i, Class: r.Class}, sent: c.clock()}
-	c.transmit(i, a)
+	p := &pendingRequest{request: r, outcome: &Outcome{At: c.clock(), Gateway: gateway, Class: r.Class}, sent: c.clock()}
+	c.transmit(gateway, p)
 }
 
-func (c *Clients) transmit(i int, a *asked) {
-	k, err := c.conn(i)
+// transmit writes a request to a gateway, over a new connection where there is none.
+func (c *Clients) transmit(gateway int, p *pendingRequest) {
+	k, err := c.connection(gateway)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.serving[i] = false
-		c.end(a, Unreached)
+		c.serving[gateway] = false
+		c.complete(p, Unreached)
 		return
 	}
-	if c.conns[i] != k { // it ended between the two locks: what it left open has been looked through, and nobody would again
-		if a.again {
-			c.end(a, Lost)
-			return
-		}
-		a.again = true
-		go c.transmit(i, a)
+	if c.conns[gateway] != k {
+		// The connection ended between the two locks. Its pending requests have been dealt with, so that nobody would
+		// find this one there.
+		c.retryOnce(gateway, p)
 		return
 	}
-	k.next++
-	r := a.request
-	params := map[string]any{"rid": r.ID, "budget": r.Budget.Milliseconds(), "est": math.Round(r.Estimate*1e4) / 10, "ram": r.Query.NeedMB,
-		"blob": base64.StdEncoding.EncodeToString([]byte(Statement(r.Query)))}
-	if r.Query.Load {
-		params["token"] = r.ID + r.ID
-	}
-	line, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": k.next, "method": c.classes[r.Class].Name, "params": params})
+	id := k.lastID + 1
+	line, err := c.requestLine(id, p.request)
+	k.lastID = id
 	if err != nil {
-		c.end(a, Failed)
+		c.complete(p, Failed)
 		return
 	}
-	k.pending[k.next] = a
-	id := k.next
-	if a.timer == nil {
-		a.timer = time.AfterFunc(r.Budget+answerSlack, func() {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if k.pending[id] == a {
-				delete(k.pending, id)
-				c.end(a, Unanswered)
-			}
-		})
+	k.pending[id] = p
+	if p.timer == nil {
+		p.timer = c.startTimeout(k, id, p)
+	}
+	_, _ = k.conn.Write(append(line, '\n')) // a failed write shows as the end of the connection
+}
+
+// retryOnce sends a request a second time; one that has been is lost. The lock is held.
+func (c *Clients) retryOnce(gateway int, p *pendingRequest) {
+	if p.retried {
+		c.complete(p, Lost)
+		return
+	}
+	p.retried = true
+	go c.transmit(gateway, p)
+}
+
+// requestLine is a request as the gateways' JSON-RPC protocol has it, without the line's end.
+func (c *Clients) requestLine(id int, r Request) ([]byte, error) {
+	params := map[string]any{
+		"rid":    r.ID,
+		"budget": r.Budget.Milliseconds(),
+		"est":    math.Round(r.Estimate*1e4) / 10, // milliseconds
+		"ram":    r.Query.NeedMB,
+		"blob":   base64.StdEncoding.EncodeToString([]byte(Statement(r.Query))),
 	}
-	k.nc.Write(append(line, '\n'))
+	if r.Query.Load {
+		params["token"] = r.ID + r.ID
+	}
+	return json.Marshal(map[string]any{"jsonrpc": "2.0", "id": id, "method": c.classes[r.Class].Name, "params": params})
+}
+
+// startTimeout starts the timer that ends a request without an answer.
+func (c *Clients) startTimeout(k *clientConn, id int, p *pendingRequest) *time.Timer {
+	return time.AfterFunc(p.request.Budget+answerSlack, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if k.pending[id] == p {
+			delete(k.pending, id)
+			c.complete(p, Unanswered)
+		}
+	})
 }
 
-// end closes a request; the lock is held.
-func (c *Clients) end(a *asked, v Verdict) {
-	if a.timer != nil {
-		a.timer.Stop()
+// complete records the outcome of a request; the lock is held.
+func (c *Clients) complete(p *pendingRequest, verdict Verdict) {
+	if p.timer != nil {
+		p.timer.Stop()
 	}
-	a.out.Verdict, a.out.Took = v, c.clock()-a.out.At
-	a.out.InTime = v == Served && a.out.Took <= a.request.Aim
-	c.found = append(c.found, a.out)
-	c.open.Done()
+	o := p.outcome
+	o.Verdict = verdict
+	o.Latency = c.clock() - o.At
+	o.InTime = verdict == Served && o.Latency <= p.request.Objective
+	c.outcomes = append(c.outcomes, o)
+	c.inFlight.Done()
 }
 
-// conn is the connection to a gateway, a new one if need be.
-func (c *Clients) conn(i int) (*clientConn, error) {
+// connection returns the connection to a gateway, a new one where there is none.
+func (c *Clients) connection(gateway int) (*clientConn, error) {
 	c.mu.Lock()
-	k := c.conns[i]
+	k := c.conns[gateway]
 	c.mu.Unlock()
 	if k != nil {
 		return k, nil
 	}
-	nc, err := net.DialTimeout("tcp", c.addr[i], time.Second)
+	conn, err := net.DialTimeout("tcp", c.addrs[gateway], dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conns[i] != nil {
-		nc.Close()
-		return c.conns[i], nil
+	if c.conns[gateway] != nil {
+		_ = conn.Close()
+		return c.conns[gateway], nil
 	}
-	k = &clientConn{nc: nc, pending: map[int]*asked{}, answers: map[int]*Outcome{}}
-	c.conns[i] = k
-	go c.read(i, k)
+	k = &clientConn{conn: conn, pending: map[int]*pendingRequest{}, answered: map[int]*Outcome{}}
+	c.conns[gateway] = k
+	go c.readReplies(gateway, k)
 	return k, nil
 }
 
+// reply is a line of a gateway.
 type reply struct {
 	ID     int `json:"id"`
 	Result *struct {
@@ -258,102 +263,77 @@
 	} `json:"error"`
 }
 
-const refused = -32008
+// codeRejected is the JSON-RPC error code of a request that was rejected without effect.
+const codeRejected = -32008
 
-func (c *Clients) read(i int, k *clientConn) {
-	lines := bufio.NewScanner(k.nc)
-	lines.Buffer(make([]byte, 0, 4096), 1<<20)
+// readReplies handles a gateway's lines until its connection ends.
+func (c *Clients) readReplies(gateway int, k *clientConn) {
+	lines := bufio.NewScanner(k.conn)
+	lines.Buffer(make([]byte, 0, 4096), maxReplyBytes)
 	for lines.Scan() {
 		var r reply
 		err := json.Unmarshal(lines.Bytes(), &r)
 		c.mu.Lock()
-		c.answered(i, k, r, err)
+		c.handleReply(gateway, k, r, err)
 		c.mu.Unlock()
 	}
-	k.nc.Close()
+	_ = k.conn.Close()
+	for _, p := range c.dropConnection(gateway, k) {
+		c.transmit(gateway, p)
+	}
+}
+
+// dropConnection ends what is pending on a connection that has closed, and returns the requests to send again: those
+// that were on their way when it closed.
+func (c *Clients) dropConnection(gateway int, k *clientConn) (retries []*pendingRequest) {
 	c.mu.Lock()
-	if c.conns[i] == k {
-		c.conns[i] = nil
+	defer c.mu.Unlock()
+	if c.conns[gateway] == k {
+		c.conns[gateway] = nil
 	}
-	var again []*asked
-	for id, a := range k.pending {
+	for id, p := range k.pending {
 		delete(k.pending, id)
 		switch {
-		case a.ping:
-			c.serving[i] = false
-		case !a.again && c.clock()-a.sent < 50*time.Millisecond: // it crossed the close
-			a.again = true
-			again = append(again, a)
+		case p.ping:
+			c.serving[gateway] = false
+		case !p.retried && c.clock()-p.sent < closeRaceWindow:
+			p.retried = true
+			retries = append(retries, p)
 		default:
-			c.end(a, Lost)
+			c.complete(p, Lost)
 		}
 	}
-	c.mu.Unlock()
-	for _, a := range again {
-		c.transmit(i, a)
-	}
+	return retries
 }
 
-// answered takes a line of a gateway; the lock is held.
-func (c *Clients) answered(i int, k *clientConn, r reply, err error) {
-	a := k.pending[r.ID]
-	if a == nil || err != nil {
-		if o := k.answers[r.ID]; o != nil {
+// handleReply handles a line of a gateway, which err says could not be decoded; the lock is held.
+func (c *Clients) handleReply(gateway int, k *clientConn, r reply, err error) {
+	p := k.pending[r.ID]
+	if p == nil || err != nil {
+		if o := k.answered[r.ID]; o != nil {
 			o.Twice++
 		}
 		return
 	}
 	delete(k.pending, r.ID)
-	if a.ping {
-		c.serving[i] = r.Result != nil && r.Result.Serving != nil && *r.Result.Serving
+	if p.ping {
+		c.serving[gateway] = r.Result != nil && r.Result.Serving != nil && *r.Result.Serving
 		return
 	}
-	k.answers[r.ID] = a.out
-	delete(k.answers, r.ID-1000)
-	switch {
-	case r.Error != nil && r.Error.Code == refused:
-		c.end(a, Refused)
-	case r.Error != nil || r.Result == nil:
-		c.end(a, Failed)
-	case r.Result.Blob != base64.StdEncoding.EncodeToString([]byte(Rows(a.request.ID))):
-		c.end(a, Spoilt)
-	default:
-		c.end(a, Served)
-	}
+	k.answered[r.ID] = p.outcome
+	delete(k.answered, r.ID-answersRemembered)
+	c.complete(p, verdictOf(r, p.request))
 }
 
-// watch is the front's look at a gateway.
-func (c *Clients) watch(i int) {
-	defer c.pings.Done()
-	tick := time.NewTicker(pingEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-c.quit:
-			return
-		case <-tick.C:
-		}
-		k, err := c.conn(i)
-		c.mu.Lock()
-		switch {
-		case err != nil:
-			c.serving[i] = false
-		default:
-			stuck := 0
-			for _, a := range k.pending {
-				if a.ping {
-					stuck++
-				}
-			}
-			if stuck > 2 { // it takes connections and says nothing
-				c.serving[i] = false
-			}
-			if stuck < 5 {
-				k.next++
-				k.pending[k.next] = &asked{ping: true, sent: c.clock()}
-				fmt.Fprintf(k.nc, "{\"jsonrpc\":\"2.0\",\"id\":%d,\"method\":\"ping\"}\n", k.next)
-			}
-		}
-		c.mu.Unlock()
+// verdictOf compares a reply with what the request is to be answered with.
+func verdictOf(r reply, request Request) Verdict {
+	switch {
+	case r.Error != nil && r.Error.Code == codeRejected:
+		return Refused
+	case r.Error != nil || r.Result == nil:
+		return Failed
+	case r.Result.Blob != base64.StdEncoding.EncodeToString([]byte(Rows(request.ID))):
+		return Spoilt
 	}
+	return Served
 }
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -12,16 +12,16 @@
 	_ "frostpier/internal/testutil/fixedseed"
 )
 
-// alone is how long one query takes at an engine, after others began there.
-func alone(m *Model, q Query, others ...Query) time.Duration {
+// timeToFinish is how long one query takes at an engine, after others began there.
+func timeToFinish(m *Model, q Query, others ...Query) time.Duration {
 	for _, o := range others {
 		m.Start(o)
 	}
 	m.Start(q)
 	began := m.now
 	for {
-		at, some := m.Next()
-		if !some {
+		at, changes := m.Next()
+		if !changes {
 			return math.MaxInt64
 		}
 		if slices.Contains(m.Advance(at), q.ID) {
@@ -30,12 +30,12 @@
 	}
 }
 
-func warmed(cold bool) *Model { return NewModel(DefaultSpec(8), time.Second, cold) }
+func newTestModel(warmingUp bool) *Model { return NewModel(DefaultSpec(8), time.Second, warmingUp) }
 
-// What makes queries slower in service makes them slower here.
+// Whatever slows a query in production slows it in the model.
 func TestModelSlowsDown(t *testing.T) {
 	q := Query{ID: "q", Work: 1, Threads: 1, IO: 0.3, Group: 1}
-	plain := alone(warmed(false), q)
+	plain := timeToFinish(newTestModel(false), q)
 	if d := plain - time.Second; d < 0 || d > time.Millisecond {
 		t.Fatalf("alone it takes %v", plain)
 	}
@@ -44,94 +44,96 @@
 		crowd = append(crowd, Query{ID: fmt.Sprint(i), Work: 5, Threads: 1, IO: 0.3, Group: 2})
 	}
 	heavy.NeedMB = 40_000
-	if took := alone(warmed(false), q, crowd...); took < 3*plain {
-		t.Errorf("beside 30 others on 8 cores it takes %v", took)
+	if elapsed := timeToFinish(newTestModel(false), q, crowd...); elapsed < 3*plain {
+		t.Errorf("beside 30 others on 8 cores it takes %v", elapsed)
 	}
-	if took := alone(warmed(true), q, crowd[:8]...); took < 3*plain/2 {
-		t.Errorf("at a cold engine with 8 others it takes %v", took)
+	if elapsed := timeToFinish(newTestModel(true), q, crowd[:8]...); elapsed < 3*plain/2 {
+		t.Errorf("at an engine that warms up with 8 others it takes %v", elapsed)
 	}
-	if took := alone(warmed(false), heavy); took < 2*plain {
-		t.Errorf("with more memory than there is it takes %v", took)
+	if elapsed := timeToFinish(newTestModel(false), heavy); elapsed < 2*plain {
+		t.Errorf("with more memory than there is it takes %v", elapsed)
 	}
-	m := warmed(false)
+	m := newTestModel(false)
 	m.Start(Query{ID: "w", Work: 0.1, Threads: 1, IO: 0.3, Group: 1})
-	if took := alone(m, q); took > plain*9/10 {
-		t.Errorf("with its group warm it takes %v", took)
+	if elapsed := timeToFinish(m, q); elapsed > plain*9/10 {
+		t.Errorf("with its group warm it takes %v", elapsed)
 	}
 	load := Query{ID: "l", Work: 2, Threads: 2, Group: 1, Load: true}
 	first := load
 	first.ID = "first"
-	if took := alone(warmed(false), load, first); took < 2*time.Second-time.Millisecond {
-		t.Errorf("a load beside another of its group takes %v", took)
+	if elapsed := timeToFinish(newTestModel(false), load, first); elapsed < 2*time.Second-time.Millisecond {
+		t.Errorf("a load beside another of its group takes %v", elapsed)
 	}
-	m = warmed(false)
-	m.Slow(m.now, 0.75)
-	if took := alone(m, q, crowd[:4]...); took < 3*plain/2 {
-		t.Errorf("on a quarter of the machine it takes %v", took)
+	m = newTestModel(false)
+	m.SetStolenShare(m.now, 0.75)
+	if elapsed := timeToFinish(m, q, crowd[:4]...); elapsed < 3*plain/2 {
+		t.Errorf("on a quarter of the machine it takes %v", elapsed)
 	}
 }
 
-// A cold engine that is sent far more than it can do falls over, a warm one does not.
-func TestColdEngineFalls(t *testing.T) {
-	for _, cold := range []bool{true, false} {
-		m := warmed(cold)
-		for i := range 60 {
-			m.Start(Query{ID: fmt.Sprint(i), Work: 1, Threads: 1})
-		}
-		if m.Fallen() != cold {
-			t.Errorf("cold %v: fallen %v", cold, m.Fallen())
-		}
+// An engine that is sent far more than it can do collapses while it warms up, and not afterwards.
+func TestWarmingUpEngineCollapses(t *testing.T) {
+	for _, warmingUp := range []bool{true, false} {
+		t.Run(fmt.Sprintf("warming up %v", warmingUp), func(t *testing.T) {
+			m := newTestModel(warmingUp)
+			for i := range 60 {
+				m.Start(Query{ID: fmt.Sprint(i), Work: 1, Threads: 1})
+			}
+			if m.Collapsed() != warmingUp {
+				t.Errorf("collapsed %v", m.Collapsed())
+			}
+		})
 	}
 }
 
-// Whatever comes and is called off, no work is lost or made, and all that is not called off ends once.
-func TestModelKeepsItsBooks(t *testing.T) {
+// Whatever queries start and are cancelled, every query that is not cancelled ends exactly once.
+func TestModelEndsEachQueryOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewModel(DefaultSpec(4), 0, rapid.Bool().Draw(t, "cold"))
-		out, ended := map[string]bool{}, map[string]int{}
-		note := func(ids []string) {
+		running, ended := map[string]bool{}, map[string]int{}
+		record := func(ids []string) {
 			for _, id := range ids {
 				ended[id]++
-				if !out[id] || ended[id] > 1 {
-					t.Fatalf("%s ended %d times, out %v", id, ended[id], out[id])
+				if !running[id] || ended[id] > 1 {
+					t.Fatalf("%s ended %d times, running %v", id, ended[id], running[id])
 				}
-				delete(out, id)
+				delete(running, id)
 			}
 		}
 		now := time.Duration(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
-			note(m.Advance(now))
+			record(m.Advance(now))
 			id := fmt.Sprint(i)
-			if rapid.IntRange(0, 4).Draw(t, "what") == 0 && len(out) > 0 {
-				for id := range out {
+			if rapid.IntRange(0, 4).Draw(t, "what") == 0 && len(running) > 0 {
+				for id := range running {
 					m.Cancel(id)
-					delete(out, id)
+					delete(running, id)
 					break
 				}
 			} else if m.Start(Query{ID: id, Work: float64(rapid.IntRange(1, 3000).Draw(t, "work")) / 1000,
 				Threads: float64(rapid.IntRange(1, 4).Draw(t, "threads")), IO: 0.4, NeedMB: 500,
 				Group: rapid.IntRange(0, 5).Draw(t, "group"), Load: rapid.Bool().Draw(t, "load")}) {
-				out[id] = true
+				running[id] = true
 			}
-			if l := m.Load(); l.Queries != len(out) {
-				t.Fatalf("%d run, %d are out", l.Queries, len(out))
+			if l := m.Load(); l.Queries != len(running) {
+				t.Fatalf("the model runs %d queries, not %d", l.Queries, len(running))
 			}
 		}
 		for range 10_000 {
-			at, some := m.Next()
-			if !some {
+			at, changes := m.Next()
+			if !changes {
 				break
 			}
-			note(m.Advance(at))
+			record(m.Advance(at))
 		}
-		if len(out) > 0 {
-			t.Fatalf("%d never ended", len(out))
+		if len(running) > 0 {
+			t.Fatalf("%d queries never ended", len(running))
 		}
 	})
 }
 
-// Statements say what they cost, and arrivals are the same for one seed and about as many as asked for.
+// A statement carries its query's cost. A seed decides the arrivals, whose number fits the rate.
 func TestTrafficIsDrawnBySeed(t *testing.T) {
 	tr := Traffic{Classes: DefaultClasses(), Rate: 100, Gateways: 5, Skew: 1, Groups: 10, Zipf: 0.7, Estimate: 0.5, Seed: 3}
 	a, b := tr.Draw(20*time.Second), tr.Draw(20*time.Second)
@@ -151,14 +153,13 @@
 	}
 }
 
-// Plain gateways and an engine speak the platform's protocol with each other: each query is served once, and an engine
-// that says nothing costs its own queries only.
+// Baseline gateways and engines speak the platform's protocol with each other: each query arrives and is served once.
 func TestEngineServesOverHTTP(t *testing.T) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
 	var engines []*Engine
 	for i := range 2 {
-		e, err := Start(Options{Name: fmt.Sprint("e", i), Spec: DefaultSpec(8), ReportEvery: 20 * time.Millisecond}, clock)
+		e, err := Start(Options{Name: fmt.Sprint("e", i), Spec: DefaultSpec(8), ReportInterval: 20 * time.Millisecond}, clock)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,14 +167,14 @@
 		engines = append(engines, e)
 	}
 	tr := Traffic{Classes: DefaultClasses()[:1], Rate: 60, Gateways: 3, Groups: 4, Seed: 5}
-	d := NewDirect(3, LeastReported, 1, func() []*Engine { return engines }, clock)
+	d := NewBaselineGateways(3, MinReportedLoad, 1, func() []*Engine { return engines }, clock)
 	defer d.Close()
 	requests := tr.Draw(2 * time.Second)
 	d.Play(requests)
 	found, opened := d.Outcomes()
 	for _, o := range found {
 		if o.Verdict != Served {
-			t.Fatalf("%v after %v", o.Verdict, o.Took)
+			t.Fatalf("%v after %v", o.Verdict, o.Latency)
 		}
 	}
 	arrived := 0
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -1,16 +1,10 @@
 package emulator
 
 import (
-	"bufio"
-	"encoding/json"
 	"fmt"
-	"io"
-	"net"
 	"os"
 	"slices"
 	"strconv"
-	"strings"
-	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -20,151 +14,109 @@
 	"frostpier/policy"
 )
 
-// Faults are what a stand-in for a bad version of the program can do worse.
+// Faults that a version of the program can be given, as the table of a rollout names them.
 const (
-	CrashAtStart = "crash-at-start"
-	HangAtStart  = "hang-at-start"
-	CrashLater   = "crash-after-5s"
-	Slow         = "slow"
-	RefusesClass = "refuses-a-class"
-	Spoils       = "spoils-one-in-50"
-	Leaks        = "leaks"
+	CrashAtStart      = "crash-at-start"
+	HangAtStart       = "hang-at-start"
+	CrashAfterStart   = "crash-after-5s"
+	StallsLoop        = "slow"
+	RejectsClass      = "refuses-a-class"
+	CorruptsResponses = "spoils-one-in-50"
+	LeaksMemory       = "leaks"
 )
 
-// Faults lists them.
+// Faults lists all faults.
 func Faults() []string {
-	return []string{CrashAtStart, HangAtStart, CrashLater, Slow, RefusesClass, Spoils, Leaks}
+	return []string{CrashAtStart, HangAtStart, CrashAfterStart, StallsLoop, RejectsClass, CorruptsResponses, LeaksMemory}
 }
 
+// Environment variables of a process that a test starts.
 const (
-	faultVar  = "RIG_FAULT"
-	ownerVar  = "RIG_OWNER" // the process that started the fleet: with it all processes of the fleet end
-	slowFor   = 300 * time.Millisecond
-	slowEvery = 350 * time.Millisecond
-	leakEvery = 100 * time.Millisecond
-	leakBytes = 600 << 10
-	spoilOne  = 50
+	faultVar = "FLEETTEST_FAULT"
+	ownerVar = "FLEETTEST_OWNER" // the process that started the fleet: its end ends all processes of the fleet
 )
 
-// FaultEnv is the environment of a version with a fault.
+// Strength of the faults.
+const (
+	stallDuration = 300 * time.Millisecond
+	stallInterval = 350 * time.Millisecond
+	leakInterval  = 100 * time.Millisecond
+	pageBytes     = 4096
+	leakBytes     = 600 << 10
+	crashDelay    = 5 * time.Second
+)
+
+// Exit codes of a process that a fault or its owner's end has ended.
+const (
+	exitCrashed   = 3
+	exitOwnerGone = 4
+)
+
+// FaultEnv is the environment that gives a process a fault; see Hooks.
 func FaultEnv(fault string) []string { return []string{faultVar + "=" + fault} }
 
-// OwnerEnv is the environment of processes that are to end with this one.
+// OwnerEnv is the environment of processes that are to exit soon after this one; see Hooks.
 func OwnerEnv() []string { return []string{fmt.Sprintf("%s=%d", ownerVar, os.Getpid())} }
 
-// Hooks make the program that runs here as bad as its environment says.
+// Hooks returns the program's hooks for the fault that the environment names, and starts the faults that need none. A
+// fault that crashes or hangs the process at its start does not return. An unknown fault is an error.
 func Hooks() (program.Hooks, error) {
 	if owner, err := strconv.Atoi(os.Getenv(ownerVar)); err == nil {
-		go endWith(owner)
+		go exitWithOwner(owner)
 	}
 	switch fault := os.Getenv(faultVar); fault {
 	case "":
 	case CrashAtStart:
-		os.Exit(3)
+		os.Exit(exitCrashed)
 	case HangAtStart:
 		select {}
-	case CrashLater:
-		time.AfterFunc(5*time.Second, func() { os.Exit(3) })
-	case Slow:
-		return program.Hooks{Loop: func(l *eventloop.Loop) {
-			go func() {
-				for range time.Tick(slowEvery) {
-					l.Do(func() { time.Sleep(slowFor) })
-				}
-			}()
-		}}, nil
-	case RefusesClass:
-		return program.Hooks{Host: func(h *settings.Host) {
-			i := slices.IndexFunc(h.Module.Classes, func(c policy.Class) bool { return c.Threads > 2 })
-			h.Module.Classes[max(0, i)].RestrictKinds = true // to no kind at all
-		}}, nil
-	case Spoils:
-		return program.Hooks{}, spoilAnswers()
-	case Leaks:
-		go func() {
-			var kept [][]byte
-			for range time.Tick(leakEvery) {
-				b := make([]byte, leakBytes)
-				for i := 0; i < len(b); i += 4096 {
-					b[i] = 1
-				}
-				kept = append(kept, b)
-				_ = kept
-			}
-		}()
+	case CrashAfterStart:
+		time.AfterFunc(crashDelay, func() { os.Exit(exitCrashed) })
+	case StallsLoop:
+		return program.Hooks{Loop: func(l *eventloop.Loop) { go stallLoop(l) }}, nil
+	case RejectsClass:
+		return program.Hooks{Host: rejectClass}, nil
+	case CorruptsResponses:
+		return program.Hooks{}, startCorruptingProxy()
+	case LeaksMemory:
+		go leakMemory()
 	default:
 		return program.Hooks{}, fmt.Errorf("%s: no fault %q", faultVar, fault)
 	}
 	return program.Hooks{}, nil
 }
 
-// endWith ends this process soon after another has ended.
-func endWith(owner int) {
-	for range time.Tick(time.Second) {
-		if syscall.Kill(owner, 0) == syscall.ESRCH {
-			os.Exit(4)
-		}
+// stallLoop blocks the program's event loop most of the time.
+func stallLoop(l *eventloop.Loop) {
+	for range time.Tick(stallInterval) {
+		l.Do(func() { time.Sleep(stallDuration) })
 	}
 }
 
-// spoilAnswers takes the gateway's place before its clients and changes one result in so many: what no gateway counts.
-func spoilAnswers() error {
-	text, err := os.ReadFile(os.Getenv("GW_CONFIG"))
-	if err != nil {
-		return err
-	}
-	var conf settings.Config
-	if err := json.Unmarshal(text, &conf); err != nil {
-		return err
-	}
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return err
-	}
-	addr := inner.Addr().String()
-	inner.Close()
-	if err := os.Setenv("GW_LISTEN", addr); err != nil {
-		return err
-	}
-	ln, err := net.Listen("tcp", conf.Listen)
-	if err != nil {
-		return err
+// rejectClass allows the first class of large queries on no kind of engine, so that the program rejects it.
+func rejectClass(h *settings.Host) {
+	i := slices.IndexFunc(h.Module.Classes, func(c policy.Class) bool { return c.Threads > 2 })
+	h.Module.Classes[max(0, i)].RestrictKinds = true
+}
+
+// leakMemory allocates memory and keeps it.
+func leakMemory() {
+	var leaked [][]byte
+	for range time.Tick(leakInterval) {
+		block := make([]byte, leakBytes)
+		for i := 0; i < len(block); i += pageBytes { // only pages that are written to become resident
+			block[i] = 1
+		}
+		leaked = append(leaked, block)
+		_ = leaked
 	}
-	go func() {
-		var count atomic.Int64
-		for {
-			client, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer client.Close()
-				gateway, err := net.Dial("tcp", addr)
-				if err != nil {
-					return
-				}
-				defer gateway.Close()
-				go func() {
-					io.Copy(gateway, client)
-					gateway.Close()
-				}()
-				lines := bufio.NewReader(gateway)
-				for {
-					line, err := lines.ReadString('\n')
-					if err != nil {
-						return
-					}
-					if strings.Contains(line, `"blob":"`) {
-						if count.Add(1)%spoilOne == 0 {
-							line = strings.Replace(line, `"blob":"`, `"blob":"c3Bv`, 1)
-						}
-					}
-					if _, err := io.WriteString(client, line); err != nil {
-						return
-					}
-				}
-			}()
+}
+
+// exitWithOwner exits soon after the process that started the fleet has ended.
+func exitWithOwner(owner int) {
+	for range time.Tick(time.Second) {
+		if syscall.Kill(owner, 0) == syscall.ESRCH {
+			os.Exit(exitOwnerGone)
 		}
-	}()
-	return nil
+	}
 }
--- a/internal/testbed/emulator/model.go
+++ b/internal/testbed/emulator/model.go
@@ -1,6 +1,8 @@
-// Package emulator is a small model of the platform's query engines, and servers that put it behind the platform's HTTP
-// protocol on loopback: what tests and cmd/fleettest run fleets of gateways against. It is a model, not a measurement:
-// queries share cores and disks fluidly, as the platform's pages describe.
+// Package emulator emulates the platform's query engines and their clients on loopback: a small model of an engine, a
+// server that puts the model behind the platform's HTTP protocol, open-loop clients, baseline gateways to compare with,
+// and faults that a version of the program can be given. The queries of a model share its cores and disks fluidly, as
+// the platform's pages describe; its figures are no measurements. The package starts no processes of the program and
+// decides nothing for a gateway. The program's tests, package testfleet and cmd/fleettest use it.
 package emulator
 
 import (
@@ -9,31 +11,43 @@
 	"time"
 )
 
-// Spec is what an engine is made of.
+// Spec describes an engine's machine. The zero value of CollapseWindow makes an engine that never collapses.
 type Spec struct {
-	Cores      float64
-	Knee       float64       // threads a core beyond which the work done in all falls
-	Thrash     float64       // exponent of that fall
-	Disks      float64       // threads that may read at once at full speed
-	MemoryMB   float64       // beyond it all slow down ...
-	Page       float64       // ... by this power of the excess
-	WarmGroups int           // table groups that stay warm, the last read
-	WarmGain   float64       // share of the reading that a warm group saves
-	ColdFrom   float64       // share of its capacity that a start begins with
-	ColdFor    time.Duration // until it has all
-	Slots      int           // queries that it lets in; beyond it is full
-	FallTimes  float64       // times its present capacity that a cold one may be sent ...
-	FallSpan   time.Duration // ... in this time; beyond it falls over. 0 = it never does
-}
-
-// DefaultSpec is an engine about as the site's pages draw one, with so many cores.
+	Cores          float64
+	Knee           float64       // threads for each core; with more the throughput falls
+	ThrashExponent float64       // of that fall
+	Disks          float64       // threads that may read at once at full speed
+	MemoryMB       float64       // with more in use all queries slow down ...
+	PagingExponent float64       // ... by this power of memory in use over MemoryMB
+	WarmGroups     int           // table groups that stay in the cache: the last ones read
+	WarmGain       float64       // share of its reading that a query of a cached group saves
+	WarmUpShare    float64       // share of its capacity that an engine has at its start
+	WarmUpTime     time.Duration // until it has all of it
+	MaxQueries     int           // that run at once; a further one is rejected
+	CollapseFactor float64       // times its present capacity that an engine may be sent while warming up ...
+	CollapseWindow time.Duration // ... in this time; with more it collapses. 0 = never
+}
+
+// DefaultSpec returns an engine with so many cores, much as the platform's pages describe one.
 func DefaultSpec(cores float64) Spec {
-	return Spec{Cores: cores, Knee: 1.7, Thrash: 0.65, Disks: cores * 0.6, MemoryMB: cores * 2048, Page: 2.4,
-		WarmGroups: 4, WarmGain: 0.55, ColdFrom: 0.35, ColdFor: 12 * time.Second, Slots: int(8 * cores),
-		FallTimes: 3, FallSpan: 2 * time.Second}
+	return Spec{
+		Cores:          cores,
+		Knee:           1.7,
+		ThrashExponent: 0.65,
+		Disks:          cores * 0.6,
+		MemoryMB:       cores * 2048,
+		PagingExponent: 2.4,
+		WarmGroups:     4,
+		WarmGain:       0.55,
+		WarmUpShare:    0.35,
+		WarmUpTime:     12 * time.Second,
+		MaxQueries:     int(8 * cores),
+		CollapseFactor: 3,
+		CollapseWindow: 2 * time.Second,
+	}
 }
 
-// Query is one piece of work.
+// Query is what one query costs an engine.
 type Query struct {
 	ID      string
 	Work    float64 // seconds on one thread at full speed
@@ -41,209 +55,242 @@
 	IO      float64 // share of the work that is reading
 	NeedMB  float64
 	Group   int  // the table group that it reads
-	Load    bool // it holds its group: other loads of it stand still
+	Load    bool // it locks its group: further loads of the group wait for it
 }
 
-type running struct {
+// runningQuery is a query that has not ended.
+type runningQuery struct {
 	Query
-	left float64 // seconds of work on one thread
-	rate float64 // of that a second
+	left float64 // work still to be done, in seconds on one thread
+	rate float64 // work done in a second; 0 while it waits for another load
 }
 
-// Load is what an engine holds in a moment.
+// Load is an engine's load at one moment.
 type Load struct {
 	Queries int
 	Threads float64
-	Granted float64 // share of the memory
-	Reading float64 // share of the disks, 1 at the most
-	Done    float64 // work done since the start, thread seconds
+	Granted float64 // share of the memory in use, at most 1
+	Reading float64 // share of the disks in use, at most 1
+	Done    float64 // work done since the start, in seconds on one thread
 }
 
-// Model is one engine. It is handed the time, which never runs backwards, and knows no clock.
+// Model is the model of one engine. It has no clock: its caller advances it, never backwards, and synchronizes access.
 type Model struct {
-	spec    Spec
-	slow    float64 // share of the machine that other programs take
-	began   time.Duration
-	cold    bool
-	now     time.Duration
-	queries []*running
-	warm    []int // table groups, the last read first
-	done    float64
-	sent    []charge // work sent while cold
-	fallen  bool
-	pressed Pressure
-}
-
-// Pressure is the most that an engine was sent while cold, against what it bears: in seconds of work, over the span in which
-// it may fall.
+	spec         Spec
+	stolenShare  float64 // share of the machine that other programs take
+	started      time.Duration
+	warmingUp    bool
+	now          time.Duration
+	running      []*runningQuery
+	warmGroups   []int // table groups, the last read first
+	done         float64
+	warmUpWork   []workSent // work sent while cold
+	collapsed    bool
+	peakPressure Pressure
+}
+
+// Pressure is the work that an engine was sent within CollapseWindow while warming up, and the work at which it may
+// collapse, both in seconds on one thread.
 type Pressure struct{ Sent, Bears float64 }
 
-type charge struct {
+// workSent is the work of one query and when it was sent.
+type workSent struct {
 	at   time.Duration
 	work float64
 }
 
-// NewModel makes an engine that starts at now; one that is not cold has its whole capacity at once.
-func NewModel(spec Spec, now time.Duration, cold bool) *Model {
-	return &Model{spec: spec, now: now, began: now, cold: cold}
+// NewModel returns an engine that starts at now. One that is not warming up has its full capacity at once.
+func NewModel(spec Spec, now time.Duration, warmingUp bool) *Model {
+	return &Model{spec: spec, now: now, started: now, warmingUp: warmingUp}
 }
 
-// Slow has other programs take a share of the machine.
-func (m *Model) Slow(now time.Duration, share float64) []string {
+// SetStolenShare advances the model to now and sets the share of the machine, from 0 to 1, that other programs take. It
+// returns the queries that ended by now.
+func (m *Model) SetStolenShare(now time.Duration, share float64) []string {
 	ended := m.Advance(now)
-	m.slow = share
-	m.share()
+	m.stolenShare = share
+	m.recomputeRates()
 	return ended
 }
 
-// Fallen reports whether the engine, while cold, was sent more than it bears.
-func (m *Model) Fallen() bool { return m.fallen }
+// Collapsed reports whether the engine, while warming up, was sent more than it bears. It then rejects every query.
+func (m *Model) Collapsed() bool { return m.collapsed }
 
-// warmth is the share of its capacity that the engine has since its start.
-func (m *Model) warmth() float64 {
-	since := m.now - m.began
-	if !m.cold || since >= m.spec.ColdFor {
+// warmUpFactor is the share of its capacity that the engine has now.
+func (m *Model) warmUpFactor() float64 {
+	since := m.now - m.started
+	if !m.warmingUp || since >= m.spec.WarmUpTime {
 		return 1
 	}
-	return m.spec.ColdFrom + (1-m.spec.ColdFrom)*float64(since)/float64(m.spec.ColdFor)
+	return m.spec.WarmUpShare + (1-m.spec.WarmUpShare)*float64(since)/float64(m.spec.WarmUpTime)
 }
 
-// Start takes a query in; false means that the engine is full. The caller has advanced the model to now.
+// Start starts a query, or returns false if the engine is full or has collapsed. The caller has advanced the model to now.
 func (m *Model) Start(q Query) bool {
-	if m.fallen {
+	if m.collapsed {
 		return false
 	}
-	m.charge(q.Work) // what is turned away presses too
-	if len(m.queries) >= m.spec.Slots {
+	m.recordWarmUpWork(q.Work) // rejected queries cost the engine something too
+	if len(m.running) >= m.spec.MaxQueries {
 		return false
 	}
-	r := &running{Query: q, left: q.Work}
-	if at := slices.Index(m.warm, q.Group); at >= 0 {
+	r := &runningQuery{Query: q, left: q.Work}
+	if at := slices.Index(m.warmGroups, q.Group); at >= 0 {
 		r.left *= 1 - q.IO*m.spec.WarmGain
-		m.warm = slices.Delete(m.warm, at, at+1)
+		m.warmGroups = slices.Delete(m.warmGroups, at, at+1)
 	}
-	m.warm = slices.Insert(m.warm, 0, q.Group)
-	if len(m.warm) > m.spec.WarmGroups {
-		m.warm = m.warm[:m.spec.WarmGroups]
+	m.warmGroups = slices.Insert(m.warmGroups, 0, q.Group)
+	if len(m.warmGroups) > m.spec.WarmGroups {
+		m.warmGroups = m.warmGroups[:m.spec.WarmGroups]
 	}
-	m.queries = append(m.queries, r)
-	m.share()
+	m.running = append(m.running, r)
+	m.recomputeRates()
 	return true
 }
 
-// charge counts what a cold engine is sent.
-func (m *Model) charge(work float64) {
-	if m.spec.FallSpan <= 0 || m.warmth() >= 1 {
+// recordWarmUpWork adds a query's work to what the engine was sent while warming up, and decides whether it collapses.
+func (m *Model) recordWarmUpWork(work float64) {
+	if m.spec.CollapseWindow <= 0 || m.warmUpFactor() >= 1 {
 		return
 	}
-	m.sent = append(m.sent, charge{m.now, work})
-	m.sent = slices.DeleteFunc(m.sent, func(c charge) bool { return c.at < m.now-m.spec.FallSpan })
+	m.warmUpWork = append(m.warmUpWork, workSent{m.now, work})
+	m.warmUpWork = slices.DeleteFunc(m.warmUpWork, func(c workSent) bool { return c.at < m.now-m.spec.CollapseWindow })
 	sum := 0.0
-	for _, c := range m.sent {
+	for _, c := range m.warmUpWork {
 		sum += c.work
 	}
-	// As the operators word it, a fall takes more than N + 3 x root of N + 3 queries of mean work; here in work.
-	bears := m.spec.FallTimes * m.spec.Cores * m.warmth() * m.spec.FallSpan.Seconds()
-	m.fallen = m.fallen || sum > bears+3*math.Sqrt(bears)+3
-	if m.pressed.Bears == 0 || sum/bears > m.pressed.Sent/m.pressed.Bears {
-		m.pressed = Pressure{sum, bears}
+	// The operators' rule: an engine collapses at more than N + 3 * sqrt(N) + 3 queries of mean work. Here N is in work.
+	bears := m.spec.CollapseFactor * m.spec.Cores * m.warmUpFactor() * m.spec.CollapseWindow.Seconds()
+	m.collapsed = m.collapsed || sum > bears+3*math.Sqrt(bears)+3
+	if m.peakPressure.Bears == 0 || sum/bears > m.peakPressure.Sent/m.peakPressure.Bears {
+		m.peakPressure = Pressure{sum, bears}
 	}
 }
 
-// Pressed is the most that it was sent while cold; zero if it never was.
-func (m *Model) Pressed() Pressure { return m.pressed }
+// PeakPressure returns the highest pressure, relative to what the engine bears; zero if it was never warming up.
+func (m *Model) PeakPressure() Pressure { return m.peakPressure }
 
-// Cancel takes a query out.
+// Cancel removes a query; an unknown one is ignored.
 func (m *Model) Cancel(id string) {
-	m.queries = slices.DeleteFunc(m.queries, func(r *running) bool { return r.ID == id })
-	m.share()
+	m.running = slices.DeleteFunc(m.running, func(r *runningQuery) bool { return r.ID == id })
+	m.recomputeRates()
 }
 
-// share works out how fast each query runs until the next change.
-func (m *Model) share() {
-	holds := map[int]*running{} // the first load of each group
-	for _, r := range m.queries {
-		if r.Load && holds[r.Group] == nil {
-			holds[r.Group] = r
-		}
-	}
-	var cpu, io, memory float64
-	still := func(r *running) bool { return r.Load && holds[r.Group] != r }
-	for _, r := range m.queries {
-		memory += r.NeedMB
-		if !still(r) {
-			cpu += r.Threads * (1 - r.IO)
-			io += r.Threads * r.IO
+// demand is what the queries that make progress ask of the machine.
+type demand struct {
+	cpu, io float64 // threads
+	memory  float64 // MB, of the waiting queries too
+}
+
+// recomputeRates sets how fast each query runs until the next change.
+func (m *Model) recomputeRates() {
+	locks := m.groupLocks()
+	waits := func(r *runningQuery) bool { return r.Load && locks[r.Group] != r }
+	var d demand
+	for _, r := range m.running {
+		d.memory += r.NeedMB
+		if !waits(r) {
+			d.cpu += r.Threads * (1 - r.IO)
+			d.io += r.Threads * r.IO
 		}
 	}
-	cores := m.spec.Cores * (1 - m.slow) * m.warmth()
-	if crowd := (cpu + io) / (m.spec.Knee * m.spec.Cores); crowd > 1 {
-		cores *= math.Pow(crowd, -m.spec.Thrash)
+	slowCPU := max(1, d.cpu/m.effectiveCores(d.cpu+d.io))
+	slowIO := max(1, d.io/m.spec.Disks)
+	paging := 1.0
+	if used := d.memory / m.spec.MemoryMB; used > 1 {
+		paging = math.Pow(used, m.spec.PagingExponent)
 	}
-	slowCPU, slowIO, paging := max(1, cpu/cores), max(1, io/m.spec.Disks), 1.0
-	if over := memory / m.spec.MemoryMB; over > 1 {
-		paging = math.Pow(over, m.spec.Page)
-	}
-	for _, r := range m.queries {
-		if r.rate = r.Threads / ((1-r.IO)*slowCPU + r.IO*slowIO) / paging; still(r) {
+	for _, r := range m.running {
+		r.rate = r.Threads / ((1-r.IO)*slowCPU + r.IO*slowIO) / paging
+		if waits(r) {
 			r.rate = 0
 		}
 	}
 }
 
-// step bounds how long a cold engine's speed is held to stay the same.
-const step = 250 * time.Millisecond
+// groupLocks is the load that holds the lock of each table group: the first of those that run.
+func (m *Model) groupLocks() map[int]*runningQuery {
+	locks := map[int]*runningQuery{}
+	for _, r := range m.running {
+		if r.Load && locks[r.Group] == nil {
+			locks[r.Group] = r
+		}
+	}
+	return locks
+}
+
+// effectiveCores is how many cores' work the engine does with so many threads: less while it warms up, while other
+// programs take their share, and with more threads than the knee.
+func (m *Model) effectiveCores(threads float64) float64 {
+	cores := m.spec.Cores * (1 - m.stolenShare) * m.warmUpFactor()
+	if crowd := threads / (m.spec.Knee * m.spec.Cores); crowd > 1 {
+		cores *= math.Pow(crowd, -m.spec.ThrashExponent)
+	}
+	return cores
+}
+
+// maxWarmUpStep bounds the time for which the capacity of an engine that warms up is taken as constant.
+const maxWarmUpStep = 250 * time.Millisecond
 
-// Next is when the model wants to be advanced; false while nothing runs.
+// Next returns when the model has to be advanced at the latest; false while nothing runs.
 func (m *Model) Next() (time.Duration, bool) {
-	least := math.Inf(1)
-	for _, r := range m.queries {
+	shortest := math.Inf(1) // seconds
+	for _, r := range m.running {
 		if r.rate > 0 {
-			least = min(least, r.left/r.rate)
+			shortest = min(shortest, r.left/r.rate)
 		}
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(shortest, 1) {
 		return 0, false
 	}
-	wait := time.Duration(math.Ceil(least * float64(time.Second)))
-	if m.warmth() < 1 {
-		wait = min(wait, step)
+	wait := time.Duration(math.Ceil(shortest * float64(time.Second)))
+	if m.warmUpFactor() < 1 {
+		wait = min(wait, maxWarmUpStep)
 	}
 	return m.now + wait, true
 }
 
-// Advance plays on to now and returns the queries that have ended, in order.
+// doneTolerance is the work, in seconds on one thread, below which a query counts as done: rounding leaves some.
+const doneTolerance = 1e-9
+
+// Advance advances the model to now and returns the queries that have ended, in the order of their ends.
 func (m *Model) Advance(now time.Duration) (ended []string) {
 	for m.now < now {
-		at, some := m.Next()
-		if !some || at > now {
+		at, changes := m.Next()
+		if !changes || at > now {
 			at = now
 		}
 		if at == m.now {
 			at++
 		}
-		d := (at - m.now).Seconds()
-		m.now = at
-		for _, r := range m.queries {
-			m.done += min(r.left, r.rate*d)
-			r.left -= r.rate * d
-		}
-		m.queries = slices.DeleteFunc(m.queries, func(r *running) bool {
-			over := r.left <= 1e-9
-			if over {
-				ended = append(ended, r.ID)
-			}
-			return over
-		})
-		m.share()
+		ended = append(ended, m.advanceTo(at)...)
+		m.recomputeRates()
+	}
+	return ended
+}
+
+// advanceTo does the work until at, with the rates unchanged, and removes the queries that have ended.
+func (m *Model) advanceTo(at time.Duration) (ended []string) {
+	elapsed := (at - m.now).Seconds()
+	m.now = at
+	for _, r := range m.running {
+		m.done += min(r.left, r.rate*elapsed)
+		r.left -= r.rate * elapsed
 	}
+	m.running = slices.DeleteFunc(m.running, func(r *runningQuery) bool {
+		done := r.left <= doneTolerance
+		if done {
+			ended = append(ended, r.ID)
+		}
+		return done
+	})
 	return ended
 }
 
-// Load is what the engine holds now.
+// Load returns the engine's load now.
 func (m *Model) Load() Load {
-	l := Load{Queries: len(m.queries), Done: m.done}
-	for _, r := range m.queries {
+	l := Load{Queries: len(m.running), Done: m.done}
+	for _, r := range m.running {
 		l.Threads += r.Threads
 		l.Granted += r.NeedMB / m.spec.MemoryMB
 		l.Reading += r.Threads * r.IO / m.spec.Disks
--- a/internal/testbed/emulator/traffic.go
+++ b/internal/testbed/emulator/traffic.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Class is a class of queries as clients draw them.
+// Class is a class of queries.
 type Class struct {
-	Name       string
-	Share      float64 // of the queries
-	Work       float64 // mean, in seconds on one thread
-	CV         float64 // of the work: deviation over mean, lognormal
-	Threads    float64
-	IO         float64
-	MB         float64
-	Aim        time.Duration
-	AimStretch float64 // the aim grows by this times the work over the threads
-	GiveUp     time.Duration
-	Worth      float64
-	Load       bool // it carries a key
+	Name             string
+	Share            float64 // of the queries
+	Work             float64 // mean, in seconds on one thread
+	CV               float64 // of the work: deviation over mean, lognormal
+	Threads          float64
+	IO               float64
+	MB               float64
+	Objective        time.Duration
+	ObjectiveStretch float64 // the objective grows by this times the query's work over its threads
+	Timeout          time.Duration
+	Weight           float64
+	Load             bool // its requests carry an idempotency key
 }
 
-// DefaultClasses are about those of the site's pages.
+// DefaultClasses returns classes much like those of the platform's pages.
 func DefaultClasses() []Class {
 	return []Class{
-		{Name: "lookup", Share: 0.8, Work: 0.17, CV: 1, Threads: 1, IO: 0.3, MB: 200, Aim: 800 * time.Millisecond,
-			AimStretch: 2, GiveUp: 4 * time.Second, Worth: 1},
-		{Name: "report", Share: 0.145, Work: 3, CV: 1.1, Threads: 4, IO: 0.45, MB: 1500, Aim: 3 * time.Second,
-			AimStretch: 2.5, GiveUp: 15 * time.Second, Worth: 10},
-		{Name: "form-load", Share: 0.055, Work: 4, CV: 0.7, Threads: 2, IO: 0.5, MB: 1000, Aim: 4 * time.Second,
-			AimStretch: 2.5, GiveUp: 20 * time.Second, Worth: 8, Load: true},
+		{Name: "lookup", Share: 0.8, Work: 0.17, CV: 1, Threads: 1, IO: 0.3, MB: 200, Objective: 800 * time.Millisecond,
+			ObjectiveStretch: 2, Timeout: 4 * time.Second, Weight: 1},
+		{Name: "report", Share: 0.145, Work: 3, CV: 1.1, Threads: 4, IO: 0.45, MB: 1500, Objective: 3 * time.Second,
+			ObjectiveStretch: 2.5, Timeout: 15 * time.Second, Weight: 10},
+		{Name: "form-load", Share: 0.055, Work: 4, CV: 0.7, Threads: 2, IO: 0.5, MB: 1000, Objective: 4 * time.Second,
+			ObjectiveStretch: 2.5, Timeout: 20 * time.Second, Weight: 8, Load: true},
 	}
 }
 
-// Settings are the classes and engines as the platform's settings tell a gateway of them.
+// Settings returns the platform's settings object, as JSON, for the gateway with the number self.
 func Settings(classes []Class, gateways, self int, cores float64) string {
 	list, threads, loads := "", "", ""
 	for i, c := range classes {
@@ -47,7 +47,8 @@
 		if c.Load {
 			repeat = `"repeat":"dedup","group":"all","window":12000000000`
 		}
-		list += fmt.Sprintf(`{"name":%q,"objective":%d,"aim_stretch":%g,"give_up":%d,%s,"worth":%g}`, c.Name, c.Aim, c.AimStretch, c.GiveUp, repeat, c.Worth)
+		list += fmt.Sprintf(`{"name":%q,"objective":%d,"aim_stretch":%g,"give_up":%d,%s,"worth":%g}`,
+			c.Name, c.Objective, c.ObjectiveStretch, c.Timeout, repeat, c.Weight)
 		threads += fmt.Sprint(c.Threads)
 		loads += fmt.Sprint(c.Load)
 	}
@@ -61,7 +62,7 @@
 "siblings":%d,"self_index":%d,"tick":5000000}`, list, cores, cores*2048, threads, loads, gateways, self)
 }
 
-// Traffic says what clients send, over open loops: arrivals do not wait for answers.
+// Traffic describes an open-loop workload: arrivals do not wait for answers.
 type Traffic struct {
 	Classes  []Class
 	Rate     float64 // queries a second, over all gateways
@@ -75,17 +76,17 @@
 
 // Request is one arrival.
 type Request struct {
-	At       time.Duration
-	Gateway  int
-	Class    int
-	ID       string
-	Query    Query
-	Estimate float64 // seconds
-	Budget   time.Duration
-	Aim      time.Duration
+	At        time.Duration
+	Gateway   int
+	Class     int
+	ID        string
+	Query     Query
+	Estimate  float64 // seconds
+	Budget    time.Duration
+	Objective time.Duration
 }
 
-// RateFor is the rate at which the queries' work is so large a share of the cores.
+// RateFor returns the rate, in queries a second, at which the work that arrives is the share load of what the cores can do.
 func (t Traffic) RateFor(load, cores float64) float64 {
 	work := 0.0
 	for _, c := range t.Classes {
@@ -94,48 +95,59 @@
 	return load * cores / work
 }
 
-// Draw draws the arrivals of a span; the same ones for the same seed.
+// Draw returns the arrivals of a span, in order of time. The same seed gives the same arrivals.
 func (t Traffic) Draw(span time.Duration) (out []Request) {
-	rnd := rand.New(rand.NewPCG(t.Seed, 31))
-	gateways := drawer(t.Gateways, func(int) float64 { return lognormal(rnd, 1, t.Skew) })
-	groups := drawer(max(1, t.Groups), func(i int) float64 { return math.Pow(float64(i+1), -t.Zipf) })
-	classes := drawer(len(t.Classes), func(i int) float64 { return t.Classes[i].Share })
+	random := rand.New(rand.NewPCG(t.Seed, 31))
+	gateways := weightedSampler(t.Gateways, func(int) float64 { return lognormal(random, 1, t.Skew) })
+	groups := weightedSampler(max(1, t.Groups), func(i int) float64 { return math.Pow(float64(i+1), -t.Zipf) })
+	classes := weightedSampler(len(t.Classes), func(i int) float64 { return t.Classes[i].Share })
 	at := time.Duration(0)
 	for {
-		at += time.Duration(rnd.ExpFloat64() / t.Rate * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / t.Rate * float64(time.Second))
 		if at >= span {
 			return out
 		}
-		c := classes(rnd)
-		k := t.Classes[c]
-		work := max(0.005, lognormal(rnd, k.Work, k.CV))
-		var id [8]byte
-		for i := range id {
-			id[i] = byte(rnd.Uint32())
-		}
-		r := Request{At: at, Gateway: gateways(rnd), Class: c, ID: hex.EncodeToString(id[:]), Budget: k.GiveUp,
-			Estimate: work * math.Exp(t.Estimate*rnd.NormFloat64()),
-			Aim:      k.Aim + time.Duration(k.AimStretch*work/k.Threads*float64(time.Second)),
-			Query:    Query{Work: work, Threads: k.Threads, IO: k.IO, NeedMB: k.MB, Group: groups(rnd), Load: k.Load}}
+		// The order of the draws decides the arrivals of a seed.
+		r := Request{At: at, Class: classes(random)}
+		class := t.Classes[r.Class]
+		work := max(minWork, lognormal(random, class.Work, class.CV))
+		r.ID = randomID(random)
+		r.Gateway = gateways(random)
+		r.Estimate = work * math.Exp(t.Estimate*random.NormFloat64())
+		r.Query = Query{Work: work, Threads: class.Threads, IO: class.IO, NeedMB: class.MB, Group: groups(random), Load: class.Load}
+		r.Budget = class.Timeout
+		r.Objective = class.Objective + time.Duration(class.ObjectiveStretch*work/class.Threads*float64(time.Second))
 		out = append(out, r)
 	}
 }
 
-// lognormal draws one of a mean and a deviation over the mean.
-func lognormal(rnd *rand.Rand, mean, cv float64) float64 {
+// minWork is the least work of a query, in seconds on one thread.
+const minWork = 0.005
+
+// randomID draws the ID of a request.
+func randomID(random *rand.Rand) string {
+	var id [8]byte
+	for i := range id {
+		id[i] = byte(random.Uint32())
+	}
+	return hex.EncodeToString(id[:])
+}
+
+// lognormal draws a number from the distribution with this mean and coefficient of variation.
+func lognormal(random *rand.Rand, mean, cv float64) float64 {
 	s2 := math.Log(1 + cv*cv)
-	return mean * math.Exp(math.Sqrt(s2)*rnd.NormFloat64()-s2/2)
+	return mean * math.Exp(math.Sqrt(s2)*random.NormFloat64()-s2/2)
 }
 
-// drawer draws numbers by weight.
-func drawer(n int, weight func(int) float64) func(*rand.Rand) int {
+// weightedSampler returns a function that draws numbers from 0 to n-1 by weight.
+func weightedSampler(n int, weight func(int) float64) func(*rand.Rand) int {
 	sums, sum := make([]float64, n), 0.0
 	for i := range sums {
 		sum += weight(i)
 		sums[i] = sum
 	}
-	return func(rnd *rand.Rand) int {
-		x := rnd.Float64() * sum
+	return func(random *rand.Rand) int {
+		x := random.Float64() * sum
 		lo, hi := 0, n-1
 		for lo < hi {
 			if mid := (lo + hi) / 2; sums[mid] > x {
--- a/internal/testbed/scale/runner/settings.go
+++ b/internal/testbed/scale/runner/settings.go
@@ -27,8 +27,8 @@
 
 // lookups is the one class of statements.
 func lookups() []emulator.Class {
-	return []emulator.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MB: 50, Aim: 800 * time.Millisecond,
-		GiveUp: 4 * time.Second, Worth: 1}}
+	return []emulator.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MB: 50, Objective: 800 * time.Millisecond,
+		Timeout: 4 * time.Second, Weight: 1}}
 }
 
 // placement is the part of the platform's settings that says where a gateway is.
--- a/internal/testbed/testfleet/pool.go
+++ b/internal/testbed/testfleet/pool.go
@@ -44,7 +44,7 @@
 func (p *Pool) add(cold bool) error {
 	p.named++
 	name := fmt.Sprintf("s-%08x", 0x5eed0000+p.named*7919)
-	e, err := emulator.Start(emulator.Options{Name: name, Spec: p.spec, Cold: cold, ReportEvery: reportEvery,
+	e, err := emulator.Start(emulator.Options{Name: name, Spec: p.spec, WarmingUp: cold, ReportInterval: reportEvery,
 		ReportDelay: reportDelay}, p.clock)
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 				s.burst = s.burst[1:]
 			}
 			arrivedNow += f.Arrived - s.arrived
-			s.arrived, s.full = f.Arrived, f.Full
+			s.arrived, s.full = f.Arrived, f.Rejected
 			conns += f.Conns
 		}
 		b.Conns = max(b.Conns, conns)
