--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -51,7 +51,7 @@
 	if text, err := os.ReadFile(path); err != nil || !strings.Contains(string(text), "<svg") {
 		t.Fatalf("%d bytes, %v", len(text), err)
 	}
-	rows := resultTable([]testfleet.Result{{Step: "1", Do: "kill", First: []time.Duration{time.Second, 3 * time.Second}}}).rows
+	rows := resultTable([]testfleet.Result{{Step: "1", Do: "kill", FirstDetected: []time.Duration{time.Second, 3 * time.Second}}}).rows
 	if rows[0][3] != "3.0 / 3.0" || rows[0][4] != "-" {
 		t.Fatalf("%v", rows)
 	}
--- a/cmd/fleettest/spread.go
+++ b/cmd/fleettest/spread.go
@@ -254,9 +254,9 @@
 		b := p.balance
 		t.rows = append(t.rows, []string{p.name, fmt.Sprintf("%.3f", worth/max(1, asked)), share("served"), share("refused"), share("failed"),
 			fmt.Sprint(ends["lost"]), fmt.Sprint(ends["spoilt"]), at(0, 1e3, 50) + " / " + at(0, 1e3, 99),
-			at(1, 1e6, 50) + " / " + at(1, 1e6, 99), fmt.Sprintf("%.2f / %.2f", b.MostMean, b.Most95), fmt.Sprintf("%.0f", b.IdleFor),
+			at(1, 1e6, 50) + " / " + at(1, 1e6, 99), fmt.Sprintf("%.2f / %.2f", b.MostMean, b.PeakToMeanP95), fmt.Sprintf("%.0f", b.LongestIdle),
 			fmt.Sprintf("%.1f", b.Burst), fmt.Sprintf("%.2f", b.Threads), fmt.Sprint(b.Conns),
-			fmt.Sprintf("%.3f", float64(b.Arrivals)/n), fmt.Sprint(b.TurnedOff), fmt.Sprint(p.fallen)})
+			fmt.Sprintf("%.3f", float64(b.Arrivals)/n), fmt.Sprint(b.Rejected), fmt.Sprint(p.fallen)})
 	}
 	return t
 }
--- a/cmd/fleettest/table.go
+++ b/cmd/fleettest/table.go
@@ -63,8 +63,8 @@
 		"all told s later (median / most)", "told dead without need", "views agree s after the fault (median / most)",
 		"datagrams a gateway and s", "bytes a gateway and s"}}
 	for _, r := range results {
-		t.rows = append(t.rows, []string{r.Step, r.Do, fmt.Sprint(r.Gateways), spread(r.First), spread(r.All),
-			fmt.Sprint(r.False), spread(r.Agreed), fmt.Sprintf("%.2f", r.Datagrams), fmt.Sprintf("%.0f", r.Bytes)})
+		t.rows = append(t.rows, []string{r.Step, r.Do, fmt.Sprint(r.Gateways), spread(r.FirstDetected), spread(r.AllDetected),
+			fmt.Sprint(r.FalseDeaths), spread(r.Converged), fmt.Sprintf("%.2f", r.Datagrams), fmt.Sprintf("%.0f", r.Bytes)})
 	}
 	return t
 }
--- a/internal/testbed/scale/runner/rig.go
+++ b/internal/testbed/scale/runner/rig.go
@@ -145,15 +145,15 @@
 	if err != nil {
 		return err
 	}
-	r.fleet, err = testfleet.New(testfleet.Options{Gateways: r.plan.Real, Others: r.plan.Hollow, Seed: r.plan.Seed, Dir: r.opt.Dir,
+	r.fleet, err = testfleet.New(testfleet.Options{Gateways: r.plan.Real, RemoteMembers: r.plan.Hollow, Seed: r.plan.Seed, Dir: r.opt.Dir,
 		Command: r.opt.Program, Env: r.opt.Environment, Interval: r.opt.Interval, Engines: slices.Clone(r.list),
-		Operator: operator, Sockets: r.plan.SocketLimit(), Settings: r.settings})
+		Operator: operator, MaxDescriptors: r.plan.SocketLimit(), Settings: r.settings})
 	return err
 }
 
 // startHollow starts the processes of hollow gateways, and those in them.
 func (r *Rig) startHollow(ctx context.Context) error {
-	listen, peers := r.fleet.OtherAddrs(), r.peersOfHollow()
+	listen, peers := r.fleet.RemoteAddrs(), r.peersOfHollow()
 	processes := r.plan.HollowProcesses()
 	for i := range processes {
 		first, end := i*r.plan.Hollow/processes, (i+1)*r.plan.Hollow/processes
@@ -182,7 +182,7 @@
 // count and cut what passes there, and each other directly.
 func (r *Rig) peersOfHollow() []netip.AddrPort {
 	faces := r.fleet.Relay.Faces()
-	return append(slices.Clone(faces[:r.plan.Real]), r.fleet.OtherAddrs()...)
+	return append(slices.Clone(faces[:r.plan.Real]), r.fleet.RemoteAddrs()...)
 }
 
 func (r *Rig) allHollow() (out []int) {
--- a/internal/testbed/scale/runner/sample.go
+++ b/internal/testbed/scale/runner/sample.go
@@ -81,7 +81,7 @@
 		now.processor = append(now.processor, s.spent[i])
 		now.resident = append(now.resident, residentBytes(pid))
 		now.sent = append(now.sent, float64(sent))
-		now.received = append(now.received, float64(s.fleet.Relay.Arrived(i)))
+		now.received = append(now.received, float64(s.fleet.Relay.DeliveredBytes(i)))
 	}
 	bytes, watchers := s.fleet.Discovery.Traffic()
 	now.list, now.watchers = float64(bytes), watchers
--- a/internal/testbed/testfleet/change.go
+++ b/internal/testbed/testfleet/change.go
@@ -5,12 +5,10 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -20,218 +18,144 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// ChangeOptions say what change goes out to what fleet.
+// ChangeOptions describe a change and the fleet that it is rolled out to.
 type ChangeOptions struct {
 	Gateways, Engines int
-	Cores, Load       float64
+	Cores             float64 // of an engine
+	Load              float64 // work that clients send, as a share of what the engines' cores can do
 	Seed              uint64
-	Dir               string
-	Program           []string // the program of the old version, with its arguments
+	Dir               string   // for the plan, configurations and logs
+	Program           []string // command of the old version
 	Env               []string // of all processes
-	Fault             string   // of the new version; "" = a good change
-	Settings          string   // further settings of the new version's operator's file: a change of settings alone
+	Fault             string   // of the new version, one of emulator.Faults; "" = none
+	Settings          string   // further sections of the new version's operator's file; "" = the program changes
 	Stages            []string
-	LeastS, MostS     float64
+	LeastS, MostS     float64 // shortest and longest watch of a stage, in seconds
 }
 
-// Change is a fleet of processes under load, engines, and a plan that a controller is to carry.
+// Change is a fleet of processes under load, with engines, and a plan that a controller carries out.
 type Change struct {
-	opt     ChangeOptions
-	Pool    *Pool
-	Fleet   *Fleet
-	Clients *emulator.Clients
-	Checked controller.Checked
-	Plan    string // the plan's path
-	State   string // the controller's folder
-	traffic emulator.Traffic
-	clock   func() time.Duration
-	passer  *passer
-	stop    chan struct{}
-	sent    sync.WaitGroup
-}
-
-const changeOperator = `[membership]
-fleet = "rig"
-interval_ms = 500
-
-[spread]
-
-[rollout]
-report_to = "%s"
-report_ms = 250
-%s`
-
-const changePlan = `name = "change-%d"
-fleet = "rig"
-listen = "%s"
-reports = "%s"
-configs = "%s"
-stages = [%s]
-
-[old]
-program = "%s"
-args = [%s]
-env = [%s]
-operator = "%s"
-
-[new]
-program = "%s"
-args = [%s]
-env = [%s]
-operator = "%s"
-
-[watch]
-least_s = %g
-most_s = %g
-
-[change]
-ready_s = 8
-stop_s = 6
-silent_s = 3
-
-[judge]
-least_answers = 3
-
-[[check]]
-class = "lookup"
-statement = "%s"
-expect = "row\t{rid}\tof 1\n"
-every_ms = 40
-`
-
-// NewChange prepares engines, configurations, both versions and the plan, and starts the fleet on the old version.
+	options     ChangeOptions
+	Pool        *Pool
+	Fleet       *Fleet
+	Clients     *emulator.Clients
+	Checked     controller.Checked
+	Plan        string // path of the plan
+	State       string // the controller's state folder
+	traffic     emulator.Traffic
+	clock       func() time.Duration
+	reportProxy *reportProxy
+	stop        chan struct{}
+	clientsDone sync.WaitGroup
+}
+
+// NewChange starts engines, clients and a fleet on the old version, and writes the plan of the change. It returns once all
+// gateways serve and report; after an error everything is ended again.
 func NewChange(opt ChangeOptions) (_ *Change, err error) {
-	began := time.Now()
-	c := &Change{opt: opt, State: filepath.Join(opt.Dir, "rollout"), Plan: filepath.Join(opt.Dir, "plan.toml"),
-		clock: func() time.Duration { return time.Since(began) }, stop: make(chan struct{})}
+	start := time.Now()
+	c := &Change{
+		options: opt,
+		State:   filepath.Join(opt.Dir, "rollout"),
+		Plan:    filepath.Join(opt.Dir, "plan.toml"),
+		clock:   func() time.Duration { return time.Since(start) },
+		stop:    make(chan struct{}),
+	}
 	defer func() {
 		if err != nil {
-			c.Close()
+			_ = c.Close()
 		}
 	}()
-	if c.Pool, err = NewPool(opt.Engines, emulator.DefaultSpec(opt.Cores), c.clock); err != nil {
-		return c, err
-	}
-	c.traffic = emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 0.5, Groups: opt.Engines * 3,
-		Zipf: 0.7, Estimate: 0.5, Seed: opt.Seed}
-	c.traffic.Rate = c.traffic.RateFor(opt.Load, opt.Cores*float64(opt.Engines))
-	settings := func(n, self int) string { return emulator.Settings(c.traffic.Classes, n, self, opt.Cores) }
-	if c.Fleet, err = New(Options{Gateways: opt.Gateways, Seed: opt.Seed, Dir: opt.Dir, Engines: c.Pool.EngineList(), Settings: settings,
-		Link: Link{DelayMin: time.Millisecond, DelayMax: 5 * time.Millisecond}}); err != nil {
-		return c, err
-	}
-	c.Pool.PublishTo(c.Fleet.Discovery)
-	if c.passer, err = newPasser(opt.Gateways, len(c.traffic.Classes)); err != nil {
+	if err := c.startTestbed(); err != nil {
 		return c, err
 	}
-	if err := c.write(); err != nil {
+	if err := c.writePlan(); err != nil {
 		return c, err
 	}
 	if _, err := controller.Up(c.State, c.Checked); err != nil {
 		return c, err
 	}
 	c.Clients = emulator.NewClients(c.Fleet.Clients(), c.traffic.Classes, opt.Seed, c.clock)
-	return c, c.Fleet.Wait(startPatience, func() error {
-		for i := range opt.Gateways {
-			if !c.Clients.Serving(i) {
-				return fmt.Errorf("gateway %d: %w", i, errNotReady)
-			}
-		}
-		if c.passer.reporting() < opt.Gateways {
-			return errors.New("not all gateways have reported")
-		}
-		return nil
-	})
+	return c, c.Fleet.Wait(startTimeout, c.ready)
 }
 
-// write writes both versions and the plan, and checks it.
-func (c *Change) write() error {
-	pattern, err := c.Fleet.Configs()
-	if err != nil {
-		return err
-	}
-	path := func(name string) string { return filepath.Join(c.opt.Dir, name) }
-	next := c.opt.Program[0]
-	if c.opt.Settings == "" { // another program: the same with a few bytes behind it, which nothing reads
-		text, err := os.ReadFile(next)
-		if err != nil {
-			return err
-		}
-		next = path("new-program")
-		if err := os.WriteFile(next, append(text, fmt.Sprintf("change %d", c.opt.Seed)...), 0o755); err != nil {
-			return err
-		}
-	}
-	for name, more := range map[string]string{"old.toml": "", "new.toml": c.opt.Settings} {
-		if err := os.WriteFile(path(name), fmt.Appendf(nil, changeOperator, c.passer.addr(), more), 0o600); err != nil {
-			return err
-		}
-	}
-	listen, err := freeUDP()
-	if err != nil {
-		return err
-	}
-	quoted := func(list []string) string {
-		var out []string
-		for _, s := range list {
-			out = append(out, fmt.Sprintf("%q", s))
-		}
-		return strings.Join(out, ", ")
-	}
-	newEnv := c.opt.Env
-	if c.opt.Fault != "" {
-		newEnv = append(slices.Clone(newEnv), emulator.FaultEnv(c.opt.Fault)...)
-	}
-	check := emulator.Statement(emulator.Query{Work: 0.01, Threads: 1, IO: 0.1, NeedMB: 1, Group: 1})
-	text := fmt.Sprintf(changePlan, c.opt.Seed, listen, c.passer.addr(), pattern, quoted(c.opt.Stages), c.opt.Program[0],
-		quoted(c.opt.Program[1:]), quoted(c.opt.Env), path("old.toml"), next, quoted(c.opt.Program[1:]), quoted(newEnv), path("new.toml"),
-		c.opt.LeastS, c.opt.MostS, check)
-	if err := os.WriteFile(c.Plan, []byte(text), 0o600); err != nil {
+// Times between any two gateways of a change, much like the platform's.
+const (
+	minChangeDelay = time.Millisecond
+	maxChangeDelay = 5 * time.Millisecond
+)
+
+// startTestbed starts what stands around the gateways: engines, discovery server, relay and report proxy.
+func (c *Change) startTestbed() (err error) {
+	opt := c.options
+	if c.Pool, err = NewPool(opt.Engines, emulator.DefaultSpec(opt.Cores), c.clock); err != nil {
 		return err
 	}
-	if c.Checked, err = controller.CheckPlan([]byte(text)); err != nil {
+	c.traffic = emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 0.5, Groups: opt.Engines * 3,
+		Zipf: 0.7, Estimate: 0.5, Seed: opt.Seed}
+	c.traffic.Rate = c.traffic.RateFor(opt.Load, opt.Cores*float64(opt.Engines))
+	if c.Fleet, err = New(Options{
+		Gateways: opt.Gateways,
+		Seed:     opt.Seed,
+		Dir:      opt.Dir,
+		Engines:  c.Pool.EngineList(),
+		Settings: func(n, self int) string { return emulator.Settings(c.traffic.Classes, n, self, opt.Cores) },
+		Link:     Link{DelayMin: minChangeDelay, DelayMax: maxChangeDelay},
+	}); err != nil {
 		return err
 	}
-	return c.passer.to(listen)
+	c.Pool.PublishTo(c.Fleet.Discovery)
+	c.reportProxy, err = newReportProxy(opt.Gateways, len(c.traffic.Classes))
+	return err
 }
 
-func freeUDP() (string, error) {
-	sock, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		return "", err
+var errNotReporting = errors.New("not all gateways have reported")
+
+// ready is nil once all gateways serve clients and have reported.
+func (c *Change) ready() error {
+	for i := range c.options.Gateways {
+		if !c.Clients.Serving(i) {
+			return fmt.Errorf("gateway %d: %w", i, errNotReady)
+		}
 	}
-	defer sock.Close()
-	return sock.LocalAddr().String(), nil
+	if c.reportProxy.reporting() < c.options.Gateways {
+		return errNotReporting
+	}
+	return nil
 }
 
-// Send has clients send for so long; Sent waits for the ends of all requests.
+// Send has clients send requests for so long, on a goroutine that StopClients waits for.
 func (c *Change) Send(span time.Duration) {
 	requests := c.traffic.Draw(span)
-	c.sent.Add(1)
+	c.clientsDone.Add(1)
 	go func() {
-		defer c.sent.Done()
+		defer c.clientsDone.Done()
 		c.Clients.Play(requests, c.stop)
 	}()
 }
 
-// StopClients stops the clients and waits for the ends of all requests.
+// StopClients stops the clients, waits until all requests have ended, and returns their outcomes.
 func (c *Change) StopClients() []emulator.Outcome {
 	close(c.stop)
-	c.sent.Wait()
+	c.clientsDone.Wait()
 	out, _ := c.Clients.Outcomes(0)
 	return out
 }
 
-// Cut has the reports of these gateways not arrive, or all of them again for none.
-func (c *Change) Cut(gateways ...int) { c.passer.cutOff(gateways) }
+// Cut drops the reports of these gateways on their way to the controller; without arguments it drops none.
+func (c *Change) Cut(gateways ...int) { c.reportProxy.setCut(gateways) }
+
+// openLog opens the log that all controllers of the change append to.
+func (c *Change) openLog() (*os.File, error) {
+	return os.OpenFile(c.path("controller.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+}
 
-// Carry carries the change in this process.
+// Carry runs a controller of the change in this process until the change has ended or the context has.
 func (c *Change) Carry(ctx context.Context) (rollout.State, error) {
-	log, err := os.OpenFile(filepath.Join(c.opt.Dir, "controller.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	log, err := c.openLog()
 	if err != nil {
 		return rollout.State{}, err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	k, err := controller.Open(c.State, c.Checked, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		return rollout.State{}, err
@@ -240,26 +164,28 @@
 	return k.Run(ctx)
 }
 
-// Start starts a controller as a process: command is the program's, to which the words of its command line are added.
+// Start starts a controller as a process of the program, which ends with this process at the latest. The caller waits for
+// it. command starts the program; the arguments of a controller are added to it.
 func (c *Change) Start(command []string, env []string) (*exec.Cmd, error) {
 	cmd := exec.Command(command[0], append(slices.Clone(command[1:]), "rollout", "start", c.Plan, "--state", c.State)...)
 	cmd.Env = append(os.Environ(), env...)
-	log, err := os.OpenFile(filepath.Join(c.opt.Dir, "controller.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	log, err := c.openLog()
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return cmd, cmd.Start()
 }
 
-// Rolling is the plain way: each gateway in turn is stopped and started on the new version, and nobody looks how it does.
+// Rolling is the rolling restart to compare with: each gateway in turn is restarted on the new version, and nothing
+// evaluates it.
 func (c *Change) Rolling(each time.Duration) error {
 	return controller.Rolling(c.State, c.Checked, each)
 }
 
-// Close ends every process of the fleet, by its id, and all else.
+// Close ends every process of the fleet, by its process ID, and everything else that NewChange started.
 func (c *Change) Close() error {
 	var errs []error
 	for _, pid := range controller.Processes(c.Checked.Fleet) {
@@ -270,8 +196,8 @@
 	if c.Clients != nil {
 		c.Clients.Close()
 	}
-	if c.passer != nil {
-		c.passer.close()
+	if c.reportProxy != nil {
+		c.reportProxy.close()
 	}
 	if c.Fleet != nil {
 		errs = append(errs, c.Fleet.Close())
@@ -281,73 +207,3 @@
 	}
 	return errors.Join(errs...)
 }
-
-// passer passes reports on to the controller, but for gateways that are cut off from it.
-type passer struct {
-	sock     *net.UDPConn
-	gateways int
-	classes  int
-	mu       sync.Mutex
-	dest     *net.UDPAddr
-	cut      map[int]bool
-	reported map[int]bool
-}
-
-func newPasser(gateways, classes int) (*passer, error) {
-	sock, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		return nil, err
-	}
-	sock.SetReadBuffer(4 << 20)
-	p := &passer{sock: sock, gateways: gateways, classes: classes, cut: map[int]bool{}, reported: map[int]bool{}}
-	go p.pass()
-	return p, nil
-}
-
-func (p *passer) addr() string { return p.sock.LocalAddr().String() }
-
-func (p *passer) to(addr string) (err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.dest, err = net.ResolveUDPAddr("udp4", addr)
-	return err
-}
-
-func (p *passer) cutOff(gateways []int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	clear(p.cut)
-	for _, i := range gateways {
-		p.cut[i] = true
-	}
-}
-
-func (p *passer) reporting() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.reported)
-}
-
-func (p *passer) pass() {
-	buf := make([]byte, rollout.MostReport+1)
-	for {
-		n, _, err := p.sock.ReadFromUDPAddrPort(buf)
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
-		if err != nil {
-			continue
-		}
-		r, err := rollout.ParseReport(buf[:n], "rig", p.gateways, p.classes)
-		if err != nil {
-			continue
-		}
-		p.mu.Lock()
-		if p.reported[r.Gateway] = true; !p.cut[r.Gateway] && p.dest != nil {
-			p.sock.WriteToUDP(buf[:n], p.dest)
-		}
-		p.mu.Unlock()
-	}
-}
-
-func (p *passer) close() { p.sock.Close() }
--- /dev/null
+++ b/internal/testbed/testfleet/changeplan.go
@@ -0,0 +1,160 @@
+package testfleet
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"frostpier/internal/control/rollout/controller"
+	"frostpier/internal/testbed/emulator"
+)
+
+// changeOperator is the operator's file of either version: the fleet's name, the address for reports, and further sections.
+const changeOperator = `[membership]
+fleet = "%s"
+interval_ms = 500
+
+[spread]
+
+[rollout]
+report_to = "%s"
+report_ms = 250
+%s`
+
+// changePlan is the plan of the change, as the controller reads it.
+const changePlan = `name = "change-%d"
+fleet = "%s"
+listen = "%s"
+reports = "%s"
+configs = "%s"
+stages = [%s]
+
+[old]
+program = "%s"
+args = [%s]
+env = [%s]
+operator = "%s"
+
+[new]
+program = "%s"
+args = [%s]
+env = [%s]
+operator = "%s"
+
+[watch]
+least_s = %g
+most_s = %g
+
+[change]
+ready_s = 8
+stop_s = 6
+silent_s = 3
+
+[judge]
+least_answers = 3
+
+[[check]]
+class = "lookup"
+statement = "%s"
+expect = "row\t{rid}\tof 1\n"
+every_ms = 40
+`
+
+// writePlan writes both versions and the plan, and has the controller's own code check it.
+func (c *Change) writePlan() error {
+	configs, err := c.Fleet.Configs()
+	if err != nil {
+		return err
+	}
+	newProgram, err := c.newProgram()
+	if err != nil {
+		return err
+	}
+	if err := c.writeOperatorFiles(); err != nil {
+		return err
+	}
+	listen, err := freeUDPAddr()
+	if err != nil {
+		return err
+	}
+	text := c.planText(listen, configs, newProgram)
+	if err := os.WriteFile(c.Plan, []byte(text), 0o600); err != nil {
+		return err
+	}
+	if c.Checked, err = controller.CheckPlan([]byte(text)); err != nil {
+		return err
+	}
+	return c.reportProxy.setController(listen)
+}
+
+// newProgram returns the path of the new version's program. For a change of settings alone it is the old one. Otherwise it
+// is a copy with a few bytes at its end, which nothing reads, so that the two differ.
+func (c *Change) newProgram() (string, error) {
+	oldProgram := c.options.Program[0]
+	if c.options.Settings != "" {
+		return oldProgram, nil
+	}
+	text, err := os.ReadFile(oldProgram)
+	if err != nil {
+		return "", err
+	}
+	path := c.path("new-program")
+	return path, os.WriteFile(path, append(text, fmt.Sprintf("change %d", c.options.Seed)...), 0o755)
+}
+
+// Names of the operator's files in the folder of the change.
+const (
+	oldOperatorFile = "old.toml"
+	newOperatorFile = "new.toml"
+)
+
+func (c *Change) writeOperatorFiles() error {
+	write := func(name, sections string) error {
+		return os.WriteFile(c.path(name), fmt.Appendf(nil, changeOperator, FleetName, c.reportProxy.addr(), sections), 0o600)
+	}
+	if err := write(oldOperatorFile, ""); err != nil {
+		return err
+	}
+	return write(newOperatorFile, c.options.Settings)
+}
+
+// planText is the plan for a controller that listens for reports at the address listen; configs names the gateways'
+// configurations.
+func (c *Change) planText(listen, configs, newProgram string) string {
+	opt := c.options
+	newEnv := opt.Env
+	if opt.Fault != "" {
+		newEnv = append(slices.Clone(newEnv), emulator.FaultEnv(opt.Fault)...)
+	}
+	statement := emulator.Statement(emulator.Query{Work: 0.01, Threads: 1, IO: 0.1, NeedMB: 1, Group: 1})
+	args := tomlStrings(opt.Program[1:])
+	return fmt.Sprintf(changePlan, opt.Seed, FleetName, listen, c.reportProxy.addr(), configs, tomlStrings(opt.Stages),
+		opt.Program[0], args, tomlStrings(opt.Env), c.path(oldOperatorFile),
+		newProgram, args, tomlStrings(newEnv), c.path(newOperatorFile),
+		opt.LeastS, opt.MostS, statement)
+}
+
+// path is the path of a file in the folder of the change.
+func (c *Change) path(name string) string { return filepath.Join(c.options.Dir, name) }
+
+// tomlStrings is the content of a TOML array of strings.
+func tomlStrings(list []string) string {
+	var quoted []string
+	for _, s := range list {
+		quoted = append(quoted, fmt.Sprintf("%q", s))
+	}
+	return strings.Join(quoted, ", ")
+}
+
+// freeUDPAddr is a loopback address with a UDP port that is free.
+func freeUDPAddr() (string, error) {
+	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		return "", err
+	}
+	addr := conn.LocalAddr().String()
+	return addr, conn.Close()
+}
--- a/internal/testbed/testfleet/discovery.go
+++ b/internal/testbed/testfleet/discovery.go
@@ -21,38 +21,38 @@
 
 // Times of a watch's connection.
 const (
-	heartbeatEvery = time.Second      // between two lines that hold only the last event's number
-	watcherPatient = 10 * time.Second // a watcher that takes nothing for so long is cut off
+	heartbeatInterval   = time.Second      // between two lines with the resource version alone
+	watcherWriteTimeout = 10 * time.Second // a watch that reads nothing for so long is closed
 )
 
-// DiscoveryServer is a stand-in for the platform's: it serves the engine list as a watch of numbered events. Each watcher has a goroutine of
-// its own, so one that reads slowly delays no other.
+// DiscoveryServer emulates the platform's: it serves the engine list as a watch of numbered events. Each watch has a
+// goroutine of its own, so that one that reads slowly delays no other.
 type DiscoveryServer struct {
-	ln      net.Listener
-	mu      sync.Mutex
-	events  []json.RawMessage
-	changed chan struct{} // closed when an event is added
-	conns   map[net.Conn]bool
-	sent    int64 // bytes, to all watchers
-	closed  bool
-	done    sync.WaitGroup
+	listener   net.Listener
+	mu         sync.Mutex
+	events     []json.RawMessage
+	changed    chan struct{} // closed when an event is added
+	conns      map[net.Conn]bool
+	sent       int64 // bytes, to all watches
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
-// NewDiscoveryServer starts a server whose first event lists the engines.
+// NewDiscoveryServer starts a server on a free loopback port, whose first event names the engines. Close ends it.
 func NewDiscoveryServer(engines []Engine) (*DiscoveryServer, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery server: %w", err)
 	}
-	b := &DiscoveryServer{ln: ln, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
-	b.Publish(engines)
-	b.done.Add(1)
-	go b.accept()
-	return b, nil
+	s := &DiscoveryServer{listener: listener, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
+	s.Publish(engines)
+	s.goroutines.Add(1)
+	go s.accept()
+	return s, nil
 }
 
-// Addr is where it listens.
-func (b *DiscoveryServer) Addr() string { return b.ln.Addr().String() }
+// Addr returns the address that the server listens on.
+func (s *DiscoveryServer) Addr() string { return s.listener.Addr().String() }
 
 // rosterEvent is an event on the wire.
 type rosterEvent struct {
@@ -62,148 +62,150 @@
 
 type roster struct {
 	Generation int      `json:"generation"`
-	Reset      bool     `json:"reset"` // the list is whole: engines that it does not name have gone
+	Reset      bool     `json:"reset"` // the list is complete: engines that it does not name have gone
 	Instances  []Engine `json:"instances"`
 }
 
 // Publish appends an event that names engines which have changed, and sends it to all connected watches.
-func (b *DiscoveryServer) Publish(engines []Engine) { b.add(engines, false) }
+func (s *DiscoveryServer) Publish(engines []Engine) { s.appendEvent(engines, false) }
 
 // PublishFull appends an event that holds the full list, and sends it to all connected watches.
-func (b *DiscoveryServer) PublishFull(engines []Engine) { b.add(engines, true) }
-
-func (b *DiscoveryServer) add(engines []Engine, whole bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	number := len(b.events) + 1
-	event, err := json.Marshal(rosterEvent{Number: number, Roster: roster{Generation: number, Reset: whole, Instances: engines}})
+func (s *DiscoveryServer) PublishFull(engines []Engine) { s.appendEvent(engines, true) }
+
+// appendEvent appends an event and wakes all watches.
+func (s *DiscoveryServer) appendEvent(engines []Engine, full bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	number := len(s.events) + 1
+	event, err := json.Marshal(rosterEvent{Number: number, Roster: roster{Generation: number, Reset: full, Instances: engines}})
 	if err != nil {
 		return // no engine fails to encode
 	}
-	b.events = append(b.events, event)
-	close(b.changed)
-	b.changed = make(chan struct{})
+	s.events = append(s.events, event)
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // ResourceVersion returns the number of the last event.
-func (b *DiscoveryServer) ResourceVersion() int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return int64(len(b.events))
+func (s *DiscoveryServer) ResourceVersion() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return int64(len(s.events))
 }
 
-// Traffic is how many bytes were sent to all watchers so far, and how many watchers are connected.
-func (b *DiscoveryServer) Traffic() (bytes int64, watchers int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.sent, len(b.conns)
+// Traffic returns how many bytes have been sent to all watches, and how many watches are connected.
+func (s *DiscoveryServer) Traffic() (bytes int64, watchers int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.sent, len(s.conns)
 }
 
-// Disconnect ends the connections of all watchers, which connect again.
-func (b *DiscoveryServer) Disconnect() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for nc := range b.conns {
-		nc.Close()
+// Disconnect closes all watches; the gateways connect again.
+func (s *DiscoveryServer) Disconnect() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for conn := range s.conns {
+		_ = conn.Close()
 	}
 }
 
 // InitialEvents returns the events so far in the form of a gateway's configuration.
-func (b *DiscoveryServer) InitialEvents() map[string]any {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return map[string]any{"no": len(b.events), "items": b.events}
-}
-
-// Close ends it.
-func (b *DiscoveryServer) Close() {
-	b.ln.Close()
-	b.mu.Lock()
-	b.closed = true
-	for nc := range b.conns {
-		nc.Close()
+func (s *DiscoveryServer) InitialEvents() map[string]any {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return map[string]any{"no": len(s.events), "items": s.events}
+}
+
+// Close ends the server and waits for its goroutines.
+func (s *DiscoveryServer) Close() {
+	_ = s.listener.Close()
+	s.mu.Lock()
+	s.closed = true
+	for conn := range s.conns {
+		_ = conn.Close()
 	}
-	b.mu.Unlock()
-	b.done.Wait()
+	s.mu.Unlock()
+	s.goroutines.Wait()
 }
 
-func (b *DiscoveryServer) accept() {
-	defer b.done.Done()
+func (s *DiscoveryServer) accept() {
+	defer s.goroutines.Done()
 	for {
-		nc, err := b.ln.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !b.admit(nc) {
-			nc.Close()
+		if !s.register(conn) {
+			_ = conn.Close()
 			return
 		}
-		go b.serve(nc)
+		go s.serve(conn)
 	}
 }
 
-// admit takes a watcher in; not once the server is closed.
-func (b *DiscoveryServer) admit(nc net.Conn) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.closed {
+// register adds a watch to those that Close ends, unless the server is closed.
+func (s *DiscoveryServer) register(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		return false
 	}
-	b.conns[nc] = true
-	b.done.Add(1)
+	s.conns[conn] = true
+	s.goroutines.Add(1)
 	return true
 }
 
 // serve sends a watch the events after the one it names, all later ones, and each second the latest resource version.
-func (b *DiscoveryServer) serve(nc net.Conn) {
-	defer b.done.Done()
-	defer b.forget(nc)
-	line, err := bufio.NewReader(nc).ReadString('\n')
-	told := 0
-	if _, scanned := fmt.Sscanf(line, "after %d", &told); err != nil || scanned != nil {
+func (s *DiscoveryServer) serve(conn net.Conn) {
+	defer s.goroutines.Done()
+	defer s.unregister(conn)
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	last := 0
+	if _, scanned := fmt.Sscanf(line, "after %d", &last); err != nil || scanned != nil {
 		return
 	}
-	heartbeat := time.NewTicker(heartbeatEvery)
+	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
-		events, changed := b.after(told)
+		events, changed := s.eventsAfter(last)
 		for _, event := range events {
-			if b.write(nc, event) != nil {
+			if s.write(conn, event) != nil {
 				return
 			}
 		}
-		told += len(events)
+		last += len(events)
 		select {
 		case <-changed:
 		case <-heartbeat.C:
-			if b.write(nc, fmt.Appendf(nil, `{"no":%d}`, told)) != nil {
+			if s.write(conn, fmt.Appendf(nil, `{"no":%d}`, last)) != nil {
 				return
 			}
 		}
 	}
 }
 
-func (b *DiscoveryServer) forget(nc net.Conn) {
-	nc.Close()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.conns, nc)
+// unregister closes a watch.
+func (s *DiscoveryServer) unregister(conn net.Conn) {
+	_ = conn.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, conn)
 }
 
-// after is the events behind a number, and what is closed when there are more.
-func (b *DiscoveryServer) after(number int) ([]json.RawMessage, <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.events[min(max(0, number), len(b.events)):], b.changed
+// eventsAfter returns the events after the one with this number, and a channel that is closed when there is another.
+func (s *DiscoveryServer) eventsAfter(number int) ([]json.RawMessage, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.events[min(max(0, number), len(s.events)):], s.changed
 }
 
-// write sends a line.
-func (b *DiscoveryServer) write(nc net.Conn, line []byte) error {
-	nc.SetWriteDeadline(time.Now().Add(watcherPatient))
+// write sends a line to a watch.
+func (s *DiscoveryServer) write(conn net.Conn, line []byte) error {
+	_ = conn.SetWriteDeadline(time.Now().Add(watcherWriteTimeout))
 	parts := net.Buffers{line, []byte("\n")}
-	n, err := parts.WriteTo(nc)
-	b.mu.Lock()
-	b.sent += n
-	b.mu.Unlock()
+	n, err := parts.WriteTo(conn)
+	s.mu.Lock()
+	s.sent += n
+	s.mu.Unlock()
 	return err
 }
--- a/internal/testbed/testfleet/discovery_test.go
+++ b/internal/testbed/testfleet/discovery_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// watcher is a connection that asks for what follows an event.
-func watcher(t *testing.T, b *DiscoveryServer, after int) *bufio.Reader {
+// openWatch returns a watch of the events after a number.
+func openWatch(t *testing.T, server *DiscoveryServer, after int) *bufio.Reader {
 	t.Helper()
-	conn, err := net.Dial("tcp", b.Addr())
+	conn, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,8 +22,8 @@
 	return bufio.NewReader(conn)
 }
 
-// event is the next line that holds an event.
-func event(t *testing.T, lines *bufio.Reader) string {
+// nextEvent returns the next line that holds an event.
+func nextEvent(t *testing.T, lines *bufio.Reader) string {
 	t.Helper()
 	for {
 		line, err := lines.ReadString('\n')
@@ -36,36 +36,36 @@
 	}
 }
 
-// A watcher that reads nothing delays no other; one that was disconnected gets what it missed, the whole list included.
-func TestWatchersAreIndependent(t *testing.T) {
+// A watch that reads nothing delays no other; one that was disconnected gets what it missed, the full list included.
+func TestWatchesAreIndependent(t *testing.T) {
 	engines := make([]Engine, 2000)
 	for i := range engines {
 		engines[i] = Engine{Name: fmt.Sprintf("engine-%d", i), Addr: "127.0.0.1:1", State: "in_service"}
 	}
-	b, err := NewDiscoveryServer(engines)
+	server, err := NewDiscoveryServer(engines)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	watcher(t, b, 0) // never read
-	reading := watcher(t, b, 1)
+	defer server.Close()
+	openWatch(t, server, 0) // never read
+	reading := openWatch(t, server, 1)
 	for range 20 { // more than a socket's buffers hold
-		b.Publish(engines)
+		server.Publish(engines)
 	}
 	for number := 2; number <= 21; number++ {
-		if line := event(t, reading); !strings.HasPrefix(line, fmt.Sprintf(`{"no":%d,`, number)) || strings.Contains(line, `"reset":true`) {
+		if line := nextEvent(t, reading); !strings.HasPrefix(line, fmt.Sprintf(`{"no":%d,`, number)) || strings.Contains(line, `"reset":true`) {
 			t.Fatalf("event %d: %.60s", number, line)
 		}
 	}
-	b.Disconnect()
+	server.Disconnect()
 	for _, err := reading.ReadString('\n'); err == nil; {
 		_, err = reading.ReadString('\n')
 	}
-	b.PublishFull(engines[:1])
-	if line := event(t, watcher(t, b, 21)); !strings.Contains(line, `"no":22`) || !strings.Contains(line, `"reset":true`) {
+	server.PublishFull(engines[:1])
+	if line := nextEvent(t, openWatch(t, server, 21)); !strings.Contains(line, `"no":22`) || !strings.Contains(line, `"reset":true`) {
 		t.Errorf("%.80s", line)
 	}
-	if sent, _ := b.Traffic(); b.ResourceVersion() != 22 || sent == 0 {
-		t.Errorf("last %d, %d bytes", b.ResourceVersion(), sent)
+	if sent, _ := server.Traffic(); server.ResourceVersion() != 22 || sent == 0 {
+		t.Errorf("last %d, %d bytes", server.ResourceVersion(), sent)
 	}
 }
--- a/internal/testbed/testfleet/fleet.go
+++ b/internal/testbed/testfleet/fleet.go
@@ -1,11 +1,8 @@
 package testfleet
 
 import (
-	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -14,58 +11,59 @@
 	"time"
 )
 
-// Options say what fleet to start.
+// Options describe a fleet.
 type Options struct {
-	Gateways int
-	Seed     uint64
-	Dir      string   // for configurations and logs
-	Command  []string // that starts the program
-	Env      []string
-	Interval time.Duration // of the membership protocol; 0 = its default
-	Link     Link          // between any two gateways
-	Engines  []Engine
-	Settings func(gateways, self int) string // the platform's settings object; nil = one class and no engine's figures
-	Operator string                          // further sections of the operator's file, as TOML
-	Others   int                             // members of the fleet beyond Gateways that run elsewhere, at OtherAddrs
-	Sockets  int                             // descriptors that a gateway may use; 0 = 512
-	Bare     bool                            // no operator's file: for programs from before there was membership
+	Gateways       int
+	Seed           uint64
+	Dir            string        // of configurations and logs, which exists
+	Command        []string      // command of a gateway
+	Env            []string      // of the gateways, beside that of this process
+	Interval       time.Duration // of the membership protocol; 0 = its default
+	Link           Link          // between any two gateways
+	Engines        []Engine
+	Settings       func(gateways, self int) string // the platform's settings object, as JSON; nil = defaultSettings
+	Operator       string                          // further sections of the operator's file, as TOML
+	RemoteMembers  int                             // members that the caller runs, at RemoteAddrs
+	MaxDescriptors int                             // descriptors that a gateway may use; 0 = defaultMaxDescriptors
+	Bare           bool                            // no operator's file: for versions of the program without membership
 }
 
-// Fleet is a number of processes of the program, with what they need around them.
+// Fleet runs gateways as processes of the program, with the relay and the discovery server that they need. Its methods may
+// be called by several goroutines, but Reload.
 type Fleet struct {
-	opt       Options
-	Relay     *Relay
-	Discovery *DiscoveryServer
-	gateways  []*gateway
-	operator  string
-	listen    []netip.AddrPort // where datagrams of peers arrive
-	clients   []netip.AddrPort // where clients connect
-	mu        sync.Mutex
-	changes   []StateChange
+	options      Options
+	Relay        *Relay
+	Discovery    *DiscoveryServer
+	gateways     []*gateway
+	operatorFile string
+	peerAddrs    []netip.AddrPort // where datagrams of peers arrive
+	clientAddrs  []netip.AddrPort // where clients connect
+	mu           sync.Mutex
+	changes      []StateChange
 }
 
-// members is how many the membership protocol knows of.
-func (o Options) members() int { return o.Gateways + o.Others }
+// members is how many members the membership protocol knows.
+func (o Options) members() int { return o.Gateways + o.RemoteMembers }
 
-// OtherAddrs is where the members that run elsewhere are to listen for datagrams. What they send to a gateway goes to
-// its face at the relay; among themselves they need no relay.
-func (f *Fleet) OtherAddrs() []netip.AddrPort { return f.listen[f.opt.Gateways:] }
+// RemoteAddrs returns the addresses on which the remote members have to listen for datagrams. They reach a gateway at its
+// face at the relay, and each other directly.
+func (f *Fleet) RemoteAddrs() []netip.AddrPort { return f.peerAddrs[f.options.Gateways:] }
 
-// New prepares a fleet; Start and StartAll start its processes, Close ends them.
+// New starts the relay and the discovery server of a fleet. Start and StartAll start its gateways, and Close ends them all.
 func New(opt Options) (*Fleet, error) {
-	f := &Fleet{opt: opt, operator: filepath.Join(opt.Dir, "operator.toml")}
-	addr := ownAddr(opt.Seed)
-	held, listen, err := hold(addr, opt.members())
+	f := &Fleet{options: opt, operatorFile: filepath.Join(opt.Dir, "operator.toml")}
+	addr := loopbackAddr(opt.Seed)
+	reserved, peerAddrs, err := reservePorts(addr, opt.members())
 	if err != nil {
 		return nil, err
 	}
-	f.listen = listen
-	f.Relay, err = NewRelay(addr, f.listen, opt.Seed)
-	release(held)
+	f.peerAddrs = peerAddrs
+	f.Relay, err = NewRelay(addr, f.peerAddrs, opt.Seed) // takes its own ports while those of the gateways are reserved
+	releasePorts(reserved)
 	if err != nil {
 		return nil, err
 	}
-	if f.clients, err = freePorts(addr, opt.Gateways); err != nil {
+	if f.clientAddrs, err = freePorts(addr, opt.Gateways); err != nil {
 		f.Relay.Close()
 		return nil, err
 	}
@@ -78,7 +76,7 @@
 		return nil, err
 	}
 	if err := f.writeOperator(); err != nil {
-		f.Close()
+		_ = f.Close()
 		return nil, err
 	}
 	for i := range opt.Gateways {
@@ -87,126 +85,49 @@
 	return f, nil
 }
 
-// ownAddr is an address of the loopback network that other programs hardly use: a port that a killed gateway leaves
-// is still free when it starts again.
-func ownAddr(seed uint64) netip.Addr {
-	pid := os.Getpid()
-	return netip.AddrFrom4([4]byte{127, byte(64 + seed%128), byte(pid >> 8), byte(1 + pid%250)})
-}
-
-// hold takes free UDP ports; they are given back when the gateways are to have them.
-func hold(addr netip.Addr, n int) (held []*net.UDPConn, out []netip.AddrPort, err error) {
-	for range n {
-		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
-		if err != nil {
-			release(held)
-			return nil, nil, fmt.Errorf("free port: %w", err)
-		}
-		held = append(held, c)
-		out = append(out, c.LocalAddr().(*net.UDPAddr).AddrPort())
-	}
-	return held, out, nil
-}
-
-// freePorts finds free TCP ports, all held until the last is found.
-func freePorts(addr netip.Addr, n int) (out []netip.AddrPort, err error) {
-	var held []net.Listener
-	defer func() {
-		for _, ln := range held {
-			ln.Close()
-		}
-	}()
-	for range n {
-		ln, err := net.Listen("tcp", netip.AddrPortFrom(addr, 0).String())
-		if err != nil {
-			return nil, fmt.Errorf("free port: %w", err)
-		}
-		held = append(held, ln)
-		out = append(out, ln.Addr().(*net.TCPAddr).AddrPort())
-	}
-	return out, nil
-}
-
-func release(held []*net.UDPConn) {
-	for _, c := range held {
-		c.Close()
-	}
-}
-
-// defaultSockets is how many descriptors a gateway may use.
-const defaultSockets = 512
-
-const settingsOf = `{"classes":[{"name":"lookup","objective":800000000,"give_up":4000000000,"repeat":"retryable","worth":1}],
-"family_info":{"cores_by_kind":[12],"threads_by_class":[1],"is_load":[false]},"models":["m"],"zones":["z"],
-"permissions":{"attempts_cap":4,"cancel":true,"conn_idle":30000000000,"connect_timeout":250000000,"max_open":20000,
-"max_retry_after":500000000,"peer_messages":true},
-"report":{"fields":["queue","inflight"],"via":"answers"},
-"rules":{"answer_slack":20000000,"drain_grace":2000000000,"free_resends":2,"extra_share":0.1,"ratio_span":5000000000},
-"siblings":%d,"self_index":%d,"tick":5000000}`
-
-// config writes the configuration of a gateway, as the platform would at this start.
-func (f *Fleet) config(i int) (string, error) {
-	var peers []string
-	for _, p := range f.Relay.Faces() {
-		peers = append(peers, p.String())
-	}
-	object := fmt.Sprintf(settingsOf, f.opt.members(), i)
-	if f.opt.Settings != nil {
-		object = f.opt.Settings(f.opt.members(), i)
-	}
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", i), "listen": f.clients[i].String(),
-		"seed": fmt.Sprintf("%x", f.opt.Seed*1000+uint64(i)+1), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": cmp.Or(f.opt.Sockets, defaultSockets)},
-		"peer_listen": f.listen[i].String(), "peers": peers, "bulletin": f.Discovery.Addr(), "known": f.Discovery.InitialEvents(),
-		"settings": json.RawMessage(object)})
-	if err != nil {
-		return "", fmt.Errorf("configuration: %w", err)
-	}
-	path := filepath.Join(f.opt.Dir, fmt.Sprintf("n%d.json", i))
-	return path, os.WriteFile(path, text, 0o600)
-}
-
-// Clients are the addresses where clients connect, a gateway each.
+// Clients returns the addresses on which the gateways serve clients, by number.
 func (f *Fleet) Clients() (out []string) {
-	for _, a := range f.clients {
+	for _, a := range f.clientAddrs {
 		out = append(out, a.String())
 	}
 	return out
 }
 
-// Size is how many gateways there are.
+// Size returns the number of gateways.
 func (f *Fleet) Size() int { return len(f.gateways) }
 
-// Configs writes the configurations of all gateways and returns a pattern that names them: for a fleet whose processes
-// something else starts.
+// Configs writes the configurations of all gateways and returns a glob pattern that matches them, for a fleet whose
+// processes a controller starts.
 func (f *Fleet) Configs() (pattern string, err error) {
 	for i := range f.gateways {
 		if _, err := f.config(i); err != nil {
 			return "", err
 		}
 	}
-	return filepath.Join(f.opt.Dir, "n*.json"), nil
+	return filepath.Join(f.options.Dir, "n*.json"), nil
 }
 
-// Start starts a gateway from nothing.
+// Start starts a gateway that does not run.
 func (f *Fleet) Start(i int) error {
 	conf, err := f.config(i)
 	if err != nil {
 		return err
 	}
-	operator := f.operator
-	if f.opt.Bare {
+	operator := f.operatorFile
+	if f.options.Bare {
 		operator = ""
 	}
-	env := append([]string{"GW_CONFIG=" + conf, "FROSTPIER_OPERATOR=" + operator, "GW_LISTEN="}, f.opt.Env...)
-	return f.gateways[i].start(f.opt.Command, env, f.logPath(i), f.opt.members(),
-		func(t StateChange) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.changes = append(f.changes, t)
-		})
+	env := append([]string{"GW_CONFIG=" + conf, "FROSTPIER_OPERATOR=" + operator, "GW_LISTEN="}, f.options.Env...)
+	return f.gateways[i].start(f.options.Command, env, f.logPath(i), f.options.members(), f.recordChange)
 }
 
-// StartAll starts those that do not run and waits until all serve.
+func (f *Fleet) recordChange(change StateChange) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.changes = append(f.changes, change)
+}
+
+// StartAll starts the gateways that do not run and waits until all serve.
 func (f *Fleet) StartAll() error {
 	for i, g := range f.gateways {
 		if up, _, _ := g.state(); !up {
@@ -215,7 +136,7 @@
 			}
 		}
 	}
-	return f.Wait(startPatience, func() error {
+	return f.Wait(startTimeout, func() error {
 		for i, g := range f.gateways {
 			if _, ready, _ := g.state(); !ready {
 				return fmt.Errorf("gateway %d: %w", i, errNotReady)
@@ -225,38 +146,38 @@
 	})
 }
 
-// endPatience bounds the wait for a process that was told to end: a planned stop takes 3.6 s at most.
-const endPatience = 20 * time.Second
+// stopTimeout bounds the wait for a process to end: a graceful shutdown takes 3.6 s at most.
+const stopTimeout = 20 * time.Second
 
-// Kill ends a gateway at once.
+// Kill kills a gateway and waits for its end.
 func (f *Fleet) Kill(i int) error {
 	if err := f.gateways[i].signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	return f.gateways[i].wait(endPatience)
+	return f.gateways[i].waitExit(stopTimeout)
 }
 
-// Term asks a gateway for a planned stop and waits for its end.
+// Term has a gateway shut down gracefully and waits for its end.
 func (f *Fleet) Term(i int) error {
 	if err := f.gateways[i].signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return f.gateways[i].wait(endPatience)
+	return f.gateways[i].waitExit(stopTimeout)
 }
 
-// Pause stops a gateway, Resume lets it go on.
+// Pause stops a gateway with SIGSTOP; see Resume.
 func (f *Fleet) Pause(i int) error { return f.gateways[i].signal(syscall.SIGSTOP) }
 
-// Resume lets a paused gateway go on.
+// Resume continues a paused gateway.
 func (f *Fleet) Resume(i int) error { return f.gateways[i].signal(syscall.SIGCONT) }
 
-// Up reports whether a gateway runs, Paused or not.
+// Up reports whether a gateway runs, paused or not.
 func (f *Fleet) Up(i int) bool {
 	up, _, _ := f.gateways[i].state()
 	return up
 }
 
-// PID is the process of a gateway that runs, or 0.
+// PID returns the process ID of a gateway, or 0 if it does not run.
 func (f *Fleet) PID(i int) int {
 	g := f.gateways[i]
 	g.mu.Lock()
@@ -264,7 +185,7 @@
 	if !g.up {
 		return 0
 	}
-	return g.cmd.Process.Pid
+	return g.process.Process.Pid
 }
 
 // Ready reports whether a gateway runs and serves.
@@ -273,7 +194,7 @@
 	return ready
 }
 
-// EngineList returns the resource version of the list that a gateway holds, and how many engines it lists.
+// EngineList returns the resource version of a gateway's engine list and how many engines it has.
 func (f *Fleet) EngineList(i int) (version int64, engines int) {
 	g := f.gateways[i]
 	g.mu.Lock()
@@ -281,7 +202,7 @@
 	return g.version, g.engines
 }
 
-// View is what a gateway holds of a member: alive, dead or left.
+// View returns a member's state in the view of a gateway: alive, dead or left.
 func (f *Fleet) View(viewer, member int) string {
 	g := f.gateways[viewer]
 	g.mu.Lock()
@@ -292,14 +213,14 @@
 	return g.view[member]
 }
 
-// StateChanges returns what the gateways logged about each other since the mark of an earlier call.
+// StateChanges returns the changes that all gateways have logged from mark on, and the mark to continue from.
 func (f *Fleet) StateChanges(mark int) ([]StateChange, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]StateChange(nil), f.changes[mark:]...), len(f.changes)
 }
 
-// Agreed is nil when every gateway that runs holds each member as it is.
+// Agreed returns nil if the view of every gateway that runs and serves matches the truth.
 func (f *Fleet) Agreed() error {
 	for v, g := range f.gateways {
 		if up, ready, paused := g.state(); !up || !ready || paused {
@@ -314,20 +235,23 @@
 	return nil
 }
 
-// Wait waits until there is no error, and returns the last one if that takes too long.
-func (f *Fleet) Wait(most time.Duration, check func() error) error {
-	for end := time.Now().Add(most); ; time.Sleep(10 * time.Millisecond) {
+// waitInterval is the time between two checks of Wait.
+const waitInterval = 10 * time.Millisecond
+
+// Wait calls check until it returns nil. After the timeout it returns check's last error.
+func (f *Fleet) Wait(timeout time.Duration, check func() error) error {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(waitInterval) {
 		err := check()
 		if err == nil {
 			return nil
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("after %v: %w", most, err)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("after %v: %w", timeout, err)
 		}
 	}
 }
 
-// Alarms are lines of the logs that no run may have: panics, broken invariants, data races.
+// Alarms returns the log lines of failures of the program: panics, broken invariants, data races.
 func (f *Fleet) Alarms() (out []string) {
 	for _, g := range f.gateways {
 		g.mu.Lock()
@@ -337,7 +261,7 @@
 	return out
 }
 
-// Close ends every process that the fleet started, by its id, and all else.
+// Close ends every process that the fleet started, by its process ID, and the relay and the discovery server.
 func (f *Fleet) Close() error {
 	var errs []error
 	for _, g := range f.gateways {
@@ -346,7 +270,7 @@
 		}
 	}
 	for _, g := range f.gateways {
-		errs = append(errs, g.wait(endPatience))
+		errs = append(errs, g.waitExit(stopTimeout))
 	}
 	if f.Discovery != nil {
 		f.Discovery.Close()
@@ -355,9 +279,9 @@
 	return errors.Join(errs...)
 }
 
-// Reload writes another operator's file, with these further sections, and has every gateway that runs read it.
+// Reload replaces the further sections of the operator's file and has every gateway that runs reload it.
 func (f *Fleet) Reload(sections string) error {
-	f.opt.Operator = sections
+	f.options.Operator = sections
 	if err := f.writeOperator(); err != nil {
 		return err
 	}
@@ -371,16 +295,7 @@
 	return nil
 }
 
-// writeOperator writes the operator's file that all gateways share.
-func (f *Fleet) writeOperator() error {
-	text := "[membership]\nfleet = \"rig\"\n"
-	if f.opt.Interval > 0 {
-		text += fmt.Sprintf("interval_ms = %d\n", f.opt.Interval.Milliseconds())
-	}
-	return os.WriteFile(f.operator, []byte(text+f.opt.Operator), 0o600)
-}
-
-// Log is what a gateway has logged so far.
+// Log returns what a gateway has logged so far; "" where it has no log.
 func (f *Fleet) Log(i int) string {
 	text, err := os.ReadFile(f.logPath(i))
 	if err != nil {
@@ -389,4 +304,4 @@
 	return string(text)
 }
 
-func (f *Fleet) logPath(i int) string { return filepath.Join(f.opt.Dir, fmt.Sprintf("n%d.log", i)) }
+func (f *Fleet) logPath(i int) string { return filepath.Join(f.options.Dir, fmt.Sprintf("n%d.log", i)) }
--- /dev/null
+++ b/internal/testbed/testfleet/play.go
@@ -0,0 +1,207 @@
+package testfleet
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// Result is the result of a step.
+type Result struct {
+	Step, Do      string
+	Gateways      int             // affected, over all repeats
+	FirstDetected []time.Duration // from the fault until the first other gateway logged it, sorted
+	AllDetected   []time.Duration // from then until all that run had, sorted
+	FalseDeaths   int             // distinct members declared dead by unaffected gateways though they ran, unaffected too
+	Converged     []time.Duration // from the end of the fault until all views matched the truth, sorted
+	Datagrams     float64         // a second that a gateway sent
+	Bytes         float64         // of datagrams a second that a gateway sent
+	Duration      time.Duration
+}
+
+// convergenceTimeout bounds every wait until the views of all gateways agree.
+const convergenceTimeout = 5 * time.Minute
+
+// Play plays a scenario on a fleet whose gateways all serve, and calls note after each step. After an error it returns the
+// results of the steps before.
+func (f *Fleet) Play(s Scenario, note func(string)) ([]Result, error) {
+	random := rand.New(rand.NewPCG(s.Seed, 9))
+	var out []Result
+	if err := f.Wait(convergenceTimeout, f.Agreed); err != nil {
+		return nil, fmt.Errorf("at the start: %w", err)
+	}
+	for i, step := range s.Steps {
+		r, err := f.playStep(step, random)
+		if err != nil {
+			return out, fmt.Errorf("step %d, %s: %w", i+1, step.Do, err)
+		}
+		r.Step = fmt.Sprint(i + 1)
+		out = append(out, r)
+		note(fmt.Sprintf("step %d, %s: %d gateways, %v", i+1, step.Do, r.Gateways, r.Duration.Round(time.Second)))
+	}
+	return out, nil
+}
+
+// playStep plays a step as often as it says.
+func (f *Fleet) playStep(step Step, random *rand.Rand) (Result, error) {
+	r := Result{Do: step.Do}
+	start := time.Now()
+	datagramsBefore, bytesBefore := f.trafficSent()
+	for range max(1, step.Repeat) {
+		if err := f.playOnce(step, step.pick(f.Size(), random), &r); err != nil {
+			return r, err
+		}
+	}
+	datagrams, bytes := f.trafficSent()
+	r.Duration = time.Since(start)
+	gatewaySeconds := r.Duration.Seconds() * float64(f.Size())
+	r.Datagrams = float64(datagrams-datagramsBefore) / gatewaySeconds
+	r.Bytes = float64(bytes-bytesBefore) / gatewaySeconds
+	slices.Sort(r.FirstDetected)
+	slices.Sort(r.AllDetected)
+	slices.Sort(r.Converged)
+	return r, nil
+}
+
+// trafficSent is how many datagrams and bytes all gateways have sent.
+func (f *Fleet) trafficSent() (datagrams, bytes int) {
+	for i := range f.Size() {
+		d, b := f.Relay.Sent(i)
+		datagrams, bytes = datagrams+d, bytes+b
+	}
+	return datagrams, bytes
+}
+
+// fault is a fault whose detection by the gateways is measured.
+type fault struct {
+	affected []int
+	start    time.Time // zero = only false deaths are counted
+	mark     int       // of the state changes logged before
+}
+
+// playOnce injects a step's fault once and waits until the views of all gateways agree.
+func (f *Fleet) playOnce(step Step, affected []int, r *Result) error {
+	if step.Do == DoQuiet {
+		affected = nil
+	}
+	r.Gateways += len(affected)
+	current := fault{affected: affected}
+	_, current.mark = f.StateChanges(0)
+	current.start = time.Now()
+	if step.Do == DoKill || step.Do == DoTerm {
+		if err := f.stop(step.Do, current, r); err != nil {
+			return err
+		}
+		current.start = time.Time{} // the changes logged from here on belong to the restart
+		_, current.mark = f.StateChanges(0)
+		if err := f.StartAll(); err != nil {
+			return err
+		}
+	} else if err := f.inject(step, affected); err != nil {
+		return err
+	}
+	healed := time.Now()
+	err := f.Wait(convergenceTimeout, f.Agreed)
+	r.Converged = append(r.Converged, time.Since(healed))
+	if err != nil {
+		return err
+	}
+	f.recordDetections(current, r)
+	return nil
+}
+
+// stop ends the affected gateways, waits until the others agree on that, and records how they detected it.
+func (f *Fleet) stop(action string, current fault, r *Result) error {
+	end := f.Kill
+	if action == DoTerm {
+		end = f.Term
+	}
+	if err := forEach(current.affected, end); err != nil {
+		return err
+	}
+	if err := f.Wait(convergenceTimeout, f.Agreed); err != nil {
+		return err
+	}
+	f.recordDetections(current, r)
+	return nil
+}
+
+// inject injects a fault for the time of the step, and removes it. A network without a time stays.
+func (f *Fleet) inject(step Step, affected []int) error {
+	duration := time.Duration(step.ForS * float64(time.Second))
+	switch step.Do {
+	case DoPause:
+		if err := forEach(affected, f.Pause); err != nil {
+			return err
+		}
+		time.Sleep(duration)
+		return forEach(affected, f.Resume)
+	case DoNetwork:
+		f.Relay.Usual(step.Network.Link())
+		time.Sleep(duration)
+		if duration > 0 {
+			f.Relay.Usual(f.options.Link)
+		}
+	case DoQuiet:
+		time.Sleep(duration)
+	default:
+		for _, i := range affected {
+			f.dropDatagrams(step, i)
+		}
+		time.Sleep(duration)
+		f.Relay.Heal()
+	}
+	return nil
+}
+
+// dropDatagrams has the relay drop those datagrams of a gateway that the step's action names.
+func (f *Fleet) dropDatagrams(step Step, gateway int) {
+	switch step.Do {
+	case DoDropInbound:
+		f.Relay.DropInbound(gateway, true)
+	case DoDropOutbound:
+		f.Relay.DropOutbound(gateway, true)
+	case DoCut:
+		f.Relay.Set(step.From, gateway, Link{Cut: true})
+	case DoSplit:
+		f.Relay.Side(gateway, 1)
+	}
+}
+
+// forEach calls do for each gateway until one fails.
+func forEach(gateways []int, do func(i int) error) error {
+	for _, i := range gateways {
+		if err := do(i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// recordDetections adds to the result what the gateways have logged since the fault.
+func (f *Fleet) recordDetections(current fault, r *Result) {
+	changes, _ := f.StateChanges(current.mark)
+	first, last := map[int]time.Time{}, map[int]time.Time{}
+	falseDeaths := map[int]bool{}
+	for _, change := range changes {
+		switch {
+		case change.Is == "alive":
+		case slices.Contains(current.affected, change.Member):
+			if first[change.Member].IsZero() {
+				first[change.Member] = change.At
+			}
+			last[change.Member] = change.At
+		case change.Is == "dead" && !slices.Contains(current.affected, change.Viewer):
+			falseDeaths[change.Member] = true
+		}
+	}
+	r.FalseDeaths += len(falseDeaths)
+	if current.start.IsZero() {
+		return
+	}
+	for member, at := range first {
+		r.FirstDetected = append(r.FirstDetected, at.Sub(current.start))
+		r.AllDetected = append(r.AllDetected, last[member].Sub(at))
+	}
+}
--- /dev/null
+++ b/internal/testbed/testfleet/ports.go
@@ -0,0 +1,54 @@
+package testfleet
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"os"
+)
+
+// loopbackAddr is an address of the loopback network that other programs hardly use, so that the port of a killed gateway
+// is still free when it starts again.
+func loopbackAddr(seed uint64) netip.Addr {
+	pid := os.Getpid()
+	return netip.AddrFrom4([4]byte{127, byte(64 + seed%128), byte(pid >> 8), byte(1 + pid%250)})
+}
+
+// reservePorts opens sockets on n free UDP ports. releasePorts frees them for the gateways that are to listen there.
+func reservePorts(addr netip.Addr, n int) (reserved []*net.UDPConn, out []netip.AddrPort, err error) {
+	for range n {
+		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
+		if err != nil {
+			releasePorts(reserved)
+			return nil, nil, fmt.Errorf("free port: %w", err)
+		}
+		reserved = append(reserved, conn)
+		out = append(out, conn.LocalAddr().(*net.UDPAddr).AddrPort())
+	}
+	return reserved, out, nil
+}
+
+// freePorts finds n free TCP ports. It keeps each open until it has found the last, so that none comes twice.
+func freePorts(addr netip.Addr, n int) (out []netip.AddrPort, err error) {
+	var reserved []net.Listener
+	defer func() {
+		for _, ln := range reserved {
+			_ = ln.Close()
+		}
+	}()
+	for range n {
+		ln, err := net.Listen("tcp", netip.AddrPortFrom(addr, 0).String())
+		if err != nil {
+			return nil, fmt.Errorf("free port: %w", err)
+		}
+		reserved = append(reserved, ln)
+		out = append(out, ln.Addr().(*net.TCPAddr).AddrPort())
+	}
+	return out, nil
+}
+
+func releasePorts(reserved []*net.UDPConn) {
+	for _, conn := range reserved {
+		_ = conn.Close()
+	}
+}
--- a/internal/testbed/testfleet/relay.go
+++ b/internal/testbed/testfleet/relay.go
@@ -1,6 +1,3 @@
-// Package testfleet starts many processes of the program on loopback, with a stand-in discovery server and a relay between every
-// ordered pair of gateways, and injects faults: into the processes by signals, between them by the relay. The tests
-// and cmd/fleettest use it.
 package testfleet
 
 import (
@@ -13,46 +10,54 @@
 	"time"
 )
 
-// Link says what becomes of the datagrams of one ordered pair of gateways.
+// Link describes the network from one gateway to another.
 type Link struct {
-	Cut      bool
-	Loss     float64       // share that is lost
-	Double   float64       // share that arrives twice
-	DelayMin time.Duration // delays are drawn evenly between the two, so datagrams overtake each other
+	Cut      bool          // nothing arrives
+	Loss     float64       // share of datagrams lost
+	Double   float64       // share of datagrams duplicated
+	DelayMin time.Duration // delays are uniform between the two, so that datagrams are reordered
 	DelayMax time.Duration
 }
 
-// Relay passes datagrams between gateways. Each gateway has one face, an address of the relay's: the others' peers
-// name it, and what the gateway sends arrives at them from it. So there is one socket a gateway, and what becomes of
-// a datagram is set for each ordered pair: its receiver is the face that it came to, its sender the address it came
-// from.
+// Relay forwards datagrams between gateways. Each gateway has one face: the relay's address that the other gateways know it
+// by, and from which its datagrams arrive at them. So one socket for each gateway is enough to tell the ordered pair of a
+// datagram: the receiver by the face that it came to, the sender by the address that it came from.
 type Relay struct {
-	faces        []*net.UDPConn
-	behind       []netip.AddrPort // where each gateway listens
-	byAddr       map[netip.AddrPort]int
-	mu           sync.Mutex
-	usual        Link
-	links        map[[2]int]Link
-	dropInbound  map[int]bool
-	dropOutbound map[int]bool
-	side         map[int]int
-	rnd          *rand.Rand
-	sent         []int
-	bytes        []int
-	arrived      []int // bytes passed on to each gateway
-	longest      int
-	foreign      int
-	done         sync.WaitGroup
+	faces            []*net.UDPConn
+	gatewayAddrs     []netip.AddrPort // on which each gateway listens
+	gatewayByAddr    map[netip.AddrPort]int
+	mu               sync.Mutex
+	defaultLink      Link
+	links            map[[2]int]Link
+	dropInbound      map[int]bool
+	dropOutbound     map[int]bool
+	side             map[int]int
+	random           *rand.Rand
+	sentDatagrams    []int
+	sentBytes        []int
+	deliveredBytes   []int // bytes forwarded to each gateway
+	longestDatagram  int
+	foreignDatagrams int
+	goroutines       sync.WaitGroup
 }
 
-// NewRelay opens a face for each gateway, at an address of the loopback network.
-func NewRelay(addr netip.Addr, behind []netip.AddrPort, seed uint64) (*Relay, error) {
-	r := &Relay{behind: behind, byAddr: map[netip.AddrPort]int{}, links: map[[2]int]Link{}, dropInbound: map[int]bool{},
-		dropOutbound: map[int]bool{}, side: map[int]int{}, rnd: rand.New(rand.NewPCG(seed, 5)),
-		sent: make([]int, len(behind)), bytes: make([]int, len(behind)),
-		arrived: make([]int, len(behind))}
-	for i, b := range behind {
-		r.byAddr[b] = i
+// NewRelay opens a face for each gateway on free ports of addr and forwards datagrams until Close. The seed decides losses,
+// duplicates and delays.
+func NewRelay(addr netip.Addr, gatewayAddrs []netip.AddrPort, seed uint64) (*Relay, error) {
+	r := &Relay{
+		gatewayAddrs:   gatewayAddrs,
+		gatewayByAddr:  map[netip.AddrPort]int{},
+		links:          map[[2]int]Link{},
+		dropInbound:    map[int]bool{},
+		dropOutbound:   map[int]bool{},
+		side:           map[int]int{},
+		random:         rand.New(rand.NewPCG(seed, 5)),
+		sentDatagrams:  make([]int, len(gatewayAddrs)),
+		sentBytes:      make([]int, len(gatewayAddrs)),
+		deliveredBytes: make([]int, len(gatewayAddrs)),
+	}
+	for i, gatewayAddr := range gatewayAddrs {
+		r.gatewayByAddr[gatewayAddr] = i
 		face, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
 		if err != nil {
 			r.Close()
@@ -61,13 +66,13 @@
 		r.faces = append(r.faces, face)
 	}
 	for i, face := range r.faces {
-		r.done.Add(1)
-		go r.read(i, face)
+		r.goroutines.Add(1)
+		go r.receive(i, face)
 	}
 	return r, nil
 }
 
-// Faces are the addresses that the gateways' configurations name as peers.
+// Faces returns the face of each gateway: the peers in the gateways' configurations.
 func (r *Relay) Faces() (out []netip.AddrPort) {
 	for _, f := range r.faces {
 		out = append(out, f.LocalAddr().(*net.UDPAddr).AddrPort())
@@ -75,32 +80,32 @@
 	return out
 }
 
-// Close ends the relay.
+// Close closes the faces and waits for the relay's goroutines.
 func (r *Relay) Close() {
 	for _, f := range r.faces {
-		f.Close()
+		_ = f.Close()
 	}
-	r.done.Wait()
+	r.goroutines.Wait()
 }
 
-// Usual sets what becomes of datagrams of pairs that nothing else is set for.
-func (r *Relay) Usual(l Link) { r.with(func() { r.usual = l }) }
+// Usual sets the link of all pairs for which Set has set none.
+func (r *Relay) Usual(l Link) { r.locked(func() { r.defaultLink = l }) }
 
-// Set sets what becomes of the datagrams from one gateway to another.
-func (r *Relay) Set(from, to int, l Link) { r.with(func() { r.links[[2]int{from, to}] = l }) }
+// Set sets the link from one gateway to another.
+func (r *Relay) Set(from, to int, l Link) { r.locked(func() { r.links[[2]int{from, to}] = l }) }
 
-// DropInbound drops all datagrams to a gateway, or ends that.
-func (r *Relay) DropInbound(i int, on bool) { r.with(func() { r.dropInbound[i] = on }) }
+// DropInbound starts or stops dropping all datagrams to a gateway.
+func (r *Relay) DropInbound(i int, on bool) { r.locked(func() { r.dropInbound[i] = on }) }
 
-// DropOutbound drops all datagrams of a gateway, or ends that.
-func (r *Relay) DropOutbound(i int, on bool) { r.with(func() { r.dropOutbound[i] = on }) }
+// DropOutbound starts or stops dropping all datagrams from a gateway.
+func (r *Relay) DropOutbound(i int, on bool) { r.locked(func() { r.dropOutbound[i] = on }) }
 
-// Side puts a gateway on a side of a split: nothing passes between sides.
-func (r *Relay) Side(i, side int) { r.with(func() { r.side[i] = side }) }
+// Side puts a gateway on a side of a network partition, across which nothing passes. All start on side 0.
+func (r *Relay) Side(i, side int) { r.locked(func() { r.side[i] = side }) }
 
-// Heal takes every fault between gateways back but the usual ones.
+// Heal removes all faults but those of the link that Usual has set.
 func (r *Relay) Heal() {
-	r.with(func() {
+	r.locked(func() {
 		clear(r.links)
 		clear(r.dropInbound)
 		clear(r.dropOutbound)
@@ -108,82 +113,104 @@
 	})
 }
 
-// Sent is how many datagrams and bytes a gateway sent to the others so far.
+// Sent returns how many datagrams and bytes a gateway has sent to the others.
 func (r *Relay) Sent(i int) (datagrams, bytes int) {
-	r.with(func() { datagrams, bytes = r.sent[i], r.bytes[i] })
+	r.locked(func() { datagrams, bytes = r.sentDatagrams[i], r.sentBytes[i] })
 	return datagrams, bytes
 }
 
-// Arrived is how many bytes of datagrams were passed on to a gateway so far.
-func (r *Relay) Arrived(i int) (bytes int) {
-	r.with(func() { bytes = r.arrived[i] })
+// DeliveredBytes returns how many bytes of datagrams have been forwarded to a gateway.
+func (r *Relay) DeliveredBytes(i int) (bytes int) {
+	r.locked(func() { bytes = r.deliveredBytes[i] })
 	return bytes
 }
 
-// Longest is the length of the longest datagram seen, and Foreign how many came from no gateway.
+// Longest returns the length of the longest datagram, in bytes, and how many datagrams came from no gateway.
 func (r *Relay) Longest() (longest, foreign int) {
-	r.with(func() { longest, foreign = r.longest, r.foreign })
+	r.locked(func() { longest, foreign = r.longestDatagram, r.foreignDatagrams })
 	return longest, foreign
 }
 
-func (r *Relay) with(f func()) {
+// locked calls do with the lock held.
+func (r *Relay) locked(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f()
+	do()
 }
 
-func (r *Relay) read(to int, face *net.UDPConn) {
-	defer r.done.Done()
-	buf := make([]byte, 2048)
+// maxDatagram bounds a datagram, in bytes; gateways send far shorter ones.
+const maxDatagram = 2048
+
+// receive reads the datagrams that come to a gateway's face until Close.
+func (r *Relay) receive(to int, face *net.UDPConn) {
+	defer r.goroutines.Done()
+	buf := make([]byte, maxDatagram)
 	for {
 		n, addr, err := face.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an answer that a gateway is not there
+			continue // an ICMP message that a gateway does not listen
 		}
-		r.pass(netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()), to, append([]byte(nil), buf[:n]...))
+		sender := netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
+		r.forward(sender, to, append([]byte(nil), buf[:n]...))
 	}
 }
 
-// pass decides on a datagram, and has it arrive in its time.
-func (r *Relay) pass(addr netip.AddrPort, to int, b []byte) {
+// forward counts a datagram and delivers it, or not, as its link says.
+func (r *Relay) forward(sender netip.AddrPort, to int, datagram []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	from, known := r.byAddr[addr]
+	from, known := r.gatewayByAddr[sender]
 	if !known {
-		r.foreign++
+		r.foreignDatagrams++
 		return
 	}
-	r.sent[from]++
-	r.bytes[from] += len(b)
-	r.longest = max(r.longest, len(b))
-	link, set := r.links[[2]int{from, to}]
-	if !set {
-		link = r.usual
-	}
-	if link.Cut || r.dropInbound[to] || r.dropOutbound[from] || r.side[from] != r.side[to] {
+	r.sentDatagrams[from]++
+	r.sentBytes[from] += len(datagram)
+	r.longestDatagram = max(r.longestDatagram, len(datagram))
+	link := r.link(from, to)
+	if link.Cut {
 		return
 	}
 	copies := 1
-	if r.rnd.Float64() < link.Double {
+	if r.random.Float64() < link.Double {
 		copies = 2
 	}
 	for range copies {
-		if r.rnd.Float64() < link.Loss {
+		if r.random.Float64() < link.Loss {
 			continue
 		}
-		delay := link.DelayMin
-		if link.DelayMax > link.DelayMin {
-			delay += time.Duration(r.rnd.Int64N(int64(link.DelayMax - link.DelayMin)))
-		}
-		r.arrived[to] += len(b)
-		arrive := func() { r.faces[from].WriteToUDPAddrPort(b, r.behind[to]) }
-		if delay <= 0 {
-			arrive()
-		} else {
-			time.AfterFunc(delay, arrive)
-		}
+		r.deliveredBytes[to] += len(datagram)
+		r.deliver(from, to, datagram, r.delay(link))
+	}
+}
+
+// link is the link of a pair with all faults; the lock is held.
+func (r *Relay) link(from, to int) Link {
+	link, set := r.links[[2]int{from, to}]
+	if !set {
+		link = r.defaultLink
+	}
+	link.Cut = link.Cut || r.dropInbound[to] || r.dropOutbound[from] || r.side[from] != r.side[to]
+	return link
+}
+
+// delay draws the delay of a datagram; the lock is held.
+func (r *Relay) delay(link Link) time.Duration {
+	if link.DelayMax <= link.DelayMin {
+		return link.DelayMin
+	}
+	return link.DelayMin + time.Duration(r.random.Int64N(int64(link.DelayMax-link.DelayMin)))
+}
+
+// deliver sends a datagram to its receiver, from the sender's face. A failed write is a lost datagram.
+func (r *Relay) deliver(from, to int, datagram []byte, delay time.Duration) {
+	write := func() { _, _ = r.faces[from].WriteToUDPAddrPort(datagram, r.gatewayAddrs[to]) }
+	if delay <= 0 {
+		write()
+		return
 	}
+	time.AfterFunc(delay, write)
 }
--- a/internal/testbed/testfleet/scenario.go
+++ b/internal/testbed/testfleet/scenario.go
@@ -1,7 +1,6 @@
 package testfleet
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -10,7 +9,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Scenario is an experiment with a fleet: a network, and steps that follow each other.
+// Scenario is an experiment with a fleet: a network, and steps that are played one after the other.
 type Scenario struct {
 	Name       string  `toml:"name"`
 	Seed       uint64  `toml:"seed"`
@@ -20,33 +19,32 @@
 	Steps      []Step  `toml:"step"`
 }
 
-// Network says what becomes of datagrams between any two gateways.
+// Network describes the link between any two gateways.
 type Network struct {
-	Loss    float64  `toml:"loss"`
-	Double  float64  `toml:"double"`
-	DelayMS [2]int64 `toml:"delay_ms"` // from, to
+	Loss    float64  `toml:"loss"`     // share of datagrams lost
+	Double  float64  `toml:"double"`   // share of datagrams duplicated
+	DelayMS [2]int64 `toml:"delay_ms"` // shortest, longest
 }
 
-// Link is the network as the relay takes it.
+// Link returns the link that the relay uses.
 func (n Network) Link() Link {
 	return Link{Loss: n.Loss, Double: n.Double, DelayMin: time.Duration(n.DelayMS[0]) * time.Millisecond,
 		DelayMax: time.Duration(n.DelayMS[1]) * time.Millisecond}
 }
 
-// Step is one thing to do. Which gateways it concerns is named, or a count or a share is drawn by the seed from those
-// that run.
+// Step is one action. It names the gateways that it affects, or their number or share, of which the seed draws them.
 type Step struct {
-	Do       string   `toml:"do"` // see Actions
+	Do       string   `toml:"do"` // one of the actions below
 	Gateways []int    `toml:"gateways"`
 	Count    int      `toml:"count"`
 	Share    float64  `toml:"share"`
-	From     int      `toml:"from"` // of cut: what From sends does not arrive at Gateways
-	ForS     float64  `toml:"for_s"`
-	Repeat   int      `toml:"repeat"` // 0 = once
-	Network  *Network `toml:"network"`
+	From     int      `toml:"from"`    // of the action cut: the sender whose datagrams are dropped
+	ForS     float64  `toml:"for_s"`   // seconds
+	Repeat   int      `toml:"repeat"`  // times; 0 = once
+	Network  *Network `toml:"network"` // of the action network
 }
 
-// Actions are what a step can do.
+// Actions of a step.
 const (
 	DoKill         = "kill"          // SIGKILL; waits until all views agree, then starts them again and waits once more
 	DoTerm         = "term"          // SIGTERM, likewise
@@ -59,227 +57,135 @@
 	DoQuiet        = "quiet"         // nothing happens for for_s
 )
 
-var errScenario = errors.New("scenario")
+// Bounds of a scenario.
+const (
+	minGateways = 2
+	maxGateways = 1000
+	maxDelayMS  = 10_000
+	maxRepeat   = 1000
+)
+
+// ScenarioError is a value of a scenario that is out of bounds, or a key that is unknown.
+type ScenarioError struct {
+	Step  int    // from 1; 0 = the key is outside of the steps
+	Key   string // as in the file; keys of a table stand behind its name, as in network.loss
+	Value any    // nil for an unknown key
+	Bound string // what the value has to be
+}
+
+// Error names the step, the key, the value and the bound.
+func (e *ScenarioError) Error() string {
+	where := "scenario"
+	if e.Step > 0 {
+		where = fmt.Sprintf("scenario: step %d", e.Step)
+	}
+	if e.Value == nil {
+		return fmt.Sprintf("%s: %s: %s", where, e.Key, e.Bound)
+	}
+	return fmt.Sprintf("%s: %s: %v is not %s", where, e.Key, e.Value, e.Bound)
+}
 
-// ParseScenario reads a scenario and checks it whole.
+// ParseScenario parses a scenario and validates it. It returns a *ScenarioError for an unknown key or a value out of
+// bounds, and the decoder's error for text that is not TOML.
 func ParseScenario(text []byte) (Scenario, error) {
 	var s Scenario
 	meta, err := toml.Decode(string(text), &s)
 	if err != nil {
-		return s, fmt.Errorf("%w: %w", errScenario, err)
+		return s, fmt.Errorf("scenario: %w", err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return s, fmt.Errorf("%w: unknown key %v", errScenario, unknown[0])
+		return s, &ScenarioError{Key: unknown[0].String(), Bound: "unknown key"}
 	}
-	if s.Gateways < 2 || s.Gateways > 1000 {
-		return s, fmt.Errorf("%w: gateways: %d is not between 2 and 1000", errScenario, s.Gateways)
+	return s, s.validate()
+}
+
+func (s Scenario) validate() error {
+	if s.Gateways < minGateways || s.Gateways > maxGateways {
+		return &ScenarioError{Key: "gateways", Value: s.Gateways, Bound: fmt.Sprintf("between %d and %d", minGateways, maxGateways)}
 	}
-	if err := s.Network.check(); err != nil {
-		return s, fmt.Errorf("%w: network: %w", errScenario, err)
+	if err := s.Network.validate(); err != nil {
+		return err
 	}
 	if len(s.Steps) == 0 {
-		return s, fmt.Errorf("%w: it has no step", errScenario)
+		return &ScenarioError{Key: "step", Bound: "there is none"}
 	}
 	for i, step := range s.Steps {
-		if err := step.check(s.Gateways); err != nil {
-			return s, fmt.Errorf("%w: step %d: %w", errScenario, i+1, err)
+		if err := step.validate(s.Gateways); err != nil {
+			err.Step = i + 1
+			return err
 		}
 	}
-	return s, nil
+	return nil
 }
 
-func (n Network) check() error {
+// validate returns nil for a valid network. The concrete type lets a step add its number.
+func (n Network) validate() *ScenarioError {
 	switch {
 	case n.Loss < 0 || n.Loss >= 1:
-		return fmt.Errorf("loss: %v is no share under 1", n.Loss)
+		return &ScenarioError{Key: "network.loss", Value: n.Loss, Bound: "a share below 1"}
 	case n.Double < 0 || n.Double > 1:
-		return fmt.Errorf("double: %v is no share", n.Double)
-	case n.DelayMS[0] < 0 || n.DelayMS[1] < n.DelayMS[0] || n.DelayMS[1] > 10_000:
-		return fmt.Errorf("delay_ms: %v", n.DelayMS)
+		return &ScenarioError{Key: "network.double", Value: n.Double, Bound: "a share up to 1"}
+	case n.DelayMS[0] < 0 || n.DelayMS[1] < n.DelayMS[0] || n.DelayMS[1] > maxDelayMS:
+		return &ScenarioError{Key: "network.delay_ms", Value: n.DelayMS, Bound: fmt.Sprintf("a range within 0 and %d", maxDelayMS)}
 	}
 	return nil
 }
 
-func (s Step) check(gateways int) error {
-	lasting := []string{DoPause, DoDropInbound, DoDropOutbound, DoCut, DoSplit, DoQuiet}
-	known := append([]string{DoKill, DoTerm, DoNetwork}, lasting...)
+// Actions that need a time, and those that do not.
+var (
+	timedActions   = []string{DoPause, DoDropInbound, DoDropOutbound, DoCut, DoSplit, DoQuiet}
+	untimedActions = []string{DoKill, DoTerm, DoNetwork}
+)
+
+// validate checks a step of a scenario with so many gateways.
+func (s Step) validate(gateways int) *ScenarioError {
+	if err := s.validateAction(); err != nil {
+		return err
+	}
+	if err := s.validateSelection(gateways); err != nil {
+		return err
+	}
 	switch {
-	case !slices.Contains(known, s.Do):
-		return fmt.Errorf("do: %q is none of %v", s.Do, known)
-	case slices.ContainsFunc(s.Gateways, func(i int) bool { return i < 0 || i >= gateways }) || s.From < 0 || s.From >= gateways:
-		return fmt.Errorf("gateways and from: numbers from 0 to %d", gateways-1)
-	case s.Count < 0 || s.Count >= gateways || s.Share < 0 || s.Share >= 1:
-		return fmt.Errorf("count %d, share %v: some have to be left", s.Count, s.Share)
-	case slices.Contains(lasting, s.Do) && !(s.ForS > 0):
-		return fmt.Errorf("for_s: %s needs a time", s.Do)
-	case s.Repeat < 0 || s.Repeat > 1000:
-		return fmt.Errorf("repeat: %d", s.Repeat)
+	case slices.Contains(timedActions, s.Do) && !(s.ForS > 0):
+		return &ScenarioError{Key: "for_s", Value: s.ForS, Bound: "above 0, as " + s.Do + " needs"}
+	case s.Repeat < 0 || s.Repeat > maxRepeat:
+		return &ScenarioError{Key: "repeat", Value: s.Repeat, Bound: fmt.Sprintf("between 0 and %d", maxRepeat)}
 	case s.Do == DoNetwork && s.Network == nil:
-		return fmt.Errorf("network: it is missing")
+		return &ScenarioError{Key: "network", Bound: "missing"}
 	case s.Network != nil:
-		return s.Network.check()
+		return s.Network.validate()
 	}
 	return nil
 }
 
-// pick draws the gateways of a step.
-func (s Step) pick(n int, rnd *rand.Rand) []int {
-	if len(s.Gateways) > 0 {
-		return s.Gateways
-	}
-	count := max(1, s.Count, int(s.Share*float64(n)))
-	return rnd.Perm(n)[:count]
-}
-
-// Result is what came of a step.
-type Result struct {
-	Step, Do  string
-	Gateways  int             // concerned, over all repeats
-	First     []time.Duration // from the fault until the first other gateway told of it, sorted
-	All       []time.Duration // from then until all running ones had, sorted
-	False     int             // distinct members declared dead that ran, were not concerned, and by one not concerned
-	Agreed    []time.Duration // from the end of the fault until all views matched the truth, sorted
-	Datagrams float64         // sent by a gateway in a second, over the step
-	Bytes     float64
-	Took      time.Duration
-}
-
-// agreeMost bounds every wait for agreement.
-const agreeMost = 5 * time.Minute
-
-// Play plays a scenario on a fleet whose gateways all serve. note is told what goes on.
-func (f *Fleet) Play(s Scenario, note func(string)) ([]Result, error) {
-	rnd := rand.New(rand.NewPCG(s.Seed, 9))
-	var out []Result
-	if err := f.Wait(agreeMost, f.Agreed); err != nil {
-		return nil, fmt.Errorf("at the start: %w", err)
-	}
-	for i, step := range s.Steps {
-		r := Result{Step: fmt.Sprint(i + 1), Do: step.Do}
-		began := time.Now()
-		datagrams, bytes := f.sentAll()
-		for range max(1, step.Repeat) {
-			if err := f.playStep(step, step.pick(f.Size(), rnd), &r); err != nil {
-				return out, fmt.Errorf("step %d, %s: %w", i+1, step.Do, err)
-			}
-		}
-		d, b := f.sentAll()
-		r.Took = time.Since(began)
-		per := r.Took.Seconds() * float64(f.Size())
-		r.Datagrams, r.Bytes = float64(d-datagrams)/per, float64(b-bytes)/per
-		slices.Sort(r.First)
-		slices.Sort(r.All)
-		slices.Sort(r.Agreed)
-		out = append(out, r)
-		note(fmt.Sprintf("step %d, %s: %d gateways, %v", i+1, step.Do, r.Gateways, r.Took.Round(time.Second)))
-	}
-	return out, nil
-}
-
-func (f *Fleet) sentAll() (datagrams, bytes int) {
-	for i := range f.Size() {
-		d, b := f.Relay.Sent(i)
-		datagrams, bytes = datagrams+d, bytes+b
+func (s Step) validateAction() *ScenarioError {
+	if known := slices.Concat(untimedActions, timedActions); !slices.Contains(known, s.Do) {
+		return &ScenarioError{Key: "do", Value: fmt.Sprintf("%q", s.Do), Bound: fmt.Sprintf("one of %v", known)}
 	}
-	return datagrams, bytes
+	return nil
 }
 
-func (f *Fleet) playStep(step Step, picked []int, r *Result) error {
-	_, mark := f.StateChanges(0)
-	if step.Do == DoQuiet {
-		picked = nil
-	}
-	r.Gateways += len(picked)
-	lasts := time.Duration(step.ForS * float64(time.Second))
-	each := func(do func(i int) error) error {
-		for _, i := range picked {
-			if err := do(i); err != nil {
-				return err
-			}
-		}
-		return nil
-	}
-	began := time.Now()
-	var err error
-	switch step.Do {
-	case DoKill, DoTerm:
-		end := f.Kill
-		if step.Do == DoTerm {
-			end = f.Term
-		}
-		if err = each(end); err == nil {
-			err = f.Wait(agreeMost, f.Agreed)
-		}
-		f.tally(mark, began, picked, r)
-		_, mark = f.StateChanges(0)
-		began = time.Time{} // what is told from here on is of the starts
-		if err == nil {
-			err = f.StartAll()
-		}
-	case DoPause:
-		if err = each(f.Pause); err == nil {
-			time.Sleep(lasts)
-			err = each(f.Resume)
-		}
-	case DoDropInbound, DoDropOutbound, DoCut, DoSplit:
-		for _, i := range picked {
-			switch step.Do {
-			case DoDropInbound:
-				f.Relay.DropInbound(i, true)
-			case DoDropOutbound:
-				f.Relay.DropOutbound(i, true)
-			case DoCut:
-				f.Relay.Set(step.From, i, Link{Cut: true})
-			case DoSplit:
-				f.Relay.Side(i, 1)
-			}
-		}
-		time.Sleep(lasts)
-		f.Relay.Heal()
-	case DoNetwork:
-		f.Relay.Usual(step.Network.Link())
-		time.Sleep(lasts)
-		if lasts > 0 {
-			f.Relay.Usual(f.opt.Link)
-		}
-	case DoQuiet:
-		time.Sleep(lasts)
-	}
-	if err != nil {
-		return err
-	}
-	healed := time.Now()
-	err = f.Wait(agreeMost, f.Agreed)
-	r.Agreed = append(r.Agreed, time.Since(healed))
-	if err != nil {
-		return err
+// validateSelection checks which gateways the step affects. At least one is left unaffected by a number or a share.
+func (s Step) validateSelection(gateways int) *ScenarioError {
+	known := fmt.Sprintf("between 0 and %d", gateways-1)
+	switch {
+	case slices.ContainsFunc(s.Gateways, func(i int) bool { return i < 0 || i >= gateways }):
+		return &ScenarioError{Key: "gateways", Value: s.Gateways, Bound: known}
+	case s.From < 0 || s.From >= gateways:
+		return &ScenarioError{Key: "from", Value: s.From, Bound: known}
+	case s.Count < 0 || s.Count >= gateways:
+		return &ScenarioError{Key: "count", Value: s.Count, Bound: known}
+	case s.Share < 0 || s.Share >= 1:
+		return &ScenarioError{Key: "share", Value: s.Share, Bound: "a share below 1"}
 	}
-	f.tally(mark, began, picked, r)
 	return nil
 }
 
-// tally reads what was told since the mark. A zero time counts false deaths only.
-func (f *Fleet) tally(mark int, began time.Time, picked []int, r *Result) {
-	told, _ := f.StateChanges(mark)
-	first, last := map[int]time.Time{}, map[int]time.Time{}
-	wrong := map[int]bool{}
-	for _, t := range told {
-		switch concerned := slices.Contains(picked, t.Member); {
-		case t.Is == "alive":
-		case concerned:
-			if first[t.Member].IsZero() {
-				first[t.Member] = t.At
-			}
-			last[t.Member] = t.At
-		case t.Is == "dead" && !slices.Contains(picked, t.Viewer):
-			wrong[t.Member] = true
-		}
-	}
-	r.False += len(wrong)
-	if began.IsZero() {
-		return
-	}
-	for i, at := range first {
-		r.First, r.All = append(r.First, at.Sub(began)), append(r.All, last[i].Sub(at))
+// pick returns the gateways that a step affects, of n; a number or a share is drawn.
+func (s Step) pick(n int, rnd *rand.Rand) []int {
+	if len(s.Gateways) > 0 {
+		return s.Gateways
 	}
+	count := max(1, s.Count, int(s.Share*float64(n)))
+	return rnd.Perm(n)[:count]
 }
