--- a/internal/testbed/hollow/engine.go
+++ b/internal/testbed/hollow/engine.go
@@ -15,103 +15,108 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// Times of the platform's protocol, as an engine keeps them.
+// Times of the platform's protocol.
 const (
-	noNewsAfter = 250 * time.Millisecond // a call for the news of a statement that runs is answered after this
-	keepAnswer  = 10 * time.Second       // the answer of a statement is given again for this long
+	longPollTimeout = 250 * time.Millisecond // a poll of a statement that runs is answered after this
+	resultRetention = 10 * time.Second       // a result can be polled again for this long
 )
 
+// queryPath prefixes the path of a call that concerns one statement: its ID and a page number follow.
 const queryPath = "/v2/q/"
 
-// engine is a hollow engine: every statement takes the same time, and its result is a stand-in's.
+// engine is a hollow engine: every statement takes the same time, and its result is that of package emulator.
 type engine struct {
-	delay  time.Duration
-	served *atomic.Int64
-	mu     sync.Mutex
-	ln     net.Listener // nil while it is closed
-	addr   string       // where it listens, the same after each start
-	ends   map[string]time.Time
-	conns  map[net.Conn]bool
-	done   sync.WaitGroup
+	delay       time.Duration
+	served      *atomic.Int64
+	mu          sync.Mutex
+	listener    net.Listener         // nil while it is closed
+	addr        string               // where it listens, the same after each start
+	finishTimes map[string]time.Time // by statement ID
+	conns       map[net.Conn]bool
+	goroutines  sync.WaitGroup
 }
 
+// newEngine starts an engine, which counts the statements that it has answered in served.
 func newEngine(addr string, delay time.Duration, served *atomic.Int64) (*engine, error) {
-	e := &engine{delay: delay, served: served, addr: addr, ends: map[string]time.Time{}, conns: map[net.Conn]bool{}}
+	e := &engine{delay: delay, served: served, addr: addr, finishTimes: map[string]time.Time{}, conns: map[net.Conn]bool{}}
 	return e, e.open()
 }
 
-// open listens, unless it does.
+// open starts to listen, unless the engine does already.
 func (e *engine) open() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ln != nil {
+	if e.listener != nil {
 		return nil
 	}
 	ln, err := net.Listen("tcp4", e.addr)
 	if err != nil {
 		return fmt.Errorf("hollow engine: %w", err)
 	}
-	e.ln, e.addr = ln, ln.Addr().String()
-	e.done.Add(1)
+	e.listener, e.addr = ln, ln.Addr().String()
+	e.goroutines.Add(1)
 	go e.accept(ln)
 	return nil
 }
 
-// close ends it as a process dies: its connections are reset and its statements are lost.
+// close ends the engine as when its process dies: its connections are reset and its statements are lost.
 func (e *engine) close() {
 	e.mu.Lock()
-	if e.ln != nil {
-		e.ln.Close()
-		e.ln = nil
+	if e.listener != nil {
+		_ = e.listener.Close()
+		e.listener = nil
 	}
 	for conn := range e.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
+			_ = tcp.SetLinger(0)
 		}
-		conn.Close()
+		_ = conn.Close()
 	}
-	clear(e.ends)
+	clear(e.finishTimes)
 	e.mu.Unlock()
-	e.done.Wait()
+	e.goroutines.Wait()
 }
 
+// connections is how many connections are open.
 func (e *engine) connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.conns)
 }
 
+// accept serves each connection on a goroutine of its own until the listener is closed.
 func (e *engine) accept(ln net.Listener) {
-	defer e.done.Done()
+	defer e.goroutines.Done()
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		if !e.admit(ln, conn) {
-			conn.Close()
+		if !e.register(ln, conn) {
+			_ = conn.Close()
 			return
 		}
 		go e.serve(conn)
 	}
 }
 
-// admit takes a connection in, unless its listener has been closed meanwhile.
-func (e *engine) admit(ln net.Listener, conn net.Conn) bool {
+// register adds a connection to those that close resets, unless its listener has been closed meanwhile.
+func (e *engine) register(ln net.Listener, conn net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ln != ln {
+	if e.listener != ln {
 		return false
 	}
 	e.conns[conn] = true
-	e.done.Add(1)
+	e.goroutines.Add(1)
 	return true
 }
 
+// serve answers the calls of a connection, one after the other.
 func (e *engine) serve(conn net.Conn) {
-	defer e.done.Done()
+	defer e.goroutines.Done()
 	defer func() {
-		conn.Close()
+		_ = conn.Close()
 		e.mu.Lock()
 		delete(e.conns, conn)
 		e.mu.Unlock()
@@ -122,68 +127,70 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.WriteString(conn, e.answer(call)); err != nil {
+		if _, err := io.WriteString(conn, e.handle(call)); err != nil {
 			return
 		}
 	}
 }
 
-// answer works out the answer to one call, and waits for it where the protocol says so.
-func (e *engine) answer(call emulator.Call) string {
+// handle returns the response to one call. It waits where the protocol says so.
+func (e *engine) handle(call emulator.Call) string {
 	id, page, _ := strings.Cut(strings.TrimPrefix(call.Path, queryPath), "/")
 	switch {
 	case call.Method == http.MethodPost:
 		id = call.Head.Get("X-Hop-Id")
 		if id == "" {
-			return emulator.Answer(http.StatusInternalServerError, "", e.report())
+			return emulator.Answer(http.StatusInternalServerError, "", e.reportHeader())
 		}
-		e.begin(id)
+		e.submit(id)
 	case call.Method == http.MethodDelete:
 		e.forget(id)
-		return emulator.Answer(http.StatusNoContent, "", e.report())
+		return emulator.Answer(http.StatusNoContent, "", e.reportHeader())
 	case page != "0":
-		return emulator.Answer(http.StatusInternalServerError, "", e.report())
+		return emulator.Answer(http.StatusInternalServerError, "", e.reportHeader())
 	}
-	return e.news(id)
+	return e.awaitResult(id)
 }
 
-func (e *engine) begin(id string) {
+// submit starts a statement.
+func (e *engine) submit(id string) {
 	e.mu.Lock()
-	e.ends[id] = time.Now().Add(e.delay)
+	e.finishTimes[id] = time.Now().Add(e.delay)
 	e.mu.Unlock()
-	time.AfterFunc(e.delay+keepAnswer, func() { e.forget(id) })
+	time.AfterFunc(e.delay+resultRetention, func() { e.forget(id) })
 }
 
+// forget removes a statement, whether it has ended or not.
 func (e *engine) forget(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.ends, id)
+	delete(e.finishTimes, id)
 }
 
-// news waits for a statement's end, and no longer than the protocol has an engine wait.
-func (e *engine) news(id string) string {
+// awaitResult waits for a statement's end, though no longer than the long poll's timeout, and returns the response.
+func (e *engine) awaitResult(id string) string {
 	e.mu.Lock()
-	end, known := e.ends[id]
+	end, known := e.finishTimes[id]
 	e.mu.Unlock()
 	if !known {
-		return emulator.Answer(http.StatusInternalServerError, "", e.report())
+		return emulator.Answer(http.StatusInternalServerError, "", e.reportHeader())
 	}
-	if left := time.Until(end); left > noNewsAfter {
-		time.Sleep(noNewsAfter)
-		return emulator.Answer(http.StatusAccepted, "", e.report())
+	if left := time.Until(end); left > longPollTimeout {
+		time.Sleep(longPollTimeout)
+		return emulator.Answer(http.StatusAccepted, "", e.reportHeader())
 	} else if left > 0 {
 		time.Sleep(left)
 	}
 	e.served.Add(1)
-	return emulator.Answer(http.StatusOK, emulator.Rows(id), "Page-Count: 1", e.report())
+	return emulator.Answer(http.StatusOK, emulator.Rows(id), "Page-Count: 1", e.reportHeader())
 }
 
-// report is the load report that each answer carries: how many statements run.
-func (e *engine) report() string {
+// reportHeader is the load report that each answer carries: how many statements run.
+func (e *engine) reportHeader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now, running := time.Now(), 0
-	for _, end := range e.ends {
+	for _, end := range e.finishTimes {
 		if end.After(now) {
 			running++
 		}
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// scriptedSocket hands out datagrams in turn and keeps what is written.
+// scriptedSocket returns datagrams from a list of senders and records the receivers of those written.
 type scriptedSocket struct {
 	from    []netip.AddrPort
 	written []netip.AddrPort
@@ -36,13 +36,13 @@
 
 func (s *scriptedSocket) Close() error { return nil }
 
-// While regions are cut, datagrams pass within a region alone, in both directions; once healed, all pass.
+// While regions are partitioned, datagrams pass only within a region, in both directions; once healed, all pass.
 func TestCutDropsBetweenRegions(t *testing.T) {
 	self, near, far := netip.MustParseAddrPort("127.1.0.1:1"), netip.MustParseAddrPort("127.1.0.1:2"), netip.MustParseAddrPort("127.1.0.1:3")
 	inner := &scriptedSocket{from: []netip.AddrPort{far, near, far}}
-	parts := &regions{of: []int{0, 0, 1}}
-	socket := &regionSocket{Socket: inner, regions: parts, self: 0, members: map[netip.AddrPort]int{self: 0, near: 1, far: 2}}
-	parts.cut.Store(true)
+	partition := &regions{byMember: []int{0, 0, 1}}
+	socket := &regionSocket{Socket: inner, regions: partition, self: 0, members: map[netip.AddrPort]int{self: 0, near: 1, far: 2}}
+	partition.cut.Store(true)
 	for _, to := range []netip.AddrPort{near, far} {
 		if n, err := socket.WriteToUDPAddrPort([]byte("x"), to); n != 1 || err != nil {
 			t.Error(n, err)
@@ -54,14 +54,14 @@
 	if _, from, err := socket.ReadFromUDPAddrPort(nil); from != near || err != nil {
 		t.Errorf("received from %v, %v", from, err)
 	}
-	parts.cut.Store(false)
+	partition.cut.Store(false)
 	if _, from, err := socket.ReadFromUDPAddrPort(nil); from != far || err != nil {
 		t.Errorf("after the heal from %v, %v", from, err)
 	}
 }
 
-// call sends a call to an engine over a new connection and returns the answer's status and body.
-func call(t *testing.T, addr, method, path, id string) (int, string) {
+// roundTrip sends a request to an engine over a new connection and returns the response's status and body.
+func roundTrip(t *testing.T, addr, method, path, id string) (int, string) {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", addr, 10*time.Second)
 	if err != nil {
@@ -81,8 +81,8 @@
 	return answer.StatusCode, string(body)
 }
 
-// An engine answers a statement after its delay, tells meanwhile that it is not over, forgets what is given up, and
-// listens at the same address after it was closed.
+// An engine answers a statement after its delay, and polls before that with 202; it forgets a cancelled statement, and listens on
+// the same address after it was closed.
 func TestEngineAnswersAfterItsDelay(t *testing.T) {
 	var served atomic.Int64
 	const delay = 400 * time.Millisecond
@@ -92,11 +92,11 @@
 	}
 	defer e.close()
 	began := time.Now()
-	if status, _ := call(t, e.addr, "POST", "/v2/q", "a"); status != http.StatusAccepted {
+	if status, _ := roundTrip(t, e.addr, "POST", "/v2/q", "a"); status != http.StatusAccepted {
 		t.Errorf("status %d of a statement that runs", status)
 	}
 	for status, body := 0, ""; status != http.StatusOK; {
-		status, body = call(t, e.addr, "GET", "/v2/q/a/0", "")
+		status, body = roundTrip(t, e.addr, "GET", "/v2/q/a/0", "")
 		if status == http.StatusOK && body != "row\ta\tof 1\n" {
 			t.Errorf("result %q", body)
 		}
@@ -107,10 +107,10 @@
 	if passed := time.Since(began); passed < delay || served.Load() != 1 {
 		t.Errorf("answered after %v, %d served", passed, served.Load())
 	}
-	if status, _ := call(t, e.addr, "DELETE", "/v2/q/a", ""); status != http.StatusNoContent {
+	if status, _ := roundTrip(t, e.addr, "DELETE", "/v2/q/a", ""); status != http.StatusNoContent {
 		t.Errorf("status %d of a statement given up", status)
 	}
-	if status, _ := call(t, e.addr, "GET", "/v2/q/a/0", ""); status != http.StatusInternalServerError {
+	if status, _ := roundTrip(t, e.addr, "GET", "/v2/q/a/0", ""); status != http.StatusInternalServerError {
 		t.Errorf("status %d of a statement that is not known", status)
 	}
 	addr := e.addr
@@ -122,15 +122,15 @@
 	if err := e.open(); err != nil || e.addr != addr {
 		t.Fatal(e.addr, err)
 	}
-	if status, _ := call(t, addr, "POST", "/v2/q", "b"); status != http.StatusAccepted {
+	if status, _ := roundTrip(t, addr, "POST", "/v2/q", "b"); status != http.StatusAccepted {
 		t.Errorf("status %d after the engine is back", status)
 	}
 }
 
-// A process of hollow gateways ends with its input, and refuses members that it does not hold.
-func TestGatewaysRefuseStrangers(t *testing.T) {
-	g := newGateways(GatewaySetup{Members: []Member{{Number: 3}}})
-	if reply := g.carryOut(GatewayCommand{Start: []int{4}}); !strings.Contains(reply.Error, ErrUnknownMember.Error()) {
+// A process of hollow gateways ends with its input, and rejects members that it does not run.
+func TestGatewayHostRejectsUnknownMembers(t *testing.T) {
+	g := newGatewayHost(GatewaySetup{Members: []Member{{Number: 3}}})
+	if reply := g.execute(GatewayCommand{Start: []int{4}}); !strings.Contains(reply.Error, ErrUnknownMember.Error()) {
 		t.Errorf("%+v", reply)
 	}
 	if err := ServeGateways(strings.NewReader(`{"fleet":"x"}`+"\n"), io.Discard); err != nil {
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// ErrReply is what a process of hollow parts reports as gone wrong.
+// ErrReply is an error that a process of hollow gateways or engines has replied.
 var ErrReply = errors.New("a process of hollow parts reports")
 
-// endPatience bounds the wait for a process whose input was closed, before it is killed.
-const endPatience = 10 * time.Second
+// exitTimeout is how long a process whose input was closed may run on before it is killed.
+const exitTimeout = 10 * time.Second
 
-// Process is the parent's side of a process of hollow parts.
+// Process is the parent's side of a process of hollow gateways or engines. One command runs at a time.
 type Process struct {
-	command *exec.Cmd
+	cmd     *exec.Cmd
 	in      *os.File
 	out     *os.File
 	mu      sync.Mutex // one command at a time
@@ -29,42 +29,42 @@
 	ended   chan struct{}
 }
 
-// StartProcess starts a process; what it writes to standard error goes to log.
+// StartProcess starts a process, which Close ends. What it writes to standard error goes to log.
 func StartProcess(command, environment []string, log io.Writer) (*Process, error) {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), environment...)
 	cmd.Stderr = log
-	// Should the tool itself be killed, no process stays behind. An interrupt of the terminal reaches the tool alone, which
-	// ends the process.
+	// Should this process be killed, the child ends too. An interrupt of the terminal reaches this process alone, which then
+	// ends the child.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	// Pipes of our own: reads and writes take deadlines, and Wait does not close what a reply is read from.
+	// Own pipes in place of exec's: they take deadlines, and Wait does not close the one that a reply is read from.
 	childIn, in, err := os.Pipe()
 	if err != nil {
 		return nil, fmt.Errorf("hollow process: %w", err)
 	}
-	defer childIn.Close()
+	defer func() { _ = childIn.Close() }()
 	out, childOut, err := os.Pipe()
 	if err != nil {
-		in.Close()
+		_ = in.Close()
 		return nil, fmt.Errorf("hollow process: %w", err)
 	}
-	defer childOut.Close()
+	defer func() { _ = childOut.Close() }()
 	cmd.Stdin, cmd.Stdout = childIn, childOut
 	if err := cmd.Start(); err != nil {
-		in.Close()
-		out.Close()
+		_ = in.Close()
+		_ = out.Close()
 		return nil, fmt.Errorf("hollow process: %w", err)
 	}
-	p := &Process{command: cmd, in: in, out: out, replies: json.NewDecoder(out), ended: make(chan struct{})}
+	p := &Process{cmd: cmd, in: in, out: out, replies: json.NewDecoder(out), ended: make(chan struct{})}
 	go func() {
-		cmd.Wait()
+		_ = cmd.Wait()
 		close(p.ended)
 	}()
 	return p, nil
 }
 
-// PID is the process's number.
-func (p *Process) PID() int { return p.command.Process.Pid }
+// PID returns the process ID.
+func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // Ended reports whether the process has ended.
 func (p *Process) Ended() bool {
@@ -83,8 +83,7 @@
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("hollow process: %w", err)
 	}
-	// Expired reads would leave half a reply behind: a process that was late once is of no more use, and its next reply is an
-	// error too.
+	// A read that times out leaves half a reply behind, so that every later exchange with the process fails as well.
 	deadline, _ := ctx.Deadline()
 	p.setDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { p.setDeadline(time.Now()) })
@@ -98,12 +97,13 @@
 	return nil
 }
 
+// setDeadline bounds reads and writes of both pipes; the zero time bounds neither.
 func (p *Process) setDeadline(at time.Time) {
-	p.in.SetWriteDeadline(at)
-	p.out.SetReadDeadline(at)
+	_ = p.in.SetWriteDeadline(at)
+	_ = p.out.SetReadDeadline(at)
 }
 
-// SetUpGateways makes it a process of hollow gateways, none of which runs yet.
+// SetUpGateways sends the setup of hollow gateways. None of them runs yet.
 func (p *Process) SetUpGateways(ctx context.Context, setup GatewaySetup) error {
 	var reply GatewayReply
 	if err := p.exchange(ctx, setup, &reply); err != nil {
@@ -112,7 +112,7 @@
 	return replyError(reply.Error)
 }
 
-// Gateways carries a command out.
+// Gateways sends a command to a process of hollow gateways and returns the states that the reply holds.
 func (p *Process) Gateways(ctx context.Context, command GatewayCommand) ([]GatewayState, error) {
 	var reply GatewayReply
 	if err := p.exchange(ctx, command, &reply); err != nil {
@@ -121,7 +121,7 @@
 	return reply.States, replyError(reply.Error)
 }
 
-// SetUpEngines makes it a process of hollow engines and returns their addresses.
+// SetUpEngines sends the setup of hollow engines and returns the addresses of the engines, which run from then on.
 func (p *Process) SetUpEngines(ctx context.Context, setup EngineSetup) ([]string, error) {
 	var reply EngineReply
 	if err := p.exchange(ctx, setup, &reply); err != nil {
@@ -130,7 +130,7 @@
 	return reply.Addresses, replyError(reply.Error)
 }
 
-// Engines carries a command out.
+// Engines sends a command to a process of hollow engines.
 func (p *Process) Engines(ctx context.Context, command EngineCommand) (EngineReply, error) {
 	var reply EngineReply
 	if err := p.exchange(ctx, command, &reply); err != nil {
@@ -139,6 +139,7 @@
 	return reply, replyError(reply.Error)
 }
 
+// replyError is the error of a reply; nil for an empty text.
 func replyError(text string) error {
 	if text == "" {
 		return nil
@@ -146,16 +147,16 @@
 	return fmt.Errorf("%w: %s", ErrReply, text)
 }
 
-// Close ends the process: it is asked to by the end of its input, and killed if that takes too long.
+// Close closes the process's input, on which it ends, and kills it if that takes too long.
 func (p *Process) Close() error {
-	p.in.Close()
-	defer p.out.Close()
+	_ = p.in.Close()
+	defer func() { _ = p.out.Close() }()
 	select {
 	case <-p.ended:
 		return nil
-	case <-time.After(endPatience):
+	case <-time.After(exitTimeout):
 	}
-	if err := p.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+	if err := p.cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("hollow process: %w", err)
 	}
 	<-p.ended
--- a/internal/testbed/hollow/socket.go
+++ b/internal/testbed/hollow/regions.go
@@ -7,26 +7,26 @@
 	"frostpier/internal/transport/datagram"
 )
 
-// regions says which members reach each other. While regions are cut, datagrams between them are dropped where they are
-// sent and where they arrive, so that both directions are cut for hollow and for real members.
+// regions knows which members can reach each other. While regions are partitioned, a datagram between two of them is
+// dropped both where it is sent and where it arrives, so that both directions between hollow and real members are cut.
 type regions struct {
-	of  []int // of each member
-	cut atomic.Bool
+	byMember []int // of each member
+	cut      atomic.Bool
 }
 
-func (r *regions) parted(a, b int) bool { return r.cut.Load() && r.of[a] != r.of[b] }
+func (r *regions) separated(a, b int) bool { return r.cut.Load() && r.byMember[a] != r.byMember[b] }
 
-// regionSocket is a member's socket that drops what would pass between regions that are cut.
+// regionSocket is a member's socket that drops datagrams between regions that are partitioned.
 type regionSocket struct {
 	datagram.Socket
 	regions *regions
 	self    int
-	members map[netip.AddrPort]int // by the addresses that they are reached at
+	members map[netip.AddrPort]int // by address
 }
 
 // WriteToUDPAddrPort sends a datagram, or drops it as the network would: without an error.
 func (s *regionSocket) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
-	if member, known := s.members[to]; known && s.regions.parted(s.self, member) {
+	if member, known := s.members[to]; known && s.regions.separated(s.self, member) {
 		return len(b), nil
 	}
 	return s.Socket.WriteToUDPAddrPort(b, to)
@@ -40,7 +40,7 @@
 			return n, from, err
 		}
 		sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if member, known := s.members[sender]; known && s.regions.parted(s.self, member) {
+		if member, known := s.members[sender]; known && s.regions.separated(s.self, member) {
 			continue
 		}
 		return n, from, nil
--- a/internal/testbed/hollow/subset.go
+++ b/internal/testbed/hollow/subset.go
@@ -4,7 +4,7 @@
 	"frostpier/internal/control/subset"
 )
 
-// subsetEngines is what a hollow gateway does with its engines: it keeps load reports of those of its subset.
+// subsetEngines restricts the load reports that a hollow gateway keeps to the engines of its subset.
 type subsetEngines struct {
 	gateway *gateway
 	chooser *subset.Chooser // nil = every engine is used
@@ -55,10 +55,10 @@
 	return s.chooser.Overlaps(gateway)
 }
 
-// updateEngines passes the list of engines to the chooser. A hollow gateway counts no engine as cold.
+// updateEngines passes the list of engines to the chooser. To a hollow gateway no engine is warming up.
 func (s *subsetEngines) updateEngines() {
 	if s.chooser == nil {
-		s.gateway.shareReports()
+		s.gateway.updateReported()
 		return
 	}
 	engines := make([]subset.Engine, 0, len(s.gateway.engines))
@@ -66,14 +66,14 @@
 		engines = append(engines, engine)
 	}
 	s.chooser.SetEngines(s.gateway.loop.Now(), engines)
-	s.chooser.Changed() // the reports are shared anew whether the subset has changed or not: readiness may have
-	s.gateway.shareReports()
+	s.chooser.Changed() // ignored: the engines' readiness may have changed though the subset has not
+	s.gateway.updateReported()
 }
 
-// apply shares load reports of the engines of a subset that has changed.
+// apply updates the engines whose load reports are kept, if the subset has changed.
 func (s *subsetEngines) apply() {
 	if s.chooser.Changed() {
-		s.gateway.shareReports()
+		s.gateway.updateReported()
 	}
 }
 
