--- a/cmd/fleettest/scale.go
+++ b/cmd/fleettest/scale.go
@@ -103,15 +103,15 @@
 		return run, err
 	}
 	began := time.Now()
-	rig, err := runner.Start(ctx, runner.Options{Plan: plan, Dir: logs, Program: []string{program},
+	fleet, err := runner.Start(ctx, runner.Options{Plan: plan, Dir: logs, Program: []string{program},
 		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
 		EngineDelay: time.Duration(c.Delay) * time.Millisecond, ReportsPerSecond: c.Reports,
 		Note: func(text string) { fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(began).Seconds(), text) }})
 	if err != nil {
 		return run, err
 	}
-	defer func() { err = errors.Join(err, rig.Close()) }()
-	run, err = rig.Play(ctx)
+	defer func() { err = errors.Join(err, fleet.Close()) }()
+	run, err = fleet.Play(ctx)
 	run.Facts.Options = c.options(plan)
 	return run, err
 }
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -34,7 +34,7 @@
 func smallScale(t *testing.T, steps []scale.Step) runner.Options {
 	t.Helper()
 	sizes := scale.Sizes{Real: 8, Hollow: 100, Engines: 60, Zones: 4, Regions: 2, Rate: 5, Subset: 10}
-	times := scale.Times{Quiet: time.Second, RestartsOver: time.Second, Patience: 2 * time.Minute}
+	times := scale.Times{Quiet: time.Second, RestartsOver: time.Second, AgreementTimeout: 2 * time.Minute}
 	self := os.Args[0]
 	return runner.Options{Plan: scale.NewPlan(sizes, times, steps, 7), Dir: t.TempDir(), Program: []string{self, "gateway"},
 		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
@@ -46,13 +46,13 @@
 // nothing is left running.
 func TestSmallScaleAgreesAfterEachStep(t *testing.T) {
 	opt := smallScale(t, scale.AllSteps())
-	rig, err := runner.Start(context.Background(), opt)
+	fleet, err := runner.Start(context.Background(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run, err := rig.Play(context.Background())
-	processes := rig.PIDs()
-	if closing := rig.Close(); err != nil || closing != nil {
+	run, err := fleet.Play(context.Background())
+	processes := fleet.PIDs()
+	if closing := fleet.Close(); err != nil || closing != nil {
 		t.Fatal(err, closing)
 	}
 	checkEnded(t, processes, opt.Plan.Real+2)
@@ -108,14 +108,14 @@
 	opt.Plan.Real, opt.Plan.Hollow, opt.Plan.Engines, opt.Plan.Times.Quiet = 2, 6, 4, time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	rig, err := runner.Start(ctx, opt)
+	fleet, err := runner.Start(ctx, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	processes := rig.PIDs()
+	processes := fleet.PIDs()
 	time.AfterFunc(100*time.Millisecond, cancel)
-	_, err = rig.Play(ctx)
-	if closing := rig.Close(); !errors.Is(err, context.Canceled) || closing != nil {
+	_, err = fleet.Play(ctx)
+	if closing := fleet.Close(); !errors.Is(err, context.Canceled) || closing != nil {
 		t.Fatal(err, closing)
 	}
 	checkEnded(t, processes, 4)
--- a/internal/testbed/scale/view.go
+++ b/internal/testbed/scale/fingerprint.go
@@ -2,15 +2,15 @@
 
 import "hash/fnv"
 
-// Fingerprint is a figure that two views share when they hold the same members in service.
+// Fingerprint returns a hash of the members in service, by which the views of two gateways can be compared.
 func Fingerprint(members int, serves func(member int) bool) uint64 {
 	hash := fnv.New64a()
 	for member := range members {
+		state := byte(0)
 		if serves(member) {
-			hash.Write([]byte{1})
-		} else {
-			hash.Write([]byte{0})
+			state = 1
 		}
+		hash.Write([]byte{state}) // a hash returns no error
 	}
 	return hash.Sum64()
 }
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Members are numbered from 0, the real gateways first; members and engines take the zones in turn, so that each zone
-// has its part of the real ones, the hollow ones and the engines.
+// Members are numbered from 0, the real gateways first. Members and engines are assigned to the zones in turn, so that each
+// zone has an equal part of the real gateways, the hollow ones and the engines.
 
-// ZoneOf is the zone of a member or an engine.
+// ZoneOf returns the zone of a member or an engine.
 func (s Sizes) ZoneOf(number int) int { return number % s.Zones }
 
-// RegionOf is the region of a member or an engine: neighbouring zones share one.
+// RegionOf returns the region of a member or an engine: a range of zones.
 func (s Sizes) RegionOf(number int) int { return s.ZoneOf(number) * s.Regions / s.Zones }
 
-// ZoneName is how the list of engines names a zone.
+// ZoneName returns the name of a zone in the engine list.
 func ZoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// ZoneNames are the names of all zones.
+// ZoneNames returns the names of all zones.
 func (s Sizes) ZoneNames() (names []string) {
 	for zone := range s.Zones {
 		names = append(names, ZoneName(zone))
@@ -22,7 +22,7 @@
 	return names
 }
 
-// ZonesByRegion are the zones of each region.
+// ZonesByRegion returns the zones of each region.
 func (s Sizes) ZonesByRegion() [][]int {
 	out := make([][]int, s.Regions)
 	for zone := range s.Zones {
@@ -32,17 +32,17 @@
 	return out
 }
 
-// EngineName is how the list of engines names an engine.
+// EngineName returns the name of an engine in the engine list.
 func EngineName(number int) string { return fmt.Sprintf("h-%08x", uint32(number+1)*2654435761) }
 
-// MembersIn are the members of a zone.
+// MembersIn returns the members of a zone.
 func (s Sizes) MembersIn(zone int) []int { return s.numbersIn(zone, s.Members()) }
 
-// EnginesIn are the engines of a zone.
+// EnginesIn returns the engines of a zone.
 func (s Sizes) EnginesIn(zone int) []int { return s.numbersIn(zone, s.Engines) }
 
-func (s Sizes) numbersIn(zone, all int) (out []int) {
-	for i := range all {
+func (s Sizes) numbersIn(zone, count int) (out []int) {
+	for i := range count {
 		if s.ZoneOf(i) == zone {
 			out = append(out, i)
 		}
@@ -50,7 +50,7 @@
 	return out
 }
 
-// RegionsOfMembers are the regions of all members, by number.
+// RegionsOfMembers returns the region of each member, by number.
 func (s Sizes) RegionsOfMembers() []int {
 	out := make([]int, s.Members())
 	for i := range out {
--- a/internal/testbed/scale/window.go
+++ b/internal/testbed/scale/rate.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// PeakSpan is the span over which the highest rate is taken.
+// PeakSpan is the shortest span over which a peak rate is measured.
 const PeakSpan = 10 * time.Second
 
-// Sample is a total at a time.
+// Sample is the value of a counter at a time.
 type Sample struct {
 	At    time.Duration
 	Total float64
 }
 
-// Rate is a total's growth a second over all samples; 0 where there are fewer than two.
+// Rate returns a counter's growth a second over all samples; 0 where there are fewer than two.
 func Rate(samples []Sample) float64 {
 	if len(samples) < 2 {
 		return 0
@@ -19,8 +19,8 @@
 	return rateBetween(samples[0], samples[len(samples)-1])
 }
 
-// PeakRate is the highest growth a second over any span of at least PeakSpan; where the samples cover less, it is the
-// rate over all of them.
+// PeakRate returns a counter's highest growth a second over any span of at least PeakSpan. Where the samples cover less it
+// is the rate over all of them.
 func PeakRate(samples []Sample) float64 {
 	peak, first, found := 0.0, 0, false
 	for last := range samples {
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -6,66 +6,65 @@
 	"slices"
 )
 
-// StepResult is what was read of the real gateways in one step. Bytes are payload of datagrams that a real gateway
-// sent, as the relay counted them; received bytes and those of the list of engines stand beside them.
+// StepResult is what was measured of the real gateways in one step. Bytes are the payload of datagrams as the relay counted
+// them, sent by a real gateway unless the name says otherwise.
 type StepResult struct {
 	Name                   string  `json:"name"`
 	RealGateways           int     `json:"real_gateways"`
 	HollowGateways         int     `json:"hollow_gateways"`
 	Engines                int     `json:"engines"`
 	Seconds                float64 `json:"seconds"`                               // length of the step
-	StatementsPerSecond    float64 `json:"statements_per_second"`                 // that each real gateway was sent
+	StatementsPerSecond    float64 `json:"statements_per_second"`                 // that clients sent each real gateway
 	StatementsServed       float64 `json:"statements_served_share"`               // of them; 0 where none was sent
 	ProcessorShare         float64 `json:"processor_share"`                       // of a core, mean over the real gateways
 	ProcessorShareHighest  float64 `json:"processor_share_highest"`               // of the busiest of them
-	ResidentMB             float64 `json:"resident_mb"`                           // of the largest of them, at the most
+	ResidentMB             float64 `json:"resident_mb"`                           // of the largest of them, at its peak
 	MeanBytesPerSecond     float64 `json:"mean_bytes_per_second"`                 // sent, mean over the real gateways
 	HighestBytesPerSecond  float64 `json:"highest_bytes_per_second_10s"`          // sent by any of them over 10 s
 	ReceivedBytesPerSecond float64 `json:"received_bytes_per_second"`             // mean over the real gateways
 	ReceivedHighest        float64 `json:"received_highest_bytes_per_second_10s"` // by any of them over 10 s
-	ListBytesPerSecond     float64 `json:"list_bytes_per_second"`                 // that the discovery server sent a watcher, mean
+	ListBytesPerSecond     float64 `json:"list_bytes_per_second"`                 // that the discovery server sent a watch, mean
 	Connections            float64 `json:"connections"`                           // TCP connections of a real gateway at the end, mean
-	SecondsUntilAllKnow    float64 `json:"seconds_until_all_know"`                // 0 where there was nothing to learn
+	SecondsUntilAllKnow    float64 `json:"seconds_until_all_know"`                // 0 where nothing changed
 	EnginesUsed            float64 `json:"engines_used"`                          // ready ones, mean over hollow gateways
-	EnginesKnownShare      float64 `json:"engines_known_share"`                   // of the ready engines that it uses, by load reports, mean over hollow gateways
+	EnginesKnownShare      float64 `json:"engines_known_share"`                   // of them, whose load is known; mean over hollow gateways
 }
 
-// EnginesMeasure is how a fleet's hollow gateways use the engines: the mean number that each uses of the ready ones, and the
-// share of these whose load it knows.
-type EnginesMeasure struct {
-	Used       float64
-	KnownShare float64
+// EngineUsage is how the hollow gateways use the engines, as means over the gateways.
+type EngineUsage struct {
+	Used       float64 // ready engines that a gateway uses
+	KnownShare float64 // share of them whose load it knows
 }
 
-// Facts are the circumstances of a run.
+// Facts are the conditions of a run.
 type Facts struct {
 	Cores            int     `json:"cores"`
 	MemoryMB         int     `json:"memory_mb"`
 	GoVersion        string  `json:"go_version"`
 	Seed             uint64  `json:"seed"`
-	Subset           int     `json:"subset_least,omitempty"` // engines that a gateway uses, at the least; 0 = all
+	Subset           int     `json:"subset_least,omitempty"` // engines that a gateway uses at least; 0 = all
 	LoadAtStart      float64 `json:"load_average_at_start"`  // over a minute
 	LoadAtEnd        float64 `json:"load_average_at_end"`
 	Zones            int     `json:"zones"`
 	Regions          int     `json:"regions"`
 	EngineDelayMS    float64 `json:"engine_delay_ms"`
-	ReportsPerSecond float64 `json:"reports_per_second"` // that each hollow gateway takes in of engines
+	ReportsPerSecond float64 `json:"reports_per_second"` // load reports that each hollow gateway makes up
 	DateUTC          string  `json:"date_utc"`
-	Options          string  `json:"options"` // that reproduce the run
+	Options          string  `json:"options"` // of cmd/fleettest that reproduce the run
 }
 
-// Run is one run: facts and steps.
+// Run is the result of one run.
 type Run struct {
 	Facts Facts        `json:"facts"`
 	Steps []StepResult `json:"steps"`
 }
 
-// File is the structured result file: one run or several.
+// File is the content of a result file.
 type File struct {
 	Runs []Run `json:"runs"`
 }
 
-// Encode is the file's text.
+// Encode returns the file as JSON.
 func (f File) Encode() ([]byte, error) {
 	text, err := json.MarshalIndent(f, "", "  ")
 	if err != nil {
@@ -74,7 +73,7 @@
 	return append(text, '\n'), nil
 }
 
-// DecodeFile reads what Encode wrote.
+// DecodeFile decodes a result file. It returns an error for text that is not JSON of its form.
 func DecodeFile(text []byte) (File, error) {
 	var f File
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -83,7 +82,7 @@
 	return f, nil
 }
 
-// Slope is one step's figures over the fleet's size, the smallest fleet first.
+// Slope returns the results of one step, sorted by the size of the fleet.
 func (f File) Slope(step string) (out []StepResult) {
 	for _, run := range f.Runs {
 		for _, result := range run.Steps {
@@ -96,10 +95,10 @@
 	return out
 }
 
-// Members is the size of the fleet.
+// Members returns the size of the fleet.
 func (r StepResult) Members() int { return r.RealGateways + r.HollowGateways }
 
-// StepNames are the names of all steps, in the order in which they first stand.
+// StepNames returns the names of all steps, in the order of their first results.
 func (f File) StepNames() (out []string) {
 	for _, run := range f.Runs {
 		for _, result := range run.Steps {
--- a/internal/testbed/scale/runner/machine.go
+++ b/internal/testbed/scale/runner/machine.go
@@ -8,7 +8,7 @@
 	"frostpier/internal/testbed/scale"
 )
 
-// ThisMachine is what a run may use of the machine that the tool runs on.
+// ThisMachine describes the machine that this process runs on. It returns an error where /proc or the limits cannot be read.
 func ThisMachine() (scale.Machine, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -25,12 +25,12 @@
 	return scale.Machine{MemoryBytes: kilobytes << 10, Descriptors: limit.Cur}, nil
 }
 
-// LoadAverage is the machine's load over the last minute; 0 where it cannot be read.
+// LoadAverage returns the machine's load average over the last minute; 0 where it cannot be read.
 func LoadAverage() (load float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return 0
 	}
-	fmt.Sscanf(string(text), "%g", &load)
+	_, _ = fmt.Sscanf(string(text), "%g", &load)
 	return load
 }
--- a/internal/testbed/scale/runner/settings.go
+++ b/internal/testbed/scale/runner/settings.go
@@ -14,7 +14,7 @@
 	"frostpier/internal/testbed/scale"
 )
 
-// How the list of engines names states and machines.
+// States and the machine type in the engine list.
 const (
 	inService   = "in_service"
 	terminating = "terminating"
@@ -22,33 +22,33 @@
 	engineKind  = "m"
 )
 
-// engineCores is how many cores a gateway takes an engine to have.
+// engineCores is how many cores the settings say that an engine has.
 const engineCores = 12
 
-// lookups is the one class of statements.
-func lookups() []emulator.Class {
+// lookupClass returns the one class of statements.
+func lookupClass() []emulator.Class {
 	return []emulator.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MB: 50, Objective: 800 * time.Millisecond,
 		Timeout: 4 * time.Second, Weight: 1}}
 }
 
-// placement is the part of the platform's settings that says where a gateway is.
-type placement struct {
+// zonePlacement is the part of the platform's settings that says where a gateway is.
+type zonePlacement struct {
 	Zones []string `json:"zones"`
 	Zone  int      `json:"zone"`
 }
 
-// settings are the platform's settings of a real gateway: a stand-in's, with the zones of the plan.
-func (r *Rig) settings(gateways, self int) string {
-	text := emulator.Settings(lookups(), gateways, self, engineCores)
-	where := placement{Zone: r.plan.ZoneOf(self), Zones: r.plan.ZoneNames()}
+// settings returns the platform's settings of a real gateway: those of package emulator with the zones of the plan.
+func (r *Runner) settings(gateways, self int) string {
+	text := emulator.Settings(lookupClass(), gateways, self, engineCores)
+	where := zonePlacement{Zone: r.plan.ZoneOf(self), Zones: r.plan.ZoneNames()}
 	object := map[string]json.RawMessage{}
 	if json.Unmarshal([]byte(text), &object) != nil {
-		return text // the stand-in's settings are an object
+		return text // never: they are an object
 	}
 	zones, zonesErr := json.Marshal(where.Zones)
 	zone, zoneErr := json.Marshal(where.Zone)
 	if zonesErr != nil || zoneErr != nil {
-		return text // names and numbers encode
+		return text // never: names and numbers encode
 	}
 	object["zones"], object["zone"] = zones, zone
 	out, err := json.Marshal(object)
@@ -58,8 +58,8 @@
 	return string(out)
 }
 
-// subsetConfig is the configuration of subsets for hollow gateways; nil where every gateway uses all engines.
-func (r *Rig) subsetConfig() *subset.Config {
+// subsetConfig returns the subset configuration of hollow gateways; nil where every gateway uses all engines.
+func (r *Runner) subsetConfig() *subset.Config {
 	if r.plan.Subset == 0 {
 		return nil
 	}
@@ -68,14 +68,14 @@
 	return &config
 }
 
-// operatorSections are the sections that a real gateway's operator's file has beyond membership.
+// operatorSections are the sections of the operator's file beside the membership section.
 type operatorSections struct {
 	Spread settings.Spread  `toml:"spread"`
 	Subset *settings.Subset `toml:"subset,omitempty"`
 }
 
-// operator is the operator's file of the real gateways, beyond membership: the same configuration of subsets.
-func (r *Rig) operator() (string, error) {
+// operator returns the sections of the real gateways' operator's file, with the same subset configuration.
+func (r *Runner) operator() (string, error) {
 	var sections operatorSections
 	if r.plan.Subset > 0 {
 		least := int64(r.plan.Subset)
@@ -88,8 +88,8 @@
 	return "\n" + text.String(), nil
 }
 
-// regionNames are the names of the zones of each region.
-func (r *Rig) regionNames() (regions [][]string) {
+// regionNames returns the names of the zones of each region.
+func (r *Runner) regionNames() (regions [][]string) {
 	for _, zones := range r.plan.ZonesByRegion() {
 		var names []string
 		for _, zone := range zones {
--- a/internal/testbed/scale/runner/steps.go
+++ b/internal/testbed/scale/runner/steps.go
@@ -10,7 +10,7 @@
 	"frostpier/internal/testbed/scale"
 )
 
-// Names of what is read in steps that have two parts.
+// Names of the parts of steps that have two.
 const (
 	machinesLost  = "machines-lost"
 	machinesBack  = "machines-back"
@@ -20,18 +20,18 @@
 	regionsHealed = "regions-healed"
 )
 
-// readOf is what one part of a step adds to what the sampler reads.
-type readOf struct {
-	allKnow    time.Duration // until all gateways knew; 0 where there was nothing to learn
-	statements float64       // a second and real gateway
+// partResult is what a part of a step yields beside the sampler's measurements.
+type partResult struct {
+	allKnow    time.Duration // until all gateways agreed; 0 where nothing changed
+	statements float64       // a second that clients sent each real gateway
 	served     float64       // share of them
 }
 
-// Play plays the plan's steps and returns what was read, also of those before one that failed.
-func (r *Rig) Play(ctx context.Context) (scale.Run, error) {
+// Play plays the plan's steps and returns their results. After an error it returns those of the steps before.
+func (r *Runner) Play(ctx context.Context) (scale.Run, error) {
 	run := scale.Run{Facts: r.facts()}
 	for _, step := range r.plan.Steps {
-		results, err := r.play(ctx, step)
+		results, err := r.playStep(ctx, step)
 		run.Steps = append(run.Steps, results...)
 		if err != nil {
 			return run, fmt.Errorf("step %s: %w", step, err)
@@ -44,22 +44,22 @@
 	return run, nil
 }
 
-func (r *Rig) facts() scale.Facts {
+func (r *Runner) facts() scale.Facts {
 	return scale.Facts{Subset: r.plan.Subset, Cores: runtime.NumCPU(), MemoryMB: int(r.machine.MemoryBytes >> 20), GoVersion: runtime.Version(),
 		Seed: r.plan.Seed, LoadAtStart: LoadAverage(), Zones: r.plan.Zones, Regions: r.plan.Regions,
-		EngineDelayMS: float64(r.opt.EngineDelay) / float64(time.Millisecond), ReportsPerSecond: r.opt.ReportsPerSecond,
+		EngineDelayMS: float64(r.options.EngineDelay) / float64(time.Millisecond), ReportsPerSecond: r.options.ReportsPerSecond,
 		DateUTC: time.Now().UTC().Format(time.RFC3339)}
 }
 
-// part is one part of a step that is read for itself.
+// part is a part of a step that is measured separately.
 type part struct {
 	name    string
-	play    func(context.Context) (readOf, error)
-	settles bool // it is read for a while longer than it plays
+	play    func(context.Context) (partResult, error)
+	settles bool // it is measured for a while longer than it plays
 }
 
-// parts are those of a step.
-func (r *Rig) parts(step scale.Step) []part {
+// parts returns the parts of a step.
+func (r *Runner) parts(step scale.Step) []part {
 	switch step {
 	case scale.Quiet:
 		return []part{{string(step), r.quiet, false}}
@@ -81,22 +81,22 @@
 	return nil
 }
 
-func (r *Rig) play(ctx context.Context, step scale.Step) (out []scale.StepResult, err error) {
+func (r *Runner) playStep(ctx context.Context, step scale.Step) (out []scale.StepResult, err error) {
 	for _, part := range r.parts(step) {
-		result, err := r.read(ctx, part)
+		result, err := r.playPart(ctx, part)
 		if err != nil {
 			return out, err
 		}
-		r.opt.Note(fmt.Sprintf("%s: %.0f s, all knew after %.1f s", part.name, result.Seconds, result.SecondsUntilAllKnow))
+		r.options.Note(fmt.Sprintf("%s: %.0f s, all knew after %.1f s", part.name, result.Seconds, result.SecondsUntilAllKnow))
 		out = append(out, result)
 	}
 	return out, nil
 }
 
-// read plays a part of a step, and reads from its start until it has settled.
-func (r *Rig) read(ctx context.Context, p part) (scale.StepResult, error) {
-	from := r.sampler.read()
-	read, err := p.play(ctx)
+// playPart plays a part of a step, and measures from its start until it has settled.
+func (r *Runner) playPart(ctx context.Context, p part) (scale.StepResult, error) {
+	from := r.sampler.sample()
+	played, err := p.play(ctx)
 	if err != nil {
 		return scale.StepResult{}, err
 	}
@@ -105,16 +105,16 @@
 			return scale.StepResult{}, err
 		}
 	}
-	result := r.sampler.result(from, r.sampler.read())
-	engines, err := r.measureEngines(ctx)
+	result := r.sampler.summarize(from, r.sampler.sample())
+	engines, err := r.engineUsage(ctx)
 	result.EnginesUsed, result.EnginesKnownShare = engines.Used, engines.KnownShare
-	result.Name, result.SecondsUntilAllKnow = p.name, read.allKnow.Seconds()
+	result.Name, result.SecondsUntilAllKnow = p.name, played.allKnow.Seconds()
 	result.RealGateways, result.HollowGateways, result.Engines = r.plan.Real, r.plan.Hollow, r.plan.Engines
-	result.StatementsPerSecond, result.StatementsServed = read.statements, read.served
+	result.StatementsPerSecond, result.StatementsServed = played.statements, played.served
 	return result, err
 }
 
-// sleep waits, or ends early with the context.
+// sleep waits, or returns the context's error once that has ended.
 func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -126,12 +126,14 @@
 	}
 }
 
-func (r *Rig) quiet(ctx context.Context) (readOf, error) { return readOf{}, sleep(ctx, r.plan.Quiet) }
+func (r *Runner) quiet(ctx context.Context) (partResult, error) {
+	return partResult{}, sleep(ctx, r.plan.Quiet)
+}
 
-// loaded sends the real gateways statements.
-func (r *Rig) loaded(ctx context.Context) (readOf, error) {
+// loaded has clients send statements to the real gateways.
+func (r *Runner) loaded(ctx context.Context) (partResult, error) {
 	began := time.Now()
-	traffic := emulator.Traffic{Classes: lookups(), Rate: r.plan.Rate * float64(r.plan.Real), Gateways: r.plan.Real, Groups: 200,
+	traffic := emulator.Traffic{Classes: lookupClass(), Rate: r.plan.Rate * float64(r.plan.Real), Gateways: r.plan.Real, Groups: 200,
 		Zipf: 0.7, Seed: r.plan.Seed}
 	clients := emulator.NewClients(r.fleet.Clients(), traffic.Classes, r.plan.Seed, func() time.Duration { return time.Since(began) })
 	defer clients.Close()
@@ -144,129 +146,129 @@
 		}
 	}
 	perSecond := float64(len(outcomes)) / float64(r.plan.Real) / r.plan.Quiet.Seconds()
-	return readOf{statements: perSecond, served: float64(served) / float64(max(1, len(outcomes)))}, ctx.Err()
+	return partResult{statements: perSecond, served: float64(served) / float64(max(1, len(outcomes)))}, ctx.Err()
 }
 
-// restarts restarts members as planned, in waves over the time of the step.
-func (r *Rig) restarts(ctx context.Context) (readOf, error) {
+// restarts restarts members gracefully, in waves over the time of the step.
+func (r *Runner) restarts(ctx context.Context) (partResult, error) {
 	began, todo := time.Now(), r.plan.Restart
 	for done := 0; done < len(todo); {
 		if err := ctx.Err(); err != nil {
-			return readOf{}, err
+			return partResult{}, err
 		}
 		due := len(todo)
 		if passed := time.Since(began); passed < r.plan.RestartsOver {
 			due = 1 + int(float64(len(todo)-1)*passed.Seconds()/r.plan.RestartsOver.Seconds())
 		}
 		if due == done {
-			if err := sleep(ctx, agreeEvery); err != nil {
-				return readOf{}, err
+			if err := sleep(ctx, agreementInterval); err != nil {
+				return partResult{}, err
 			}
 			continue
 		}
 		if err := r.restartWave(ctx, todo[done:due]); err != nil {
-			return readOf{}, err
+			return partResult{}, err
 		}
 		done = due
 	}
-	allKnow, err := r.untilAgreed(ctx, "after the restarts")
-	return readOf{allKnow: allKnow}, err
+	allKnow, err := r.waitAgreed(ctx, "after the restarts")
+	return partResult{allKnow: allKnow}, err
 }
 
-func (r *Rig) restartWave(ctx context.Context, members []int) error {
+func (r *Runner) restartWave(ctx context.Context, members []int) error {
 	if err := r.stopMembers(ctx, members); err != nil {
 		return err
 	}
 	return r.startMembers(ctx, members)
 }
 
-func (r *Rig) loseMachines(ctx context.Context) (readOf, error) {
+func (r *Runner) loseMachines(ctx context.Context) (partResult, error) {
 	if err := r.killMembers(ctx, r.plan.Lost); err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
-	return r.learned(ctx, "machines lost")
+	return r.waitAllKnow(ctx, "machines lost")
 }
 
-func (r *Rig) startMachines(ctx context.Context) (readOf, error) {
+func (r *Runner) startMachines(ctx context.Context) (partResult, error) {
 	if err := r.startMembers(ctx, r.plan.Lost); err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
-	return r.learned(ctx, "machines back")
+	return r.waitAllKnow(ctx, "machines back")
 }
 
-// learned waits until all know.
-func (r *Rig) learned(ctx context.Context, what string) (readOf, error) {
-	allKnow, err := r.untilAgreed(ctx, what)
-	return readOf{allKnow: allKnow}, err
+// waitAllKnow waits until all gateways agree.
+func (r *Runner) waitAllKnow(ctx context.Context, what string) (partResult, error) {
+	allKnow, err := r.waitAgreed(ctx, what)
+	return partResult{allKnow: allKnow}, err
 }
 
-// loseZone ends a zone's gateways and engines at once; the discovery server tells of the engines straight away.
-func (r *Rig) loseZone(ctx context.Context) (readOf, error) {
+// loseZone kills a zone's gateways and engines; the engine list is published immediately.
+func (r *Runner) loseZone(ctx context.Context) (partResult, error) {
 	engines := r.plan.EnginesIn(r.plan.LostZone)
 	if err := r.setEngines(ctx, engines, false); err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
 	if err := r.killMembers(ctx, r.plan.MembersIn(r.plan.LostZone)); err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
-	r.tell(engines, terminated, 0)
-	return r.learned(ctx, "zone lost")
+	r.publish(engines, terminated, 0)
+	return r.waitAllKnow(ctx, "zone lost")
 }
 
-// startZone starts all of the zone again, its engines cold.
-func (r *Rig) startZone(ctx context.Context) (readOf, error) {
+// startZone starts the zone's gateways and engines again; the engines warm up.
+func (r *Runner) startZone(ctx context.Context) (partResult, error) {
 	engines := r.plan.EnginesIn(r.plan.LostZone)
 	if err := r.setEngines(ctx, engines, true); err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
-	r.tell(engines, inService, time.Now().UnixMilli())
+	r.publish(engines, inService, time.Now().UnixMilli())
 	if err := r.startMembers(ctx, r.plan.MembersIn(r.plan.LostZone)); err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
-	return r.learned(ctx, "zone back")
+	return r.waitAllKnow(ctx, "zone back")
 }
 
-// cutRegions parts the regions and keeps them parted for the time of the step.
-func (r *Rig) cutRegions(ctx context.Context) (readOf, error) {
+// cutRegions partitions the regions for the time of the step.
+func (r *Runner) cutRegions(ctx context.Context) (partResult, error) {
 	began := time.Now()
 	if err := r.setCut(ctx, true); err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
-	read, err := r.learned(ctx, "regions cut")
+	partition, err := r.waitAllKnow(ctx, "regions cut")
 	if err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
-	return read, sleep(ctx, r.plan.Cut-time.Since(began))
+	return partition, sleep(ctx, r.plan.Cut-time.Since(began))
 }
 
-func (r *Rig) healRegions(ctx context.Context) (readOf, error) {
+func (r *Runner) healRegions(ctx context.Context) (partResult, error) {
 	if err := r.setCut(ctx, false); err != nil {
-		return readOf{}, err
+		return partResult{}, err
 	}
-	return r.learned(ctx, "regions healed")
+	return r.waitAllKnow(ctx, "regions healed")
 }
 
-// changeList drains some engines, has them go, and lists them again as cold ones. The time until all know is that of the
+// changeList drains some engines, removes them, and adds them again, to warm up. The time until all know is that of the
 // slowest of the three events.
-func (r *Rig) changeList(ctx context.Context) (slowest readOf, err error) {
+func (r *Runner) changeList(ctx context.Context) (slowest partResult, err error) {
 	for _, state := range []string{terminating, terminated, inService} {
-		began := int64(0)
+		startedMS := int64(0)
 		if state == inService {
-			began = time.Now().UnixMilli()
+			startedMS = time.Now().UnixMilli()
 		}
-		r.tell(r.plan.Changed, state, began)
-		read, err := r.learned(ctx, "engines "+state)
+		r.publish(r.plan.Changed, state, startedMS)
+		published, err := r.waitAllKnow(ctx, "engines "+state)
 		if err != nil {
-			return readOf{}, err
+			return partResult{}, err
 		}
-		slowest.allKnow = max(slowest.allKnow, read.allKnow)
+		slowest.allKnow = max(slowest.allKnow, published.allKnow)
 	}
 	return slowest, nil
 }
 
-// reconnect ends the connections of all watchers, and has the discovery server tell the whole list.
-func (r *Rig) reconnect(ctx context.Context) (readOf, error) {
+// reconnect disconnects all watches and publishes the full engine list.
+func (r *Runner) reconnect(ctx context.Context) (partResult, error) {
 	r.fleet.Discovery.Disconnect()
-	r.fleet.Discovery.PublishFull(r.list)
-	return r.learned(ctx, "watchers connected again")
+	r.fleet.Discovery.PublishFull(r.engineList)
+	return r.waitAllKnow(ctx, "watchers connected again")
 }
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -10,16 +10,16 @@
 )
 
 var (
-	machine = Machine{MemoryBytes: 24 << 30, Descriptors: 20_000}
-	aim     = Sizes{Real: 24, Hollow: 776, Engines: 1100, Zones: 7, Regions: 2}
+	machine  = Machine{MemoryBytes: 24 << 30, Descriptors: 20_000}
+	fullSize = Sizes{Real: 24, Hollow: 776, Engines: 1100, Zones: 7, Regions: 2}
 )
 
 func TestSizesThatDoNotFitNameOptionAndLimit(t *testing.T) {
-	if err := aim.Check(machine); err != nil {
+	if err := fullSize.Check(machine); err != nil {
 		t.Fatal(err)
 	}
-	need := aim.Need(machine)
-	if need.Processes >= MostProcesses || need.MemoryBytes > machine.MemoryBytes/2 || need.Descriptors > machine.Descriptors {
+	need := fullSize.Need(machine)
+	if need.Processes >= MaxProcesses || need.MemoryBytes > machine.MemoryBytes/2 || need.Descriptors > machine.Descriptors {
 		t.Fatalf("%+v", need)
 	}
 	for option, c := range map[string]struct {
@@ -28,7 +28,7 @@
 	}{
 		"--real":    {Sizes{Real: 199, Hollow: 1, Engines: 10, Zones: 1, Regions: 1}, Machine{1 << 40, 20_000}},
 		"--hollow":  {Sizes{Real: 2, Hollow: 798, Engines: 1100, Zones: 7, Regions: 2}, Machine{1 << 30, 20_000}},
-		"--engines": {aim, Machine{24 << 30, 1024}},
+		"--engines": {fullSize, Machine{24 << 30, 1024}},
 	} {
 		var limit *LimitError
 		if err := c.sizes.Check(c.machine); !errors.As(err, &limit) || limit.Option != option || limit.Need <= limit.Have {
@@ -36,7 +36,7 @@
 		}
 	}
 	var value *ValueError
-	nan := aim
+	nan := fullSize
 	nan.Rate = math.NaN()
 	if err := nan.Check(machine); !errors.As(err, &value) || value.Option != "--rate" {
 		t.Error(err)
@@ -44,15 +44,15 @@
 }
 
 func TestPlanFollowsItsSeed(t *testing.T) {
-	a, b := NewPlan(aim, DefaultTimes(), AllSteps(), 5), NewPlan(aim, DefaultTimes(), AllSteps(), 5)
-	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Restart, NewPlan(aim, DefaultTimes(), AllSteps(), 6).Restart) {
-		t.Error("the seed does not decide the plan")
+	a, b := NewPlan(fullSize, DefaultTimes(), AllSteps(), 5), NewPlan(fullSize, DefaultTimes(), AllSteps(), 5)
+	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Restart, NewPlan(fullSize, DefaultTimes(), AllSteps(), 6).Restart) {
+		t.Error("the seed does not determine the plan")
 	}
 	if len(a.Restart) != 330 || len(a.Lost) != 3 || len(a.Changed) != 55 || slices.Contains(a.Steps, Loaded) {
 		t.Errorf("%d restarts, %d machines, %d engines, %v", len(a.Restart), len(a.Lost), len(a.Changed), a.Steps)
 	}
-	if a.Restart[0] >= aim.Real || a.Lost[0] >= aim.Real {
-		t.Error("a fault meets no real gateway")
+	if a.Restart[0] >= fullSize.Real || a.Lost[0] >= fullSize.Real {
+		t.Error("a fault affects no real gateway")
 	}
 	sorted := slices.Clone(a.Restart)
 	slices.Sort(sorted)
@@ -61,21 +61,21 @@
 	}
 }
 
-// Every member and engine has one zone, and every zone one region; no zone has more than its part.
+// Every member and engine has one zone, and every zone one region; members and engines are spread evenly over zones.
 func TestZonesShareMembersAndEngines(t *testing.T) {
 	members, engines, regions := 0, 0, map[int]bool{}
-	for zone := range aim.Zones {
-		m, e := aim.MembersIn(zone), aim.EnginesIn(zone)
+	for zone := range fullSize.Zones {
+		m, e := fullSize.MembersIn(zone), fullSize.EnginesIn(zone)
 		members, engines = members+len(m), engines+len(e)
 		if len(m) < 114 || len(m) > 115 || len(e) < 157 || len(e) > 158 {
 			t.Errorf("zone %d: %d members, %d engines", zone, len(m), len(e))
 		}
 		for _, member := range m {
-			if aim.RegionOf(member) != aim.RegionOf(m[0]) {
+			if fullSize.RegionOf(member) != fullSize.RegionOf(m[0]) {
 				t.Errorf("zone %d lies in two regions", zone)
 			}
 		}
-		regions[aim.RegionOf(m[0])] = true
+		regions[fullSize.RegionOf(m[0])] = true
 	}
 	if members != 800 || engines != 1100 || len(regions) != 2 {
 		t.Errorf("%d members, %d engines, %d regions", members, engines, len(regions))
--- a/internal/testbed/scale/sizes.go
+++ b/internal/testbed/scale/sizes.go
@@ -1,41 +1,43 @@
-// Package scale plans runs of fleets at the size that operators expect: what fits the machine, where members and
-// engines lie, which steps are played, and the results. It does no input or output; package scalerig plays the plan.
+// Package scale plans runs of fleets at the size of production. It owns the sizes that fit a machine, the layout of
+// members and engines in zones, the plan of a run with its faults, the rates of samples, and the format of the results.
+// It does no input or output: package scale/runner plays the plans, and cmd/fleettest takes the options and keeps the
+// results.
 package scale
 
 import "fmt"
 
-// Sizes say how large a run is.
+// Sizes are the sizes of a run.
 type Sizes struct {
 	Real    int     // gateways that are processes of the program
-	Hollow  int     // gateways that run its membership, load reports and discovery watch, and decide nothing
+	Hollow  int     // gateways of package hollow
 	Engines int     // hollow engines
 	Zones   int     // of gateways and engines
-	Regions int     // that the zones lie in
+	Regions int     // that the zones are in
 	Rate    float64 // statements a second that each real gateway is sent in the step "loaded"
-	Subset  int     // engines that a gateway uses, at the least; 0 = every gateway uses all engines
+	Subset  int     // engines that a gateway uses at least; 0 = every gateway uses all
 }
 
-// Members is how many gateways there are in all.
+// Members returns the number of gateways, real and hollow.
 func (s Sizes) Members() int { return s.Real + s.Hollow }
 
-// Machine is what a run may use of the machine.
+// Machine describes the machine of a run.
 type Machine struct {
 	MemoryBytes uint64 // of the machine
-	Descriptors uint64 // that one process may hold
+	Descriptors uint64 // limit for one process
 }
 
 // Bounds of a run, whatever the machine.
 const (
-	MostProcesses   = 200
-	MostMembers     = 4096 // as package membership takes
-	MostEngines     = 10_000
-	MostRate        = 2_000 // statements a second and real gateway
+	MaxProcesses    = 200
+	MaxMembers      = 4096 // as package membership takes
+	MaxEngines      = 10_000
+	MaxRate         = 2_000 // statements a second and real gateway
 	memoryShare     = 0.5   // of the machine's memory that a run may use
-	descriptorShare = 0.8   // of the descriptor limit that a process is planned to use
-	ownProcesses    = 1     // the tool itself: relay, discovery server, clients
+	descriptorShare = 0.8   // of the descriptor limit that a process may need
+	toolProcesses   = 1     // the tool itself: relay, discovery server, clients
 )
 
-// What the parts of a run take, in bytes, from measurements and rounded up.
+// What the parts of a run need, rounded up from measurements. Memory is in bytes.
 const (
 	realBytes         = 96 << 20  // a gateway process before 1,100 engines and 800 members
 	processBytes      = 24 << 20  // a process of hollow parts, before any part
@@ -53,104 +55,105 @@
 	hollowDescriptors = 3 // socket, watch, and a dial under way
 )
 
-// How many hollow parts share a process.
+// How many hollow gateways and engines share a process.
 const (
 	HollowPerProcess  = 200
 	enginesPerProcess = 550
 )
 
-// HollowProcesses is how many processes hold the hollow gateways.
-func (s Sizes) HollowProcesses() int { return divideUp(s.Hollow, HollowPerProcess) }
+// HollowProcesses returns how many processes run the hollow gateways.
+func (s Sizes) HollowProcesses() int { return ceilDiv(s.Hollow, HollowPerProcess) }
 
-// connectionsPerEngine is how many connections the real gateways may hold to an engine.
+// connectionsPerEngine is how many connections the real gateways together may open to an engine.
 func (s Sizes) connectionsPerEngine() int { return int(engineConnections*float64(s.Real)) + 1 }
 
-// EngineProcesses is how many processes hold the hollow engines, so that none runs out of descriptors.
+// EngineProcesses returns how many processes run the hollow engines, so that none runs out of descriptors.
 func (s Sizes) EngineProcesses(m Machine) int {
-	room := max(1, int(descriptorShare*float64(m.Descriptors))-spareDescriptors)
-	byDescriptors := divideUp(s.Engines*(1+s.connectionsPerEngine()), room)
-	return max(byDescriptors, divideUp(s.Engines, enginesPerProcess))
+	available := max(1, int(descriptorShare*float64(m.Descriptors))-spareDescriptors)
+	byDescriptors := ceilDiv(s.Engines*(1+s.connectionsPerEngine()), available)
+	return max(byDescriptors, ceilDiv(s.Engines, enginesPerProcess))
 }
 
-func divideUp(n, by int) int { return (n + by - 1) / by }
+// ceilDiv is n over by, rounded up.
+func ceilDiv(n, by int) int { return (n + by - 1) / by }
 
-// SocketLimit is how many descriptors a real gateway's configuration allows it: enough for a connection to each engine.
+// SocketLimit returns how many descriptors a real gateway's configuration allows: enough for connections to all engines.
 func (s Sizes) SocketLimit() int { return 512 + 2*s.Engines }
 
-// Need is what a run takes.
+// Need is what a run needs.
 type Need struct {
 	Processes   int
 	MemoryBytes uint64
-	Descriptors uint64 // of the process that holds the most
+	Descriptors uint64 // of the process that needs most
 }
 
-// Need works out what a run of this size takes on this machine.
+// Need returns what a run of these sizes needs on this machine.
 func (s Sizes) Need(m Machine) Need {
 	members, engines := uint64(s.Members()), uint64(s.Engines)
 	hollowProcesses, engineProcesses := s.HollowProcesses(), s.EngineProcesses(m)
 	connections := engines * uint64(s.connectionsPerEngine())
 	memory := uint64(s.Real)*realBytes +
-		uint64(hollowProcesses+engineProcesses+ownProcesses)*processBytes +
+		uint64(hollowProcesses+engineProcesses+toolProcesses)*processBytes +
 		uint64(s.Hollow)*(hollowBytes+members*hollowPerMember+engines*hollowPerEngine) +
 		engines*engineBytes + connections*connectionBytes +
 		members*(relayPerMember+engines*watcherPerEngine)
-	processes := s.Real + hollowProcesses + engineProcesses + ownProcesses
-	return Need{Processes: processes, MemoryBytes: memory, Descriptors: s.mostDescriptors(m, processes)}
+	processes := s.Real + hollowProcesses + engineProcesses + toolProcesses
+	return Need{Processes: processes, MemoryBytes: memory, Descriptors: s.maxDescriptors(m, processes)}
 }
 
-// mostDescriptors is what the process with the most of them holds.
-func (s Sizes) mostDescriptors(m Machine, processes int) uint64 {
+// maxDescriptors is how many descriptors the process with most of them needs.
+func (s Sizes) maxDescriptors(m Machine, processes int) uint64 {
 	tool := s.Members()*facesAndWatchers + processes*pipesPerProcess + s.Real
 	hollow := min(s.Hollow, HollowPerProcess) * hollowDescriptors
-	engines := divideUp(s.Engines*(1+s.connectionsPerEngine()), max(1, s.EngineProcesses(m)))
+	engines := ceilDiv(s.Engines*(1+s.connectionsPerEngine()), max(1, s.EngineProcesses(m)))
 	return uint64(max(tool, hollow, engines, s.SocketLimit()) + spareDescriptors)
 }
 
-// LimitError says that a run of this size does not fit, which option to lower, and what the limit is.
+// LimitError is a run that does not fit the machine.
 type LimitError struct {
-	Option string // as on the command line
-	Limit  string // what it would exceed
+	Option string // to lower, as on the command line
+	Limit  string // that the run would exceed
 	Need   uint64
 	Have   uint64
 }
 
-// Error names the option and the limit.
+// Error names the option, what the run needs, and the limit.
 func (e *LimitError) Error() string {
 	return fmt.Sprintf("%s: the run would need %d, and the limit is %d (%s)", e.Option, e.Need, e.Have, e.Limit)
 }
 
-// ValueError says that an option makes no sense by itself.
+// ValueError is an option whose value is out of bounds.
 type ValueError struct {
 	Option string
 	Value  string
 	Want   string
 }
 
-// Error names the option.
+// Error names the option, its value and the bounds.
 func (e *ValueError) Error() string {
 	return fmt.Sprintf("%s: %s is not %s", e.Option, e.Value, e.Want)
 }
 
-// Check refuses sizes that make no sense, with a ValueError, or do not fit the machine, with a LimitError.
+// Check returns a *ValueError for sizes that are out of bounds, and a *LimitError for those that do not fit the machine.
 func (s Sizes) Check(m Machine) error {
 	if err := s.checkValues(); err != nil {
 		return err
 	}
 	need := s.Need(m)
 	memory := uint64(memoryShare * float64(m.MemoryBytes))
-	if need.Processes > MostProcesses {
-		return &LimitError{Option: "--real", Limit: "processes of a run", Need: uint64(need.Processes), Have: MostProcesses}
+	if need.Processes > MaxProcesses {
+		return &LimitError{Option: "--real", Limit: "processes of a run", Need: uint64(need.Processes), Have: MaxProcesses}
 	}
 	if need.MemoryBytes > memory {
 		return &LimitError{Option: s.largestOption(), Limit: "half of the machine's memory, bytes", Need: need.MemoryBytes, Have: memory}
 	}
-	if room := uint64(descriptorShare * float64(m.Descriptors)); need.Descriptors > room {
-		return &LimitError{Option: s.descriptorOption(), Limit: "four fifths of the descriptor limit", Need: need.Descriptors, Have: room}
+	if limit := uint64(descriptorShare * float64(m.Descriptors)); need.Descriptors > limit {
+		return &LimitError{Option: s.largestDescriptorOption(), Limit: "four fifths of the descriptor limit", Need: need.Descriptors, Have: limit}
 	}
 	return nil
 }
 
-// largestOption is the option whose part of the memory is the largest.
+// largestOption is the option that costs most memory.
 func (s Sizes) largestOption() string {
 	hollow := s.Hollow * (hollowBytes + s.Members()*hollowPerMember + s.Engines*hollowPerEngine)
 	if s.Real*realBytes >= hollow {
@@ -159,8 +162,8 @@
 	return "--hollow"
 }
 
-// descriptorOption is the option that the most descriptors come from.
-func (s Sizes) descriptorOption() string {
+// largestDescriptorOption is the option that costs most descriptors.
+func (s Sizes) largestDescriptorOption() string {
 	if s.Members()*facesAndWatchers > s.SocketLimit() {
 		return "--hollow"
 	}
@@ -169,27 +172,27 @@
 
 func (s Sizes) checkValues() error {
 	ranges := []struct {
-		option      string
-		value       int
-		least, most int
+		option   string
+		value    int
+		min, max int
 	}{
-		{"--real", s.Real, 1, MostMembers},
-		{"--hollow", s.Hollow, 0, MostMembers},
-		{"--real and --hollow together", s.Members(), 2, MostMembers},
-		{"--engines", s.Engines, 1, MostEngines},
+		{"--real", s.Real, 1, MaxMembers},
+		{"--hollow", s.Hollow, 0, MaxMembers},
+		{"--real and --hollow together", s.Members(), 2, MaxMembers},
+		{"--engines", s.Engines, 1, MaxEngines},
 		{"--zones", s.Zones, 1, min(s.Members(), s.Engines)},
 		{"--regions", s.Regions, 1, s.Zones},
 	}
 	for _, r := range ranges {
-		if r.value < r.least || r.value > r.most {
-			return &ValueError{Option: r.option, Value: fmt.Sprint(r.value), Want: fmt.Sprintf("between %d and %d", r.least, r.most)}
+		if r.value < r.min || r.value > r.max {
+			return &ValueError{Option: r.option, Value: fmt.Sprint(r.value), Want: fmt.Sprintf("between %d and %d", r.min, r.max)}
 		}
 	}
-	if s.Subset < 0 || s.Subset > MostEngines {
-		return &ValueError{Option: "--subset", Value: fmt.Sprint(s.Subset), Want: fmt.Sprintf("between 0 and %d", MostEngines)}
+	if s.Subset < 0 || s.Subset > MaxEngines {
+		return &ValueError{Option: "--subset", Value: fmt.Sprint(s.Subset), Want: fmt.Sprintf("between 0 and %d", MaxEngines)}
 	}
-	if !(s.Rate >= 0 && s.Rate <= MostRate) {
-		return &ValueError{Option: "--rate", Value: fmt.Sprint(s.Rate), Want: fmt.Sprintf("between 0 and %d", MostRate)}
+	if !(s.Rate >= 0 && s.Rate <= MaxRate) {
+		return &ValueError{Option: "--rate", Value: fmt.Sprint(s.Rate), Want: fmt.Sprintf("between 0 and %d", MaxRate)}
 	}
 	return nil
 }
