--- a/internal/protocol/mysql/auth.go
+++ b/internal/protocol/mysql/auth.go
@@ -4,11 +4,16 @@
 	"crypto/sha1"
 	"crypto/subtle"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"strings"
 )
 
-// Hash is what the front keeps of a password: SHA-1 of its SHA-1.
+// ErrPasswordHash is wrapped by ParseHash's error for text that is not a password hash.
+var ErrPasswordHash = errors.New("password hash is not a star and 40 hexadecimal digits")
+
+// Hash is the verifier of mysql_native_password: SHA-1 of the SHA-1 of the password (MySQL documentation, "Native
+// Password Authentication").
 type Hash [sha1.Size]byte
 
 // HashOf hashes a password.
@@ -17,37 +22,41 @@
 	return sha1.Sum(first[:])
 }
 
-// ParseHash reads a hash in the customary form, a star and 40 hexadecimal digits.
+// ParseHash reads a hash as MySQL prints it: a star and 40 hexadecimal digits. The star may be missing. The error
+// wraps ErrPasswordHash and gives the length only, since the text may be a password.
 func ParseHash(text string) (Hash, error) {
 	var h Hash
 	raw, err := hex.DecodeString(strings.TrimPrefix(text, "*"))
 	if err != nil || len(raw) != len(h) {
-		return h, fmt.Errorf("password hash of %d characters is not a star and 40 hexadecimal digits", len(text))
+		return h, fmt.Errorf("%w: it has %d characters", ErrPasswordHash, len(text))
 	}
 	copy(h[:], raw)
 	return h, nil
 }
 
-// proves reports whether a client's token shows that it knows the password.
-func (h Hash) proves(scramble, token []byte) bool {
-	if len(token) != len(h) {
+// verify reports whether a client's auth response proves that it knows the password. The response is
+// SHA1(password) XOR SHA1(scramble + SHA1(SHA1(password))), so the hash suffices to recover SHA1(password).
+func (h Hash) verify(scramble, response []byte) bool {
+	if len(response) != len(h) {
 		return false
 	}
-	first := sha1.Sum(xor(token, mixed(scramble, h[:])))
-	return subtle.ConstantTimeCompare(first[:], h[:]) == 1
+	first := xor(response, scrambledHash(scramble, h[:]))
+	second := sha1.Sum(first)
+	return subtle.ConstantTimeCompare(second[:], h[:]) == 1
 }
 
-// token proves a password to an engine.
-func token(scramble []byte, password string) []byte {
+// authResponse is the response that proves a password to an engine; it is empty for an empty password.
+func authResponse(scramble []byte, password string) []byte {
 	if password == "" {
 		return nil
 	}
 	first := sha1.Sum([]byte(password))
 	second := sha1.Sum(first[:])
-	return xor(first[:], mixed(scramble, second[:]))
+	return xor(first[:], scrambledHash(scramble, second[:]))
 }
 
-func mixed(scramble, hash []byte) []byte {
+// scrambledHash is SHA1(scramble + hash).
+func scrambledHash(scramble, hash []byte) []byte {
 	sum := sha1.Sum(append(append([]byte(nil), scramble...), hash...))
 	return sum[:]
 }
--- /dev/null
+++ b/internal/protocol/mysql/exchange_kill.go
@@ -0,0 +1,58 @@
+package mysql
+
+import (
+	"fmt"
+
+	"frostpier/internal/attempt"
+	"frostpier/policy"
+)
+
+// killQuery gives up a query that was sent: it has the engine kill it. The attempt stays in flight until the query's
+// own connection brings the end of the result or, if that connection is lost, until the engine confirms the KILL.
+func (x *Exchange) killQuery(outcome policy.Outcome) {
+	x.phase, x.outcome = phaseKilling, outcome
+	x.emit(
+		attempt.SetTimer{Timer: attempt.ResponseTimeout},
+		attempt.SetTimer{Timer: attempt.UnreachableTimeout, After: killConfirmTimeout},
+	)
+	x.sendKill()
+}
+
+// sendKill sends KILL QUERY on the control channel, which it opens first if need be.
+func (x *Exchange) sendKill() {
+	if !x.connected[attempt.Control] {
+		x.emit(attempt.Open{Channel: attempt.Control, Fresh: x.outcome == policy.Reset})
+		return
+	}
+	if !x.sessions[attempt.Control].authenticated {
+		return // handleLoggedIn calls again
+	}
+	x.killSent = true
+	statement := fmt.Appendf(nil, "KILL QUERY %d", x.sessions[attempt.Primary].connectionID)
+	x.write(attempt.Control, commandPacket(comQuery, statement))
+}
+
+func (x *Exchange) scheduleKillRetry() {
+	x.emit(attempt.SetTimer{Timer: attempt.RetryBackoff, After: killRetryBackoff})
+}
+
+// handleKillResponse handles the response to KILL QUERY. While the query's own connection lives, the end of its result
+// is awaited there; without it the response is the only confirmation. That the engine knows no such connection also
+// confirms the query's end.
+func (x *Exchange) handleKillResponse(p packet) {
+	if !confirmsKill(p.payload) {
+		x.killSent = false
+		x.scheduleKillRetry()
+		return
+	}
+	if !x.connected[attempt.Primary] {
+		x.finish(x.outcome, nil)
+	}
+}
+
+func confirmsKill(payload []byte) bool {
+	if len(payload) == 0 {
+		return false
+	}
+	return payload[0] == okHeader || payload[0] == errHeader && errPacketCode(payload) == erNoSuchThread
+}
--- /dev/null
+++ b/internal/protocol/mysql/exchange_setup.go
@@ -0,0 +1,185 @@
+package mysql
+
+import (
+	"encoding/binary"
+	"errors"
+
+	"frostpier/internal/attempt"
+	"frostpier/policy"
+)
+
+// setupCommand is a command that precedes the query on the primary channel, with the response that it needs.
+type setupCommand struct {
+	packet   []byte
+	response expectedResponse
+}
+
+type expectedResponse uint8
+
+const (
+	expectOK expectedResponse = iota
+	expectPrepareOK
+)
+
+// minPrepareOK is the size of the payload of a COM_STMT_PREPARE_OK packet.
+const minPrepareOK = 12
+
+// handleLoginPacket handles a packet of the connection phase.
+func (x *Exchange) handleLoginPacket(channel attempt.Channel, s *session, p packet) {
+	response, err := s.handleLogin(p, x.credentials)
+	if err != nil {
+		x.handleLoginError(channel, err)
+		return
+	}
+	x.write(channel, response)
+	if s.authenticated {
+		x.handleLoggedIn(channel)
+	}
+}
+
+// handleLoginError handles a login that the engine rejected. Too many connections is a sign of load, not of bad
+// health.
+func (x *Exchange) handleLoginError(channel attempt.Channel, err error) {
+	x.closeChannel(channel)
+	var rejection *engineError
+	switch {
+	case channel == attempt.Control:
+		x.scheduleKillRetry()
+	case errors.As(err, &rejection) && outcomeOfError(rejection.code) == policy.Rejected:
+		x.finish(policy.Rejected, nil)
+	default:
+		x.finish(policy.NoConnection, nil)
+	}
+}
+
+// handleLoggedIn continues on a channel whose login is complete.
+func (x *Exchange) handleLoggedIn(channel attempt.Channel) {
+	if channel == attempt.Control {
+		x.sendKill()
+		return
+	}
+	x.queueSetup(x.sessions[attempt.Primary])
+	if _, ok := x.permission(false); !ok {
+		x.finish(policy.NotSent, nil)
+		return
+	}
+	x.phase = phaseSetup
+	x.sendNext()
+}
+
+// queueSetup queues the commands that the session needs before the query: its schema, its replay key and the prepared
+// statement, unless the connection has them already.
+func (x *Exchange) queueSetup(s *session) {
+	if x.call.Schema != "" && x.call.Schema != s.schema {
+		x.queue(expectOK, commandPacket(comInitDB, []byte(x.call.Schema)))
+	}
+	if x.call.Key != "" {
+		x.queue(expectOK, commandPacket(comQuery, []byte("SET @replay_key="+x.call.Key)))
+	}
+	execution := x.call.Execute
+	if execution == nil {
+		return
+	}
+	id, prepared := s.statementIDs[x.preparedKey()]
+	x.statementID = id
+	if !prepared {
+		x.queue(expectPrepareOK, commandPacket(comStmtPrepare, []byte(execution.Text)))
+	}
+}
+
+func (x *Exchange) queue(response expectedResponse, packet []byte) {
+	x.setupQueue = append(x.setupQueue, setupCommand{packet: packet, response: response})
+}
+
+// preparedKey is the key of the call's statement among the session's prepared statements. It includes the schema: names
+// in a statement are resolved in the schema in which it was prepared.
+func (x *Exchange) preparedKey() string { return x.call.Schema + "\x00" + x.call.Execute.Text }
+
+// sendNext sends the next setup command or, after the last one, the query.
+func (x *Exchange) sendNext() {
+	if len(x.setupQueue) > 0 {
+		x.write(attempt.Primary, x.setupQueue[0].packet)
+		return
+	}
+	// The engine may have begun to drain during the setup. The query must then go to another engine.
+	if _, ok := x.permission(false); !ok {
+		x.finish(policy.NotSent, nil)
+		return
+	}
+	x.phase = phaseQuerySent
+	x.emit(attempt.SetTimer{Timer: attempt.ResponseTimeout})
+	if execution := x.call.Execute; execution != nil {
+		x.write(attempt.Primary, append(execution.longDataPackets(x.statementID), execution.executePacket(x.statementID)...))
+		return
+	}
+	x.write(attempt.Primary, commandPacket(comQuery, []byte(x.call.Text)))
+}
+
+// handleSetupResponse handles the response to the first command of the setup queue.
+func (x *Exchange) handleSetupResponse(p packet) {
+	if len(x.setupQueue) == 0 || len(p.payload) == 0 {
+		x.handleMalformed(attempt.Primary)
+		return
+	}
+	if p.payload[0] == errHeader {
+		x.handleSetupError(p)
+		return
+	}
+	command := x.setupQueue[0]
+	x.setupQueue = x.setupQueue[1:]
+	switch {
+	case p.payload[0] != okHeader:
+		x.handleMalformed(attempt.Primary)
+	case command.response == expectPrepareOK:
+		x.handlePrepareOK(p.payload)
+	default:
+		if command.packet[headerSize] == comInitDB {
+			x.sessions[attempt.Primary].schema = x.call.Schema
+		}
+		x.sendNext()
+	}
+}
+
+// handlePrepareOK reads a COM_STMT_PREPARE_OK packet: header, statement id, number of columns, number of parameters.
+func (x *Exchange) handlePrepareOK(payload []byte) {
+	if len(payload) < minPrepareOK {
+		x.handleMalformed(attempt.Primary)
+		return
+	}
+	x.statementID = binary.LittleEndian.Uint32(payload[1:])
+	columns := int(binary.LittleEndian.Uint16(payload[5:]))
+	params := int(binary.LittleEndian.Uint16(payload[7:]))
+	// With another number of parameters the engine would bind the values differently from what the client means.
+	if params != x.call.Execute.Params {
+		x.handleMalformed(attempt.Primary)
+		return
+	}
+	x.sessions[attempt.Primary].statementIDs[x.preparedKey()] = x.statementID
+	x.definitionsLeft += definitionPackets(columns) + definitionPackets(params)
+	if x.definitionsLeft == 0 {
+		x.sendNext()
+	}
+}
+
+// definitionPackets is how many packets follow for a number of definitions: one each and an EOF packet, or none.
+func definitionPackets(definitions int) int {
+	if definitions == 0 {
+		return 0
+	}
+	return definitions + 1
+}
+
+// handleSetupError handles an ERR packet in response to a setup command; the query has not run. An error about the
+// statement itself is the call's result.
+func (x *Exchange) handleSetupError(p packet) {
+	x.emit(attempt.SetTimer{Timer: attempt.ResponseTimeout})
+	switch outcomeOfError(errPacketCode(p.payload)) {
+	case policy.OK:
+		x.finish(policy.OK, frame(1, p.payload)) // the client expects sequence id 1
+	case policy.Rejected:
+		x.finish(policy.Rejected, nil)
+	default:
+		x.closeChannel(attempt.Primary)
+		x.finish(policy.NoConnection, nil)
+	}
+}
--- /dev/null
+++ b/internal/protocol/mysql/front_login.go
@@ -0,0 +1,94 @@
+package mysql
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+// serverVersion is the version that the handshake names.
+const serverVersion = "8.0.0-frostpier"
+
+// handshakePacket builds Protocol::HandshakeV10.
+func handshakePacket(connectionID uint32, scramble []byte) []byte {
+	flags := uint32(capabilityFlags)
+	b := []byte{handshakeVersion}
+	b = append(b, serverVersion+"\x00"...)
+	b = binary.LittleEndian.AppendUint32(b, connectionID)
+	b = append(b, scramble[:authPluginDataPart1Size]...)
+	b = append(b, 0) // filler
+	b = binary.LittleEndian.AppendUint16(b, uint16(flags))
+	b = append(b, collationUTF8MB4)
+	b = binary.LittleEndian.AppendUint16(b, serverStatusAutocommit)
+	b = binary.LittleEndian.AppendUint16(b, uint16(flags>>16))
+	b = append(b, byte(len(scramble)+1))
+	b = append(b, make([]byte, handshakeReservedSize)...)
+	b = append(b, scramble[authPluginDataPart1Size:]...)
+	b = append(b, 0)
+	b = append(b, nativePassword+"\x00"...)
+	return frame(0, b)
+}
+
+// handshakeResponse is what the front reads of Protocol::HandshakeResponse41.
+type handshakeResponse struct {
+	user   string
+	auth   []byte
+	schema string
+	plugin string // of the authentication method that the client used
+}
+
+// parseHandshakeResponse reads a handshake response; ok is false if it is malformed or of an older protocol.
+func parseHandshakeResponse(payload []byte) (response handshakeResponse, ok bool) {
+	r := payloadReader{remaining: payload}
+	flags := r.uint32()
+	r.next(4 + 1 + handshakeFillerSize) // maximum packet size, character set, filler
+	response.user = r.nulString()
+	if flags&clientPluginAuthLenencData != 0 {
+		response.auth = r.next(r.lenencInt())
+	} else {
+		response.auth = r.next(int(r.byte()))
+	}
+	if flags&clientConnectWithDB != 0 {
+		response.schema = r.nulString()
+	}
+	response.plugin = nativePassword
+	if flags&clientPluginAuth != 0 && len(r.remaining) > 0 {
+		response.plugin = r.nulString()
+	}
+	return response, !r.malformed && flags&clientProtocol41 != 0
+}
+
+// handleHandshakeResponse authenticates the client, or requests a switch to mysql_native_password first.
+func (f *Front) handleHandshakeResponse(p packet) {
+	response, ok := parseHandshakeResponse(p.payload)
+	if !ok {
+		f.sendError(p.sequenceID+1, erMalformedPacket, "malformed login")
+		f.closeConnection()
+		return
+	}
+	f.user, f.schema = response.user, response.schema
+	if response.plugin != nativePassword {
+		f.stage = stageAuthSwitch
+		f.write(authSwitchRequest(p.sequenceID+1, f.scramble))
+		return
+	}
+	f.authenticate(p.sequenceID+1, response.auth)
+}
+
+// authSwitchRequest builds Protocol::AuthSwitchRequest for mysql_native_password.
+func authSwitchRequest(sequenceID byte, scramble []byte) []byte {
+	b := []byte{authSwitchHeader}
+	b = append(b, nativePassword+"\x00"...)
+	b = append(b, scramble...)
+	return frame(sequenceID, append(b, 0))
+}
+
+func (f *Front) authenticate(sequenceID byte, auth []byte) {
+	account := f.accounts[f.user]
+	if account == nil || !account.Hash.verify(f.scramble, auth) {
+		f.sendError(sequenceID, erAccessDenied, fmt.Sprintf("Access denied for user '%.32s'", f.user))
+		f.closeConnection()
+		return
+	}
+	f.account, f.stage = account, stageReady
+	f.write(okPacket(sequenceID))
+}
--- a/internal/protocol/mysql/golden_test.go
+++ b/internal/protocol/mysql/golden_test.go
@@ -13,27 +13,27 @@
 	"frostpier/policy"
 )
 
-// goldenCommands are a session's commands, each answered before the next.
+// goldenCommands are the commands of one session, each sent after the response to the one before.
 func goldenCommands() [][]byte {
 	return [][]byte{
-		command(comPing),
-		command(comInitDB, []byte("s")),
-		command(comPrepare, []byte("SELECT ?, '?'")),
-		command(comLongData, []byte{1, 0, 0, 0, 0, 0}, []byte("long")),
-		command(comExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0, 1, 'x'}),
-		command(comExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 1, 'y'}),
-		command(comStmtReset, []byte{1, 0, 0, 0}),
-		command(comExecute, []byte{9, 0, 0, 0, 0, 1, 0, 0, 0}),
-		command(comQuery, []byte("SET @replay_key='k'")),
-		command(comQuery, []byte("SELECT 1")),
-		command(comQuery, []byte("BEGIN")),
-		command(comStmtClose, []byte{1, 0, 0, 0}),
-		command(0x7f),
-		command(comQuit),
+		commandPacket(comPing),
+		commandPacket(comInitDB, []byte("s")),
+		commandPacket(comStmtPrepare, []byte("SELECT ?, '?'")),
+		commandPacket(comStmtSendLongData, []byte{1, 0, 0, 0, 0, 0}, []byte("long")),
+		commandPacket(comStmtExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0, 1, 'x'}),
+		commandPacket(comStmtExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 1, 'y'}),
+		commandPacket(comStmtReset, []byte{1, 0, 0, 0}),
+		commandPacket(comStmtExecute, []byte{9, 0, 0, 0, 0, 1, 0, 0, 0}),
+		commandPacket(comQuery, []byte("SET @replay_key='k'")),
+		commandPacket(comQuery, []byte("SELECT 1")),
+		commandPacket(comQuery, []byte("BEGIN")),
+		commandPacket(comStmtClose, []byte{1, 0, 0, 0}),
+		commandPacket(0x7f),
+		commandPacket(comQuit),
 	}
 }
 
-// The front's packets are, byte for byte, what they were before the code was rearranged.
+// Every byte that the front writes equals the recorded transcript.
 func TestFrontTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
@@ -52,7 +52,7 @@
 			if c := e.Call; c != nil {
 				fmt.Fprintf(&out, "  call schema %q text %q key %q\n", c.Schema, c.Text, c.Key)
 				if c.Execute != nil {
-					fmt.Fprintf(&out, "  execute %q\n", slices.Concat(c.Execute.longData(5), c.Execute.command(5)))
+					fmt.Fprintf(&out, "  execute %q\n", slices.Concat(c.Execute.longDataPackets(5), c.Execute.executePacket(5)))
 				}
 			}
 		}
@@ -63,21 +63,21 @@
 	testutil.Golden(t, "front.golden", []byte(out.String()))
 }
 
-// The packets to engines are, byte for byte, what they were before the code was rearranged.
+// Every byte that an exchange sends to engines equals the recorded transcript.
 func TestExchangeTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
 	note := func(event string, steps []attempt.Step) { out.WriteString(transcript.Steps(event, steps)) }
 	_, greeting := NewFront(nil, 1, scramble)
-	may := func(bool) (time.Duration, bool) { return time.Second, true }
-	prepared := &Execution{Text: "SELECT ?", Params: 1, nulls: []byte{0}, types: []byte{0xfd, 0}, values: []byte("\x01x")}
+	permission := func(bool) (time.Duration, bool) { return time.Second, true }
+	prepared := &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}, paramValues: []byte("\x01x")}
 	preparedAnswer := slices.Concat(frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}), frame(2, []byte(definition)), eofPacket(3))
 	for _, execute := range []*Execution{nil, prepared} {
 		var memory [2]any
 		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", Key: "'k'", Execute: execute}
 		x, steps := NewExchange(call, "u", "p")
 		note("new", steps)
-		note("opened", x.Connected(attempt.Primary, &memory[0], may))
+		note("opened", x.Connected(attempt.Primary, &memory[0], permission))
 		note("greeting", x.Received(attempt.Primary, greeting))
 		note("ok", x.Received(attempt.Primary, okPacket(2)))
 		note("ok", x.Received(attempt.Primary, okPacket(1)))
@@ -89,11 +89,11 @@
 		}
 		note("first rows", x.Received(attempt.Primary, rows("a", "b")[:60]))
 		note("cancel", x.Cancel(policy.Cancelled))
-		note("opened", x.Connected(attempt.Control, &memory[1], may))
+		note("opened", x.Connected(attempt.Control, &memory[1], permission))
 		note("greeting", x.Received(attempt.Control, greeting))
 		note("ok", x.Received(attempt.Control, okPacket(2)))
 		note("ok", x.Received(attempt.Control, okPacket(1)))
-		note("error", x.Received(attempt.Primary, errorPacket(5, 1317, "interrupted")))
+		note("error", x.Received(attempt.Primary, errPacket(5, 1317, "interrupted")))
 		note("lost", x.ConnectionLost(attempt.Primary))
 	}
 	testutil.Golden(t, "exchange.golden", []byte(out.String()))
--- a/internal/protocol/mysql/result.go
+++ b/internal/protocol/mysql/result.go
@@ -5,108 +5,143 @@
 	"fmt"
 )
 
-// result follows an engine's answer to a query, as it comes in: the head is kept until the first row, and rows
-// pass in whatever pieces they come.
-type result struct {
-	buf     []byte
-	head    []byte // whole packets that are not passed on yet
-	columns int
-	defs    int
-	rows    bool // the definitions are through
-	began   bool // a row went out
-	left    int  // bytes of a row that are still to come
-	more    bool // the row goes on in a further packet
-	seq     byte // of the last packet passed on
-	over    bool
-	failed  int // code of the error that ended it
+// resultStream relays an engine's response to a query while it arrives. It holds the metadata (column count, column
+// definitions, EOF packet) back until the first row, so that a failed query can still be retried; rows are relayed in
+// whatever pieces they arrive.
+type resultStream struct {
+	buf             []byte
+	metadata        []byte // complete packets that are not relayed yet
+	columnCount     int    // 0 until it is read
+	definitionsRead int
+	inRows          bool // the metadata is complete
+	rowsRelayed     bool
+	rowBytesLeft    int  // of the current row packet
+	rowContinues    bool // the current row continues in a further packet
+	sequenceID      byte // of the last row packet relayed
+	complete        bool
+	errCode         int // of the ERR packet that ended the result; 0 for none
 }
 
-// feed takes bytes in. pass goes to the client at once; last, once over, is the end of the answer.
-func (r *result) feed(b []byte) (pass, last []byte, err error) {
+// received handles bytes of the response. relay goes to the client at once; last, once complete, is the end of the
+// response. An error wraps errMalformedPacket; relay is valid then too.
+func (r *resultStream) received(b []byte) (relay, last []byte, err error) {
 	r.buf = append(r.buf, b...)
-	for !r.over {
-		if r.left > 0 {
-			n := min(r.left, len(r.buf))
-			pass, r.buf, r.left = append(pass, r.buf[:n]...), r.buf[n:], r.left-n
-			if r.left > 0 {
-				return pass, nil, nil
-			}
+	for !r.complete {
+		relay = r.relayRow(relay)
+		if r.rowBytesLeft > 0 || len(r.buf) < headerSize+1 {
+			return relay, nil, nil
 		}
-		if len(r.buf) < headSize+1 {
-			return pass, nil, nil
-		}
-		n := length(r.buf)
-		if row := r.rows && (r.more || !control(r.buf[headSize], n)); row {
-			pass = r.row(pass, n)
+		size := payloadLength(r.buf)
+		if r.inRows && (r.rowContinues || !endsRows(r.buf[headerSize], size)) {
+			relay = r.beginRow(relay, size)
 			continue
 		}
-		if n > maxControl || n == 0 {
-			return pass, nil, fmt.Errorf("%w: %d bytes in an answer's head", errPacket, n)
-		}
-		if len(r.buf) < headSize+n {
-			return pass, nil, nil
-		}
-		p := packet{seq: r.buf[3], payload: r.buf[headSize : headSize+n], raw: r.buf[:headSize+n]}
-		if err := r.control(p); err != nil {
-			return pass, nil, err
+		accepted, err := r.acceptNonRow(size)
+		if err != nil || !accepted {
+			return relay, nil, err
 		}
-		r.buf = r.buf[headSize+n:]
 	}
 	if len(r.buf) > 0 {
-		return pass, nil, fmt.Errorf("%w: bytes behind an answer", errPacket)
+		return relay, nil, fmt.Errorf("%w: %d bytes after the end of a result", errMalformedPacket, len(r.buf))
 	}
-	last, r.head = r.head, nil
-	return pass, last, nil
+	last, r.metadata = r.metadata, nil
+	return relay, last, nil
 }
 
-// control reports whether a packet behind the definitions is the end or an error; anything else is a row.
-func control(first byte, n int) bool { return first == 0xff || first == 0xfe && n < 9 }
+// relayRow appends to relay what has arrived of the current row packet.
+func (r *resultStream) relayRow(relay []byte) []byte {
+	n := min(r.rowBytesLeft, len(r.buf))
+	relay = append(relay, r.buf[:n]...)
+	r.buf = r.buf[n:]
+	r.rowBytesLeft -= n
+	return relay
+}
+
+// endsRows reports whether a packet after the metadata is an EOF or ERR packet; any other is a row.
+func endsRows(header byte, size int) bool {
+	return header == errHeader || header == eofHeader && size <= maxEOFPayload
+}
 
-// row starts to pass a row on, with the head before the first.
-func (r *result) row(pass []byte, n int) []byte {
-	pass = append(append(pass, r.head...), r.buf[:headSize]...)
-	r.seq, r.head, r.began = r.buf[3], nil, true
-	r.left, r.more, r.buf = n, n == fullPayload, r.buf[headSize:]
-	return pass
+// beginRow appends the header of a row packet to relay, preceded by the metadata if it is the first row.
+func (r *resultStream) beginRow(relay []byte, size int) []byte {
+	relay = append(relay, r.metadata...)
+	relay = append(relay, r.buf[:headerSize]...)
+	r.sequenceID, r.metadata, r.rowsRelayed = r.buf[3], nil, true
+	r.rowBytesLeft, r.rowContinues = size, size == maxPayload
+	r.buf = r.buf[headerSize:]
+	return relay
 }
 
-// control takes a packet that is not a row.
-func (r *result) control(p packet) error {
-	if len(r.head)+len(p.raw) > maxHead {
-		return fmt.Errorf("%w: an answer's head over %d bytes", errPacket, maxHead)
+// acceptNonRow handles the packet at the start of the buffer, which is not a row; accepted is false while it is
+// incomplete.
+func (r *resultStream) acceptNonRow(size int) (accepted bool, err error) {
+	if size == 0 {
+		return false, fmt.Errorf("%w: empty payload in a result", errMalformedPacket)
 	}
-	r.head = append(r.head, p.raw...)
-	first := p.payload[0]
+	if size > maxNonRowPacket {
+		return false, &packetSizeError{size: size, limit: maxNonRowPacket}
+	}
+	if len(r.buf) < headerSize+size {
+		return false, nil
+	}
+	raw := r.buf[:headerSize+size]
+	if len(r.metadata)+len(raw) > maxResultMetadata {
+		return false, fmt.Errorf("%w: result metadata over %d bytes", errMalformedPacket, maxResultMetadata)
+	}
+	r.metadata = append(r.metadata, raw...)
+	if err := r.acceptPacket(raw[headerSize:]); err != nil {
+		return false, err
+	}
+	r.buf = r.buf[headerSize+size:]
+	return true, nil
+}
+
+// acceptPacket handles the payload of a packet that is not a row.
+func (r *resultStream) acceptPacket(payload []byte) error {
+	header := payload[0]
 	switch {
-	case first == 0xff:
-		r.over, r.failed = true, errorCode(p.payload)
-	case r.rows: // the end of the rows
-		r.over = true
-		if len(p.payload) >= 5 && binary.LittleEndian.Uint16(p.payload[3:])&8 != 0 {
-			return fmt.Errorf("%w: more results than were asked for", errPacket)
-		}
-	case r.columns == 0 && first == 0:
-		r.over = true
-	case r.columns == 0:
-		c := cursor{b: p.payload}
-		if r.columns = c.lenenc(); c.bad || r.columns == 0 || len(c.b) > 0 {
-			return fmt.Errorf("%w: an answer starts with %#x", errPacket, first)
-		}
-	case r.defs < r.columns:
-		r.defs++
-	case isEOF(p.payload):
-		r.rows = true
+	case header == errHeader:
+		r.complete, r.errCode = true, errPacketCode(payload)
+	case r.inRows:
+		return r.acceptRowsEnd(payload)
+	case r.columnCount == 0 && header == okHeader:
+		r.complete = true
+	case r.columnCount == 0:
+		return r.acceptColumnCount(payload)
+	case r.definitionsRead < r.columnCount:
+		r.definitionsRead++
+	case isEOFPacket(payload):
+		r.inRows = true
 	default:
-		return fmt.Errorf("%w: %#x after the definitions", errPacket, first)
+		return fmt.Errorf("%w: header %#x after the column definitions", errMalformedPacket, header)
+	}
+	return nil
+}
+
+// acceptRowsEnd handles the EOF packet after the rows. The gateway sends single statements only, so there must be no
+// further result.
+func (r *resultStream) acceptRowsEnd(payload []byte) error {
+	r.complete = true
+	if len(payload) >= 5 && binary.LittleEndian.Uint16(payload[3:])&serverMoreResultsExist != 0 {
+		return fmt.Errorf("%w: more results than requested", errMalformedPacket)
+	}
+	return nil
+}
+
+func (r *resultStream) acceptColumnCount(payload []byte) error {
+	fields := payloadReader{remaining: payload}
+	r.columnCount = fields.lenencInt()
+	if fields.malformed || r.columnCount == 0 || len(fields.remaining) > 0 {
+		return fmt.Errorf("%w: a result begins with %#x", errMalformedPacket, payload[0])
 	}
 	return nil
 }
 
-// broken is what tells the client that an answer under way has no end: an error, or nothing in the middle of a row,
-// where only the connection's end can tell.
-func (r *result) broken() []byte {
-	if r.left > 0 || r.more {
+// truncationPacket is the ERR packet that ends a result whose rows broke off. Within a row it is nil: there any packet
+// would be read as part of the row, and only closing the client's connection tells the break.
+func (r *resultStream) truncationPacket() []byte {
+	if r.rowBytesLeft > 0 || r.rowContinues {
 		return nil
 	}
-	return errorPacket(r.seq+1, errFailed, "the engine broke off in the middle of the rows")
+	return errPacket(r.sequenceID+1, erUnknownError, "the engine broke off in the middle of the rows")
 }
--- a/internal/protocol/mysql/session.go
+++ b/internal/protocol/mysql/session.go
@@ -5,75 +5,97 @@
 	"fmt"
 )
 
-// maxPrepared bounds what a connection to an engine keeps prepared; one that has more is closed after use.
-const maxPrepared = 128
+// maxSessionStatements bounds the prepared statements of a connection to an engine; a connection that has more is
+// closed after use instead of being released.
+const maxSessionStatements = 128
 
-// session is what is known of a connection to an engine; it stays with the connection while it is idle.
+// session is what is known of one connection to an engine. It stays with the connection while it is idle.
 type session struct {
-	in       framer
-	ready    bool
-	answered bool // a login token went out
-	thread   uint32
-	schema   string
-	prepared map[string]uint32
+	packets       framer
+	authenticated bool
+	responseSent  bool // the handshake response was sent
+	connectionID  uint32
+	schema        string
+	statementIDs  map[string]uint32 // prepared statements by Exchange.preparedKey
 }
 
 func newSession() *session {
-	return &session{in: framer{limit: maxControl}, prepared: map[string]uint32{}}
+	return &session{packets: framer{maxPayload: maxNonRowPacket}, statementIDs: map[string]uint32{}}
 }
 
-// login is the engine's account.
-type login struct{ user, password string }
+// credentials are the gateway's account at the engines.
+type credentials struct{ user, password string }
 
-// greet takes a packet of the login and returns what to answer; ready is set once the engine has let us in.
-func (s *session) greet(p packet, l login) ([]byte, error) {
-	switch {
-	case len(p.payload) == 0:
-		return nil, fmt.Errorf("%w: empty at login", errPacket)
-	case p.payload[0] == 0xff:
-		return nil, &engineError{code: errorCode(p.payload)}
-	case !s.answered && p.payload[0] == 10:
-		return s.respond(p, l)
-	case s.answered && p.payload[0] == 0xfe:
-		return s.switchTo(p, l)
-	case s.answered && p.payload[0] == 0:
-		s.ready = true
+// engineError is an ERR packet of an engine during the login.
+type engineError struct{ code int }
+
+// Error names the engine's error code.
+func (e *engineError) Error() string { return fmt.Sprintf("engine error %d", e.code) }
+
+// handleLogin handles a packet of the connection phase and returns the response to it, if any; authenticated is set
+// once the engine has accepted the login. The error is an *engineError or wraps errMalformedPacket.
+func (s *session) handleLogin(p packet, account credentials) ([]byte, error) {
+	if len(p.payload) == 0 {
+		return nil, fmt.Errorf("%w: empty payload in the connection phase", errMalformedPacket)
+	}
+	switch header := p.payload[0]; {
+	case header == errHeader:
+		return nil, &engineError{code: errPacketCode(p.payload)}
+	case !s.responseSent && header == handshakeVersion:
+		return s.handshakeResponse(p, account)
+	case s.responseSent && header == authSwitchHeader:
+		return s.authSwitchResponse(p, account)
+	case s.responseSent && header == okHeader:
+		s.authenticated = true
 		return nil, nil
+	default:
+		return nil, fmt.Errorf("%w: header %#x in the connection phase", errMalformedPacket, header)
 	}
-	return nil, fmt.Errorf("%w: %#x at login", errPacket, p.payload[0])
 }
 
-// engineError is an error packet.
-type engineError struct{ code int }
-
-func (e *engineError) Error() string { return fmt.Sprintf("the engine says error %d", e.code) }
+// handshakeResponse answers Protocol::HandshakeV10 with Protocol::HandshakeResponse41.
+func (s *session) handshakeResponse(handshake packet, account credentials) ([]byte, error) {
+	scramble, err := s.readHandshake(handshake.payload)
+	if err != nil {
+		return nil, err
+	}
+	s.responseSent = true
+	auth := authResponse(scramble, account.password)
+	b := binary.LittleEndian.AppendUint32(nil, capabilityFlags&^clientConnectWithDB)
+	b = binary.LittleEndian.AppendUint32(b, maxPayload)
+	b = append(b, collationUTF8MB4)
+	b = append(b, make([]byte, handshakeFillerSize)...)
+	b = append(b, account.user...)
+	b = append(b, 0, byte(len(auth)))
+	b = append(b, auth...)
+	b = append(b, nativePassword+"\x00"...)
+	return frame(handshake.sequenceID+1, b), nil
+}
 
-func (s *session) respond(p packet, l login) ([]byte, error) {
-	c := cursor{b: p.payload[1:]}
-	c.text() // version
-	s.thread = c.u32()
-	scramble := append([]byte(nil), c.take(8)...)
-	c.take(1 + 2 + 1 + 2 + 2)
-	size := int(c.byte())
-	c.take(10)
-	scramble = append(scramble, c.take(min(max(13, size-8), len(c.b)))...)
-	if c.bad || len(scramble) < 20 {
-		return nil, fmt.Errorf("%w: greeting", errPacket)
+// readHandshake reads Protocol::HandshakeV10: it stores the connection id and returns the auth plugin data, which the
+// packet carries in two parts.
+func (s *session) readHandshake(payload []byte) (scramble []byte, err error) {
+	r := payloadReader{remaining: payload[1:]}
+	r.nulString() // server version
+	s.connectionID = r.uint32()
+	scramble = append(scramble, r.next(authPluginDataPart1Size)...)
+	r.next(1 + 2 + 1 + 2 + 2) // filler, capability flags, character set, status flags, capability flags
+	dataSize := int(r.byte())
+	r.next(handshakeReservedSize)
+	part2Size := max(authPluginDataPart2Min, dataSize-authPluginDataPart1Size)
+	scramble = append(scramble, r.next(min(part2Size, len(r.remaining)))...)
+	if r.malformed || len(scramble) < authPluginDataSize {
+		return nil, fmt.Errorf("%w: handshake", errMalformedPacket)
 	}
-	s.answered = true
-	proof := token(scramble[:20], l.password)
-	b := binary.LittleEndian.AppendUint32(nil, capabilities&^capConnectDB)
-	b = binary.LittleEndian.AppendUint32(b, fullPayload)
-	b = append(append(b, charset), make([]byte, 23)...)
-	b = append(append(b, l.user...), 0, byte(len(proof)))
-	b = append(append(b, proof...), nativePassword+"\x00"...)
-	return frame(p.seq+1, b), nil
+	return scramble[:authPluginDataSize], nil
 }
 
-func (s *session) switchTo(p packet, l login) ([]byte, error) {
-	c := cursor{b: p.payload[1:]}
-	if plugin := c.text(); plugin != nativePassword || len(c.b) < 20 {
-		return nil, fmt.Errorf("%w: the engine wants %.40q", errPacket, plugin)
+// authSwitchResponse answers Protocol::AuthSwitchRequest. Only mysql_native_password is supported.
+func (s *session) authSwitchResponse(request packet, account credentials) ([]byte, error) {
+	r := payloadReader{remaining: request.payload[1:]}
+	plugin := r.nulString()
+	if plugin != nativePassword || len(r.remaining) < authPluginDataSize {
+		return nil, fmt.Errorf("%w: auth switch to plugin %.40q", errMalformedPacket, plugin)
 	}
-	return frame(p.seq+1, token(c.b[:20], l.password)), nil
+	return frame(request.sequenceID+1, authResponse(r.remaining[:authPluginDataSize], account.password)), nil
 }
--- a/internal/protocol/mysql/statement.go
+++ b/internal/protocol/mysql/statement.go
@@ -2,122 +2,107 @@
 
 import (
 	"encoding/binary"
-	"regexp"
-	"strings"
 )
 
-// statement is one that a client has prepared. Its id is the gateway's: it outlives the engines that know it.
+// Fields of COM_STMT_EXECUTE (MySQL documentation, "COM_STMT_EXECUTE").
+const (
+	cursorTypeNoCursor  = 0
+	newParamsBoundFlag  = 1
+	paramTypeSize       = 2
+	maxStatementParams  = 0xffff // the parameter count is an int<2>
+	executeIterations   = 1
+	nullBitmapBitsAByte = 8
+)
+
+// statement is a prepared statement of a client. Its id is the gateway's own, valid for the client's connection,
+// whatever engines have prepared the text.
 type statement struct {
-	id     uint32
-	text   string
-	params int
-	types  []byte            // as last bound; they outlive the engine that saw them
-	long   map[uint16][]byte // long data sent since the last execute
-	order  []uint16
-	size   int
+	id            uint32
+	text          string
+	params        int
+	paramTypes    []byte            // as last bound; later executes may leave them out
+	longData      map[uint16][]byte // by parameter, sent since the last execute
+	longDataOrder []uint16          // parameters in the order in which their long data began
+	longDataSize  int               // bytes
 }
 
-// Execution is a prepared statement to run, for any engine.
+// Execution is one execute of a prepared statement, in a form that any engine can run.
 type Execution struct {
-	Text   string
-	Params int
-	nulls  []byte
-	types  []byte
-	values []byte
-	long   map[uint16][]byte
-	order  []uint16
+	Text          string // of the statement
+	Params        int    // number of parameters
+	nullBitmap    []byte
+	paramTypes    []byte
+	paramValues   []byte
+	longData      map[uint16][]byte
+	longDataOrder []uint16
 }
 
-// execute reads an execute's payload behind the statement's id.
-func (s *statement) execute(c *cursor) (*Execution, bool) {
-	c.byte() // flags: a cursor would be tied to an engine, so rows come at once
-	c.u32()  // iterations, always 1
-	e := &Execution{Text: s.text, Params: s.params, long: s.long, order: s.order}
+// parseExecute reads the payload of COM_STMT_EXECUTE after the statement id; ok is false if it is malformed.
+func (s *statement) parseExecute(r *payloadReader) (execution *Execution, ok bool) {
+	r.byte()   // flags: a cursor would bind the client to one engine, so all rows are sent at once
+	r.uint32() // iteration count, always 1
+	e := &Execution{Text: s.text, Params: s.params, longData: s.longData, longDataOrder: s.longDataOrder}
 	if s.params > 0 {
-		e.nulls = c.take((s.params + 7) / 8)
-		if c.byte() == 1 {
-			if types := c.take(2 * s.params); types != nil {
-				s.types = append([]byte(nil), types...)
-			}
-		}
-		if len(s.types) != 2*s.params {
+		e.nullBitmap = r.next(nullBitmapSize(s.params))
+		s.bindTypes(r)
+		if len(s.paramTypes) != paramTypeSize*s.params {
 			return nil, false
 		}
-		e.types = s.types
+		e.paramTypes = s.paramTypes
 	}
-	e.values = c.b
-	return e, !c.bad
+	e.paramValues = r.remaining
+	return e, !r.malformed
 }
 
-// command is the execute for an engine that knows the statement as id. The types are always bound: the engine may
-// never have seen them.
-func (e *Execution) command(id uint32) []byte {
-	head := binary.LittleEndian.AppendUint32(nil, id)
-	head = append(head, 0, 1, 0, 0, 0)
-	if e.Params == 0 {
-		return command(comExecute, head)
+func nullBitmapSize(params int) int { return (params + nullBitmapBitsAByte - 1) / nullBitmapBitsAByte }
+
+// bindTypes reads the new-params-bound flag and, if it is set, the parameter types.
+func (s *statement) bindTypes(r *payloadReader) {
+	if r.byte() != newParamsBoundFlag {
+		return
+	}
+	if types := r.next(paramTypeSize * s.params); types != nil {
+		s.paramTypes = append([]byte(nil), types...)
 	}
-	return command(comExecute, head, e.nulls, []byte{1}, e.types, e.values)
 }
 
-// longData are the commands that bring the long data again.
-func (e *Execution) longData(id uint32) []byte {
-	var out []byte
-	for _, n := range e.order {
-		head := binary.LittleEndian.AppendUint32(nil, id)
-		out = append(out, command(comLongData, binary.LittleEndian.AppendUint16(head, n), e.long[n])...)
+// appendLongData adds a piece of a parameter's value. One that is out of range or too large is dropped: the command
+// has no response, and the execute then fails for the missing value.
+func (s *statement) appendLongData(param uint16, data []byte) {
+	if int(param) >= s.params || s.longDataSize+len(data) > maxCommandSize {
+		return
 	}
-	return out
+	if s.longData == nil {
+		s.longData = map[uint16][]byte{}
+	}
+	if _, started := s.longData[param]; !started {
+		s.longDataOrder = append(s.longDataOrder, param)
+	}
+	s.longData[param] = append(s.longData[param], data...)
+	s.longDataSize += len(data)
 }
 
-// markers counts the parameters of a statement: question marks outside of strings, names and comments.
-func markers(text string) int {
-	n := 0
-	for i := 0; i < len(text); i++ {
-		switch b := text[i]; {
-		case b == '?':
-			n++
-		case b == '\'' || b == '"' || b == '`':
-			for i++; i < len(text) && text[i] != b; i++ {
-				if text[i] == '\\' && b != '`' {
-					i++
-				}
-			}
-		case b == '#' || strings.HasPrefix(text[i:], "-- "):
-			i += max(0, strings.IndexByte(text[i:]+"\n", '\n'))
-		case strings.HasPrefix(text[i:], "/*"):
-			end := strings.Index(text[i+2:], "*/")
-			if end < 0 {
-				return n
-			}
-			i += 2 + end + 1
-		}
+func (s *statement) clearLongData() { s.longData, s.longDataOrder, s.longDataSize = nil, nil, 0 }
+
+// executePacket is COM_STMT_EXECUTE for an engine that prepared the statement under the given id. It always binds the
+// parameter types, since this engine may not have received them before.
+func (e *Execution) executePacket(id uint32) []byte {
+	head := binary.LittleEndian.AppendUint32(nil, id)
+	head = append(head, cursorTypeNoCursor)
+	head = binary.LittleEndian.AppendUint32(head, executeIterations)
+	if e.Params == 0 {
+		return commandPacket(comStmtExecute, head)
 	}
-	return n
+	return commandPacket(comStmtExecute, head, e.nullBitmap, []byte{newParamsBoundFlag}, e.paramTypes, e.paramValues)
 }
 
-var (
-	setKey      = regexp.MustCompile(`(?is)^\s*SET\s+@replay_key\s*:?=\s*('(?:[^'\\]|\\.|'')*')\s*;?\s*$`)
-	setHarmless = regexp.MustCompile(`(?is)^\s*SET\s+(NAMES\b.*|CHARACTER\s+SET\b.*|(@@)?(session\s+|session\.)?autocommit\s*=\s*(1|ON))\s*;?\s*$`)
-	transaction = regexp.MustCompile(`(?is)^\s*(BEGIN|START\s+TRANSACTION|COMMIT|ROLLBACK|SAVEPOINT|RELEASE\s+SAVEPOINT|XA|LOCK\s+TABLES?|UNLOCK\s+TABLES?|SET\s+(@@)?(global\s+|session\s+|session\.)?(TRANSACTION|autocommit)|SET)\b`)
-	useSchema   = regexp.MustCompile("(?is)^\\s*USE\\s+`?([^`;\\s]+)`?\\s*;?\\s*$")
-)
-
-// plain drops comments that stand before a statement, so that they hide nothing.
-func plain(text string) string {
-	for {
-		text = strings.TrimSpace(text)
-		switch {
-		case strings.HasPrefix(text, "/*") && !strings.HasPrefix(text, "/*!"):
-			_, rest, closed := strings.Cut(text[2:], "*/")
-			if !closed {
-				return ""
-			}
-			text = rest
-		case strings.HasPrefix(text, "#"), strings.HasPrefix(text, "-- "):
-			_, text, _ = strings.Cut(text, "\n")
-		default:
-			return text
-		}
+// longDataPackets are the COM_STMT_SEND_LONG_DATA commands that repeat the client's long data to an engine.
+func (e *Execution) longDataPackets(id uint32) []byte {
+	var out []byte
+	for _, param := range e.longDataOrder {
+		head := binary.LittleEndian.AppendUint32(nil, id)
+		head = binary.LittleEndian.AppendUint16(head, param)
+		out = append(out, commandPacket(comStmtSendLongData, head, e.longData[param])...)
 	}
+	return out
 }
