--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,7 @@
-// Benchlink connects the policy module to the bench: it turns frames of the simulator's wire into events and
-// actions into frames, with one Gateway for each instance. It makes no decision.
+// Simadapter connects the decision module to the simulator: it reads batches of events from standard input, passes
+// each event to the policy.Gateway of its instance and writes the actions to standard output. It makes no decision.
+//
+// It runs in one goroutine and ends when the input ends between two frames.
 package main
 
 import (
@@ -11,6 +13,9 @@
 	"frostpier/internal/testbed/simproto"
 )
 
+// readBufferSize is the size of the buffer before the input, in bytes.
+const readBufferSize = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
@@ -18,24 +23,25 @@
 	}
 }
 
-// run answers batches until the input ends between two frames.
+// run answers batches until the input ends. Input that ends within a frame is an error.
 func run(in io.Reader, out io.Writer) error {
-	r, l := bufio.NewReaderSize(in, 1<<20), newLink()
-	var buf []byte
+	reader := bufio.NewReaderSize(in, readBufferSize)
+	a := newAdapter()
+	var frame []byte
 	for {
-		batch, err := simproto.ReadBatch(r)
+		batch, err := simproto.ReadBatch(reader)
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		actions, err := l.answer(batch)
+		actions, err := a.reply(batch)
 		if err != nil {
 			return err
 		}
-		buf = simproto.AppendReply(buf[:0], actions)
-		if _, err := out.Write(buf); err != nil {
+		frame = simproto.AppendReply(frame[:0], actions)
+		if _, err := out.Write(frame); err != nil {
 			return err
 		}
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -9,11 +10,13 @@
 	"frostpier/internal/testbed/simproto"
 )
 
-const plainSetup = `{"classes":[{"name":"q","objective":1000000000,"give_up":5000000000,"repeat":"retryable",
+const settingsJSON = `{"classes":[{"name":"q","objective":1000000000,"give_up":5000000000,"repeat":"retryable",
 "worth":1,"surprise":[1]}],"siblings":1,"tick":5000000,"models":["m"],"zones":["z"],"novelty":{"a":1},
 "family_info":{"cores_by_kind":[4],"threads_by_class":[1]},"report":{"fields":["util","odd"],"via":"answers"}}`
 
-func up(setup string) simproto.Record { return &simproto.Up{Inst: 3, Seed: 1, Setup: []byte(setup)} }
+func startInstance(settings string) simproto.Record {
+	return &simproto.StartInstance{Instance: 3, Seed: 1, Settings: []byte(settings)}
+}
 
 func batch(now uint64, events ...simproto.Record) []byte {
 	return simproto.AppendBatch(nil, simproto.Batch{Now: now, Events: events})
@@ -37,55 +40,77 @@
 var engine = simproto.EngineID{IP: [4]byte{10, 1, 2, 3}, Port: 8080}
 
 func start() []byte {
-	return batch(1, up(plainSetup), &simproto.Table{Entries: []simproto.Entry{{Engine: engine}}}, &simproto.Announce{Inst: 3, How: 1})
+	return batch(1, startInstance(settingsJSON),
+		&simproto.EngineList{Entries: []simproto.EngineEntry{{Engine: engine}}},
+		&simproto.EngineListChanged{Instance: 3, Kind: 1})
 }
 
-func work(id uint32) *simproto.WorkItem {
-	return &simproto.WorkItem{Inst: 3, Request: id, Remaining: 5e9, Tables: float32(math.NaN())}
+func request(id uint32) *simproto.RequestArrived {
+	return &simproto.RequestArrived{Instance: 3, Request: id, Remaining: 5e9, TableGroup: float32(math.NaN())}
 }
 
-func TestRequestIsDispatchedToTheListedEngine(t *testing.T) {
-	actions, err := play(t, start(), batch(2, work(9)))
+func TestRequestIsSentToTheListedEngine(t *testing.T) {
+	actions, err := play(t, start(), batch(2, request(9)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, a := range actions {
-		if d, ok := a.(*simproto.Dispatch); ok && d.Engine == engine && d.Request == 9 && d.Inst == 3 {
+		if d, ok := a.(*simproto.SendAttempt); ok && d.Engine == engine && d.Request == 9 && d.Instance == 3 {
 			return
 		}
 	}
-	t.Fatalf("no dispatch in %+v", actions)
+	t.Fatalf("no attempt in %+v", actions)
 }
 
 func TestMalformedInputEndsWithAnError(t *testing.T) {
-	for name, frame := range map[string][]byte{
-		"cut short": start()[:40], "settings": batch(1, up("{")), "no classes": batch(1, up("{}")),
-		"effect":      batch(1, up(strings.Replace(plainSetup, "retryable", "maybe", 1))),
-		"list number": batch(1, up(plainSetup), &simproto.Announce{Inst: 3, Bank: 77, How: 1}),
-		"list form":   batch(1, up(plainSetup), &simproto.Announce{Inst: 3, How: 9}),
+	var (
+		invalid   *settingsError
+		limit     *simproto.LimitError
+		unknown   *unknownListKindError
+		badRepeat = strings.Replace(settingsJSON, "retryable", "maybe", 1)
+	)
+	for _, c := range []struct {
+		name  string
+		frame []byte
+		want  any // target of errors.As; nil: ErrMalformedFrame
+	}{
+		{"cut short", start()[:40], nil},
+		{"settings", batch(1, startInstance("{")), &invalid},
+		{"no classes", batch(1, startInstance("{}")), &invalid},
+		{"repeat", batch(1, startInstance(badRepeat)), &invalid},
+		{"stored list number", batch(1, &simproto.EngineList{Number: 16}), &limit},
+		{"list number", batch(1, startInstance(settingsJSON), &simproto.EngineListChanged{Instance: 3, List: 77, Kind: 1}), &limit},
+		{"list kind", batch(1, startInstance(settingsJSON), &simproto.EngineListChanged{Instance: 3, Kind: 9}), &unknown},
 	} {
-		if actions, err := play(t, frame); err == nil || len(actions) > 0 {
-			t.Errorf("%s: %d actions, error %v", name, len(actions), err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			actions, err := play(t, c.frame)
+			matched := errors.Is(err, simproto.ErrMalformedFrame)
+			if c.want != nil {
+				matched = errors.As(err, c.want)
+			}
+			if !matched || len(actions) > 0 {
+				t.Errorf("%d actions, error %v", len(actions), err)
+			}
+		})
 	}
 }
 
-// Odd but legal events change nothing that they should not.
-func TestOddEventsAreSurvived(t *testing.T) {
-	nan := simproto.Load{N: 2, Values: [4]float32{float32(math.NaN()), float32(math.Inf(1))}}
+// Events that refer to nothing known, or carry odd values, are ignored and do not disturb other requests.
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
+	nan := simproto.LoadReport{N: 2, Values: [4]float32{float32(math.NaN()), float32(math.Inf(1))}}
 	actions, err := play(t, start(), batch(2,
-		&simproto.Done{Inst: 3, Request: 5}, &simproto.Done{Inst: 44, Request: 5}, &simproto.Due{Inst: 3, Token: 12},
-		&simproto.Vanished{Inst: 3, Request: 77}, &simproto.Whisper{Inst: 3}, &simproto.Heartbeat{Inst: 3, Kind: 2},
-		&simproto.Flowing{Inst: 3, Request: 8}, &simproto.CheckResult{Inst: 3, Engine: simproto.EngineID{}, Ending: 100},
-		work(9), work(9),
-		&simproto.Done{Inst: 3, Request: 9, Engine: engine, Ending: 100, Terminal: 1, Took: 1e6, Load: nan},
-		&simproto.Done{Inst: 3, Request: 9, Engine: engine, Ending: 301}, work(10)))
+		&simproto.AttemptEnded{Instance: 3, Request: 5}, &simproto.AttemptEnded{Instance: 44, Request: 5}, &simproto.TimerFired{Instance: 3, Token: 12},
+		&simproto.ClientGone{Instance: 3, Request: 77}, &simproto.PeerMessage{Instance: 3}, &simproto.Progress{Instance: 3, Kind: 2},
+		&simproto.ResponseStarted{Instance: 3, Request: 8}, &simproto.HealthCheckEnded{Instance: 3, Engine: simproto.EngineID{}, Outcome: 100},
+		request(9), request(9),
+		&simproto.AttemptEnded{Instance: 3, Request: 9, Engine: engine, Outcome: 100, Terminal: 1, Duration: 1e6, Report: nan},
+		&simproto.AttemptEnded{Instance: 3, Request: 9, Engine: engine, Outcome: 301}, request(10)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	sent := map[uint32]int{}
 	for _, a := range actions {
-		if d, ok := a.(*simproto.Dispatch); ok {
+		if d, ok := a.(*simproto.SendAttempt); ok {
 			sent[d.Request]++
 		}
 	}
@@ -94,16 +119,16 @@
 	}
 }
 
-func TestTeardownAndNewStartShareABatch(t *testing.T) {
-	actions, err := play(t, start(), batch(2, work(9)), batch(3, &simproto.Teardown{Inst: 3}, up(plainSetup),
-		&simproto.Table{Entries: []simproto.Entry{{Engine: engine}}}, &simproto.Announce{Inst: 3, How: 1}, work(10)),
-		batch(4, &simproto.Teardown{Inst: 3}), batch(5, work(11)))
+func TestStopAndStartInOneBatch(t *testing.T) {
+	actions, err := play(t, start(), batch(2, request(9)), batch(3, &simproto.StopInstance{Instance: 3}, startInstance(settingsJSON),
+		&simproto.EngineList{Entries: []simproto.EngineEntry{{Engine: engine}}}, &simproto.EngineListChanged{Instance: 3, Kind: 1}, request(10)),
+		batch(4, &simproto.StopInstance{Instance: 3}), batch(5, request(11)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, a := range actions {
-		if d, ok := a.(*simproto.Dispatch); ok && d.Request == 11 {
-			t.Fatal("an instance that was torn down acted")
+		if d, ok := a.(*simproto.SendAttempt); ok && d.Request == 11 {
+			t.Fatal("a stopped instance acted")
 		}
 	}
 }
--- /dev/null
+++ b/internal/testbed/simproto/frame.go
@@ -0,0 +1,126 @@
+package simproto
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+)
+
+// Sizes of the fixed parts of a frame, in bytes.
+const (
+	EventSize       = 56 // of an encoded event
+	ActionSize      = 24 // of an encoded action
+	batchHeaderSize = 16 // body size, number of events, time
+	replyHeaderSize = 8  // body size, number of actions
+	maxBodySize     = 1 << 28
+)
+
+// Batch is what the simulator sends: the events of one moment.
+type Batch struct {
+	Now    uint64 // ns of the simulator's clock
+	Events []Record
+}
+
+// ReadBatch reads the next batch. At the end of the input it returns io.EOF itself; any other error of reading or
+// decoding matches ErrMalformedFrame.
+func ReadBatch(r io.Reader) (Batch, error) {
+	var header [batchHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		if errors.Is(err, io.EOF) {
+			return Batch{}, io.EOF
+		}
+		return Batch{}, fmt.Errorf("%w: header cut short: %w", ErrMalformedFrame, err)
+	}
+	body, err := readBody(r, binary.LittleEndian.Uint32(header[:]))
+	if err != nil {
+		return Batch{}, err
+	}
+	events, err := decode(body, binary.LittleEndian.Uint32(header[4:]), EventSize, firstEvent, lastEvent)
+	return Batch{Now: binary.LittleEndian.Uint64(header[8:]), Events: events}, err
+}
+
+// AppendBatch appends an encoded batch to dst.
+func AppendBatch(dst []byte, b Batch) []byte {
+	start := len(dst)
+	dst = append(dst, make([]byte, batchHeaderSize)...)
+	dst = encode(dst, b.Events, EventSize)
+	putSizes(dst[start:], batchHeaderSize, len(b.Events))
+	binary.LittleEndian.PutUint64(dst[start+8:], b.Now)
+	return dst
+}
+
+// ReadReply reads a reply, as the simulator does. Every error matches ErrMalformedFrame.
+func ReadReply(r io.Reader) ([]Record, error) {
+	var header [replyHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return nil, fmt.Errorf("%w: header cut short: %w", ErrMalformedFrame, err)
+	}
+	body, err := readBody(r, binary.LittleEndian.Uint32(header[:]))
+	if err != nil {
+		return nil, err
+	}
+	return decode(body, binary.LittleEndian.Uint32(header[4:]), ActionSize, firstAction, lastAction)
+}
+
+// AppendReply appends an encoded reply to dst.
+func AppendReply(dst []byte, actions []Record) []byte {
+	start := len(dst)
+	dst = append(dst, make([]byte, replyHeaderSize)...)
+	dst = encode(dst, actions, ActionSize)
+	putSizes(dst[start:], replyHeaderSize, len(actions))
+	return dst
+}
+
+// putSizes writes the two sizes with which both headers begin: that of the body, and the number of records.
+func putSizes(frame []byte, headerSize, records int) {
+	binary.LittleEndian.PutUint32(frame, uint32(len(frame)-headerSize))
+	binary.LittleEndian.PutUint32(frame[4:], uint32(records))
+}
+
+func readBody(r io.Reader, size uint32) ([]byte, error) {
+	if size > maxBodySize {
+		return nil, &LimitError{Field: "size of the body", Value: uint64(size), Limit: maxBodySize}
+	}
+	body := make([]byte, size)
+	if _, err := io.ReadFull(r, body); err != nil {
+		return nil, fmt.Errorf("%w: body cut short: %w", ErrMalformedFrame, err)
+	}
+	return body, nil
+}
+
+// decode reads count records of the given size from body; the codes first to last are allowed.
+func decode(body []byte, count uint32, size int, first, last uint8) ([]Record, error) {
+	if uint64(count)*uint64(size) > uint64(len(body)) {
+		return nil, &LimitError{Field: "number of records", Value: uint64(count), Limit: uint64(len(body) / size)}
+	}
+	tail := body[int(count)*size:]
+	records := make([]Record, 0, count)
+	for i := range int(count) {
+		encoded := body[i*size : (i+1)*size]
+		if code := encoded[0]; code < first || code > last {
+			return nil, &UnknownCodeError{Record: i, Code: code}
+		}
+		record := newRecord(encoded[0])
+		c := cursor{record: encoded, offset: 1, tail: tail}
+		record.fields(&c)
+		if c.err != nil {
+			return nil, fmt.Errorf("record %d: %w", i, c.err)
+		}
+		records = append(records, record)
+	}
+	return records, nil
+}
+
+// encode appends records of the given size to dst, and the tail after them.
+func encode(dst []byte, records []Record, size int) []byte {
+	start := len(dst)
+	dst = append(dst, make([]byte, len(records)*size)...)
+	c := cursor{writing: true}
+	for i, r := range records {
+		c.record, c.offset = dst[start+i*size:start+(i+1)*size], 1
+		c.record[0] = r.code()
+		r.fields(&c)
+	}
+	return append(dst, c.tail...)
+}
--- a/internal/testbed/simproto/golden_test.go
+++ b/internal/testbed/simproto/golden_test.go
@@ -10,7 +10,7 @@
 	"frostpier/internal/testutil"
 )
 
-// fill gives each field of a record a value of its own.
+// fill sets each field of a record to a random value.
 func fill(v reflect.Value, rnd *rand.Rand) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -35,7 +35,7 @@
 	}
 }
 
-// Every record is encoded, byte for byte, as before the code was rearranged.
+// The encoding of every record equals the recorded transcript.
 func TestRecordTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
@@ -46,7 +46,7 @@
 			continue
 		}
 		fill(reflect.ValueOf(r).Elem(), rnd)
-		if code < int((&Dispatch{}).code()) { // the first of the actions
+		if code < firstAction {
 			fmt.Fprintf(&out, "%d %x\n", code, AppendBatch(nil, Batch{Now: 7, Events: []Record{r}}))
 			continue
 		}
