--- a/internal/protocol/vrrp/golden_test.go
+++ b/internal/protocol/vrrp/golden_test.go
@@ -9,7 +9,7 @@
 	"frostpier/internal/testutil"
 )
 
-// The advertisements are, byte for byte, what they were before the code was rearranged.
+// The steps and the bytes of all advertisements equal the recorded transcript.
 func TestAdvertisementTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
--- a/internal/protocol/vrrp/packet.go
+++ b/internal/protocol/vrrp/packet.go
@@ -1,6 +1,3 @@
-// Package vrrp is the state machine of RFC 9568 (VRRP version 3), which calls Active what is called Master here. It
-// is fed messages and alarms; it knows no socket and no clock. Carried over UDP, a message's TTL of 255 cannot be
-// checked, so that the sender is on the same link is taken on trust: the driver takes messages of listed peers only.
 package vrrp
 
 import (
@@ -11,41 +8,77 @@
 	"time"
 )
 
+// Fields of an advertisement (RFC 9568 section 5.2).
 const (
-	version       = 3
-	advertisement = 1
-	headSize      = 8
-	maxMessage    = headSize + 4*255
-	tick          = 10 * time.Millisecond // intervals are told in hundredths of a second
-	maxInterval   = 0xfff * tick
-	owner         = 255 // the priority of the router that owns the addresses
+	protocolVersion      = 3
+	typeAdvertisement    = 1
+	versionAndType       = protocolVersion<<4 | typeAdvertisement
+	headerSize           = 8
+	addressSize          = 4
+	maxAddresses         = 255
+	maxAdvertisementSize = headerSize + addressSize*maxAddresses
+	intervalUnit         = 10 * time.Millisecond // Max Advertise Interval is in hundredths of a second
+	intervalMask         = 0xfff
+	maxInterval          = intervalMask * intervalUnit
+	checksumOffset       = 6
 )
 
-// ErrMessage is a message that is to be discarded.
-var ErrMessage = errors.New("message discarded")
+// Priorities with a meaning of their own (RFC 9568 section 5.2.4).
+const (
+	releasePriority = 0   // the active router stops
+	ownerPriority   = 255 // the router owns the addresses
+)
+
+// ErrDiscarded is wrapped by every error about an advertisement that must be discarded (RFC 9568 section 7.1).
+var ErrDiscarded = errors.New("advertisement discarded")
+
+// SizeError reports an advertisement whose size is wrong. It matches ErrDiscarded.
+type SizeError struct {
+	Size      int // bytes received
+	Addresses int // number of addresses that the header announces; 0 if it was not read
+}
+
+// Error gives both sizes.
+func (e *SizeError) Error() string {
+	return fmt.Sprintf("%v: %d bytes with %d addresses", ErrDiscarded, e.Size, e.Addresses)
+}
 
-// message is an advertisement.
-type message struct {
+// Unwrap makes errors.Is match ErrDiscarded.
+func (e *SizeError) Unwrap() error { return ErrDiscarded }
+
+// Errors of advertisements that are discarded for one field. All match ErrDiscarded.
+var (
+	errVersionOrType = fmt.Errorf("%w: version or type", ErrDiscarded)
+	errChecksum      = fmt.Errorf("%w: checksum", ErrDiscarded)
+	errOtherRouter   = fmt.Errorf("%w: other virtual router", ErrDiscarded)
+	errNotOwner      = fmt.Errorf("%w: this router owns the addresses", ErrDiscarded)
+	errZeroInterval  = fmt.Errorf("%w: advertisement interval of zero", ErrDiscarded)
+)
+
+// advertisement is a VRRP advertisement.
+type advertisement struct {
 	vrid     uint8
 	priority uint8
 	interval time.Duration
 	addrs    []netip.Addr // IPv4
 }
 
-func (m message) bytes() []byte {
-	b := []byte{version<<4 | advertisement, m.vrid, m.priority, byte(len(m.addrs))}
-	b = binary.BigEndian.AppendUint16(b, uint16(m.interval/tick)&0xfff)
-	b = append(b, 0, 0)
-	for _, a := range m.addrs {
-		ip := a.As4()
+// encode returns the bytes of the advertisement.
+func (a advertisement) encode() []byte {
+	b := []byte{versionAndType, a.vrid, a.priority, byte(len(a.addrs))}
+	b = binary.BigEndian.AppendUint16(b, uint16(a.interval/intervalUnit)&intervalMask)
+	b = append(b, 0, 0) // checksum
+	for _, addr := range a.addrs {
+		ip := addr.As4()
 		b = append(b, ip[:]...)
 	}
-	binary.BigEndian.PutUint16(b[6:], ^sum(b))
+	binary.BigEndian.PutUint16(b[checksumOffset:], ^onesComplementSum(b))
 	return b
 }
 
-// sum is the one's complement sum that the checksum is made of; for IPv4 it covers the message alone.
-func sum(b []byte) uint16 {
+// onesComplementSum is the sum whose complement is the checksum. For IPv4 it covers the advertisement alone, without a
+// pseudo-header (RFC 9568 section 5.2.8). Over bytes that include their checksum it is 0xffff.
+func onesComplementSum(b []byte) uint16 {
 	total := uint32(0)
 	for i := 0; i+1 < len(b); i += 2 {
 		total += uint32(binary.BigEndian.Uint16(b[i:]))
@@ -56,20 +89,27 @@
 	return uint16(total)
 }
 
-func parse(b []byte) (message, error) {
-	switch {
-	case len(b) < headSize || len(b) > maxMessage:
-		return message{}, fmt.Errorf("%w: %d bytes", ErrMessage, len(b))
-	case b[0] != version<<4|advertisement:
-		return message{}, fmt.Errorf("%w: version and type %#x", ErrMessage, b[0])
-	case len(b) != headSize+4*int(b[3]) || b[3] == 0:
-		return message{}, fmt.Errorf("%w: %d bytes with %d addresses", ErrMessage, len(b), b[3])
-	case sum(b) != 0xffff:
-		return message{}, fmt.Errorf("%w: checksum", ErrMessage)
+// parseAdvertisement reads and verifies an advertisement (RFC 9568 section 7.1). Every error matches ErrDiscarded.
+func parseAdvertisement(b []byte) (advertisement, error) {
+	if len(b) < headerSize || len(b) > maxAdvertisementSize {
+		return advertisement{}, &SizeError{Size: len(b)}
+	}
+	if b[0] != versionAndType {
+		return advertisement{}, fmt.Errorf("%w: %#x", errVersionOrType, b[0])
+	}
+	if addresses := int(b[3]); addresses == 0 || len(b) != headerSize+addressSize*addresses {
+		return advertisement{}, &SizeError{Size: len(b), Addresses: addresses}
+	}
+	if onesComplementSum(b) != 0xffff {
+		return advertisement{}, errChecksum
+	}
+	a := advertisement{
+		vrid:     b[1],
+		priority: b[2],
+		interval: time.Duration(binary.BigEndian.Uint16(b[4:])&intervalMask) * intervalUnit,
 	}
-	m := message{vrid: b[1], priority: b[2], interval: time.Duration(binary.BigEndian.Uint16(b[4:])&0xfff) * tick}
-	for at := headSize; at < len(b); at += 4 {
-		m.addrs = append(m.addrs, netip.AddrFrom4([4]byte(b[at:at+4])))
+	for offset := headerSize; offset < len(b); offset += addressSize {
+		a.addrs = append(a.addrs, netip.AddrFrom4([4]byte(b[offset:offset+addressSize])))
 	}
-	return m, nil
+	return a, nil
 }
--- a/internal/protocol/vrrp/router.go
+++ b/internal/protocol/vrrp/router.go
@@ -6,168 +6,174 @@
 	"time"
 )
 
-// State is that of a virtual router.
+// State is the state of a virtual router (RFC 9568 section 6.4).
 type State uint8
 
-// The states.
+// The states. Master is the Active state of RFC 9568.
 const (
 	Initialize State = iota
 	Backup
 	Master
 )
 
+// String returns the state in lower case.
 func (s State) String() string { return [...]string{"initialize", "backup", "master"}[s] }
 
-// Config is how a virtual router is set up; it is the same on all its routers but for priority and address.
-type Config struct {
-	VRID     uint8
-	Priority uint8 // 255 for the owner of the addresses, else 1 to 254
-	Interval time.Duration
-	Preempt  bool         // take over from a master of lower priority
-	Self     netip.Addr   // decides between equal priorities: the higher wins
-	Addrs    []netip.Addr // those that the router stands for
-}
-
-func (c Config) check() error {
-	if c.VRID == 0 || c.Priority == 0 || c.Interval < tick || c.Interval > maxInterval || len(c.Addrs) == 0 ||
-		len(c.Addrs) > 255 || !c.Self.Is4() {
-		return fmt.Errorf("virtual router %d: priority %d, interval %v, %d addresses, self %v", c.VRID, c.Priority,
-			c.Interval, len(c.Addrs), c.Self)
-	}
-	for _, a := range c.Addrs {
-		if !a.Is4() {
-			return fmt.Errorf("virtual router %d: %v is not IPv4", c.VRID, a)
-		}
-	}
-	return nil
-}
-
-// Step is something that the driver is to do; of each only what is set.
+// Step is what the driver is to do next; a field that is zero asks for nothing.
 type Step struct {
-	Send  []byte        // to all peers
-	Alarm time.Duration // start the one alarm anew
-	Quiet bool          // stop the alarm
-	Now   *State        // the state changed to this
+	Send  []byte        // an advertisement for all peers
+	Alarm time.Duration // start the timer anew; there is one timer
+	Quiet bool          // stop the timer
+	Now   *State        // the new state
 }
 
-// Router is a virtual router's state machine.
+// Router is the state machine of a virtual router on one router.
 type Router struct {
-	conf   Config
+	config Config
 	state  State
-	master time.Duration // the master's interval, as its messages tell
+	// activeInterval is Active_Adver_Interval, which the active router's advertisements carry.
+	activeInterval time.Duration
 }
 
-// New makes a Router in the state Initialize.
-func New(conf Config) (*Router, error) {
-	if err := conf.check(); err != nil {
+// New returns a Router in the state Initialize. The error is a *ConfigError.
+func New(config Config) (*Router, error) {
+	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	return &Router{conf: conf, master: conf.Interval}, nil
+	return &Router{config: config, activeInterval: config.Interval}, nil
 }
 
-// State is the present state.
+// State returns the current state.
 func (r *Router) State() State { return r.state }
 
-// skew makes routers of higher priority take over sooner.
-func (r *Router) skew() time.Duration {
-	return time.Duration(256-int(r.conf.Priority)) * r.master / 256
+// skewTime is Skew_Time (RFC 9568 section 6.1): routers of higher priority take over sooner.
+func (r *Router) skewTime() time.Duration {
+	return time.Duration(256-int(r.config.Priority)) * r.activeInterval / 256
 }
 
-// down is how long a master may be silent.
-func (r *Router) down() time.Duration { return 3*r.master + r.skew() }
+// activeDownInterval is Active_Down_Interval (RFC 9568 section 6.1): after so long without an advertisement a backup
+// takes over.
+func (r *Router) activeDownInterval() time.Duration { return 3*r.activeInterval + r.skewTime() }
 
-func (r *Router) become(s State) Step {
+func (r *Router) transition(s State) Step {
 	r.state = s
 	return Step{Now: &s}
 }
 
-func (r *Router) advert(priority uint8) Step {
-	m := message{vrid: r.conf.VRID, priority: priority, interval: r.conf.Interval, addrs: r.conf.Addrs}
-	return Step{Send: m.bytes()}
+func (r *Router) advertise(priority uint8) Step {
+	a := advertisement{vrid: r.config.VRID, priority: priority, interval: r.config.Interval, addrs: r.config.Addrs}
+	return Step{Send: a.encode()}
 }
 
-// Startup leaves Initialize: the owner of the addresses is master at once.
+// advertiseAndWait sends an advertisement and starts the timer for the next.
+func (r *Router) advertiseAndWait() []Step {
+	return []Step{r.advertise(r.config.Priority), {Alarm: r.config.Interval}}
+}
+
+// Startup handles the Startup event in the state Initialize (RFC 9568 section 6.4.1): the owner of the addresses becomes
+// master at once, any other router becomes a backup.
 func (r *Router) Startup() []Step {
 	if r.state != Initialize {
 		return nil
 	}
-	if r.conf.Priority == owner {
-		return r.lead()
+	if r.config.Priority == ownerPriority {
+		return r.becomeActive()
 	}
-	r.master = r.conf.Interval
-	return []Step{{Alarm: r.down()}, r.become(Backup)}
+	r.activeInterval = r.config.Interval
+	return []Step{{Alarm: r.activeDownInterval()}, r.transition(Backup)}
 }
 
-func (r *Router) lead() []Step {
-	return []Step{r.advert(r.conf.Priority), {Alarm: r.conf.Interval}, r.become(Master)}
+func (r *Router) becomeActive() []Step {
+	return append(r.advertiseAndWait(), r.transition(Master))
 }
 
-// Shutdown goes back to Initialize; a master says so by priority 0, so that a backup need not wait.
+// Shutdown handles the Shutdown event: the router returns to Initialize. A master advertises priority 0 first, so that
+// a backup takes over without waiting (RFC 9568 section 6.4.3).
 func (r *Router) Shutdown() []Step {
-	was := r.state
-	if was == Initialize {
+	previous := r.state
+	if previous == Initialize {
 		return nil
 	}
-	steps := []Step{{Quiet: true}, r.become(Initialize)}
-	if was == Master {
-		steps = append([]Step{r.advert(0)}, steps...)
+	steps := []Step{{Quiet: true}, r.transition(Initialize)}
+	if previous == Master {
+		steps = append([]Step{r.advertise(releasePriority)}, steps...)
 	}
 	return steps
 }
 
-// TimerFired says that the alarm went off: a master's to advertise, a backup's that the master is silent.
+// TimerFired handles the expiry of the timer: Active_Down_Timer in a backup, Adver_Timer in a master.
 func (r *Router) TimerFired() []Step {
 	switch r.state {
 	case Backup:
-		return r.lead()
+		return r.becomeActive()
 	case Master:
-		return []Step{r.advert(r.conf.Priority), {Alarm: r.conf.Interval}}
+		return r.advertiseAndWait()
 	}
 	return nil
 }
 
-// Received takes a message; an error says why it was discarded.
+// Received handles bytes received from a peer. An error matches ErrDiscarded and says why they were discarded; the
+// state is unchanged then.
 func (r *Router) Received(from netip.Addr, b []byte) ([]Step, error) {
-	m, err := parse(b)
-	switch {
-	case err != nil:
+	a, err := parseAdvertisement(b)
+	if err != nil {
+		return nil, err
+	}
+	if err := r.accepts(from, a); err != nil {
 		return nil, err
-	case m.vrid != r.conf.VRID:
-		return nil, fmt.Errorf("%w: of virtual router %d", ErrMessage, m.vrid)
-	case r.conf.Priority == owner:
-		return nil, fmt.Errorf("%w: this router owns the addresses, %v does not", ErrMessage, from)
-	case m.priority != 0 && m.interval == 0:
-		return nil, fmt.Errorf("%w: an interval of nothing", ErrMessage)
 	}
 	switch r.state {
 	case Backup:
-		return r.receive(m), nil
+		return r.handleAsBackup(a), nil
 	case Master:
-		return r.challenged(from, m), nil
+		return r.handleAsActive(from, a), nil
 	}
 	return nil, nil
 }
 
-// receive is a backup's view of a message.
-func (r *Router) receive(m message) []Step {
+// accepts checks an advertisement against this router's configuration.
+func (r *Router) accepts(from netip.Addr, a advertisement) error {
 	switch {
-	case m.priority == 0: // the master stops
-		return []Step{{Alarm: max(tick, r.skew())}}
-	case !r.conf.Preempt || m.priority >= r.conf.Priority:
-		r.master = m.interval
-		return []Step{{Alarm: r.down()}}
+	case a.vrid != r.config.VRID:
+		return fmt.Errorf("%w: %d", errOtherRouter, a.vrid)
+	case r.config.Priority == ownerPriority:
+		return fmt.Errorf("%w, %v does not", errNotOwner, from)
+	case a.priority != releasePriority && a.interval == 0:
+		return errZeroInterval
 	}
-	return nil // a lesser master: it is overtaken when the alarm goes off
+	return nil
 }
 
-// challenged is a master's view of a message.
-func (r *Router) challenged(from netip.Addr, m message) []Step {
+// handleAsBackup handles an advertisement in the state Backup (RFC 9568 section 6.4.2). One of a master of lower
+// priority is ignored with Preempt, so that the timer fires and this router takes over.
+func (r *Router) handleAsBackup(a advertisement) []Step {
 	switch {
-	case m.priority == 0:
-		return []Step{r.advert(r.conf.Priority), {Alarm: r.conf.Interval}}
-	case m.priority > r.conf.Priority || m.priority == r.conf.Priority && from.Compare(r.conf.Self) > 0:
-		r.master = m.interval
-		return []Step{{Alarm: r.down()}, r.become(Backup)}
+	case a.priority == releasePriority:
+		return []Step{{Alarm: max(intervalUnit, r.skewTime())}}
+	case !r.config.Preempt || a.priority >= r.config.Priority:
+		r.activeInterval = a.interval
+		return []Step{{Alarm: r.activeDownInterval()}}
+	}
+	return nil
+}
+
+// handleAsActive handles an advertisement in the state Master (RFC 9568 section 6.4.3). To a router of lower precedence
+// it answers with an advertisement at once, so that this one steps back.
+func (r *Router) handleAsActive(from netip.Addr, a advertisement) []Step {
+	switch {
+	case a.priority == releasePriority:
+		return r.advertiseAndWait()
+	case r.yieldsTo(from, a.priority):
+		r.activeInterval = a.interval
+		return []Step{{Alarm: r.activeDownInterval()}, r.transition(Backup)}
+	}
+	return []Step{r.advertise(r.config.Priority)}
+}
+
+// yieldsTo reports whether another router takes precedence: by priority, or by address between equal priorities.
+func (r *Router) yieldsTo(from netip.Addr, priority uint8) bool {
+	if priority != r.config.Priority {
+		return priority > r.config.Priority
 	}
-	return []Step{r.advert(r.conf.Priority)} // tells the lesser one at once who is master
+	return from.Compare(r.config.Self) > 0
 }
--- a/internal/protocol/vrrp/vrrp_test.go
+++ b/internal/protocol/vrrp/vrrp_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"errors"
+	"fmt"
 	"net/netip"
+	"reflect"
 	"testing"
 	"time"
 
@@ -13,6 +15,7 @@
 
 var low, high = netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
 
+// router returns a router with a lower address than its peer.
 func router(t *testing.T, priority uint8, preempt bool) *Router {
 	t.Helper()
 	r, err := New(Config{VRID: 7, Priority: priority, Interval: time.Second, Preempt: preempt, Self: low,
@@ -23,11 +26,13 @@
 	return r
 }
 
+// advert encodes an advertisement of a peer.
 func advert(vrid, priority uint8, interval time.Duration) []byte {
-	return message{vrid: vrid, priority: priority, interval: interval, addrs: []netip.Addr{low}}.bytes()
+	return advertisement{vrid: vrid, priority: priority, interval: interval, addrs: []netip.Addr{low}}.encode()
 }
 
-func alarm(steps []Step) time.Duration {
+// timer returns the timer that steps start; 0 for none.
+func timer(steps []Step) time.Duration {
 	for _, s := range steps {
 		if s.Alarm > 0 {
 			return s.Alarm
@@ -36,18 +41,19 @@
 	return 0
 }
 
-func sent(t *testing.T, steps []Step) (message, bool) {
+// sent returns the advertisement that steps send.
+func sent(t *testing.T, steps []Step) (advertisement, bool) {
 	t.Helper()
 	for _, s := range steps {
 		if s.Send != nil {
-			m, err := parse(s.Send)
+			m, err := parseAdvertisement(s.Send)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return m, true
 		}
 	}
-	return message{}, false
+	return advertisement{}, false
 }
 
 func receive(t *testing.T, r *Router, from netip.Addr, b []byte) []Step {
@@ -59,89 +65,139 @@
 	return steps
 }
 
-func TestBackupTakesOverAfterThreeIntervalsAndItsSkew(t *testing.T) {
+func TestBackupTakesOverAfterActiveDownInterval(t *testing.T) {
 	r := router(t, 100, true)
 	skew := 156 * time.Second / 256
-	if got := alarm(r.Startup()); r.State() != Backup || got != 3*time.Second+skew {
+	if got := timer(r.Startup()); r.State() != Backup || got != 3*time.Second+skew {
 		t.Fatalf("%v after %v", r.State(), got)
 	}
-	if got := alarm(receive(t, r, high, advert(7, 200, 500*time.Millisecond))); got != 1500*time.Millisecond+skew/2 {
-		t.Fatalf("with the master's own interval: %v", got) // RFC 9568, 6.4.2: the interval is learned
+	if got := timer(receive(t, r, high, advert(7, 200, 500*time.Millisecond))); got != 1500*time.Millisecond+skew/2 {
+		t.Fatalf("with the master's own interval: %v", got) // RFC 9568 section 6.4.2: the interval is learned
 	}
 	steps := r.TimerFired()
-	if m, ok := sent(t, steps); r.State() != Master || !ok || m.priority != 100 || alarm(steps) != time.Second {
+	if m, ok := sent(t, steps); r.State() != Master || !ok || m.priority != 100 || timer(steps) != time.Second {
 		t.Fatalf("%v, %+v", r.State(), steps)
 	}
 }
 
-func TestPriorityZeroShortensTheWait(t *testing.T) {
+func TestPriorityZeroStartsTakeover(t *testing.T) {
 	r := router(t, 100, true)
 	r.Startup()
-	if got := alarm(receive(t, r, high, advert(7, 0, time.Second))); got != 156*time.Second/256 {
-		t.Fatalf("waits %v, want the skew", got)
+	if got := timer(receive(t, r, high, advert(7, 0, time.Second))); got != 156*time.Second/256 {
+		t.Fatalf("waits %v, want Skew_Time", got)
 	}
 	r.TimerFired()
 	m, ok := sent(t, r.Shutdown())
 	if !ok || m.priority != 0 || r.State() != Initialize {
-		t.Fatalf("a master that stops says %+v", m)
+		t.Fatalf("a master that stops sent %+v", m)
 	}
 	if r.TimerFired() != nil || r.Shutdown() != nil {
-		t.Fatal("a stopped router acts")
+		t.Fatal("a router in Initialize has steps to do")
 	}
 }
 
 func TestPreemption(t *testing.T) {
-	for _, preempt := range []bool{true, false} {
-		r := router(t, 100, preempt)
-		r.Startup()
-		if heeded := alarm(receive(t, r, high, advert(7, 50, time.Second))) > 0; heeded == preempt {
-			t.Errorf("preempt %v: a lesser master's advertisement counts: %v", preempt, heeded)
-		}
+	for name, preempt := range map[string]bool{"preempt": true, "no preempt": false} {
+		t.Run(name, func(t *testing.T) {
+			r := router(t, 100, preempt)
+			r.Startup()
+			restarted := timer(receive(t, r, high, advert(7, 50, time.Second))) > 0
+			if restarted == preempt {
+				t.Errorf("advertisement of lower priority restarts the timer: %v", restarted)
+			}
+		})
 	}
 }
 
-func TestMasterGivesWayToTheHigher(t *testing.T) {
+func TestMasterYieldsToHigherPrecedence(t *testing.T) {
+	lowest := netip.MustParseAddr("127.0.0.0")
 	for name, c := range map[string]struct {
 		from     netip.Addr
 		priority uint8
 		want     State
 	}{
-		"higher priority": {low, 101, Backup}, "same and higher address": {high, 100, Backup},
-		"same and lower address": {netip.MustParseAddr("127.0.0.0"), 100, Master}, "lower": {high, 99, Master},
-		"one that stops": {high, 0, Master},
+		"higher priority":                     {low, 101, Backup},
+		"equal priority and higher address":   {high, 100, Backup},
+		"equal priority and lower address":    {lowest, 100, Master},
+		"lower priority":                      {high, 99, Master},
+		"priority 0 of a router that stopped": {high, 0, Master},
 	} {
-		r := router(t, 100, true)
-		r.Startup()
-		r.TimerFired()
-		steps := receive(t, r, c.from, advert(7, c.priority, time.Second))
-		if _, answered := sent(t, steps); r.State() != c.want || answered != (c.want == Master) {
-			t.Errorf("%s: %v, %+v", name, r.State(), steps)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := router(t, 100, true)
+			r.Startup()
+			r.TimerFired()
+			steps := receive(t, r, c.from, advert(7, c.priority, time.Second))
+			if _, answered := sent(t, steps); r.State() != c.want || answered != (c.want == Master) {
+				t.Errorf("%v, %+v", r.State(), steps)
+			}
+		})
 	}
 }
 
-func TestOwnerIsMasterAtOnce(t *testing.T) {
+func TestOwnerBecomesMasterAtStartup(t *testing.T) {
 	r := router(t, 255, true)
 	r.Startup()
-	if _, err := r.Received(high, advert(7, 254, time.Second)); r.State() != Master || !errors.Is(err, ErrMessage) {
+	if _, err := r.Received(high, advert(7, 254, time.Second)); r.State() != Master || !errors.Is(err, ErrDiscarded) {
 		t.Fatalf("%v, %v", r.State(), err)
 	}
 }
 
-func TestWrongMessagesAreDiscarded(t *testing.T) {
+func TestInvalidAdvertisementsAreDiscarded(t *testing.T) {
 	good := advert(7, 200, time.Second)
-	bad := map[string][]byte{"other router": advert(8, 200, time.Second), "short": good[:7], "long": append(good[:len(good):len(good)], 0)}
-	for i := range good { // any one bit more is seen by the checksum or the fields before it
+	type invalid struct {
+		bytes []byte
+		want  error // nil: any that matches ErrDiscarded
+	}
+	cases := map[string]invalid{
+		"other router":  {advert(8, 200, time.Second), errOtherRouter},
+		"zero interval": {advert(7, 200, 0), errZeroInterval},
+		"short":         {good[:7], &SizeError{Size: 7}},
+		"long":          {append(good[:len(good):len(good)], 0), &SizeError{Size: 13, Addresses: 1}},
+	}
+	for i := range good { // the checksum or the checks before it detect any one bit
 		flipped := append([]byte(nil), good...)
 		flipped[i] ^= 1
-		bad["bit in byte "+string(rune('0'+i))] = flipped
+		cases[fmt.Sprintf("bit in byte %d", i)] = invalid{flipped, nil}
 	}
-	for name, b := range bad {
-		r := router(t, 100, true)
-		r.Startup()
-		if steps, err := r.Received(high, b); !errors.Is(err, ErrMessage) || steps != nil {
-			t.Errorf("%s: %v, %v", name, steps, err)
-		}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			r := router(t, 100, true)
+			r.Startup()
+			steps, err := r.Received(high, c.bytes)
+			if !errors.Is(err, ErrDiscarded) || steps != nil {
+				t.Errorf("%v, %v", steps, err)
+			}
+			var size *SizeError
+			if errors.As(err, &size) && c.want != nil {
+				if !reflect.DeepEqual(error(size), c.want) {
+					t.Errorf("error %v, want %v", err, c.want)
+				}
+			} else if c.want != nil && !errors.Is(err, c.want) {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+		})
+	}
+}
+
+func TestInvalidConfigIsRejected(t *testing.T) {
+	ipv6 := netip.MustParseAddr("::1")
+	for field, change := range map[string]func(*Config){
+		"VRID":                func(c *Config) { c.VRID = 0 },
+		"priority":            func(c *Config) { c.Priority = 0 },
+		"interval":            func(c *Config) { c.Interval = maxInterval + 1 },
+		"number of addresses": func(c *Config) { c.Addrs = nil },
+		"own address":         func(c *Config) { c.Self = ipv6 },
+		"address":             func(c *Config) { c.Addrs = []netip.Addr{low, ipv6} },
+	} {
+		t.Run(field, func(t *testing.T) {
+			config := Config{VRID: 7, Priority: 100, Interval: time.Second, Self: low, Addrs: []netip.Addr{low}}
+			change(&config)
+			_, err := New(config)
+			var invalid *ConfigError
+			if !errors.As(err, &invalid) || invalid.Field != field {
+				t.Errorf("error %v, want a ConfigError for %s", err, field)
+			}
+		})
 	}
 }
 
