--- a/internal/testbed/capacity/catalogue.go
+++ b/internal/testbed/capacity/catalogue.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// Sizes that slopes are measured over.
+// What the size of a slope counts.
 const (
 	Engines     = "engines"
 	Gateways    = "gateways"
 	Connections = "connections"
 )
 
-// Units.
+// Units of slopes.
 const (
-	Seconds        = "s"
-	SecondsASecond = "s/s" // processor time: a share of a core
-	Bytes          = "bytes"
-	BytesASecond   = "bytes/s"
-	ASecond        = "1/s"
-	Share          = "share"
+	Seconds          = "s"
+	SecondsPerSecond = "s/s" // processor time over wall time, a share of a core
+	Bytes            = "bytes"
+	BytesPerSecond   = "bytes/s"
+	PerSecond        = "1/s"
+	Share            = "share"
 )
 
-// Group is a part of the measurements that can be run by itself.
+// Group is a group of measurements that can be run alone.
 type Group string
 
 // The groups.
@@ -33,54 +33,54 @@
 	GroupStaged      Group = "staged"
 )
 
-// Groups are all groups in the order in which they are measured.
+// Groups returns all groups in the order in which they are measured.
 func Groups() []Group {
 	return []Group{GroupDecision, GroupReports, GroupMembership, GroupFaults, GroupDiscovery, GroupConnections, GroupStaged}
 }
 
-// Definition says what a slope is, before anything is measured.
+// Definition defines a slope that is to be measured.
 type Definition struct {
 	Group  Group
 	Name   string
-	Unit   string
-	SizeOf string
-	Form   Form
+	Unit   string // one of the units, as Seconds
+	SizeOf string // what the size counts, as Engines
+	Form   Form   // of the curve that is fitted
 }
 
-// Command is the command that reproduces the slope.
+// Command returns the command that measures the slope again.
 func (d Definition) Command() string {
 	text := fmt.Sprintf("bin/fleettest slopes --only %s", d.Group)
 	if d.Group == GroupReports || d.Group == GroupMembership || d.Group == GroupFaults {
-		text += " --memory-mb 768" // 800 gateways with all their tables
+		text += " --memory-mb 768" // for the tables of 800 gateways in one process
 	}
 	return text
 }
 
-// Definitions are all slopes of the page.
+// Definitions returns all slopes, in the order of result files.
 func Definitions() []Definition {
 	list := []Definition{
 		{GroupDecision, DecisionProcessor, Seconds, Engines, Linear},
 		{GroupDecision, CoreProcessor, Seconds, Engines, Linear},
-		{GroupReports, KnownFewReports, Share, Engines, Power},
-		{GroupReports, AgeFewReports, Seconds, Engines, Power},
-		{GroupReports, KnownAllReports, Share, Engines, Flat},
-		{GroupReports, AgeAllReports, Seconds, Engines, Linear},
-		{GroupReports, ReportsProcessor, SecondsASecond, Engines, Linear},
-		{GroupReports, ReportsBytes, BytesASecond, Engines, Flat},
+		{GroupReports, KnownAtLowRate, Share, Engines, Power},
+		{GroupReports, AgeAtLowRate, Seconds, Engines, Power},
+		{GroupReports, KnownAtFullRate, Share, Engines, Flat},
+		{GroupReports, AgeAtFullRate, Seconds, Engines, Linear},
+		{GroupReports, ReportsProcessor, SecondsPerSecond, Engines, Linear},
+		{GroupReports, ReportsBytes, BytesPerSecond, Engines, Flat},
 		{GroupReports, DigestMemory, Bytes, Engines, Linear},
-		{GroupMembership, MembershipBytes, BytesASecond, Gateways, Flat},
-		{GroupMembership, MembershipProcessor, SecondsASecond, Gateways, Linear},
+		{GroupMembership, MembershipBytes, BytesPerSecond, Gateways, Flat},
+		{GroupMembership, MembershipProcessor, SecondsPerSecond, Gateways, Linear},
 		{GroupMembership, MembershipMemory, Bytes, Gateways, Linear},
-		{GroupMembership, DetectionFirst, Seconds, Gateways, Flat},
-		{GroupMembership, DetectionAll, Seconds, Gateways, Power},
-		{GroupMembership, DetectionMost, Seconds, Gateways, Power},
+		{GroupMembership, DetectionFirstMember, Seconds, Gateways, Flat},
+		{GroupMembership, DetectionAllMembers, Seconds, Gateways, Power},
+		{GroupMembership, DetectionMax, Seconds, Gateways, Power},
 		{GroupDiscovery, ListBytes, Bytes, Engines, Linear},
 		{GroupDiscovery, ListParse, Seconds, Engines, Linear},
-		{GroupDiscovery, ListTake, Seconds, Engines, Power},
+		{GroupDiscovery, ListApply, Seconds, Engines, Power},
 		{GroupDiscovery, ListMemory, Bytes, Engines, Linear},
 		{GroupConnections, EngineConnection, Bytes, Connections, Power},
 		{GroupConnections, ClientConnection, Bytes, Connections, Power},
-		{GroupStaged, StagedReportBytes, BytesASecond, Gateways, Flat},
+		{GroupStaged, StagedReportBytes, BytesPerSecond, Gateways, Flat},
 		{GroupStaged, StagedReportProcessor, Seconds, Gateways, Linear},
 	}
 	for _, phase := range Phases() {
@@ -89,18 +89,19 @@
 	return list
 }
 
-// phaseDefinitions are the slopes of a phase: nothing grows with the fleet while it is quiet.
+// phaseDefinitions returns the slopes of a phase. Without a fault, and after one has settled, gossip costs a gateway the
+// same in a fleet of any size, so those curves are flat.
 func phaseDefinitions(phase Phase) (list []Definition) {
-	units := map[PhaseQuantity]string{PeakDatagrams: ASecond, PeakProcessor: SecondsASecond, SecondsToAgree: Seconds}
+	units := map[PhaseQuantity]string{PeakDatagrams: PerSecond, PeakProcessor: SecondsPerSecond, ConvergenceSeconds: Seconds}
 	for _, quantity := range PhaseQuantities(phase) {
 		unit, form := units[quantity], Power
 		if unit == "" {
-			unit = BytesASecond
+			unit = BytesPerSecond
 		}
 		if phase == Quiet || quantity == SettledBytes {
 			form = Flat
 		}
-		list = append(list, Definition{GroupFaults, quantity.Of(phase), unit, Gateways, form})
+		list = append(list, Definition{GroupFaults, quantity.SlopeName(phase), unit, Gateways, form})
 	}
 	return list
 }
--- a/internal/testbed/capacity/change.go
+++ b/internal/testbed/capacity/change.go
@@ -2,73 +2,77 @@
 
 import "time"
 
-// Part is one part of the time that a change takes.
+// Part is one step of a change, with the time that a sketch of a design allows for it.
 type Part struct {
-	Name   string
-	Today  string  // what the program has for it
-	Budget float64 // seconds, of the sketch
-	Why    string  // where the seconds come from
+	Name     string
+	Existing string  // what the program has for it today
+	Seconds  float64 // in the sketch
+	Source   string  // of the seconds
 }
 
-// Times of the sketches that nothing here measures. They are settings or arithmetic, not results.
+// Times of the sketches, in seconds. They are settings or arithmetic; none is measured.
 const (
 	roundTripSeconds = 2 * 0.038 // twice the longest one-way delay that the site's settings state
 	heartbeatSeconds = 0.5       // of an engine to the control machines
-	leaseSeconds     = 3.0       // five heartbeats missed, and half of one until the look
+	leaseSeconds     = 3.0       // five missed heartbeats, and half an interval until the check
 	quorumSeconds    = 2 * roundTripSeconds
 	drainSeconds     = 2.0  // rules.drain_grace of the site: work sent before the change may arrive
 	dialSeconds      = 0.25 // permissions.connect_timeout of the site
 	watchSeconds     = 5.0  // of a canary zone before all take a configuration
-	spareSeconds     = 1.0
+	reserveSeconds   = 1.0
 )
 
-// PrimaryParts are the parts of a change of primary.
-func (m Model) PrimaryParts() []Part {
+// PrimaryChangeParts returns the parts of a change of primary.
+func (m Model) PrimaryChangeParts() []Part {
 	return []Part{
 		{"detection", "absent: engines are not watched; dead gateways are told by membership", leaseSeconds,
-			"a lease at the control machines: heartbeats of " + seconds(heartbeatSeconds)},
-		{"decision", "absent", quorumSeconds, "two round trips among the control machines (" + seconds(roundTripSeconds) + " each at the site's longest delay)"},
-		{"telling", "absent; a new list of engines goes this way", m.tellSeconds(),
+			"a lease at the control machines: heartbeats of " + formatSeconds(heartbeatSeconds)},
+		{"decision", "absent", quorumSeconds,
+			"two round trips among the control machines (" + formatSeconds(roundTripSeconds) + " each at the site's longest delay)"},
+		{"telling", "absent; a new list of engines goes this way", m.propagationSeconds(),
 			"a one-way delay and the list's parsing and taking in at a gateway, as if it were whole"},
-		{"switching", "absent; an engine that drains is left in this time", drainSeconds + dialSeconds, "drain grace and connect timeout of the site's settings"},
+		{"switching", "absent; an engine that drains is left in this time", drainSeconds + dialSeconds,
+			"drain grace and connect timeout of the site's settings"},
 	}
 }
 
-// tellSeconds is what it takes to push a change to a gateway and have it taken in.
-func (m Model) tellSeconds() float64 {
+// propagationSeconds is the time to push a change to a gateway and apply it there.
+func (m Model) propagationSeconds() float64 {
 	engines := m.Target.Engines
-	return roundTripSeconds/2 + m.value(ListParse, engines) + m.value(ListTake, engines)
+	return roundTripSeconds/2 + m.estimate(ListParse, engines) + m.estimate(ListApply, engines)
 }
 
-// DetectionToday is when a dead gateway is known to all by membership, the nearest thing to a detection that there is:
-// the median, and the longest.
-func (m Model) DetectionToday() (median, longest float64) {
+// MembershipDetection returns how long membership takes, in seconds, until every gateway knows that one has died: the
+// median and the longest. Nothing else in the program detects a failure of a machine.
+func (m Model) MembershipDetection() (median, longest float64) {
 	gateways := m.Target.Gateways
-	return m.value(DetectionFirst, gateways) + m.value(DetectionAll, gateways), m.value(DetectionMost, gateways)
+	return m.estimate(DetectionFirstMember, gateways) + m.estimate(DetectionAllMembers, gateways), m.estimate(DetectionMax, gateways)
 }
 
-// ConfigurationParts are the parts of a change of configuration.
-func (m Model) ConfigurationParts() []Part {
+// ConfigurationChangeParts returns the parts of a change of configuration.
+func (m Model) ConfigurationChangeParts() []Part {
 	return []Part{
 		{"acceptance", "absent: a person edits a file; each gateway checks it whole when it reads it", quorumSeconds,
 			"checked once and decided at the control machines, two round trips"},
-		{"carrying", "absent: something else lays the file", m.tellSeconds(), "pushed as a new list of engines is"},
+		{"carrying", "absent: something else lays the file", m.propagationSeconds(), "pushed as a new list of engines is"},
 		{"first zone and watch", "staged change watches 30 s a stage at the least", watchSeconds, "a canary zone, shorter than today's least watch"},
-		{"all others", "SIGHUP, by hand", m.tellSeconds(), "pushed likewise"},
-		{"telling that all have it", "the version is carried on membership's datagrams, once in 20 s to each member; not timed at this size", spareSeconds,
+		{"all others", "SIGHUP, by hand", m.propagationSeconds(), "pushed likewise"},
+		{"telling that all have it",
+			"the version is carried on membership's datagrams, once in 20 s to each member; not timed at this size", reserveSeconds,
 			"acknowledged on the connection that brought it"},
 	}
 }
 
-// Sum adds up the sketch's seconds.
-func Sum(parts []Part) (total float64) {
+// TotalSeconds returns the sum of the parts' seconds.
+func TotalSeconds(parts []Part) (total float64) {
 	for _, part := range parts {
-		total += part.Budget
+		total += part.Seconds
 	}
 	return total
 }
 
-// Overlap is the share of configuration changes during which at least one restart happens, if both come evenly.
+// Overlap returns the share of configuration changes during which at least one gateway restarts, if changes and restarts
+// are spread evenly over the day.
 func (t Target) Overlap() float64 {
 	return min(1, t.RestartsPerDay*t.ConfigurationWithin.Seconds()/(24*time.Hour).Seconds())
 }
--- a/internal/testbed/capacity/fault.go
+++ b/internal/testbed/capacity/fault.go
@@ -2,55 +2,54 @@
 
 import "fmt"
 
-// State is the fleet in one phase, as a gateway that is up sees it.
+// State is the fleet in a phase, as a running gateway sees it.
 type State struct {
 	Phase      Phase
-	Often      string
-	Gateways   float64 // in service
-	Engines    float64 // within reach
+	Frequency  string  // how often the phase occurs, as on the page
+	Gateways   float64 // running
+	Engines    float64 // reachable
 	Statements float64 // a second at a gateway
 	Clients    float64 // connections at a gateway
 }
 
-// Shares that a fault takes; the users name none for a rack.
-const (
-	rackShare = 1.0 / 40 // assumed: 20 of 800 gateways and 28 of 1,100 engines
-)
+// rackShare is the share of gateways and engines that stand in one rack. It is assumed, since the operators state none:
+// 20 of 800 gateways and 28 of 1,100 engines.
+const rackShare = 1.0 / 40
 
-// States are the fleet in each phase.
+// States returns the fleet in each phase.
 func (m Model) States() []State {
 	t := m.Target
 	full := State{Gateways: t.Gateways, Engines: t.Engines, Statements: t.StatementsPerGateway(), Clients: t.ClientsPerGateway()}
-	often := map[Phase]string{
-		Quiet:      "else",
-		Restart:    fmt.Sprintf("%s a day, one in %s", whole(t.RestartsPerDay), seconds(daySeconds/t.RestartsPerDay)),
-		OneLost:    fmt.Sprintf("%s a day", whole(t.MachinesPerDay)),
-		RackLost:   "each month or two",
-		ZoneLost:   "every other month",
-		ZoneBack:   "after each of these",
-		RegionsCut: fmt.Sprintf("now and then, for %s min", whole(t.RegionsApart.Minutes())),
-		Healed:     "after each of these",
+	frequency := map[Phase]string{
+		Quiet:              "else",
+		Restart:            fmt.Sprintf("%s a day, one in %s", formatCount(t.RestartsPerDay), formatSeconds(daySeconds/t.RestartsPerDay)),
+		MachineLost:        fmt.Sprintf("%s a day", formatCount(t.MachinesPerDay)),
+		RackLost:           "each month or two",
+		ZoneLost:           "every other month",
+		ZoneRecovered:      "after each of these",
+		RegionsPartitioned: fmt.Sprintf("now and then, for %s min", formatCount(t.RegionsApart.Minutes())),
+		PartitionHealed:    "after each of these",
 	}
 	var states []State
 	for _, phase := range Phases() {
-		state := full.without(m.lost(phase))
-		if phase == RegionsCut { // every region keeps its gateways, engines and clients
+		state := full.afterLossOf(m.lostIn(phase))
+		if phase == RegionsPartitioned { // each region keeps its gateways, engines and clients
 			state = full
 			state.Gateways, state.Engines = t.Gateways/t.Regions, t.Engines/t.Regions
 		}
-		state.Phase, state.Often = phase, often[phase]
+		state.Phase, state.Frequency = phase, frequency[phase]
 		states = append(states, state)
 	}
 	return states
 }
 
-// lost are the gateways and engines that a phase takes.
-func (m Model) lost(phase Phase) (gateways, engines float64) {
+// lostIn returns how many gateways and engines are lost in a phase.
+func (m Model) lostIn(phase Phase) (gateways, engines float64) {
 	t := m.Target
 	switch phase {
 	case Restart:
 		return 1, 0
-	case OneLost:
+	case MachineLost:
 		return 1, 1
 	case RackLost:
 		return t.Gateways * rackShare, t.Engines * rackShare
@@ -60,27 +59,28 @@
 	return 0, 0
 }
 
-// without spreads what lost gateways served over the others.
-func (s State) without(gateways, engines float64) State {
+// afterLossOf returns the state after a loss: the load of the lost gateways is spread over the others.
+func (s State) afterLossOf(gateways, engines float64) State {
 	share := s.Gateways / (s.Gateways - gateways)
 	return State{Gateways: s.Gateways - gateways, Engines: s.Engines - engines, Statements: s.Statements * share,
 		Clients: s.Clients * share}
 }
 
-// Peak is what a state costs a gateway over its worst 10 s.
+// Peak is the cost of a state to a gateway, over its worst 10 s.
 type Peak struct {
 	State
-	Decisions   float64 // share of a core
-	Total       Cost    // without the clients' connections
-	WithClients float64 // bytes of memory
-	Membership  float64 // bytes a second sent without load reports
-	MostSent    float64 // by the gateway that sends most, with load reports
-	Over        float64 // seconds for which the mean over 10 s was over the budget, with load reports
-	Agree       float64 // seconds until all views are right; 0 = views differ by design
-	Verdict     []Verdict
+	Decisions          float64 // share of a core
+	Total              Cost    // without the clients' connections
+	WithClients        float64 // bytes of memory
+	Membership         float64 // bytes sent per second, without load reports
+	TopSender          float64 // bytes sent per second by the gateway that sends most, with load reports
+	SecondsOverBudget  float64 // how long the mean over 10 s exceeded the budget, with load reports
+	ConvergenceSeconds float64 // until all views agree; 0 = they differ by design
+	Verdicts           []Verdict
 }
 
-// Peaks are all states with their costs. Membership's peaks come from runs with as many gateways as the whole fleet has.
+// Peaks returns all states with their costs. The peaks of membership were measured with as many gateways as the target
+// has.
 func (m Model) Peaks() (peaks []Peak) {
 	for _, state := range m.States() {
 		peaks = append(peaks, m.peak(state))
@@ -93,18 +93,24 @@
 	decision := m.decisionCost(state.Engines, state.Statements)
 	total := decision.Add(m.connectionCost(state.Engines)).Add(m.membershipCost(t.Gateways)).
 		Add(m.reportCost(t.Gateways, state.Engines))
-	quiet := m.value(PeakProcessor.Of(Quiet), t.Gateways)
-	total.Processor += max(0, m.value(PeakProcessor.Of(phase), t.Gateways)-quiet)
-	total.BytesSecond = m.value(PeakBytesReports.Of(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesSecond
-	peak := Peak{State: state, Decisions: decision.Processor, Total: total,
-		WithClients: total.Memory + m.clientCost(state.Clients).Memory,
-		Membership:  m.value(PeakBytes.Of(phase), t.Gateways),
-		Over:        m.over(PeakBytesReports.Of(phase), t.Gateways),
-		MostSent:    m.value(PeakMostReports.Of(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesSecond}
-	if phase != RegionsCut {
-		peak.Agree = m.value(SecondsToAgree.Of(phase), t.Gateways)
+	quiet := m.estimate(PeakProcessor.SlopeName(Quiet), t.Gateways)
+	total.Processor += max(0, m.estimate(PeakProcessor.SlopeName(phase), t.Gateways)-quiet)
+	total.BytesPerSecond = m.estimate(PeakBytesWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond
+	peak := Peak{
+		State: state, Decisions: decision.Processor, Total: total,
+		WithClients:       total.Memory + m.clientCost(state.Clients).Memory,
+		Membership:        m.estimate(PeakBytes.SlopeName(phase), t.Gateways),
+		SecondsOverBudget: m.secondsOverBudget(PeakBytesWithReports.SlopeName(phase), t.Gateways),
+		TopSender:         m.estimate(PeakTopSenderWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond,
+	}
+	if phase != RegionsPartitioned {
+		peak.ConvergenceSeconds = m.estimate(ConvergenceSeconds.SlopeName(phase), t.Gateways)
+	}
+	peak.Verdicts = []Verdict{
+		compare("core", total.Processor, t.Processor),
+		compare("memory", total.Memory, t.MemoryBytes),
+		compare("bytes", total.BytesPerSecond, t.BytesPerSecond),
+		compare("bytes of one", peak.TopSender, t.BytesPerSecond),
 	}
-	peak.Verdict = []Verdict{judge("core", total.Processor, t.Processor), judge("memory", total.Memory, t.MemoryBytes),
-		judge("bytes", total.BytesSecond, t.BytesPerSecond), judge("bytes of one", peak.MostSent, t.BytesPerSecond)}
 	return peak
 }
--- a/internal/testbed/capacity/golden_test.go
+++ b/internal/testbed/capacity/golden_test.go
@@ -7,7 +7,7 @@
 	"frostpier/internal/testutil"
 )
 
-// A file of slopes of an earlier version is read, and written again as it was.
+// A result file of an earlier version decodes, and encodes to the same bytes.
 func TestStoredSlopesAreRead(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("testdata/slopes.json")
@@ -18,10 +18,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := result.Encode()
+	encoded, err := result.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	testutil.Golden(t, "slopes.json", again)
+	testutil.Golden(t, "slopes.json", encoded)
 	testutil.Golden(t, "keys.golden", []byte(testutil.FieldKeys("json", "result", Result{})))
 }
--- a/internal/testbed/capacity/measure/connections.go
+++ b/internal/testbed/capacity/measure/connections.go
@@ -21,17 +21,17 @@
 
 // Bounds of the connection measurements: both ends are in this process, so each connection takes two descriptors.
 const (
-	MostConnections = 2500
-	spareFiles      = 200
-	connectWait     = 10 * time.Second
-	loopRoom        = 64 << 20
-	settleTime      = 200 * time.Millisecond // in which goroutines of closed connections end
+	MaxConnections      = 2500
+	reservedDescriptors = 200
+	connectTimeout      = 10 * time.Second
+	eventLoopMemory     = 64 << 20
+	settleDelay         = 200 * time.Millisecond // in which goroutines of closed connections end
 )
 
 var (
-	errDescriptors = errors.New("not enough descriptors for the connection measurement")
-	errConnections = fmt.Errorf("more than %d connections", MostConnections)
-	errConnect     = errors.New("connections did not come up in time")
+	errDescriptors    = errors.New("not enough descriptors for the connection measurement")
+	errConnections    = fmt.Errorf("more than %d connections", MaxConnections)
+	errConnectTimeout = errors.New("connections did not come up in time")
 )
 
 // checkDescriptors refuses what the process may not open.
@@ -40,9 +40,9 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	need := uint64(2*connections + spareFiles)
+	need := uint64(2*connections + reservedDescriptors)
 	switch {
-	case connections > MostConnections:
+	case connections > MaxConnections:
 		return errConnections
 	case limit.Cur < need:
 		return fmt.Errorf("%w: %d needed, the limit is %d", errDescriptors, need, limit.Cur)
@@ -50,19 +50,19 @@
 	return nil
 }
 
-// remoteEnds accepts connections and holds them, reading nothing.
-type remoteEnds struct {
+// idleServer accepts connections and holds them, reading nothing.
+type idleServer struct {
 	listener net.Listener
 	mu       sync.Mutex
-	open     []net.Conn
+	conns    []net.Conn
 }
 
-func newRemoteEnds() (*remoteEnds, error) {
+func newIdleServer() (*idleServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	ends := &remoteEnds{listener: listener}
+	ends := &idleServer{listener: listener}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -70,42 +70,42 @@
 				return
 			}
 			ends.mu.Lock()
-			ends.open = append(ends.open, conn)
+			ends.conns = append(ends.conns, conn)
 			ends.mu.Unlock()
 		}
 	}()
 	return ends, nil
 }
 
-func (e *remoteEnds) addr() string { return e.listener.Addr().String() }
+func (e *idleServer) addr() string { return e.listener.Addr().String() }
 
-func (e *remoteEnds) count() int {
+func (e *idleServer) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.open)
+	return len(e.conns)
 }
 
-func (e *remoteEnds) close() {
+func (e *idleServer) close() {
 	e.listener.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, conn := range e.open {
+	for _, conn := range e.conns {
 		conn.Close()
 	}
 }
 
-// silentHandler ignores what a connection brings.
-type silentHandler struct{}
+// discardHandler ignores what a connection brings.
+type discardHandler struct{}
 
-func (silentHandler) Data([]byte)  {}
-func (silentHandler) Closed(error) {}
+func (discardHandler) Data([]byte)  {}
+func (discardHandler) Closed(error) {}
 
-func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// runningLoop is a loop that ends with the returned function.
-func runningLoop() (*eventloop.Loop, func()) {
+// startLoop is a loop that ends with the returned function.
+func startLoop() (*eventloop.Loop, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	loop := eventloop.New(time.Now(), loopRoom)
+	loop := eventloop.New(time.Now(), eventLoopMemory)
 	go loop.Run(ctx)
 	return loop, cancel
 }
@@ -116,17 +116,17 @@
 	if err := checkDescriptors(connections); err != nil {
 		return 0, err
 	}
-	ends, err := newRemoteEnds()
+	ends, err := newIdleServer()
 	if err != nil {
 		return 0, err
 	}
 	defer ends.close()
-	loop, stop := runningLoop()
+	loop, stop := startLoop()
 	defer stop()
-	pool := enginepool.New(loop, quietLog(), connectWait, time.Hour, enginepool.Budget{Most: connections, Urgent: 1})
-	time.Sleep(settleTime)
+	pool := enginepool.New(loop, discardLogger(), connectTimeout, time.Hour, enginepool.Budget{Most: connections, Urgent: 1})
+	time.Sleep(settleDelay)
 	before := liveMemory()
-	links, err := openLinks(loop, pool, ends.addr(), connections)
+	links, err := openConnections(loop, pool, ends.addr(), connections)
 	if err != nil {
 		return 0, err
 	}
@@ -147,8 +147,8 @@
 	return (after - before) / float64(connections), nil
 }
 
-// openLinks opens a connection to each of so many engines, a few at a time.
-func openLinks(loop *eventloop.Loop, pool *enginepool.Pool, addr string, connections int) ([]*enginepool.Conn, error) {
+// openConnections opens a connection to each of so many engines, a few at a time.
+func openConnections(loop *eventloop.Loop, pool *enginepool.Pool, addr string, connections int) ([]*enginepool.Conn, error) {
 	type opened struct {
 		link *enginepool.Conn
 		err  error
@@ -160,7 +160,7 @@
 		count := min(together, connections-from)
 		loop.Do(func() {
 			for i := range count {
-				pool.Get(policy.EngineID(from+i), addr, true, false, silentHandler{}, func(link *enginepool.Conn, err error) {
+				pool.Get(policy.EngineID(from+i), addr, true, false, discardHandler{}, func(link *enginepool.Conn, err error) {
 					came <- opened{link, err}
 				})
 			}
@@ -182,22 +182,22 @@
 	if err := checkDescriptors(connections); err != nil {
 		return 0, err
 	}
-	loop, stop := runningLoop()
+	loop, stop := startLoop()
 	defer stop()
 	gatewayCore, err := newCore()
 	if err != nil {
 		return 0, err
 	}
-	gateway := dispatcher.New(loop, gatewayCore, nil, quietLog())
-	clients := frontend.NewPlatformListener(gateway, quietLog(), 2*connections, loopRoom)
-	addr, err := serveClients(clients)
+	gateway := dispatcher.New(loop, gatewayCore, nil, discardLogger())
+	clients := frontend.NewPlatformListener(gateway, discardLogger(), 2*connections, eventLoopMemory)
+	addr, err := listenOnFreePort(clients)
 	if err != nil {
 		return 0, err
 	}
 	defer loop.Do(func() { clients.Stop(func() {}) })
-	time.Sleep(settleTime)
+	time.Sleep(settleDelay)
 	before := liveMemory()
-	open, err := pingedClients(addr, connections)
+	open, err := openClients(addr, connections)
 	defer func() {
 		for _, conn := range open {
 			conn.Close()
@@ -211,8 +211,8 @@
 	return (after - before) / float64(connections), nil
 }
 
-// serveClients has the front listen at a free address.
-func serveClients(clients *frontend.PlatformListener) (string, error) {
+// listenOnFreePort has the front listen at a free address.
+func listenOnFreePort(clients *frontend.PlatformListener) (string, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -222,16 +222,16 @@
 	return addr, clients.Serve(addr)
 }
 
-// pingedClients opens connections on each of which one ping was answered.
-func pingedClients(addr string, connections int) (open []net.Conn, err error) {
+// openClients opens connections on each of which one ping was answered.
+func openClients(addr string, connections int) (open []net.Conn, err error) {
 	answer := make([]byte, 512)
 	for range connections {
-		conn, err := net.DialTimeout("tcp", addr, connectWait)
+		conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 		if err != nil {
 			return open, err
 		}
 		open = append(open, conn)
-		conn.SetDeadline(time.Now().Add(connectWait))
+		conn.SetDeadline(time.Now().Add(connectTimeout))
 		if _, err := io.WriteString(conn, `{"jsonrpc":"2.0","id":"1","method":"ping"}`+"\n"); err != nil {
 			return open, err
 		}
@@ -244,9 +244,9 @@
 
 // waitFor waits until something holds, for connectWait at most.
 func waitFor(holds func() bool) error {
-	for end := time.Now().Add(connectWait); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(connectTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return errConnect
+			return errConnectTimeout
 		}
 	}
 	return nil
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -9,13 +9,13 @@
 
 // Conditions of the decision measurements.
 const (
-	TableGroups      = 200
-	AnswerTime       = 100 * time.Millisecond
-	engineCores      = 32
-	engineMemoryMB   = 65536
-	decisionTick     = 5 * time.Millisecond
-	decisionWarmUp   = 3 * time.Second // virtual time before anything is counted: the module learns what answers take
-	decisionPatience = 5 * time.Second
+	TableGroups       = 200
+	ResponseTime      = 100 * time.Millisecond
+	engineCores       = 32
+	engineMemoryMB    = 65536
+	decisionTick      = 5 * time.Millisecond
+	decisionWarmUp    = 3 * time.Second // virtual time before anything is counted: the module learns what answers take
+	statementDeadline = 5 * time.Second
 )
 
 // DecisionSetup is the load under which a decision is measured.
@@ -23,14 +23,14 @@
 	Engines  int
 	Gateways int           // that the settings name
 	Rate     float64       // statements a second at this gateway
-	Lasts    time.Duration // virtual time that is measured
+	Duration time.Duration // virtual time that is measured
 	Seed     uint64
 }
 
 // decisionSettings are those of a fleet with one class of statements.
 func decisionSettings(gateways int) policy.Settings {
 	return policy.Settings{
-		Classes:  []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: decisionPatience, Weight: 1, Threads: 1}},
+		Classes:  []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: statementDeadline, Weight: 1, Threads: 1}},
 		Kinds:    []policy.Kind{{Cores: engineCores, MemoryMB: engineMemoryMB}},
 		Zones:    1,
 		Gateways: gateways,
@@ -46,18 +46,18 @@
 // decisionModule is the decision module by itself.
 type decisionModule struct{ gateway *policy.Gateway }
 
-func (m decisionModule) arrive(now time.Duration, number int) []followUp {
-	return m.resume(now, policy.Arrival{ID: policy.RequestID(number), TableGroup: tableGroup(number),
-		Remaining: decisionPatience})
+func (m decisionModule) submit(now time.Duration, number int) []followUp {
+	return m.handle(now, policy.Arrival{ID: policy.RequestID(number), TableGroup: tableGroup(number),
+		Remaining: statementDeadline})
 }
 
-func (m decisionModule) resume(now time.Duration, what any) (followUps []followUp) {
+func (m decisionModule) handle(now time.Duration, what any) (followUps []followUp) {
 	for _, action := range m.gateway.Handle(now, what.(policy.Event)) {
 		switch a := action.(type) {
 		case policy.Send:
 			report := policy.Report{Present: true, Values: map[policy.Metric]float64{policy.Inflight: 1}}
-			followUps = append(followUps, followUp{AnswerTime, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK,
-				Duration: AnswerTime, Terminal: true, Report: report}, true})
+			followUps = append(followUps, followUp{ResponseTime, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK,
+				Duration: ResponseTime, Terminal: true, Report: report}, true})
 		case policy.SetTimer:
 			followUps = append(followUps, followUp{a.After, policy.TimerFired{Token: a.Token}, false})
 		}
@@ -78,7 +78,7 @@
 	}
 	gateway.Handle(virtualEpoch, list)
 	d := &driver{module: decisionModule{gateway}, now: virtualEpoch}
-	return d.perStatement(setup.Rate, setup.Lasts)
+	return d.processorTimePerStatement(setup.Rate, setup.Duration)
 }
 
 // coreModule is the core with the decision module in it.
@@ -90,12 +90,12 @@
 	attempt int
 }
 
-func (m coreModule) arrive(now time.Duration, number int) []followUp {
-	_, actions := m.core.Submit(now, core.Query{TableGroup: tableGroup(number), Remaining: decisionPatience})
+func (m coreModule) submit(now time.Duration, number int) []followUp {
+	_, actions := m.core.Submit(now, core.Query{TableGroup: tableGroup(number), Remaining: statementDeadline})
 	return m.followUps(now, actions)
 }
 
-func (m coreModule) resume(now time.Duration, what any) []followUp {
+func (m coreModule) handle(now time.Duration, what any) []followUp {
 	switch w := what.(type) {
 	case attemptEnd:
 		return m.followUps(now, m.core.AttemptEnded(now, w.id, w.attempt, policy.OK, []core.Field{{Name: "inflight", Value: 1}}))
@@ -110,7 +110,7 @@
 		switch a := action.(type) {
 		case core.Start:
 			if _, may := m.core.MaySend(now, a.ID, a.Attempt, false); may {
-				followUps = append(followUps, followUp{AnswerTime, attemptEnd{a.ID, a.Attempt}, true})
+				followUps = append(followUps, followUp{ResponseTime, attemptEnd{a.ID, a.Attempt}, true})
 			}
 		case core.Timer:
 			followUps = append(followUps, followUp{a.After, a, false})
@@ -132,5 +132,5 @@
 	}
 	gatewayCore.UpdateEngines(virtualEpoch, true, listed)
 	d := &driver{module: coreModule{gatewayCore}, now: virtualEpoch}
-	return d.perStatement(setup.Rate, setup.Lasts)
+	return d.processorTimePerStatement(setup.Rate, setup.Duration)
 }
--- a/internal/testbed/capacity/measure/discovery.go
+++ b/internal/testbed/capacity/measure/discovery.go
@@ -14,11 +14,11 @@
 	"frostpier/internal/settings"
 )
 
-// List is what a whole list of engines costs the gateway that takes it in.
-type List struct {
+// ListCost is what a whole list of engines costs the gateway that takes it in.
+type ListCost struct {
 	Bytes  float64 // on the wire
 	Parse  float64 // processor seconds: bytes to lines
-	Take   float64 // processor seconds: lines into core and decision module
+	Apply  float64 // processor seconds: lines into core and decision module
 	Memory float64 // bytes that core and module hold afterwards
 }
 
@@ -37,7 +37,7 @@
 			text.WriteByte(',')
 		}
 		fmt.Fprintf(&text, `{"instanceId":%q,"hostPort":"10.%d.%d.7:18080","zone":%q,"machineType":%q,"cell":%d,`+
-			`"lifecycle":"in_service","weight":1,"startedAtMs":%d}`, engineName(i), i/250, i%250, zoneName(i%zoneShare),
+			`"lifecycle":"in_service","weight":1,"startedAtMs":%d}`, engineName(i), i/250, i%250, zoneName(i%zoneCount),
 			engineKind, i%4, 1_700_000_000_000+i)
 	}
 	text.WriteString("]}}\n")
@@ -48,22 +48,22 @@
 func newCore() (*core.Core, error) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	host := settings.Host{ComeBack: time.Second, Models: []string{engineKind}, MaxOpen: 20_000, Module: decisionSettings(800)}
-	for zone := range zoneShare {
+	for zone := range zoneCount {
 		host.Zones = append(host.Zones, zoneName(zone))
 	}
-	host.Module.Zones = zoneShare
+	host.Module.Zones = zoneCount
 	return core.New(host, 1, log, invariant.New(log))
 }
 
 // EngineList measures a whole list: repeats takes it again and again, as a reconnection of the watcher brings it.
-func EngineList(engines, repeats int) (List, error) {
+func EngineList(engines, repeats int) (ListCost, error) {
 	before := liveMemory()
 	gatewayCore, err := newCore()
 	if err != nil {
-		return List{}, err
+		return ListCost{}, err
 	}
 	stream := &discovery.Stream{}
-	var out List
+	var out ListCost
 	for k := range repeats {
 		text := engineList(k+1, engines)
 		out.Bytes = float64(len(text))
@@ -77,7 +77,7 @@
 			gatewayCore.UpdateEngines(virtualEpoch+time.Duration(k)*time.Second, event.Full, event.Engines)
 		}
 		out.Parse += (parsed - began).Seconds() / float64(repeats)
-		out.Take += (processorTime() - parsed).Seconds() / float64(repeats)
+		out.Apply += (processorTime() - parsed).Seconds() / float64(repeats)
 	}
 	out.Memory = liveMemory() - before
 	runtime.KeepAlive(gatewayCore)
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -9,8 +9,8 @@
 	"frostpier/internal/control/membership/simulation"
 )
 
-// reportStep is how often the simulated engines' reports are handed to the gateways' digests.
-const reportStep = 100 * time.Millisecond
+// reportInterval is how often the simulated engines' reports are handed to the gateways' digests.
+const reportInterval = 100 * time.Millisecond
 
 // FleetSetup is a fleet of gateways on a virtual clock.
 type FleetSetup struct {
@@ -32,21 +32,21 @@
 func newFleet(setup FleetSetup) (*fleet, error) {
 	f := &fleet{setup: setup, digests: make([]*loadreport.Digest, setup.Gateways), random: rand.New(rand.NewPCG(setup.Seed, 23))}
 	running, err := simulation.New(simulation.Setup{Members: setup.Gateways, Seed: setup.Seed, Loss: setup.Loss,
-		Spread: time.Second, Every: 1 << 30, Make: f.node})
+		Spread: time.Second, Every: 1 << 30, Make: f.newDetector})
 	if err != nil {
 		return nil, err
 	}
 	f.Fleet = running
 	if setup.Engines > 0 {
-		running.Seen = f.received
-		running.At(0, f.report)
+		running.Seen = f.handleEvent
+		running.At(0, f.recordReports)
 	}
 	return f, nil
 }
 
-// node makes a gateway's membership as internal/program does: with engines, load reports are carried on its datagrams, and
+// newDetector makes a gateway's membership as internal/program does: with engines, load reports are carried on its datagrams, and
 // three datagrams a second go out for them alone.
-func (f *fleet) node(config membership.Config) (simulation.Detector, error) {
+func (f *fleet) newDetector(config membership.Config) (simulation.Detector, error) {
 	if f.setup.Engines > 0 {
 		digest := newDigest(f.setup.Engines)
 		f.digests[config.Self] = digest
@@ -65,30 +65,30 @@
 	return digest
 }
 
-// received hands a gateway what another one's digest said.
-func (f *fleet) received(at int, event membership.Event) error {
+// handleEvent hands a gateway what another one's digest said.
+func (f *fleet) handleEvent(at int, event membership.Event) error {
 	if event.Kind == membership.ExtensionReceived && event.ExtensionKind == loadreport.ExtensionKind {
 		f.digests[at].Receive(f.Now, event.Body)
 	}
 	return nil
 }
 
-// report hands each gateway that is up the reports of a step, and comes again.
-func (f *fleet) report() {
-	perStep := f.setup.Reports * reportStep.Seconds()
+// recordReports hands each gateway that is up the reports of a step, and comes again.
+func (f *fleet) recordReports() {
+	perStep := f.setup.Reports * reportInterval.Seconds()
 	for i, digest := range f.digests {
 		if digest == nil || !f.Members[i].Up {
 			continue
 		}
-		for range f.wholeOf(perStep) {
+		for range f.randomRound(perStep) {
 			digest.Record(f.Now, engineNumber(f.random.IntN(f.setup.Engines)), f.random.IntN(20))
 		}
 	}
-	f.At(reportStep, f.report)
+	f.At(reportInterval, f.recordReports)
 }
 
-// wholeOf draws a whole number whose mean is the given one.
-func (f *fleet) wholeOf(mean float64) int {
+// randomRound draws a whole number whose mean is the given one.
+func (f *fleet) randomRound(mean float64) int {
 	whole := int(mean)
 	if f.random.Float64() < mean-float64(whole) {
 		whole++
--- a/internal/testbed/capacity/measure/measure_test.go
+++ b/internal/testbed/capacity/measure/measure_test.go
@@ -10,7 +10,7 @@
 
 // Every statement of the decision measurements is served, with a positive time; nothing is said of how long it is.
 func TestDecisionsAreServed(t *testing.T) {
-	setup := DecisionSetup{Engines: 8, Gateways: 800, Rate: 200, Lasts: 200 * time.Millisecond, Seed: 1}
+	setup := DecisionSetup{Engines: 8, Gateways: 800, Rate: 200, Duration: 200 * time.Millisecond, Seed: 1}
 	if _, err := Decision(setup); err != nil {
 		t.Error(err)
 	}
@@ -23,10 +23,10 @@
 func TestSharedReportsReachAll(t *testing.T) {
 	setup := FleetSetup{Gateways: 12, Engines: 8, Reports: 6, Seed: 3}
 	first, err := SharedReports(setup)
-	if err != nil || first.Share != 1 || first.Age <= 0 || first.Age > 5 {
+	if err != nil || first.KnownShare != 1 || first.Age <= 0 || first.Age > 5 {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	if again, err := SharedReports(setup); err != nil || again.Share != first.Share || again.Age != first.Age || again.Bytes != first.Bytes {
+	if again, err := SharedReports(setup); err != nil || again.KnownShare != first.KnownShare || again.Age != first.Age || again.Bytes != first.Bytes {
 		t.Errorf("%+v after %+v, %v", again, first, err)
 	}
 }
@@ -47,10 +47,10 @@
 		if alone[i].Phase != phase || with[i].Phase != phase {
 			t.Fatalf("%s and %s in place of %s", alone[i].Phase, with[i].Phase, phase)
 		}
-		if agreed := alone[i].Agreed >= 0; agreed != (phase != capacity.RegionsCut) {
-			t.Errorf("%s: agreed %v", phase, alone[i].Agreed)
+		if agreed := alone[i].ConvergenceSeconds >= 0; agreed != (phase != capacity.RegionsPartitioned) {
+			t.Errorf("%s: agreed %v", phase, alone[i].ConvergenceSeconds)
 		}
-		if alone[i].PeakBytes <= 0 || with[i].PeakBytes <= alone[i].PeakBytes || alone[i].MostBytes < alone[i].PeakBytes {
+		if alone[i].PeakBytes <= 0 || with[i].PeakBytes <= alone[i].PeakBytes || alone[i].TopSender < alone[i].PeakBytes {
 			t.Errorf("%s: %+v, with load reports %+v", phase, alone[i], with[i])
 		}
 	}
@@ -76,7 +76,7 @@
 	if bytes, err := ClientConnectionMemory(20); err != nil || bytes <= 0 {
 		t.Errorf("%v bytes, %v", bytes, err)
 	}
-	if _, err := EngineConnectionMemory(MostConnections + 1); !errors.Is(err, errConnections) {
+	if _, err := EngineConnectionMemory(MaxConnections + 1); !errors.Is(err, errConnections) {
 		t.Errorf("%v", err)
 	}
 }
@@ -88,7 +88,7 @@
 		t.Fatalf("%d slopes, %v", len(slopes), err)
 	}
 	for _, slope := range slopes {
-		if err := slope.Check(); err != nil {
+		if err := slope.Validate(); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/testbed/capacity/measure/need.go
+++ b/internal/testbed/capacity/measure/need.go
@@ -9,16 +9,16 @@
 
 // What the measurements hold, in bytes: estimates from earlier runs, with twice the live memory for the collector.
 const (
-	memberBytes    = 320 // of a gateway's membership table, for each other gateway
-	reportBytes    = 90  // of a gateway's load reports, for each engine
-	collectorTimes = 2
-	baseBytes      = 48 << 20
+	memberBytes     = 320 // of a gateway's membership table, for each other gateway
+	reportBytes     = 90  // of a gateway's load reports, for each engine
+	collectorFactor = 2
+	baseBytes       = 48 << 20
 )
 
 var errMemory = errors.New("not enough memory allowed")
 
-// Need is the memory in bytes that the measurements take at the most.
-func (o Options) Need() int64 {
+// MemoryNeed is the memory in bytes that the measurements take at the most.
+func (o Options) MemoryNeed() int64 {
 	size, need := o.sizes(), 0
 	if o.runs(capacity.GroupMembership) || o.runs(capacity.GroupFaults) {
 		for _, gateways := range size.gateways {
@@ -30,12 +30,12 @@
 			need = max(need, fleet[0]*(fleet[0]*memberBytes+fleet[1]*reportBytes))
 		}
 	}
-	return int64(baseBytes + collectorTimes*need)
+	return int64(baseBytes + collectorFactor*need)
 }
 
 // CheckMemory refuses measurements that take more than is allowed, before any begins.
 func (o Options) CheckMemory(allowed int64) error {
-	if need := o.Need(); need > allowed {
+	if need := o.MemoryNeed(); need > allowed {
 		return fmt.Errorf("%w: about %d MB are needed, %d MB allowed", errMemory, need>>20, allowed>>20)
 	}
 	return nil
--- a/internal/testbed/capacity/measure/plan.go
+++ b/internal/testbed/capacity/measure/plan.go
@@ -18,13 +18,13 @@
 
 // Loads of the measurements.
 const (
-	fewReports     = 6 // a second and gateway, as on the bench's days
+	lowReportRate  = 6 // a second and gateway, as on the bench's days
 	faultEngines   = 30
 	faultReports   = 2 // a second: with gossip enough to fill every datagram
 	timedRuns      = 3 // of what processor time is read of
 	detectionKills = 10
 	listRepeats    = 20
-	decisionLasts  = time.Second
+	decisionTime   = time.Second
 )
 
 // sizes are those of a full or a quick run.
@@ -49,12 +49,12 @@
 type plan struct {
 	Options
 	sizes
-	found collector
+	results collector
 }
 
 // Slopes takes the measurements, one after the other.
 func Slopes(options Options) ([]capacity.Slope, error) {
-	p := &plan{Options: options, sizes: options.sizes(), found: collector{}}
+	p := &plan{Options: options, sizes: options.sizes(), results: collector{}}
 	steps := map[capacity.Group]func() error{
 		capacity.GroupDecision: p.decisions, capacity.GroupReports: p.reports, capacity.GroupMembership: p.membership,
 		capacity.GroupFaults: p.faults, capacity.GroupDiscovery: p.discovery, capacity.GroupConnections: p.connections,
@@ -69,7 +69,7 @@
 			return nil, fmt.Errorf("%s: %w", group, err)
 		}
 	}
-	return p.found.slopes(), nil
+	return p.results.slopes(), nil
 }
 
 func (p *plan) decisions() error {
@@ -77,17 +77,17 @@
 	for run := range p.timed {
 		for _, engines := range p.sizes.decisions {
 			setup := DecisionSetup{Engines: engines, Gateways: int(target.Gateways), Rate: target.StatementsPerGateway(),
-				Lasts: decisionLasts, Seed: p.Seed + uint64(run)}
+				Duration: decisionTime, Seed: p.Seed + uint64(run)}
 			alone, err := Decision(setup)
 			if err != nil {
 				return err
 			}
-			p.found.add(capacity.DecisionProcessor, engines, alone.Seconds(), "")
+			p.results.add(capacity.DecisionProcessor, engines, alone.Seconds(), "")
 			withCore, err := CoreDecision(setup)
 			if err != nil {
 				return err
 			}
-			p.found.add(capacity.CoreProcessor, engines, withCore.Seconds(), "")
+			p.results.add(capacity.CoreProcessor, engines, withCore.Seconds(), "")
 		}
 	}
 	return nil
@@ -97,7 +97,7 @@
 	for _, size := range p.fleets {
 		gateways, engines := size[0], size[1]
 		note := fmt.Sprintf("%d gateways", gateways)
-		setup := FleetSetup{Gateways: gateways, Engines: engines, Reports: fewReports, Seed: p.Seed}
+		setup := FleetSetup{Gateways: gateways, Engines: engines, Reports: lowReportRate, Seed: p.Seed}
 		few, err := SharedReports(setup)
 		if err != nil {
 			return err
@@ -107,13 +107,13 @@
 		if err != nil {
 			return err
 		}
-		p.found.add(capacity.KnownFewReports, engines, few.Share, note)
-		p.found.add(capacity.AgeFewReports, engines, few.Age, note)
-		p.found.add(capacity.KnownAllReports, engines, all.Share, note)
-		p.found.add(capacity.AgeAllReports, engines, all.Age, note)
-		p.found.add(capacity.ReportsProcessor, engines, all.Processor, note)
-		p.found.add(capacity.ReportsBytes, engines, all.Bytes, note)
-		p.found.add(capacity.DigestMemory, engines, DigestMemory(engines), "")
+		p.results.add(capacity.KnownAtLowRate, engines, few.KnownShare, note)
+		p.results.add(capacity.AgeAtLowRate, engines, few.Age, note)
+		p.results.add(capacity.KnownAtFullRate, engines, all.KnownShare, note)
+		p.results.add(capacity.AgeAtFullRate, engines, all.Age, note)
+		p.results.add(capacity.ReportsProcessor, engines, all.Processor, note)
+		p.results.add(capacity.ReportsBytes, engines, all.Bytes, note)
+		p.results.add(capacity.DigestMemory, engines, DigestMemory(engines), "")
 	}
 	return nil
 }
@@ -124,17 +124,17 @@
 		if err != nil {
 			return err
 		}
-		p.found.add(capacity.MembershipBytes, gateways, quiet.Bytes, "")
-		p.found.add(capacity.MembershipProcessor, gateways, quiet.Processor, "")
-		p.found.add(capacity.MembershipMemory, gateways, quiet.Memory, "")
+		p.results.add(capacity.MembershipBytes, gateways, quiet.Bytes, "")
+		p.results.add(capacity.MembershipProcessor, gateways, quiet.Processor, "")
+		p.results.add(capacity.MembershipMemory, gateways, quiet.Memory, "")
 		detected, err := Detection(gateways, p.kills, FaultLoss, p.Seed)
 		if err != nil {
 			return err
 		}
 		note := fmt.Sprintf("%d kills", p.kills)
-		p.found.add(capacity.DetectionFirst, gateways, detected.First, note)
-		p.found.add(capacity.DetectionAll, gateways, detected.All, note)
-		p.found.add(capacity.DetectionMost, gateways, detected.Most, note)
+		p.results.add(capacity.DetectionFirstMember, gateways, detected.FirstMember, note)
+		p.results.add(capacity.DetectionAllMembers, gateways, detected.AllMembers, note)
+		p.results.add(capacity.DetectionMax, gateways, detected.Max, note)
 	}
 	return nil
 }
@@ -159,16 +159,16 @@
 	}
 	for _, cost := range costs {
 		add := func(quantity capacity.PhaseQuantity, value float64) {
-			p.found.add(quantity.Of(cost.Phase), gateways, value, "")
+			p.results.add(quantity.SlopeName(cost.Phase), gateways, value, "")
 		}
-		p.found.addPeak(capacity.PeakBytes.Of(cost.Phase), gateways, cost.PeakBytes, cost.Over)
+		p.results.addPeak(capacity.PeakBytes.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
 		add(capacity.PeakBurst, cost.Burst)
-		add(capacity.PeakMost, cost.MostBytes)
+		add(capacity.PeakTopSender, cost.TopSender)
 		add(capacity.PeakDatagrams, cost.Datagrams)
 		add(capacity.PeakProcessor, cost.Processor)
 		add(capacity.SettledBytes, cost.Settled)
-		if cost.Phase != capacity.RegionsCut {
-			add(capacity.SecondsToAgree, cost.Agreed)
+		if cost.Phase != capacity.RegionsPartitioned {
+			add(capacity.ConvergenceSeconds, cost.ConvergenceSeconds)
 		}
 	}
 	setup.Engines, setup.Reports = faultEngines, faultReports
@@ -176,8 +176,8 @@
 		return err
 	}
 	for _, cost := range costs {
-		p.found.addPeak(capacity.PeakBytesReports.Of(cost.Phase), gateways, cost.PeakBytes, cost.Over)
-		p.found.add(capacity.PeakMostReports.Of(cost.Phase), gateways, cost.MostBytes, "")
+		p.results.addPeak(capacity.PeakBytesWithReports.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
+		p.results.add(capacity.PeakTopSenderWithReports.SlopeName(cost.Phase), gateways, cost.TopSender, "")
 	}
 	return nil
 }
@@ -189,10 +189,10 @@
 			if err != nil {
 				return err
 			}
-			p.found.add(capacity.ListBytes, engines, list.Bytes, "")
-			p.found.add(capacity.ListParse, engines, list.Parse, "")
-			p.found.add(capacity.ListTake, engines, list.Take, "")
-			p.found.add(capacity.ListMemory, engines, list.Memory, "")
+			p.results.add(capacity.ListBytes, engines, list.Bytes, "")
+			p.results.add(capacity.ListParse, engines, list.Parse, "")
+			p.results.add(capacity.ListApply, engines, list.Apply, "")
+			p.results.add(capacity.ListMemory, engines, list.Memory, "")
 		}
 	}
 	return nil
@@ -209,8 +209,8 @@
 			if err != nil {
 				return err
 			}
-			p.found.add(capacity.EngineConnection, count, engine, "")
-			p.found.add(capacity.ClientConnection, count, client, "")
+			p.results.add(capacity.EngineConnection, count, engine, "")
+			p.results.add(capacity.ClientConnection, count, client, "")
 		}
 	}
 	return nil
@@ -223,8 +223,8 @@
 			if err != nil {
 				return err
 			}
-			p.found.add(capacity.StagedReportBytes, gateways, float64(length), "a report a second")
-			p.found.add(capacity.StagedReportProcessor, gateways, processor.Seconds(), "")
+			p.results.add(capacity.StagedReportBytes, gateways, float64(length), "a report a second")
+			p.results.add(capacity.StagedReportProcessor, gateways, processor.Seconds(), "")
 		}
 	}
 	return nil
--- a/internal/testbed/capacity/measure/reports.go
+++ b/internal/testbed/capacity/measure/reports.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	reportWarmUp = 8050 * time.Millisecond // virtual time: more than the life of a report, and between two steps
-	reportLooks  = 3                       // looks at what is known, a second apart
+	reportWarmUp  = 8050 * time.Millisecond // virtual time: more than the life of a report, and between two steps
+	reportSamples = 3                       // looks at what is known, a second apart
 )
 
 // Knowledge is what gateways know of engines by shared load reports.
 type Knowledge struct {
-	Share     float64 // of the engines, of which a gateway holds a report that has not ended
-	Age       float64 // seconds, mean of the reports held
-	Processor float64 // processor seconds a second and gateway: membership and reports, the simulator's part included
-	Bytes     float64 // sent a second and gateway: membership and reports
+	KnownShare float64 // of the engines, of which a gateway holds a report that has not ended
+	Age        float64 // seconds, mean of the reports held
+	Processor  float64 // processor seconds a second and gateway: membership and reports, the simulator's part included
+	Bytes      float64 // sent a second and gateway: membership and reports
 }
 
 // SharedReports measures the shared load reports in a quiet fleet.
@@ -29,20 +29,20 @@
 	}
 	var out Knowledge
 	sent, began := sum(f.SentBytes), processorTime()
-	for range reportLooks {
+	for range reportSamples {
 		if err := f.Run(time.Second); err != nil {
 			return Knowledge{}, err
 		}
 	}
-	per := float64(setup.Gateways) * reportLooks
+	per := float64(setup.Gateways) * reportSamples
 	out.Processor = (processorTime() - began).Seconds() / per
 	out.Bytes = float64(sum(f.SentBytes)-sent) / per
-	out.Share, out.Age = f.known()
+	out.KnownShare, out.Age = f.knowledge()
 	return out, nil
 }
 
-// known looks at every gateway's digest: the share of engines known and the mean age in seconds.
-func (f *fleet) known() (share, age float64) {
+// knowledge looks at every gateway's digest: the share of engines known and the mean age in seconds.
+func (f *fleet) knowledge() (share, age float64) {
 	held := 0
 	for _, digest := range f.digests {
 		for i := range f.setup.Engines {
--- a/internal/testbed/capacity/measure/series.go
+++ b/internal/testbed/capacity/measure/series.go
@@ -8,9 +8,9 @@
 
 // series gathers what the runs of one slope found.
 type series struct {
-	values map[float64][]float64 // by size
-	notes  map[float64]string
-	over   map[float64]float64 // seconds over the budget
+	values     map[float64][]float64 // by size
+	notes      map[float64]string
+	overBudget map[float64]float64 // seconds over the budget
 }
 
 // collector gathers all slopes.
@@ -20,7 +20,7 @@
 func (c collector) add(name string, size int, value float64, note string) {
 	s := c[name]
 	if s == nil {
-		s = &series{values: map[float64][]float64{}, notes: map[float64]string{}, over: map[float64]float64{}}
+		s = &series{values: map[float64][]float64{}, notes: map[float64]string{}, overBudget: map[float64]float64{}}
 		c[name] = s
 	}
 	at := float64(size)
@@ -32,15 +32,15 @@
 func (c collector) addPeak(name string, size int, value, over float64) {
 	c.add(name, size, value, "")
 	at := float64(size)
-	c[name].over[at] = max(c[name].over[at], over)
+	c[name].overBudget[at] = max(c[name].overBudget[at], over)
 }
 
 // points are the medians of the runs, by size.
 func (s *series) points() (points []capacity.Point) {
 	for size, values := range s.values {
 		slices.Sort(values)
-		points = append(points, capacity.Point{Size: size, Value: values[len(values)/2], Least: values[0],
-			Most: values[len(values)-1], Runs: len(values), Over: s.over[size], Note: s.notes[size]})
+		points = append(points, capacity.Point{Size: size, Value: values[len(values)/2], Min: values[0],
+			Max: values[len(values)-1], Runs: len(values), SecondsOverBudget: s.overBudget[size], Note: s.notes[size]})
 	}
 	slices.SortFunc(points, func(a, b capacity.Point) int { return int(a.Size - b.Size) })
 	return points
--- a/internal/testbed/capacity/model.go
+++ b/internal/testbed/capacity/model.go
@@ -2,20 +2,20 @@
 
 import "frostpier/internal/control/loadreport"
 
-// Model works the page out from a result.
+// Model estimates the costs of the target fleet from measured slopes.
 type Model struct {
 	Target Target
 	Result Result
-	fitted map[string]fittedSlope
+	fitted map[string]fittedSlope // by name
 }
 
-// fittedSlope is a slope with its curve, which the ranking asks for thousands of times.
+// fittedSlope caches the curve of a slope: the ranking evaluates it thousands of times.
 type fittedSlope struct {
 	slope Slope
-	fit   Fit
+	curve Fit
 }
 
-// NewModel makes the model of the expected fleet.
+// NewModel returns the model of the expected fleet. The result must have all slopes, as DecodeResult ensures.
 func NewModel(result Result) Model {
 	m := Model{Target: Expected(), Result: result, fitted: map[string]fittedSlope{}}
 	for _, slope := range result.Slopes {
@@ -24,69 +24,70 @@
 	return m
 }
 
-// value is what a slope says of a size.
-func (m Model) value(name string, size float64) float64 {
+// estimate returns the value of the named slope at a size.
+func (m Model) estimate(name string, size float64) float64 {
 	fitted := m.fitted[name]
-	return fitted.slope.estimate(fitted.fit, size).Value
+	return fitted.slope.estimate(fitted.curve, size).Value
 }
 
-// over is for how many seconds a peak of bytes was over the budget, at a size that was measured.
-func (m Model) over(name string, size float64) float64 {
+// secondsOverBudget returns for how many seconds a peak of bytes exceeded the budget, at a size that was measured; 0 at
+// any other size.
+func (m Model) secondsOverBudget(name string, size float64) float64 {
 	for _, point := range m.Result.Slope(name).Points {
 		if point.Size == size {
-			return point.Over
+			return point.SecondsOverBudget
 		}
 	}
 	return 0
 }
 
-// Cost is what something costs one gateway.
+// Cost is what a part of the program costs one gateway.
 type Cost struct {
-	Processor   float64 // share of a core
-	Memory      float64 // bytes
-	BytesSecond float64 // sent
+	Processor      float64 // share of a core
+	Memory         float64 // bytes
+	BytesPerSecond float64 // sent on the network
 }
 
-// Add adds up.
+// Add returns the sum of two costs.
 func (c Cost) Add(other Cost) Cost {
-	return Cost{c.Processor + other.Processor, c.Memory + other.Memory, c.BytesSecond + other.BytesSecond}
+	return Cost{c.Processor + other.Processor, c.Memory + other.Memory, c.BytesPerSecond + other.BytesPerSecond}
 }
 
-// decisionCost is that of core and decision module with so many engines and statements a second.
+// decisionCost is the cost of core and decision module with that many engines, at a rate of statements a second.
 func (m Model) decisionCost(engines, statements float64) Cost {
-	return Cost{Processor: m.value(CoreProcessor, engines) * statements, Memory: m.value(ListMemory, engines)}
+	return Cost{Processor: m.estimate(CoreProcessor, engines) * statements, Memory: m.estimate(ListMemory, engines)}
 }
 
-// connectionCost is that of a connection to each engine.
+// connectionCost is the cost of one idle connection to each engine.
 func (m Model) connectionCost(engines float64) Cost {
-	return Cost{Memory: engines * m.value(EngineConnection, engines)}
+	return Cost{Memory: engines * m.estimate(EngineConnection, engines)}
 }
 
-// clientCost is that of the clients' connections. They carry statements and are not control; the page shows totals with
-// and without them.
+// clientCost is the cost of idle client connections. They carry statements and are no part of control, so the page shows
+// totals with and without them.
 func (m Model) clientCost(clients float64) Cost {
-	return Cost{Memory: clients * m.value(ClientConnection, clients)}
+	return Cost{Memory: clients * m.estimate(ClientConnection, clients)}
 }
 
-// membershipCost is that of membership while nothing happens.
+// membershipCost is the cost of membership without faults.
 func (m Model) membershipCost(gateways float64) Cost {
-	return Cost{Processor: m.value(MembershipProcessor, gateways), Memory: m.value(MembershipMemory, gateways),
-		BytesSecond: m.value(MembershipBytes, gateways)}
+	return Cost{Processor: m.estimate(MembershipProcessor, gateways), Memory: m.estimate(MembershipMemory, gateways),
+		BytesPerSecond: m.estimate(MembershipBytes, gateways)}
 }
 
-// reportCost is that of shared load reports beyond membership, on whose datagrams they are carried.
+// reportCost is the cost of shared load reports beyond that of membership, on whose datagrams they are piggybacked.
 func (m Model) reportCost(gateways, engines float64) Cost {
 	membership := m.membershipCost(gateways)
-	return Cost{Processor: max(0, m.value(ReportsProcessor, engines)-membership.Processor),
-		Memory:      m.value(DigestMemory, engines),
-		BytesSecond: max(0, m.value(ReportsBytes, engines)-membership.BytesSecond)}
+	return Cost{Processor: max(0, m.estimate(ReportsProcessor, engines)-membership.Processor),
+		Memory:         m.estimate(DigestMemory, engines),
+		BytesPerSecond: max(0, m.estimate(ReportsBytes, engines)-membership.BytesPerSecond)}
 }
 
-// stagedCost is that of the reports to the controller of a staged change, one a second.
+// stagedCost is the cost of the reports to the controller of a staged change, one a second.
 func (m Model) stagedCost(gateways float64) Cost {
-	return Cost{BytesSecond: m.value(StagedReportBytes, gateways)}
+	return Cost{BytesPerSecond: m.estimate(StagedReportBytes, gateways)}
 }
 
-// knownShare is the share of engines of which shared reports tell, where every answer brings a report: all that the
-// table holds.
+// knownShare is the share of engines whose load is known if every response carries a report: then only the size of the
+// report table limits it.
 func knownShare(engines float64) float64 { return min(1, loadreport.MaxEngines/engines) }
--- a/internal/testbed/capacity/model_test.go
+++ b/internal/testbed/capacity/model_test.go
@@ -1,12 +1,13 @@
 package capacity
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
-// resultOf has every slope, each a line through the origin with the given rate; what is flat has that value, and all engines are
-// known.
+// resultOf returns a result with every slope: a line through the origin with the given rate, a flat slope with that value,
+// and a share of 1.
 func resultOf(rate float64) Result {
 	result := Result{Machine: Machine{Cores: 1}}
 	for _, definition := range Definitions() {
@@ -23,81 +24,87 @@
 	return result
 }
 
-// A file comes back as it was written; one that lacks a slope is refused, with its name.
-func TestResultsAreRead(t *testing.T) {
+// An encoded result decodes to the same slopes; a result that lacks a slope is rejected.
+func TestResultRoundTrip(t *testing.T) {
 	result := resultOf(1e-6)
 	text, err := result.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := DecodeResult(text); err != nil || len(back.Slopes) != len(Definitions()) {
-		t.Fatalf("%d slopes, %v", len(back.Slopes), err)
+	if decoded, err := DecodeResult(text); err != nil || len(decoded.Slopes) != len(Definitions()) {
+		t.Fatalf("%d slopes, %v", len(decoded.Slopes), err)
 	}
 	result.Slopes = result.Slopes[1:]
 	if text, err = result.Encode(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := DecodeResult(text); err == nil || !strings.Contains(err.Error(), DecisionProcessor) {
-		t.Errorf("a missing slope: %v", err)
+	_, err = DecodeResult(text)
+	var missing *MissingSlopeError
+	if !errors.As(err, &missing) || missing.Slope != DecisionProcessor {
+		t.Errorf("error %v, want a MissingSlopeError", err)
 	}
 }
 
-// The total of the quiet state is the sum of the roles without the clients' connections, worked out by hand from the slopes.
+// The quiet total is the sum of all roles without client connections, here computed by hand from the slopes.
 func TestQuietTotal(t *testing.T) {
 	m := NewModel(resultOf(1e-6))
 	total := m.QuietTotal()
 	processor := 1100*1e-6*1625 + 1100*1e-6 // decisions; membership and load reports together
-	if !near(total.Processor, processor) {
+	if !nearlyEqual(total.Processor, processor) {
 		t.Errorf("processor %v, not %v", total.Processor, processor)
 	}
 	memory := 1100*1e-6 + 1100*1100*1e-6 + 800*1e-6 + 1100*1e-6 // lists, connections of 1100e-6 each, node, digest
-	if !near(total.Memory, memory) {
+	if !nearlyEqual(total.Memory, memory) {
 		t.Errorf("memory %v, not %v", total.Memory, memory)
 	}
-	if bytes := 1e-6 + 1e-6; !near(total.BytesSecond, bytes) { // membership and load reports together; staged reports
-		t.Errorf("bytes %v, not %v", total.BytesSecond, bytes)
+	if bytes := 1e-6 + 1e-6; !nearlyEqual(total.BytesPerSecond, bytes) { // membership and load reports together; staged reports
+		t.Errorf("bytes %v, not %v", total.BytesPerSecond, bytes)
 	}
 }
 
-// A lost zone spreads its statements and clients over the others; regions apart keep theirs.
+// The load of a lost zone moves to the other zones; partitioned regions keep theirs.
 func TestStatesOfFaults(t *testing.T) {
 	m := NewModel(resultOf(1))
 	for _, state := range m.States() {
-		served := state.Statements * state.Gateways
-		if state.Phase == RegionsCut {
-			served *= m.Target.Regions
+		total := state.Statements * state.Gateways
+		if state.Phase == RegionsPartitioned {
+			total *= m.Target.Regions
 		}
-		if !near(served, m.Target.StatementsPerSecond) {
-			t.Errorf("%s: %v statements a second in all", state.Phase, served)
+		if !nearlyEqual(total, m.Target.StatementsPerSecond) {
+			t.Errorf("%s: %v statements a second in all", state.Phase, total)
 		}
 	}
-	zone := m.state(ZoneLost)
-	if !near(zone.Gateways, 800*6.0/7) || !near(zone.Clients, 3500*7.0/6) {
+	zone := m.stateOf(ZoneLost)
+	if !nearlyEqual(zone.Gateways, 800*6.0/7) || !nearlyEqual(zone.Clients, 3500*7.0/6) {
 		t.Errorf("%+v", zone)
 	}
 }
 
-// Requirements stand in the order in which they break; one that does not break is last, and says so.
-func TestRankingIsInOrder(t *testing.T) {
+// Requirements are ranked by the fleet that misses them; those that the target meets come last.
+func TestRankingOrder(t *testing.T) {
 	ranking := NewModel(resultOf(0.1)).Ranking()
-	last, ended := 0.0, false
-	for _, broken := range ranking {
-		ended = ended || !broken.Breaks
-		if broken.Breaks && (ended || broken.Gateways < last) {
-			t.Errorf("%s breaks at %v gateways, after %v", broken.Name, broken.Gateways, last)
+	previous, met := 0.0, false
+	for _, requirement := range ranking {
+		met = met || !requirement.Missed
+		if requirement.Missed && (met || requirement.Gateways < previous) {
+			t.Errorf("%s is missed at %v gateways, after one at %v", requirement.Name, requirement.Gateways, previous)
 		}
-		if broken.Breaks != (broken.AtTarget > 1) {
-			t.Errorf("%s: factor %v at the target, breaks: %v", broken.Name, broken.AtTarget, broken.Breaks)
+		if requirement.Missed != (requirement.AtTarget > 1) {
+			t.Errorf("%s: factor %v at the target, missed: %v", requirement.Name, requirement.AtTarget, requirement.Missed)
 		}
-		last = broken.Gateways
+		previous = requirement.Gateways
 	}
 }
 
-// A page without a block's markers is refused; filling a page twice changes nothing more.
+// A page without the markers of a block is rejected; filling a page twice is the same as filling it once.
 func TestFill(t *testing.T) {
 	blocks := map[string]string{"one": "text\n"}
-	if _, err := Fill("no markers", blocks); err == nil {
-		t.Error("no error without markers")
+	for page, marker := range map[string]string{"no markers": beginMarker("one"), beginMarker("one"): endMarker("one")} {
+		_, err := Fill(page, blocks)
+		var missing *MarkerError
+		if !errors.As(err, &missing) || *missing != (MarkerError{Block: "one", Marker: marker}) {
+			t.Errorf("page %q: error %v, want a MarkerError for %q", page, err, marker)
+		}
 	}
 	once, err := Fill("before\n<!-- begin one -->\nold\n<!-- end one -->\nafter\n", blocks)
 	if err != nil || strings.Contains(once, "old") || !strings.Contains(once, "text") {
@@ -108,9 +115,10 @@
 	}
 }
 
-// Scale runs become rows; without them the page says so.
-func TestScaleRuns(t *testing.T) {
-	scale, err := DecodeScale([]byte(`{"runs":[{"facts":{"cores":8},"steps":[{"name":"quiet","real_gateways":24,"hollow_gateways":776,"engines":1100,"resident_mb":41.5,"new":1}]}]}`))
+// Every step of a scale run is a row of the table; without scale runs the block says that they are missing.
+func TestScaleTable(t *testing.T) {
+	scale, err := DecodeScale([]byte(`{"runs":[{"facts":{"cores":8},"steps":[{"name":"quiet","real_gateways":24,
+		"hollow_gateways":776,"engines":1100,"resident_mb":41.5,"new":1}]}]}`))
 	if err != nil || len(scale.Table().Rows) != 1 || scale.Table().Rows[0][1] != "off" || scale.Table().Rows[0][2] != "quiet" ||
 		scale.Table().Rows[0][7] != "41.5" {
 		t.Fatalf("%+v, %v", scale, err)
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -1,12 +1,11 @@
 package capacity
 
 import (
-	"errors"
 	"fmt"
 	"strings"
 )
 
-// Blocks of the page that are worked out, by the names in their markers.
+// Names of the generated blocks, as in their markers on the page.
 const (
 	blockMachine       = "machine"
 	blockSlopes        = "slopes"
@@ -23,12 +22,21 @@
 	blockOutcome       = "outcome"
 )
 
-var errMarkers = errors.New("a block's markers are not on the page")
+// MarkerError reports a block whose markers are not on the page.
+type MarkerError struct {
+	Block  string // name of the block
+	Marker string // the marker that is missing
+}
+
+// Error names the block and the marker.
+func (e *MarkerError) Error() string {
+	return fmt.Sprintf("block %q: marker %q is not on the page", e.Block, e.Marker)
+}
 
-// NotMeasured stands in place of the scale runs' table while there is no result file of them.
+// NotMeasured replaces the table of the scale runs if there is no result file.
 const NotMeasured = "Not yet measured.\n"
 
-// Blocks works out every block of the page; scale is nil while there are no scale runs.
+// Blocks returns the text of every generated block by name; scale is nil if there are no scale runs.
 func (m Model) Blocks(scale *ScaleResult) map[string]string {
 	runs := NotMeasured
 	if scale != nil {
@@ -54,23 +62,32 @@
 func beginMarker(name string) string { return fmt.Sprintf("<!-- begin %s -->\n", name) }
 func endMarker(name string) string   { return fmt.Sprintf("<!-- end %s -->\n", name) }
 
-// Fill puts every block between its markers.
+// Fill returns the page with the text of every block between its markers. The error is a *MarkerError.
 func Fill(page string, blocks map[string]string) (string, error) {
 	for name, text := range blocks {
-		before, rest, found := strings.Cut(page, beginMarker(name))
-		if !found {
-			return "", fmt.Errorf("%w: %s", errMarkers, name)
-		}
-		_, after, found := strings.Cut(rest, endMarker(name))
-		if !found {
-			return "", fmt.Errorf("%w: %s", errMarkers, name)
+		filled, err := fillBlock(page, name, text)
+		if err != nil {
+			return "", err
 		}
-		page = before + beginMarker(name) + "\n" + text + "\n" + endMarker(name) + after
+		page = filled
 	}
 	return page, nil
 }
 
-// machineText says where and when the slopes were measured, and which of them are extrapolated.
+func fillBlock(page, name, text string) (string, error) {
+	begin, end := beginMarker(name), endMarker(name)
+	before, remaining, found := strings.Cut(page, begin)
+	if !found {
+		return "", &MarkerError{Block: name, Marker: begin}
+	}
+	_, after, found := strings.Cut(remaining, end)
+	if !found {
+		return "", &MarkerError{Block: name, Marker: end}
+	}
+	return before + begin + "\n" + text + "\n" + end + after, nil
+}
+
+// machineText describes the run of the measurements and names the slopes that are extrapolated.
 func (m Model) machineText() string {
 	machine := m.Result.Machine
 	return fmt.Sprintf("Measured on %s in %.0f s: %d cores, %s, %s, seed %d. Load average over a minute %.1f before and %.1f "+
@@ -79,11 +96,11 @@
 		machine.LoadAfter, m.extrapolated())
 }
 
-// extrapolated names the slopes that reach the target beyond three times the largest size measured.
+// extrapolated names the slopes whose estimate at the target is extrapolated.
 func (m Model) extrapolated() string {
 	var names []string
 	for _, slope := range m.Result.Slopes {
-		if slope.At(m.Target.sizeOf(slope)).Extrapolated {
+		if slope.EstimateAt(m.Target.sizeOf(slope)).Extrapolated {
 			names = append(names, slope.Name)
 		}
 	}
--- a/internal/testbed/capacity/pagetables.go
+++ b/internal/testbed/capacity/pagetables.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// withoutFaults leaves out the slopes of the phases: they have a table of their own.
+// withoutFaults returns the result without the slopes of phases, which have a table of their own.
 func (m Model) withoutFaults() Result {
 	result := m.Result
 	result.Slopes = nil
@@ -17,77 +17,121 @@
 	return result
 }
 
-// shownQuantities are those of the phases' quantities that the page shows; the others stand in the result file.
+// shownQuantities returns the quantities of phases that the page shows; the others are in the result file only.
 func shownQuantities() []PhaseQuantity {
-	return []PhaseQuantity{PeakBurst, PeakBytes, PeakMost, PeakBytesReports, PeakMostReports, SettledBytes, SecondsToAgree}
+	return []PhaseQuantity{PeakBurst, PeakBytes, PeakTopSender, PeakBytesWithReports, PeakTopSenderWithReports, SettledBytes, ConvergenceSeconds}
 }
 
 func (m Model) faultSlopes() Table {
-	table := Table{Head: []string{"state", "quantity", "measured at (gateways)", "runs", "spread", "fit", "residual"}}
+	table := Table{Header: []string{"state", "quantity", "measured at (gateways)", "runs", "spread", "fit", "residual"}}
 	for _, phase := range Phases() {
 		for _, quantity := range shownQuantities() {
-			slope, found := m.Result.find(quantity.Of(phase))
+			slope, found := m.Result.find(quantity.SlopeName(phase))
 			if !found {
 				continue
 			}
 			fit := slope.Fit()
-			table.Rows = append(table.Rows, []string{string(phase), string(quantity), strings.TrimSuffix(pointsOf(slope), " (gateways)"),
-				runsOf(slope), spreadOf(slope), fit.String(), percent(fit.Residual)})
+			table.Rows = append(table.Rows, []string{
+				string(phase),
+				string(quantity),
+				strings.TrimSuffix(formatPoints(slope), " (gateways)"),
+				formatRuns(slope),
+				formatSpread(slope),
+				fit.String(),
+				formatPercent(fit.Residual),
+			})
 		}
 	}
 	return table
 }
 
-// orNone writes a figure, or a dash where there is none.
-func orNone(value float64, write func(float64) string) string {
-	if value == 0 {
-		return "-"
-	}
-	return write(value)
-}
-
-func bytesSecond(value float64) string { return bytesOf(value) + "/s" }
-
 func (m Model) roleTable() Table {
-	table := Table{Head: []string{"role", "state", "messages", "processor", "memory", "bytes/s sent", "mechanism", "verdict"}}
+	table := Table{Header: []string{"role", "state", "messages", "processor", "memory", "bytes/s sent", "mechanism", "verdict"}}
 	for _, role := range m.Roles() {
-		table.Rows = append(table.Rows, []string{string(role.Name), role.State, role.Messages, orNone(role.Cost.Processor, percent),
-			orNone(role.Cost.Memory, bytesOf), orNone(role.Cost.BytesSecond, bytesSecond), role.Mechanism, role.Verdict.String()})
+		table.Rows = append(table.Rows, []string{
+			string(role.Name),
+			role.State,
+			role.Messages,
+			formatOrDash(role.Cost.Processor, formatPercent),
+			formatOrDash(role.Cost.Memory, formatBytes),
+			formatOrDash(role.Cost.BytesPerSecond, formatBytesPerSecond),
+			role.Mechanism,
+			role.Verdict.String(),
+		})
 	}
 	table.Rows = append(table.Rows, m.totalRow())
 	return table
 }
 
-// totalRow is all control together, without the clients' connections, against the budgets.
+// totalRow compares the total of all roles, without client connections, with the budget.
 func (m Model) totalRow() []string {
 	t, total := m.Target, m.QuietTotal()
-	return []string{"**all but the client side**", "", "", percent(total.Processor), bytesOf(total.Memory), bytesSecond(total.BytesSecond),
-		"budgets: 4.1% of a core, 256 MB, 3 KB/s", factors([]Verdict{judge("core", total.Processor, t.Processor),
-			judge("memory", total.Memory, t.MemoryBytes), judge("bytes", total.BytesSecond, t.BytesPerSecond)})}
+	verdicts := []Verdict{
+		compare("core", total.Processor, t.Processor),
+		compare("memory", total.Memory, t.MemoryBytes),
+		compare("bytes", total.BytesPerSecond, t.BytesPerSecond),
+	}
+	return []string{
+		"**all but the client side**",
+		"",
+		"",
+		formatPercent(total.Processor),
+		formatBytes(total.Memory),
+		formatBytesPerSecond(total.BytesPerSecond),
+		"budgets: 4.1% of a core, 256 MB, 3 KB/s",
+		formatFactors(verdicts),
+	}
 }
 
 func (m Model) peakTable() Table {
-	table := Table{Head: []string{"state", "how often", "gateways, engines", "statements/s a gateway", "processor: decisions", "processor: all control",
-		"memory without / with clients", "bytes/s, membership alone", "bytes/s, all control", "bytes/s of the gateway that sends most", "over 3 KB/s for", "all agree after",
-		"use over budget: core, memory, bytes in the mean, bytes of the one that sends most"}}
+	table := Table{Header: []string{
+		"state",
+		"how often",
+		"gateways, engines",
+		"statements/s a gateway",
+		"processor: decisions",
+		"processor: all control",
+		"memory without / with clients",
+		"bytes/s, membership alone",
+		"bytes/s, all control",
+		"bytes/s of the gateway that sends most",
+		"over 3 KB/s for",
+		"all agree after",
+		"use over budget: core, memory, bytes in the mean, bytes of the one that sends most",
+	}}
 	for _, peak := range m.Peaks() {
-		agree := orNone(peak.Agree, seconds)
-		if peak.Phase == RegionsCut {
-			agree = "views differ by design"
-		}
-		table.Rows = append(table.Rows, []string{string(peak.Phase), peak.Often,
-			fmt.Sprintf("%.0f, %.0f", peak.Gateways, peak.Engines), fmt.Sprintf("%.0f", peak.Statements),
-			percent(peak.Decisions), percent(peak.Total.Processor), bytesOf(peak.Total.Memory) + " / " + bytesOf(peak.WithClients),
-			bytesSecond(peak.Membership), bytesSecond(peak.Total.BytesSecond), bytesSecond(peak.MostSent), orNone(peak.Over, seconds), agree, factors(peak.Verdict)})
+		table.Rows = append(table.Rows, peakRow(peak))
 	}
 	return table
 }
 
-// factors writes use over limit of several requirements; what misses is bold.
-func factors(verdicts []Verdict) string {
+func peakRow(peak Peak) []string {
+	convergence := formatOrDash(peak.ConvergenceSeconds, formatSeconds)
+	if peak.Phase == RegionsPartitioned {
+		convergence = "views differ by design"
+	}
+	return []string{
+		string(peak.Phase),
+		peak.Frequency,
+		fmt.Sprintf("%.0f, %.0f", peak.Gateways, peak.Engines),
+		fmt.Sprintf("%.0f", peak.Statements),
+		formatPercent(peak.Decisions),
+		formatPercent(peak.Total.Processor),
+		formatBytes(peak.Total.Memory) + " / " + formatBytes(peak.WithClients),
+		formatBytesPerSecond(peak.Membership),
+		formatBytesPerSecond(peak.Total.BytesPerSecond),
+		formatBytesPerSecond(peak.TopSender),
+		formatOrDash(peak.SecondsOverBudget, formatSeconds),
+		convergence,
+		formatFactors(peak.Verdicts),
+	}
+}
+
+// formatFactors lists the factors of several verdicts; those that miss are bold.
+func formatFactors(verdicts []Verdict) string {
 	var list []string
 	for _, verdict := range verdicts {
-		text := "x" + digits(verdict.Factor)
+		text := "x" + formatNumber(verdict.Factor)
 		if verdict.Status == Misses {
 			text = "**" + text + "**"
 		}
@@ -97,61 +141,71 @@
 }
 
 func partTable(parts []Part) Table {
-	table := Table{Head: []string{"part", "today", "seconds in the sketch", "from"}}
+	table := Table{Header: []string{"part", "today", "seconds in the sketch", "from"}}
 	for _, part := range parts {
-		table.Rows = append(table.Rows, []string{part.Name, part.Today, digits(part.Budget), part.Why})
+		table.Rows = append(table.Rows, []string{part.Name, part.Existing, formatNumber(part.Seconds), part.Source})
 	}
-	table.Rows = append(table.Rows, []string{"sum", "", digits(Sum(parts)), ""})
+	table.Rows = append(table.Rows, []string{"sum", "", formatNumber(TotalSeconds(parts)), ""})
 	return table
 }
 
 func (m Model) primaryText() string {
-	median, longest := m.DetectionToday()
+	median, longest := m.MembershipDetection()
+	withSwitching := median + drainSeconds + dialSeconds
 	limit := m.Target.PrimaryWithin.Seconds()
-	return partTable(m.PrimaryParts()).Markdown() + fmt.Sprintf("\nNothing carries a change of primary today. If detection and telling were "+
+	return partTable(m.PrimaryChangeParts()).Markdown() + fmt.Sprintf("\nNothing carries a change of primary today. If detection and telling were "+
 		"membership's, they alone would take %s (median; %s at the longest of the kills measured), and with the switching %s of the %s: "+
-		"misses by %sx. The seconds of the sketch are settings and arithmetic, not results.\n", seconds(median), seconds(longest),
-		seconds(median+drainSeconds+dialSeconds), seconds(limit), digits((median+drainSeconds+dialSeconds)/limit))
+		"misses by %sx. The seconds of the sketch are settings and arithmetic, not results.\n", formatSeconds(median), formatSeconds(longest),
+		formatSeconds(withSwitching), formatSeconds(limit), formatNumber(withSwitching/limit))
 }
 
 func (m Model) configurationText() string {
 	limit := m.Target.ConfigurationWithin.Seconds()
-	return partTable(m.ConfigurationParts()).Markdown() + fmt.Sprintf("\nNothing carries a configuration today. A change in stages takes 30 s "+
+	return partTable(m.ConfigurationChangeParts()).Markdown() + fmt.Sprintf("\nNothing carries a configuration today. A change in stages takes 30 s "+
 		"for each stage at the least, %s times the %s for the whole. A restart falls into %s of the changes, if both come evenly.\n",
-		digits(leastWatchSeconds/limit), seconds(limit), percent(m.Target.Overlap()))
+		formatNumber(minWatchSeconds/limit), formatSeconds(limit), formatPercent(m.Target.Overlap()))
 }
 
-// rankingText is the table of the requirements that break, and a line on those that do not.
+// rankingText is the table of the requirements that are missed, and a line on those that are met.
 func (m Model) rankingText() string {
-	table := Table{Head: []string{"place", "requirement", "missed", "from (gateways x engines)", "factor at 300 x 80", "factor at 800 x 1,100", "what is missing"}}
-	var kept []string
-	for place, broken := range m.Ranking() {
-		if !broken.Breaks {
-			kept = append(kept, fmt.Sprintf("%s (x%s)", broken.Name, digits(broken.AtTarget)))
+	table := Table{Header: []string{
+		"place",
+		"requirement",
+		"missed",
+		"from (gateways x engines)",
+		"factor at 300 x 80",
+		"factor at 800 x 1,100",
+		"what is missing",
+	}}
+	var met []string
+	for place, ranked := range m.Ranking() {
+		if !ranked.Missed {
+			met = append(met, fmt.Sprintf("%s (x%s)", ranked.Name, formatNumber(ranked.AtTarget)))
 			continue
 		}
-		table.Rows = append(table.Rows, []string{fmt.Sprint(place + 1), broken.Name, string(broken.When), m.sizeText(broken),
-			"x" + digits(broken.AtToday), "x" + digits(broken.AtTarget), broken.Mechanism})
+		table.Rows = append(table.Rows, []string{fmt.Sprint(place + 1), ranked.Name, string(ranked.When), m.fleetSizeText(ranked),
+			"x" + formatNumber(ranked.AtToday), "x" + formatNumber(ranked.AtTarget), ranked.Missing})
 	}
-	return table.Markdown() + "\nKept at the target, with use over limit: " + strings.Join(kept, "; ") + ".\n"
+	return table.Markdown() + "\nKept at the target, with use over limit: " + strings.Join(met, "; ") + ".\n"
 }
 
-// sizeText is the size at which a requirement breaks; below what was measured no curve is believed.
-func (m Model) sizeText(broken Broken) string {
-	if broken.Gateways < broken.Smallest {
-		return fmt.Sprintf("under %s gateways, the smallest measured", whole(broken.Smallest))
+// fleetSizeText is the smallest fleet that misses a requirement. Below the smallest size measured the curve is not
+// trusted.
+func (m Model) fleetSizeText(ranked RankedRequirement) string {
+	if ranked.Gateways < ranked.MinGateways {
+		return fmt.Sprintf("under %s gateways, the smallest measured", formatCount(ranked.MinGateways))
 	}
-	return fmt.Sprintf("%.0f x %.0f", broken.Gateways, broken.Engines)
+	return fmt.Sprintf("%.0f x %.0f", ranked.Gateways, ranked.Engines)
 }
 
 func (m Model) subsetTable() Table {
-	table := Table{Head: []string{"at 800 x 1,100", "all engines", fmt.Sprintf("%d engines a gateway", SubsetSize), "limit"}}
-	for _, row := range m.SubsetEffect() {
-		write := func(value float64) string { return quantity(value, row.Unit) }
+	table := Table{Header: []string{"at 800 x 1,100", "all engines", fmt.Sprintf("%d engines a gateway", SubsetSize), "limit"}}
+	for _, row := range m.SubsetRows() {
+		format := func(value float64) string { return formatQuantity(value, row.Unit) }
 		if row.Unit == "share of a core" {
-			write = percent
+			format = formatPercent
 		}
-		table.Rows = append(table.Rows, []string{row.Name, write(row.Whole), write(row.WithSubset), orNone(row.Limit, write)})
+		table.Rows = append(table.Rows, []string{row.Name, format(row.AllEngines), format(row.WithSubset), formatOrDash(row.Limit, format)})
 	}
 	return table
 }
--- a/internal/testbed/capacity/result.go
+++ b/internal/testbed/capacity/result.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Machine is where slopes were measured.
+// Machine describes the machine and the run of the measurements.
 type Machine struct {
 	Cores       int     `json:"cores"`
 	GoVersion   string  `json:"go_version"`
@@ -18,14 +18,14 @@
 	MeasuredDay string  `json:"measured_day"`
 }
 
-// Result is the file that `fleettest slopes` writes.
+// Result is the content of the file that `fleettest slopes` writes.
 type Result struct {
 	Machine Machine `json:"machine"`
 	Seed    uint64  `json:"seed"`
 	Slopes  []Slope `json:"slopes"`
 }
 
-// Encode writes the file, each slope on a line of its own.
+// Encode returns the result as JSON with each slope on a line of its own, so that differences between files can be read.
 func (r Result) Encode() ([]byte, error) {
 	machine, err := json.Marshal(r.Machine)
 	if err != nil {
@@ -48,7 +48,14 @@
 	return text.Bytes(), nil
 }
 
-// DecodeResult reads the file and checks every slope in it, and that none is missing.
+// MissingSlopeError reports a result that lacks a slope of Definitions.
+type MissingSlopeError struct{ Slope string }
+
+// Error names the slope.
+func (e *MissingSlopeError) Error() string { return fmt.Sprintf("slopes: %q is missing", e.Slope) }
+
+// DecodeResult decodes and validates a result. The error is a *SlopeError, a *MissingSlopeError, or wraps that of the
+// JSON decoder.
 func DecodeResult(text []byte) (Result, error) {
 	var result Result
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -57,13 +64,13 @@
 		return result, fmt.Errorf("slopes: %w", err)
 	}
 	for _, slope := range result.Slopes {
-		if err := slope.Check(); err != nil {
+		if err := slope.Validate(); err != nil {
 			return result, err
 		}
 	}
 	for _, definition := range Definitions() {
 		if _, ok := result.find(definition.Name); !ok {
-			return result, fmt.Errorf("slopes: %q is missing", definition.Name)
+			return result, &MissingSlopeError{Slope: definition.Name}
 		}
 	}
 	return result, nil
@@ -78,7 +85,7 @@
 	return Slope{}, false
 }
 
-// Slope is a slope by its name; DecodeResult has seen to it that all of Definitions are there.
+// Slope returns the slope of a name, or an empty one. A result of DecodeResult has all slopes of Definitions.
 func (r Result) Slope(name string) Slope {
 	slope, _ := r.find(name)
 	return slope
--- a/internal/testbed/capacity/scale.go
+++ b/internal/testbed/capacity/scale.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ScaleStep is what a step of `fleettest scale` read of its real processes.
+// ScaleStep is the measurement of one step of `fleettest scale`, from its real processes.
 type ScaleStep struct {
 	Name                  string  `json:"name"`
 	RealGateways          int     `json:"real_gateways"`
@@ -18,21 +18,21 @@
 	HighestBytesPerSecond float64 `json:"highest_bytes_per_second_10s"`
 	Connections           float64 `json:"connections"`
 	SecondsUntilAllKnow   float64 `json:"seconds_until_all_know"`
-	EnginesUsed           float64 `json:"engines_used"`        // by a hollow gateway, mean; 0 in files from before it was read
+	EnginesUsed           float64 `json:"engines_used"`        // by a hollow gateway, mean; 0 in older files, which lack it
 	EnginesKnownShare     float64 `json:"engines_known_share"` // of these, by load reports
 }
 
-// ScaleResult is the file that `fleettest scale` writes; what else stands in it is left alone.
+// ScaleResult is the part of the file of `fleettest scale` that the page shows; other fields are ignored.
 type ScaleResult struct {
 	Runs []struct {
 		Facts struct {
-			Subset int `json:"subset_least"` // engines that a gateway uses, at the least; 0 = all
+			Subset int `json:"subset_least"` // smallest number of engines that a gateway uses; 0 = all
 		} `json:"facts"`
 		Steps []ScaleStep `json:"steps"`
 	} `json:"runs"`
 }
 
-// DecodeScale reads the file.
+// DecodeScale decodes the file. The error wraps that of the JSON decoder.
 func DecodeScale(text []byte) (ScaleResult, error) {
 	var result ScaleResult
 	if err := json.Unmarshal(text, &result); err != nil {
@@ -41,34 +41,56 @@
 	return result, nil
 }
 
-// Table shows every step of every run.
+// Table returns a table with a row for every step of every run.
 func (r ScaleResult) Table() Table {
-	table := Table{Head: []string{"run", "subset of at least", "step", "gateways: real, hollow", "engines", "statements/s a real gateway", "processor", "resident MB",
-		"bytes/s, mean", "bytes/s, highest over 10 s", "connections", "all know after s", "engines used", "of these known"}}
+	table := Table{Header: []string{
+		"run",
+		"subset of at least",
+		"step",
+		"gateways: real, hollow",
+		"engines",
+		"statements/s a real gateway",
+		"processor",
+		"resident MB",
+		"bytes/s, mean",
+		"bytes/s, highest over 10 s",
+		"connections",
+		"all know after s",
+		"engines used",
+		"of these known",
+	}}
 	for number, run := range r.Runs {
 		for _, step := range run.Steps {
-			table.Rows = append(table.Rows, []string{fmt.Sprint(number + 1), subsetSize(run.Facts.Subset), step.Name,
-				fmt.Sprintf("%d, %d", step.RealGateways, step.HollowGateways), fmt.Sprint(step.Engines), digits(step.StatementsPerSecond),
-				percent(step.ProcessorShare), digits(step.ResidentMB), digits(step.MeanBytesPerSecond),
-				digits(step.HighestBytesPerSecond), digits(step.Connections), digits(step.SecondsUntilAllKnow),
-				usedEngines(step.EnginesUsed), digits(step.EnginesKnownShare)})
+			table.Rows = append(table.Rows, step.row(number+1, run.Facts.Subset))
 		}
 	}
 	return table
 }
 
-// subsetSize is the least size of subsets in a run.
-func subsetSize(least int) string {
-	if least == 0 {
-		return "off"
+// row returns the step as a row of the table.
+func (s ScaleStep) row(run, subset int) []string {
+	return []string{
+		fmt.Sprint(run),
+		formatSubsetSize(subset),
+		s.Name,
+		fmt.Sprintf("%d, %d", s.RealGateways, s.HollowGateways),
+		fmt.Sprint(s.Engines),
+		formatNumber(s.StatementsPerSecond),
+		formatPercent(s.ProcessorShare),
+		formatNumber(s.ResidentMB),
+		formatNumber(s.MeanBytesPerSecond),
+		formatNumber(s.HighestBytesPerSecond),
+		formatNumber(s.Connections),
+		formatNumber(s.SecondsUntilAllKnow),
+		formatOrDash(s.EnginesUsed, formatNumber),
+		formatNumber(s.EnginesKnownShare),
 	}
-	return fmt.Sprint(least)
 }
 
-// usedEngines is how many engines a gateway used, where that was read.
-func usedEngines(count float64) string {
-	if count == 0 {
-		return "-"
+// formatSubsetSize formats the smallest size of subsets in a run.
+func formatSubsetSize(minimum int) string {
+	if minimum == 0 {
+		return "off"
 	}
-	return digits(count)
+	return fmt.Sprint(minimum)
 }
--- /dev/null
+++ b/internal/testbed/capacity/subset.go
@@ -0,0 +1,42 @@
+package capacity
+
+// SubsetRow compares a quantity between gateways that use all engines and gateways that use a subset.
+type SubsetRow struct {
+	Name                   string
+	AllEngines, WithSubset float64
+	Unit                   string
+	Limit                  float64 // 0 = no limit
+}
+
+// SubsetSize is the number of engines that a gateway uses with subsetting.
+const SubsetSize = 80
+
+// SubsetRows returns the quantities that depend on how many engines a gateway uses. With subsets the table of shared load
+// reports holds the engines of the subset.
+func (m Model) SubsetRows() []SubsetRow {
+	t := m.Target
+	rate := t.StatementsPerGateway()
+	connections := func(engines float64) float64 { return engines * t.Gateways / t.Engines }
+	return []SubsetRow{
+		{"processor of decisions", m.decisionCost(t.Engines, rate).Processor, m.decisionCost(SubsetSize, rate).Processor, "share of a core", t.Processor},
+		{"connections of a gateway", t.Engines, SubsetSize, "", t.Engines / 10},
+		{"connections at an engine", connections(t.Engines), connections(SubsetSize), "", MySQLConnections},
+		{"connections in all", t.Engines * t.Gateways, SubsetSize * t.Gateways, "", 0},
+		{"memory of connections to engines", m.connectionCost(t.Engines).Memory, m.connectionCost(SubsetSize).Memory, Bytes, 0},
+		{"processor of load reports", m.reportCost(t.Gateways, t.Engines).Processor, m.reportCost(t.Gateways, SubsetSize).Processor,
+			"share of a core", 0},
+		{"share of these engines that the shared table has room for", knownShare(t.Engines), knownShare(SubsetSize), Share, 0},
+		{"seconds between two own answers of an engine, on average", t.Engines / rate, SubsetSize / rate, Seconds, 0},
+	}
+}
+
+// LargestSubset returns the largest number of engines with which decisions keep to the processor budget, by the fitted
+// curve; 0 if there is none.
+func (m Model) LargestSubset() float64 {
+	t, fit := m.Target, m.fitted[CoreProcessor].curve
+	largest := 0.0
+	for engines := 1.0; engines <= t.Engines && fit.ValueAt(engines)*t.StatementsPerGateway() <= t.Processor; engines++ {
+		largest = engines
+	}
+	return largest
+}
--- a/internal/testbed/capacity/target.go
+++ b/internal/testbed/capacity/target.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Fleet is a size of the fleet with the load that it carries.
+// Fleet is the size of a fleet and its load.
 type Fleet struct {
 	Gateways, Engines   float64
 	Regions, Zones      float64
@@ -10,13 +10,14 @@
 	StatementsPerSecond float64
 }
 
-// StatementsPerGateway is the mean rate of statements at a gateway, a second.
+// StatementsPerGateway returns the mean rate of statements at a gateway, per second.
 func (f Fleet) StatementsPerGateway() float64 { return f.StatementsPerSecond / f.Gateways }
 
-// ClientsPerGateway is the mean number of client connections of a gateway.
+// ClientsPerGateway returns the mean number of client connections of a gateway.
 func (f Fleet) ClientsPerGateway() float64 { return f.ClientConnections / f.Gateways }
 
-// Budget is what a gateway may spend on control: all that is not the statements' own bytes. Peaks count.
+// Budget limits what a gateway spends on control, which is everything but the statements and their results. The limits
+// hold for peaks too.
 type Budget struct {
 	Processor       float64 // share of a core
 	MemoryBytes     float64
@@ -24,7 +25,7 @@
 	ControlMachines float64
 }
 
-// Changes are the changes that the fleet has to take in, and how fast.
+// Changes are the rates of changes of the fleet, and the time within which each must be in force everywhere.
 type Changes struct {
 	ConfigurationsPerDay float64
 	ConfigurationWithin  time.Duration
@@ -36,19 +37,19 @@
 type Faults struct {
 	MachinesPerDay, RestartsPerDay float64
 	RacksPerMonth, ZonesPerMonth   float64
-	RegionsApart                   time.Duration // now and then
+	RegionsApart                   time.Duration // length of a partition between regions; its rate is not known
 }
 
-// Target is everything that the fleet has to meet.
+// Target is a fleet with all its requirements.
 type Target struct {
 	Fleet
 	Budget
 	Changes
 	Faults
-	KnownShare float64 // of the engines, of which a gateway holds a load report that has not ended
+	KnownShare float64 // required share of engines of which a gateway holds an unexpired load report
 }
 
-// Expected is the fleet that operators expect within two years, as issue 23 states it.
+// Expected returns the fleet that operators expect within two years (issue 23).
 func Expected() Target {
 	return Target{
 		Fleet: Fleet{Gateways: 800, Engines: 1100, Regions: 2, Zones: 7, ClientConnections: 2.8e6,
@@ -62,7 +63,7 @@
 	}
 }
 
-// Today is the size that the fleet has been run at, with the target's load on each gateway and engine.
+// Today returns the largest fleet that has been operated, with the other properties of the target.
 func Today() Fleet {
 	target := Expected().Fleet
 	target.Gateways, target.Engines = 300, 80
--- a/internal/testbed/capacity/verdict.go
+++ b/internal/testbed/capacity/verdict.go
@@ -2,25 +2,25 @@
 
 import "fmt"
 
-// Status is the outcome of a check against a requirement.
+// Status is the result of comparing a use with a requirement.
 type Status string
 
-// The outcomes.
+// The statuses.
 const (
-	Fits   Status = "fits"
+	Fits   Status = "fits" // the use is at most the limit
 	Misses Status = "misses"
-	Absent Status = "absent"
+	Absent Status = "absent" // the program has nothing for the requirement
 )
 
-// Verdict is the outcome with its measure.
+// Verdict is a status with the measure that it is based on.
 type Verdict struct {
 	Status      Status
-	Factor      float64 // use over limit; above 1 it misses
+	Factor      float64 // use over limit; 0 if absent
 	Requirement string
 }
 
-// judge compares use with a limit.
-func judge(requirement string, use, limit float64) Verdict {
+// compare returns the verdict on a use with the given limit.
+func compare(requirement string, use, limit float64) Verdict {
 	status := Fits
 	if use > limit {
 		status = Misses
@@ -28,16 +28,16 @@
 	return Verdict{status, use / limit, requirement}
 }
 
-// absent is for what the project has nothing for.
-func absent(requirement string) Verdict { return Verdict{Absent, 0, requirement} }
+// absentVerdict returns the verdict on a requirement that the program has nothing for.
+func absentVerdict(requirement string) Verdict { return Verdict{Absent, 0, requirement} }
 
-// String words the verdict.
+// String returns the verdict as it stands on the page.
 func (v Verdict) String() string {
 	switch v.Status {
 	case Fits:
-		return fmt.Sprintf("fits: %s of %s", percent(v.Factor), v.Requirement)
+		return fmt.Sprintf("fits: %s of %s", formatPercent(v.Factor), v.Requirement)
 	case Misses:
-		return fmt.Sprintf("**misses by %sx**: %s", digits(v.Factor), v.Requirement)
+		return fmt.Sprintf("**misses by %sx**: %s", formatNumber(v.Factor), v.Requirement)
 	}
 	return "**absent**: " + v.Requirement
 }
