--- a/internal/testbed/capacity/measure/connections.go
+++ b/internal/testbed/capacity/measure/connections.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"runtime"
-	"sync"
 	"syscall"
 	"time"
 
@@ -19,123 +16,71 @@
 	"frostpier/policy"
 )
 
-// Bounds of the connection measurements: both ends are in this process, so each connection takes two descriptors.
+// MaxConnections limits the connections of a measurement. Both ends are in this process, so each connection takes two
+// descriptors.
+const MaxConnections = 2500
+
 const (
-	MaxConnections      = 2500
-	reservedDescriptors = 200
+	reservedDescriptors = 200 // for everything but the measured connections
 	connectTimeout      = 10 * time.Second
-	eventLoopMemory     = 64 << 20
+	eventLoopMemory     = 64 << 20               // bytes that the event loop may buffer
 	settleDelay         = 200 * time.Millisecond // in which goroutines of closed connections end
+	concurrentConnects  = 50
+	maxPingResponse     = 512 // bytes
 )
 
-var (
-	errDescriptors    = errors.New("not enough descriptors for the connection measurement")
-	errConnections    = fmt.Errorf("more than %d connections", MaxConnections)
-	errConnectTimeout = errors.New("connections did not come up in time")
-)
-
-// checkDescriptors refuses what the process may not open.
+// checkDescriptors returns an error if the process may not open the two ends of that many connections.
 func checkDescriptors(connections int) error {
+	if connections > MaxConnections {
+		return &ConnectionLimitError{Requested: connections, Limit: MaxConnections}
+	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	need := uint64(2*connections + reservedDescriptors)
-	switch {
-	case connections > MaxConnections:
-		return errConnections
-	case limit.Cur < need:
-		return fmt.Errorf("%w: %d needed, the limit is %d", errDescriptors, need, limit.Cur)
+	needed := uint64(2*connections + reservedDescriptors)
+	if limit.Cur < needed {
+		return &DescriptorLimitError{Needed: needed, Limit: limit.Cur}
 	}
 	return nil
 }
 
-// idleServer accepts connections and holds them, reading nothing.
-type idleServer struct {
-	listener net.Listener
-	mu       sync.Mutex
-	conns    []net.Conn
-}
-
-func newIdleServer() (*idleServer, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	ends := &idleServer{listener: listener}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			ends.mu.Lock()
-			ends.conns = append(ends.conns, conn)
-			ends.mu.Unlock()
-		}
-	}()
-	return ends, nil
-}
-
-func (e *idleServer) addr() string { return e.listener.Addr().String() }
-
-func (e *idleServer) count() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return len(e.conns)
-}
-
-func (e *idleServer) close() {
-	e.listener.Close()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, conn := range e.conns {
-		conn.Close()
-	}
-}
-
-// discardHandler ignores what a connection brings.
+// discardHandler ignores everything that a connection receives.
 type discardHandler struct{}
 
-func (discardHandler) Data([]byte)  {}
+// Data ignores bytes received.
+func (discardHandler) Data([]byte) {}
+
+// Closed ignores the end of the connection.
 func (discardHandler) Closed(error) {}
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// startLoop is a loop that ends with the returned function.
-func startLoop() (*eventloop.Loop, func()) {
+// startLoop starts an event loop; stop ends it.
+func startLoop() (loop *eventloop.Loop, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	loop := eventloop.New(time.Now(), eventLoopMemory)
+	loop = eventloop.New(time.Now(), eventLoopMemory)
 	go loop.Run(ctx)
 	return loop, cancel
 }
 
-// EngineConnectionMemory is the memory of one idle connection of enginepool.Pool, in bytes, over so many of them: heap and
-// stacks of both ends; what the kernel holds is not in it.
+// EngineConnectionMemory returns the memory of one idle connection of an enginepool.Pool, in bytes, as the mean over
+// that many connections. It counts heap and stacks of both ends, and not what the kernel holds.
 func EngineConnectionMemory(connections int) (float64, error) {
 	if err := checkDescriptors(connections); err != nil {
 		return 0, err
 	}
-	ends, err := newIdleServer()
+	server, err := newIdleServer()
 	if err != nil {
 		return 0, err
 	}
-	defer ends.close()
+	defer server.close()
 	loop, stop := startLoop()
 	defer stop()
 	pool := enginepool.New(loop, discardLogger(), connectTimeout, time.Hour, enginepool.Budget{Most: connections, Urgent: 1})
 	time.Sleep(settleDelay)
 	before := liveMemory()
-	links, err := openConnections(loop, pool, ends.addr(), connections)
-	if err != nil {
-		return 0, err
-	}
-	loop.Do(func() {
-		for _, link := range links {
-			link.Release()
-		}
-	})
-	if err := waitFor(func() bool { return ends.count() == connections }); err != nil {
+	if err := openIdleConnections(loop, pool, server, connections); err != nil {
 		return 0, err
 	}
 	after := liveMemory()
@@ -147,37 +92,51 @@
 	return (after - before) / float64(connections), nil
 }
 
-// openConnections opens a connection to each of so many engines, a few at a time.
+// openIdleConnections opens connections and releases them to the pool. It returns once the server has accepted all.
+func openIdleConnections(loop *eventloop.Loop, pool *enginepool.Pool, server *idleServer, connections int) error {
+	conns, err := openConnections(loop, pool, server.addr(), connections)
+	if err != nil {
+		return err
+	}
+	loop.Do(func() {
+		for _, conn := range conns {
+			conn.Release()
+		}
+	})
+	return waitFor(func() bool { return server.count() == connections })
+}
+
+// openConnections opens one connection to each of that many engines at one address, concurrentConnects at a time.
 func openConnections(loop *eventloop.Loop, pool *enginepool.Pool, addr string, connections int) ([]*enginepool.Conn, error) {
-	type opened struct {
-		link *enginepool.Conn
+	type result struct {
+		conn *enginepool.Conn
 		err  error
 	}
-	const together = 50
-	came := make(chan opened, together)
-	var links []*enginepool.Conn
-	for from := 0; from < connections; from += together {
-		count := min(together, connections-from)
+	results := make(chan result, concurrentConnects)
+	var conns []*enginepool.Conn
+	for from := 0; from < connections; from += concurrentConnects {
+		count := min(concurrentConnects, connections-from)
 		loop.Do(func() {
 			for i := range count {
-				pool.Get(policy.EngineID(from+i), addr, true, false, discardHandler{}, func(link *enginepool.Conn, err error) {
-					came <- opened{link, err}
+				pool.Get(policy.EngineID(from+i), addr, true, false, discardHandler{}, func(conn *enginepool.Conn, err error) {
+					results <- result{conn, err}
 				})
 			}
 		})
 		for range count {
-			one := <-came
-			if one.err != nil {
-				return nil, one.err
+			r := <-results
+			if r.err != nil {
+				return nil, r.err
 			}
-			links = append(links, one.link)
+			conns = append(conns, r.conn)
 		}
 	}
-	return links, nil
+	return conns, nil
 }
 
-// ClientConnectionMemory is the memory of one client connection of frontend.PlatformListener that has asked and rests, in bytes:
-// heap and stacks of both ends; what the kernel holds is not in it.
+// ClientConnectionMemory returns the memory of one idle client connection of a frontend.PlatformListener after its first
+// request, in bytes, as the mean over that many connections. It counts heap and stacks of both ends, and not what the
+// kernel holds.
 func ClientConnectionMemory(connections int) (float64, error) {
 	if err := checkDescriptors(connections); err != nil {
 		return 0, err
@@ -189,63 +148,76 @@
 		return 0, err
 	}
 	gateway := dispatcher.New(loop, gatewayCore, nil, discardLogger())
-	clients := frontend.NewPlatformListener(gateway, discardLogger(), 2*connections, eventLoopMemory)
-	addr, err := listenOnFreePort(clients)
+	listener := frontend.NewPlatformListener(gateway, discardLogger(), 2*connections, eventLoopMemory)
+	addr, err := listenOnFreePort(listener)
 	if err != nil {
 		return 0, err
 	}
-	defer loop.Do(func() { clients.Stop(func() {}) })
+	defer loop.Do(func() { listener.Stop(func() {}) })
 	time.Sleep(settleDelay)
 	before := liveMemory()
-	open, err := openClients(addr, connections)
-	defer func() {
-		for _, conn := range open {
-			conn.Close()
-		}
-	}()
+	conns, err := openClients(addr, connections)
+	defer closeAll(conns)
 	if err != nil {
 		return 0, err
 	}
 	after := liveMemory()
-	runtime.KeepAlive(clients)
+	runtime.KeepAlive(listener)
 	return (after - before) / float64(connections), nil
 }
 
-// listenOnFreePort has the front listen at a free address.
-func listenOnFreePort(clients *frontend.PlatformListener) (string, error) {
+// listenOnFreePort makes the listener serve on a free port and returns the address.
+func listenOnFreePort(listener *frontend.PlatformListener) (string, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	addr := free.Addr().String()
-	free.Close()
-	return addr, clients.Serve(addr)
+	if err := free.Close(); err != nil {
+		return "", err
+	}
+	return addr, listener.Serve(addr)
 }
 
-// openClients opens connections on each of which one ping was answered.
-func openClients(addr string, connections int) (open []net.Conn, err error) {
-	answer := make([]byte, 512)
+// openClients opens connections and has one ping answered on each. It returns those that are open also with an error.
+func openClients(addr string, connections int) (conns []net.Conn, err error) {
+	response := make([]byte, maxPingResponse)
 	for range connections {
 		conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 		if err != nil {
-			return open, err
-		}
-		open = append(open, conn)
-		conn.SetDeadline(time.Now().Add(connectTimeout))
-		if _, err := io.WriteString(conn, `{"jsonrpc":"2.0","id":"1","method":"ping"}`+"\n"); err != nil {
-			return open, err
+			return conns, err
 		}
-		if _, err := conn.Read(answer); err != nil {
-			return open, err
+		conns = append(conns, conn)
+		if err := ping(conn, response); err != nil {
+			return conns, err
 		}
 	}
-	return open, nil
+	return conns, nil
+}
+
+// ping sends a ping request and reads the response into a buffer.
+func ping(conn net.Conn, response []byte) error {
+	if err := conn.SetDeadline(time.Now().Add(connectTimeout)); err != nil {
+		return err
+	}
+	if _, err := io.WriteString(conn, `{"jsonrpc":"2.0","id":"1","method":"ping"}`+"\n"); err != nil {
+		return err
+	}
+	_, err := conn.Read(response)
+	return err
+}
+
+// closeAll closes connections whose measurement is over, so errors do not matter.
+func closeAll(conns []net.Conn) {
+	for _, conn := range conns {
+		_ = conn.Close()
+	}
 }
 
-// waitFor waits until something holds, for connectWait at most.
-func waitFor(holds func() bool) error {
-	for end := time.Now().Add(connectTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+// waitFor waits until a condition holds, for connectTimeout at most.
+func waitFor(condition func() bool) error {
+	for deadline := time.Now().Add(connectTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			return errConnectTimeout
 		}
 	}
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -7,27 +7,27 @@
 	"frostpier/policy"
 )
 
-// Conditions of the decision measurements.
+// Conditions of the measurements of decisions.
 const (
 	TableGroups       = 200
 	ResponseTime      = 100 * time.Millisecond
 	engineCores       = 32
 	engineMemoryMB    = 65536
 	decisionTick      = 5 * time.Millisecond
-	decisionWarmUp    = 3 * time.Second // virtual time before anything is counted: the module learns what answers take
+	decisionWarmUp    = 3 * time.Second // virtual time before anything is counted, in which the module learns response times
 	statementDeadline = 5 * time.Second
 )
 
-// DecisionSetup is the load under which a decision is measured.
+// DecisionSetup is the load under which decisions are measured.
 type DecisionSetup struct {
 	Engines  int
-	Gateways int           // that the settings name
-	Rate     float64       // statements a second at this gateway
-	Duration time.Duration // virtual time that is measured
+	Gateways int           // in the settings
+	Rate     float64       // statements per second at this gateway
+	Duration time.Duration // of the measurement, in virtual time
 	Seed     uint64
 }
 
-// decisionSettings are those of a fleet with one class of statements.
+// decisionSettings returns the settings of a fleet with one class of statements.
 func decisionSettings(gateways int) policy.Settings {
 	return policy.Settings{
 		Classes:  []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: statementDeadline, Weight: 1, Threads: 1}},
@@ -40,10 +40,13 @@
 	}
 }
 
-// tableGroup spreads statements over the table groups.
-func tableGroup(number int) int { return number * 7919 % TableGroups }
+// tableGroupStride is a prime, so that consecutive statements use different table groups.
+const tableGroupStride = 7919
 
-// decisionModule is the decision module by itself.
+// tableGroup spreads statements evenly over the table groups.
+func tableGroup(number int) int { return number * tableGroupStride % TableGroups }
+
+// decisionModule runs the decision module alone.
 type decisionModule struct{ gateway *policy.Gateway }
 
 func (m decisionModule) submit(now time.Duration, number int) []followUp {
@@ -51,13 +54,13 @@
 		Remaining: statementDeadline})
 }
 
-func (m decisionModule) handle(now time.Duration, what any) (followUps []followUp) {
-	for _, action := range m.gateway.Handle(now, what.(policy.Event)) {
+func (m decisionModule) handle(now time.Duration, event any) (followUps []followUp) {
+	for _, action := range m.gateway.Handle(now, event.(policy.Event)) {
 		switch a := action.(type) {
 		case policy.Send:
 			report := policy.Report{Present: true, Values: map[policy.Metric]float64{policy.Inflight: 1}}
-			followUps = append(followUps, followUp{ResponseTime, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK,
-				Duration: ResponseTime, Terminal: true, Report: report}, true})
+			end := policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK, Duration: ResponseTime, Terminal: true, Report: report}
+			followUps = append(followUps, followUp{ResponseTime, end, true})
 		case policy.SetTimer:
 			followUps = append(followUps, followUp{a.After, policy.TimerFired{Token: a.Token}, false})
 		}
@@ -65,8 +68,8 @@
 	return followUps
 }
 
-// Decision measures the processor time of one statement in the decision module: its arrival, the choice of an engine,
-// and the end of its attempt, with the module's own timers.
+// Decision measures the processor time of one statement in the decision module: its arrival, the choice of an engine, the
+// end of its attempt, and its share of the module's timers.
 func Decision(setup DecisionSetup) (perStatement time.Duration, err error) {
 	gateway, err := policy.New(decisionSettings(setup.Gateways), setup.Seed)
 	if err != nil {
@@ -81,10 +84,10 @@
 	return d.processorTimePerStatement(setup.Rate, setup.Duration)
 }
 
-// coreModule is the core with the decision module in it.
+// coreModule runs the core with the decision module.
 type coreModule struct{ core *core.Core }
 
-// attemptEnd is the end of an attempt that the core waits for.
+// attemptEnd is the end of an attempt that the core has started.
 type attemptEnd struct {
 	id      core.ID
 	attempt int
@@ -95,12 +98,12 @@
 	return m.followUps(now, actions)
 }
 
-func (m coreModule) handle(now time.Duration, what any) []followUp {
-	switch w := what.(type) {
+func (m coreModule) handle(now time.Duration, event any) []followUp {
+	switch e := event.(type) {
 	case attemptEnd:
-		return m.followUps(now, m.core.AttemptEnded(now, w.id, w.attempt, policy.OK, []core.Field{{Name: "inflight", Value: 1}}))
+		return m.followUps(now, m.core.AttemptEnded(now, e.id, e.attempt, policy.OK, []core.Field{{Name: "inflight", Value: 1}}))
 	case core.Timer:
-		return m.followUps(now, m.core.TimerFired(now, w.Token))
+		return m.followUps(now, m.core.TimerFired(now, e.Token))
 	}
 	return nil
 }
@@ -119,7 +122,7 @@
 	return followUps
 }
 
-// CoreDecision measures the same through the core, which keeps requests and attempts beside the module.
+// CoreDecision measures the same as Decision through the core, which tracks queries and attempts.
 func CoreDecision(setup DecisionSetup) (perStatement time.Duration, err error) {
 	gatewayCore, err := newCore()
 	if err != nil {
--- a/internal/testbed/capacity/measure/detection.go
+++ b/internal/testbed/capacity/measure/detection.go
@@ -6,16 +6,18 @@
 	"frostpier/internal/control/membership/simulation"
 )
 
+// killInterval is the time between two kills.
 const killInterval = 30 * time.Second
 
-// DetectionTimes is when kills of single gateways were noticed, in seconds.
+// DetectionTimes is how long membership took to detect that single gateways were killed, in seconds.
 type DetectionTimes struct {
-	FirstMember float64 // median, from the kill until the first member held it dead
-	AllMembers  float64 // median, from then until the last did
-	Max         float64 // longest, from the kill until the last did
+	FirstMember float64 // median, from the kill until the first member declared it dead
+	AllMembers  float64 // median, from then until every member did
+	Max         float64 // longest, from the kill until every member did
 }
 
-// Detection kills gateways one after the other on a virtual clock.
+// Detection measures membership's detection times: it kills that many gateways one after the other on a virtual clock,
+// with the given share of datagrams lost.
 func Detection(gateways, kills int, loss float64, seed uint64) (DetectionTimes, error) {
 	figures, err := simulation.Kills(simulation.Setup{Members: gateways, Seed: seed, Loss: loss, Spread: time.Second,
 		Every: 1 << 30}, kills, killInterval)
@@ -23,6 +25,9 @@
 		return DetectionTimes{}, err
 	}
 	longest := simulation.Quantile(figures.First, 1) + simulation.Quantile(figures.All, 1)
-	return DetectionTimes{FirstMember: simulation.Quantile(figures.First, 0.5).Seconds(),
-		AllMembers: simulation.Quantile(figures.All, 0.5).Seconds(), Max: longest.Seconds()}, nil
+	return DetectionTimes{
+		FirstMember: simulation.Quantile(figures.First, 0.5).Seconds(),
+		AllMembers:  simulation.Quantile(figures.All, 0.5).Seconds(),
+		Max:         longest.Seconds(),
+	}, nil
 }
--- a/internal/testbed/capacity/measure/discovery.go
+++ b/internal/testbed/capacity/measure/discovery.go
@@ -14,21 +14,22 @@
 	"frostpier/internal/settings"
 )
 
-// ListCost is what a whole list of engines costs the gateway that takes it in.
+// ListCost is the cost of a full list of engines to a gateway.
 type ListCost struct {
 	Bytes  float64 // on the wire
 	Parse  float64 // processor seconds: bytes to lines
 	Apply  float64 // processor seconds: lines into core and decision module
-	Memory float64 // bytes that core and module hold afterwards
+	Memory float64 // bytes that core and decision module hold afterwards
 }
 
+// engineKind is the only machine type.
 const engineKind = "m"
 
 func engineName(i int) string { return fmt.Sprintf("engine-%04d", i) }
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// engineList is a whole list as discovery's server sends it.
+// engineList returns a full list as the discovery server sends it, in the event with that number.
 func engineList(number, engines int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"no":%d,"roster":{"reset":true,"instances":[`, number)
@@ -44,7 +45,7 @@
 	return []byte(text.String())
 }
 
-// newCore makes the gatewayCore of a gateway at the target's settings.
+// newCore returns the core of a gateway with the target's settings.
 func newCore() (*core.Core, error) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	host := settings.Host{ComeBack: time.Second, Models: []string{engineKind}, MaxOpen: 20_000, Module: decisionSettings(800)}
@@ -55,7 +56,8 @@
 	return core.New(host, 1, log, invariant.New(log))
 }
 
-// EngineList measures a whole list: repeats takes it again and again, as a reconnection of the watcher brings it.
+// EngineList measures the cost of a full list. It applies the list that many times, as a watcher does that reconnects,
+// and returns the mean.
 func EngineList(engines, repeats int) (ListCost, error) {
 	before := liveMemory()
 	gatewayCore, err := newCore()
@@ -63,24 +65,24 @@
 		return ListCost{}, err
 	}
 	stream := &discovery.Stream{}
-	var out ListCost
-	for k := range repeats {
-		text := engineList(k+1, engines)
-		out.Bytes = float64(len(text))
-		began := processorTime()
+	var cost ListCost
+	for repeat := range repeats {
+		text := engineList(repeat+1, engines)
+		cost.Bytes = float64(len(text))
+		started := processorTime()
 		events, err := stream.Feed(text)
 		parsed := processorTime()
 		if err != nil {
-			return out, err
+			return cost, err
 		}
 		for _, event := range events {
-			gatewayCore.UpdateEngines(virtualEpoch+time.Duration(k)*time.Second, event.Full, event.Engines)
+			gatewayCore.UpdateEngines(virtualEpoch+time.Duration(repeat)*time.Second, event.Full, event.Engines)
 		}
-		out.Parse += (parsed - began).Seconds() / float64(repeats)
-		out.Apply += (processorTime() - parsed).Seconds() / float64(repeats)
+		cost.Parse += (parsed - started).Seconds() / float64(repeats)
+		cost.Apply += (processorTime() - parsed).Seconds() / float64(repeats)
 	}
-	out.Memory = liveMemory() - before
+	cost.Memory = liveMemory() - before
 	runtime.KeepAlive(gatewayCore)
 	runtime.KeepAlive(stream)
-	return out, nil
+	return cost, nil
 }
--- a/internal/testbed/capacity/measure/driver.go
+++ b/internal/testbed/capacity/measure/driver.go
@@ -1,46 +1,42 @@
 package measure
 
-import (
-	"errors"
-	"fmt"
-	"time"
-)
+import "time"
 
-var errIncomplete = errors.New("not every statement was served")
-
-// followUp is an event that a module gets after a while.
+// followUp is an event that a module causes: it is due after a delay.
 type followUp struct {
 	delay        time.Duration
 	event        any
-	isAttemptEnd bool // the end of an attempt; else a timer
+	isAttemptEnd bool // else the event is a timer
 }
 
-// module is what decides on statements.
+// module is what decides on statements: the decision module alone, or the core with it.
 type module interface {
+	// submit handles the arrival of a statement.
 	submit(now time.Duration, number int) []followUp
-	handle(now time.Duration, what any) []followUp
+	// handle handles an event that an earlier call returned.
+	handle(now time.Duration, event any) []followUp
 }
 
-// scheduled is something that happens at a time.
+// scheduled is an event with the time at which it is due.
 type scheduled struct {
 	at    time.Duration
 	event any
 }
 
-// driver plays statements against one module on a virtual clock.
+// driver submits statements to a module on a virtual clock and delivers the events that follow.
 type driver struct {
 	module      module
 	now         time.Duration
-	attemptEnds []scheduled // in order: every answer takes the same time
-	timers      []scheduled // few
-	sent        int
-	completed   int
+	attemptEnds []scheduled // in order of time, since all attempts take the same time
+	timers      []scheduled // unordered: there are few
+	sent        int         // attempts sent
+	completed   int         // attempts ended
 }
 
-func (d *driver) schedule(list []followUp) {
-	for _, l := range list {
-		next := scheduled{d.now + l.delay, l.event}
-		if l.isAttemptEnd {
+func (d *driver) schedule(followUps []followUp) {
+	for _, f := range followUps {
+		next := scheduled{d.now + f.delay, f.event}
+		if f.isAttemptEnd {
 			d.sent++
 			d.attemptEnds = append(d.attemptEnds, next)
 			continue
@@ -49,19 +45,11 @@
 	}
 }
 
-// runUntil plays all that is scheduled up to a time.
+// runUntil delivers all events that are due by a time, and advances the clock to it.
 func (d *driver) runUntil(end time.Duration) {
 	for {
-		timer := d.nextTimer()
-		var next scheduled
-		switch {
-		case len(d.attemptEnds) > 0 && d.attemptEnds[0].at <= end && (timer < 0 || d.attemptEnds[0].at <= d.timers[timer].at):
-			next, d.attemptEnds = d.attemptEnds[0], d.attemptEnds[1:]
-			d.completed++
-		case timer >= 0 && d.timers[timer].at <= end:
-			next = d.timers[timer]
-			d.timers = append(d.timers[:timer], d.timers[timer+1:]...)
-		default:
+		next, ok := d.nextEvent(end)
+		if !ok {
 			d.now = max(d.now, end)
 			return
 		}
@@ -70,7 +58,26 @@
 	}
 }
 
-// nextTimer is the place of the timer that is due first, -1 without one.
+// nextEvent removes and returns the event that is due first; ok is false if none is due by end. Of two events at the same
+// time the end of an attempt is first.
+func (d *driver) nextEvent(end time.Duration) (next scheduled, ok bool) {
+	timer := d.nextTimer()
+	hasTimer := timer >= 0 && d.timers[timer].at <= end
+	hasAttemptEnd := len(d.attemptEnds) > 0 && d.attemptEnds[0].at <= end
+	if hasAttemptEnd && (!hasTimer || d.attemptEnds[0].at <= d.timers[timer].at) {
+		next, d.attemptEnds = d.attemptEnds[0], d.attemptEnds[1:]
+		d.completed++
+		return next, true
+	}
+	if hasTimer {
+		next = d.timers[timer]
+		d.timers = append(d.timers[:timer], d.timers[timer+1:]...)
+		return next, true
+	}
+	return scheduled{}, false
+}
+
+// nextTimer returns the index of the timer that is due first, or -1 if there is none.
 func (d *driver) nextTimer() int {
 	first := -1
 	for i := range d.timers {
@@ -81,25 +88,28 @@
 	return first
 }
 
-// submitLoad has statements arrive evenly for a time; they are numbered on from first.
-func (d *driver) submitLoad(first int, rate float64, lasts time.Duration) (next int) {
-	begin, count := d.now, int(rate*lasts.Seconds())
+// submitLoad submits statements at a constant rate per second. They are numbered from first; it returns the number after
+// the last.
+func (d *driver) submitLoad(first int, rate float64, duration time.Duration) (next int) {
+	start, count := d.now, int(rate*duration.Seconds())
 	for i := range count {
-		d.runUntil(begin + time.Duration(float64(i)/rate*float64(time.Second)))
+		d.runUntil(start + time.Duration(float64(i)/rate*float64(time.Second)))
 		d.schedule(d.module.submit(d.now, first+i))
 	}
 	return first + count
 }
 
-// processorTimePerStatement plays a load and returns the processor time of a statement, from its arrival to its end.
-func (d *driver) processorTimePerStatement(rate float64, lasts time.Duration) (time.Duration, error) {
+// processorTimePerStatement submits a load after a warm-up and returns the mean processor time of a statement, from its
+// arrival to its end. It returns an *IncompleteError if a statement was not sent and completed exactly once.
+func (d *driver) processorTimePerStatement(rate float64, duration time.Duration) (time.Duration, error) {
 	next := d.submitLoad(1, rate, decisionWarmUp)
-	before, began := d.completed, processorTime()
-	next = d.submitLoad(next, rate, lasts)
-	spent, ended := processorTime()-began, d.completed-before
+	completedBefore, started := d.completed, processorTime()
+	next = d.submitLoad(next, rate, duration)
+	spent, completed := processorTime()-started, d.completed-completedBefore
 	d.runUntil(d.now + statementDeadline)
-	if d.sent != next-1 || d.completed != next-1 {
-		return 0, fmt.Errorf("%w: %d of %d", errIncomplete, d.completed, next-1)
+	submitted := next - 1
+	if d.sent != submitted || d.completed != submitted {
+		return 0, &IncompleteError{Served: d.completed, Submitted: submitted}
 	}
-	return spent / time.Duration(max(1, ended)), nil
+	return spent / time.Duration(max(1, completed)), nil
 }
--- /dev/null
+++ b/internal/testbed/capacity/measure/faults.go
@@ -0,0 +1,200 @@
+package measure
+
+import (
+	"time"
+
+	"frostpier/internal/testbed/capacity"
+)
+
+// Conditions of the fault runs. A rack holds one in rackCount of the gateways, a zone one in zoneCount.
+const (
+	rackCount      = 40
+	zoneCount      = 7
+	startupTime    = 30 * time.Second
+	sampleInterval = time.Second
+	peakWindow     = 10 * time.Second // window of the budget's peaks
+	burstWindow    = 5 * time.Second  // window of the first measurements, see package capacity
+
+	// FaultLoss is the share of datagrams lost in all phases.
+	FaultLoss = 0.05
+)
+
+// PhaseCost is the cost of a phase to a running gateway. Unless a comment says otherwise, figures are the mean over running
+// gateways in the window of the phase in which it is highest.
+type PhaseCost struct {
+	Phase              capacity.Phase
+	PeakBytes          float64 // sent per second, over 10 s
+	Burst              float64 // bytes sent per second, over 5 s
+	TopSender          float64 // bytes sent per second, over 10 s, by the gateway that sends most
+	SecondsOverBudget  float64 // how long the mean over the last 10 s exceeded the budget
+	Settled            float64 // bytes sent per second in the last 10 s of the phase
+	Datagrams          float64 // sent per second, over 10 s
+	Processor          float64 // processor seconds per second, over 10 s, including the simulator
+	ConvergenceSeconds float64 // from the start of the phase until all views agreed; -1 = they did not
+}
+
+// phasePlan is how a phase begins and how long it lasts.
+type phasePlan struct {
+	phase        capacity.Phase
+	begin        func(f *fleet)
+	fullDuration time.Duration // until the fleet has settled
+	peakDuration time.Duration // until the peak has passed
+	partitioned  bool          // the views of the members differ by design
+}
+
+// phasePlans returns the plans of all phases in their order.
+func phasePlans() []phasePlan {
+	const second = time.Second
+	return []phasePlan{
+		{capacity.Quiet, func(*fleet) {}, 60 * second, 15 * second, false},
+		{capacity.Restart, restartOne, 30 * second, 20 * second, false},
+		{capacity.MachineLost, func(f *fleet) { f.Kill(0) }, 30 * second, 25 * second, false},
+		{capacity.RackLost, func(f *fleet) { f.killFirst(rackCount) }, 30 * second, 25 * second, false},
+		{capacity.ZoneLost, func(f *fleet) { f.killFirst(zoneCount) }, 60 * second, 35 * second, false},
+		{capacity.ZoneRecovered, (*fleet).startStopped, 40 * second, 20 * second, false},
+		{capacity.RegionsPartitioned, (*fleet).partition, 120 * second, 60 * second, true},
+		{capacity.PartitionHealed, func(f *fleet) { f.Cut = nil }, 60 * second, 30 * second, false},
+	}
+}
+
+// restartOne stops a gateway gracefully and starts it 5 s later.
+func restartOne(f *fleet) {
+	last := f.setup.Gateways - 1
+	f.Leave(last)
+	f.At(5*time.Second, func() { f.Start(last, 0) })
+}
+
+// killFirst kills one in divisor of the gateways, those with the lowest numbers.
+func (f *fleet) killFirst(divisor int) {
+	for i := range f.setup.Gateways / divisor {
+		f.Kill(i)
+	}
+}
+
+// startStopped starts all gateways that do not run.
+func (f *fleet) startStopped() {
+	for i := range f.Members {
+		if !f.Members[i].Up {
+			f.Start(i, 0)
+		}
+	}
+}
+
+// partition partitions the fleet into two halves.
+func (f *fleet) partition() {
+	half := f.setup.Gateways / 2
+	f.Cut = func(from, to int) bool { return (from < half) != (to < half) }
+}
+
+// Faults runs all phases on one fleet and returns the cost of each. A phase lasts until the fleet has settled if full is
+// set, else until its peak has passed.
+func Faults(setup FleetSetup, full bool) ([]PhaseCost, error) {
+	f, err := newFleet(setup)
+	if err != nil {
+		return nil, err
+	}
+	if err := f.Run(startupTime); err != nil {
+		return nil, err
+	}
+	var costs []PhaseCost
+	for _, plan := range phasePlans() {
+		duration := plan.peakDuration
+		if full {
+			duration = plan.fullDuration
+		}
+		cost, err := f.runPhase(plan, duration)
+		if err != nil {
+			return nil, err
+		}
+		costs = append(costs, cost)
+	}
+	return costs, nil
+}
+
+// sample is a reading of counters.
+type sample struct {
+	bytes     []int // sent, by gateway
+	datagrams int   // sent by all gateways
+	processor time.Duration
+}
+
+func (f *fleet) readCounters() sample {
+	return sample{
+		bytes:     append([]int(nil), f.SentBytes...),
+		datagrams: sum(f.Sent),
+		processor: processorTime(),
+	}
+}
+
+// runPhase runs a phase and samples it at every sampleInterval.
+func (f *fleet) runPhase(plan phasePlan, duration time.Duration) (PhaseCost, error) {
+	plan.begin(f)
+	cost := PhaseCost{Phase: plan.phase, ConvergenceSeconds: -1}
+	samples := []sample{f.readCounters()}
+	for at := sampleInterval; at <= duration; at += sampleInterval {
+		if err := f.Run(sampleInterval); err != nil {
+			return cost, err
+		}
+		samples = append(samples, f.readCounters())
+		agreed, _ := f.Agreed()
+		if !agreed {
+			cost.ConvergenceSeconds = -1
+		} else if !plan.partitioned && cost.ConvergenceSeconds < 0 {
+			cost.ConvergenceSeconds = at.Seconds()
+		}
+	}
+	f.summarize(&cost, samples)
+	return cost, nil
+}
+
+// summarize computes the figures of a phase from its samples.
+func (f *fleet) summarize(cost *PhaseCost, samples []sample) {
+	running := float64(f.upCount())
+	peakSamples := int(peakWindow / sampleInterval)
+	for end := peakSamples; end < len(samples); end++ {
+		cost.addPeakWindow(samples[end-peakSamples], samples[end], running)
+	}
+	burstSamples := int(burstWindow / sampleInterval)
+	for end := burstSamples; end < len(samples); end++ {
+		rate := bytesPerSecond(samples[end-burstSamples], samples[end], burstWindow) / running
+		cost.Burst = max(cost.Burst, rate)
+	}
+}
+
+// addPeakWindow adds the window of length peakWindow between two samples.
+func (c *PhaseCost) addPeakWindow(from, to sample, running float64) {
+	window := peakWindow.Seconds()
+	rate := bytesPerSecond(from, to, peakWindow) / running
+	c.PeakBytes = max(c.PeakBytes, rate)
+	c.Settled = rate
+	if rate > capacity.Expected().BytesPerSecond {
+		c.SecondsOverBudget += sampleInterval.Seconds()
+	}
+	c.Datagrams = max(c.Datagrams, float64(to.datagrams-from.datagrams)/window/running)
+	c.Processor = max(c.Processor, (to.processor-from.processor).Seconds()/window/running)
+	for i := range to.bytes {
+		c.TopSender = max(c.TopSender, float64(to.bytes[i]-from.bytes[i])/window)
+	}
+}
+
+// bytesPerSecond returns what all gateways together sent between two samples.
+func bytesPerSecond(from, to sample, window time.Duration) float64 {
+	return float64(sum(to.bytes)-sum(from.bytes)) / window.Seconds()
+}
+
+// upCount returns how many gateways run.
+func (f *fleet) upCount() (count int) {
+	for i := range f.Members {
+		if f.Members[i].Up {
+			count++
+		}
+	}
+	return count
+}
+
+func sum(values []int) (total int) {
+	for _, value := range values {
+		total += value
+	}
+	return total
+}
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -9,23 +9,23 @@
 	"frostpier/internal/control/membership/simulation"
 )
 
-// reportInterval is how often the simulated engines' reports are handed to the gateways' digests.
+// reportInterval is the interval at which the gateways record load reports of engines.
 const reportInterval = 100 * time.Millisecond
 
-// FleetSetup is a fleet of gateways on a virtual clock.
+// FleetSetup describes a simulated fleet of gateways on a virtual clock.
 type FleetSetup struct {
 	Gateways int
-	Engines  int     // that gateways share load reports of; 0 = they share none
-	Reports  float64 // of engines, a second at each gateway, drawn evenly from all engines
+	Engines  int     // whose load reports gateways share; 0 = none
+	Reports  float64 // of random engines, per second at each gateway
 	Loss     float64 // share of datagrams lost
 	Seed     uint64
 }
 
-// fleet runs membership, and with engines the shared load reports, at every gateway.
+// fleet runs membership at every gateway and, if there are engines, the sharing of load reports.
 type fleet struct {
 	*simulation.Fleet
 	setup   FleetSetup
-	digests []*loadreport.Digest // of the gateways' present lives
+	digests []*loadreport.Digest // by gateway, of its current incarnation
 	random  *rand.Rand
 }
 
@@ -44,8 +44,8 @@
 	return f, nil
 }
 
-// newDetector makes a gateway's membership as internal/program does: with engines, load reports are carried on its datagrams, and
-// three datagrams a second go out for them alone.
+// newDetector returns a gateway's membership as internal/program configures it: load reports are piggybacked on its
+// datagrams, and it sends further datagrams for them at loadreport.Interval.
 func (f *fleet) newDetector(config membership.Config) (simulation.Detector, error) {
 	if f.setup.Engines > 0 {
 		digest := newDigest(f.setup.Engines)
@@ -55,7 +55,7 @@
 	return membership.New(config)
 }
 
-// newDigest makes a digest that knows the names of all engines and the load of none.
+// newDigest returns a digest that knows all engines and the load of none.
 func newDigest(engines int) *loadreport.Digest {
 	digest, numbers := loadreport.New(), make([]uint64, engines)
 	for i := range numbers {
@@ -65,7 +65,7 @@
 	return digest
 }
 
-// handleEvent hands a gateway what another one's digest said.
+// handleEvent passes load reports that a gateway received to its digest.
 func (f *fleet) handleEvent(at int, event membership.Event) error {
 	if event.Kind == membership.ExtensionReceived && event.ExtensionKind == loadreport.ExtensionKind {
 		f.digests[at].Receive(f.Now, event.Body)
@@ -73,25 +73,25 @@
 	return nil
 }
 
-// recordReports hands each gateway that is up the reports of a step, and comes again.
+// recordReports records the load reports of one interval at each running gateway, and schedules itself for the next.
 func (f *fleet) recordReports() {
-	perStep := f.setup.Reports * reportInterval.Seconds()
+	perInterval := f.setup.Reports * reportInterval.Seconds()
 	for i, digest := range f.digests {
 		if digest == nil || !f.Members[i].Up {
 			continue
 		}
-		for range f.randomRound(perStep) {
+		for range f.randomRound(perInterval) {
 			digest.Record(f.Now, engineNumber(f.random.IntN(f.setup.Engines)), f.random.IntN(20))
 		}
 	}
 	f.At(reportInterval, f.recordReports)
 }
 
-// randomRound draws a whole number whose mean is the given one.
+// randomRound rounds up or down at random such that the mean of its results is the given value.
 func (f *fleet) randomRound(mean float64) int {
-	whole := int(mean)
-	if f.random.Float64() < mean-float64(whole) {
-		whole++
+	rounded := int(mean)
+	if f.random.Float64() < mean-float64(rounded) {
+		rounded++
 	}
-	return whole
+	return rounded
 }
--- a/internal/testbed/capacity/measure/measure_test.go
+++ b/internal/testbed/capacity/measure/measure_test.go
@@ -8,31 +8,33 @@
 	"frostpier/internal/testbed/capacity"
 )
 
-// Every statement of the decision measurements is served, with a positive time; nothing is said of how long it is.
+// Every statement of the measurements of decisions is served. The time that it takes depends on the machine and is not
+// checked.
 func TestDecisionsAreServed(t *testing.T) {
 	setup := DecisionSetup{Engines: 8, Gateways: 800, Rate: 200, Duration: 200 * time.Millisecond, Seed: 1}
 	if _, err := Decision(setup); err != nil {
-		t.Error(err)
+		t.Errorf("decision module: %v", err)
 	}
 	if _, err := CoreDecision(setup); err != nil {
-		t.Error(err)
+		t.Errorf("core: %v", err)
 	}
 }
 
-// In a small fleet all gateways know all engines, by reports that are younger than their life; the same seed finds the same.
-func TestSharedReportsReachAll(t *testing.T) {
+// In a small fleet all gateways know the load of all engines, by reports that are still valid; a run with the same seed
+// gives the same figures.
+func TestSharedReportsReachAllGateways(t *testing.T) {
 	setup := FleetSetup{Gateways: 12, Engines: 8, Reports: 6, Seed: 3}
 	first, err := SharedReports(setup)
 	if err != nil || first.KnownShare != 1 || first.Age <= 0 || first.Age > 5 {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	if again, err := SharedReports(setup); err != nil || again.KnownShare != first.KnownShare || again.Age != first.Age || again.Bytes != first.Bytes {
-		t.Errorf("%+v after %+v, %v", again, first, err)
+	if second, err := SharedReports(setup); err != nil || second.KnownShare != first.KnownShare || second.Age != first.Age || second.Bytes != first.Bytes {
+		t.Errorf("%+v after %+v, %v", second, first, err)
 	}
 }
 
-// All phases are played in their order; views agree at the end of each but the cut, and load reports add bytes.
-func TestFaultsPlayAllPhases(t *testing.T) {
+// All phases run in order; views agree at the end of each but the partition, and load reports add bytes.
+func TestFaultsRunAllPhases(t *testing.T) {
 	setup := FleetSetup{Gateways: 14, Loss: FaultLoss, Seed: 5}
 	alone, err := Faults(setup, false)
 	if err != nil {
@@ -56,8 +58,8 @@
 	}
 }
 
-// A whole list's bytes grow with the engines, and all of it is taken in.
-func TestEngineListsAreTaken(t *testing.T) {
+// The bytes of a full list grow with the engines, and the core accepts the list.
+func TestEngineListsAreApplied(t *testing.T) {
 	small, err := EngineList(20, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -68,21 +70,27 @@
 	}
 }
 
-// Connections are measured within bounds; more are refused before any is opened.
-func TestConnectionsAreBounded(t *testing.T) {
+// Connections have memory; a measurement of too many is rejected before any is opened.
+func TestConnectionMemory(t *testing.T) {
 	if bytes, err := EngineConnectionMemory(20); err != nil || bytes <= 0 {
 		t.Errorf("%v bytes, %v", bytes, err)
 	}
 	if bytes, err := ClientConnectionMemory(20); err != nil || bytes <= 0 {
 		t.Errorf("%v bytes, %v", bytes, err)
 	}
-	if _, err := EngineConnectionMemory(MaxConnections + 1); !errors.Is(err, errConnections) {
-		t.Errorf("%v", err)
+	for name, measure := range map[string]func(int) (float64, error){"engine": EngineConnectionMemory, "client": ClientConnectionMemory} {
+		t.Run(name, func(t *testing.T) {
+			_, err := measure(MaxConnections + 1)
+			var limit *ConnectionLimitError
+			if !errors.As(err, &limit) || *limit != (ConnectionLimitError{Requested: MaxConnections + 1, Limit: MaxConnections}) {
+				t.Errorf("error %v, want a ConnectionLimitError", err)
+			}
+		})
 	}
 }
 
-// A group measured by itself gives its slopes, each of which can be fitted, and no others.
-func TestOneGroupIsMeasured(t *testing.T) {
+// A run of one group returns the slopes of that group only, and each can be fitted.
+func TestSlopesOfOneGroup(t *testing.T) {
 	slopes, err := Slopes(Options{Seed: 1, Quick: true, Only: capacity.GroupStaged, Note: t.Logf})
 	if err != nil || len(slopes) != 2 {
 		t.Fatalf("%d slopes, %v", len(slopes), err)
@@ -94,15 +102,19 @@
 	}
 }
 
-// More memory than is allowed is refused before anything is measured; a quick run keeps to the default.
-func TestMemoryIsAskedFor(t *testing.T) {
+// A run that needs more memory than is allowed is rejected; a quick run and one of a small group are not.
+func TestCheckMemory(t *testing.T) {
 	const allowed = 256 << 20
-	if err := (Options{}).CheckMemory(allowed); !errors.Is(err, errMemory) {
-		t.Errorf("a full run: %v", err)
-	}
-	for _, options := range []Options{{Quick: true}, {Only: capacity.GroupDecision}} {
-		if err := options.CheckMemory(allowed); err != nil {
-			t.Errorf("%+v: %v", options, err)
-		}
+	err := (Options{}).CheckMemory(allowed)
+	var limit *MemoryLimitError
+	if !errors.As(err, &limit) || limit.Allowed != allowed || limit.Needed <= allowed {
+		t.Errorf("full run: error %v, want a MemoryLimitError", err)
+	}
+	for name, options := range map[string]Options{"quick": {Quick: true}, "small group": {Only: capacity.GroupDecision}} {
+		t.Run(name, func(t *testing.T) {
+			if err := options.CheckMemory(allowed); err != nil {
+				t.Errorf("%+v: %v", options, err)
+			}
+		})
 	}
 }
--- a/internal/testbed/capacity/measure/plan.go
+++ b/internal/testbed/capacity/measure/plan.go
@@ -7,42 +7,61 @@
 	"frostpier/internal/testbed/capacity"
 )
 
-// Options are what a run of the measurements is given.
+// Options select the measurements of a run.
 type Options struct {
 	Seed   uint64
 	Quick  bool                        // smaller sizes, one run each
-	Only   capacity.Group              // "" = all
-	Faults int                         // runs of the faults at each size
-	Note   func(text string, a ...any) // progress
+	Only   capacity.Group              // the one group to measure; "" = all
+	Faults int                         // fault runs at each size; at least one is made
+	Note   func(text string, a ...any) // reports progress, as fmt.Printf does
 }
 
-// Loads of the measurements.
+// Conditions of the measurements.
 const (
-	lowReportRate  = 6 // a second and gateway, as on the bench's days
+	lowReportRate  = 6 // load reports per second and gateway, as in the simulator's days
 	faultEngines   = 30
-	faultReports   = 2 // a second: with gossip enough to fill every datagram
-	timedRuns      = 3 // of what processor time is read of
+	faultReports   = 2 // load reports per second and gateway: enough to fill every datagram
+	timedRuns      = 3 // of measurements that read processor time or memory
 	detectionKills = 10
 	listRepeats    = 20
-	decisionTime   = time.Second
+	decisionTime   = time.Second // virtual
 )
 
-// sizes are those of a full or a quick run.
+// fleetSize is the size of a simulated fleet.
+type fleetSize struct{ gateways, engines int }
+
+// sizes are the sizes at which a run measures.
 type sizes struct {
-	decisions, lists, gateways, connections []int
-	fleets                                  [][2]int // gateways, engines
-	timed                                   int      // runs of a timing
-	kills                                   int
+	decisions   []int // engines
+	lists       []int // engines
+	gateways    []int
+	connections []int
+	fleets      []fleetSize
+	timed       int // runs of timed measurements
+	kills       int
 }
 
 func (o Options) sizes() sizes {
 	if o.Quick {
-		return sizes{decisions: []int{10, 20, 40, 80}, lists: []int{20, 40, 80, 160}, gateways: []int{20, 28, 40, 56},
-			connections: []int{20, 40, 80, 160}, fleets: [][2]int{{20, 8}, {30, 16}, {40, 40}, {60, 80}}, timed: 1, kills: 2}
+		return sizes{
+			decisions:   []int{10, 20, 40, 80},
+			lists:       []int{20, 40, 80, 160},
+			gateways:    []int{20, 28, 40, 56},
+			connections: []int{20, 40, 80, 160},
+			fleets:      []fleetSize{{20, 8}, {30, 16}, {40, 40}, {60, 80}},
+			timed:       1,
+			kills:       2,
+		}
+	}
+	return sizes{
+		decisions:   []int{10, 80, 300, 550, 1100},
+		lists:       []int{100, 300, 550, 1100},
+		gateways:    []int{100, 200, 400, 800},
+		connections: []int{100, 500, 1000, 2000},
+		fleets:      []fleetSize{{100, 40}, {200, 100}, {300, 300}, {800, 550}, {800, 1100}},
+		timed:       timedRuns,
+		kills:       detectionKills,
 	}
-	return sizes{decisions: []int{10, 80, 300, 550, 1100}, lists: []int{100, 300, 550, 1100},
-		gateways: []int{100, 200, 400, 800}, connections: []int{100, 500, 1000, 2000},
-		fleets: [][2]int{{100, 40}, {200, 100}, {300, 300}, {800, 550}, {800, 1100}}, timed: timedRuns, kills: detectionKills}
 }
 
 // plan is a run of the measurements.
@@ -52,20 +71,24 @@
 	results collector
 }
 
-// Slopes takes the measurements, one after the other.
+// Slopes takes the selected measurements one after the other and returns their slopes. An error names the group.
 func Slopes(options Options) ([]capacity.Slope, error) {
 	p := &plan{Options: options, sizes: options.sizes(), results: collector{}}
-	steps := map[capacity.Group]func() error{
-		capacity.GroupDecision: p.decisions, capacity.GroupReports: p.reports, capacity.GroupMembership: p.membership,
-		capacity.GroupFaults: p.faults, capacity.GroupDiscovery: p.discovery, capacity.GroupConnections: p.connections,
-		capacity.GroupStaged: p.staged,
+	measurements := map[capacity.Group]func() error{
+		capacity.GroupDecision:    p.decisions,
+		capacity.GroupReports:     p.reports,
+		capacity.GroupMembership:  p.membership,
+		capacity.GroupFaults:      p.faults,
+		capacity.GroupDiscovery:   p.discovery,
+		capacity.GroupConnections: p.connections,
+		capacity.GroupStaged:      p.staged,
 	}
 	for _, group := range capacity.Groups() {
 		if !p.runs(group) {
 			continue
 		}
 		p.Note("measures %s", group)
-		if err := steps[group](); err != nil {
+		if err := measurements[group](); err != nil {
 			return nil, fmt.Errorf("%s: %w", group, err)
 		}
 	}
@@ -73,51 +96,71 @@
 }
 
 func (p *plan) decisions() error {
-	target := capacity.Expected()
 	for run := range p.timed {
 		for _, engines := range p.sizes.decisions {
-			setup := DecisionSetup{Engines: engines, Gateways: int(target.Gateways), Rate: target.StatementsPerGateway(),
-				Duration: decisionTime, Seed: p.Seed + uint64(run)}
-			alone, err := Decision(setup)
-			if err != nil {
+			if err := p.decisionsAt(engines, p.Seed+uint64(run)); err != nil {
 				return err
 			}
-			p.results.add(capacity.DecisionProcessor, engines, alone.Seconds(), "")
-			withCore, err := CoreDecision(setup)
-			if err != nil {
-				return err
-			}
-			p.results.add(capacity.CoreProcessor, engines, withCore.Seconds(), "")
 		}
 	}
 	return nil
 }
 
+// decisionsAt measures decisions without and with the core.
+func (p *plan) decisionsAt(engines int, seed uint64) error {
+	target := capacity.Expected()
+	setup := DecisionSetup{
+		Engines:  engines,
+		Gateways: int(target.Gateways),
+		Rate:     target.StatementsPerGateway(),
+		Duration: decisionTime,
+		Seed:     seed,
+	}
+	alone, err := Decision(setup)
+	if err != nil {
+		return err
+	}
+	p.results.add(capacity.DecisionProcessor, engines, alone.Seconds(), "")
+	withCore, err := CoreDecision(setup)
+	if err != nil {
+		return err
+	}
+	p.results.add(capacity.CoreProcessor, engines, withCore.Seconds(), "")
+	return nil
+}
+
 func (p *plan) reports() error {
 	for _, size := range p.fleets {
-		gateways, engines := size[0], size[1]
-		note := fmt.Sprintf("%d gateways", gateways)
-		setup := FleetSetup{Gateways: gateways, Engines: engines, Reports: lowReportRate, Seed: p.Seed}
-		few, err := SharedReports(setup)
-		if err != nil {
+		if err := p.reportsAt(size); err != nil {
 			return err
 		}
-		setup.Reports = capacity.Expected().StatementsPerGateway()
-		all, err := SharedReports(setup)
-		if err != nil {
-			return err
-		}
-		p.results.add(capacity.KnownAtLowRate, engines, few.KnownShare, note)
-		p.results.add(capacity.AgeAtLowRate, engines, few.Age, note)
-		p.results.add(capacity.KnownAtFullRate, engines, all.KnownShare, note)
-		p.results.add(capacity.AgeAtFullRate, engines, all.Age, note)
-		p.results.add(capacity.ReportsProcessor, engines, all.Processor, note)
-		p.results.add(capacity.ReportsBytes, engines, all.Bytes, note)
-		p.results.add(capacity.DigestMemory, engines, DigestMemory(engines), "")
 	}
 	return nil
 }
 
+// reportsAt measures shared load reports at the low and at the full rate.
+func (p *plan) reportsAt(size fleetSize) error {
+	setup := FleetSetup{Gateways: size.gateways, Engines: size.engines, Reports: lowReportRate, Seed: p.Seed}
+	low, err := SharedReports(setup)
+	if err != nil {
+		return err
+	}
+	setup.Reports = capacity.Expected().StatementsPerGateway()
+	full, err := SharedReports(setup)
+	if err != nil {
+		return err
+	}
+	note := fmt.Sprintf("%d gateways", size.gateways)
+	p.results.add(capacity.KnownAtLowRate, size.engines, low.KnownShare, note)
+	p.results.add(capacity.AgeAtLowRate, size.engines, low.Age, note)
+	p.results.add(capacity.KnownAtFullRate, size.engines, full.KnownShare, note)
+	p.results.add(capacity.AgeAtFullRate, size.engines, full.Age, note)
+	p.results.add(capacity.ReportsProcessor, size.engines, full.Processor, note)
+	p.results.add(capacity.ReportsBytes, size.engines, full.Bytes, note)
+	p.results.add(capacity.DigestMemory, size.engines, DigestMemory(size.engines), "")
+	return nil
+}
+
 func (p *plan) membership() error {
 	for _, gateways := range p.gateways {
 		quiet, err := QuietMembership(gateways, p.Seed)
@@ -127,14 +170,14 @@
 		p.results.add(capacity.MembershipBytes, gateways, quiet.Bytes, "")
 		p.results.add(capacity.MembershipProcessor, gateways, quiet.Processor, "")
 		p.results.add(capacity.MembershipMemory, gateways, quiet.Memory, "")
-		detected, err := Detection(gateways, p.kills, FaultLoss, p.Seed)
+		detection, err := Detection(gateways, p.kills, FaultLoss, p.Seed)
 		if err != nil {
 			return err
 		}
 		note := fmt.Sprintf("%d kills", p.kills)
-		p.results.add(capacity.DetectionFirstMember, gateways, detected.FirstMember, note)
-		p.results.add(capacity.DetectionAllMembers, gateways, detected.AllMembers, note)
-		p.results.add(capacity.DetectionMax, gateways, detected.Max, note)
+		p.results.add(capacity.DetectionFirstMember, gateways, detection.FirstMember, note)
+		p.results.add(capacity.DetectionAllMembers, gateways, detection.AllMembers, note)
+		p.results.add(capacity.DetectionMax, gateways, detection.Max, note)
 	}
 	return nil
 }
@@ -142,7 +185,7 @@
 func (p *plan) faults() error {
 	for run := range max(1, p.Faults) {
 		for _, gateways := range p.gateways {
-			if err := p.faultsOf(gateways, p.Seed+uint64(run)); err != nil {
+			if err := p.faultsAt(gateways, p.Seed+uint64(run)); err != nil {
 				return err
 			}
 		}
@@ -150,49 +193,55 @@
 	return nil
 }
 
-// faultsOf plays the faults on a fleet without load reports, and on one with them.
-func (p *plan) faultsOf(gateways int, seed uint64) error {
+// faultsAt runs the faults on a fleet without load reports, and on one with them.
+func (p *plan) faultsAt(gateways int, seed uint64) error {
 	setup := FleetSetup{Gateways: gateways, Loss: FaultLoss, Seed: seed}
-	costs, err := Faults(setup, true)
+	alone, err := Faults(setup, true)
 	if err != nil {
 		return err
 	}
-	for _, cost := range costs {
-		add := func(quantity capacity.PhaseQuantity, value float64) {
-			p.results.add(quantity.SlopeName(cost.Phase), gateways, value, "")
-		}
-		p.results.addPeak(capacity.PeakBytes.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
-		add(capacity.PeakBurst, cost.Burst)
-		add(capacity.PeakTopSender, cost.TopSender)
-		add(capacity.PeakDatagrams, cost.Datagrams)
-		add(capacity.PeakProcessor, cost.Processor)
-		add(capacity.SettledBytes, cost.Settled)
-		if cost.Phase != capacity.RegionsPartitioned {
-			add(capacity.ConvergenceSeconds, cost.ConvergenceSeconds)
-		}
+	for _, cost := range alone {
+		p.addPhase(gateways, cost)
 	}
 	setup.Engines, setup.Reports = faultEngines, faultReports
-	if costs, err = Faults(setup, false); err != nil {
+	withReports, err := Faults(setup, false)
+	if err != nil {
 		return err
 	}
-	for _, cost := range costs {
+	for _, cost := range withReports {
 		p.results.addPeak(capacity.PeakBytesWithReports.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
 		p.results.add(capacity.PeakTopSenderWithReports.SlopeName(cost.Phase), gateways, cost.TopSender, "")
 	}
 	return nil
 }
 
+// addPhase adds the cost of a phase without load reports.
+func (p *plan) addPhase(gateways int, cost PhaseCost) {
+	add := func(quantity capacity.PhaseQuantity, value float64) {
+		p.results.add(quantity.SlopeName(cost.Phase), gateways, value, "")
+	}
+	p.results.addPeak(capacity.PeakBytes.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
+	add(capacity.PeakBurst, cost.Burst)
+	add(capacity.PeakTopSender, cost.TopSender)
+	add(capacity.PeakDatagrams, cost.Datagrams)
+	add(capacity.PeakProcessor, cost.Processor)
+	add(capacity.SettledBytes, cost.Settled)
+	if cost.Phase != capacity.RegionsPartitioned {
+		add(capacity.ConvergenceSeconds, cost.ConvergenceSeconds)
+	}
+}
+
 func (p *plan) discovery() error {
 	for range p.timed {
 		for _, engines := range p.lists {
-			list, err := EngineList(engines, listRepeats)
+			cost, err := EngineList(engines, listRepeats)
 			if err != nil {
 				return err
 			}
-			p.results.add(capacity.ListBytes, engines, list.Bytes, "")
-			p.results.add(capacity.ListParse, engines, list.Parse, "")
-			p.results.add(capacity.ListApply, engines, list.Apply, "")
-			p.results.add(capacity.ListMemory, engines, list.Memory, "")
+			p.results.add(capacity.ListBytes, engines, cost.Bytes, "")
+			p.results.add(capacity.ListParse, engines, cost.Parse, "")
+			p.results.add(capacity.ListApply, engines, cost.Apply, "")
+			p.results.add(capacity.ListMemory, engines, cost.Memory, "")
 		}
 	}
 	return nil
--- a/internal/testbed/capacity/measure/reports.go
+++ b/internal/testbed/capacity/measure/reports.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
+// Times of the measurement of load reports.
 const (
-	reportWarmUp  = 8050 * time.Millisecond // virtual time: more than the life of a report, and between two steps
-	reportSamples = 3                       // looks at what is known, a second apart
+	reportWarmUp  = 8050 * time.Millisecond // virtual time: longer than a report is valid, and between two report intervals
+	reportSamples = 3                       // seconds that are measured
 )
 
-// Knowledge is what gateways know of engines by shared load reports.
+// Knowledge is what gateways know of engines by shared load reports, and what that costs.
 type Knowledge struct {
-	KnownShare float64 // of the engines, of which a gateway holds a report that has not ended
-	Age        float64 // seconds, mean of the reports held
-	Processor  float64 // processor seconds a second and gateway: membership and reports, the simulator's part included
-	Bytes      float64 // sent a second and gateway: membership and reports
+	KnownShare float64 // share of engines of which a gateway holds an unexpired report, mean over gateways
+	Age        float64 // seconds, mean over the reports held
+	Processor  float64 // processor seconds per second and gateway, for membership, reports and their simulation
+	Bytes      float64 // sent per second and gateway, for membership and reports
 }
 
-// SharedReports measures the shared load reports in a quiet fleet.
+// SharedReports measures the sharing of load reports in a fleet without faults.
 func SharedReports(setup FleetSetup) (Knowledge, error) {
 	f, err := newFleet(setup)
 	if err != nil {
@@ -27,21 +28,22 @@
 	if err := f.Run(reportWarmUp); err != nil {
 		return Knowledge{}, err
 	}
-	var out Knowledge
-	sent, began := sum(f.SentBytes), processorTime()
+	var measured Knowledge
+	sentBefore, started := sum(f.SentBytes), processorTime()
 	for range reportSamples {
 		if err := f.Run(time.Second); err != nil {
 			return Knowledge{}, err
 		}
 	}
-	per := float64(setup.Gateways) * reportSamples
-	out.Processor = (processorTime() - began).Seconds() / per
-	out.Bytes = float64(sum(f.SentBytes)-sent) / per
-	out.KnownShare, out.Age = f.knowledge()
-	return out, nil
+	gatewaySeconds := float64(setup.Gateways) * reportSamples
+	measured.Processor = (processorTime() - started).Seconds() / gatewaySeconds
+	measured.Bytes = float64(sum(f.SentBytes)-sentBefore) / gatewaySeconds
+	measured.KnownShare, measured.Age = f.knowledge()
+	return measured, nil
 }
 
-// knowledge looks at every gateway's digest: the share of engines known and the mean age in seconds.
+// knowledge returns the share of engines whose load is known, and the mean age of the reports in seconds, over all
+// gateways.
 func (f *fleet) knowledge() (share, age float64) {
 	held := 0
 	for _, digest := range f.digests {
@@ -55,7 +57,7 @@
 	return float64(held) / float64(f.setup.Engines*f.setup.Gateways), age / float64(max(1, held))
 }
 
-// DigestMemory is the memory of one digest that knows so many engines, in bytes.
+// DigestMemory returns the memory of one digest that holds a report of that many engines, in bytes.
 func DigestMemory(engines int) float64 {
 	const copies = 20
 	before := liveMemory()
--- a/internal/testbed/capacity/measure/series.go
+++ b/internal/testbed/capacity/measure/series.go
@@ -6,17 +6,17 @@
 	"frostpier/internal/testbed/capacity"
 )
 
-// series gathers what the runs of one slope found.
+// series collects the measurements of one slope.
 type series struct {
-	values     map[float64][]float64 // by size
+	values     map[float64][]float64 // of the runs, by size
 	notes      map[float64]string
-	overBudget map[float64]float64 // seconds over the budget
+	overBudget map[float64]float64 // longest time over the budget in seconds, by size
 }
 
-// collector gathers all slopes.
+// collector collects the series of all slopes, by name.
 type collector map[string]*series
 
-// add takes in one run at one size.
+// add adds the value of one run at one size.
 func (c collector) add(name string, size int, value float64, note string) {
 	s := c[name]
 	if s == nil {
@@ -28,33 +28,46 @@
 	s.notes[at] = note
 }
 
-// addPeak takes in a peak of bytes, with the seconds for which the budget was exceeded.
+// addPeak adds a peak of bytes, with the seconds for which the budget was exceeded.
 func (c collector) addPeak(name string, size int, value, over float64) {
 	c.add(name, size, value, "")
 	at := float64(size)
 	c[name].overBudget[at] = max(c[name].overBudget[at], over)
 }
 
-// points are the medians of the runs, by size.
+// points returns the medians of the runs in the order of sizes.
 func (s *series) points() (points []capacity.Point) {
 	for size, values := range s.values {
 		slices.Sort(values)
-		points = append(points, capacity.Point{Size: size, Value: values[len(values)/2], Min: values[0],
-			Max: values[len(values)-1], Runs: len(values), SecondsOverBudget: s.overBudget[size], Note: s.notes[size]})
+		points = append(points, capacity.Point{
+			Size:              size,
+			Value:             values[len(values)/2],
+			Min:               values[0],
+			Max:               values[len(values)-1],
+			Runs:              len(values),
+			SecondsOverBudget: s.overBudget[size],
+			Note:              s.notes[size],
+		})
 	}
 	slices.SortFunc(points, func(a, b capacity.Point) int { return int(a.Size - b.Size) })
 	return points
 }
 
-// slopes are those that were measured, in the order of their definitions.
+// slopes returns the slopes that were measured, in the order of their definitions.
 func (c collector) slopes() (slopes []capacity.Slope) {
 	for _, definition := range capacity.Definitions() {
 		s := c[definition.Name]
 		if s == nil {
 			continue
 		}
-		slopes = append(slopes, capacity.Slope{Name: definition.Name, Unit: definition.Unit, SizeOf: definition.SizeOf,
-			Form: definition.Form, Points: s.points(), Command: definition.Command()})
+		slopes = append(slopes, capacity.Slope{
+			Name:    definition.Name,
+			Unit:    definition.Unit,
+			SizeOf:  definition.SizeOf,
+			Form:    definition.Form,
+			Points:  s.points(),
+			Command: definition.Command(),
+		})
 	}
 	return slopes
 }
