--- a/internal/testbed/capacity/measure/driver.go
+++ b/internal/testbed/capacity/measure/driver.go
@@ -1,77 +1,84 @@
 package measure
 
-import (
-	"errors"
-	"fmt"
-	"time"
-)
+import "time"
 
-var errNotServed = errors.New("not every statement was served")
-
-// followUp is an event that a module gets after a while.
+// followUp is an event that a module causes: it is due after a delay.
 type followUp struct {
-	after time.Duration
-	what  any
-	sent  bool // the end of an attempt; else a timer
+	delay        time.Duration
+	event        any
+	isAttemptEnd bool // else the event is a timer
 }
 
-// module is what decides on statements.
+// module is what decides on statements: the decision module alone, or the core with it.
 type module interface {
-	arrive(now time.Duration, number int) []followUp
-	resume(now time.Duration, what any) []followUp
+	// submit handles the arrival of a statement.
+	submit(now time.Duration, number int) []followUp
+	// handle handles an event that an earlier call returned.
+	handle(now time.Duration, event any) []followUp
 }
 
-// scheduled is something that happens at a time.
+// scheduled is an event with the time at which it is due.
 type scheduled struct {
-	at   time.Duration
-	what any
+	at    time.Duration
+	event any
 }
 
-// driver plays statements against one module on a virtual clock.
+// driver submits statements to a module on a virtual clock and delivers the events that follow.
 type driver struct {
-	module module
-	now    time.Duration
-	ends   []scheduled // in order: every answer takes the same time
-	timers []scheduled // few
-	sent   int
-	ended  int
+	module      module
+	now         time.Duration
+	attemptEnds []scheduled // in order of time, since all attempts take the same time
+	timers      []scheduled // unordered: there are few
+	sent        int         // attempts sent
+	completed   int         // attempts ended
 }
 
-func (d *driver) note(list []followUp) {
-	for _, l := range list {
-		next := scheduled{d.now + l.after, l.what}
-		if l.sent {
+func (d *driver) schedule(followUps []followUp) {
+	for _, f := range followUps {
+		next := scheduled{d.now + f.delay, f.event}
+		if f.isAttemptEnd {
 			d.sent++
-			d.ends = append(d.ends, next)
+			d.attemptEnds = append(d.attemptEnds, next)
 			continue
 		}
 		d.timers = append(d.timers, next)
 	}
 }
 
-// until plays all that is scheduled up to a time.
-func (d *driver) until(end time.Duration) {
+// runUntil delivers all events that are due by a time, and advances the clock to it.
+func (d *driver) runUntil(end time.Duration) {
 	for {
-		timer := d.firstTimer()
-		var next scheduled
-		switch {
-		case len(d.ends) > 0 && d.ends[0].at <= end && (timer < 0 || d.ends[0].at <= d.timers[timer].at):
-			next, d.ends = d.ends[0], d.ends[1:]
-			d.ended++
-		case timer >= 0 && d.timers[timer].at <= end:
-			next = d.timers[timer]
-			d.timers = append(d.timers[:timer], d.timers[timer+1:]...)
-		default:
+		next, ok := d.nextEvent(end)
+		if !ok {
 			d.now = max(d.now, end)
 			return
 		}
 		d.now = max(d.now, next.at)
-		d.note(d.module.resume(d.now, next.what))
+		d.schedule(d.module.handle(d.now, next.event))
+	}
+}
+
+// nextEvent removes and returns the event that is due first; ok is false if none is due by end. Of two events at the same
+// time the end of an attempt is first.
+func (d *driver) nextEvent(end time.Duration) (next scheduled, ok bool) {
+	timer := d.nextTimer()
+	hasTimer := timer >= 0 && d.timers[timer].at <= end
+	hasAttemptEnd := len(d.attemptEnds) > 0 && d.attemptEnds[0].at <= end
+	if hasAttemptEnd && (!hasTimer || d.attemptEnds[0].at <= d.timers[timer].at) {
+		next, d.attemptEnds = d.attemptEnds[0], d.attemptEnds[1:]
+		d.completed++
+		return next, true
+	}
+	if hasTimer {
+		next = d.timers[timer]
+		d.timers = append(d.timers[:timer], d.timers[timer+1:]...)
+		return next, true
 	}
+	return scheduled{}, false
 }
 
-// firstTimer is the place of the timer that is due first, -1 without one.
-func (d *driver) firstTimer() int {
+// nextTimer returns the index of the timer that is due first, or -1 if there is none.
+func (d *driver) nextTimer() int {
 	first := -1
 	for i := range d.timers {
 		if first < 0 || d.timers[i].at < d.timers[first].at {
@@ -81,25 +88,28 @@
 	return first
 }
 
-// play has statements arrive evenly for a time; they are numbered on from first.
-func (d *driver) play(first int, rate float64, lasts time.Duration) (next int) {
-	begin, count := d.now, int(rate*lasts.Seconds())
+// submitLoad submits statements at a constant rate per second. They are numbered from first; it returns the number after
+// the last.
+func (d *driver) submitLoad(first int, rate float64, duration time.Duration) (next int) {
+	start, count := d.now, int(rate*duration.Seconds())
 	for i := range count {
-		d.until(begin + time.Duration(float64(i)/rate*float64(time.Second)))
-		d.note(d.module.arrive(d.now, first+i))
+		d.runUntil(start + time.Duration(float64(i)/rate*float64(time.Second)))
+		d.schedule(d.module.submit(d.now, first+i))
 	}
 	return first + count
 }
 
-// perStatement plays a load and returns the processor time of a statement, from its arrival to its end.
-func (d *driver) perStatement(rate float64, lasts time.Duration) (time.Duration, error) {
-	next := d.play(1, rate, decisionWarmUp)
-	before, began := d.ended, processorTime()
-	next = d.play(next, rate, lasts)
-	spent, ended := processorTime()-began, d.ended-before
-	d.until(d.now + decisionPatience)
-	if d.sent != next-1 || d.ended != next-1 {
-		return 0, fmt.Errorf("%w: %d of %d", errNotServed, d.ended, next-1)
+// processorTimePerStatement submits a load after a warm-up and returns the mean processor time of a statement, from its
+// arrival to its end. It returns an *IncompleteError if a statement was not sent and completed exactly once.
+func (d *driver) processorTimePerStatement(rate float64, duration time.Duration) (time.Duration, error) {
+	next := d.submitLoad(1, rate, decisionWarmUp)
+	completedBefore, started := d.completed, processorTime()
+	next = d.submitLoad(next, rate, duration)
+	spent, completed := processorTime()-started, d.completed-completedBefore
+	d.runUntil(d.now + statementDeadline)
+	submitted := next - 1
+	if d.sent != submitted || d.completed != submitted {
+		return 0, &IncompleteError{Served: d.completed, Submitted: submitted}
 	}
-	return spent / time.Duration(max(1, ended)), nil
+	return spent / time.Duration(max(1, completed)), nil
 }
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -9,44 +9,44 @@
 	"frostpier/internal/control/membership/simulation"
 )
 
-// reportStep is how often the simulated engines' reports are handed to the gateways' digests.
-const reportStep = 100 * time.Millisecond
+// reportInterval is the interval at which the gateways record load reports of engines.
+const reportInterval = 100 * time.Millisecond
 
-// FleetSetup is a fleet of gateways on a virtual clock.
+// FleetSetup describes a simulated fleet of gateways on a virtual clock.
 type FleetSetup struct {
 	Gateways int
-	Engines  int     // that gateways share load reports of; 0 = they share none
-	Reports  float64 // of engines, a second at each gateway, drawn evenly from all engines
+	Engines  int     // whose load reports gateways share; 0 = none
+	Reports  float64 // of random engines, per second at each gateway
 	Loss     float64 // share of datagrams lost
 	Seed     uint64
 }
 
-// fleet runs membership, and with engines the shared load reports, at every gateway.
+// fleet runs membership at every gateway and, if there are engines, the sharing of load reports.
 type fleet struct {
 	*simulation.Fleet
 	setup   FleetSetup
-	digests []*loadreport.Digest // of the gateways' present lives
+	digests []*loadreport.Digest // by gateway, of its current incarnation
 	random  *rand.Rand
 }
 
 func newFleet(setup FleetSetup) (*fleet, error) {
 	f := &fleet{setup: setup, digests: make([]*loadreport.Digest, setup.Gateways), random: rand.New(rand.NewPCG(setup.Seed, 23))}
 	running, err := simulation.New(simulation.Setup{Members: setup.Gateways, Seed: setup.Seed, Loss: setup.Loss,
-		Spread: time.Second, Every: 1 << 30, Make: f.node})
+		Spread: time.Second, Every: 1 << 30, Make: f.newDetector})
 	if err != nil {
 		return nil, err
 	}
 	f.Fleet = running
 	if setup.Engines > 0 {
-		running.Seen = f.received
-		running.At(0, f.report)
+		running.Seen = f.handleEvent
+		running.At(0, f.recordReports)
 	}
 	return f, nil
 }
 
-// node makes a gateway's membership as internal/program does: with engines, load reports are carried on its datagrams, and
-// three datagrams a second go out for them alone.
-func (f *fleet) node(config membership.Config) (simulation.Detector, error) {
+// newDetector returns a gateway's membership as internal/program configures it: load reports are piggybacked on its
+// datagrams, and it sends further datagrams for them at loadreport.Interval.
+func (f *fleet) newDetector(config membership.Config) (simulation.Detector, error) {
 	if f.setup.Engines > 0 {
 		digest := newDigest(f.setup.Engines)
 		f.digests[config.Self] = digest
@@ -55,7 +55,7 @@
 	return membership.New(config)
 }
 
-// newDigest makes a digest that knows the names of all engines and the load of none.
+// newDigest returns a digest that knows all engines and the load of none.
 func newDigest(engines int) *loadreport.Digest {
 	digest, numbers := loadreport.New(), make([]uint64, engines)
 	for i := range numbers {
@@ -65,33 +65,33 @@
 	return digest
 }
 
-// received hands a gateway what another one's digest said.
-func (f *fleet) received(at int, event membership.Event) error {
+// handleEvent passes load reports that a gateway received to its digest.
+func (f *fleet) handleEvent(at int, event membership.Event) error {
 	if event.Kind == membership.ExtensionReceived && event.ExtensionKind == loadreport.ExtensionKind {
 		f.digests[at].Receive(f.Now, event.Body)
 	}
 	return nil
 }
 
-// report hands each gateway that is up the reports of a step, and comes again.
-func (f *fleet) report() {
-	perStep := f.setup.Reports * reportStep.Seconds()
+// recordReports records the load reports of one interval at each running gateway, and schedules itself for the next.
+func (f *fleet) recordReports() {
+	perInterval := f.setup.Reports * reportInterval.Seconds()
 	for i, digest := range f.digests {
 		if digest == nil || !f.Members[i].Up {
 			continue
 		}
-		for range f.wholeOf(perStep) {
+		for range f.randomRound(perInterval) {
 			digest.Record(f.Now, engineNumber(f.random.IntN(f.setup.Engines)), f.random.IntN(20))
 		}
 	}
-	f.At(reportStep, f.report)
+	f.At(reportInterval, f.recordReports)
 }
 
-// wholeOf draws a whole number whose mean is the given one.
-func (f *fleet) wholeOf(mean float64) int {
-	whole := int(mean)
-	if f.random.Float64() < mean-float64(whole) {
-		whole++
+// randomRound rounds up or down at random such that the mean of its results is the given value.
+func (f *fleet) randomRound(mean float64) int {
+	rounded := int(mean)
+	if f.random.Float64() < mean-float64(rounded) {
+		rounded++
 	}
-	return whole
+	return rounded
 }
