--- a/policy/admission.go
+++ b/policy/admission.go
@@ -133,9 +133,7 @@
 // overcommitShare is the share by which the request may exceed concurrency limits: above 0 if its weight per work
 // exceeds the mean over all requests.
 func (g *Gateway) overcommitShare(r *request) float64 {
-	weight := sumOf(g.classes, func(c *class) float64 { return float64(c.answers+1) * c.Weight })
-	work := sumOf(g.classes, func(c *class) float64 { return float64(c.answers+1) * c.meanSeconds * c.threads })
-	if r.class.Weight*work > g.expectedWork(r)*weight {
+	if r.class.Weight*g.totalThreadSeconds() > g.expectedWork(r)*g.totalWeight() {
 		return valuableOvercommit - 1
 	}
 	return 0
--- a/policy/collections.go
+++ b/policy/collections.go
@@ -33,35 +33,35 @@
 	sum     float64
 }
 
-func (w *slidingSum) add(now time.Duration, amount float64) {
-	w.times = append(w.times, now)
-	w.amounts = append(w.amounts, amount)
-	w.sum += amount
+func (s *slidingSum) add(now time.Duration, amount float64) {
+	s.times = append(s.times, now)
+	s.amounts = append(s.amounts, amount)
+	s.sum += amount
 }
 
 // subtractAt lowers the amount that was added at the given time, if that is still within the span.
-func (w *slidingSum) subtractAt(at time.Duration, amount float64) {
-	if i, found := slices.BinarySearch(w.times, at); found {
-		w.amounts[i] -= amount
-		w.sum -= amount
+func (s *slidingSum) subtractAt(at time.Duration, amount float64) {
+	if i, found := slices.BinarySearch(s.times, at); found {
+		s.amounts[i] -= amount
+		s.sum -= amount
 	}
 }
 
 // total drops the amounts older than span and returns the sum of the others.
-func (w *slidingSum) total(now, span time.Duration) float64 {
+func (s *slidingSum) total(now, span time.Duration) float64 {
 	expired := 0
-	for expired < len(w.times) && w.times[expired] < now-span {
-		w.sum -= w.amounts[expired]
+	for expired < len(s.times) && s.times[expired] < now-span {
+		s.sum -= s.amounts[expired]
 		expired++
 	}
 	if expired > 0 {
-		w.times = slices.Delete(w.times, 0, expired)
-		w.amounts = slices.Delete(w.amounts, 0, expired)
+		s.times = slices.Delete(s.times, 0, expired)
+		s.amounts = slices.Delete(s.amounts, 0, expired)
 	}
-	if len(w.times) == 0 {
-		w.sum = 0 // removes the rounding error of the subtractions
+	if len(s.times) == 0 {
+		s.sum = 0 // removes the rounding error of the subtractions
 	}
-	return w.sum
+	return s.sum
 }
 
 // decayingSum is a sum whose parts decay exponentially, to 1/e within recentLoadDecay.
--- a/policy/engines.go
+++ b/policy/engines.go
@@ -135,8 +135,8 @@
 			delete(g.groups, id)
 		}
 	}
-	for key, k := range g.keyQueues {
-		if len(k.requests) == 0 && g.now >= k.pausedUntil {
+	for key, queue := range g.keyQueues {
+		if len(queue.requests) == 0 && g.now >= queue.pausedUntil {
 			delete(g.keyQueues, key)
 		}
 	}
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -88,7 +88,7 @@
 }
 
 // expectedWork is the expected work of a request in seconds on one thread: its estimate, or the prior of its class if
-// it has none, corrected by what answers of the class told.
+// it has none, corrected by the actual work that answers of the class reported.
 func (g *Gateway) expectedWork(r *request) float64 {
 	base := r.EstimatedWork.Seconds()
 	if base <= 0 {
@@ -111,8 +111,21 @@
 // queries run at a time: answers times duration. The prior gives every class a weight from the start, so that a gateway
 // with few answers does not take all queries for queries of one thread.
 func (g *Gateway) estimateThreadsPerQuery() float64 {
-	return sumOf(g.classes, func(c *class) float64 { return float64(c.answers+1) * c.meanSeconds * c.threads }) /
-		sumOf(g.classes, func(c *class) float64 { return float64(c.answers+1) * c.meanSeconds })
+	return g.totalThreadSeconds() / sumOf(g.classes, func(c *class) float64 { return c.requests() * c.meanSeconds })
+}
+
+// requests is how many requests of a class there have been, for means over all requests. One is added, so that a class
+// without answers counts too.
+func (c *class) requests() float64 { return float64(c.answers + 1) }
+
+// totalWeight is the sum of the weights of all requests so far.
+func (g *Gateway) totalWeight() float64 {
+	return sumOf(g.classes, func(c *class) float64 { return c.requests() * c.Weight })
+}
+
+// totalThreadSeconds is the sum of duration times threads over all requests so far.
+func (g *Gateway) totalThreadSeconds() float64 {
+	return sumOf(g.classes, func(c *class) float64 { return c.requests() * c.meanSeconds * c.threads })
 }
 
 // updateEstimates learns from an answer. The first answers have the highest weight, so that a gateway with little
@@ -139,7 +152,7 @@
 	c.meanSeconds += weight * (min(seconds, outlierDurationRatio*c.meanSeconds) - c.meanSeconds)
 }
 
-// updateWork learns slowdown, mean work and work correction. If the answer does not tell its work (0), the work is
+// updateWork learns slowdown, mean work and work correction. If the answer does not report its work (0), the work is
 // derived from the duration, and the slowdown stays as it is.
 func (c *class) updateWork(seconds, work, expectedWork, weight float64) {
 	if work <= 0 {
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -15,7 +15,7 @@
 	// meanLoadDecay is the time in which the weight of the earlier reports in the fleet's mean load decays to 1/e.
 	meanLoadDecay = time.Second
 
-	// inFlightSmoothing is the weight of the present number of own attempts in its smoothed value. A report tells of
+	// inFlightSmoothing is the weight of the present number of own attempts in its smoothed value. A report describes
 	// the past, so it has to be compared with the own attempts of about that time.
 	inFlightSmoothing = 0.2
 
@@ -30,7 +30,7 @@
 }
 
 // applyReport updates the estimated peer load of an engine, and its target, by a load report. Peer load is the number
-// of running queries less the own ones. Without that metric it is derived from the utilization of cores, which tells
+// of running queries less the own ones. Without that metric it is derived from the utilization of cores, which says
 // least when all of them are busy.
 func (g *Gateway) applyReport(e *engine, report Report) {
 	e.smoothedInFlight += inFlightSmoothing * (float64(len(e.inFlight)) - e.smoothedInFlight)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -119,9 +119,9 @@
 		return
 	}
 	delete(g.requests, r.ID)
-	if k := g.keyQueues[r.Key]; k != nil {
-		k.requests = remove(k.requests, r)
-		if len(k.requests) == 0 && g.now >= k.pausedUntil {
+	if queue := g.keyQueues[r.Key]; queue != nil {
+		queue.requests = remove(queue.requests, r)
+		if len(queue.requests) == 0 && g.now >= queue.pausedUntil {
 			delete(g.keyQueues, r.Key)
 		}
 	}
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -73,8 +73,7 @@
 
 // belowMeanWeight reports whether the weight of a request is below the mean over all requests.
 func (g *Gateway) belowMeanWeight(r *request) bool {
-	weight := sumOf(g.classes, func(c *class) float64 { return float64(c.answers+1) * c.Weight })
-	return r.class.Weight*sumOf(g.classes, func(c *class) float64 { return float64(c.answers + 1) }) < weight
+	return r.class.Weight*sumOf(g.classes, (*class).requests) < g.totalWeight()
 }
 
 // countForBudget counts an event now, if there is a retry budget, and drops events older than its span.
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -65,16 +65,16 @@
 	if !r.class.Ordered || r.Key == 0 {
 		return true
 	}
-	k := g.keyQueues[r.Key]
-	return k.requests[0] == r && (g.now >= k.pausedUntil || k.pausedFor == r)
+	queue := g.keyQueues[r.Key]
+	return queue.requests[0] == r && (g.now >= queue.pausedUntil || queue.pausedFor == r)
 }
 
 // pauseKey starts the pause of an ordered key if an attempt ended in a way that leaves open whether it still runs
 // (rule 5).
 func (g *Gateway) pauseKey(r *request, outcome Outcome) {
 	mayStillRun := outcome == Timeout || outcome == Reset || outcome == Cancelled
-	if k := g.keyQueues[r.Key]; k != nil && mayStillRun {
-		k.pausedUntil, k.pausedFor = g.now+g.settings.Rules.OrderedKeyPause, r
+	if queue := g.keyQueues[r.Key]; queue != nil && mayStillRun {
+		queue.pausedUntil, queue.pausedFor = g.now+g.settings.Rules.OrderedKeyPause, r
 	}
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -39,8 +39,8 @@
 	Ordered          bool          // queries of one key run one at a time, in order of arrival
 	Stream           bool          // the response is streamed
 	Threads          int           // threads that a query occupies
-	IsLoad           bool          // the query locks its table group on its engine while it runs
-	WaitsForLoads    bool          // the query blocks on its engine while a load locks its table group
+	IsLoad           bool          // the query blocks WaitsForLoads queries of its table group on its engine
+	WaitsForLoads    bool          // the query blocks on its engine while a load of its table group runs
 	RestrictZones    bool          // Zones applies
 	Zones            []int         // the only zones allowed
 	RestrictKinds    bool          // Kinds applies
