--- a/policy/rejections.go
+++ b/policy/rejections.go
@@ -4,7 +4,7 @@
 
 // Reactions to engines that reject queries.
 const (
-	// baseRejectionBackoff is how long an engine that rejected a query for want of capacity gets no more. It doubles
+	// baseRejectionBackoff is how long an engine that rejected a query for lack of capacity gets no more. It doubles
 	// with each further rejection up to maxRejectionBackoff, which is as long as a load report counts.
 	baseRejectionBackoff = 100 * time.Millisecond
 	maxRejectionBackoff  = 3 * time.Second
@@ -16,7 +16,7 @@
 // Adaptive rate limit of one class at an engine that rejects the class although it has capacity. It increases and
 // decreases multiplicatively; with these factors it settles where about seven of eight queries are admitted.
 const (
-	initialRate  = 16.0  // queries per second after the first rejection
+	initialRate  = 16.0  // queries per second, before the first decrease
 	minRate      = 1.0   // queries per second; above 0, so that the end of the rejections is noticed
 	maxRate      = 100.0 // queries per second above which the limit is removed
 	rateIncrease = 1.1   // factor after an admitted query
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -13,7 +13,8 @@
 	// reserved for the others.
 	lowWeightBudgetShare = 0.8
 
-	// budgetRetryAfter is the Retry-After of a rejection for want of retry budget. It is short, as capacity is there.
+	// budgetRetryAfter is the Retry-After of a rejection for lack of retry budget. It is short, because
+	// engines do have capacity.
 	budgetRetryAfter = 20 * time.Millisecond
 )
 
