--- a/policy/retries.go
+++ b/policy/retries.go
@@ -13,7 +13,8 @@
 	// reserved for the others.
 	lowWeightBudgetShare = 0.8
 
-	// budgetRetryAfter is the Retry-After of a rejection for want of retry budget. It is short, as capacity is there.
+	// budgetRetryAfter is the Retry-After of a rejection for lack of retry budget. It is short, because
+	// engines do have capacity.
 	budgetRetryAfter = 20 * time.Millisecond
 )
 
@@ -73,8 +74,7 @@
 
 // belowMeanWeight reports whether the weight of a request is below the mean over all requests.
 func (g *Gateway) belowMeanWeight(r *request) bool {
-	weight := sumOf(g.classes, func(c *class) float64 { return float64(c.answers+1) * c.Weight })
-	return r.class.Weight*sumOf(g.classes, func(c *class) float64 { return float64(c.answers + 1) }) < weight
+	return r.class.Weight*sumOf(g.classes, (*class).requests) < g.totalWeight()
 }
 
 // countForBudget counts an event now, if there is a retry budget, and drops events older than its span.
