--- a/internal/protocol/mysql/exchange.go
+++ b/internal/protocol/mysql/exchange.go
@@ -25,7 +25,7 @@
 	phaseLogin     phase = iota // the engine has received nothing but the login
 	phaseSetup                  // setup commands are in flight: schema, replay key, preparation
 	phaseQuerySent              // the query is in flight and may be running
-	phaseKilling                // the query is given up, and the engine has not confirmed its end yet
+	phaseKilling                // the query is being killed, and the engine has not confirmed its end
 	phaseFinished
 )
 
--- a/internal/protocol/mysql/exchange_kill.go
+++ b/internal/protocol/mysql/exchange_kill.go
@@ -37,7 +37,7 @@
 }
 
 // handleKillResponse handles the response to KILL QUERY. While the query's own connection lives, the end of its result
-// is awaited there; without it the response is the only confirmation. That the engine knows no such connection also
+// is awaited there; without it the response is the only confirmation. ER_NO_SUCH_THREAD also
 // confirms the query's end.
 func (x *Exchange) handleKillResponse(p packet) {
 	if !confirmsKill(p.payload) {
--- a/internal/protocol/mysql/front.go
+++ b/internal/protocol/mysql/front.go
@@ -83,7 +83,7 @@
 	f.events = append(f.events, Event{Close: true})
 }
 
-// Feed handles bytes that the client sent. Commands that arrive while a query runs are kept until Done.
+// Feed handles bytes that the client sent. Commands that arrive while a query runs are buffered until Done.
 func (f *Front) Feed(b []byte) []Event {
 	if f.stage == stageClosed {
 		return nil
@@ -96,7 +96,7 @@
 	return f.process()
 }
 
-// Done tells the front that the whole result of the running query was written.
+// Done ends the running query: its result was written to the end, and the commands received meanwhile are handled.
 func (f *Front) Done() []Event {
 	if f.stage == stageRunning {
 		f.stage = stageReady
@@ -158,7 +158,7 @@
 	f.events = append(f.events, Event{Call: call})
 }
 
-// Refusal is the ERR packet for a query that was rejected because of load; it tells the client when to retry.
+// Refusal is the ERR packet for a query that was rejected because of load; its message gives the time after which to retry.
 func Refusal(retryAfter time.Duration) []byte {
 	message := fmt.Sprintf("Overloaded, trying again is harmless: come back in %d ms", retryAfter.Milliseconds())
 	return errPacket(1, erConCount, message)
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -17,16 +17,17 @@
 
 var scramble = []byte("abcdefghijklmnopqrst")
 
+// newFront returns the front of a new connection with the account u, password p.
 func newFront(t testing.TB) *Front {
 	t.Helper()
 	f, greeting := NewFront(map[string]*Account{"u": {User: "u", Hash: HashOf("p"), Budget: time.Second}}, 1, scramble)
 	if n := payloadLength(greeting); n != len(greeting)-headerSize {
-		t.Fatalf("a greeting of %d bytes says %d", len(greeting)-headerSize, n)
+		t.Fatalf("handshake of %d bytes has length %d in its header", len(greeting)-headerSize, n)
 	}
 	return f
 }
 
-// loginBytes is a client's login, made by the engine's side of this package from the front's greeting.
+// loginBytes returns a client's handshake response. It is built by the package's own side towards engines.
 func loginBytes(t testing.TB) []byte {
 	t.Helper()
 	_, greeting := NewFront(nil, 1, scramble)
@@ -40,10 +41,10 @@
 
 // Commands mean the same however the bytes are split, and run one after the other.
 func TestFrontWithSplitInput(t *testing.T) {
-	text := slices.Concat(loginBytes(t), commandPacket(comPing), commandPacket(comStmtPrepare, []byte("SELECT ?, '?'")),
+	input := slices.Concat(loginBytes(t), commandPacket(comPing), commandPacket(comStmtPrepare, []byte("SELECT ?, '?'")),
 		commandPacket(comStmtExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0, 1, 'x'}), commandPacket(comQuery, []byte("SELECT 1")))
 	rapid.Check(t, func(rt *rapid.T) {
-		f, rest := newFront(t), text
+		f, rest := newFront(t), input
 		var calls []*Call
 		collect := func(events []Event) {
 			for _, e := range events {
@@ -58,22 +59,23 @@
 			rest = rest[n:]
 		}
 		if len(calls) != 1 || calls[0].Execute == nil || calls[0].Execute.Params != 1 {
-			rt.Fatalf("%+v before the first is done", calls)
+			rt.Fatalf("calls %+v while the first query runs", calls)
 		}
 		collect(f.Done())
 		if len(calls) != 2 || calls[1].Text != "SELECT 1" {
-			rt.Fatalf("%+v", calls)
+			rt.Fatalf("calls %+v after the first query", calls)
 		}
 	})
 }
 
+// Arbitrary bytes and packets never make the front panic.
 func TestFrontGarbageNeverPanics(t *testing.T) {
 	commands := []byte{comQuit, comInitDB, comQuery, comPing, comStmtPrepare, comStmtExecute, comStmtSendLongData, comStmtReset}
-	in := loginBytes(t)
+	login := loginBytes(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFront(t)
 		if rapid.Bool().Draw(rt, "logged in") {
-			f.Feed(in)
+			f.Feed(login)
 		}
 		for _, p := range rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 0, 40)).Draw(rt, "packets") {
 			if len(p) > 0 && rapid.Bool().Draw(rt, "known command") {
@@ -223,10 +225,21 @@
 	return ends, queries
 }
 
+// Whatever the events and their order, an exchange ends at most once and sends the query at most once.
 func TestExchangeGarbage(t *testing.T) {
 	_, greeting := NewFront(nil, 1, scramble)
-	parts := rapid.SampledFrom([][]byte{greeting, okPacket(2), okPacket(1), eofPacket(3), rows("a"), rows("a")[:60],
-		errPacket(1, erNoSuchThread, ""), errPacket(1, erConCount, ""), frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}), frame(2, []byte(definition))})
+	parts := rapid.SampledFrom([][]byte{
+		greeting,
+		okPacket(2),
+		okPacket(1),
+		eofPacket(3),
+		rows("a"),
+		rows("a")[:60],
+		errPacket(1, erNoSuchThread, ""),
+		errPacket(1, erConCount, ""),
+		frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}),
+		frame(2, []byte(definition)),
+	})
 	rapid.Check(t, func(rt *rapid.T) {
 		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", Key: "'k'"}
 		if rapid.Bool().Draw(rt, "prepared") {
@@ -250,7 +263,7 @@
 			case 4, 5:
 				if x.phase != phaseFinished && !x.connected[channel] && (channel == attempt.Control) == (x.phase == phaseKilling) {
 					memory[channel] = nil
-					steps = x.Connected(channel, &memory[channel], func(bool) (time.Duration, bool) { return time.Second, true })
+					steps = x.Connected(channel, &memory[channel], permitted)
 				}
 			default:
 				steps = x.Received(channel, parts.Draw(rt, "part"))
@@ -264,53 +277,67 @@
 	})
 }
 
+// idleSession returns the session of a connection whose login is complete.
+func idleSession() *session {
+	s := newSession()
+	s.authenticated = true
+	return s
+}
+
+// permitted is a permission to send that does not expire.
+func permitted(bool) (time.Duration, bool) { return time.Second, true }
+
 // A late KILL QUERY would end the next query on the same connection, so a connection whose query was killed is never
 // released, even after its result was read to the end.
 func TestKilledConnectionIsNotReused(t *testing.T) {
 	x, _ := NewExchange(&Call{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
-	var memory any = &session{packets: framer{maxPayload: maxNonRowPacket}, authenticated: true, statementIDs: map[string]uint32{}}
-	x.Connected(attempt.Primary, &memory, func(bool) (time.Duration, bool) { return time.Second, true })
+	var memory any = idleSession()
+	x.Connected(attempt.Primary, &memory, permitted)
 	x.Cancel(policy.Cancelled)
 	for _, s := range x.Received(attempt.Primary, rows("a")) {
 		if _, released := s.(attempt.Release); released {
-			t.Fatal("released")
+			t.Fatal("connection released")
 		}
 	}
 	if x.phase != phaseFinished {
-		t.Fatal("its end was read, and it is still out")
+		t.Fatal("still in flight after the end of the result")
 	}
 }
 
 // A second attempt must not start while the first may still run: neither a lost connection nor an ERR packet for the
 // KILL confirms its end; the end of the query's own result does, or ER_NO_SUCH_THREAD for the KILL.
 func TestKilledQueryIsInFlightUntilConfirmed(t *testing.T) {
-	var memory [2]any
-	permission := func(bool) (time.Duration, bool) { return time.Second, true }
 	ended := func(steps []attempt.Step) bool {
 		return slices.ContainsFunc(steps, func(s attempt.Step) bool { _, end := s.(attempt.End); return end })
 	}
-	connected := func() *Exchange {
-		x, _ := NewExchange(&Call{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
-		for i := range memory {
-			memory[i] = &session{packets: framer{maxPayload: maxNonRowPacket}, authenticated: true, statementIDs: map[string]uint32{}}
-		}
-		x.Connected(attempt.Primary, &memory[0], permission)
-		return x
-	}
-	x := connected()
-	if ended(x.Cancel(policy.Cancelled)) || ended(x.Connected(attempt.Control, &memory[1], permission)) ||
-		ended(x.Received(attempt.Control, errPacket(1, 1095, "not yours"))) || ended(x.TimerFired(attempt.RetryBackoff)) ||
-		ended(x.Received(attempt.Control, okPacket(1))) {
-		t.Fatal("ended before the query did")
-	}
-	if !ended(x.Received(attempt.Primary, errPacket(1, erQueryInterrupted, "killed"))) {
-		t.Fatal("still out after its own end")
-	}
-	x = connected()
-	if ended(x.ConnectionLost(attempt.Primary)) || ended(x.Connected(attempt.Control, &memory[1], permission)) || ended(x.ConnectFailed(attempt.Control)) {
-		t.Fatal("a lost connection taken for the end")
-	}
-	if !ended(x.Received(attempt.Control, errPacket(1, erNoSuchThread, "unknown"))) {
-		t.Fatal("still out though the engine knows no such thread")
+	queryInFlight := func() (x *Exchange, control any) {
+		x, _ = NewExchange(&Call{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
+		var primary any = idleSession()
+		x.Connected(attempt.Primary, &primary, permitted)
+		return x, idleSession()
 	}
+	t.Run("by the end of its result", func(t *testing.T) {
+		x, control := queryInFlight()
+		if ended(x.Cancel(policy.Cancelled)) ||
+			ended(x.Connected(attempt.Control, &control, permitted)) ||
+			ended(x.Received(attempt.Control, errPacket(1, 1095, "not yours"))) ||
+			ended(x.TimerFired(attempt.RetryBackoff)) ||
+			ended(x.Received(attempt.Control, okPacket(1))) {
+			t.Fatal("ended before the end of the query was confirmed")
+		}
+		if !ended(x.Received(attempt.Primary, errPacket(1, erQueryInterrupted, "killed"))) {
+			t.Fatal("still in flight after the end of the result")
+		}
+	})
+	t.Run("by the KILL after the connection is lost", func(t *testing.T) {
+		x, control := queryInFlight()
+		if ended(x.ConnectionLost(attempt.Primary)) ||
+			ended(x.Connected(attempt.Control, &control, permitted)) ||
+			ended(x.ConnectFailed(attempt.Control)) {
+			t.Fatal("ended by a lost connection")
+		}
+		if !ended(x.Received(attempt.Control, errPacket(1, erNoSuchThread, "unknown"))) {
+			t.Fatal("still in flight after ER_NO_SUCH_THREAD")
+		}
+	})
 }
--- a/internal/protocol/mysql/result.go
+++ b/internal/protocol/mysql/result.go
@@ -138,7 +138,7 @@
 }
 
 // truncationPacket is the ERR packet that ends a result whose rows broke off. Within a row it is nil: there any packet
-// would be read as part of the row, and only closing the client's connection tells the break.
+// would be read as part of the row, so that only closing the client's connection can end it.
 func (r *resultStream) truncationPacket() []byte {
 	if r.rowBytesLeft > 0 || r.rowContinues {
 		return nil
--- a/internal/protocol/vrrp/router.go
+++ b/internal/protocol/vrrp/router.go
@@ -19,10 +19,10 @@
 // String returns the state in lower case.
 func (s State) String() string { return [...]string{"initialize", "backup", "master"}[s] }
 
-// Step is what the driver is to do next; a field that is zero asks for nothing.
+// Step is what the driver is to do next. Zero fields have no effect.
 type Step struct {
 	Send  []byte        // an advertisement for all peers
-	Alarm time.Duration // start the timer anew; there is one timer
+	Alarm time.Duration // (re)start the timer; there is one timer
 	Quiet bool          // stop the timer
 	Now   *State        // the new state
 }
