--- a/internal/transport/frontend/crossings_clients_test.go
+++ b/internal/transport/frontend/crossings_clients_test.go
@@ -18,9 +18,9 @@
 // has it and waits for the loop. It was once lost with a reset.
 func TestUnreadRequestBeforeClose(t *testing.T) {
 	for name, closeIdle := range map[string]func(*fixture, *client) bool{
-		"idle":     func(r *fixture, c *client) bool { return c.closeIfIdle("idle") },
-		"stop":     func(r *fixture, _ *client) bool { return r.CloseIdle() },
-		"eviction": func(r *fixture, _ *client) bool { return r.evictIdle() },
+		"idle":     func(f *fixture, c *client) bool { return c.closeIfIdle("idle") },
+		"stop":     func(f *fixture, _ *client) bool { return f.CloseIdle() },
+		"eviction": func(f *fixture, _ *client) bool { return f.evictIdle() },
 		"request timeout": func(_ *fixture, c *client) bool {
 			c.sentRequest = false
 			c.requestTimedOut()
@@ -30,18 +30,18 @@
 		for _, read := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, read %t", name, read), func(t *testing.T) {
 				e := nettest.NewEngine(t, "e")
-				r := newFixture(t, 4, e)
-				connect := r.connect
+				f := newFixture(t, 4, e)
+				connect := f.connect
 				if !read {
-					connect = r.connectPaused
+					connect = f.connectPaused
 				}
 				nc, c := connect()
-				r.loop.Do(func() {
+				f.loop.Do(func() {
 					nettest.Send(t, nc, queryLine(12, idempotentClass))
 					if read {
-						r.waitQueued(1)
+						f.waitQueued(1)
 					}
-					if closeIdle(r, c) {
+					if closeIdle(f, c) {
 						t.Error("closed over a request")
 					}
 				})
@@ -57,9 +57,9 @@
 // A request that comes after the half-close is not accepted, and the client can tell: it finds the end of the connection first, and
 // no reset.
 func TestRequestAfterHalfClose(t *testing.T) {
-	r := newFixture(t, 4)
-	nc, c := r.connect()
-	r.loop.Do(func() {
+	f := newFixture(t, 4)
+	nc, c := f.connect()
+	f.loop.Do(func() {
 		if !c.closeIfIdle("idle") {
 			t.Error("an idle connection was not closed")
 		}
@@ -68,25 +68,25 @@
 	nettest.Send(t, nc, queryLine(7, idempotentClass))
 	nettest.CloseWrite(t, nc)
 	nettest.Eventually(t, "the descriptor", func() (gone bool) {
-		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 && c.conn.IsClosed() })
+		f.loop.Do(func() { gone = len(f.lingering.conns) == 0 && c.conn.IsClosed() })
 		return gone
 	})
-	if n := r.counts(); n.Taken != 0 {
+	if n := f.counts(); n.Taken != 0 {
 		t.Fatalf("%d requests were accepted after the end", n.Taken)
 	}
 }
 
 // Queued responses are written before the connection is closed, and unread bytes of the client do not reset it.
 func TestUnsentResponseBeforeClose(t *testing.T) {
-	r := newFixture(t, 4)
-	nc, c := r.connectPaused()
+	f := newFixture(t, 4)
+	nc, c := f.connectPaused()
 	long := strings.Repeat("y", 8<<20) // more than the buffers of both sockets
-	r.loop.Do(func() {
+	f.loop.Do(func() {
 		nettest.Send(t, nc, `{"jsonrpc":`) // unread when the connection is closed
 		c.conn.SetWriteLimit(2 * len(long))
-		r.loop.SetWriteBudget(2 * int64(len(long)))
+		f.loop.SetWriteBudget(2 * int64(len(long)))
 		c.conn.Write([]byte(long))
-		r.Finish()
+		f.Finish()
 	})
 	if got, err := io.ReadAll(nc); err != nil || len(got) != len(long) {
 		t.Fatalf("%d bytes, %v, want %d and the end", len(got), err, len(long))
@@ -95,15 +95,15 @@
 
 // A client that does not close its side holds a descriptor for the linger timeout at most.
 func TestLingerTimeout(t *testing.T) {
-	r := newFixture(t, 4)
-	nc, c := r.connect()
-	r.loop.Do(func() {
+	f := newFixture(t, 4)
+	nc, c := f.connect()
+	f.loop.Do(func() {
 		c.conn.SetLingerTimeout(time.Millisecond)
 		c.closeIfIdle("idle")
 	})
 	expectCleanEnd(t, nc)
 	nettest.Eventually(t, "the descriptor", func() (gone bool) {
-		r.loop.Do(func() { gone = len(r.lingering.conns) == 0 })
+		f.loop.Do(func() { gone = len(f.lingering.conns) == 0 })
 		return gone
 	})
 }
@@ -111,14 +111,14 @@
 // After a framing error, an open query still gets its response, and nothing more is read.
 func TestOpenQueryAfterFramingError(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
-	r := newFixture(t, 4, e)
-	nc, c := r.connect()
+	f := newFixture(t, 4, e)
+	nc, c := f.connect()
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
 	at := e.Accept()
 	at.ReadRequest()
 	go io.Copy(nc, strings.NewReader(strings.Repeat("x", 1<<20)))
 	nettest.Eventually(t, "the framing error", func() (stopped bool) {
-		r.loop.Do(func() { stopped = c.framingLost })
+		f.loop.Do(func() { stopped = c.framingLost })
 		return stopped
 	})
 	io.WriteString(at, succeeded)
@@ -141,55 +141,55 @@
 	} {
 		t.Run("first attempt, "+name, func(t *testing.T) {
 			e := nettest.NewEngine(t, "e")
-			r := newFixture(t, 4, e)
-			nc, c := r.connectPaused()
-			r.loop.Do(func() {
+			f := newFixture(t, 4, e)
+			nc, c := f.connectPaused()
+			f.loop.Do(func() {
 				nettest.Send(t, nc, queryLine(11, idempotentClass))
 				c.conn.DeliverPending()
-				r.waitQueued(1) // the dial has succeeded
+				f.waitQueued(1) // the dial has succeeded
 				leave(t, nc)
 			})
-			r.expectNothingSent(e.Accept(), e)
+			f.expectNothingSent(e.Accept(), e)
 		})
 		t.Run("queued, "+name, func(t *testing.T) {
 			e := nettest.NewEngine(t, "e")
-			r := newFixture(t, 4)
-			nc, c := r.connectPaused()
+			f := newFixture(t, 4)
+			nc, c := f.connectPaused()
 			nettest.Send(t, nc, queryLine(11, idempotentClass))
-			r.loop.Do(func() { c.conn.DeliverPending() })
+			f.loop.Do(func() { c.conn.DeliverPending() })
 			leave(t, nc)
-			r.listEngines(e)
-			r.expectNothingSent(e.Accept(), e)
+			f.listEngines(e)
+			f.expectNothingSent(e.Accept(), e)
 		})
 	}
 	t.Run("retry", func(t *testing.T) {
 		e, other := nettest.NewEngine(t, "e"), nettest.NewEngine(t, "other")
-		r := newFixture(t, 4, e)
-		nc, c := r.connectPaused()
+		f := newFixture(t, 4, e)
+		nc, c := f.connectPaused()
 		nettest.Send(t, nc, queryLine(11, idempotentClass))
-		r.loop.Do(func() { c.conn.DeliverPending() })
+		f.loop.Do(func() { c.conn.DeliverPending() })
 		at := e.Accept()
 		at.ReadRequest()
 		nettest.CloseWrite(t, nc)
-		r.listEngines(e, other)
+		f.listEngines(e, other)
 		io.WriteString(at, failed)
-		nettest.Eventually(t, "the request's end", func() bool { return r.counts().Left == 1 })
-		if n := r.counts(); n.Further != 0 {
+		nettest.Eventually(t, "the request's end", func() bool { return f.counts().Left == 1 })
+		if n := f.counts(); n.Further != 0 {
 			t.Fatalf("%d retries", n.Further)
 		}
 	})
 }
 
 // expectNothingSent checks that nothing was sent on an engine's connection, and that the request counts as cancelled by its client.
-func (r *fixture) expectNothingSent(at *nettest.EngineConn, e *nettest.Engine) {
-	r.t.Helper()
-	nettest.Eventually(r.t, "the request's end", func() bool { return r.counts().Left == 1 })
-	r.loop.Do(func() {
-		if n := r.dispatcher.Core.AttemptsInFlight(); n != 0 {
-			r.t.Errorf("%d attempts are in flight", n)
+func (f *fixture) expectNothingSent(at *nettest.EngineConn, e *nettest.Engine) {
+	f.t.Helper()
+	nettest.Eventually(f.t, "the request's end", func() bool { return f.counts().Left == 1 })
+	f.loop.Do(func() {
+		if n := f.dispatcher.Core.AttemptsInFlight(); n != 0 {
+			f.t.Errorf("%d attempts are in flight", n)
 		}
 	})
-	r.closeIdleEngines()
+	f.closeIdleEngines()
 	at.ExpectClosed()
 }
 
@@ -198,13 +198,13 @@
 	for _, responseFirst := range []bool{false, true} {
 		t.Run(fmt.Sprintf("response first %t", responseFirst), func(t *testing.T) {
 			e := nettest.NewEngine(t, "e")
-			r := newFixture(t, 4, e)
-			nc, c := r.connect()
+			f := newFixture(t, 4, e)
+			nc, c := f.connect()
 			nettest.Send(t, nc, queryLine(11, idempotentClass))
 			at := e.Accept()
 			at.ReadRequest()
 			abort := `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}` + "\n"
-			r.loop.Do(func() {
+			f.loop.Do(func() {
 				nettest.Send(t, at.Conn, succeeded) // received and unread
 				if !responseFirst {
 					nettest.Send(t, nc, abort)
@@ -217,7 +217,7 @@
 				nettest.Send(t, nc, abort)
 			}
 			nettest.Eventually(t, "the attempt's end", func() (over bool) {
-				r.loop.Do(func() { over = r.dispatcher.Core.AttemptsInFlight() == 0 && r.dispatcher.Core.PendingRequests() == 0 })
+				f.loop.Do(func() { over = f.dispatcher.Core.AttemptsInFlight() == 0 && f.dispatcher.Core.PendingRequests() == 0 })
 				return over
 			})
 			nettest.Send(t, nc, ping)
@@ -231,8 +231,8 @@
 	for _, responseFirst := range []bool{false, true} {
 		t.Run(fmt.Sprintf("response first %t", responseFirst), func(t *testing.T) {
 			e := nettest.NewEngine(t, "e")
-			r := newFixture(t, 4, e)
-			nc, _ := r.connect()
+			f := newFixture(t, 4, e)
+			nc, _ := f.connect()
 			nettest.Send(t, nc, queryLine(11, idempotentClass))
 			at := e.Accept()
 			at.ReadRequest()
@@ -241,8 +241,8 @@
 			if call := control.ReadRequest(); !strings.HasPrefix(call, "DELETE ") {
 				t.Fatalf("%q, want the DELETE", call)
 			}
-			r.loop.Do(func() {
-				if n := r.dispatcher.Core.AttemptsInFlight(); n != 1 {
+			f.loop.Do(func() {
+				if n := f.dispatcher.Core.AttemptsInFlight(); n != 1 {
 					t.Errorf("%d attempts are in flight before the engine has confirmed", n)
 				}
 			})
@@ -252,7 +252,7 @@
 				nettest.Send(t, control.Conn, confirmed)
 			}
 			nettest.Eventually(t, "the attempt's end", func() (over bool) {
-				r.loop.Do(func() { over = r.dispatcher.Core.AttemptsInFlight() == 0 })
+				f.loop.Do(func() { over = f.dispatcher.Core.AttemptsInFlight() == 0 })
 				return over
 			})
 			in := bufio.NewReader(nc)
@@ -264,36 +264,36 @@
 
 // The connection of a client that has closed it is freed, though its end is unread.
 func TestClosedClientFreesItsConnection(t *testing.T) {
-	r := newFixture(t, 4)
-	nc, _ := r.connectPaused()
+	f := newFixture(t, 4)
+	nc, _ := f.connectPaused()
 	nettest.Send(t, nc, queryLine(11, idempotentClass)) // stays open: there is no engine
-	r.loop.Do(func() {
+	f.loop.Do(func() {
 		nettest.CloseWrite(t, nc)
-		for c := range r.open {
+		for c := range f.open {
 			c.conn.DeliverPending()
 		}
-		if len(r.open) != 0 || r.dispatcher.Core.PendingRequests() != 0 {
-			t.Errorf("%d connections, %d requests", len(r.open), r.dispatcher.Core.PendingRequests())
+		if len(f.open) != 0 || f.dispatcher.Core.PendingRequests() != 0 {
+			t.Errorf("%d connections, %d requests", len(f.open), f.dispatcher.Core.PendingRequests())
 		}
 	})
 }
 
 // Clients that never close their side hold few descriptors after the half-close, so that others are accepted.
 func TestLingeringConnectionsAreBounded(t *testing.T) {
-	r := newFixture(t, 4)
-	for range 3 * r.lingering.limit {
-		nc, c := r.connect()
-		r.loop.Do(func() { c.closeIfIdle("others came") })
+	f := newFixture(t, 4)
+	for range 3 * f.lingering.limit {
+		nc, c := f.connect()
+		f.loop.Do(func() { c.closeIfIdle("others came") })
 		expectCleanEnd(t, nc) // and the client does not close its side
-		r.loop.Do(func() {
+		f.loop.Do(func() {
 			descriptors := 0 // closed connections leave the list a moment later
-			for _, conn := range r.lingering.conns {
+			for _, conn := range f.lingering.conns {
 				if !conn.IsClosed() {
 					descriptors++
 				}
 			}
-			if descriptors > r.lingering.limit {
-				t.Errorf("%d connections are being closed, of at most %d", descriptors, r.lingering.limit)
+			if descriptors > f.lingering.limit {
+				t.Errorf("%d connections are being closed, of at most %d", descriptors, f.lingering.limit)
 			}
 		})
 	}
--- a/internal/transport/frontend/crossings_discovery_test.go
+++ b/internal/transport/frontend/crossings_discovery_test.go
@@ -19,20 +19,20 @@
 // resumes after the last event that was applied, and no event is applied twice.
 func TestEventOnAbandonedWatch(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
-	r, w := newFixture(t, 4), newDiscoveryServer(t)
-	f := r.watch(w)
-	old := w.accept(0)
+	f, server := newFixture(t, 4), newDiscoveryServer(t)
+	engineWatch := f.watch(server)
+	old := server.accept(0)
 	nettest.Send(t, old, eventLine(1, e, "in_service"))
-	r.waitLines(f, 1)
-	r.loop.Do(func() {
+	f.waitLines(engineWatch, 1)
+	f.loop.Do(func() {
 		nettest.Send(t, old, eventLine(2, e, "terminating"))
-		r.waitQueued(1) // it is read and waits for the loop
-		f.Reconnect()
+		f.waitQueued(1) // it is read and waits for the loop
+		engineWatch.Reconnect()
 	})
-	next := w.accept(1) // so the event on the old one was not applied
+	next := server.accept(1) // so the event on the old one was not applied
 	nettest.Send(t, next, eventLine(2, e, "terminating"))
-	r.waitLines(f, 2)
-	r.expectNoEngine()
+	f.waitLines(engineWatch, 2)
+	f.expectNoEngine()
 	if n, err := old.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Fatal("the old watch is still open")
 	}
@@ -41,34 +41,34 @@
 // A watch that stops in the middle of a line times out, and the next one resumes after the last complete event.
 func TestSilentWatchTimesOut(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
-	r, w := newFixture(t, 4), newDiscoveryServer(t)
-	f := r.watch(w)
-	first := w.accept(0)
-	r.loop.Do(func() { f.SetReadTimeout(50 * time.Millisecond) })
+	f, server := newFixture(t, 4), newDiscoveryServer(t)
+	engineWatch := f.watch(server)
+	first := server.accept(0)
+	f.loop.Do(func() { engineWatch.SetReadTimeout(50 * time.Millisecond) })
 	nettest.Send(t, first, eventLine(1, e, "in_service")+eventLine(2, e, "terminating")[:40])
-	r.waitLines(f, 1) // the timeout of the next line has started
-	r.loop.Do(func() { f.SetReadTimeout(time.Hour) })
-	nettest.Send(t, w.accept(1), eventLine(2, e, "terminating"))
-	r.waitLines(f, 2)
-	r.expectNoEngine()
+	f.waitLines(engineWatch, 1) // the timeout of the next line has started
+	f.loop.Do(func() { engineWatch.SetReadTimeout(time.Hour) })
+	nettest.Send(t, server.accept(1), eventLine(2, e, "terminating"))
+	f.waitLines(engineWatch, 2)
+	f.expectNoEngine()
 }
 
 // SIGHUP changes the discovery server while a query is open, and the new one reports that its engine drains: the query gets its
 // response, and the next one is sent to another engine.
 func TestDiscoveryMovesDuringQuery(t *testing.T) {
 	e, other := nettest.NewEngine(t, "e"), nettest.NewEngine(t, "other")
-	r, first, second := newFixture(t, 8), newDiscoveryServer(t), newDiscoveryServer(t)
-	f := r.watch(first)
+	f, first, second := newFixture(t, 8), newDiscoveryServer(t), newDiscoveryServer(t)
+	engineWatch := f.watch(first)
 	nettest.Send(t, first.accept(0), eventLine(1, e, "in_service"))
-	r.waitLines(f, 1)
-	nc, c := r.connect()
+	f.waitLines(engineWatch, 1)
+	nc, c := f.connect()
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
 	at := e.Accept()
 	at.ReadRequest()
-	r.loop.Do(func() { f.Follow(second.ln.Addr().String()) })
+	f.loop.Do(func() { engineWatch.Follow(second.ln.Addr().String()) })
 	nettest.Send(t, second.accept(1), eventLine(2, e, "terminating")+eventLine(3, other, "in_service"))
-	r.waitLines(f, 3)
-	r.loop.Do(func() {
+	f.waitLines(engineWatch, 3)
+	f.loop.Do(func() {
 		nettest.Send(t, at.Conn, succeeded)
 		nettest.Send(t, nc, queryLine(12, idempotentClass))
 		c.conn.DeliverPending()
@@ -83,9 +83,9 @@
 
 // discoveryServer is a scripted discovery server: the test gets each watch after its request line.
 type discoveryServer struct {
-	t  *testing.T
-	ln net.Listener
-	at chan net.Conn
+	t       *testing.T
+	ln      net.Listener
+	watches chan net.Conn
 }
 
 func newDiscoveryServer(t *testing.T) *discoveryServer {
@@ -95,33 +95,33 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	w := &discoveryServer{t, ln, make(chan net.Conn, 16)}
+	server := &discoveryServer{t, ln, make(chan net.Conn, 16)}
 	go func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			w.at <- nc
+			server.watches <- nc
 		}
 	}()
-	return w
+	return server
 }
 
 // accept returns the next watch, which must request the events after a number.
-func (w *discoveryServer) accept(after int) net.Conn {
-	w.t.Helper()
+func (s *discoveryServer) accept(after int) net.Conn {
+	s.t.Helper()
 	select {
-	case nc := <-w.at:
-		w.t.Cleanup(func() { nc.Close() })
+	case nc := <-s.watches:
+		s.t.Cleanup(func() { nc.Close() })
 		nc.SetDeadline(time.Now().Add(nettest.Timeout))
 		line, err := bufio.NewReader(nc).ReadString('\n')
 		if want := fmt.Sprintf("after %d\n", after); err != nil || line != want {
-			w.t.Fatalf("%q, %v, want %q", line, err, want)
+			s.t.Fatalf("%q, %v, want %q", line, err, want)
 		}
 		return nc
 	case <-time.After(nettest.Timeout):
-		w.t.Fatal("no watch")
+		s.t.Fatal("no watch")
 		return nil
 	}
 }
@@ -133,31 +133,31 @@
 }
 
 // watch starts a watch of a discovery server that passes its events to the fixture's gateway.
-func (r *fixture) watch(w *discoveryServer) *enginewatch.Watch {
-	f := enginewatch.New(r.loop, r.dispatcher, r.dispatcher.Log, "", &discovery.Stream{})
-	r.loop.Do(func() { f.Follow(w.ln.Addr().String()) })
-	r.t.Cleanup(func() { r.loop.Do(func() { f.Follow("") }) })
-	return f
+func (f *fixture) watch(server *discoveryServer) *enginewatch.Watch {
+	engineWatch := enginewatch.New(f.loop, f.dispatcher, f.dispatcher.Log, "", &discovery.Stream{})
+	f.loop.Do(func() { engineWatch.Follow(server.ln.Addr().String()) })
+	f.t.Cleanup(func() { f.loop.Do(func() { engineWatch.Follow("") }) })
+	return engineWatch
 }
 
 // waitLines waits until a watch has received a number of lines.
-func (r *fixture) waitLines(f *enginewatch.Watch, lines int) {
-	r.t.Helper()
-	nettest.Eventually(r.t, "the lines of the watch", func() (all bool) {
-		r.loop.Do(func() { all = f.LinesRead() >= lines })
+func (f *fixture) waitLines(engineWatch *enginewatch.Watch, lines int) {
+	f.t.Helper()
+	nettest.Eventually(f.t, "the lines of the watch", func() (all bool) {
+		f.loop.Do(func() { all = engineWatch.LinesRead() >= lines })
 		return all
 	})
 }
 
 // expectNoEngine checks that no engine accepts a request.
-func (r *fixture) expectNoEngine() {
-	r.t.Helper()
-	nc, c := r.connect()
-	r.loop.Do(func() {
-		nettest.Send(r.t, nc, queryLine(90, idempotentClass))
+func (f *fixture) expectNoEngine() {
+	f.t.Helper()
+	nc, c := f.connect()
+	f.loop.Do(func() {
+		nettest.Send(f.t, nc, queryLine(90, idempotentClass))
 		c.conn.DeliverPending()
-		if n := r.dispatcher.Core.Counts(); n.Taken != 1 || n.Attempts != 0 {
-			r.t.Errorf("%+v", n)
+		if n := f.dispatcher.Core.Counts(); n.Taken != 1 || n.Attempts != 0 {
+			f.t.Errorf("%+v", n)
 		}
 	})
 }
--- a/internal/transport/frontend/crossings_engines_test.go
+++ b/internal/transport/frontend/crossings_engines_test.go
@@ -27,11 +27,11 @@
 		for _, chosen := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, chosen %t", name, chosen), func(t *testing.T) {
 				e := nettest.NewEngine(t, "e")
-				r := newFixture(t, 4, e)
-				nc, c := r.connect()
+				f := newFixture(t, 4, e)
+				nc, c := f.connect()
 				in := bufio.NewReader(nc)
 				first := serveQuery(t, e, nc, in)
-				r.loop.Do(func() {
+				f.loop.Do(func() {
 					if !chosen {
 						interfere(t, first)
 					}
@@ -59,15 +59,15 @@
 // its drain delay is over, and not at all if the duplicate comes.
 func TestLateDuplicateResponse(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
-	r := newFixture(t, 4, e)
-	r.loop.Do(func() { r.pool.SetDrainDelay(time.Hour) })
-	nc, c := r.connect()
+	f := newFixture(t, 4, e)
+	f.loop.Do(func() { f.pool.SetDrainDelay(time.Hour) })
+	nc, c := f.connect()
 	in := bufio.NewReader(nc)
 	first := serveQuery(t, e, nc, in)
-	r.loop.Do(func() {
+	f.loop.Do(func() {
 		nettest.Send(t, nc, queryLine(12, idempotentClass))
 		c.conn.DeliverPending()
-		if n := r.dispatcher.Core.Counts().Attempts; n != 2 {
+		if n := f.dispatcher.Core.Counts().Attempts; n != 2 {
 			t.Errorf("%d attempts", n)
 		}
 	})
@@ -82,19 +82,19 @@
 // A released connection is checked too before it is handed to a request that waits for it.
 func TestDuplicateResponseBeforeHandover(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
-	r := newFixture(t, 1, e)
-	nc, _ := r.connect()
+	f := newFixture(t, 1, e)
+	nc, _ := f.connect()
 	nettest.Send(t, nc, queryLine(11, idempotentClass)+queryLine(12, idempotentClass))
 	first := e.Accept()
 	first.ReadRequest()
 	nettest.Eventually(t, "the second request", func() (waits bool) {
-		r.loop.Do(func() { waits = r.pool.Waiting() == 1 })
+		f.loop.Do(func() { waits = f.pool.Waiting() == 1 })
 		return waits
 	})
-	r.loop.Do(func() {
+	f.loop.Do(func() {
 		nettest.Send(t, first.Conn, succeeded)
-		for r.pool.Waiting() > 0 {
-			r.loop.RunNext()
+		for f.pool.Waiting() > 0 {
+			f.loop.RunNext()
 		}
 		nettest.Send(t, first.Conn, succeeded)
 	})
@@ -110,24 +110,24 @@
 // Discovery announces that an engine drains while the connection of a retry to it is dialed: nothing is written on it.
 func TestDrainBeforeRetry(t *testing.T) {
 	e, other := nettest.NewEngine(t, "e"), nettest.NewEngine(t, "other")
-	r := newFixture(t, 8, e)
-	nc, _ := r.connect()
+	f := newFixture(t, 8, e)
+	nc, _ := f.connect()
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
 	at := e.Accept()
 	at.ReadRequest()
-	r.listEngines(e, other)
-	r.loop.Do(func() {
-		queued := r.loop.Queued()
+	f.listEngines(e, other)
+	f.loop.Do(func() {
+		queued := f.loop.Queued()
 		nettest.Send(t, at.Conn, failed)
-		r.waitQueued(queued + 1)
-		for r.dispatcher.Core.Counts().Further == 0 {
-			r.loop.RunNext()
+		f.waitQueued(queued + 1)
+		for f.dispatcher.Core.Counts().Further == 0 {
+			f.loop.RunNext()
 		}
-		r.waitQueued(1) // the dial to the other engine has succeeded
-		r.dispatcher.UpdateEngines(false, []core.ListedEngine{other.Listed(policy.Draining)})
+		f.waitQueued(1) // the dial to the other engine has succeeded
+		f.dispatcher.UpdateEngines(false, []core.ListedEngine{other.Listed(policy.Draining)})
 	})
 	next := other.Accept()
-	r.closeIdleEngines()
+	f.closeIdleEngines()
 	next.ExpectClosed()
 }
 
@@ -135,8 +135,8 @@
 // It is not retried.
 func TestNonIdempotentQueryIsSentOnce(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
-	r := newFixture(t, 4, e)
-	nc, _ := r.connect()
+	f := newFixture(t, 4, e)
+	nc, _ := f.connect()
 	nettest.Send(t, nc, queryLine(11, nonIdempotentClass))
 	at := e.Accept()
 	at.ReadRequest()
@@ -147,7 +147,7 @@
 	}
 	nettest.Send(t, poll.Conn, failed) // the engine does not know it
 	expectLine(t, bufio.NewReader(nc), `"id":11,"error":{"code":-32013`)
-	if n := r.counts(); n.Attempts != 1 || n.Further != 0 || e.Connections() != 0 {
+	if n := f.counts(); n.Attempts != 1 || n.Further != 0 || e.Connections() != 0 {
 		t.Fatalf("%+v", n)
 	}
 }
@@ -164,15 +164,15 @@
 }
 
 // closeIdleEngines waits for an idle connection to an engine, and closes all of them.
-func (r *fixture) closeIdleEngines() {
-	r.t.Helper()
-	nettest.Eventually(r.t, "an idle connection", func() (idle bool) {
-		r.loop.Do(func() { idle = len(r.pool.IdleEngines()) > 0 })
+func (f *fixture) closeIdleEngines() {
+	f.t.Helper()
+	nettest.Eventually(f.t, "an idle connection", func() (idle bool) {
+		f.loop.Do(func() { idle = len(f.pool.IdleEngines()) > 0 })
 		return idle
 	})
-	r.loop.Do(func() {
-		for _, engine := range r.pool.IdleEngines() {
-			r.pool.Forget(engine)
+	f.loop.Do(func() {
+		for _, engine := range f.pool.IdleEngines() {
+			f.pool.Forget(engine)
 		}
 	})
 }
--- a/internal/transport/frontend/crossings_listeners_test.go
+++ b/internal/transport/frontend/crossings_listeners_test.go
@@ -16,16 +16,16 @@
 
 // Connections that the kernel has accepted before the listener closes are served: their requests may have been sent already.
 func TestAcceptedConnectionsAreServedAfterStop(t *testing.T) {
-	r := newFixture(t, 4)
+	f := newFixture(t, 4)
 	done := make(chan struct{})
 	var late []net.Conn
-	r.loop.Do(func() {
+	f.loop.Do(func() {
 		for range 8 {
-			nc := dialAndSend(t, r.PlatformListener, ping)
+			nc := dialAndSend(t, f.PlatformListener, ping)
 			nettest.WaitDelivered(t, nc)
 			late = append(late, nc)
 		}
-		r.Stop(func() { close(done) })
+		f.Stop(func() { close(done) })
 	})
 	<-done
 	for _, nc := range late {
@@ -35,13 +35,13 @@
 
 // At most one connection is accepted and not handled yet: a crowd of them would use the descriptors that discovery needs.
 func TestAcceptWaitsForTheLoop(t *testing.T) {
-	r := newFixture(t, 4)
-	r.loop.Do(func() {
+	f := newFixture(t, 4)
+	f.loop.Do(func() {
 		for range 8 {
-			dialAndSend(t, r.PlatformListener, "")
+			dialAndSend(t, f.PlatformListener, "")
 		}
-		nettest.Eventually(t, "a connection to be accepted", func() bool { return r.loop.Queued() > 0 })
-		if n := r.loop.Queued(); n > 1 {
+		nettest.Eventually(t, "a connection to be accepted", func() bool { return f.loop.Queued() > 0 })
+		if n := f.loop.Queued(); n > 1 {
 			t.Errorf("%d connections wait for the loop", n)
 		}
 	})
@@ -50,16 +50,16 @@
 // A stop does not close a connection with an incomplete line before its timeout: the rest of the request may be on its way.
 func TestIncompleteLineAtStop(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
-	r := newFixture(t, 4, e)
-	nc, _ := r.connect()
+	f := newFixture(t, 4, e)
+	nc, _ := f.connect()
 	line := queryLine(11, idempotentClass)
 	nettest.Send(t, nc, line[:30])
 	nettest.Eventually(t, "an incomplete line", func() (some bool) {
-		r.loop.Do(func() { some = r.incompleteBytes > 0 })
+		f.loop.Do(func() { some = f.incompleteBytes > 0 })
 		return some
 	})
-	r.loop.Do(func() {
-		if r.CloseIdle() {
+	f.loop.Do(func() {
+		if f.CloseIdle() {
 			t.Error("closed over an incomplete line")
 		}
 	})
@@ -74,13 +74,13 @@
 func TestUnreadMySQLBytesBeforeClose(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	f := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 8})
+	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 8})
 	loop.Do(func() {
-		if err := f.Listen(); err != nil {
+		if err := l.Listen(); err != nil {
 			t.Error(err)
 		}
 	})
-	nc, err := net.Dial("tcp", f.Addr().String())
+	nc, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,13 +91,13 @@
 	}
 	loop.Do(func() {
 		nettest.Send(t, nc, "\x20\x00\x00\x01") // the header of a login
-		if f.CloseIdle() || len(f.open) != 1 {
+		if l.CloseIdle() || len(l.open) != 1 {
 			t.Error("closed over unread bytes")
 		}
-		if !f.CloseIdle() {
+		if !l.CloseIdle() {
 			t.Error("an idle connection was not closed")
 		}
-		f.StopAccepting()
+		l.StopAccepting()
 	})
 	if _, err := io.Copy(io.Discard, nc); err != nil {
 		t.Fatalf("%v, want the end", err)
@@ -108,14 +108,14 @@
 func TestAcceptedMySQLConnectionsAreServedAfterStop(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	f := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 8})
+	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 8})
 	var late []net.Conn
 	loop.Do(func() {
-		if err := f.Listen(); err != nil {
+		if err := l.Listen(); err != nil {
 			t.Error(err)
 		}
 		for range 8 {
-			nc, err := net.Dial("tcp", f.Addr().String())
+			nc, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Error(err)
 				return
@@ -123,7 +123,7 @@
 			t.Cleanup(func() { nc.Close() })
 			late = append(late, nc)
 		}
-		f.StopAccepting()
+		l.StopAccepting()
 	})
 	for _, nc := range late {
 		nc.SetDeadline(time.Now().Add(nettest.Timeout))
--- a/internal/transport/frontend/scripted_test.go
+++ b/internal/transport/frontend/scripted_test.go
@@ -26,10 +26,9 @@
 
 // Responses of engines.
 const (
-	succeeded    = "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 2\r\n\r\na\n"
-	stillRunning = "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n"
-	failed       = "HTTP/1.1 500 OK\r\nContent-Length: 0\r\n\r\n"
-	confirmed    = "HTTP/1.1 204 OK\r\n\r\n"
+	succeeded = "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 2\r\n\r\na\n"
+	failed    = "HTTP/1.1 500 OK\r\nContent-Length: 0\r\n\r\n"
+	confirmed = "HTTP/1.1 204 OK\r\n\r\n"
 )
 
 // fixture is a platform listener of a gateway with scripted engines.
@@ -64,31 +63,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := dispatcher.New(loop, gatewayCore, p, log)
-	r := &fixture{NewPlatformListener(g, log, 100, 1<<20), t, loop, p, invariants}
-	if err := r.Serve("127.0.0.1:0"); err != nil {
+	d := dispatcher.New(loop, gatewayCore, p, log)
+	f := &fixture{NewPlatformListener(d, log, 100, 1<<20), t, loop, p, invariants}
+	if err := f.Serve("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		loop.Do(func() {
-			r.Stop(func() {})
+			f.Stop(func() {})
 			if n := invariants.Broken(); n != 0 {
 				t.Errorf("%d invariants broken", n)
 			}
 		})
 	})
-	r.listEngines(engines...)
-	return r
+	f.listEngines(engines...)
+	return f
 }
 
 // listEngines makes the engines the full engine list.
-func (r *fixture) listEngines(engines ...*nettest.Engine) {
+func (f *fixture) listEngines(engines ...*nettest.Engine) {
 	var listed []core.ListedEngine
 	for _, e := range engines {
 		listed = append(listed, e.Listed(policy.Ready))
 	}
 	if len(listed) > 0 {
-		r.loop.Do(func() { r.dispatcher.UpdateEngines(true, listed) })
+		f.loop.Do(func() { f.dispatcher.UpdateEngines(true, listed) })
 	}
 }
 
@@ -99,17 +98,17 @@
 }
 
 // connect connects a client, and returns when the listener has handled a ping of it.
-func (r *fixture) connect() (net.Conn, *client) {
-	r.t.Helper()
-	nc := dialAndSend(r.t, r.PlatformListener, ping)
-	expectPong(r.t, nc)
-	return nc, r.clientOf(nc)
+func (f *fixture) connect() (net.Conn, *client) {
+	f.t.Helper()
+	nc := dialAndSend(f.t, f.PlatformListener, ping)
+	expectPong(f.t, nc)
+	return nc, f.clientOf(nc)
 }
 
 // clientOf returns the listener's side of a connection, or nil.
-func (r *fixture) clientOf(nc net.Conn) (found *client) {
-	r.loop.Do(func() {
-		for c := range r.open {
+func (f *fixture) clientOf(nc net.Conn) (found *client) {
+	f.loop.Do(func() {
+		for c := range f.open {
 			if c.conn.RemoteAddr().String() == nc.LocalAddr().String() {
 				found = c
 			}
@@ -120,24 +119,24 @@
 
 // connectPaused connects a client whose reader is paused, as if it were not scheduled: what the client does is only found in the
 // socket.
-func (r *fixture) connectPaused() (net.Conn, *client) {
-	r.t.Helper()
-	nc := dialAndSend(r.t, r.PlatformListener, "")
+func (f *fixture) connectPaused() (net.Conn, *client) {
+	f.t.Helper()
+	nc := dialAndSend(f.t, f.PlatformListener, "")
 	var c *client
-	nettest.Eventually(r.t, "the connection", func() bool { c = r.clientOf(nc); return c != nil })
-	r.loop.Do(c.conn.Pause)
+	nettest.Eventually(f.t, "the connection", func() bool { c = f.clientOf(nc); return c != nil })
+	f.loop.Do(c.conn.Pause)
 	io.WriteString(nc, ping) // ends the present read
-	expectPong(r.t, nc)
+	expectPong(f.t, nc)
 	return nc, c
 }
 
 // waitQueued waits, on the loop, until other goroutines have posted n functions.
-func (r *fixture) waitQueued(n int) {
-	nettest.Eventually(r.t, "posted functions", func() bool { return r.loop.Queued() >= n })
+func (f *fixture) waitQueued(n int) {
+	nettest.Eventually(f.t, "posted functions", func() bool { return f.loop.Queued() >= n })
 }
 
-func (r *fixture) counts() (n core.Counts) {
-	r.loop.Do(func() { n = r.dispatcher.Core.Counts() })
+func (f *fixture) counts() (n core.Counts) {
+	f.loop.Do(func() { n = f.dispatcher.Core.Counts() })
 	return n
 }
 
