--- a/internal/transport/eventloop/write.go
+++ b/internal/transport/eventloop/write.go
@@ -52,7 +52,7 @@
 // writeLoop is the writer goroutine.
 func (c *Conn) writeLoop() {
 	for range c.writeSignal {
-		bufs, size, phase := c.takeWriteQueue()
+		bufs, size, phase := c.drainWriteQueue()
 		if size > 0 {
 			if err := c.writeBuffers(bufs); err != nil {
 				c.loop.Post(func() {
@@ -75,8 +75,8 @@
 	}
 }
 
-// takeWriteQueue empties the queue and returns its buffers, their size in bytes and the present phase.
-func (c *Conn) takeWriteQueue() (bufs net.Buffers, size int, phase phase) {
+// drainWriteQueue empties the queue and returns its buffers, their size in bytes and the present phase.
+func (c *Conn) drainWriteQueue() (bufs net.Buffers, size int, phase phase) {
 	c.mu.Lock()
 	bufs, phase = c.writeQueue, c.phase
 	c.writeQueue = nil
--- a/internal/transport/frontend/platform.go
+++ b/internal/transport/frontend/platform.go
@@ -19,7 +19,6 @@
 	clientWriteLimit = 4 << 20          // bytes: the responses of all queries that a connection may have open
 	idleTimeout      = 30 * time.Second // clients close their idle connections after 4 s
 	fairLineBytes    = 16 << 10         // a client may leave this much of a line incomplete whatever the others leave
-	queryGrace       = 250 * time.Millisecond
 	// defaultRequestTimeout is for the first request of a connection, and for the rest of a line. A connection without a
 	// request must be closed within 3 s.
 	defaultRequestTimeout = 2 * time.Second
@@ -102,30 +101,3 @@
 	c.conn = eventloop.NewConn(l.dispatcher.Loop, nc, c, clientWriteLimit)
 	c.idleTimer = l.dispatcher.Loop.After(l.requestTimeout, c.requestTimedOut)
 }
-
-// evictIdle closes an idle connection to make room for a new one, and reports whether there was one.
-func (l *PlatformListener) evictIdle() bool {
-	now := l.dispatcher.Loop.Now()
-	for range l.maxConns { // one that turns out to have sent a request stays, and another is closed
-		c := l.evictionCandidate(now)
-		if c == nil {
-			return false
-		}
-		if c.closeIfIdle("others came") || !l.open[c] { // or its client has closed it
-			return true
-		}
-	}
-	return false
-}
-
-// evictionCandidate returns the connection without open requests that has the lowest eviction priority and, among equals, has been
-// idle for longest. It returns nil if all have open requests.
-func (l *PlatformListener) evictionCandidate(now time.Duration) *client {
-	var candidate *client
-	for c := range l.open {
-		if len(c.requests) == 0 && (candidate == nil || c.evictedBefore(candidate, now)) {
-			candidate = c
-		}
-	}
-	return candidate
-}
--- a/internal/transport/frontend/platform_timeouts.go
+++ b/internal/transport/frontend/platform_timeouts.go
@@ -1,7 +1,5 @@
 package frontend
 
-import "time"
-
 // restartIdleTimer restarts the idle timeout if no query is open. A connection that has not sent a request yet keeps the timer of
 // its first request.
 func (c *client) restartIdleTimer() {
@@ -60,37 +58,3 @@
 		c.startLineTimer()
 	}
 }
-
-// evictionPriority ranks connections without open queries; the lowest is closed first.
-type evictionPriority int
-
-const (
-	quietWithoutQuery evictionPriority = iota // hundreds of them may come at a time
-	quietAfterQuery
-	recentWithoutQuery // got the response it is owed
-	recentAfterQuery   // the client can send its next query on a new connection
-	recentWithoutRequest
-)
-
-// evictionPriority returns the priority of a connection. The highest is that of a new one, whose first request may be on its way
-// and would be lost.
-func (c *client) evictionPriority(now time.Duration) evictionPriority {
-	quiet := now-c.idleSince > queryGrace
-	switch {
-	case quiet && !c.sentQuery:
-		return quietWithoutQuery
-	case quiet:
-		return quietAfterQuery
-	case c.sentRequest && !c.sentQuery:
-		return recentWithoutQuery
-	case c.sentQuery:
-		return recentAfterQuery
-	}
-	return recentWithoutRequest
-}
-
-// evictedBefore reports whether c is closed before other to make room for a new connection.
-func (c *client) evictedBefore(other *client, now time.Duration) bool {
-	a, b := c.evictionPriority(now), other.evictionPriority(now)
-	return a < b || a == b && c.idleSince < other.idleSince
-}
