--- a/internal/transport/frontend/crossings_engines_test.go
+++ b/internal/transport/frontend/crossings_engines_test.go
@@ -127,7 +127,14 @@
 		f.dispatcher.UpdateEngines(false, []core.ListedEngine{other.Listed(policy.Draining)})
 	})
 	next := other.Accept()
-	f.closeIdleEngines()
+	nettest.Eventually(t, "the end of the retry", func() (ended bool) {
+		f.loop.Do(func() {
+			c := f.dispatcher.Core
+			ended = c.AttemptsInFlight() == 0 || c.Counts().Attempts > 2
+		})
+		return ended
+	})
+	f.closeIdleEngines() // among them next, which the retry has released
 	next.ExpectClosed()
 }
 
