--- a/internal/control/subset/chooser.go
+++ b/internal/control/subset/chooser.go
@@ -1,15 +1,3 @@
-// Package subset chooses, for one gateway, the engines that it works with: a part of the fleet's engines that every
-// gateway derives by itself from the list of engines, its own number and which gateways are in service, without a
-// coordinator. It is a state machine: it is handed the time and what is known, and hands back a set. It knows no socket,
-// clock or goroutine.
-//
-// The engines of each zone form a ring in the order of a hash, which falls into equal parts. A gateway takes the part that
-// its rank in the zone points to, the engines between its own position and that of the next gateway in service, and as
-// many more as it lacks: of its zone, then of its region, then of other regions. More engines are taken at once; fewer
-// only after a while, a few at a time.
-//
-// Sources: the deterministic aperture of Twitter's Finagle (2019) for rings and windows; Envoy's zone-aware routing for
-// what leaves a zone that is short of engines. docs/design-subset.md weighs them against others.
 package subset
 
 import (
@@ -31,7 +19,7 @@
 // serves reports whether the engine counts towards the size of a subset.
 func (e Engine) serves() bool { return e.Ready && !e.Cold }
 
-// unknownZone stands for a gateway's zone that is not known.
+// unknownZone stands for a zone of a gateway that is not known.
 const unknownZone = -1
 
 // Gateway is what is known of a configured gateway.
@@ -40,34 +28,35 @@
 	InService bool
 }
 
-// Chooser holds the subset of one gateway: the engines that it wants, and those that it wanted until lately.
+// Chooser holds the subset of one gateway: the engines that it wants, and those that it no longer wants but still keeps. It
+// is not safe for concurrent use. Times are those of a clock that never runs backwards.
 type Chooser struct {
-	config    Config
-	number    int
-	zone      int
-	order     []int // the configured gateways' numbers by their position
-	gateways  []Gateway
-	engines   []listed // in the order of their hash
-	fleet     *fleet
-	ids       []uint64
-	held      map[uint64]bool          // the subset; true for its core
-	leaving   map[uint64]time.Duration // held but no longer wanted: when each may leave
-	nextLeave time.Duration            // when the next of these may leave
-	settled   time.Duration            // up to which engines leave at once
-	joined    bool                     // whether SetGateways has been called
-	changed   bool
-	peers     *peers // nil = to be worked out
+	config      Config
+	number      int // of the gateway
+	zone        int
+	order       []int // the configured gateways' numbers by their position
+	gateways    []Gateway
+	engines     []listedEngine // in the order of their hash
+	fleet       *fleet
+	ids         []uint64                 // the subset, ascending
+	members     map[uint64]bool          // the subset; true for its core
+	lingering   map[uint64]time.Duration // members that are no longer wanted: when each may be removed
+	nextRemoval time.Duration            // when the next of these may be removed
+	lingerFrom  time.Duration            // before it, members that are not wanted are removed at once
+	joined      bool                     // SetGateways has been called
+	changed     bool                     // since the last call of Changed
+	peers       *peers                   // nil = not computed since the last change
 }
 
 const (
-	leaveInterval = time.Second // between two steps of narrowing
-	leaveBatch    = 4           // engines that leave in a step
+	removalInterval = time.Second // between two removals of members that are no longer wanted
+	removalBatch    = 4           // members that are removed at a time
 )
 
 // New returns the Chooser of the gateway with this number, of so many configured ones, in this zone; a zone below 0 is
-// not known. A fleet without zones has all its gateways and engines in zone 0.
-func New(c Config, number, zone int, gateways int) (*Chooser, error) {
-	if err := c.Check(); err != nil {
+// not known. A fleet without zones has all its gateways and engines in zone 0. Errors are *ConfigError.
+func New(config Config, number, zone int, gateways int) (*Chooser, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
 	if gateways < 1 || gateways > MaxGateways {
@@ -76,91 +65,94 @@
 	if number < 0 || number >= gateways {
 		return nil, &ConfigError{"number", number, fmt.Sprintf("not from 0 to %d", gateways-1)}
 	}
-	s := &Chooser{config: c.clone(), number: number, zone: max(zone, unknownZone), gateways: make([]Gateway, gateways),
+	c := &Chooser{config: config.clone(), number: number, zone: max(zone, unknownZone), gateways: make([]Gateway, gateways),
 		order: orderByPosition(gateways)}
-	s.takeGateways(nil)
-	s.update(0)
-	return s, nil
+	c.storeGateways(nil)
+	c.update(0)
+	return c, nil
 }
 
-// SetEngines takes over the list of engines, in any order.
-func (s *Chooser) SetEngines(now time.Duration, engines []Engine) {
-	s.engines = sortEngines(engines)
-	s.update(now)
+// SetEngines replaces the list of engines, which may be in any order.
+func (c *Chooser) SetEngines(now time.Duration, engines []Engine) {
+	c.engines = sortEngines(engines)
+	c.update(now)
 }
 
-// SetGateways takes over what is known of the gateways, by configured number. Those that the slice lacks are out of
-// service. Until the first call, which is best made once membership has joined the fleet, the subset is every engine.
-func (s *Chooser) SetGateways(now time.Duration, gateways []Gateway) {
-	if !s.joined {
-		s.joined, s.settled = true, now+s.config.Linger
+// SetGateways replaces what is known of the gateways, by their numbers. Those that the slice lacks are out of service. Until
+// the first call, which is best made once membership has joined the fleet, the subset is every engine.
+func (c *Chooser) SetGateways(now time.Duration, gateways []Gateway) {
+	if !c.joined {
+		c.joined, c.lingerFrom = true, now+c.config.Linger
 	}
-	s.takeGateways(gateways)
-	s.update(now)
+	c.storeGateways(gateways)
+	c.update(now)
 }
 
-// takeGateways keeps what is known of the gateways; of itself this gateway knows better.
-func (s *Chooser) takeGateways(gateways []Gateway) {
-	known := copy(s.gateways, gateways)
-	for i := known; i < len(s.gateways); i++ {
-		s.gateways[i] = Gateway{Zone: unknownZone}
+// storeGateways copies what is known of the other gateways. Of itself the gateway knows better.
+func (c *Chooser) storeGateways(gateways []Gateway) {
+	known := copy(c.gateways, gateways)
+	for i := known; i < len(c.gateways); i++ {
+		c.gateways[i] = Gateway{Zone: unknownZone}
 	}
-	s.gateways[s.number] = Gateway{Zone: s.zone, InService: true}
+	c.gateways[c.number] = Gateway{Zone: c.zone, InService: true}
 }
 
-// Configure changes the settings while running. A Config that makes no sense changes nothing.
-func (s *Chooser) Configure(now time.Duration, c Config) error {
-	if err := c.Check(); err != nil {
+// Configure changes the settings while running. An invalid Config is a *ConfigError and changes nothing.
+func (c *Chooser) Configure(now time.Duration, config Config) error {
+	if err := config.Check(); err != nil {
 		return err
 	}
-	s.config = c.clone()
-	s.update(now)
+	c.config = config.clone()
+	c.update(now)
 	return nil
 }
 
-// update works out which engines are wanted. Those that no longer are stay for a while.
-func (s *Chooser) update(now time.Duration) {
-	s.fleet = newFleet(s.config, s.engines, s.gateways, s.order)
-	wanted := s.fleet.newWantedSet()
-	wanted.collect(s.fleet, s.fleet.spans(s.zone), s.number)
-	held, leaving := map[uint64]bool{}, map[uint64]time.Duration{}
-	for i, e := range s.engines {
+// update recomputes which engines are wanted. Members that no longer are linger for a while.
+func (c *Chooser) update(now time.Duration) {
+	c.fleet = newFleet(c.config, c.engines, c.gateways, c.order)
+	wanted := c.fleet.newWantedSet()
+	wanted.collect(c.fleet, c.fleet.spans(c.zone), c.number)
+	members, lingering := map[uint64]bool{}, map[uint64]time.Duration{}
+	for i, e := range c.engines {
 		switch {
 		case wanted.marked[i]:
-			held[e.ID] = wanted.core[i]
-		case s.Contains(e.ID) && now >= s.settled:
-			held[e.ID], leaving[e.ID] = false, s.leavesAt(e.ID, now)
+			members[e.ID] = wanted.core[i]
+		case c.Contains(e.ID) && now >= c.lingerFrom:
+			members[e.ID] = false
+			lingering[e.ID] = c.removalTime(e.ID, now)
 		}
 	}
-	s.leaving = leaving
-	s.hold(held)
+	c.lingering = lingering
+	c.setMembers(members)
 }
 
-// leavesAt is when an engine that is not wanted may leave, at the earliest.
-func (s *Chooser) leavesAt(id uint64, now time.Duration) time.Duration {
-	latest := now + s.config.Linger
-	if at, known := s.leaving[id]; known {
+// removalTime returns when a member that is not wanted may be removed, at the earliest.
+func (c *Chooser) removalTime(id uint64, now time.Duration) time.Duration {
+	latest := now + c.config.Linger
+	if at, known := c.lingering[id]; known {
 		return min(at, latest)
 	}
 	return latest
 }
 
-// hold makes these engines the subset.
-func (s *Chooser) hold(held map[uint64]bool) {
-	s.peers = nil
-	if maps.Equal(held, s.held) {
+// setMembers makes these engines the subset.
+func (c *Chooser) setMembers(members map[uint64]bool) {
+	c.peers = nil
+	if maps.Equal(members, c.members) {
 		return
 	}
-	s.held, s.ids, s.changed = held, slices.Sorted(maps.Keys(held)), true
+	c.members = members
+	c.ids = slices.Sorted(maps.Keys(members))
+	c.changed = true
 }
 
-// Tick lets a few engines go that have not been wanted for a while.
-func (s *Chooser) Tick(now time.Duration) {
-	if now < s.nextLeave {
+// Tick removes a few of the members that have not been wanted for Config.Linger.
+func (c *Chooser) Tick(now time.Duration) {
+	if now < c.nextRemoval {
 		return
 	}
 	var due []uint64
-	for id, at := range s.leaving {
+	for id, at := range c.lingering {
 		if at <= now {
 			due = append(due, id)
 		}
@@ -169,68 +161,69 @@
 		return
 	}
 	slices.SortFunc(due, func(a, b uint64) int {
-		return cmp.Or(cmp.Compare(s.leaving[a], s.leaving[b]), cmp.Compare(mix64(a), mix64(b)))
+		return cmp.Or(cmp.Compare(c.lingering[a], c.lingering[b]), cmp.Compare(mix64(a), mix64(b)))
 	})
-	held := maps.Clone(s.held)
-	for _, id := range due[:min(len(due), leaveBatch)] {
-		delete(s.leaving, id)
-		delete(held, id)
+	members := maps.Clone(c.members)
+	for _, id := range due[:min(len(due), removalBatch)] {
+		delete(c.lingering, id)
+		delete(members, id)
 	}
-	s.nextLeave = now + leaveInterval
-	s.hold(held)
+	c.nextRemoval = now + removalInterval
+	c.setMembers(members)
 }
 
-// Next returns when Tick wants to be called, at the earliest; due is false while there is nothing to let go of.
-func (s *Chooser) Next() (at time.Duration, due bool) {
-	for _, leaves := range s.leaving {
-		if !due || leaves < at {
-			at, due = leaves, true
+// Next returns when Tick has to be called, at the earliest; due is false while there is nothing to remove.
+func (c *Chooser) Next() (at time.Duration, due bool) {
+	for _, removal := range c.lingering {
+		if !due || removal < at {
+			at, due = removal, true
 		}
 	}
-	return max(at, s.nextLeave), due
+	return max(at, c.nextRemoval), due
 }
 
 // All reports whether the subset is every engine of the list.
-func (s *Chooser) All() bool { return len(s.ids) == len(s.engines) }
+func (c *Chooser) All() bool { return len(c.ids) == len(c.engines) }
 
 // Contains reports whether an engine is in the subset.
-func (s *Chooser) Contains(id uint64) bool {
-	_, held := s.held[id]
-	return held
+func (c *Chooser) Contains(id uint64) bool {
+	_, found := c.members[id]
+	return found
 }
 
 // Core reports whether an engine is in the part of the subset that the gateway shares with many others of its zone: the
-// place to keep table groups warm. Engines outside the core make up for those of it that do not serve, see to it that none
-// is left out by all, or are about to leave.
-func (s *Chooser) Core(id uint64) bool { return s.held[id] }
+// engines on which to keep table groups warm. Engines outside the core replace those of it that do not serve, are there so
+// that every engine is in a subset, or are about to be removed.
+func (c *Chooser) Core(id uint64) bool { return c.members[id] }
 
-// IDs returns the subset in ascending order. It is the Chooser's own: not to be changed, and good until the next call.
-func (s *Chooser) IDs() []uint64 { return s.ids }
+// IDs returns the subset in ascending order. The slice is the Chooser'c own: it must not be modified, and is valid until the
+// next call.
+func (c *Chooser) IDs() []uint64 { return c.ids }
 
 // Changed reports whether the subset or its core has changed since the last call.
-func (s *Chooser) Changed() bool {
-	changed := s.changed
-	s.changed = false
+func (c *Chooser) Changed() bool {
+	changed := c.changed
+	c.changed = false
 	return changed
 }
 
-// Holders returns the mean number of gateways in service that hold an engine of this subset, this one included, as far
-// as this gateway's view goes. A gateway whose zone is not known counts by the share of the engines that it wants.
-func (s *Chooser) Holders() float64 { return s.view().holders }
+// Holders returns the mean number of gateways in service that use an engine of this subset, this one included, by what this
+// gateway knows. A gateway whose zone is not known counts with the share of all engines that it wants.
+func (c *Chooser) Holders() float64 { return c.view().holders }
 
-// Overlaps returns the share of the set that the gateway wants, by this gateway's view, which lies in the own subset; 0
-// where the number makes no sense or the gateway's zone is not known, unless the own subset is every engine.
-func (s *Chooser) Overlaps(number int) float64 {
-	if number < 0 || number >= len(s.gateways) {
+// Overlaps returns the share of another gateway'c subset that lies in the own one, by what this gateway knows. It is 0 if the
+// number is out of range or the gateway'c zone is not known, and 1 for an unknown zone if the own subset is every engine.
+func (c *Chooser) Overlaps(number int) float64 {
+	if number < 0 || number >= len(c.gateways) {
 		return 0
 	}
-	return s.view().overlaps[number]
+	return c.view().overlaps[number]
 }
 
-// view works the others' subsets out once after each change.
-func (s *Chooser) view() *peers {
-	if s.peers == nil {
-		s.peers = s.countPeers()
+// view returns the others' subsets, which it computes once after each change.
+func (c *Chooser) view() *peers {
+	if c.peers == nil {
+		c.peers = c.computePeers()
 	}
-	return s.peers
+	return c.peers
 }
--- a/internal/control/subset/chooser_test.go
+++ b/internal/control/subset/chooser_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -13,8 +14,8 @@
 	_ "frostpier/internal/testutil/fixedseed"
 )
 
-// situation is a fleet as it truly is.
-type situation struct {
+// fleetModel is a fleet as it is, which the views of its gateways may differ from.
+type fleetModel struct {
 	config   Config
 	engines  []Engine
 	gateways []Gateway
@@ -25,9 +26,9 @@
 		Ready: rapid.IntRange(0, 9).Draw(t, "ready") > 0, Cold: rapid.IntRange(0, 9).Draw(t, "cold") == 0}
 }
 
-func drawSituation(t *rapid.T) situation {
+func drawFleet(t *rapid.T) fleetModel {
 	zones := rapid.IntRange(1, 5).Draw(t, "zones")
-	f := situation{config: Config{Least: rapid.IntRange(1, 40).Draw(t, "least"), EngineRate: 1,
+	f := fleetModel{config: Config{Least: rapid.IntRange(1, 40).Draw(t, "least"), EngineRate: 1,
 		Coverage: rapid.IntRange(1, 4).Draw(t, "coverage"), Linger: time.Second}}
 	if zones > 2 && rapid.Bool().Draw(t, "regions") {
 		f.config.Regions = [][]int{{0, 1}, {2}}
@@ -45,7 +46,7 @@
 }
 
 // chooser returns the Chooser of a gateway that knows all of this.
-func (f situation) chooser(number int) *Chooser {
+func (f fleetModel) chooser(number int) *Chooser {
 	s, err := New(f.config, number, f.gateways[number].Zone, len(f.gateways))
 	if err != nil {
 		panic(err)
@@ -55,7 +56,7 @@
 	return s
 }
 
-func (f situation) serving() map[uint64]bool {
+func (f fleetModel) serving() map[uint64]bool {
 	serving := map[uint64]bool{}
 	for _, e := range f.engines {
 		serving[e.ID] = e.serves()
@@ -75,9 +76,9 @@
 // maxMoved is how many other engines of a subset one engine more or less changes, at the most.
 const maxMoved = 8
 
-func TestOneEngineMovesFew(t *testing.T) {
+func TestOneEngineMovesFewOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before := drawSituation(t)
+		before := drawFleet(t)
 		for i := range before.gateways {
 			before.gateways[i].InService = true
 		}
@@ -104,9 +105,9 @@
 // TestDeathMovesOneNeighbour: one gateway more or less in service changes the subset of one other for each ring of which
 // it covers a gap (its zone, and what it takes over for zones and regions without gateways), as long as the zone has others
 // and none is short of engines.
-func TestDeathMovesOneNeighbour(t *testing.T) {
+func TestGatewayFailureChangesOneNeighbour(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before := drawSituation(t)
+		before := drawFleet(t)
 		died := rapid.IntRange(0, len(before.gateways)-1).Draw(t, "died")
 		before.gateways[died].InService = true
 		after := before
@@ -140,12 +141,12 @@
 
 func sameShares(a, b *fleet) bool {
 	for i, z := range a.zones {
-		if z.local != b.zones[i].local || (z.inService == 0) != (b.zones[i].inService == 0) {
+		if z.localShare != b.zones[i].localShare || (z.inService == 0) != (b.zones[i].inService == 0) {
 			return false
 		}
 	}
 	for i, r := range a.regions {
-		if r.nearby != b.regions[i].nearby {
+		if r.regionalShare != b.regions[i].regionalShare {
 			return false
 		}
 	}
@@ -154,9 +155,9 @@
 
 // TestNoEngineLeftOut: some gateways are out of service, and each of the others knows that but does not know the zones of
 // some, takes some that are up for dead, and has a list that lacks a few engines.
-func TestNoEngineLeftOut(t *testing.T) {
+func TestEveryEngineIsInASubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := drawSituation(t)
+		f := drawFleet(t)
 		seed := rapid.Uint64().Draw(t, "views")
 		rnd := rand.New(rand.NewPCG(seed, seed))
 		for i := range f.gateways {
@@ -196,9 +197,9 @@
 	})
 }
 
-func TestSameInputSameSubset(t *testing.T) {
+func TestSubsetIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := drawSituation(t)
+		f := drawFleet(t)
 		number := rapid.IntRange(0, len(f.gateways)-1).Draw(t, "number")
 		again := f
 		again.engines = append(rapid.Permutation(f.engines).Draw(t, "order"), f.engines[0])
@@ -222,10 +223,10 @@
 	})
 }
 
-// TestPeersCounted compares what a gateway works out of the others with what they hold.
-func TestPeersCounted(t *testing.T) {
+// TestHoldersAndOverlaps compares what a gateway works out of the others with what they hold.
+func TestHoldersAndOverlaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := drawSituation(t)
+		f := drawFleet(t)
 		number := rapid.IntRange(0, len(f.gateways)-1).Draw(t, "number")
 		f.gateways[number].InService = true
 		own, holders := f.chooser(number), 0.0
@@ -240,17 +241,17 @@
 				}
 			}
 			if share := both / float64(len(ids)); own.Overlaps(other) != share {
-				t.Fatalf("overlap with %d is %v, told as %v", other, share, own.Overlaps(other))
+				t.Fatalf("overlap with %d is %v, computed as %v", other, share, own.Overlaps(other))
 			}
 			holders += both / float64(len(own.IDs()))
 		}
 		if math.Abs(own.Holders()-holders) > 1e-9 {
-			t.Fatalf("%v holders, told as %v", holders, own.Holders())
+			t.Fatalf("%v holders, computed as %v", holders, own.Holders())
 		}
 	})
 }
 
-func TestAlone(t *testing.T) {
+func TestWithoutOtherGateways(t *testing.T) {
 	f := fleetOf(300, 1100, contiguous)
 	s, err := New(f.config, 7, f.gateways[7].Zone, len(f.gateways))
 	if err != nil {
@@ -261,7 +262,7 @@
 		t.Errorf("%d engines while nothing is known of other gateways", len(s.IDs()))
 	}
 	s.SetGateways(time.Second, f.gateways)
-	if n := len(s.IDs()); n != DefaultLeast+2 || s.All() { // two for its gap
+	if n := len(s.IDs()); n != DefaultMinEngines+2 || s.All() { // two for its gap
 		t.Errorf("%d engines at once when the others are known", n)
 	}
 	s.SetGateways(time.Minute, nil)
@@ -274,24 +275,24 @@
 		before := len(s.IDs())
 		s.Tick(at)
 		steps, last = steps+1, at
-		if left := before - len(s.IDs()); left < 1 || left > leaveBatch {
+		if left := before - len(s.IDs()); left < 1 || left > removalBatch {
 			t.Fatalf("%d engines left in a step", left)
 		}
 	}
-	if want := time.Duration(steps-1)*leaveInterval + 2*time.Minute + DefaultLinger; steps != 255 || last != want {
+	if want := time.Duration(steps-1)*removalInterval + 2*time.Minute + DefaultLinger; steps != 255 || last != want {
 		t.Errorf("narrowed in %d steps until %v, not %v", steps, last, want)
 	}
-	small := fleetOf(300, DefaultLeast, contiguous).chooser(3)
+	small := fleetOf(300, DefaultMinEngines, contiguous).chooser(3)
 	if !small.All() || small.Holders() != 300 || small.Overlaps(299) != 1 {
 		t.Errorf("a small fleet: %v, held by %v", small.All(), small.Holders())
 	}
 }
 
-// TestNarrowsSlowly drives a Chooser through random changes: what is wanted is there at once, what is not leaves no sooner
+// TestUnwantedEnginesLinger drives a Chooser through random changes: what is wanted is there at once, what is not leaves no sooner
 // than after Linger, a few in each step, and all of it in the end.
-func TestNarrowsSlowly(t *testing.T) {
+func TestUnwantedEnginesLinger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := drawSituation(t)
+		f := drawFleet(t)
 		number := rapid.IntRange(0, len(f.gateways)-1).Draw(t, "number")
 		s, now := f.chooser(number), f.config.Linger
 		unwanted := map[uint64]time.Duration{}
@@ -324,7 +325,7 @@
 					}
 				}
 			}
-			if left > leaveBatch {
+			if left > removalBatch {
 				t.Fatalf("%d engines left in a step", left)
 			}
 		}
@@ -363,7 +364,7 @@
 					Rate: rapid.Float64().Draw(t, "rate"), Coverage: rapid.IntRange(-1, 9).Draw(t, "coverage"),
 					Linger: moment.Draw(t, "linger"), Regions: [][]int{{zone.Draw(t, "in a region")}}}
 				if (s.Configure(now, c) == nil) != (c.Check() == nil) {
-					t.Fatalf("%+v taken, but it is wrong, or the other way round", c)
+					t.Fatalf("%+v is valid and was refused, or invalid and was accepted", c)
 				}
 			case 3:
 				s.Tick(now)
@@ -384,7 +385,7 @@
 	})
 }
 
-func TestConfigErrorsNameTheKey(t *testing.T) {
+func TestConfigErrors(t *testing.T) {
 	for key, change := range map[string]func(*Config){
 		"least":       func(c *Config) { c.Least = 0 },
 		"rate":        func(c *Config) { c.Rate = math.NaN() },
@@ -393,16 +394,32 @@
 		"linger":      func(c *Config) { c.Linger = 48 * time.Hour },
 		"regions":     func(c *Config) { c.Regions = [][]int{{0}, {1, 0}} },
 	} {
-		c := DefaultConfig()
-		change(&c)
-		var wrong *ConfigError
-		if err := c.Check(); !errors.As(err, &wrong) || wrong.Key != key {
-			t.Errorf("%s wrong: %v", key, err)
-		}
+		t.Run(key, func(t *testing.T) {
+			c := DefaultConfig()
+			change(&c)
+			var invalid *ConfigError
+			if err := c.Check(); !errors.As(err, &invalid) || invalid.Key != key {
+				t.Errorf("%v", err)
+			}
+		})
 	}
-	for _, arguments := range [][2]int{{0, 0}, {-1, 3}, {3, 3}, {0, MaxGateways + 1}} {
-		if _, err := New(DefaultConfig(), arguments[0], 0, arguments[1]); err == nil {
-			t.Errorf("number %d of %d taken", arguments[0], arguments[1])
-		}
+}
+
+func TestArgumentErrors(t *testing.T) {
+	for _, c := range []struct {
+		number, gateways int
+		key              string
+	}{
+		{0, 0, "gateways"},
+		{-1, 3, "number"},
+		{3, 3, "number"},
+		{0, MaxGateways + 1, "gateways"},
+	} {
+		t.Run(fmt.Sprintf("number %d of %d", c.number, c.gateways), func(t *testing.T) {
+			var invalid *ConfigError
+			if _, err := New(DefaultConfig(), c.number, 0, c.gateways); !errors.As(err, &invalid) || invalid.Key != c.key {
+				t.Errorf("%v", err)
+			}
+		})
 	}
 }
--- a/internal/control/subset/config.go
+++ b/internal/control/subset/config.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Defaults of Config, with their reasons.
+// Defaults of Config.
 const (
-	DefaultLeast      = 80               // engines: fleets of up to 80 work as they did without subsets
-	DefaultEngineRate = 20               // statements a second that one gateway puts on one engine
-	DefaultCoverage   = 16               // gateways an engine, so that the loss of a few is a small part of its load
-	DefaultLinger     = 30 * time.Second // longer than a restart, and than a table group's engines stay unused
+	DefaultMinEngines      = 80               // engines: gateways of smaller fleets use every engine
+	DefaultEngineRate = 20               // statements per second of one gateway on one engine
+	DefaultCoverage   = 16               // gateways per engine: the loss of a few is a small part of its load
+	DefaultLinger     = 30 * time.Second // longer than a restart, and than the engines of a table group stay unused
 )
 
-// Bounds of Config. Values beyond them are taken for mistakes.
+// Bounds of Config. Values beyond them are errors.
 const (
-	MaxEngines  = 1 << 14 // engines of a list that are taken over
+	MaxEngines  = 1 << 14 // engines of a list; those beyond are ignored
 	MaxGateways = 1 << 12 // configured gateways, as many as membership takes
 
 	maxRate   = 1e6
@@ -25,33 +25,34 @@
 	maxZones  = 1 << 10
 )
 
-// Config says how many engines a gateway works with, and how fast it lets go of those that it no longer needs.
+// Config sets how many engines a gateway uses, and how long it keeps those that it no longer wants.
 type Config struct {
-	Least      int           // engines of a subset, at the least
-	Rate       float64       // statements a second of one gateway; 0 = not known, which leaves Least and Coverage
-	EngineRate float64       // statements a second that one gateway puts on one engine
-	Coverage   int           // subsets that an engine lies in, on average, at the least
-	Linger     time.Duration // that an engine stays in the subset after it is no longer wanted
-	Regions    [][]int       // zones by region; empty = one region. Zones that none names form one more
+	Least      int           // minimum engines of a subset
+	Rate       float64       // statements per second of one gateway; 0 = not known: Least and Coverage decide
+	EngineRate float64       // statements per second of one gateway on one engine
+	Coverage   int           // minimum number of subsets that an engine is in, on average
+	Linger     time.Duration // time that an engine stays in the subset after it is no longer wanted
+	Regions    [][]int       // zones by region; empty = one region. Zones that no region names form one more
 }
 
-// ConfigError says which key of a Config, or argument of New, makes no sense.
+// ConfigError says which key of a Config, or argument of New, is invalid.
 type ConfigError struct {
 	Key    string // as in the operator's file
 	Value  any
-	Reason string
+	Reason string // with the bound that the value violates
 }
 
+// Error returns the text that operators see.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("subset: %s = %v: %s", e.Key, e.Value, e.Reason)
 }
 
 // DefaultConfig returns the settings of a fleet that sets nothing.
 func DefaultConfig() Config {
-	return Config{Least: DefaultLeast, EngineRate: DefaultEngineRate, Coverage: DefaultCoverage, Linger: DefaultLinger}
+	return Config{Least: DefaultMinEngines, EngineRate: DefaultEngineRate, Coverage: DefaultCoverage, Linger: DefaultLinger}
 }
 
-// Check returns a *ConfigError for the first key that makes no sense.
+// Check returns a *ConfigError for the first invalid key, nil if there is none.
 func (c Config) Check() error {
 	switch {
 	case c.Least < 1 || c.Least > MaxEngines:
@@ -97,7 +98,7 @@
 	return c
 }
 
-// size is how many serving engines a gateway wants of a fleet with so many engines and gateways.
+// size returns how many serving engines a gateway wants of a fleet with so many engines and gateways.
 func (c Config) size(engines, gateways int) int {
 	byRate := math.Ceil(c.Rate / c.EngineRate)
 	byCoverage := (c.Coverage*engines + gateways - 1) / gateways
--- a/internal/control/subset/fleet.go
+++ b/internal/control/subset/fleet.go
@@ -6,26 +6,27 @@
 	"slices"
 )
 
-// Shares of zones are bound so that no engine gets more than twice its even part, with the unevenness of rings on top.
+// Bounds of the load of a zone's engines, as a multiple of the fleet's mean. With the unevenness of rings on top, no engine gets
+// more than twice the mean.
 const (
-	maxConfiguredLoad = 1.15 // times an even part, by the gateways that are configured: it moves with none that dies
-	maxLiveLoad       = 1.5  // times an even part, by the gateways in service: most of the other zones' have died
+	maxConfiguredLoad = 1.15 // by the configured gateways: it does not change when one fails
+	maxLiveLoad       = 1.5  // by the gateways in service: reached when most gateways of other zones have failed
 )
 
-// fleet is what one gateway knows of all: engines, gateways in service, and how both spread over zones and regions.
+// fleet is what one gateway knows of all engines and gateways, and how both are distributed over zones and regions.
 type fleet struct {
-	size     int      // engines that serve which each gateway wants
-	engines  []listed // in the order of their hash
-	zoneOf   []int    // place in zones of each engine
+	size     int            // serving engines that each gateway wants
+	engines  []listedEngine // in the order of their hash
+	zoneOf   []int          // index in zones, by engine
 	gateways []Gateway
-	ranks    []int  // of each gateway among those configured in its zone; its number while its zone is not known
+	ranks    []int  // by gateway: its rank among those configured in its zone, or its number while its zone is not known
 	zones    []zone // ascending
 	regions  []region
 	total    tally
-	sharers  positions // of the gateways in service whose zone is known
+	active   positions // of the gateways in service whose zone is known
 }
 
-// tally counts what a place has.
+// tally counts the engines and gateways of a zone, a region or the fleet.
 type tally struct {
 	serving    int // engines
 	covered    int // of these, engines in zones that have a gateway in service
@@ -35,37 +36,37 @@
 
 type zone struct {
 	tally
-	number  int
-	region  int       // place in fleet.regions
-	sharers positions // of its gateways in service
-	local   float64   // share of its gateways' subsets that lies in the zone itself
+	number     int
+	region     int       // index in fleet.regions
+	active     positions // of its gateways in service
+	localShare float64   // share of its gateways' subsets that lies in the zone
 }
 
 type region struct {
 	tally
-	sharers positions
-	nearby  float64 // share of what does not lie in the own zone that still lies in the region
+	active        positions
+	regionalShare float64 // of the rest of these subsets: the share that lies in the region
 }
 
-// listed is an engine of the list with its place on the unit circle, in the same units as positions.
-type listed struct {
+// listedEngine is an engine of the list with its hash: its place on the unit circle, in the units of positions.
+type listedEngine struct {
 	Engine
 	hash uint64
 }
 
-// sortEngines returns the list in the order of the hash, each id once, so that every order of the input gives the same.
-func sortEngines(engines []Engine) []listed {
-	sorted := make([]listed, len(engines))
+// sortEngines returns the list in the order of the hash, each id once. The result does not depend on the order of the input.
+func sortEngines(engines []Engine) []listedEngine {
+	sorted := make([]listedEngine, len(engines))
 	for i, e := range engines {
-		sorted[i] = listed{e, mix64(e.ID)}
+		sorted[i] = listedEngine{e, mix64(e.ID)}
 	}
-	slices.SortFunc(sorted, func(a, b listed) int {
+	slices.SortFunc(sorted, func(a, b listedEngine) int {
 		if a.hash != b.hash {
 			return cmp.Compare(a.hash, b.hash)
 		}
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), compareBool(a.Ready, b.Ready), compareBool(a.Cold, b.Cold))
 	})
-	sorted = slices.CompactFunc(sorted, func(a, b listed) bool { return a.ID == b.ID })
+	sorted = slices.CompactFunc(sorted, func(a, b listedEngine) bool { return a.ID == b.ID })
 	return sorted[:min(len(sorted), MaxEngines)]
 }
 
@@ -80,15 +81,15 @@
 	return 1
 }
 
-// newFleet counts sorted engines and gateways by zone and region. Order is the gateways' numbers by their position.
-func newFleet(c Config, engines []listed, gateways []Gateway, order []int) *fleet {
+// newFleet counts sorted engines and gateways by zone and region; order is the gateways' numbers by their position.
+func newFleet(c Config, engines []listedEngine, gateways []Gateway, order []int) *fleet {
 	f := &fleet{size: c.size(len(engines), len(gateways)), engines: engines, zoneOf: make([]int, len(engines)),
 		gateways: gateways, ranks: make([]int, len(gateways)), regions: make([]region, len(c.Regions)+1)}
 	f.listZones(c)
 	f.countGateways()
-	f.listSharers(order)
+	f.listActive(order)
 	f.countEngines()
-	f.shareOut()
+	f.setLocality()
 	return f
 }
 
@@ -108,7 +109,7 @@
 	}
 }
 
-// regionOf is the place of a zone's region; zones that none names have the last place.
+// regionOf returns the index of a zone's region. Zones that no region names are in one more, the last.
 func (c Config) regionOf(zone int) int {
 	for i, region := range c.Regions {
 		if slices.Contains(region, zone) {
@@ -118,8 +119,8 @@
 	return len(c.Regions)
 }
 
-// placeOf finds a zone that has an engine or a gateway.
-func (f *fleet) placeOf(zoneNumber int) int {
+// zoneIndex returns the index in zones of a zone that has an engine or a gateway.
+func (f *fleet) zoneIndex(zoneNumber int) int {
 	i, _ := slices.BinarySearchFunc(f.zones, zoneNumber, func(z zone, n int) int { return cmp.Compare(z.number, n) })
 	return i
 }
@@ -130,7 +131,7 @@
 			f.ranks[number] = number
 			continue
 		}
-		z := &f.zones[f.placeOf(g.Zone)]
+		z := &f.zones[f.zoneIndex(g.Zone)]
 		r := &f.regions[z.region]
 		f.ranks[number] = z.configured
 		for _, t := range []*tally{&z.tally, &r.tally, &f.total} {
@@ -142,15 +143,15 @@
 	}
 }
 
-// listSharers lists the gateways in service of each place.
-func (f *fleet) listSharers(order []int) {
+// listActive lists the positions of the gateways in service of each zone, of each region and of the fleet.
+func (f *fleet) listActive(order []int) {
 	for _, number := range order {
 		g := f.gateways[number]
 		if !g.InService || g.Zone < 0 {
 			continue
 		}
-		z := &f.zones[f.placeOf(g.Zone)]
-		for _, p := range []*positions{&z.sharers, &f.regions[z.region].sharers, &f.sharers} {
+		z := &f.zones[f.zoneIndex(g.Zone)]
+		for _, p := range []*positions{&z.active, &f.regions[z.region].active, &f.active} {
 			*p = append(*p, position(number))
 		}
 	}
@@ -158,7 +159,7 @@
 
 func (f *fleet) countEngines() {
 	for i, e := range f.engines {
-		f.zoneOf[i] = f.placeOf(e.Zone)
+		f.zoneOf[i] = f.zoneIndex(e.Zone)
 		if !e.serves() {
 			continue
 		}
@@ -172,29 +173,29 @@
 	}
 }
 
-// shareOut sets which share of a gateway's subset lies in its zone, and which share of the rest in its region. A zone
-// with fewer engines than its gateways need keeps what its engines can bear; the rest goes to the region as far as that
-// has room, and then to all others.
-func (f *fleet) shareOut() {
-	kept := make([]float64, len(f.regions)) // gateways' worth of work that stays in its zone
+// setLocality sets which share of a gateway's subset lies in its zone, and which share of the rest in its region, as Envoy's
+// zone-aware routing does. A zone with fewer engines than its gateways need keeps what its engines have capacity for; the rest
+// goes to the region as far as that has capacity, and then to all others.
+func (f *fleet) setLocality() {
+	kept := make([]float64, len(f.regions)) // by region: gateways' worth of traffic that stays in its zone
 	for i := range f.zones {
 		z := &f.zones[i]
-		z.local = min(1, ratio(z.serving, f.size), f.bearable(z.tally))
-		kept[z.region] += z.local * float64(z.inService)
+		z.localShare = min(1, ratio(z.serving, f.size), f.localCapacity(z.tally))
+		kept[z.region] += z.localShare * float64(z.inService)
 	}
 	for i := range f.regions {
 		r := &f.regions[i]
-		room := maxLiveLoad*float64(f.total.inService)*ratio(r.serving, f.total.serving) - kept[i]
+		capacity := maxLiveLoad*float64(f.total.inService)*ratio(r.serving, f.total.serving) - kept[i]
 		spilled := float64(r.inService) - kept[i]
-		r.nearby = 1
+		r.regionalShare = 1
 		if spilled > 0 {
-			r.nearby = max(0, min(1, room/spilled))
+			r.regionalShare = max(0, min(1, capacity/spilled))
 		}
 	}
 }
 
-// bearable is the share of its gateways' work that a place's engines can bear.
-func (f *fleet) bearable(t tally) float64 {
+// localCapacity returns the share of its gateways' traffic for which a zone's engines have capacity.
+func (f *fleet) localCapacity(t tally) float64 {
 	engines := ratio(t.serving, f.total.serving)
 	share := 1.0
 	if t.configured > 0 {
@@ -206,7 +207,7 @@
 	return share
 }
 
-// ratio is a part of a whole; 0 of nothing.
+// ratio returns a part of a whole, 0 if the whole is 0.
 func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/control/subset/fleet_test.go
+++ b/internal/control/subset/fleet_test.go
@@ -30,8 +30,8 @@
 }
 
 // fleetOf is a whole fleet in 2 regions with 7 zones, with the default settings and 1,625 statements a second a gateway.
-func fleetOf(gateways, engines int, at layout) situation {
-	f := situation{config: DefaultConfig()}
+func fleetOf(gateways, engines int, at layout) fleetModel {
+	f := fleetModel{config: DefaultConfig()}
 	f.config.Rate, f.config.Regions = 1625, [][]int{{0, 1, 2, 3}, {4, 5, 6}}
 	rnd := rand.New(rand.NewPCG(uint64(gateways), uint64(engines)))
 	for i := range gateways {
@@ -50,7 +50,7 @@
 }
 
 // subsets works out the subset of each gateway in service, by one view.
-func (f situation) subsets() (*fleet, map[int]*wantedSet) {
+func (f fleetModel) subsets() (*fleet, map[int]*wantedSet) {
 	all := newFleet(f.config, sortEngines(f.engines), f.gateways, orderByPosition(len(f.gateways)))
 	spans, sets := map[int][]span{}, map[int]*wantedSet{}
 	for number, g := range f.gateways {
@@ -68,7 +68,7 @@
 
 // evenness reports how far the engines that serve are from even parts: of subsets, and of load if each gateway spreads its
 // traffic evenly over the engines of its subset that serve; and of how many such engines the subsets are.
-func (f situation) evenness(traffic func(number int) float64) (subsets, load, sizes spread) {
+func (f fleetModel) evenness(traffic func(number int) float64) (subsets, load, sizes spread) {
 	all, sets := f.subsets()
 	held, loads, counts := make([]float64, len(all.engines)), make([]float64, len(all.engines)), []float64{}
 	for number := range f.gateways {
@@ -102,17 +102,17 @@
 }
 
 // spread is the least, mean and most of some values.
-type spread struct{ least, mean, most float64 }
+type spread struct{ min, mean, max float64 }
 
 func spreadOf(values []float64) spread {
-	s := spread{least: math.Inf(1)}
+	s := spread{min: math.Inf(1)}
 	for _, v := range values {
-		s.least, s.mean, s.most = min(s.least, v), s.mean+v/float64(len(values)), max(s.most, v)
+		s.min, s.mean, s.max = min(s.min, v), s.mean+v/float64(len(values)), max(s.max, v)
 	}
 	return s
 }
 
-func (s spread) over() float64 { return s.most / s.mean }
+func (s spread) maxOverMean() float64 { return s.max / s.mean }
 
 func even(int) float64 { return 1 }
 
@@ -121,36 +121,39 @@
 	return math.Exp(rand.New(rand.NewPCG(9, uint64(number))).NormFloat64())
 }
 
-// TestBalance: where one zone has far more gateways than the others, its gateways reach out of it. They then have larger
-// subsets, so that load stays even and the number of subsets less so.
+// TestBalance checks that every engine has about the same load. Where one zone has far more gateways than the others, its
+// gateways use engines of other zones too. They then have larger subsets, so that load stays even and the number of
+// subsets less so.
 func TestBalance(t *testing.T) {
-	const most, maxSubsetsUneven = 1.25, 1.3
+	const limit, unevenSubsetsLimit = 1.25, 1.3
+	layouts := map[string]layout{"contiguous": contiguous, "round-robin": roundRobin, "random": random, "uneven": uneven}
 	for _, size := range [][2]int{{300, 80}, {300, 300}, {550, 600}, {800, 1100}} {
-		for name, at := range map[string]layout{"contiguous": contiguous, "round-robin": roundRobin, "random": random,
-			"uneven": uneven} {
-			f := fleetOf(size[0], size[1], at)
-			subsets, load, sizes := f.evenness(even)
-			t.Logf("%d x %d %s: %.1f engines, at most %.0f, subsets an engine %.0f to %.0f, most over mean %.2f, load %.2f", size[0], size[1],
-				name, sizes.mean, sizes.most, subsets.least, subsets.most, subsets.over(), load.over())
-			maxSubsets := most
-			if name == "uneven" {
-				maxSubsets = maxSubsetsUneven
-			}
-			if subsets.over() > maxSubsets || load.over() > most || sizes.over() > most {
-				t.Errorf("%d x %d %s: most over mean %.2f, load %.2f, sizes %.2f", size[0], size[1], name, subsets.over(),
-					load.over(), sizes.over())
-			}
+		for name, at := range layouts {
+			t.Run(fmt.Sprintf("%d x %d %s", size[0], size[1], name), func(t *testing.T) {
+				f := fleetOf(size[0], size[1], at)
+				subsets, load, sizes := f.evenness(even)
+				t.Logf("%.1f engines, at most %.0f, subsets an engine %.0f to %.0f, most over mean %.2f, load %.2f",
+					sizes.mean, sizes.max, subsets.min, subsets.max, subsets.maxOverMean(), load.maxOverMean())
+				subsetsLimit := limit
+				if name == "uneven" {
+					subsetsLimit = unevenSubsetsLimit
+				}
+				if subsets.maxOverMean() > subsetsLimit || load.maxOverMean() > limit || sizes.maxOverMean() > limit {
+					t.Errorf("most over mean %.2f, load %.2f, sizes %.2f", subsets.maxOverMean(), load.maxOverMean(), sizes.maxOverMean())
+				}
+			})
 		}
 	}
 }
 
-// TestFaults: a fleet of 800 and 1,100 in a fault widens at once and gives no engine more than twice its part.
-func TestFaults(t *testing.T) {
+// TestEngineFaults checks that the gateways of a fleet of 800 and 1,100 replace engines that do not serve at once, without giving
+// any engine too much load.
+func TestEngineFaults(t *testing.T) {
 	half := fleetOf(800, 1100, contiguous).chooser(400).IDs()[:41]
-	engineFaults := []struct {
-		name  string
-		most  float64
-		fault func(i int, e *Engine)
+	cases := []struct {
+		name      string
+		loadLimit float64 // times the mean
+		fault     func(i int, e *Engine)
 	}{
 		{"none", 1.25, func(int, *Engine) {}},
 		{"zone 5 drains", 1.5, func(_ int, e *Engine) { e.Ready = e.Zone != 5 }},
@@ -164,42 +167,54 @@
 		}},
 		{"half a subset drains", 1.35, func(_ int, e *Engine) { e.Ready = !slices.Contains(half, e.ID) }},
 	}
-	for _, c := range engineFaults {
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			f := fleetOf(800, 1100, contiguous)
+			for i := range f.engines {
+				c.fault(i, &f.engines[i])
+			}
+			checkFault(t, f, c.loadLimit)
+		})
+	}
+}
+
+// TestZoneFaults checks the same where gateways are out of service too.
+func TestZoneFaults(t *testing.T) {
+	t.Run("zone 5 is lost, gateways and all", func(t *testing.T) {
 		f := fleetOf(800, 1100, contiguous)
 		for i := range f.engines {
-			c.fault(i, &f.engines[i])
+			f.engines[i].Ready = f.engines[i].Zone != 5
 		}
-		checkFault(t, c.name, f, c.most)
-	}
-	lost := fleetOf(800, 1100, contiguous)
-	for i := range lost.engines {
-		lost.engines[i].Ready = lost.engines[i].Zone != 5
-	}
-	for i := range lost.gateways {
-		lost.gateways[i].InService = lost.gateways[i].Zone != 5
-	}
-	checkFault(t, "zone 5 is lost, gateways and all", lost, 1.25)
-	for _, zones := range []int{1, 6} {
-		f := fleetOf(800, 1100, contiguous)
 		for i := range f.gateways {
-			f.gateways[i].InService = f.gateways[i].Zone >= zones
+			f.gateways[i].InService = f.gateways[i].Zone != 5
 		}
-		checkFault(t, fmt.Sprintf("%d zones lose their gateways", zones), f, 1.25)
+		checkFault(t, f, 1.25)
+	})
+	for _, zones := range []int{1, 6} {
+		t.Run(fmt.Sprintf("%d zones lose their gateways", zones), func(t *testing.T) {
+			f := fleetOf(800, 1100, contiguous)
+			for i := range f.gateways {
+				f.gateways[i].InService = f.gateways[i].Zone >= zones
+			}
+			checkFault(t, f, 1.25)
+		})
 	}
 }
 
-func checkFault(t *testing.T, name string, f situation, most float64) {
+// checkFault checks that subsets have as many serving engines as are wanted, that every engine is in one, and that none has more
+// than the limit times the mean load.
+func checkFault(t *testing.T, f fleetModel, loadLimit float64) {
 	t.Helper()
 	subsets, load, sizes := f.evenness(even)
 	engines := sizes.mean
 	_, skew, _ := f.evenness(skewed)
-	t.Logf("%s: %.1f engines that serve, in %.0f to %.0f subsets each, load most over mean %.2f, with skewed traffic %.2f",
-		name, engines, subsets.least, subsets.most, load.over(), skew.over())
+	t.Logf("%.1f engines that serve, in %.0f to %.0f subsets each, load most over mean %.2f, with skewed traffic %.2f",
+		engines, subsets.min, subsets.max, load.maxOverMean(), skew.maxOverMean())
 	if size := f.config.size(1100, 800); engines < float64(size) {
-		t.Errorf("%s: %.1f engines that serve, %d wanted", name, engines, size)
+		t.Errorf("%.1f engines that serve, %d wanted", engines, size)
 	}
-	if subsets.least < 1 || load.over() > most {
-		t.Errorf("%s: an engine in %.0f subsets, one with %.2f times its part", name, subsets.least, load.over())
+	if subsets.min < 1 || load.maxOverMean() > loadLimit {
+		t.Errorf("an engine in %.0f subsets, one with %.2f times the mean load", subsets.min, load.maxOverMean())
 	}
 }
 
@@ -259,7 +274,7 @@
 			each := make([]float64, len(all.engines))
 			much := 0
 			for place, gateways := range places {
-				i := slices.IndexFunc(all.engines, func(e listed) bool { return e.ID == place[1] })
+				i := slices.IndexFunc(all.engines, func(e listedEngine) bool { return e.ID == place[1] })
 				each[i]++
 				if gateways*100 >= len(sets) {
 					much++
@@ -267,7 +282,7 @@
 			}
 			s := spreadOf(each)
 			t.Logf("%d x %d, %s: a group has %.1f engines, %.1f of them for 1%% or more of the gateways; an engine has %.2f groups, at most %.0f",
-				size[0], size[1], c.name, float64(len(places))/groups, float64(much)/groups, s.mean, s.most)
+				size[0], size[1], c.name, float64(len(places))/groups, float64(much)/groups, s.mean, s.max)
 			if c.name == "core, one home" && size[0] == 800 && s.mean > mostOfOne {
 				t.Errorf("an engine is home to %.2f groups, over %v", s.mean, mostOfOne)
 			}
--- a/internal/control/subset/peers.go
+++ b/internal/control/subset/peers.go
@@ -1,76 +1,76 @@
 package subset
 
-// peers is what a gateway works out of the others' subsets from its own view.
+// peers is how the subsets of the other gateways relate to the own one, as computed from this gateway'c view.
 type peers struct {
-	holders  float64
-	overlaps []float64 // by configured number
+	holders  float64   // mean gateways in service that use an engine of the own subset
+	overlaps []float64 // by gateway: the share of its subset that lies in the own one
 }
 
-// countPeers goes through the subsets that the gateways want.
-func (s *Chooser) countPeers() *peers {
-	p := &peers{holders: 1, overlaps: make([]float64, len(s.gateways))}
-	held := make([]bool, len(s.engines))
-	for i, e := range s.engines {
-		held[i] = s.Contains(e.ID)
+// computePeers computes the subsets that the other gateways want, and compares them with the own one.
+func (c *Chooser) computePeers() *peers {
+	p := &peers{holders: 1, overlaps: make([]float64, len(c.gateways))}
+	members := make([]bool, len(c.engines))
+	for i, e := range c.engines {
+		members[i] = c.Contains(e.ID)
 	}
-	set := s.fleet.newWantedSet()
-	for place, numbers := range s.gatewaysByZone() {
+	set := c.fleet.newWantedSet()
+	for zone, numbers := range c.gatewaysByZone() {
 		if len(numbers) == 0 {
 			continue
 		}
-		spans := s.fleet.spans(s.fleet.zones[place].number)
+		spans := c.fleet.spans(c.fleet.zones[zone].number)
 		for _, number := range numbers {
-			set.collect(s.fleet, spans, number)
-			p.add(s, number, set, held)
+			set.collect(c.fleet, spans, number)
+			p.add(c, number, set, members)
 		}
 	}
-	s.countUnknown(p)
-	p.overlaps[s.number] = 1
+	c.addUnknownZones(p)
+	p.overlaps[c.number] = 1
 	return p
 }
 
-// countUnknown counts the gateways whose zone is not known by the share of all engines that a gateway wants.
-func (s *Chooser) countUnknown(p *peers) {
-	for number, g := range s.gateways {
-		if g.Zone >= 0 || number == s.number {
+// addUnknownZones adds the gateways whose zone is not known, each with the share of all engines that a gateway wants.
+func (c *Chooser) addUnknownZones(p *peers) {
+	for number, g := range c.gateways {
+		if g.Zone >= 0 || number == c.number {
 			continue
 		}
-		if s.All() {
+		if c.All() {
 			p.overlaps[number] = 1
 		}
 		if g.InService {
-			p.holders += ratio(s.fleet.size, len(s.engines))
+			p.holders += ratio(c.fleet.size, len(c.engines))
 		}
 	}
 }
 
-// add counts the set that another gateway wants.
-func (p *peers) add(s *Chooser, number int, set *wantedSet, held []bool) {
-	both, wanted := 0, 0
+// add adds a gateway with the set that it wants; members are the engines of the own subset.
+func (p *peers) add(c *Chooser, number int, set *wantedSet, members []bool) {
+	wanted, shared := 0, 0
 	for engine, marked := range set.marked {
 		if !marked {
 			continue
 		}
 		wanted++
-		if held[engine] {
-			both++
+		if members[engine] {
+			shared++
 		}
 	}
-	p.overlaps[number] = ratio(both, wanted)
-	if s.gateways[number].InService {
-		p.holders += ratio(both, len(s.ids))
+	p.overlaps[number] = ratio(shared, wanted)
+	if c.gateways[number].InService {
+		p.holders += ratio(shared, len(c.ids))
 	}
 }
 
-// gatewaysByZone lists the other gateways of known zone by the place of that in the fleet's zones.
-func (s *Chooser) gatewaysByZone() [][]int {
-	lists := make([][]int, len(s.fleet.zones))
-	for number, g := range s.gateways {
-		if g.Zone < 0 || number == s.number {
+// gatewaysByZone lists the other gateways whose zone is known, by the zone'c index in the fleet'c zones.
+func (c *Chooser) gatewaysByZone() [][]int {
+	lists := make([][]int, len(c.fleet.zones))
+	for number, g := range c.gateways {
+		if g.Zone < 0 || number == c.number {
 			continue
 		}
-		place := s.fleet.placeOf(g.Zone)
-		lists[place] = append(lists[place], number)
+		zone := c.fleet.zoneIndex(g.Zone)
+		lists[zone] = append(lists[zone], number)
 	}
 	return lists
 }
--- a/internal/control/subset/ring.go
+++ b/internal/control/subset/ring.go
@@ -11,7 +11,7 @@
 // them, and any regular selection, lies evenly on the circle, and adding one moves none of the others.
 const goldenStep = 0x9e3779b97f4a7c15
 
-// position is the place on the unit circle, in units of 2^-64, that a number of a gateway has.
+// position returns the place of a gateway on the unit circle, in units of 2^-64.
 func position(number int) uint64 { return uint64(number) * goldenStep }
 
 // orderByPosition returns the numbers of so many gateways by their position.
@@ -24,20 +24,20 @@
 	return order
 }
 
-// mix64 scrambles an engine's id (the finalizer of SplitMix64). It maps no two ids alike.
+// mix64 hashes an engine's id with the finalizer of SplitMix64, which is a bijection: no two ids have the same hash.
 func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// ring is some of a fleet's engines in the order of their hash, closed to a circle.
+// ring is some of a fleet's engines in the order of their hash; the first follows the last.
 type ring struct {
-	members []int // places in the fleet's list
+	members []int // indices in the fleet's engines
 	serving int   // engines that serve
 }
 
-// ringOf makes a ring of the engines in the zones that keep accepts.
+// ringOf returns the ring of the engines in the zones that keep accepts.
 func (f *fleet) ringOf(keep func(z *zone) bool) *ring {
 	kept := make([]bool, len(f.zones))
 	for i := range f.zones {
@@ -56,17 +56,17 @@
 	return r
 }
 
-// run is the members [from, to) of a ring.
-type run struct{ from, to int }
+// ringRange is the members [from, to) of a ring.
+type ringRange struct{ from, to int }
 
-// walkOutside calls visit with the engines outside a run, once around from the place that a position falls on among them,
+// walkOutside calls visit with the members outside a range, once around from the one that a position points to among them,
 // until visit returns false.
-func (r *ring) walkOutside(taken run, at uint64, visit func(engine int) bool) {
-	engines := len(r.members) - (taken.to - taken.from)
-	first, _ := bits.Mul64(at, uint64(engines))
-	for i := range engines {
-		outside := (int(first) + i) % engines
-		if !visit(r.members[(taken.to+outside)%len(r.members)]) {
+func (r *ring) walkOutside(excluded ringRange, at uint64, visit func(engine int) bool) {
+	count := len(r.members) - (excluded.to - excluded.from)
+	first, _ := bits.Mul64(at, uint64(count))
+	for i := range count {
+		offset := (int(first) + i) % count
+		if !visit(r.members[(excluded.to+offset)%len(r.members)]) {
 			return
 		}
 	}
@@ -75,7 +75,7 @@
 // positions are those of some gateways in service, ascending.
 type positions []uint64
 
-// distance is how far it is from a position to the next other one of these, around the circle; 0 if there is no other.
+// distance returns how far it is from a position to the next other one, around the circle; 0 if there is no other.
 func (p positions) distance(from uint64) uint64 {
 	next := sort.Search(len(p), func(i int) bool { return p[i] > from })
 	switch {
