--- a/internal/control/subset/driver/driver.go
+++ b/internal/control/subset/driver/driver.go
@@ -7,14 +7,14 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// Driver runs an Updater on a gateway's loop. All calls come from the loop.
+// Driver runs an Updater on a gateway's event loop. All calls have to come from the loop.
 type Driver struct {
 	*Updater
 	loop  *eventloop.Loop
 	timer *eventloop.Timer
 }
 
-// NewDriver prepares an Updater that is off. Start has to be called before anything else.
+// NewDriver returns a Driver whose Updater is off. Start has to be called before anything else.
 func NewDriver(place Place, loop *eventloop.Loop, engines Engines, log *slog.Logger) *Driver {
 	return &Driver{Updater: New(place, engines, log), loop: loop}
 }
@@ -25,13 +25,13 @@
 	d.schedule()
 }
 
-// Configure changes the configuration; nil turns subsetting off.
+// Configure changes the configuration; nil turns subsets off. An invalid configuration is logged and changes nothing.
 func (d *Driver) Configure(config *subset.Config) {
 	d.Updater.Configure(d.loop.Now(), config)
 	d.schedule()
 }
 
-// schedule plans the next update, if there is to be one.
+// schedule sets the timer of the next update, if subsets are on.
 func (d *Driver) schedule() {
 	d.timer.Stop()
 	if !d.On() {
--- a/internal/control/subset/driver/fleet_test.go
+++ b/internal/control/subset/driver/fleet_test.go
@@ -13,28 +13,28 @@
 	"frostpier/internal/control/zonetable"
 )
 
-// modelStep is the time between two steps in which the model's gateways update their subsets and take load reports.
+// modelStep is the time between two steps, in which the model's gateways update their subsets and record loads of engines.
 const modelStep = 100 * time.Millisecond
 
 // modelSetup is a fleet of gateways with subsets, membership, zones and load reports on a virtual clock.
 type modelSetup struct {
-	gateways, engines, zones, least int
-	reports                         float64 // of engines' load that a gateway takes a second
-	loss                            float64
-	started                         time.Duration // within which all gateways start
-	seed                            uint64
+	gateways, engines, zones, minEngines int
+	reports                              float64 // of engines' load that a gateway records per second
+	loss                                 float64
+	started                              time.Duration // within which all gateways start
+	seed                                 uint64
 }
 
 // model is such a fleet.
 type model struct {
 	*simulation.Fleet
 	setup    modelSetup
-	gateways []*modelGateway // of the present lives
-	list     []subset.Engine
+	gateways []*modelGateway // of the present incarnations
+	engines  []subset.Engine
 	random   *rand.Rand
 }
 
-// modelGateway is one gateway: the program's own machines, and a list of engines in place of a gateway's.
+// modelGateway is one gateway: the program's own state machines, with the model's list of engines.
 type modelGateway struct {
 	model   *model
 	number  int
@@ -50,36 +50,36 @@
 	m := &model{setup: setup, gateways: make([]*modelGateway, setup.gateways), random: rand.New(rand.NewPCG(setup.seed, 41))}
 	for i := range setup.engines {
 		id := (uint64(i) + 1) * 0x9e3779b97f4a7c15
-		m.list = append(m.list, subset.Engine{ID: id, Zone: i % setup.zones, Ready: true})
+		m.engines = append(m.engines, subset.Engine{ID: id, Zone: i % setup.zones, Ready: true})
 	}
 	fleet, err := simulation.New(simulation.Setup{Members: setup.gateways, Seed: setup.seed, Loss: setup.loss, Spread: setup.started,
-		Every: 1 << 30, Make: m.node})
+		Every: 1 << 30, Make: m.startGateway})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.Fleet = fleet
-	fleet.Seen = m.received
+	fleet.Seen = m.handleEvent
 	fleet.At(0, m.step)
 	return m
 }
 
-// place is where a gateway is. Zones take numbers in turn.
-func (m *model) place(number int) Place {
+// placeOf returns the place of a gateway. Numbers are given to the zones in turn.
+func (m *model) placeOf(number int) Place {
 	zones := []string{"a", "b", "c", "d", "e", "f", "g"}[:m.setup.zones]
 	return Place{Number: number, Gateways: m.setup.gateways, Zones: zones, Zone: number % len(zones)}
 }
 
 func (m *model) config() *subset.Config {
 	config := subset.DefaultConfig()
-	config.Least, config.Coverage = m.setup.least, 1
+	config.Least, config.Coverage = m.setup.minEngines, 1
 	return &config
 }
 
-// node starts a gateway as internal/program does.
-func (m *model) node(config membership.Config) (simulation.Detector, error) {
+// startGateway starts a gateway as internal/program does.
+func (m *model) startGateway(config membership.Config) (simulation.Detector, error) {
 	g := &modelGateway{model: m, number: config.Self, digest: loadreport.New()}
 	m.gateways[config.Self] = g
-	g.updater = New(m.place(config.Self), g, slog.New(slog.DiscardHandler))
+	g.updater = New(m.placeOf(config.Self), g, slog.New(slog.DiscardHandler))
 	config.Extensions = []membership.Extension{g.updater.Extension(), g.digest}
 	config.ExtensionInterval, config.Weights = loadreport.Interval, g.updater.ReceiverWeights
 	node, err := membership.New(config)
@@ -92,8 +92,8 @@
 	return node, nil
 }
 
-// received hands a gateway what came with a datagram.
-func (m *model) received(at int, event membership.Event) error {
+// handleEvent passes on what a gateway received with a datagram.
+func (m *model) handleEvent(at int, event membership.Event) error {
 	g := m.gateways[at]
 	switch {
 	case event.Kind != membership.ExtensionReceived:
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// step has the gateways that are up update their subsets, each at its own times, and take load reports.
+// step has the gateways that are up update their subsets, each at its own times, and record loads of engines.
 func (m *model) step() {
 	for i, g := range m.gateways {
 		if g == nil || !m.Members[i].Up {
@@ -122,15 +122,14 @@
 	m.At(modelStep, m.step)
 }
 
-// look is what the gateways hold: the mean and the largest number of engines used, and the mean share of these that is known by
-// load reports.
-type look struct {
+// snapshot is the state of all gateways: the mean and the largest number of engines used, and the mean share of these whose load is known.
+type snapshot struct {
 	used    float64
 	largest int
 	known   float64
 }
 
-func (m *model) look() (out look) {
+func (m *model) snapshot() (out snapshot) {
 	up := 0
 	for i, g := range m.gateways {
 		if g == nil || !m.Members[i].Up {
@@ -152,30 +151,30 @@
 	return out
 }
 
-// bytes returns the mean bytes that a gateway has sent since the start.
-func (m *model) bytes() (mean float64) {
+// meanBytes returns the mean number of bytes that a gateway has sent since the start.
+func (m *model) meanBytes() (mean float64) {
 	for _, sent := range m.SentBytes {
 		mean += float64(sent) / float64(len(m.SentBytes))
 	}
 	return mean
 }
 
-// run plays on, and logs what gateways hold from time to time.
-func (m *model) run(t testing.TB, span, every time.Duration) (last look) {
+// run simulates for a duration, logs the state of the gateways at intervals, and returns the last.
+func (m *model) run(t testing.TB, duration, every time.Duration) (last snapshot) {
 	t.Helper()
-	for end := m.Now + span; m.Now < end; {
-		before := m.bytes()
+	for end := m.Now + duration; m.Now < end; {
+		before := m.meanBytes()
 		if err := m.Run(every); err != nil {
 			t.Fatal(err)
 		}
-		last = m.look()
+		last = m.snapshot()
 		t.Logf("%v: %.1f engines used, %d at most, %.3f known, %.0f B/s", m.Now-simulation.Epoch, last.used, last.largest, last.known,
-			(m.bytes()-before)/every.Seconds())
+			(m.meanBytes()-before)/every.Seconds())
 	}
 	return last
 }
 
-// modelMembers is what membership knows, as datagram.MembershipDriver has it.
+// modelMembers is what membership knows, as datagram.MembershipDriver passes it on.
 type modelMembers struct{ node *membership.Node }
 
 func (m modelMembers) Serves(member int) bool {
@@ -190,7 +189,7 @@
 
 func (g *modelGateway) UseSubset(chooser *subset.Chooser) {
 	g.chooser = chooser
-	chooser.SetEngines(g.model.Now, g.model.list)
+	chooser.SetEngines(g.model.Now, g.model.engines)
 	g.apply()
 }
 
@@ -217,20 +216,20 @@
 	}
 }
 
-func (g *modelGateway) SubsetSize() (listed, used int) { return len(g.model.list), len(g.used) }
+func (g *modelGateway) SubsetSize() (listed, used int) { return len(g.model.engines), len(g.used) }
 func (g *modelGateway) Narrowed() bool                 { return !g.chooser.All() }
 func (g *modelGateway) Overlap(gateway int) float64    { return g.chooser.Overlaps(gateway) }
 
-// setups are a fleet that CI plays, and the one that operators expect. Both have more gateways than a message on zones holds.
+// The fleet that CI simulates, and the one that operators expect. Both have more gateways than a message on zones holds.
 var (
-	smallSetup = modelSetup{gateways: 300, engines: 420, zones: 7, least: 30, reports: 6, loss: 0.02, started: 5 * time.Second, seed: 1}
-	wholeSetup = modelSetup{gateways: 800, engines: 1100, zones: 7, least: 80, reports: 6, loss: 0.02, started: 5 * time.Second, seed: 1}
+	ciSetup         = modelSetup{gateways: 300, engines: 420, zones: 7, minEngines: 30, reports: 6, loss: 0.02, started: 5 * time.Second, seed: 1}
+	productionSetup = modelSetup{gateways: 800, engines: 1100, zones: 7, minEngines: 80, reports: 6, loss: 0.02, started: 5 * time.Second, seed: 1}
 )
 
-// checkSettled checks that every gateway uses about as many engines as it wants, and knows the load of nearly all of them.
-func (m *model) checkSettled(t *testing.T, when string, l look) {
+// checkConverged checks that every gateway uses about as many engines as it wants, and knows the load of nearly all of them.
+func (m *model) checkConverged(t *testing.T, when string, l snapshot) {
 	t.Helper()
-	if least := float64(m.setup.least); l.used > 1.1*least || float64(l.largest) > 1.5*least {
+	if least := float64(m.setup.minEngines); l.used > 1.1*least || float64(l.largest) > 1.5*least {
 		t.Errorf("%s: %.1f engines used, %d at most", when, l.used, l.largest)
 	}
 	if l.known < 0.95 {
@@ -238,24 +237,24 @@
 	}
 }
 
-// A fleet that starts at once settles on subsets of the wanted size, whose loads nearly all gateways know; so it is after the
-// gateways of a zone were lost and came back.
-func TestGatewaysSettleOnSubsets(t *testing.T) {
+// A fleet that starts at once converges on subsets of the wanted size, whose loads nearly all gateways know. It does so again after
+// the gateways of a zone failed and restarted.
+func TestGatewaysConvergeOnSubsets(t *testing.T) {
 	t.Parallel()
-	setup := smallSetup
-	if raced {
+	setup := ciSetup
+	if raceEnabled {
 		setup.gateways = 260
 	}
 	m := newModel(t, setup)
-	m.checkSettled(t, "after the start", m.run(t, 40*time.Second, 10*time.Second))
-	if raced {
+	m.checkConverged(t, "after the start", m.run(t, 40*time.Second, 10*time.Second))
+	if raceEnabled {
 		return
 	}
 	const lost = 3
 	m.eachOfZone(lost, m.Kill)
 	m.run(t, 20*time.Second, 10*time.Second)
 	m.eachOfZone(lost, func(gateway int) { m.Start(gateway, 0) })
-	m.checkSettled(t, "after a zone was lost", m.run(t, 90*time.Second, 10*time.Second))
+	m.checkConverged(t, "after a zone was lost", m.run(t, 90*time.Second, 10*time.Second))
 }
 
 // eachOfZone calls a function with each gateway of a zone.
@@ -265,16 +264,16 @@
 	}
 }
 
-// BenchmarkGatewaysOnSubsets plays the expected fleet for a minute and a half: what gateways use and know at the end, and what
-// they send.
+// BenchmarkGatewaysOnSubsets simulates the expected fleet for a minute and a half. It reports what gateways use and know at the end,
+// and what they send.
 func BenchmarkGatewaysOnSubsets(b *testing.B) {
 	for range b.N {
-		m := newModel(b, wholeSetup)
+		m := newModel(b, productionSetup)
 		m.run(b, 60*time.Second, 10*time.Second)
-		before := m.bytes()
+		before := m.meanBytes()
 		last := m.run(b, 30*time.Second, 10*time.Second)
 		b.ReportMetric(last.used, "engines/gateway")
 		b.ReportMetric(last.known, "known")
-		b.ReportMetric((m.bytes()-before)/30, "bytes/s")
+		b.ReportMetric((m.meanBytes()-before)/30, "bytes/s")
 	}
 }
--- a/internal/control/subset/driver/norace_test.go
+++ b/internal/control/subset/driver/norace_test.go
@@ -2,4 +2,4 @@
 
 package driver
 
-const raced = false
+const raceEnabled = false
