--- a/internal/control/subset/config.go
+++ b/internal/control/subset/config.go
@@ -9,7 +9,7 @@
 
 // Defaults of Config.
 const (
-	DefaultMinEngines      = 80               // engines: gateways of smaller fleets use every engine
+	DefaultMinEngines = 80               // engines: gateways of smaller fleets use every engine
 	DefaultEngineRate = 20               // statements per second of one gateway on one engine
 	DefaultCoverage   = 16               // gateways per engine: the loss of a few is a small part of its load
 	DefaultLinger     = 30 * time.Second // longer than a restart, and than the engines of a table group stay unused
--- a/internal/control/subset/driver/race_test.go
+++ b/internal/control/subset/driver/race_test.go
@@ -2,5 +2,5 @@
 
 package driver
 
-// raced: the race detector makes a run ten times as long.
-const raced = true
+// raceEnabled reports whether the race detector runs, with which a test takes ten times as long.
+const raceEnabled = true
--- a/internal/control/subset/driver/updater.go
+++ b/internal/control/subset/driver/updater.go
@@ -164,7 +164,7 @@
 // zones are known: before that, a gateway would choose nearly every engine, as if it were alone.
 func (u *Updater) updateGateways(now time.Duration) {
 	gateways := u.knownGateways()
-	u.joined = u.joined || mostZonesKnown(gateways) || now >= u.joinDeadline
+	u.joined = u.joined || enoughZonesKnown(gateways) || now >= u.joinDeadline
 	if !u.joined || slices.Equal(gateways, u.gateways) {
 		return
 	}
@@ -181,8 +181,8 @@
 	return gateways
 }
 
-// mostZonesKnown reports whether the zones of enough gateways in service are known for a first subset.
-func mostZonesKnown(gateways []subset.Gateway) bool {
+// enoughZonesKnown reports whether the zones of enough gateways in service are known for a first subset.
+func enoughZonesKnown(gateways []subset.Gateway) bool {
 	inService, known := 0, 0
 	for _, g := range gateways {
 		if !g.InService {
