--- a/internal/control/rollout/mix.go
+++ b/internal/control/rollout/mix.go
@@ -14,26 +14,26 @@
 // ExtensionKind identifies this subsystem among the extensions of membership.
 const ExtensionKind = 2
 
-// resendInterval is when the own version is sent to a member again: datagrams are lost, and members restart.
+// resendInterval is the time after which the own version is sent to a member again: datagrams are lost, and members restart.
 const resendInterval = 20 * time.Second
 
-// Mix tracks the versions that run in the fleet: each gateway piggybacks its own on membership datagrams, to every member
-// now and then. Its size depends on the number of members alone.
+// Mix tracks the versions that run in the fleet: each gateway piggybacks its own on membership datagrams, to every member at
+// intervals. Its size depends on the number of members alone. It is not safe for concurrent use.
 type Mix struct {
 	own      ID
 	sentAt   []time.Duration // when the own version was last sent to each member; 0 = never, or an older version
 	received []ID            // the last version received from each member; zero = none yet
 }
 
-// NewMix makes one for a fleet of so many members.
+// NewMix returns the Mix of a gateway that runs the version own, in a fleet of so many members.
 func NewMix(members int, own ID) *Mix {
 	return &Mix{own: truncateID(own), sentAt: make([]time.Duration, members), received: make([]ID, members)}
 }
 
-// truncateID keeps the half that is sent.
+// truncateID returns the upper halves, which are what is sent: they suffice to tell versions apart.
 func truncateID(id ID) ID { return ID{id.Program >> 32, id.Settings >> 32} }
 
-// Own sets the own version.
+// Own sets the own version. A new one is sent to every member again.
 func (m *Mix) Own(id ID) {
 	if id = truncateID(id); id != m.own {
 		m.own = id
@@ -41,10 +41,10 @@
 	}
 }
 
-// Kind is for membership.
+// Kind returns ExtensionKind, for membership's extensions.
 func (m *Mix) Kind() uint32 { return ExtensionKind }
 
-// Append appends the own version if it was not sent to the member recently.
+// Append appends the own version to dst if it was not sent to the member recently and fits into room bytes.
 func (m *Mix) Append(now time.Duration, to, room int, dst []byte) []byte {
 	if to < 0 || to >= len(m.sentAt) || m.sentAt[to] > 0 && now-m.sentAt[to] < resendInterval {
 		return dst
@@ -61,7 +61,7 @@
 	return out
 }
 
-// Receive records the version message of a member; a malformed one changes nothing.
+// Receive records the version message of a member, and reports whether it is valid; an invalid one changes nothing.
 func (m *Mix) Receive(member int, body []byte) bool {
 	var v rolloutpb.Version
 	if member < 0 || member >= len(m.received) || proto.Unmarshal(body, &v) != nil {
@@ -71,9 +71,9 @@
 	return true
 }
 
-// Count is one version's part of the fleet.
+// Count is the number of members that run a version.
 type Count struct {
-	ID      ID // the halves that are sent
+	ID      ID // the upper halves, as they are sent
 	Members int
 }
 
--- a/internal/control/subset/fleet_test.go
+++ b/internal/control/subset/fleet_test.go
@@ -49,7 +49,7 @@
 	return h.Sum64()
 }
 
-// subsets works out the subset of each gateway in service, by one view.
+// subsets computes the subset of each gateway in service, by one view.
 func (f fleetModel) subsets() (*fleet, map[int]*wantedSet) {
 	all := newFleet(f.config, sortEngines(f.engines), f.gateways, orderByPosition(len(f.gateways)))
 	spans, sets := map[int][]span{}, map[int]*wantedSet{}
@@ -66,8 +66,8 @@
 	return all, sets
 }
 
-// evenness reports how far the engines that serve are from even parts: of subsets, and of load if each gateway spreads its
-// traffic evenly over the engines of its subset that serve; and of how many such engines the subsets are.
+// evenness returns how the serving engines are distributed: in how many subsets each is, and its load if each gateway distributes
+// its traffic evenly over the serving engines of its subset; and how many such engines the subsets have.
 func (f fleetModel) evenness(traffic func(number int) float64) (subsets, load, sizes spread) {
 	all, sets := f.subsets()
 	held, loads, counts := make([]float64, len(all.engines)), make([]float64, len(all.engines)), []float64{}
@@ -101,7 +101,7 @@
 	return spreadOf(serves(held)), spreadOf(serves(loads)), spreadOf(counts)
 }
 
-// spread is the least, mean and most of some values.
+// spread is the minimum, mean and maximum of some values.
 type spread struct{ min, mean, max float64 }
 
 func spreadOf(values []float64) spread {
@@ -218,7 +218,7 @@
 	}
 }
 
-// mixHome and homesOf follow policy's mix and spreadEvenly: who is the home of a table group.
+// mixHome and homesOf choose the home engine of a table group as policy's mix and spreadEvenly do.
 func mixHome(group int, engine uint64) uint64 {
 	x := uint64(group+1)*0x9e3779b97f4a7c15 ^ engine*0xbf58476d1ce4e5b9
 	x = (x ^ x>>31) * 0x94d049bb133111eb
