--- a/internal/control/rollout/comparison.go
+++ b/internal/control/rollout/comparison.go
@@ -81,13 +81,13 @@
 	dispersion float64 // variance of the old gateways' counts over that of chance alone, at least 1
 }
 
-func compare(news, olds []Sample, classes classRange, m metric) comparison {
+func compare(newSamples, oldSamples []Sample, classes classRange, m metric) comparison {
 	c := comparison{dispersion: 1}
-	for _, s := range news {
+	for _, s := range newSamples {
 		c.new.add(classes.count(s, m))
 	}
-	counts := make([]proportion, len(olds))
-	for i, s := range olds {
+	counts := make([]proportion, len(oldSamples))
+	for i, s := range oldSamples {
 		counts[i] = classes.count(s, m)
 		c.old.add(counts[i])
 	}
@@ -98,18 +98,18 @@
 // estimateDispersion sets the dispersion of the old gateways to Pearson's statistic over its degrees of freedom (McCullagh and
 // Nelder): gateways see different traffic and engines, so that a new gateway may differ from the old ones as much as these
 // differ from each other.
-func (c *comparison) estimateDispersion(olds []proportion) {
-	chiSquared, gateways := 0.0, 0
+func (c *comparison) estimateDispersion(gateways []proportion) {
+	chiSquared, sources := 0.0, 0
 	p := c.old.smooth()
-	for _, old := range olds {
+	for _, old := range gateways {
 		if old.total >= minDispersionAnswers {
 			d := float64(old.count) - p*float64(old.total)
 			chiSquared += d * d / (float64(old.total) * p * (1 - p))
-			gateways++
+			sources++
 		}
 	}
-	if gateways >= minDispersionSources {
-		c.dispersion = min(maxDispersion, max(1, chiSquared/float64(gateways-1)))
+	if sources >= minDispersionSources {
+		c.dispersion = min(maxDispersion, max(1, chiSquared/float64(sources-1)))
 	}
 }
 
--- a/internal/control/rollout/controller/processes.go
+++ b/internal/control/rollout/controller/processes.go
@@ -71,7 +71,7 @@
 	return found
 }
 
-// search looks through /proc for the gateways with these configurations.
+// search scans /proc for the processes of the gateways with these configurations.
 func (p *processes) search(missing map[string]int, found []process) {
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
--- a/internal/control/rollout/controller/restart.go
+++ b/internal/control/rollout/controller/restart.go
@@ -9,7 +9,7 @@
 	"frostpier/internal/control/rollout"
 )
 
-// stopPollInterval is the time between two looks for a process that was asked to stop.
+// stopPollInterval is the time between two checks whether a process that was asked to stop has ended.
 const stopPollInterval = 50 * time.Millisecond
 
 // Up starts the gateways that do not run, on the plan's old version, and returns how many those were.
--- a/internal/control/rollout/judge.go
+++ b/internal/control/rollout/judge.go
@@ -21,14 +21,14 @@
 // Evaluate compares the new gateways of a stage with the old ones over the same time. The first clientClasses of the classes
 // are those of clients. The probability of a false alarm is divided by stages, classes and metrics (Bonferroni's correction).
 func (j Judge) Evaluate(samples []Sample, classNames []string, clientClasses, stages int) Verdict {
-	news, olds := splitByVersion(samples)
-	if len(news) == 0 || len(olds) == 0 {
+	newSamples, oldSamples := splitByVersion(samples)
+	if len(newSamples) == 0 || len(oldSamples) == 0 {
 		return Verdict{Why: "there is nobody to compare with"}
 	}
-	if why := j.corruptedResults(news, olds); why != "" {
+	if why := j.corruptedResults(newSamples, oldSamples); why != "" {
 		return Verdict{Worse: true, Why: why}
 	}
-	if why := j.excessMemory(news, olds); why != "" {
+	if why := j.excessMemory(newSamples, oldSamples); why != "" {
 		return Verdict{Worse: true, Why: why}
 	}
 	all := metrics()
@@ -37,7 +37,7 @@
 	for class := allClasses; class < len(classNames); class++ {
 		name := className(classNames, class)
 		for k, m := range all {
-			c := compare(news, olds, classesOf(class, clientClasses), m)
+			c := compare(newSamples, oldSamples, classesOf(class, clientClasses), m)
 			if c.exceeds(j.AllowedRegression, alpha) {
 				return Verdict{Worse: true, Why: c.describe(name, m.name)}
 			}
@@ -46,7 +46,7 @@
 			}
 		}
 	}
-	if unknown == "" && correctChecks(news) < j.MinChecks {
+	if unknown == "" && correctChecks(newSamples) < j.MinChecks {
 		unknown = "too few results of known queries so far"
 	}
 	return Verdict{Conclusive: unknown == "", Why: unknown}
@@ -79,23 +79,23 @@
 }
 
 // splitByVersion separates the samples of new and old gateways.
-func splitByVersion(samples []Sample) (news, olds []Sample) {
+func splitByVersion(samples []Sample) (newSamples, oldSamples []Sample) {
 	for _, s := range samples {
 		if s.New {
-			news = append(news, s)
+			newSamples = append(newSamples, s)
 		} else {
-			olds = append(olds, s)
+			oldSamples = append(oldSamples, s)
 		}
 	}
-	return news, olds
+	return newSamples, oldSamples
 }
 
 // Summary describes how old and new gateways compare over all classes of clients, for the history.
 func (j Judge) Summary(samples []Sample, clientClasses int) string {
-	news, olds := splitByVersion(samples)
+	newSamples, oldSamples := splitByVersion(samples)
 	var parts []string
 	for _, m := range metrics() {
-		c := compare(news, olds, classesOf(allClasses, clientClasses), m)
+		c := compare(newSamples, oldSamples, classesOf(allClasses, clientClasses), m)
 		parts = append(parts, fmt.Sprintf("%s %.3f of %d (old %.3f of %d)", m.name, c.new.share(), c.new.total, c.old.share(), c.old.total))
 	}
 	return strings.Join(parts, ", ")
@@ -103,9 +103,9 @@
 
 // corruptedResults describes incorrect results of checks that chance does not explain, because the old gateways have none or
 // far fewer. It is empty if there are none.
-func (j Judge) corruptedResults(news, olds []Sample) string {
-	incorrect, total := incorrectChecks(news)
-	oldIncorrect, oldTotal := incorrectChecks(olds)
+func (j Judge) corruptedResults(newSamples, oldSamples []Sample) string {
+	incorrect, total := incorrectChecks(newSamples)
+	oldIncorrect, oldTotal := incorrectChecks(oldSamples)
 	if incorrect < minIncorrectResults {
 		return ""
 	}
@@ -128,9 +128,9 @@
 
 // excessMemory describes the first new gateway whose memory is too far above the median old one's. It is empty if there is
 // none.
-func (j Judge) excessMemory(news, olds []Sample) string {
+func (j Judge) excessMemory(newSamples, oldSamples []Sample) string {
 	var oldMB []float64
-	for _, s := range olds {
+	for _, s := range oldSamples {
 		if s.MemoryMB > 0 {
 			oldMB = append(oldMB, s.MemoryMB)
 		}
@@ -140,7 +140,7 @@
 	}
 	slices.Sort(oldMB)
 	median := oldMB[len(oldMB)/2]
-	for _, s := range news {
+	for _, s := range newSamples {
 		if s.MemoryMB > j.MemoryFactor*median+j.ExtraMemoryMB {
 			return formatComparison("memory in MB", "a gateway", s.MemoryMB, median, 1)
 		}
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -25,7 +25,7 @@
 	verdict     Verdict
 }
 
-// minPause is the time between two ticks from which the controller itself is taken to have been paused.
+// minPause is the time between two ticks above which the controller itself is assumed to have been paused.
 const minPause = 2 * time.Second
 
 // New begins a change; all gateways are expected to run the old version. The ids are how the two versions show in reports.
--- a/internal/control/subset/spans.go
+++ b/internal/control/subset/spans.go
@@ -1,8 +1,6 @@
 package subset
 
-import (
-	"math"
-)
+import "math"
 
 // partTolerance is the share by which a part of a ring may have fewer engines than a gateway wants.
 const partTolerance = 0.1
