--- a/internal/control/loadreport/digest_test.go
+++ b/internal/control/loadreport/digest_test.go
@@ -173,7 +173,7 @@
 
 // How many reports each gateway has, and how old: 100 gateways, each with 6 reports a second of 40 random engines, and two
 // datagrams a second to random others. Without datagrams a gateway has unexpired reports on 21 engines.
-func TestReportsSpread(t *testing.T) {
+func TestKnowledgeSpreads(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	const gateways, engines = 100, 40
 	var sharing, isolated []*Digest
--- /dev/null
+++ b/internal/control/membership/simulation/detector.go
@@ -0,0 +1,23 @@
+package simulation
+
+import (
+	"net/netip"
+	"time"
+
+	"frostpier/internal/control/membership"
+)
+
+// Detector is the failure detector that runs at a member: the membership protocol (membership.Node documents the methods),
+// or a baseline to compare it with.
+type Detector interface {
+	Start(now time.Duration)
+	Tick(now time.Duration)
+	Receive(now time.Duration, from netip.AddrPort, b []byte)
+	Leave(now time.Duration)
+	Next() time.Duration
+	Datagrams() []membership.Datagram
+	Events() []membership.Event
+	Member(i int) (membership.State, uint64)
+	InService() int
+	Check() error
+}
--- a/internal/control/membership/simulation/golden_test.go
+++ b/internal/control/membership/simulation/golden_test.go
@@ -11,24 +11,23 @@
 	"frostpier/internal/testutil"
 )
 
-const goldenShown = 40 // datagrams that are written out in full; the others count in the hash
+const writtenInFull = 40 // datagrams that are written out in full; the others count in the hash
 
-// recordedNode writes down every datagram that a member sends.
+// recordedNode records every datagram that a member sends.
 type recordedNode struct {
 	*membership.Node
-	note func(d membership.Datagram)
+	record func(d membership.Datagram)
 }
 
 func (n *recordedNode) Datagrams() []membership.Datagram {
 	list := n.Node.Datagrams()
 	for _, d := range list {
-		n.note(d)
+		n.record(d)
 	}
 	return list
 }
 
-// The datagrams of a fleet through kills, pauses, a cut and departures are, byte for byte, what they were before the code was
-// rearranged.
+// The datagrams of a fleet through kills, a pause, a partition and a leave do not change in any byte.
 func TestDatagramTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
@@ -40,7 +39,7 @@
 				return nil, err
 			}
 			return &recordedNode{node, func(d membership.Datagram) {
-				if count++; count <= goldenShown {
+				if count++; count <= writtenInFull {
 					fmt.Fprintf(&out, "%d to %d: %x\n", cfg.Self, d.To, d.Bytes)
 				}
 				fmt.Fprintf(hash, "%d to %d: %x\n", cfg.Self, d.To, d.Bytes)
--- a/internal/control/membership/simulation/heal_test.go
+++ b/internal/control/membership/simulation/heal_test.go
@@ -1,111 +1,120 @@
 package simulation
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
 	"frostpier/internal/control/membership"
 )
 
-// When two halves that were cut from each other meet again, rumours of one cross to the other. No member may be told
-// dead by its own half for that, and the pings that doubt causes stay within their bound.
-func TestHealKillsNobody(t *testing.T) {
+// When two partitions meet again, updates of one cross to the other. They must declare no member dead in its own partition,
+// and the pings of the suspects must stay within their bound.
+func TestHealDeclaresNobodyDead(t *testing.T) {
 	t.Parallel()
 	sizes := []int{12, 100, 300}
-	if raced {
+	if raceDetector {
 		sizes = []int{12, 40}
 	}
 	for _, n := range sizes {
 		for _, loss := range []float64{0, 0.1} {
-			f, _ := fleet(t, n)
-			f.Loss, f.Every = loss, 100
-			f.Cut = func(a, b int) bool { return a%2 != b%2 }
-			play(t, f, 40*time.Second)
-			f.Cut = nil
-			own := map[int]bool{}
-			f.Seen = func(at int, e membership.Event) error {
-				if e.Kind == membership.Changed && e.Is == membership.Dead && at%2 == e.Member%2 {
-					own[e.Member] = true
+			t.Run(fmt.Sprintf("members=%d,loss=%v", n, loss), func(t *testing.T) {
+				f, _ := startedFleet(t, n)
+				f.Loss, f.Every = loss, 100
+				f.Cut = oddFromEven
+				runFor(t, f, 40*time.Second)
+				f.Cut = nil
+				ownDead := deadInOwnPartition(f)
+				sent, healed := total(f.Sent), f.Now
+				awaitAgreement(t, f, time.Minute)
+				duration := f.Now - healed
+				rate := float64(total(f.Sent)-sent) / float64(n) / duration.Seconds()
+				t.Logf("agreed after %v, %d declared dead by their own partition, %.1f datagrams per member and second",
+					duration, len(ownDead), rate)
+				if len(ownDead) > 0 || rate > 60 {
+					t.Errorf("%d declared dead by their own partition, %.1f datagrams per member and second", len(ownDead), rate)
 				}
-				return nil
-			}
-			sent := total(f.Sent)
-			healed := f.Now
-			agree(t, f, time.Minute)
-			took := f.Now - healed
-			per := float64(total(f.Sent)-sent) / float64(n) / took.Seconds()
-			t.Logf("%d members, loss %v: agreed after %v, %d declared dead by their own half, %.1f datagrams a member and second", n, loss, took, len(own), per)
-			if len(own) > 0 || per > 60 {
-				t.Errorf("%d members, loss %v: %d declared dead by their own half, %.1f datagrams", n, loss, len(own), per)
-			}
+			})
 		}
 	}
 }
 
-// Whatever becomes of most members at once, what a member sends over 10 s stays within 3 KB a second, on average over the members.
+// deadInOwnPartition returns the members that one of the same parity declares dead from now on.
+func deadInOwnPartition(f *Fleet) map[int]bool {
+	dead := map[int]bool{}
+	f.Seen = func(at int, e membership.Event) error {
+		if e.Kind == membership.Changed && e.Is == membership.Dead && at%2 == e.Member%2 {
+			dead[e.Member] = true
+		}
+		return nil
+	}
+	return dead
+}
+
+// Whatever happens to most members at once, a member sends at most 3 KB a second over 10 s, on average over the members.
 func TestMassFaultsStayWithinTheBudget(t *testing.T) {
 	t.Parallel()
 	f := lossyFleet(t, 500, 100)
 	n := len(f.Members)
-	faults := []struct {
-		name  string
-		begin func()
+	for _, fault := range []struct {
+		name   string
+		inject func()
 	}{
-		{"halves cut from each other", func() { f.Cut = func(a, b int) bool { return a%2 != b%2 } }},
+		{"partition", func() { f.Cut = oddFromEven }},
 		{"healed", func() { f.Cut = nil }},
-		{"a fifth killed", func() { eachFifth(n, f.Kill) }},
-		{"back", func() { eachFifth(n, func(i int) { f.Start(i, 0) }) }},
-	}
-	for _, fault := range faults {
-		fault.begin()
-		most := worstBytes(t, f, 60*time.Second, 10*time.Second)
-		t.Logf("%d members, %s: %.0f bytes a second in the worst 10 s", n, fault.name, most)
-		if most > 3000 {
-			t.Errorf("%d members, %s: %.0f bytes a second", n, fault.name, most)
+		{"a fifth killed", func() { eachFifthMember(n, f.Kill) }},
+		{"restarted", func() { eachFifthMember(n, func(i int) { f.Start(i, 0) }) }},
+	} {
+		fault.inject()
+		rate := worstByteRate(t, f, 60*time.Second, 10*time.Second)
+		t.Logf("%d members, %s: %.0f bytes a second in the worst 10 s", n, fault.name, rate)
+		if rate > 3000 {
+			t.Errorf("%d members, %s: %.0f bytes a second", n, fault.name, rate)
 		}
 	}
-	agree(t, f, 10*time.Second)
+	awaitAgreement(t, f, 10*time.Second)
 }
 
-// The budget does not keep the halves of a cut from holding each other dead: its updates go before pings of members that others
-// suspect as well.
-func TestLargeCutIsSeen(t *testing.T) {
+// The byte budget does not keep two large partitions from declaring each other dead: updates go before the pings of suspects
+// that other members suspect as well.
+func TestLargePartitionIsDetected(t *testing.T) {
 	t.Parallel()
 	f := lossyFleet(t, 500, 60)
 	n := len(f.Members)
-	f.Cut = func(a, b int) bool { return a%2 != b%2 }
-	play(t, f, 45*time.Second)
+	f.Cut = oddFromEven
+	runFor(t, f, 45*time.Second)
 	for i := range f.Members {
 		if serving := f.Members[i].Node.InService(); serving != n/2 {
-			t.Fatalf("after 45 s member %d holds %d of %d in service", i, serving, n)
+			t.Fatalf("after 45 s member %d has %d of %d in service", i, serving, n)
 		}
 	}
 }
 
-// lossyFleet makes a fleet of so many members, or fewer under the race detector, that loses one datagram in 20.
-func lossyFleet(t *testing.T, members, racedMembers int) *Fleet {
+// lossyFleet returns a fleet that loses one datagram in 20, with fewer members under the race detector.
+func lossyFleet(t *testing.T, members, membersUnderRace int) *Fleet {
 	t.Helper()
-	if raced {
-		members = racedMembers
+	if raceDetector {
+		members = membersUnderRace
 	}
-	f, _ := fleet(t, members)
+	f, _ := startedFleet(t, members)
 	f.Loss, f.Every = 0.05, 1000
 	return f
 }
 
-// eachFifth calls a function with one member in five.
-func eachFifth(members int, call func(member int)) {
+// eachFifthMember calls a function with one member in five.
+func eachFifthMember(members int, call func(member int)) {
 	for i := 0; i < members; i += 5 {
 		call(i)
 	}
 }
 
-// worstBytes plays on and returns what a member that is up has sent a second, on average, in the worst window.
-func worstBytes(t *testing.T, f *Fleet, span, window time.Duration) (worst float64) {
+// worstByteRate runs the fleet for a span and returns the bytes a second that a member which is up has sent on average in the
+// worst window.
+func worstByteRate(t *testing.T, f *Fleet, span, window time.Duration) (worst float64) {
 	t.Helper()
 	totals := []int{total(f.SentBytes)}
 	for range int(span / time.Second) {
-		play(t, f, time.Second)
+		runFor(t, f, time.Second)
 		totals = append(totals, total(f.SentBytes))
 	}
 	up := 0
--- a/internal/control/membership/simulation/heartbeat.go
+++ b/internal/control/membership/simulation/heartbeat.go
@@ -9,36 +9,43 @@
 	"frostpier/internal/control/membership"
 )
 
-// Heartbeat is the baseline that the protocol is compared with: a plain heartbeat detector with the same budget of
-// datagrams. Each member goes round all others in a shuffled order, so many a second, and holds one dead that it has
-// not heard for some rounds. It has no helpers, no suspicion and no rumours.
+// Heartbeat is the baseline that the protocol is compared with: a heartbeat failure detector with the same budget of
+// datagrams. Each member sends heartbeats to all others in a shuffled round-robin order, at a constant rate, and declares a
+// member dead after a timeout of some rounds. It has no indirect probes, no suspicion and no gossip.
 type Heartbeat struct {
-	cfg         membership.Config
-	every       time.Duration // between two heartbeats
-	silent      time.Duration // after which a member is held dead
-	rnd         *rand.Rand
-	order       []int
-	at          int
-	contactedAt []time.Duration
-	dead        []bool
-	byAddr      map[netip.AddrPort]int
-	due         time.Duration
-	serial      uint64
-	out         []membership.Datagram
-	events      []membership.Event
-	alive       int
+	cfg           membership.Config
+	interval      time.Duration // between two heartbeats
+	timeout       time.Duration // without a heartbeat, after which a member is dead
+	rnd           *rand.Rand
+	others        []int // all member numbers but the own, in the order of this round
+	nextReceiver  int   // index in others
+	lastContactAt []time.Duration
+	dead          []bool
+	numbers       map[netip.AddrPort]int // member numbers by address
+	nextSendAt    time.Duration
+	sequence      uint64
+	serving       int
+	datagrams     []membership.Datagram
+	events        []membership.Event
 }
 
-// NewHeartbeat makes one that sends so many datagrams a second and holds a member dead after so many silent rounds.
+// NewHeartbeat returns a Heartbeat that sends perSecond datagrams a second, and declares a member dead after so many rounds
+// without a heartbeat.
 func NewHeartbeat(cfg membership.Config, perSecond, rounds float64) *Heartbeat {
-	h := &Heartbeat{cfg: cfg, every: time.Duration(float64(time.Second) / perSecond),
-		rnd: rand.New(rand.NewPCG(cfg.Seed, 3)), contactedAt: make([]time.Duration, len(cfg.Peers)),
-		dead: make([]bool, len(cfg.Peers)), byAddr: map[netip.AddrPort]int{}, alive: len(cfg.Peers)}
-	h.silent = time.Duration(rounds * float64(h.every) * float64(len(cfg.Peers)-1))
-	for i, p := range cfg.Peers {
-		h.byAddr[p] = i
+	h := &Heartbeat{
+		cfg:           cfg,
+		interval:      time.Duration(float64(time.Second) / perSecond),
+		rnd:           rand.New(rand.NewPCG(cfg.Seed, 3)),
+		lastContactAt: make([]time.Duration, len(cfg.Peers)),
+		dead:          make([]bool, len(cfg.Peers)),
+		numbers:       map[netip.AddrPort]int{},
+		serving:       len(cfg.Peers),
+	}
+	h.timeout = time.Duration(rounds * float64(h.interval) * float64(len(cfg.Peers)-1))
+	for i, peer := range cfg.Peers {
+		h.numbers[peer] = i
 		if i != cfg.Self {
-			h.order = append(h.order, i)
+			h.others = append(h.others, i)
 		}
 	}
 	return h
@@ -46,66 +53,76 @@
 
 // Start begins the heartbeats.
 func (h *Heartbeat) Start(now time.Duration) {
-	for i := range h.contactedAt {
-		h.contactedAt[i] = now
+	for i := range h.lastContactAt {
+		h.lastContactAt[i] = now
 	}
-	h.due = now + time.Duration(h.rnd.Int64N(int64(h.every)))
+	h.nextSendAt = now + time.Duration(h.rnd.Int64N(int64(h.interval)))
 }
 
-// Tick sends the next heartbeat and looks for who is silent.
+// Tick sends the next heartbeat and declares members dead, if that is due.
 func (h *Heartbeat) Tick(now time.Duration) {
-	h.out, h.events = h.out[:0], h.events[:0]
-	if now < h.due {
+	h.reset()
+	if now < h.nextSendAt {
 		return
 	}
-	h.due = now + h.every
-	if h.at == 0 {
-		h.rnd.Shuffle(len(h.order), func(a, b int) { h.order[a], h.order[b] = h.order[b], h.order[a] })
-	}
-	h.serial++
-	h.out = append(h.out, membership.Datagram{To: h.order[h.at], Bytes: binary.AppendUvarint(nil, h.serial)})
-	h.at = (h.at + 1) % len(h.order)
-	for _, i := range h.order {
-		if !h.dead[i] && now-h.contactedAt[i] > h.silent {
-			h.change(i, true)
+	h.nextSendAt = now + h.interval
+	h.sendNext()
+	for _, i := range h.others {
+		if !h.dead[i] && now-h.lastContactAt[i] > h.timeout {
+			h.setDead(i, true)
 		}
 	}
 }
 
-func (h *Heartbeat) change(i int, dead bool) {
+// reset drops the datagrams and events of the last call.
+func (h *Heartbeat) reset() { h.datagrams, h.events = h.datagrams[:0], h.events[:0] }
+
+// sendNext sends a heartbeat to the next member of the round.
+func (h *Heartbeat) sendNext() {
+	if h.nextReceiver == 0 {
+		h.rnd.Shuffle(len(h.others), func(a, b int) { h.others[a], h.others[b] = h.others[b], h.others[a] })
+	}
+	h.sequence++
+	h.datagrams = append(h.datagrams, membership.Datagram{To: h.others[h.nextReceiver], Bytes: binary.AppendUvarint(nil, h.sequence)})
+	h.nextReceiver = (h.nextReceiver + 1) % len(h.others)
+}
+
+// setDead changes the state of a member.
+func (h *Heartbeat) setDead(i int, dead bool) {
 	was, is := membership.Alive, membership.Dead
-	if h.dead[i] = dead; !dead {
-		was, is = is, was
-		h.alive++
+	if dead {
+		h.serving--
 	} else {
-		h.alive--
+		was, is = is, was
+		h.serving++
 	}
+	h.dead[i] = dead
 	h.events = append(h.events, membership.Event{Kind: membership.Changed, Member: i, Was: was, Is: is, By: h.cfg.Self})
 }
 
-// Receive takes a heartbeat.
+// Receive handles a heartbeat.
 func (h *Heartbeat) Receive(now time.Duration, from netip.AddrPort, _ []byte) {
-	h.out, h.events = h.out[:0], h.events[:0]
-	i := h.byAddr[from]
-	h.contactedAt[i] = now
+	h.reset()
+	i := h.numbers[from]
+	h.lastContactAt[i] = now
 	if h.dead[i] {
-		h.change(i, false)
+		h.setDead(i, false)
 	}
 }
 
-// Leave does nothing: the baseline knows no leaving.
-func (h *Heartbeat) Leave(time.Duration) { h.out, h.events = h.out[:0], h.events[:0] }
+// Leave does nothing: the baseline has no graceful leave.
+func (h *Heartbeat) Leave(time.Duration) { h.reset() }
 
-// Next is when the next heartbeat goes out.
-func (h *Heartbeat) Next() time.Duration { return h.due }
+// Next returns the time of the next heartbeat.
+func (h *Heartbeat) Next() time.Duration { return h.nextSendAt }
 
-// Datagrams are those of the last call.
-func (h *Heartbeat) Datagrams() []membership.Datagram { return h.out }
+// Datagrams returns those of the last call.
+func (h *Heartbeat) Datagrams() []membership.Datagram { return h.datagrams }
 
-// Events are those of the last call.
+// Events returns those of the last call.
 func (h *Heartbeat) Events() []membership.Event { return h.events }
 
-// Member returns what is held of a member.
+// Member returns the state of a member, and 1 for its incarnation.
 func (h *Heartbeat) Member(i int) (membership.State, uint64) {
 	if h.dead[i] {
 		return membership.Dead, 1
@@ -113,8 +130,8 @@
 	return membership.Alive, 1
 }
 
-// InService is how many members are held to be in service.
-func (h *Heartbeat) InService() int { return h.alive }
+// InService returns the number of members in service.
+func (h *Heartbeat) InService() int { return h.serving }
 
-// Check finds nothing to check.
+// Check returns nil: there are no invariants.
 func (h *Heartbeat) Check() error { return nil }
--- a/internal/control/membership/simulation/measure.go
+++ b/internal/control/membership/simulation/measure.go
@@ -8,20 +8,20 @@
 	"frostpier/internal/control/membership"
 )
 
-// Figures are what a measurement found.
+// Figures are the results of a measurement.
 type Figures struct {
 	Members      int
 	ProcessHours float64
-	FalseDeaths  int // distinct times that a member which was up was held dead by anyone
+	FalseDeaths  int // deaths of a member that was up, each counted once however many members declared it
 	Kills        int
-	Missed       int             // kills that somebody up had not been told of when the run ended
-	First        []time.Duration // from a kill until the first member held it dead, sorted
-	All          []time.Duration // from then until the last did, sorted
-	Datagrams    float64         // a member and second, in the steady state
+	Missed       int             // kills that some member had not learned of when the next step began
+	First        []time.Duration // from a kill until the first member declared it, sorted (detection time)
+	All          []time.Duration // from then until the last member learned of it, sorted (dissemination time)
+	Datagrams    float64         // sent per member and second in the steady state
 	Bytes        float64         // likewise
 }
 
-// Quantile reads a share of a sorted list; 0 for an empty one.
+// Quantile returns the value at a share from 0 to 1 of a sorted list; 0 for an empty list.
 func Quantile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -29,22 +29,27 @@
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
 }
 
-// Steady measures what a member sends when nothing happens.
+// Steady measures what a member sends for a time without faults, from a minute after the start on.
 func Steady(s Setup, d time.Duration) (Figures, error) {
+	const startup = time.Minute
 	f, err := New(s)
 	if err != nil {
 		return Figures{}, err
 	}
-	if err := f.Run(time.Minute); err != nil { // the start is no steady state
+	if err := f.Run(startup); err != nil {
 		return Figures{}, err
 	}
 	sent, bytes := total(f.Sent), total(f.SentBytes)
 	if err := f.Run(d); err != nil {
 		return Figures{}, err
 	}
-	per := float64(s.Members) * d.Seconds()
-	return Figures{Members: s.Members, Datagrams: float64(total(f.Sent)-sent) / per,
-		Bytes: float64(total(f.SentBytes)-bytes) / per, ProcessHours: per / 3600}, nil
+	memberSeconds := float64(s.Members) * d.Seconds()
+	return Figures{
+		Members:      s.Members,
+		Datagrams:    float64(total(f.Sent)-sent) / memberSeconds,
+		Bytes:        float64(total(f.SentBytes)-bytes) / memberSeconds,
+		ProcessHours: memberSeconds / 3600,
+	}, nil
 }
 
 func total(list []int) (sum int) {
@@ -54,93 +59,128 @@
 	return sum
 }
 
-// Pauses plays pauses of up to most going round all members, each pausing once in so long on average, and counts the
-// deaths that were told: all of them are false.
-func Pauses(s Setup, d, once, most time.Duration) (Figures, error) {
+// Pauses simulates pauses of random members for a time, and counts the deaths declared: all of them are false. Each member
+// pauses once per interval on average, for a quarter of longest up to longest.
+func Pauses(s Setup, d, interval, longest time.Duration) (Figures, error) {
+	const startup = 10 * time.Second
 	f, err := New(s)
 	if err != nil {
 		return Figures{}, err
 	}
 	out := Figures{Members: s.Members, ProcessHours: float64(s.Members) * d.Hours()}
-	told := make([]time.Duration, s.Members) // when a false death of a member was last told
-	f.Seen = func(_ int, e membership.Event) error {
-		if e.Kind == membership.Changed && e.Is == membership.Dead && f.Members[e.Member].Up {
-			if told[e.Member] == 0 || f.Now-told[e.Member] > 10*time.Second { // one death is told by many
-				out.FalseDeaths++
-			}
-			told[e.Member] = f.Now
+	f.Seen = f.countFalseDeaths(&out.FalseDeaths)
+	var pause func()
+	pause = func() {
+		f.Pause(f.rnd.IntN(s.Members), time.Duration(float64(longest)*(0.25+0.75*f.rnd.Float64())))
+		f.At(time.Duration(f.rnd.ExpFloat64()*float64(interval)/float64(s.Members)), pause)
+	}
+	f.At(startup, pause)
+	err = f.Run(d)
+	return out, err
+}
+
+// countFalseDeaths returns a function for Seen that counts the deaths of members that are up. Events on the same member
+// within a short time are one death, which many members declare.
+func (f *Fleet) countFalseDeaths(count *int) func(int, membership.Event) error {
+	const sameDeath = 10 * time.Second
+	lastDeclared := make([]time.Duration, len(f.Members))
+	return func(_ int, e membership.Event) error {
+		if e.Kind != membership.Changed || e.Is != membership.Dead || !f.Members[e.Member].Up {
+			return nil
 		}
+		last := lastDeclared[e.Member]
+		if last == 0 || f.Now-last > sameDeath {
+			*count++
+		}
+		lastDeclared[e.Member] = f.Now
 		return nil
 	}
-	var next func()
-	next = func() {
-		f.Pause(f.rnd.IntN(s.Members), time.Duration(float64(most)*(0.25+0.75*f.rnd.Float64())))
-		f.At(time.Duration(f.rnd.ExpFloat64()*float64(once)/float64(s.Members)), next)
-	}
-	f.At(10*time.Second, next)
-	return out, f.Run(d)
 }
 
-// Kills kills members one after the other, so many, and measures when that is told; each starts again afterwards.
-func Kills(s Setup, kills int, apart time.Duration) (Figures, error) {
+// Kills kills random members one after the other, at an interval, and measures when the others learn of it. Each starts
+// again afterwards.
+func Kills(s Setup, kills int, interval time.Duration) (Figures, error) {
+	const startup = 20 * time.Second
 	f, err := New(s)
 	if err != nil {
 		return Figures{}, err
 	}
 	out := Figures{Members: s.Members, Kills: kills}
-	victim, told := -1, 0
-	var killed, first, last time.Duration
-	f.Seen = func(_ int, e membership.Event) error {
-		if e.Kind != membership.Changed || e.Is != membership.Dead {
-			return nil
-		}
-		if e.Member != victim {
-			out.FalseDeaths++
-			return nil
-		}
-		if first == 0 {
-			first = f.Now
-		}
-		last = f.Now
-		told++
-		return nil
-	}
-	if err := f.Run(20 * time.Second); err != nil {
+	k := &killMeasurement{fleet: f, figures: &out, victim: -1}
+	f.Seen = k.observe
+	if err := f.Run(startup); err != nil {
 		return out, err
 	}
 	for range kills {
-		victim, told, first, last = f.rnd.IntN(s.Members), 0, 0, 0
-		killed = f.Now + time.Duration(f.rnd.Int64N(int64(membership.DefaultInterval)))
-		f.At(killed-f.Now, func() { f.Kill(victim) })
-		if err := f.Run(apart); err != nil {
+		if err := k.kill(interval); err != nil {
 			return out, err
 		}
-		if told < s.Members-1 {
-			out.Missed++
-		}
-		if first > 0 {
-			out.First, out.All = append(out.First, first-killed), append(out.All, last-first)
-		}
-		f.Start(victim, 0)
-		if err := f.Run(apart / 2); err != nil {
+		f.Start(k.victim, 0)
+		if err := f.Run(interval / 2); err != nil {
 			return out, err
 		}
 	}
 	slices.Sort(out.First)
 	slices.Sort(out.All)
-	if ok, why := f.Agreed(); !ok {
-		return out, fmt.Errorf("seed %d: after the last start %s", s.Seed, why)
+	if agreed, difference := f.Agreed(); !agreed {
+		return out, fmt.Errorf("seed %d: after the last start %s", s.Seed, difference)
 	}
 	return out, nil
 }
 
-// Merge adds up the figures of several runs of one size.
+// killMeasurement measures one kill after the other.
+type killMeasurement struct {
+	fleet       *Fleet
+	figures     *Figures
+	victim      int           // of the last kill; -1 before the first
+	learned     int           // members that declared it dead, or learned of it
+	first, last time.Duration // when the first and the last did; 0 = none
+}
+
+// kill kills a random member, at a random time of the protocol period, and runs for the interval.
+func (k *killMeasurement) kill(interval time.Duration) error {
+	f := k.fleet
+	k.victim, k.learned, k.first, k.last = f.rnd.IntN(len(f.Members)), 0, 0, 0
+	killed := f.Now + time.Duration(f.rnd.Int64N(int64(membership.DefaultInterval)))
+	f.At(killed-f.Now, func() { f.Kill(k.victim) })
+	if err := f.Run(interval); err != nil {
+		return err
+	}
+	if k.learned < len(f.Members)-1 {
+		k.figures.Missed++
+	}
+	if k.first > 0 {
+		k.figures.First = append(k.figures.First, k.first-killed)
+		k.figures.All = append(k.figures.All, k.last-k.first)
+	}
+	return nil
+}
+
+// observe records when members learn of the death. The death of any other member is false.
+func (k *killMeasurement) observe(_ int, e membership.Event) error {
+	if e.Kind != membership.Changed || e.Is != membership.Dead {
+		return nil
+	}
+	if e.Member != k.victim {
+		k.figures.FalseDeaths++
+		return nil
+	}
+	if k.first == 0 {
+		k.first = k.fleet.Now
+	}
+	k.last = k.fleet.Now
+	k.learned++
+	return nil
+}
+
+// Merge returns the figures of several runs of one size taken together.
 func (a Figures) Merge(b Figures) Figures {
 	a.ProcessHours += b.ProcessHours
 	a.FalseDeaths += b.FalseDeaths
 	a.Kills += b.Kills
 	a.Missed += b.Missed
-	a.First, a.All = append(a.First, b.First...), append(a.All, b.All...)
+	a.First = append(a.First, b.First...)
+	a.All = append(a.All, b.All...)
 	slices.Sort(a.First)
 	slices.Sort(a.All)
 	a.Members = max(a.Members, b.Members)
--- /dev/null
+++ b/internal/control/membership/simulation/network.go
@@ -0,0 +1,65 @@
+package simulation
+
+import (
+	"time"
+
+	"frostpier/internal/control/membership"
+)
+
+// socketBuffer is the number of datagrams that wait in the socket of a paused member; more are dropped.
+const socketBuffer = 1000
+
+// arrival is a datagram that has arrived at a paused member.
+type arrival struct {
+	from int
+	b    []byte
+}
+
+// transmit sends a datagram over the network, which may drop, duplicate, delay and reorder it.
+func (f *Fleet) transmit(from int, d membership.Datagram) {
+	f.Sent[from]++
+	f.SentBytes[from] += len(d.Bytes)
+	if f.Cut != nil && f.Cut(from, d.To) {
+		return
+	}
+	copies := 1
+	if f.Double > 0 && f.rnd.Float64() < f.Double {
+		copies = 2
+	}
+	for range copies {
+		if f.Loss > 0 && f.rnd.Float64() < f.Loss {
+			continue
+		}
+		delay := f.DelayMin + time.Duration(f.rnd.Int64N(int64(f.DelayMax-f.DelayMin)+1))
+		f.push(event{at: f.Now + delay, kind: eventArrival, to: d.To, from: from, b: append(f.buffer(), d.Bytes...)})
+	}
+}
+
+// buffer returns an empty buffer for a datagram.
+func (f *Fleet) buffer() []byte {
+	k := len(f.freeBuffers) - 1
+	if k < 0 {
+		return make([]byte, 0, membership.MaxDatagram)
+	}
+	b := f.freeBuffers[k]
+	f.freeBuffers = f.freeBuffers[:k]
+	return b[:0]
+}
+
+// receive handles the arrival of a datagram, and frees its buffer.
+func (f *Fleet) receive(e event) {
+	m := &f.Members[e.to]
+	switch {
+	case !m.Up:
+	case !m.paused:
+		f.deliver(e.to, e.from, e.b)
+	case len(m.buffered) < socketBuffer:
+		m.buffered = append(m.buffered, arrival{e.from, append([]byte(nil), e.b...)})
+	}
+	f.freeBuffers = append(f.freeBuffers, e.b)
+}
+
+// deliver has a member's node handle a datagram.
+func (f *Fleet) deliver(to, from int, b []byte) {
+	f.step(to, func(now time.Duration) { f.Members[to].Node.Receive(now, f.addrs[from], b) })
+}
--- a/internal/control/membership/simulation/norace_test.go
+++ b/internal/control/membership/simulation/norace_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = false
+const raceDetector = false
--- a/internal/control/membership/simulation/race_test.go
+++ b/internal/control/membership/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raced: the race detector makes a run ten times as long.
-const raced = true
+// raceDetector is true if the race detector is enabled, under which a run takes ten times as long.
+const raceDetector = true
--- a/internal/control/membership/simulation/random.go
+++ b/internal/control/membership/simulation/random.go
@@ -10,129 +10,160 @@
 
 // Limits of a random run.
 const (
-	playFor    = 40 * time.Second
-	settleMost = 3 * time.Minute  // from the last fault until all views match the truth
-	blameFor   = 60 * time.Second // in which a fault excuses a death that is told of a member
-	skewMost   = time.Hour        // of the clock of a member that starts again
+	faultPeriod      = 40 * time.Second // in which faults are injected
+	firstFaultAt     = 5 * time.Second
+	maxFaultInterval = 6 * time.Second  // between two faults
+	maxFaultDuration = 12 * time.Second // of a pause, a drop or a partition
+	maxConvergence   = 3 * time.Minute  // from the last fault until all views are correct
+	excusePeriod     = 60 * time.Second // after a fault, in which a false death of the member is no error
+	maxSkew          = time.Hour        // of the clock of a member that restarts
+	maxLoss          = 0.15
+	maxDuplication   = 0.1
 )
 
-// Random plays a run whose size and faults are drawn from the seed: kills, starts with a clock that stepped, pauses,
-// cuts in one direction, members that cannot send or hear, splits, members that leave. The rules are checked after
-// each step; afterwards every fault is taken back, and all views have to match the truth. It returns what was
-// played, and an error where a rule was broken.
+var (
+	errViewReverted = errors.New("a view reverted to an earlier incarnation or state")
+	errFalseDeath   = errors.New("a member without a recent fault was declared dead")
+)
+
+// Random simulates a run whose faults are drawn from the seed: members that are killed, that restart with clocks set
+// forward or back, that pause and that leave; datagrams dropped in one direction, all from or to a member, or between
+// partitions. Invariants are checked every so many steps. Then the network heals, and all views must become correct within
+// maxConvergence. It returns the run, and an error if a check failed.
 func Random(seed uint64, members int, every int) (*Fleet, error) {
-	s := Setup{Members: members, Seed: seed, Every: every, Spread: time.Second}
-	f, err := New(s)
+	f, err := New(Setup{Members: members, Seed: seed, Every: every, Spread: time.Second})
 	if err != nil {
 		return nil, err
 	}
-	f.Loss, f.Double = 0.15*f.rnd.Float64(), 0.1*f.rnd.Float64()
-	r := &randomRun{f: f, touched: make([]time.Duration, members), side: make([]int, members),
-		dropInbound: make([]bool, members), dropOutbound: make([]bool, members), cut: map[[2]int]bool{},
-		reports: make([]map[int]report, members), lives: make([]int, members)}
-	f.Cut = func(a, b int) bool {
-		return r.side[a] != r.side[b] || r.dropOutbound[a] || r.dropInbound[b] || r.cut[[2]int{a, b}]
+	f.Loss = maxLoss * f.rnd.Float64()
+	f.Double = maxDuplication * f.rnd.Float64()
+	r := newRandomRun(f)
+	f.Cut = r.drops
+	f.Seen = r.check
+	for at := firstFaultAt; at < faultPeriod; at += time.Duration(f.rnd.Int64N(int64(maxFaultInterval))) {
+		f.At(at, r.injectFault)
 	}
-	f.Seen = r.seen
-	for at := 5 * time.Second; at < playFor; at += time.Duration(f.rnd.Int64N(int64(6 * time.Second))) {
-		f.At(at, r.fault)
-	}
-	if err := f.Run(playFor); err != nil {
+	if err := f.Run(faultPeriod); err != nil {
 		return f, err
 	}
-	r.heal()
-	for end := f.Now + settleMost; ; {
-		if err := f.Run(2 * time.Second); err != nil {
-			return f, err
+	r.healNetwork()
+	return f, f.converge()
+}
+
+// converge continues the run until all views are correct.
+func (f *Fleet) converge() error {
+	const checkInterval = 2 * time.Second
+	for end := f.Now + maxConvergence; ; {
+		if err := f.Run(checkInterval); err != nil {
+			return err
 		}
-		ok, why := f.Agreed()
-		if ok {
-			return f, nil
+		agreed, difference := f.Agreed()
+		if agreed {
+			return nil
 		}
 		if f.Now > end {
-			return f, fmt.Errorf("seed %d: %v after the last fault %s", seed, settleMost, why)
+			return fmt.Errorf("seed %d: %v after the last fault %s", f.Seed, maxConvergence, difference)
 		}
 	}
 }
 
+// report is the last state of a member that another reported in a Changed event.
 type report struct {
 	state       membership.State
 	incarnation uint64
 }
 
+// link is the network path from one member to another.
+type link struct{ from, to int }
+
+// randomRun injects faults into a fleet and checks its events.
 type randomRun struct {
-	f                         *Fleet
-	touched                   []time.Duration // when a fault last touched a member
-	side                      []int
-	dropInbound, dropOutbound []bool
-	cut                       map[[2]int]bool
-	reports                   []map[int]report // what each last told of each, in its present life
-	lives                     []int
+	fleet                     *Fleet
+	lastFaultAt               []time.Duration // by member
+	partition                 []int           // by member: members of different partitions cannot communicate
+	dropInbound, dropOutbound []bool          // by member
+	droppedLinks              map[link]bool
+	reports                   []map[int]report // by viewer and member, of the viewer's present process
+	reportsOf                 []int            // by viewer: Member.starts of the process that reports are of
 }
 
-var (
-	errBack  = errors.New("a view went back to an earlier incarnation or state")
-	errFalse = errors.New("a member that no fault had touched was declared dead")
-)
+func newRandomRun(f *Fleet) *randomRun {
+	members := len(f.Members)
+	return &randomRun{
+		fleet:        f,
+		lastFaultAt:  make([]time.Duration, members),
+		partition:    make([]int, members),
+		dropInbound:  make([]bool, members),
+		dropOutbound: make([]bool, members),
+		droppedLinks: map[link]bool{},
+		reports:      make([]map[int]report, members),
+		reportsOf:    make([]int, members),
+	}
+}
 
-// seen checks what a member tells.
-func (r *randomRun) seen(at int, e membership.Event) error {
-	if e.Kind != membership.Changed || e.Member == at {
+// drops reports whether a datagram is dropped by a fault.
+func (r *randomRun) drops(from, to int) bool {
+	return r.partition[from] != r.partition[to] || r.dropOutbound[from] || r.dropInbound[to] || r.droppedLinks[link{from, to}]
+}
+
+// check returns an error if the view of a member reverts, or declares a member dead without a recent fault of either.
+func (r *randomRun) check(viewer int, e membership.Event) error {
+	if e.Kind != membership.Changed || e.Member == viewer {
 		return nil
 	}
-	if r.reports[at] == nil || r.lives[at] != r.f.Members[at].life {
-		r.reports[at], r.lives[at] = map[int]report{}, r.f.Members[at].life
+	if err := r.checkOrder(viewer, e); err != nil {
+		return err
 	}
-	was, is := r.reports[at][e.Member], report{e.Is, e.Incarnation}
-	if is.incarnation < was.incarnation || is.incarnation == was.incarnation && is.state <= was.state {
-		return fmt.Errorf("%w: member %d from %v to %v", errBack, e.Member, was, is)
+	if e.Is == membership.Dead && r.fleet.Members[e.Member].Up && !r.excused(e.Member) && !r.excused(viewer) {
+		return fmt.Errorf("%w: member %d", errFalseDeath, e.Member)
 	}
-	r.reports[at][e.Member] = is
-	calm := func(i int) bool { return r.f.Now-r.touched[i] > blameFor }
-	if e.Is == membership.Dead && r.f.Members[e.Member].Up && calm(e.Member) && calm(at) && r.f.Now-Epoch > blameFor {
-		return fmt.Errorf("%w: member %d", errFalse, e.Member)
+	return nil
+}
+
+// checkOrder returns an error unless each state that a process reports of a member overrides the last one.
+func (r *randomRun) checkOrder(viewer int, e membership.Event) error {
+	starts := r.fleet.Members[viewer].starts
+	if r.reports[viewer] == nil || r.reportsOf[viewer] != starts {
+		r.reports[viewer], r.reportsOf[viewer] = map[int]report{}, starts
 	}
+	was, is := r.reports[viewer][e.Member], report{e.Is, e.Incarnation}
+	if is.incarnation < was.incarnation || is.incarnation == was.incarnation && is.state <= was.state {
+		return fmt.Errorf("%w: member %d from %v to %v", errViewReverted, e.Member, was, is)
+	}
+	r.reports[viewer][e.Member] = is
 	return nil
 }
 
-func (r *randomRun) touch(i int) { r.touched[i] = r.f.Now }
+// excused reports whether a member had a recent fault, or the run has just started.
+func (r *randomRun) excused(i int) bool {
+	now := r.fleet.Now
+	return now-r.lastFaultAt[i] <= excusePeriod || now-Epoch <= excusePeriod
+}
+
+// recordFault records that a fault affects a member now.
+func (r *randomRun) recordFault(i int) { r.lastFaultAt[i] = r.fleet.Now }
 
-// fault draws one and plays it.
-func (r *randomRun) fault() {
-	f, n := r.f, len(r.f.Members)
-	i, j := f.rnd.IntN(n), f.rnd.IntN(n)
-	r.touch(i)
-	for1 := time.Duration(f.rnd.Int64N(int64(12 * time.Second)))
+// injectFault draws a fault and injects it. The order of the random draws is part of the replay.
+func (r *randomRun) injectFault() {
+	f, members := r.fleet, len(r.fleet.Members)
+	i, other := f.rnd.IntN(members), f.rnd.IntN(members)
+	r.recordFault(i)
+	duration := time.Duration(f.rnd.Int64N(int64(maxFaultDuration)))
 	switch f.rnd.IntN(9) {
 	case 0:
 		f.Kill(i)
 	case 1, 2:
-		if f.Members[i].Up {
-			f.Kill(i)
-		}
-		skew := time.Duration(f.rnd.Int64N(int64(2*skewMost))) - skewMost
-		f.At(for1/2, func() {
-			if !f.Members[i].Up {
-				f.Start(i, skew)
-			}
-		})
+		r.restart(i, duration/2)
 	case 3:
-		f.Pause(i, for1)
+		f.Pause(i, duration)
 	case 4:
-		r.cut[[2]int{i, j}] = true
-		f.At(for1, func() { delete(r.cut, [2]int{i, j}) })
+		r.dropLink(link{i, other}, duration)
 	case 5:
-		r.dropInbound[i] = true
-		f.At(for1, func() { r.dropInbound[i] = false })
+		r.dropAll(r.dropInbound, i, duration)
 	case 6:
-		r.dropOutbound[i] = true
-		f.At(for1, func() { r.dropOutbound[i] = false })
+		r.dropAll(r.dropOutbound, i, duration)
 	case 7:
-		for k := range r.side {
-			r.side[k] = f.rnd.IntN(2)
-			r.touch(k)
-		}
-		f.At(for1, func() { clear(r.side) })
+		r.split(duration)
 	case 8:
 		if f.Members[i].Up && !f.Members[i].paused {
 			f.Leave(i)
@@ -140,15 +171,50 @@
 	}
 }
 
-// heal takes every fault back; who is down stays down.
-func (r *randomRun) heal() {
-	clear(r.side)
+// restart kills a member if it is up, and starts it after a delay with a clock set forward or back.
+func (r *randomRun) restart(i int, delay time.Duration) {
+	f := r.fleet
+	if f.Members[i].Up {
+		f.Kill(i)
+	}
+	skew := time.Duration(f.rnd.Int64N(int64(2*maxSkew))) - maxSkew
+	f.At(delay, func() {
+		if !f.Members[i].Up {
+			f.Start(i, skew)
+		}
+	})
+}
+
+// dropLink drops the datagrams of one direction for a time.
+func (r *randomRun) dropLink(l link, duration time.Duration) {
+	r.droppedLinks[l] = true
+	r.fleet.At(duration, func() { delete(r.droppedLinks, l) })
+}
+
+// dropAll drops the datagrams to a member (dropInbound) or from it (dropOutbound) for a time.
+func (r *randomRun) dropAll(dropped []bool, i int, duration time.Duration) {
+	dropped[i] = true
+	r.fleet.At(duration, func() { dropped[i] = false })
+}
+
+// split divides the fleet into two random partitions for a time.
+func (r *randomRun) split(duration time.Duration) {
+	for i := range r.partition {
+		r.partition[i] = r.fleet.rnd.IntN(2)
+		r.recordFault(i)
+	}
+	r.fleet.At(duration, func() { clear(r.partition) })
+}
+
+// healNetwork ends the faults of the network. Members that are down stay down.
+func (r *randomRun) healNetwork() {
+	clear(r.partition)
 	clear(r.dropInbound)
 	clear(r.dropOutbound)
-	clear(r.cut)
+	clear(r.droppedLinks)
 }
 
-// SizeOf draws the size of a seed's random run: mostly a few members, at times a thousand.
+// SizeOf returns the number of members of a seed's random run: mostly a few, at times a thousand.
 func SizeOf(seed uint64) int {
 	switch {
 	case seed%500 == 499:
