--- a/internal/control/membership/relay.go
+++ b/internal/control/membership/relay.go
@@ -22,7 +22,7 @@
 	return r.expiresAt
 }
 
-// postpone moves the timers.
+// postpone moves the timers. A NACK that was sent already becomes due again and is repeated; the origin ignores the second.
 func (r *relayedProbe) postpone(delay time.Duration) {
 	r.nackAt += delay
 	r.expiresAt += delay
--- a/internal/control/membership/simulation/heal_test.go
+++ b/internal/control/membership/simulation/heal_test.go
@@ -10,7 +10,7 @@
 
 // When two partitions meet again, updates of one cross to the other. They must declare no member dead in its own partition,
 // and the pings of the suspects must stay within their bound.
-func TestHealDeclaresNobodyDead(t *testing.T) {
+func TestHealKillsNobody(t *testing.T) {
 	t.Parallel()
 	sizes := []int{12, 100, 300}
 	if raceDetector {
