--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -151,12 +151,12 @@
 	seen := map[netip.AddrPort]bool{}
 	for i, peer := range c.Peers {
 		if !peer.IsValid() || peer.Port() == 0 || seen[peer] {
-			return &ConfigError{fmt.Sprintf("Peers[%d]", i), peer, "a valid address with a port, distinct from the others"}
+			return &ConfigError{fmt.Sprintf("Peers[%d]", i), peer, "an address and port of its own"}
 		}
 		seen[peer] = true
 	}
 	if c.Self < 0 || c.Self >= len(c.Peers) {
-		return &ConfigError{"Self", c.Self, fmt.Sprintf("an index in the %d Peers", len(c.Peers))}
+		return &ConfigError{"Self", c.Self, fmt.Sprintf("the own number, an index in the %d Peers", len(c.Peers))}
 	}
 	if len(c.Peers) > MaxMembers {
 		return &ConfigError{"len(Peers)", len(c.Peers), fmt.Sprintf("at most %d", MaxMembers)}
