--- a/cmd/frostpier/cold_test.go
+++ b/cmd/frostpier/cold_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	coldGateways = 30
-	coldFor      = 6 * time.Second // three times the span in which a cold engine may fall
+	warmupGateways = 30
+	warmupDuration = 6 * time.Second // three times the span in which a cold engine may fall
 )
 
-// try is for what runs beside the test: it notes an error, and the test goes on.
-func (s *spreadFleet) try(err error) {
+// check is for what runs beside the test: it notes an error, and the test goes on.
+func (s *loadedFleet) check(err error) {
 	if err != nil {
 		s.t.Error(err)
 	}
@@ -33,27 +33,27 @@
 	}
 	for name, c := range map[string]struct {
 		opt   testfleet.Options
-		fault func(*spreadFleet)
+		fault func(*loadedFleet)
 	}{
 		"members unknown": {opt: testfleet.Options{Bare: true}},
-		"just restarted": {fault: func(s *spreadFleet) {
-			for i := range coldGateways / 2 {
-				s.try(s.Kill(2 * i))
+		"just restarted": {fault: func(s *loadedFleet) {
+			for i := range warmupGateways / 2 {
+				s.check(s.Kill(2 * i))
 			}
-			s.try(s.StartAll())
+			s.check(s.StartAll())
 		}},
-		"cut off from each other": {fault: func(s *spreadFleet) { s.Relay.Usual(testfleet.Link{Cut: true}) }},
+		"cut off from each other": {fault: func(s *loadedFleet) { s.Relay.Usual(testfleet.Link{Cut: true}) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.opt.Gateways = coldGateways
+			c.opt.Gateways = warmupGateways
 			s := startLoad(t, 23, 0.9, c.opt)
-			s.lasts = faultAfter + coldFor
-			s.play(func() {
+			s.duration = faultDelay + warmupDuration
+			s.run(func() {
 				if c.fault != nil {
 					c.fault(s)
 				}
 				for _, e := range s.pool.Engines()[:spreadEngines/2] {
-					s.try(s.pool.Replace(e))
+					s.check(s.pool.Replace(e))
 				}
 				s.pool.Publish()
 			})
--- a/cmd/frostpier/crossings_test.go
+++ b/cmd/frostpier/crossings_test.go
@@ -13,32 +13,32 @@
 
 // docs/crossings.md has a row for each of these.
 
-func (n *node) term() {
+func (n *node) terminate() {
 	n.t.Helper()
 	n.cmd.Process.Signal(syscall.SIGTERM)
 	n.waitLog("msg=stopping")
 }
 
-// exits waits for the program's end, which must be a good one.
-func (n *node) exits() {
+// waitExit waits for the program's end, which must be a good one.
+func (n *node) waitExit() {
 	n.t.Helper()
 	if err := n.cmd.Wait(); err != nil {
 		n.t.Fatalf("exit: %v", err)
 	}
 }
 
-// end waits for the connection's end, which must not be a reset.
-func (c *rpc) end() {
+// wantEOF waits for the connection's end, which must not be a reset.
+func (c *rpcClient) wantEOF() {
 	c.t.Helper()
-	if b, err := io.ReadAll(c.r); err != nil || len(b) > 0 {
+	if b, err := io.ReadAll(c.reader); err != nil || len(b) > 0 {
 		c.t.Fatalf("%q, %v, want the end and nothing before it", b, err)
 	}
 }
 
-func (c *rpc) pinged() *rpc {
+func (c *rpcClient) ping() *rpcClient {
 	c.t.Helper()
-	c.line(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
-	if a := c.answer(); a.Result == nil || a.Result.Serving == nil {
+	c.sendLine(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
+	if a := c.readResponse(); a.Result == nil || a.Result.Serving == nil {
 		c.t.Fatalf("ping: %+v", a)
 	}
 	return c
@@ -49,14 +49,14 @@
 func TestStopEndsRestingConnections(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	n := startNode(t, "", inService("e1", e.addr()))
-	c := dialRPC(t, n).pinged()
-	n.term()
-	c.end()
-	c.ask(2, "lookup", "late", 3000, "")
-	c.nc.Close()
-	n.exits()
-	if got := e.got("late"); got != 0 {
+	n := startNode(t, "", engineInService("e1", e.addr()))
+	c := dialRPC(t, n).ping()
+	n.terminate()
+	c.wantEOF()
+	c.submit(2, "lookup", "late", 3000, "")
+	c.conn.Close()
+	n.waitExit()
+	if got := e.received("late"); got != 0 {
 		t.Fatalf("the engine got it %d times", got)
 	}
 }
@@ -65,15 +65,15 @@
 func TestStopWaitsForHalfALine(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	n := startNode(t, "", inService("e1", e.addr()))
-	c := dialRPC(t, n).pinged()
+	n := startNode(t, "", engineInService("e1", e.addr()))
+	c := dialRPC(t, n).ping()
 	line := `{"jsonrpc":"2.0","id":2,"method":"lookup","params":{"rid":"0000000000000002","budget":3000,"blob":"eA=="}}`
-	io.WriteString(c.nc, line[:40])
-	n.term()
-	c.line(line[40:])
-	c.served(2, "a\tb\tc\n")
-	c.end()
-	n.exits()
+	io.WriteString(c.conn, line[:40])
+	n.terminate()
+	c.sendLine(line[40:])
+	c.wantServed(2, "a\tb\tc\n")
+	c.wantEOF()
+	n.waitExit()
 }
 
 // A request that waits in line for an engine, or between two attempts, when the stop begins gets its one answer before the end.
@@ -81,24 +81,24 @@
 	t.Parallel()
 	for name, text := range map[string]string{"no engine": "", "between attempts": "full"} {
 		e := newHTTPEngine(t)
-		engines := []listed{}
+		engines := []engineEntry{}
 		if text != "" {
-			engines = append(engines, inService("e1", e.addr()))
+			engines = append(engines, engineInService("e1", e.addr()))
 		}
 		n := startNode(t, "", engines...)
 		c := dialRPC(t, n)
-		c.ask(2, "report", text, 15000, "")
+		c.submit(2, "report", text, 15000, "")
 		if text == "" {
-			c.pinged()
+			c.ping()
 		} else {
-			waitFor(t, "the first attempt", func() bool { return e.got(text) > 0 })
+			waitFor(t, "the first attempt", func() bool { return e.received(text) > 0 })
 		}
-		n.term()
-		if a := c.answer(); a.ID != 2 || a.Error == nil {
+		n.terminate()
+		if a := c.readResponse(); a.ID != 2 || a.Error == nil {
 			t.Fatalf("%s: %+v", name, a)
 		}
-		c.end()
-		n.exits()
+		c.wantEOF()
+		n.waitExit()
 	}
 }
 
@@ -112,22 +112,22 @@
 		conf["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
 		conf["bulletin"] = "127.0.0.1:1" // nobody listens there
 	})
-	var idle []*rpc
+	var idle []*rpcClient
 	for range sockets {
-		idle = append(idle, dialRPC(t, n).pinged())
+		idle = append(idle, dialRPC(t, n).ping())
 	}
 	waitFor(t, "those that make room", func() bool { return strings.Contains(n.log.String(), "others came") })
-	n.discovery.publish(inService("e1", e.addr()))
-	n.conf["bulletin"] = n.discovery.ln.Addr().String()
-	n.writeConf()
+	n.discovery.publish(engineInService("e1", e.addr()))
+	n.config["bulletin"] = n.discovery.ln.Addr().String()
+	n.writeConfig()
 	n.cmd.Process.Signal(syscall.SIGHUP)
 	waitFor(t, "the list's client", func() bool { return n.discovery.connected() == 1 })
 	c := dialRPC(t, n)
-	c.ask(2, "lookup", "x", 3000, "")
-	c.served(2, "a\tb\tc\n")
+	c.submit(2, "lookup", "x", 3000, "")
+	c.wantServed(2, "a\tb\tc\n")
 	late := idle[len(idle)-1] // and one that came late and rests is still there
-	late.ask(2, "lookup", "y", 3000, "")
-	late.served(2, "a\tb\tc\n")
+	late.submit(2, "lookup", "y", 3000, "")
+	late.wantServed(2, "a\tb\tc\n")
 	if log := n.log.String(); strings.Contains(log, "accept failed") || strings.Contains(log, "too many open files") {
 		t.Fatal("descriptors ran out")
 	}
@@ -137,7 +137,7 @@
 func TestFloodOfOneClientCostsOthersNothing(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	n := startNode(t, "", inService("e1", e.addr()))
+	n := startNode(t, "", engineInService("e1", e.addr()))
 	for name, text := range map[string]string{
 		"empty lines": "\n", "noise": "x\n", "no line": strings.Repeat("x", 1000), "pings": `{"jsonrpc":"2.0","id":1,"method":"ping"}` + "\n",
 		"requests": `{"jsonrpc":"2.0","id":1,"method":"lookup","params":{"rid":"1","budget":3000,"blob":"eA=="}}` + "\n",
@@ -147,17 +147,17 @@
 		go func() {
 			defer close(done)
 			for range 1000 { // 64 MB, or until it is cut off
-				if _, err := bad.nc.Write(flood); err != nil {
+				if _, err := bad.conn.Write(flood); err != nil {
 					return
 				}
 			}
 		}()
 		c := dialRPC(t, n)
 		for id := range 20 {
-			c.ask(100+id, "lookup", name, 3000, "")
-			c.served(100+id, "a\tb\tc\n")
+			c.submit(100+id, "lookup", name, 3000, "")
+			c.wantServed(100+id, "a\tb\tc\n")
 		}
-		bad.nc.Close()
+		bad.conn.Close()
 		<-done
 	}
 }
@@ -167,7 +167,7 @@
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	silent := standIn(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
+	silent := serveTCP(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
 	const sockets = 128
 	for name, c := range map[string]struct {
 		discovery string
@@ -176,7 +176,7 @@
 		n := startNodeWith(t, "", func(conf map[string]any) {
 			conf["bulletin"] = c.discovery
 			conf["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
-		}, inService("e1", e.addr()))
+		}, engineInService("e1", e.addr()))
 		for round := range 3 {
 			at := time.Now()
 			waitFor(t, "its address", func() bool {
@@ -190,20 +190,20 @@
 				dialRPC(t, n)
 			}
 			client := dialRPC(t, n)
-			client.ask(2, "lookup", name, 3000, "")
-			client.served(2, "a\tb\tc\n")
+			client.submit(2, "lookup", name, 3000, "")
+			client.wantServed(2, "a\tb\tc\n")
 			if took := time.Since(at); took > 10*time.Second {
 				t.Fatalf("%s: ready after %v", name, took)
 			}
 			if round < 2 {
-				n.again()
+				n.killAndRestart()
 			}
 		}
 	}
 }
 
-// again kills the program and starts it anew while clients hold connections to it.
-func (n *node) again() {
+// killAndRestart kills the program and starts it anew while clients hold connections to it.
+func (n *node) killAndRestart() {
 	n.t.Helper()
 	n.cmd.Process.Kill()
 	var killed *exec.ExitError
@@ -217,18 +217,18 @@
 func TestStartWaitsForTheAddress(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	first := startNode(t, "", inService("e1", e.addr()))
-	next := &node{t: t, listen: first.listen, log: &lines{}, file: first.file}
+	first := startNode(t, "", engineInService("e1", e.addr()))
+	next := &node{t: t, listen: first.listen, log: &logBuffer{}, configPath: first.configPath}
 	next.launch()
 	next.waitLog("waits for the address")
 	first.cmd.Process.Kill()
 	next.waitLog("msg=serving")
 	c := dialRPC(t, next)
-	c.ask(2, "lookup", "x", 3000, "")
-	c.served(2, "a\tb\tc\n")
-	third := &node{t: t, listen: first.listen, log: &lines{}, file: first.file}
+	c.submit(2, "lookup", "x", 3000, "")
+	c.wantServed(2, "a\tb\tc\n")
+	third := &node{t: t, listen: first.listen, log: &logBuffer{}, configPath: first.configPath}
 	third.launch()
 	third.waitLog("waits for the address")
 	third.cmd.Process.Signal(syscall.SIGTERM)
-	third.exits() // a stop before the start is done is no failure
+	third.waitExit() // a stop before the start is done is no failure
 }
--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -13,25 +13,25 @@
 // pause of 2 s must not look like a death. Waits end on what the gateways log; their bounds are several times what is
 // expected.
 const (
-	fleetSize = 12
-	tellMost  = 60 * time.Second // a kill is told within some 9 s at the worst
-	healMost  = 90 * time.Second
+	fleetSize     = 12
+	detectTimeout = 60 * time.Second // a kill is told within some 9 s at the worst
+	healTimeout   = 90 * time.Second
 )
 
 // testFleet is a fleet whose processes end with the test.
 type testFleet struct {
 	*testfleet.Fleet
-	t    *testing.T
-	mark int
+	t         *testing.T
+	stateMark int
 }
 
 func startFleet(t *testing.T, seed uint64) *testFleet {
 	t.Helper()
-	return startOptions(t, testfleet.Options{Gateways: fleetSize, Seed: seed})
+	return startFleetWith(t, testfleet.Options{Gateways: fleetSize, Seed: seed})
 }
 
-// startOptions starts a fleet of this program.
-func startOptions(t *testing.T, opt testfleet.Options) *testFleet {
+// startFleetWith starts a fleet of this program.
+func startFleetWith(t *testing.T, opt testfleet.Options) *testFleet {
 	t.Helper()
 	opt.Dir, opt.Command, opt.Env = t.TempDir(), []string{os.Args[0]}, []string{"FROSTPIER_AS_PROGRAM=1"}
 	opt.Link = testfleet.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond}
@@ -52,8 +52,8 @@
 	})
 	out := &testFleet{Fleet: f, t: t}
 	out.must(f.StartAll())
-	out.agree("at the start", tellMost)
-	_, out.mark = f.StateChanges(0) // on a slow machine some started late, which is told rightly
+	out.waitAgreed("at the start", detectTimeout)
+	_, out.stateMark = f.StateChanges(0) // on a slow machine some started late, which is told rightly
 	return out
 }
 
@@ -64,18 +64,18 @@
 	}
 }
 
-// agree waits until all views match the truth.
-func (f *testFleet) agree(when string, most time.Duration) {
+// waitAgreed waits until all views match the truth.
+func (f *testFleet) waitAgreed(when string, most time.Duration) {
 	f.t.Helper()
 	if err := f.Wait(most, f.Agreed); err != nil {
 		f.t.Fatalf("%s: %v", when, err)
 	}
 }
 
-// deaths are the members declared dead since the last call, by how many gateways each.
-func (f *testFleet) deaths() map[int]int {
-	told, mark := f.StateChanges(f.mark)
-	f.mark = mark
+// newDeaths are the members declared dead since the last call, by how many gateways each.
+func (f *testFleet) newDeaths() map[int]int {
+	told, mark := f.StateChanges(f.stateMark)
+	f.stateMark = mark
 	out := map[int]int{}
 	for _, t := range told {
 		if t.Is == "dead" {
@@ -85,10 +85,10 @@
 	return out
 }
 
-// noDeaths fails if any member outside the list was declared dead.
-func (f *testFleet) noDeaths(when string, but ...int) {
+// wantNoDeaths fails if any member outside the list was declared dead.
+func (f *testFleet) wantNoDeaths(when string, but ...int) {
 	f.t.Helper()
-	deaths := f.deaths()
+	deaths := f.newDeaths()
 	for _, i := range but {
 		delete(deaths, i)
 	}
@@ -97,10 +97,10 @@
 	}
 }
 
-// holds waits until all gateways but the given one hold it as said.
-func (f *testFleet) holds(when string, member int, is string) {
+// waitView waits until all gateways but the given one hold it as said.
+func (f *testFleet) waitView(when string, member int, is string) {
 	f.t.Helper()
-	err := f.Wait(tellMost, func() error {
+	err := f.Wait(detectTimeout, func() error {
 		for v := range f.Size() {
 			if v != member && f.Up(v) && f.View(v, member) != is {
 				return fmt.Errorf("gateway %d holds %d %s", v, member, f.View(v, member))
@@ -118,25 +118,25 @@
 	t.Parallel()
 	f := startFleet(t, 1)
 	f.must(f.Kill(3))
-	f.agree("one killed", tellMost)
-	f.noDeaths("one killed", 3)
+	f.waitAgreed("one killed", detectTimeout)
+	f.wantNoDeaths("one killed", 3)
 	f.must(f.StartAll())
-	f.agree("it is back", healMost)
+	f.waitAgreed("it is back", healTimeout)
 
 	f.must(f.Kill(7))
 	time.Sleep(3 * time.Second)
 	f.must(f.StartAll())
 	time.Sleep(8 * time.Second) // by now its former self would be declared dead
-	f.agree("back from nothing after 3 s", healMost)
+	f.waitAgreed("back from nothing after 3 s", healTimeout)
 
 	third := []int{0, 4, 8, 11}
 	for _, i := range third {
 		f.must(f.Kill(i))
 	}
-	f.agree("a third killed", tellMost)
-	f.noDeaths("a third killed", append(third, 7)...)
+	f.waitAgreed("a third killed", detectTimeout)
+	f.wantNoDeaths("a third killed", append(third, 7)...)
 	f.must(f.StartAll())
-	f.agree("the third is back", healMost)
+	f.waitAgreed("the third is back", healTimeout)
 }
 
 // Pauses of 0.5 to 2 s going round tell no death; one of 12 s is told, and taken back everywhere.
@@ -149,14 +149,14 @@
 		time.Sleep(pause * time.Millisecond)
 		f.must(f.Resume(i))
 	}
-	f.agree("after the pauses", healMost)
-	f.noDeaths("pauses of up to 2 s")
+	f.waitAgreed("after the pauses", healTimeout)
+	f.wantNoDeaths("pauses of up to 2 s")
 
 	f.must(f.Pause(6))
-	f.holds("a long pause", 6, "dead")
+	f.waitView("a long pause", 6, "dead")
 	f.must(f.Resume(6))
-	f.agree("after the long pause", healMost)
-	f.noDeaths("a long pause", 6)
+	f.waitAgreed("after the long pause", healTimeout)
+	f.wantNoDeaths("a long pause", 6)
 }
 
 // Loss with doubles and reordering, and a cut in one direction, tell no death; gateways restarted a few at a time by
@@ -166,23 +166,23 @@
 	f := startFleet(t, 3)
 	f.Relay.Usual(testfleet.Link{Loss: 0.2, Double: 0.1, DelayMin: time.Millisecond, DelayMax: 120 * time.Millisecond})
 	time.Sleep(15 * time.Second)
-	f.agree("20% loss", healMost)
-	f.noDeaths("20% loss")
+	f.waitAgreed("20% loss", healTimeout)
+	f.wantNoDeaths("20% loss")
 	f.Relay.Usual(testfleet.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond})
 
 	f.Relay.Set(1, 0, testfleet.Link{Cut: true})
 	time.Sleep(15 * time.Second)
-	f.agree("0 cannot hear 1", healMost)
-	f.noDeaths("0 cannot hear 1")
+	f.waitAgreed("0 cannot hear 1", healTimeout)
+	f.wantNoDeaths("0 cannot hear 1")
 	f.Relay.Heal()
 
 	for i := 0; i < fleetSize; i += 3 {
 		f.must(f.Term(i))
-		f.holds("after SIGTERM", i, "left")
+		f.waitView("after SIGTERM", i, "left")
 		f.must(f.StartAll())
 	}
-	f.agree("after the restarts", healMost)
-	f.noDeaths("restarts by SIGTERM")
+	f.waitAgreed("after the restarts", healTimeout)
+	f.wantNoDeaths("restarts by SIGTERM")
 }
 
 // One that can send but not hear, and one that can hear but not send, are declared dead, and by the others nobody else is;
@@ -191,15 +191,15 @@
 	t.Parallel()
 	f := startFleet(t, 4)
 	f.Relay.DropInbound(2, true)
-	f.holds("inbound dropped", 2, "dead")
+	f.waitView("inbound dropped", 2, "dead")
 	f.Relay.Heal()
-	f.agree("inbound restored", healMost)
+	f.waitAgreed("inbound restored", healTimeout)
 	f.Relay.DropOutbound(9, true)
-	f.holds("outbound dropped", 9, "dead")
+	f.waitView("outbound dropped", 9, "dead")
 	f.Relay.Heal()
-	f.agree("outbound restored", healMost)
-	told, mark := f.StateChanges(f.mark)
-	f.mark = mark
+	f.waitAgreed("outbound restored", healTimeout)
+	told, mark := f.StateChanges(f.stateMark)
+	f.stateMark = mark
 	for _, d := range told { // what the two themselves held of those whom they could not reach is no fault
 		if d.Is == "dead" && d.Member != 2 && d.Member != 9 && d.Viewer != 2 && d.Viewer != 9 {
 			t.Errorf("gateway %d told %d dead", d.Viewer, d.Member)
@@ -211,5 +211,5 @@
 	}
 	time.Sleep(10 * time.Second)
 	f.Relay.Heal()
-	f.agree("after the split", healMost)
+	f.waitAgreed("after the split", healTimeout)
 }
--- a/cmd/frostpier/httpengine_test.go
+++ b/cmd/frostpier/httpengine_test.go
@@ -17,13 +17,13 @@
 // "sleep" runs until deleted, "full" never runs, "fault" fails, "break" runs but its connection is cut, "pages"
 // has three pages, "mute" gets no answer.
 type httpEngine struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	posts []post
-	gone  map[string]bool // deleted
-	out   map[string]int
-	most  int  // attempts of one statement out together, here
-	well  bool // it serves whatever the text holds; set before the program starts
+	ln          net.Listener
+	mu          sync.Mutex
+	posts       []post
+	deletedIDs  map[string]bool // deleted
+	inFlight    map[string]int
+	maxInFlight int  // attempts of one statement out together, here
+	servesAll   bool // it serves whatever the text holds; set before the program starts
 }
 
 type post struct {
@@ -33,14 +33,14 @@
 
 func newHTTPEngine(t *testing.T) *httpEngine {
 	t.Helper()
-	e := &httpEngine{gone: map[string]bool{}, out: map[string]int{}}
-	e.ln = standIn(t, e.serve)
+	e := &httpEngine{deletedIDs: map[string]bool{}, inFlight: map[string]int{}}
+	e.ln = serveTCP(t, e.serve)
 	return e
 }
 
 func (e *httpEngine) addr() string { return e.ln.Addr().String() }
 
-func (e *httpEngine) got(text string) int {
+func (e *httpEngine) received(text string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
@@ -52,10 +52,10 @@
 	return n
 }
 
-func (e *httpEngine) deleted() int {
+func (e *httpEngine) deletions() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.gone)
+	return len(e.deletedIDs)
 }
 
 func (e *httpEngine) serve(nc net.Conn) {
@@ -66,7 +66,7 @@
 		if err != nil {
 			return
 		}
-		answer := e.answer(call.Method, call.Path, call.Head, call.Body)
+		answer := e.respond(call.Method, call.Path, call.Head, call.Body)
 		if answer == "" {
 			return
 		}
@@ -76,9 +76,9 @@
 	}
 }
 
-const report = "X-Report: queue:0;inflight:1;x0:0.2;x1:0.1"
+const reportHeader = "X-Report: queue:0;inflight:1;x0:0.2;x1:0.1"
 
-func (e *httpEngine) answer(method, path string, head textproto.MIMEHeader, body string) string {
+func (e *httpEngine) respond(method, path string, head textproto.MIMEHeader, body string) string {
 	id, page := head.Get("X-Hop-Id"), "0"
 	if method != "POST" {
 		parts := strings.Split(strings.TrimPrefix(path, "/v2/q/"), "/")
@@ -91,8 +91,8 @@
 	defer e.mu.Unlock()
 	if method == "POST" {
 		e.posts = append(e.posts, post{head, body})
-		e.out[id]++
-		e.most = max(e.most, e.out[id])
+		e.inFlight[id]++
+		e.maxInFlight = max(e.maxInFlight, e.inFlight[id])
 	} else {
 		for _, p := range e.posts {
 			if p.head.Get("X-Hop-Id") == id {
@@ -101,34 +101,34 @@
 		}
 	}
 	if method == "DELETE" {
-		e.gone[id] = true
-		e.out[id] = 0
+		e.deletedIDs[id] = true
+		e.inFlight[id] = 0
 		return emulator.Answer(204, "")
 	}
 	e.mu.Unlock()
 	defer e.mu.Lock()
-	return e.news(id, page, body, method == "POST")
+	return e.result(id, page, body, method == "POST")
 }
 
-func (e *httpEngine) news(id, page, body string, first bool) string {
+func (e *httpEngine) result(id, page, body string, first bool) string {
 	end := func(answer string) string {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.out[id] = 0
+		e.inFlight[id] = 0
 		return answer
 	}
 	switch {
 	case body == "":
 		return emulator.Answer(500, "")
-	case e.well:
-		return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", report))
+	case e.servesAll:
+		return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
 	case strings.Contains(body, "sleep"):
 		time.Sleep(30 * time.Millisecond) // a poll here is shorter than the platform's
 		return emulator.Answer(202, "", "X-Tell: done", "Figure: 0.5")
 	case strings.Contains(body, "full"):
-		return end(emulator.Answer(503, "", "X-No-Effect: 1", report))
+		return end(emulator.Answer(503, "", "X-No-Effect: 1", reportHeader))
 	case strings.Contains(body, "fault"):
-		return end(emulator.Answer(500, "", report))
+		return end(emulator.Answer(500, "", reportHeader))
 	case strings.Contains(body, "garbage") && first:
 		return "HTTP/1.1 nonsense\r\n\r\n"
 	case strings.Contains(body, "break") && first:
@@ -137,7 +137,7 @@
 	case strings.Contains(body, "pages") && page != "0":
 		return emulator.Answer(200, "page"+page+"\tx\ty\n", "Page-No: "+page)
 	case strings.Contains(body, "pages"):
-		return end(emulator.Answer(200, "page0\tx\ty\n", "Page-Count: 3", report))
+		return end(emulator.Answer(200, "page0\tx\ty\n", "Page-Count: 3", reportHeader))
 	}
-	return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", report))
+	return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
 }
--- a/cmd/frostpier/main.go
+++ b/cmd/frostpier/main.go
@@ -1,5 +1,6 @@
-// Frostpier is a workload manager: it takes queries from clients and has the engines of a pool run them, each
-// where the decision module sends it.
+// Frostpier is a workload manager: a gateway that accepts queries from clients and executes each on an engine of a pool,
+// which its decision module selects. Without arguments it serves until SIGTERM; with arguments it is the command line of
+// rollouts.
 package main
 
 import (
@@ -13,22 +14,37 @@
 	"frostpier/internal/program"
 )
 
+// envDebug is the environment variable that, if not empty, sets the log level to debug.
+const envDebug = "FROSTPIER_DEBUG"
+
 func main() {
-	if len(os.Args) > 1 { // the platform starts it without arguments
-		os.Exit(command(os.Args[1:]))
-	}
-	level := slog.LevelInfo
-	if os.Getenv("FROSTPIER_DEBUG") != "" {
-		level = slog.LevelDebug
+	if len(os.Args) > 1 { // the platform starts the program without arguments
+		os.Exit(runCommand(os.Args[1:]))
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	os.Exit(serve())
+}
+
+// serve serves until SIGTERM or an interrupt. It returns the exit code.
+func serve() int {
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hup := make(chan os.Signal, 1) // without it SIGHUP would end the program
+	hup := make(chan os.Signal, 1) // unhandled, SIGHUP would end the program
 	signal.Notify(hup, syscall.SIGHUP)
-	if err := program.Run(term, hup, log, program.Hooks{}); err != nil {
+	if err := program.Run(ctx, hup, log, program.Hooks{}); err != nil {
 		log.Error("cannot serve", "error", err)
-		fmt.Fprintln(os.Stderr, "frostpier:", err)
-		os.Exit(1)
+		printError(err)
+		return exitError
 	}
+	return exitDone
 }
+
+func logLevel() slog.Level {
+	if os.Getenv(envDebug) != "" {
+		return slog.LevelDebug
+	}
+	return slog.LevelInfo
+}
+
+// printError prints an error for a person.
+func printError(err error) { fmt.Fprintln(os.Stderr, "frostpier:", err) }
--- a/cmd/frostpier/mysql_test.go
+++ b/cmd/frostpier/mysql_test.go
@@ -16,12 +16,12 @@
 
 // sqlClient is a client that speaks MySQL.
 type sqlClient struct {
-	t  *testing.T
-	nc net.Conn
+	t    *testing.T
+	conn net.Conn
 }
 
-// shaOf is SHA-1 over all parts.
-func shaOf(parts ...[]byte) []byte {
+// sha1Of is SHA-1 over all parts.
+func sha1Of(parts ...[]byte) []byte {
 	h := sha1.Sum(bytes.Join(parts, nil))
 	return h[:]
 }
@@ -34,26 +34,26 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(waitTimeout))
 	c := &sqlClient{t, nc}
 	g := c.read()
 	at := bytes.IndexByte(g, 0) + 5
 	scramble := slices.Concat(g[at:at+8], g[at+27:at+39])
-	stage1 := shaOf([]byte(password))
-	proof := shaOf(scramble, shaOf(stage1))
+	stage1 := sha1Of([]byte(password))
+	proof := sha1Of(scramble, sha1Of(stage1))
 	for i := range proof {
 		proof[i] ^= stage1[i]
 	}
 	caps := uint32(1 | 1<<9 | 1<<15 | 1<<19)
 	login := string(binary.LittleEndian.AppendUint32(nil, caps)) + "\xff\xff\xff\x00\x2d" + strings.Repeat("\x00", 23) +
 		user + "\x00\x14" + string(proof) + "mysql_native_password\x00"
-	io.WriteString(nc, packetOf(1, login))
+	io.WriteString(nc, encodePacket(1, login))
 	return c, c.read()
 }
 
 func (c *sqlClient) read() []byte {
 	c.t.Helper()
-	_, p, err := readPacket(c.nc)
+	_, p, err := readPacket(c.conn)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 }
 
 func (c *sqlClient) send(code byte, body string) {
-	io.WriteString(c.nc, packetOf(0, string([]byte{code})+body))
+	io.WriteString(c.conn, encodePacket(0, string([]byte{code})+body))
 }
 
 func (c *sqlClient) wantOK(what string) {
@@ -86,7 +86,7 @@
 	if p := c.read(); string(p) != "\x01" {
 		c.t.Fatalf("got %q, want a result of one column", p)
 	}
-	if def, eof := c.read(), c.read(); string(def) != columnDef || string(eof) != eofPayload {
+	if def, eof := c.read(), c.read(); string(def) != columnDefinition || string(eof) != eofPayload {
 		c.t.Fatalf("the definitions came changed: %q %q", def, eof)
 	}
 	var rows []string
@@ -118,48 +118,48 @@
 
 func le32(n uint32) string { return string(binary.LittleEndian.AppendUint32(nil, n)) }
 
-const bound = "\x00\x01\xfd\x00" // no nulls, types follow: one text
+const textParameter = "\x00\x01\xfd\x00" // no nulls, types follow: one text
 
 func (c *sqlClient) execute(id uint32, params string) {
 	c.send(0x17, le32(id)+"\x00\x01\x00\x00\x00"+params)
 }
 
-var wantRows = []string{"\x05row 1", "\x05row 2"}
+var expectedRows = []string{"\x05row 1", "\x05row 2"}
 
 // sqlNode starts a program with the MySQL front and engines that speak it.
 type sqlNode struct {
 	*node
 	addr    string
-	led     *ledger
+	record  *executionRecord
 	engines []*sqlEngine
 }
 
-func startSQL(t *testing.T, inList int, budget int, engines int) *sqlNode {
+func startSQLNode(t *testing.T, inList int, budget int, engines int) *sqlNode {
 	t.Helper()
-	n := &sqlNode{addr: freePort(t), led: newLedger()}
-	var list []listed
+	n := &sqlNode{addr: freePort(t), record: newExecutionRecord()}
+	var list []engineEntry
 	named := ""
 	for i := range engines {
 		name := string(rune('A' + i))
-		e := newSQLEngine(t, name, n.led)
+		e := newSQLEngine(t, name, n.record)
 		n.engines = append(n.engines, e)
 		named += fmt.Sprintf("%s = %q\n", name, e.addr())
 		if i < inList {
-			list = append(list, inService(name, "127.0.0.1:1"))
+			list = append(list, engineInService(name, "127.0.0.1:1"))
 		}
 	}
 	accounts := ""
 	for _, class := range []string{"lookup", "report", "form-load"} {
 		accounts += fmt.Sprintf("[[mysql.account]]\nuser = %q\npassword_hash = \"*%X\"\nclass = %q\nbudget_ms = %d\n", class,
-			shaOf(shaOf([]byte("secret"))), class, budget)
+			sha1Of(sha1Of([]byte("secret"))), class, budget)
 	}
 	n.node = startNode(t, fmt.Sprintf("[mysql]\nlisten = %q\nengine_user = \"gw\"\nengine_password = \"pw\"\n[mysql.engines]\n%s%s",
 		n.addr, named, accounts), list...)
 	t.Cleanup(func() {
-		n.led.mu.Lock()
-		defer n.led.mu.Unlock()
-		if n.led.most > 1 {
-			t.Errorf("%d attempts of one request were out together", n.led.most)
+		n.record.mu.Lock()
+		defer n.record.mu.Unlock()
+		if n.record.maxInFlight > 1 {
+			t.Errorf("%d attempts of one request were out together", n.record.maxInFlight)
 		}
 	})
 	return n
@@ -176,43 +176,43 @@
 
 func TestMySQLServesStatements(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 1, 4000, 1)
+	n := startSQLNode(t, 1, 4000, 1)
 	c := n.login("lookup")
 	c.send(0x0e, "")
 	c.wantOK("ping")
 	c.send(0x02, "sales_17")
 	c.wantOK("init db")
 	c.send(0x03, "SELECT 1 FROM t")
-	if rows := c.wantRows(); !slices.Equal(rows, wantRows) {
+	if rows := c.wantRows(); !slices.Equal(rows, expectedRows) {
 		t.Fatalf("rows %q", rows)
 	}
 	id := c.prepare("SELECT c FROM t WHERE c = ?")
-	c.execute(id, bound+"\x03abc")
+	c.execute(id, textParameter+"\x03abc")
 	c.wantRows()
 	c.execute(id, "\x00\x00\x03def") // the types are remembered
 	c.wantRows()
 	n.engines[0].mu.Lock()
-	last := n.engines[0].execs[1]
+	last := n.engines[0].executes[1]
 	n.engines[0].mu.Unlock()
-	if string(last[10:]) != bound+"\x03def" {
+	if string(last[10:]) != textParameter+"\x03def" {
 		t.Fatalf("the engine got %q", last)
 	}
-	io.WriteString(c.nc, packetOf(0, "\x18"+le32(id)+"\x00\x00lo")+packetOf(0, "\x18"+le32(id)+"\x00\x00ng"))
-	c.execute(id, bound)
+	io.WriteString(c.conn, encodePacket(0, "\x18"+le32(id)+"\x00\x00lo")+encodePacket(0, "\x18"+le32(id)+"\x00\x00ng"))
+	c.execute(id, textParameter)
 	c.wantRows()
-	if longs := n.engines[0].longs; len(longs) != 1 || longs[0] != "long" {
+	if longs := n.engines[0].longData; len(longs) != 1 || longs[0] != "long" {
 		t.Fatalf("long data %q", longs)
 	}
 	c.send(0x1a, le32(id))
 	c.wantOK("reset")
 	c.send(0x19, le32(id))
-	c.execute(id, bound+"\x03abc")
+	c.execute(id, textParameter+"\x03abc")
 	c.wantErr(1243)
 }
 
 func TestMySQLRejectsUnrun(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 1, 4000, 1)
+	n := startSQLNode(t, 1, 4000, 1)
 	if _, p := dialSQL(t, n.addr, "lookup", "guess"); p[0] != 0xff || binary.LittleEndian.Uint16(p[1:]) != 1045 {
 		t.Fatalf("a wrong password: %q", p)
 	}
@@ -232,27 +232,27 @@
 	l := n.login("form-load")
 	l.send(0x03, "load without a key")
 	l.wantErr(1105)
-	if runs := n.led.count(""); runs != 0 {
+	if runs := n.record.count(""); runs != 0 {
 		t.Fatalf("%d of them ran", runs)
 	}
 }
 
 func TestMySQLDeadline(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 1, 400, 1)
+	n := startSQLNode(t, 1, 400, 1)
 	c := n.login("report")
 	c.send(0x03, "sleep")
 	c.wantErr(3024)
-	waitFor(t, "the kill", func() bool { return n.led.stillOut() == 0 })
+	waitFor(t, "the kill", func() bool { return n.record.totalInFlight() == 0 })
 	c.send(0x0e, "")
 	c.wantOK("the connection serves on")
 }
 
 func TestMySQLRefusal(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 1, 2500, 1)
+	n := startSQLNode(t, 1, 2500, 1)
 	n.engines[0].mu.Lock()
-	n.engines[0].full = true
+	n.engines[0].rejectsConnections = true
 	n.engines[0].mu.Unlock()
 	c := n.login("report") // given up a second before its end: no doubt which error it gets
 	c.send(0x03, "SELECT 1")
@@ -263,17 +263,17 @@
 
 func TestMySQLErrors(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 2, 4000, 2)
+	n := startSQLNode(t, 2, 4000, 2)
 	c := n.login("lookup")
 	c.send(0x03, "wrong")
 	c.wantErr(1064) // the statement's own: passed on, not tried again
-	if runs := n.led.count("wrong"); runs != 1 {
+	if runs := n.record.count("wrong"); runs != 1 {
 		t.Fatalf("ran %d times", runs)
 	}
 	c = n.login("report")
 	c.send(0x03, "down")
 	c.wantErr(1040) // the engines': tried elsewhere, then refused, as it is safe to repeat
-	if runs := n.led.count("down"); runs < 2 {
+	if runs := n.record.count("down"); runs < 2 {
 		t.Fatalf("ran %d times", runs)
 	}
 	c.send(0x03, "cut") // after the first row there is no other attempt, and the break shows
@@ -282,26 +282,26 @@
 	c.read()
 	c.read()
 	c.wantErr(1105)
-	if runs := n.led.count("cut"); runs != 1 {
+	if runs := n.record.count("cut"); runs != 1 {
 		t.Fatalf("ran %d times", runs)
 	}
 }
 
 func TestMySQLSplitAndOversizedPackets(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 1, 4000, 1)
+	n := startSQLNode(t, 1, 4000, 1)
 	c := n.login("lookup")
-	for _, b := range []byte(packetOf(0, "\x03SELECT 1")) {
-		c.nc.Write([]byte{b})
+	for _, b := range []byte(encodePacket(0, "\x03SELECT 1")) {
+		c.conn.Write([]byte{b})
 	}
 	c.wantRows()
 	id := c.prepare("SELECT ?")
-	io.WriteString(c.nc, packetOf(0, "\x17"+le32(id)+"\x00\x01\x00\x00\x00"+bound+"\x01a")+packetOf(0, "\x0e")) // together
+	io.WriteString(c.conn, encodePacket(0, "\x17"+le32(id)+"\x00\x01\x00\x00\x00"+textParameter+"\x01a")+encodePacket(0, "\x0e")) // together
 	c.wantRows()
 	c.wantOK("the ping behind")
-	c.nc.Write([]byte{0xff, 0xff, 0xff, 0, 3})
+	c.conn.Write([]byte{0xff, 0xff, 0xff, 0, 3})
 	c.wantErr(1153)
-	if _, _, err := readPacket(c.nc); err == nil {
+	if _, _, err := readPacket(c.conn); err == nil {
 		t.Fatal("the connection stayed open")
 	}
 }
@@ -309,16 +309,16 @@
 // A load whose engine broke off after it may have run goes out again with its key, and has its effect once.
 func TestMySQLKeyedRepeat(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 2, 15000, 2)
+	n := startSQLNode(t, 2, 15000, 2)
 	c := n.login("form-load")
 	c.send(0x03, "SET @replay_key = 'k-1'")
 	c.wantOK("key")
 	c.send(0x03, "lose load")
 	c.wantOK("load")
-	if runs := n.led.count("lose"); runs < 2 {
+	if runs := n.record.count("lose"); runs < 2 {
 		t.Fatalf("ran %d times", runs)
 	}
-	if effects := n.led.effects["'k-1'"]; effects != 1 {
+	if effects := n.record.effects["'k-1'"]; effects != 1 {
 		t.Fatalf("%d effects", effects)
 	}
 	c.send(0x03, "load again")
@@ -329,32 +329,32 @@
 // before; nothing new goes to the drained one 2 s after it was told.
 func TestMySQLStatementOutlivesItsEngine(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 1, 4000, 2)
+	n := startSQLNode(t, 1, 4000, 2)
 	c := n.login("lookup")
 	id := c.prepare("SELECT c FROM sales_17.t WHERE c = ?")
-	c.execute(id, bound+"\x03abc")
+	c.execute(id, textParameter+"\x03abc")
 	c.wantRows()
-	n.discovery.publish(listed{"A", "127.0.0.1:1", "z", "m", "terminating"}, inService("B", "127.0.0.1:1"))
+	n.discovery.publish(engineEntry{"A", "127.0.0.1:1", "z", "m", "terminating"}, engineInService("B", "127.0.0.1:1"))
 	told := time.Now()
 	var lastAtA time.Time
 	waitFor(t, "an execute at B", func() bool {
-		before := n.led.count("A:")
+		before := n.record.count("A:")
 		c.execute(id, "\x00\x00\x03abc")
 		c.wantRows()
-		if n.led.count("A:") > before {
+		if n.record.count("A:") > before {
 			lastAtA = time.Now()
 		}
-		return n.led.count("B:") > 0
+		return n.record.count("B:") > 0
 	})
-	atA := n.led.count("A:")
+	atA := n.record.count("A:")
 	for range 50 {
 		c.execute(id, "\x00\x00\x03abc")
 		c.wantRows()
 	}
-	if n.led.count("A:") != atA || !lastAtA.IsZero() && lastAtA.Sub(told) > 2*time.Second {
+	if n.record.count("A:") != atA || !lastAtA.IsZero() && lastAtA.Sub(told) > 2*time.Second {
 		t.Fatalf("A got new work after it was told to drain")
 	}
-	if e := n.engines[1].execs[0]; string(e[10:]) != bound+"\x03abc" {
+	if e := n.engines[1].executes[0]; string(e[10:]) != textParameter+"\x03abc" {
 		t.Fatalf("B got %q", e)
 	}
 }
@@ -362,14 +362,14 @@
 // A client that closes in the middle of a result has its query killed, and the attempt is out until then.
 func TestMySQLCloseMidResult(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 1, 15000, 1)
+	n := startSQLNode(t, 1, 15000, 1)
 	c := n.login("report")
 	c.send(0x03, "many")
 	for range 8 {
 		c.read()
 	}
-	c.nc.Close()
-	waitFor(t, "the kill", func() bool { return n.led.killed() > 0 && n.led.stillOut() == 0 })
+	c.conn.Close()
+	waitFor(t, "the kill", func() bool { return n.record.killCount() > 0 && n.record.totalInFlight() == 0 })
 	other := n.login("report")
 	other.send(0x03, "SELECT 1")
 	other.wantRows()
@@ -378,13 +378,13 @@
 // A client that reads nothing holds the engine's side back; the program does not take the result in.
 func TestMySQLBackPressure(t *testing.T) {
 	t.Parallel()
-	n := startSQL(t, 1, 15000, 1)
+	n := startSQLNode(t, 1, 15000, 1)
 	c := n.login("report")
 	c.send(0x03, "many")
 	for range 4 {
 		c.read()
 	}
-	waitFor(t, "a query that runs", func() bool { return n.led.stillOut() == 1 })
+	waitFor(t, "a query that runs", func() bool { return n.record.totalInFlight() == 1 })
 	other := n.login("lookup")
 	other.send(0x03, "SELECT 1")
 	other.wantRows() // the loop is not held
@@ -398,7 +398,7 @@
 // The master of the virtual router listens; at its planned stop the other takes over.
 func TestMySQLListenerFollowsTheMaster(t *testing.T) {
 	t.Parallel()
-	led := newLedger()
+	led := newExecutionRecord()
 	e := newSQLEngine(t, "A", led)
 	addr, udp := freePort(t), [2]string{freeUDP(t), freeUDP(t)}
 	var nodes [2]*node
@@ -406,7 +406,7 @@
 		nodes[i] = startNode(t, fmt.Sprintf("[mysql]\nlisten = %q\nengine_user = \"gw\"\n[mysql.engines]\nA = %q\n"+
 			"[[mysql.account]]\nuser = \"u\"\npassword_hash = \"*%X\"\nclass = \"lookup\"\nbudget_ms = 4000\n"+
 			"[vrrp]\nlisten = %q\npeers = [%q]\nid = 7\npriority = %d\ninterval_ms = 100\npreempt = true\naddresses = [\"127.0.0.1\"]\n",
-			addr, e.addr(), shaOf(shaOf([]byte("p"))), udp[i], udp[1-i], priority), inService("A", "127.0.0.1:1"))
+			addr, e.addr(), sha1Of(sha1Of([]byte("p"))), udp[i], udp[1-i], priority), engineInService("A", "127.0.0.1:1"))
 		if i == 0 {
 			nodes[0].waitLog("mysql front listens")
 		}
--- a/cmd/frostpier/mysqlengine_test.go
+++ b/cmd/frostpier/mysqlengine_test.go
@@ -22,48 +22,50 @@
 	return head[3], payload, err
 }
 
-func packetOf(seq byte, payload string) string {
+func encodePacket(seq byte, payload string) string {
 	n := len(payload)
 	return string([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}) + payload
 }
 
-// answerOf numbers payloads as an answer to a command.
-func answerOf(payloads ...string) string {
+// encodeResponse numbers payloads as an answer to a command.
+func encodeResponse(payloads ...string) string {
 	out := ""
 	for i, p := range payloads {
-		out += packetOf(byte(i+1), p)
+		out += encodePacket(byte(i+1), p)
 	}
 	return out
 }
 
 const (
-	okPayload  = "\x00\x00\x00\x02\x00\x00\x00"
-	eofPayload = "\xfe\x00\x00\x02\x00"
-	columnDef  = "\x03def\x00\x00\x00\x01c\x00\x0c\x2d\x00\xff\x00\x00\x00\xfd\x00\x00\x00\x00\x00"
+	okPayload        = "\x00\x00\x00\x02\x00\x00\x00"
+	eofPayload       = "\xfe\x00\x00\x02\x00"
+	columnDefinition = "\x03def\x00\x00\x00\x01c\x00\x0c\x2d\x00\xff\x00\x00\x00\xfd\x00\x00\x00\x00\x00"
 )
 
 func errPayload(code int, text string) string {
 	return "\xff" + string(binary.LittleEndian.AppendUint16(nil, uint16(code))) + "#HY000" + text
 }
 
-// ledger is what all stand-ins of a test share: who runs what, and which loads have had their effect.
-type ledger struct {
-	mu      sync.Mutex
-	runs    []string // engine:statement, in the order they ran
-	out     map[string]int
-	most    int // attempts of one statement out together, over all engines
-	effects map[string]int
-	kills   int
-	lost    bool // a connection was cut on "lose"
+// executionRecord is what all stand-ins of a test share: who runs what, and which loads have had their effect.
+type executionRecord struct {
+	mu             sync.Mutex
+	executions     []string // engine:statement, in the order they ran
+	inFlight       map[string]int
+	maxInFlight    int // attempts of one statement out together, over all engines
+	effects        map[string]int
+	kills          int
+	connectionLost bool // a connection was cut on "lose"
 }
 
-func newLedger() *ledger { return &ledger{out: map[string]int{}, effects: map[string]int{}} }
+func newExecutionRecord() *executionRecord {
+	return &executionRecord{inFlight: map[string]int{}, effects: map[string]int{}}
+}
 
-func (l *ledger) count(text string) int {
+func (l *executionRecord) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for _, r := range l.runs {
+	for _, r := range l.executions {
 		if strings.Contains(r, text) {
 			n++
 		}
@@ -71,18 +73,18 @@
 	return n
 }
 
-func (l *ledger) killed() int {
+func (l *executionRecord) killCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.kills
 }
 
-// stillOut is how many attempts are out at the engines.
-func (l *ledger) stillOut() int {
+// totalInFlight is how many attempts are out at the engines.
+func (l *executionRecord) totalInFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for _, o := range l.out {
+	for _, o := range l.inFlight {
 		n += o
 	}
 	return n
@@ -92,21 +94,21 @@
 // "sleep" runs until killed, "many" gives rows until killed, "cut" gives a row and then cuts the connection, "wrong"
 // is the statement's own fault, "down" the engine's, "lose" has its effect and then cuts the connection, once.
 type sqlEngine struct {
-	name   string
-	ln     net.Listener
-	led    *ledger
-	mu     sync.Mutex
-	nextID uint32
-	live   map[uint32]chan struct{} // closed to kill what the connection runs
-	full   bool                     // it lets nobody in
-	execs  [][]byte
-	longs  []string
+	name               string
+	ln                 net.Listener
+	record             *executionRecord
+	mu                 sync.Mutex
+	nextID             uint32
+	running            map[uint32]chan struct{} // closed to kill what the connection runs
+	rejectsConnections bool                     // it lets nobody in
+	executes           [][]byte
+	longData           []string
 }
 
-func newSQLEngine(t *testing.T, name string, led *ledger) *sqlEngine {
+func newSQLEngine(t *testing.T, name string, led *executionRecord) *sqlEngine {
 	t.Helper()
-	e := &sqlEngine{name: name, led: led, live: map[uint32]chan struct{}{}}
-	e.ln = standIn(t, e.serve)
+	e := &sqlEngine{name: name, record: led, running: map[uint32]chan struct{}{}}
+	e.ln = serveTCP(t, e.serve)
 	return e
 }
 
@@ -114,33 +116,33 @@
 
 // sqlSession is a connection to the stand-in.
 type sqlSession struct {
-	nc    net.Conn
-	id    uint32
-	key   string
-	stmts map[uint32]string
-	next  uint32
+	conn           net.Conn
+	id             uint32
+	idempotencyKey string
+	statements     map[uint32]string
+	lastStatement  uint32
 }
 
 func (e *sqlEngine) serve(nc net.Conn) {
 	defer nc.Close()
 	e.mu.Lock()
-	full := e.full
+	full := e.rejectsConnections
 	e.mu.Unlock()
 	if full {
-		io.WriteString(nc, packetOf(0, errPayload(1040, "Too many connections")))
+		io.WriteString(nc, encodePacket(0, errPayload(1040, "Too many connections")))
 		return
 	}
 	e.mu.Lock()
 	e.nextID++
-	s := &sqlSession{nc: nc, id: e.nextID, stmts: map[uint32]string{}, next: 70} // ids that differ from the gateway's
+	s := &sqlSession{conn: nc, id: e.nextID, statements: map[uint32]string{}, lastStatement: 70} // ids that differ from the gateway's
 	e.mu.Unlock()
 	id := string(binary.LittleEndian.AppendUint32(nil, s.id))
-	io.WriteString(nc, packetOf(0, "\x0a5.7.0\x00"+id+"abcdefgh\x00\xff\xf7\x2d\x02\x00\xff\x81\x15"+strings.Repeat("\x00", 10)+
+	io.WriteString(nc, encodePacket(0, "\x0a5.7.0\x00"+id+"abcdefgh\x00\xff\xf7\x2d\x02\x00\xff\x81\x15"+strings.Repeat("\x00", 10)+
 		"ijklmnopqrst\x00mysql_native_password\x00"))
 	if _, _, err := readPacket(nc); err != nil {
 		return
 	}
-	io.WriteString(nc, packetOf(2, okPayload))
+	io.WriteString(nc, encodePacket(2, okPayload))
 	for {
 		_, p, err := readPacket(nc)
 		if err != nil || len(p) == 0 || !e.command(s, p) {
@@ -153,35 +155,35 @@
 func (e *sqlEngine) command(s *sqlSession, p []byte) bool {
 	switch p[0] {
 	case 0x02:
-		io.WriteString(s.nc, answerOf(okPayload))
+		io.WriteString(s.conn, encodeResponse(okPayload))
 	case 0x03:
 		return e.query(s, string(p[1:]))
 	case 0x16:
-		s.next++
-		s.stmts[s.next] = string(p[1:])
+		s.lastStatement++
+		s.statements[s.lastStatement] = string(p[1:])
 		params := strings.Count(string(p[1:]), "?")
-		head := "\x00" + string(binary.LittleEndian.AppendUint32(nil, s.next)) + "\x01\x00" + string([]byte{byte(params), 0}) + "\x00\x00\x00"
+		head := "\x00" + string(binary.LittleEndian.AppendUint32(nil, s.lastStatement)) + "\x01\x00" + string([]byte{byte(params), 0}) + "\x00\x00\x00"
 		payloads := []string{head}
 		for range params {
-			payloads = append(payloads, columnDef)
+			payloads = append(payloads, columnDefinition)
 		}
 		if params > 0 {
 			payloads = append(payloads, eofPayload)
 		}
-		io.WriteString(s.nc, answerOf(append(payloads, columnDef, eofPayload)...))
+		io.WriteString(s.conn, encodeResponse(append(payloads, columnDefinition, eofPayload)...))
 	case 0x17:
 		e.mu.Lock()
-		e.execs = append(e.execs, p)
+		e.executes = append(e.executes, p)
 		e.mu.Unlock()
-		text, known := s.stmts[binary.LittleEndian.Uint32(p[1:])]
+		text, known := s.statements[binary.LittleEndian.Uint32(p[1:])]
 		if !known {
-			io.WriteString(s.nc, answerOf(errPayload(1243, "unknown statement")))
+			io.WriteString(s.conn, encodeResponse(errPayload(1243, "unknown statement")))
 			return true
 		}
 		return e.run(s, text)
 	case 0x18:
 		e.mu.Lock()
-		e.longs = append(e.longs, string(p[7:]))
+		e.longData = append(e.longData, string(p[7:]))
 		e.mu.Unlock()
 	default:
 		return false
@@ -191,8 +193,8 @@
 
 func (e *sqlEngine) query(s *sqlSession, text string) bool {
 	if key, is := strings.CutPrefix(text, "SET @replay_key="); is {
-		s.key = key
-		io.WriteString(s.nc, answerOf(okPayload))
+		s.idempotencyKey = key
+		io.WriteString(s.conn, encodeResponse(okPayload))
 		return true
 	}
 	var id uint32
@@ -204,91 +206,91 @@
 }
 
 func (e *sqlEngine) kill(s *sqlSession, id uint32) {
-	e.led.mu.Lock()
-	e.led.kills++
-	e.led.mu.Unlock()
+	e.record.mu.Lock()
+	e.record.kills++
+	e.record.mu.Unlock()
 	e.mu.Lock()
-	stop := e.live[id]
-	delete(e.live, id)
+	stop := e.running[id]
+	delete(e.running, id)
 	e.mu.Unlock()
 	if stop == nil {
-		io.WriteString(s.nc, answerOf(errPayload(1094, "Unknown thread id")))
+		io.WriteString(s.conn, encodeResponse(errPayload(1094, "Unknown thread id")))
 		return
 	}
 	close(stop)
-	io.WriteString(s.nc, answerOf(okPayload))
+	io.WriteString(s.conn, encodeResponse(okPayload))
 }
 
 // run runs a statement and answers.
 func (e *sqlEngine) run(s *sqlSession, text string) bool {
 	stop := make(chan struct{})
 	e.mu.Lock()
-	e.live[s.id] = stop
+	e.running[s.id] = stop
 	e.mu.Unlock()
-	e.led.mu.Lock()
-	first := !e.led.lost
-	e.led.lost = first && strings.Contains(text, "lose") || e.led.lost
-	e.led.runs = append(e.led.runs, e.name+":"+text)
-	e.led.out[text]++
-	e.led.most = max(e.led.most, e.led.out[text])
-	if s.key != "" && e.led.effects[s.key] == 0 { // a repeat within the window is dropped by all engines
-		e.led.effects[s.key]++
+	e.record.mu.Lock()
+	first := !e.record.connectionLost
+	e.record.connectionLost = first && strings.Contains(text, "lose") || e.record.connectionLost
+	e.record.executions = append(e.record.executions, e.name+":"+text)
+	e.record.inFlight[text]++
+	e.record.maxInFlight = max(e.record.maxInFlight, e.record.inFlight[text])
+	if s.idempotencyKey != "" && e.record.effects[s.idempotencyKey] == 0 { // a repeat within the window is dropped by all engines
+		e.record.effects[s.idempotencyKey]++
 	}
-	e.led.mu.Unlock()
-	s.key = ""
+	e.record.mu.Unlock()
+	s.idempotencyKey = ""
 	defer func() {
 		e.mu.Lock()
-		delete(e.live, s.id)
+		delete(e.running, s.id)
 		e.mu.Unlock()
 	}()
 	over := func() {
-		e.led.mu.Lock()
-		e.led.out[text]--
-		e.led.mu.Unlock()
+		e.record.mu.Lock()
+		e.record.inFlight[text]--
+		e.record.mu.Unlock()
 	}
 	switch {
 	case strings.Contains(text, "sleep"):
 		<-stop
 		over()
-		io.WriteString(s.nc, answerOf(errPayload(1317, "interrupted")))
+		io.WriteString(s.conn, encodeResponse(errPayload(1317, "interrupted")))
 	case strings.Contains(text, "many"):
-		return e.many(s, stop, over)
+		return e.streamRows(s, stop, over)
 	case strings.Contains(text, "cut"):
 		over()
-		io.WriteString(s.nc, answerOf("\x01", columnDef, eofPayload, "\x05row 1"))
+		io.WriteString(s.conn, encodeResponse("\x01", columnDefinition, eofPayload, "\x05row 1"))
 		return false
 	case strings.Contains(text, "lose") && first:
 		over()
 		return false
 	case strings.Contains(text, "wrong"):
 		over()
-		io.WriteString(s.nc, answerOf(errPayload(1064, "You have an error")))
+		io.WriteString(s.conn, encodeResponse(errPayload(1064, "You have an error")))
 	case strings.Contains(text, "down"):
 		over()
-		io.WriteString(s.nc, answerOf(errPayload(1053, "Server shutdown in progress")))
+		io.WriteString(s.conn, encodeResponse(errPayload(1053, "Server shutdown in progress")))
 	case strings.Contains(text, "load"):
 		over()
-		io.WriteString(s.nc, answerOf(okPayload))
+		io.WriteString(s.conn, encodeResponse(okPayload))
 	default:
 		over()
-		io.WriteString(s.nc, answerOf("\x01", columnDef, eofPayload, "\x05row 1", "\x05row 2", eofPayload))
+		io.WriteString(s.conn, encodeResponse("\x01", columnDefinition, eofPayload, "\x05row 1", "\x05row 2", eofPayload))
 	}
 	return true
 }
 
-// many gives rows until it is killed; its query goes on when nobody reads them, as an engine's would.
-func (e *sqlEngine) many(s *sqlSession, stop chan struct{}, over func()) bool {
-	io.WriteString(s.nc, answerOf("\x01", columnDef, eofPayload))
+// streamRows gives rows until it is killed; its query goes on when nobody reads them, as an engine's would.
+func (e *sqlEngine) streamRows(s *sqlSession, stop chan struct{}, over func()) bool {
+	io.WriteString(s.conn, encodeResponse("\x01", columnDefinition, eofPayload))
 	rows := make(chan bool)
 	go func() {
 		defer close(rows)
-		row := packetOf(4, "\xfc\x00\x04"+strings.Repeat("r", 1024))
+		row := encodePacket(4, "\xfc\x00\x04"+strings.Repeat("r", 1024))
 		for {
 			select {
 			case <-stop:
 				return
 			default:
-				if _, err := io.WriteString(s.nc, row); err != nil {
+				if _, err := io.WriteString(s.conn, row); err != nil {
 					return
 				}
 			}
@@ -297,6 +299,6 @@
 	<-stop
 	over()
 	<-rows
-	_, err := io.WriteString(s.nc, packetOf(5, errPayload(1317, "interrupted")))
+	_, err := io.WriteString(s.conn, encodePacket(5, errPayload(1317, "interrupted")))
 	return err == nil
 }
--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// rpc is a client of the platform.
-type rpc struct {
-	t  *testing.T
-	nc net.Conn
-	r  *bufio.Reader
+// rpcClient is a client of the platform.
+type rpcClient struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-type rpcAnswer struct {
+type rpcResponse struct {
 	ID     int `json:"id"`
 	Result *struct {
 		Blob    string `json:"blob"`
@@ -35,48 +35,48 @@
 	} `json:"error"`
 }
 
-func dialRPC(t *testing.T, n *node) *rpc {
+func dialRPC(t *testing.T, n *node) *rpcClient {
 	t.Helper()
 	nc, err := net.Dial("tcp", n.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
-	return &rpc{t, nc, bufio.NewReader(nc)}
+	nc.SetDeadline(time.Now().Add(waitTimeout))
+	return &rpcClient{t, nc, bufio.NewReader(nc)}
 }
 
-func (c *rpc) line(text string) { io.WriteString(c.nc, text+"\n") }
+func (c *rpcClient) sendLine(text string) { io.WriteString(c.conn, text+"\n") }
 
-func (c *rpc) ask(id int, method, statement string, budget int, more string) {
-	c.line(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016x","budget":%d%s,"blob":%q}}`, id, method,
+func (c *rpcClient) submit(id int, method, statement string, budget int, more string) {
+	c.sendLine(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016x","budget":%d%s,"blob":%q}}`, id, method,
 		id, budget, more, base64.StdEncoding.EncodeToString([]byte(statement))))
 }
 
-func (c *rpc) answer() rpcAnswer {
+func (c *rpcClient) readResponse() rpcResponse {
 	c.t.Helper()
-	line, err := c.r.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	var a rpcAnswer
+	var a rpcResponse
 	if err := json.Unmarshal([]byte(line), &a); err != nil {
 		c.t.Fatalf("%q: %v", line, err)
 	}
 	return a
 }
 
-func (c *rpc) served(id int, want string) {
+func (c *rpcClient) wantServed(id int, want string) {
 	c.t.Helper()
-	a := c.answer()
+	a := c.readResponse()
 	if a.ID != id || a.Result == nil || a.Result.Blob != base64.StdEncoding.EncodeToString([]byte(want)) {
 		c.t.Fatalf("answer %+v, want %q", a, want)
 	}
 }
 
-func (c *rpc) failed(id, code int) rpcAnswer {
+func (c *rpcClient) wantError(id, code int) rpcResponse {
 	c.t.Helper()
-	a := c.answer()
+	a := c.readResponse()
 	if a.ID != id || a.Error == nil || a.Error.Code != code {
 		c.t.Fatalf("answer %+v, want error %d for %d", a, code, id)
 	}
@@ -86,38 +86,38 @@
 func TestPlatformServesAndPassesOnUnchanged(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
+	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
 	statement := "SELECT 'Þór;\t' FROM sales_17.orders\n"
-	c.ask(1, "form-load", statement, 5000, `,"token":"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"`)
-	c.served(1, "a\tb\tc\n")
+	c.submit(1, "form-load", statement, 5000, `,"token":"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"`)
+	c.wantServed(1, "a\tb\tc\n")
 	p := e.posts[0]
 	if p.body != statement || p.head.Get("X-Hop-Id") != "0000000000000001" || p.head.Get("X-Sort") != "form-load" ||
 		p.head.Get("X-Replay-Key") != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" {
 		t.Fatalf("the engine got %+v", p)
 	}
-	c.ask(2, "lookup", "pages", 3000, "")
-	c.served(2, "page0\tx\ty\npage1\tx\ty\npage2\tx\ty\n")
+	c.submit(2, "lookup", "pages", 3000, "")
+	c.wantServed(2, "page0\tx\ty\npage1\tx\ty\npage2\tx\ty\n")
 }
 
 func TestPlatformErrors(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
-	c.line("{nonsense")
-	c.failed(0, -32700)
-	c.ask(1, "nosuch", "x", 1000, "")
-	c.failed(1, -32601)
-	c.ask(2, "lookup", "x", -1, "")
-	c.failed(2, -32602)
-	c.line(`{"jsonrpc":"2.0","id":3,"method":"lookup","params":{"rid":"3","budget":100,"blob":"%%"}}`)
-	c.failed(3, -32602)
-	c.ask(4, "form-load", "x", 1000, "") // a load without its key is not run
-	c.failed(4, -32602)
-	if n := e.got(""); n != 0 {
+	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
+	c.sendLine("{nonsense")
+	c.wantError(0, -32700)
+	c.submit(1, "nosuch", "x", 1000, "")
+	c.wantError(1, -32601)
+	c.submit(2, "lookup", "x", -1, "")
+	c.wantError(2, -32602)
+	c.sendLine(`{"jsonrpc":"2.0","id":3,"method":"lookup","params":{"rid":"3","budget":100,"blob":"%%"}}`)
+	c.wantError(3, -32602)
+	c.submit(4, "form-load", "x", 1000, "") // a load without its key is not run
+	c.wantError(4, -32602)
+	if n := e.received(""); n != 0 {
 		t.Fatalf("%d of them reached the engine", n)
 	}
-	c.line(strings.Repeat("x", 2<<20))
-	if _, err := c.r.ReadString('\n'); err == nil {
+	c.sendLine(strings.Repeat("x", 2<<20))
+	if _, err := c.reader.ReadString('\n'); err == nil {
 		t.Fatal("an over-long line left the connection open")
 	}
 }
@@ -126,9 +126,9 @@
 func TestPlatformRefusalCarriesRetryTime(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
-	c.ask(1, "lookup", "full", 1000, "")
-	if a := c.failed(1, -32008); a.Error.Data.Backoff <= 0 || a.Error.Data.Backoff > 500 {
+	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
+	c.submit(1, "lookup", "full", 1000, "")
+	if a := c.wantError(1, -32008); a.Error.Data.Backoff <= 0 || a.Error.Data.Backoff > 500 {
 		t.Fatalf("backoff %d", a.Error.Data.Backoff)
 	}
 }
@@ -139,20 +139,20 @@
 	// A query whose connection breaks or brings noise is asked for on another: that is no further attempt.
 	for text, further := range map[string]int{"break": 0, "fault": 1, "garbage": 0, "full": 1} {
 		bad, good := newHTTPEngine(t), newHTTPEngine(t)
-		good.well = true
-		n := startNode(t, "", inService("e1", bad.addr()), inService("e2", good.addr()))
+		good.servesAll = true
+		n := startNode(t, "", engineInService("e1", bad.addr()), engineInService("e2", good.addr()))
 		c := dialRPC(t, n)
 		id := 0
 		waitFor(t, "one that met the bad engine first", func() bool {
 			id++ // each of another group of tables: those are spread over the engines
-			c.ask(id, "report", fmt.Sprintf("%s FROM sales_%d.orders", text, id), 15000, "")
-			c.served(id, "a\tb\tc\n")
-			return bad.got(text) > 0
+			c.submit(id, "report", fmt.Sprintf("%s FROM sales_%d.orders", text, id), 15000, "")
+			c.wantServed(id, "a\tb\tc\n")
+			return bad.received(text) > 0
 		})
-		if total := bad.got(text) + good.got(text); total != id+further {
+		if total := bad.received(text) + good.received(text); total != id+further {
 			t.Fatalf("%s: %d attempts of %d requests", text, total, id)
 		}
-		if bad.most > 1 || good.most > 1 {
+		if bad.maxInFlight > 1 || good.maxInFlight > 1 {
 			t.Fatalf("%s: two attempts out together", text)
 		}
 	}
@@ -161,49 +161,49 @@
 func TestPlatformAbortAndCloseCancel(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	n := startNode(t, "", inService("e1", e.addr()))
+	n := startNode(t, "", engineInService("e1", e.addr()))
 	c := dialRPC(t, n)
-	c.ask(1, "report", "sleep one", 15000, "")
-	waitFor(t, "the first query", func() bool { return e.got("one") == 1 })
-	c.line(`{"jsonrpc":"2.0","method":"abort","params":{"id":1}}`)
-	waitFor(t, "its end", func() bool { return e.deleted() == 1 })
-	c.ask(2, "report", "sleep two", 15000, "")
-	waitFor(t, "the second query", func() bool { return e.got("two") == 1 })
-	c.nc.Close()
-	waitFor(t, "its end", func() bool { return e.deleted() == 2 })
+	c.submit(1, "report", "sleep one", 15000, "")
+	waitFor(t, "the first query", func() bool { return e.received("one") == 1 })
+	c.sendLine(`{"jsonrpc":"2.0","method":"abort","params":{"id":1}}`)
+	waitFor(t, "its end", func() bool { return e.deletions() == 1 })
+	c.submit(2, "report", "sleep two", 15000, "")
+	waitFor(t, "the second query", func() bool { return e.received("two") == 1 })
+	c.conn.Close()
+	waitFor(t, "its end", func() bool { return e.deletions() == 2 })
 }
 
 func TestPlatformDeadline(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	c := dialRPC(t, startNode(t, "", inService("e1", e.addr())))
-	c.ask(1, "lookup", "sleep", 400, "")
-	c.failed(1, -32008) // safe to repeat: a refusal is honest
-	waitFor(t, "the end at the engine", func() bool { return e.deleted() == 1 })
+	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
+	c.submit(1, "lookup", "sleep", 400, "")
+	c.wantError(1, -32008) // safe to repeat: a refusal is honest
+	waitFor(t, "the end at the engine", func() bool { return e.deletions() == 1 })
 }
 
 // After SIGTERM ping says so, what is open is answered, new requests are still taken, and the program ends well.
 func TestPlatformStop(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	n := startNode(t, "", inService("e1", e.addr()))
+	n := startNode(t, "", engineInService("e1", e.addr()))
 	c := dialRPC(t, n)
-	c.line(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
-	if a := c.answer(); a.Result == nil || a.Result.Serving == nil || !*a.Result.Serving {
+	c.sendLine(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
+	if a := c.readResponse(); a.Result == nil || a.Result.Serving == nil || !*a.Result.Serving {
 		t.Fatalf("ping: %+v", a)
 	}
-	c.ask(2, "report", "sleep", 15000, "")
-	waitFor(t, "the query", func() bool { return e.got("sleep") == 1 })
+	c.submit(2, "report", "sleep", 15000, "")
+	waitFor(t, "the query", func() bool { return e.received("sleep") == 1 })
 	n.cmd.Process.Signal(syscall.SIGTERM)
 	n.waitLog("msg=stopping")
 	late := dialRPC(t, n)
-	late.line(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
-	if a := late.answer(); a.Result == nil || *a.Result.Serving {
+	late.sendLine(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
+	if a := late.readResponse(); a.Result == nil || *a.Result.Serving {
 		t.Fatalf("ping: %+v", a)
 	}
-	late.ask(3, "lookup", "x", 3000, "")
-	late.served(3, "a\tb\tc\n")
-	c.failed(2, -32008)
+	late.submit(3, "lookup", "x", 3000, "")
+	late.wantServed(3, "a\tb\tc\n")
+	c.wantError(2, -32008)
 	if err := n.cmd.Wait(); err != nil {
 		t.Fatalf("exit: %v", err)
 	}
@@ -213,18 +213,18 @@
 func TestDiscoveryWatchReconnects(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	n := startNode(t, "", inService("e1", "127.0.0.1:1"))
+	n := startNode(t, "", engineInService("e1", "127.0.0.1:1"))
 	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
-	n.discovery.publish(listed{"e1", "127.0.0.1:1", "z", "m", "terminated"})
-	n.discovery.raw("{nonsense")
+	n.discovery.publish(engineEntry{"e1", "127.0.0.1:1", "z", "m", "terminated"})
+	n.discovery.publishRaw("{nonsense")
 	waitFor(t, "its return", func() bool { return n.discovery.connected() == 2 })
-	if n.discovery.asked[1] != "after 2" {
-		t.Fatalf("asked %q", n.discovery.asked[1])
+	if n.discovery.requests[1] != "after 2" {
+		t.Fatalf("asked %q", n.discovery.requests[1])
 	}
-	n.discovery.publish(inService("e2", e.addr()))
+	n.discovery.publish(engineInService("e2", e.addr()))
 	c := dialRPC(t, n)
-	c.ask(1, "lookup", "x", 3000, "")
-	c.served(1, "a\tb\tc\n")
+	c.submit(1, "lookup", "x", 3000, "")
+	c.wantServed(1, "a\tb\tc\n")
 }
 
 // Guards against SIGHUP ending the program, as it does where nobody handles it, and against a watch left behind: the
@@ -233,29 +233,29 @@
 func TestReloadWatchesTheNewDiscoveryServer(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	n := startNode(t, "", inService("e1", "127.0.0.1:1"))
+	n := startNode(t, "", engineInService("e1", "127.0.0.1:1"))
 	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
 	c := dialRPC(t, n)
 	old := n.discovery
-	n.discovery.publish(listed{"e1", "127.0.0.1:1", "z", "m", "terminated"})
-	if err := os.WriteFile(n.file, []byte(`{"bulletin":`), 0o600); err != nil {
+	n.discovery.publish(engineEntry{"e1", "127.0.0.1:1", "z", "m", "terminated"})
+	if err := os.WriteFile(n.configPath, []byte(`{"bulletin":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	n.cmd.Process.Signal(syscall.SIGHUP)
 	n.waitLog("configuration reload failed, keeping the old one")
 
-	next := newDiscoveryServer(t, inService("e1", "127.0.0.1:1"))
-	next.events = append(next.events, event(2, []listed{{"e1", "127.0.0.1:1", "z", "m", "terminated"}}))
-	n.conf["bulletin"] = next.ln.Addr().String()
-	n.writeConf()
+	next := newDiscoveryServer(t, engineInService("e1", "127.0.0.1:1"))
+	next.events = append(next.events, event(2, []engineEntry{{"e1", "127.0.0.1:1", "z", "m", "terminated"}}))
+	n.config["bulletin"] = next.ln.Addr().String()
+	n.writeConfig()
 	n.cmd.Process.Signal(syscall.SIGHUP)
 	waitFor(t, "the new discovery watch", func() bool { return next.connected() == 1 })
-	if next.asked[0] != "after 2" {
-		t.Fatalf("asked %q", next.asked[0])
+	if next.requests[0] != "after 2" {
+		t.Fatalf("asked %q", next.requests[0])
 	}
-	next.publish(inService("e2", e.addr()))
-	c.ask(1, "lookup", "x", 3000, "")
-	c.served(1, "a\tb\tc\n")
+	next.publish(engineInService("e2", e.addr()))
+	c.submit(1, "lookup", "x", 3000, "")
+	c.wantServed(1, "a\tb\tc\n")
 	if _, err := old.conns[0].Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("the old discovery connection: %v", err)
 	}
@@ -266,9 +266,9 @@
 func TestMembershipStaysOffWhereItIsForbidden(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
-	n := startNode(t, "[membership]\nfleet = \"f\"\n[spread]\n", inService("e1", e.addr()))
+	n := startNode(t, "[membership]\nfleet = \"f\"\n[spread]\n", engineInService("e1", e.addr()))
 	n.waitLog("membership stays off")
 	c := dialRPC(t, n)
-	c.ask(1, "lookup", "x", 3000, "")
-	c.served(1, "a\tb\tc\n")
+	c.submit(1, "lookup", "x", 3000, "")
+	c.wantServed(1, "a\tb\tc\n")
 }
--- a/cmd/frostpier/program_test.go
+++ b/cmd/frostpier/program_test.go
@@ -22,8 +22,8 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// patience bounds what a test waits for; nothing is expected to take this long.
-const patience = 20 * time.Second
+// waitTimeout bounds what a test waits for; nothing is expected to take this long.
+const waitTimeout = 20 * time.Second
 
 // The test binary is the program too, when it is started as one.
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 		os.Exit(m.Run())
 	}
 	if len(os.Args) > 1 {
-		os.Exit(command(os.Args[1:]))
+		os.Exit(runCommand(os.Args[1:]))
 	}
 	hooks, err := emulator.Hooks()
 	if err != nil {
@@ -50,30 +50,30 @@
 
 // node is the program, started by a test.
 type node struct {
-	t         *testing.T
-	cmd       *exec.Cmd
-	listen    string
-	log       *lines
-	discovery *discoveryServer
-	file      string         // the configuration
-	conf      map[string]any // and what it holds
+	t          *testing.T
+	cmd        *exec.Cmd
+	listen     string
+	log        *logBuffer
+	discovery  *discoveryServer
+	configPath string         // the configuration
+	config     map[string]any // and what it holds
 
-	operator string // the operator's file, if there is one
+	operatorPath string // the operator's file, if there is one
 }
 
-// lines keeps what a process prints.
-type lines struct {
+// logBuffer keeps what a process prints.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -100,26 +100,26 @@
 }
 
 // startNode starts the program with engines in the list of its start, and an operator's file unless that is empty.
-func startNode(t *testing.T, operator string, engines ...listed) *node {
+func startNode(t *testing.T, operator string, engines ...engineEntry) *node {
 	t.Helper()
 	return startNodeWith(t, operator, func(map[string]any) {}, engines...)
 }
 
 // startNodeWith starts it with a configuration that a test has changed.
-func startNodeWith(t *testing.T, operator string, change func(conf map[string]any), engines ...listed) *node {
+func startNodeWith(t *testing.T, operator string, change func(conf map[string]any), engines ...engineEntry) *node {
 	t.Helper()
-	n := &node{t: t, listen: freePort(t), log: &lines{}, discovery: newDiscoveryServer(t, engines...)}
+	n := &node{t: t, listen: freePort(t), log: &logBuffer{}, discovery: newDiscoveryServer(t, engines...)}
 	dir := t.TempDir()
-	n.file = filepath.Join(dir, "config.json")
-	n.conf = map[string]any{"name": "n0", "listen": n.listen, "seed": "8c1f30d27a5be964",
+	n.configPath = filepath.Join(dir, "config.json")
+	n.config = map[string]any{"name": "n0", "listen": n.listen, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"bulletin": n.discovery.ln.Addr().String(), "settings": json.RawMessage(testSettings),
 		"known": map[string]any{"no": 1, "items": []any{n.discovery.events[0]}}}
-	change(n.conf)
-	n.writeConf()
+	change(n.config)
+	n.writeConfig()
 	if operator != "" {
-		n.operator = filepath.Join(dir, "operator.toml")
-		if err := os.WriteFile(n.operator, []byte(operator), 0o600); err != nil {
+		n.operatorPath = filepath.Join(dir, "operator.toml")
+		if err := os.WriteFile(n.operatorPath, []byte(operator), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -149,9 +149,9 @@
 func (n *node) start() {
 	n.t.Helper()
 	n.cmd = exec.Command(os.Args[0])
-	n.cmd.Env = append(os.Environ(), "FROSTPIER_AS_PROGRAM=1", "GW_CONFIG="+n.file, "GW_LISTEN="+n.listen)
-	if n.operator != "" {
-		n.cmd.Env = append(n.cmd.Env, "FROSTPIER_OPERATOR="+n.operator)
+	n.cmd.Env = append(os.Environ(), "FROSTPIER_AS_PROGRAM=1", "GW_CONFIG="+n.configPath, "GW_LISTEN="+n.listen)
+	if n.operatorPath != "" {
+		n.cmd.Env = append(n.cmd.Env, "FROSTPIER_OPERATOR="+n.operatorPath)
 	}
 	n.cmd.Stdout, n.cmd.Stderr = n.log, n.log
 	if err := n.cmd.Start(); err != nil {
@@ -159,13 +159,13 @@
 	}
 }
 
-func (n *node) writeConf() {
+func (n *node) writeConfig() {
 	n.t.Helper()
-	text, err := json.Marshal(n.conf)
+	text, err := json.Marshal(n.config)
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	if err := os.WriteFile(n.file, text, 0o600); err != nil {
+	if err := os.WriteFile(n.configPath, text, 0o600); err != nil {
 		n.t.Fatal(err)
 	}
 }
@@ -177,15 +177,15 @@
 
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for: %s", what)
 		}
 	}
 }
 
-// listed is an entry of the engine list.
-type listed struct {
+// engineEntry is an entry of the engine list.
+type engineEntry struct {
 	Name  string `json:"instanceId"`
 	Addr  string `json:"hostPort"`
 	Zone  string `json:"zone"`
@@ -193,26 +193,28 @@
 	State string `json:"lifecycle"`
 }
 
-func inService(name, addr string) listed { return listed{name, addr, "z", "m", "in_service"} }
+func engineInService(name, addr string) engineEntry {
+	return engineEntry{name, addr, "z", "m", "in_service"}
+}
 
 // discoveryServer is a stand-in for the platform's discovery server.
 type discoveryServer struct {
-	ln     net.Listener
-	mu     sync.Mutex
-	events []map[string]any
-	conns  []net.Conn
-	asked  []string
+	ln       net.Listener
+	mu       sync.Mutex
+	events   []map[string]any
+	conns    []net.Conn
+	requests []string
 }
 
-func newDiscoveryServer(t *testing.T, engines ...listed) *discoveryServer {
+func newDiscoveryServer(t *testing.T, engines ...engineEntry) *discoveryServer {
 	t.Helper()
 	f := &discoveryServer{events: []map[string]any{event(1, engines)}}
-	f.ln = standIn(t, f.serve)
+	f.ln = serveTCP(t, f.serve)
 	return f
 }
 
-// standIn listens on a free port and has every connection served.
-func standIn(t *testing.T, serve func(net.Conn)) net.Listener {
+// serveTCP listens on a free port and has every connection served.
+func serveTCP(t *testing.T, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -231,7 +233,7 @@
 	return ln
 }
 
-func event(no int, engines []listed) map[string]any {
+func event(no int, engines []engineEntry) map[string]any {
 	return map[string]any{"no": no, "roster": map[string]any{"generation": no, "reset": false, "instances": engines}}
 }
 
@@ -242,7 +244,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = append(f.asked, strings.TrimSpace(line))
+	f.requests = append(f.requests, strings.TrimSpace(line))
 	after := 0
 	fmt.Sscanf(line, "after %d", &after)
 	for _, e := range f.events[min(after, len(f.events)):] {
@@ -257,7 +259,7 @@
 }
 
 // publish records an event and tells it to all that are connected.
-func (f *discoveryServer) publish(engines ...listed) {
+func (f *discoveryServer) publish(engines ...engineEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := event(len(f.events)+1, engines)
@@ -267,8 +269,8 @@
 	}
 }
 
-// raw writes a line as it is to all that are connected.
-func (f *discoveryServer) raw(line string) {
+// publishRaw writes a line as it is to all that are connected.
+func (f *discoveryServer) publishRaw(line string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, nc := range f.conns {
@@ -279,5 +281,5 @@
 func (f *discoveryServer) connected() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.asked)
+	return len(f.requests)
 }
--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"os"
 	"os/signal"
+	"strings"
 	"syscall"
 	"time"
 
@@ -17,16 +18,7 @@
 	"frostpier/internal/control/rollout/controller"
 )
 
-// Exit codes of the rollout commands.
-const (
-	exitDone     = 0 // done, or told
-	exitError    = 1
-	exitPlan     = 2 // the plan, or the command line, is wrong: nothing was done
-	exitBusy     = 3 // another controller runs; for pause, resume and abort: none runs
-	exitReturned = 4 // the change was taken back
-	exitStopped  = 5 // the controller was told to end before the change was over
-)
-
+// commandLine is what kong parses. The names of commands, arguments and flags follow from those of the fields.
 type commandLine struct {
 	Rollout struct {
 		Plan    planCommand    `cmd:"" help:"Check a plan whole and show its stages; nothing is done."`
@@ -40,142 +32,131 @@
 	} `cmd:"" help:"Change the program or the settings of a fleet in stages."`
 }
 
-// stateFlags are common to the commands.
+// stateFlags are the flags that most commands share.
 type stateFlags struct {
 	State string `default:"rollout" help:"The folder of the journal, logs and operator's files."`
 	JSON  bool   `name:"json" help:"Print JSON."`
 }
 
-type planCommand struct {
-	Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
-	JSON bool   `name:"json" help:"Print JSON."`
-}
-
-type startCommand struct {
-	stateFlags
-	Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
-}
-
-type upCommand struct {
-	stateFlags
-	Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
-}
-
-// Run starts what does not run.
-func (c *upCommand) Run() error {
-	checked, err := checkPlan(c.Plan)
-	if err != nil {
-		return err
+type (
+	planCommand struct {
+		Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
+		JSON bool   `name:"json" help:"Print JSON."`
 	}
-	started, err := controller.Up(c.State, checked)
-	if err != nil {
-		return err
+	startCommand struct {
+		stateFlags
+		Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
 	}
-	fmt.Printf("%d gateways started, %d ran already\n", started, len(checked.Fleet.Gateways)-started)
-	return nil
-}
-
-type statusCommand struct{ stateFlags }
-
-type controlCommand struct{ stateFlags }
-
-type historyCommand struct {
-	stateFlags
-	Name string `arg:"" optional:"" help:"The change; the last one where none is named."`
-}
-
-// exit is an error with an exit code of its own.
-type exit struct {
-	code int
-	err  error
-}
+	upCommand struct {
+		stateFlags
+		Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
+	}
+	statusCommand  struct{ stateFlags }
+	controlCommand struct{ stateFlags } // pause, resume or abort
+	historyCommand struct {
+		stateFlags
+		Name string `arg:"" optional:"" help:"The change; the last one where none is named."`
+	}
+)
 
-func (e exit) Error() string { return e.err.Error() }
+// commandPrefix is what kong's name of a subcommand starts with.
+const commandPrefix = "rollout "
 
-// command runs a command line; it returns the exit code.
-func command(args []string) int {
+// runCommand runs a command line and returns the exit code.
+func runCommand(args []string) int {
 	var c commandLine
 	parser, err := kong.New(&c, kong.Name("frostpier"), kong.UsageOnError(),
 		kong.Description("A workload manager. Without arguments it serves, as GW_CONFIG says."))
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "frostpier:", err)
+		printError(err)
 		return exitError
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "frostpier:", err)
+		printError(err)
 		return exitPlan
 	}
-	if err := ctx.Run(ctx.Command()); err != nil {
-		fmt.Fprintln(os.Stderr, "frostpier:", err)
-		var e exit
-		if errors.As(err, &e) {
-			return e.code
-		}
-		return exitError
+	err = ctx.Run(ctx.Command())
+	if err != nil {
+		printError(err)
 	}
-	return exitDone
+	return exitCode(err)
 }
 
-func checkPlan(path string) (controller.Checked, error) {
+// readPlan reads and checks a plan.
+func readPlan(path string) (controller.Checked, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return controller.Checked{}, exit{exitPlan, err}
+		return controller.Checked{}, codedError{exitPlan, err}
 	}
-	c, err := controller.CheckPlan(text)
+	checked, err := controller.CheckPlan(text)
 	if err != nil {
-		return c, exit{exitPlan, err}
+		return checked, codedError{exitPlan, err}
 	}
-	return c, nil
+	return checked, nil
+}
+
+// printJSON prints a value as one line of JSON.
+func printJSON(v any) error { return json.NewEncoder(os.Stdout).Encode(v) }
+
+// planOutput is the JSON output of the command plan.
+type planOutput struct {
+	IDs    map[string]rollout.ID `json:"ids"` // by version
+	Plan   rollout.Plan          `json:"plan"`
+	Stages [][]int               `json:"stages"` // numbers of the gateways
 }
 
-// Run shows a plan.
+// Run checks and shows a plan.
 func (c *planCommand) Run() error {
-	checked, err := checkPlan(c.Plan)
+	checked, err := readPlan(c.Plan)
 	if err != nil {
 		return err
 	}
 	stages := checked.Plan.Order(len(checked.Fleet.Gateways))
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(map[string]any{"plan": checked.Plan, "ids": checked.IDs, "stages": stages})
+		return printJSON(planOutput{IDs: checked.IDs, Plan: checked.Plan, Stages: stages})
 	}
+	printPlan(checked, stages)
+	return nil
+}
+
+func printPlan(checked controller.Checked, stages [][]int) {
 	fmt.Printf("change %q of %d gateways\n", checked.Plan.Name, len(checked.Fleet.Gateways))
-	for _, v := range []string{rollout.OldVersion, rollout.NewVersion} {
-		fmt.Printf("%s: program %016x, settings %016x\n", v, checked.IDs[v].Program, checked.IDs[v].Settings)
-	}
-	for k, list := range stages {
-		fmt.Printf("stage %d:", k+1)
-		for _, i := range list {
-			fmt.Printf(" %s", checked.Fleet.Gateways[i].Name)
+	for _, version := range []string{rollout.OldVersion, rollout.NewVersion} {
+		id := checked.IDs[version]
+		fmt.Printf("%s: program %016x, settings %016x\n", version, id.Program, id.Settings)
+	}
+	for i, stage := range stages {
+		fmt.Printf("stage %d:", i+1)
+		for _, number := range stage {
+			fmt.Printf(" %s", checked.Fleet.Gateways[number].Name)
 		}
 		fmt.Println()
 	}
-	return nil
 }
 
-// Run carries a change.
-func (c *startCommand) Run() error {
-	checked, err := checkPlan(c.Plan)
+// Run starts the gateways that do not run.
+func (c *upCommand) Run() error {
+	checked, err := readPlan(c.Plan)
 	if err != nil {
 		return err
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	k, err := controller.Open(c.State, checked, log)
-	if errors.Is(err, controller.ErrRunning) {
-		return exit{exitBusy, err}
-	}
+	started, err := controller.Up(c.State, checked)
 	if err != nil {
 		return err
 	}
-	defer k.Close()
-	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	state, err := k.Run(term)
+	fmt.Printf("%d gateways started, %d ran already\n", started, len(checked.Fleet.Gateways)-started)
+	return nil
+}
+
+// Run executes a change to its end.
+func (c *startCommand) Run() error {
+	state, err := c.execute()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		if err := json.NewEncoder(os.Stdout).Encode(state); err != nil {
+		if err := printJSON(state); err != nil {
 			return err
 		}
 	}
@@ -183,28 +164,52 @@
 	case rollout.Done:
 		return nil
 	case rollout.Returned:
-		return exit{exitReturned, fmt.Errorf("stage %d was taken back: %s", state.Stage+1, state.Reason)}
+		return codedError{exitReturned, fmt.Errorf("stage %d was taken back: %s", state.Stage+1, state.Reason)}
+	}
+	return codedError{exitStopped, fmt.Errorf("ended while %s; start it again to go on", state.Phase)}
+}
+
+// execute runs the controller until the change is over or a signal ends it.
+func (c *startCommand) execute() (rollout.State, error) {
+	checked, err := readPlan(c.Plan)
+	if err != nil {
+		return rollout.State{}, err
+	}
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	k, err := controller.Open(c.State, checked, log)
+	if errors.Is(err, controller.ErrRunning) {
+		return rollout.State{}, codedError{exitBusy, err}
+	}
+	if err != nil {
+		return rollout.State{}, err
 	}
-	return exit{exitStopped, fmt.Errorf("ended while %s; start it again to go on", state.Phase)}
+	defer k.Close()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	return k.Run(ctx)
 }
 
+// show prints the status of a change.
 func (f stateFlags) show(s controller.Status) error {
 	if f.JSON {
-		return json.NewEncoder(os.Stdout).Encode(s)
+		return printJSON(s)
 	}
-	fmt.Printf("change %q: %s, stage %d, since %s\n", s.Name, s.State.Phase, s.State.Stage+1,
-		time.Unix(0, int64(s.State.Since)).Format(time.DateTime))
+	fmt.Printf("change %q: %s, stage %d, since %s\n", s.Name, s.State.Phase, s.State.Stage+1, formatTime(int64(s.State.Since)))
 	if s.State.Reason != "" {
 		fmt.Println("because:", s.State.Reason)
 	}
 	if s.Opinion.Why != "" {
 		fmt.Println("thought:", s.Opinion.Why)
 	}
-	fmt.Printf("gateways: %d on the old version, %d on the new one; a controller runs: %v\n", s.On[rollout.OldVersion], s.On[rollout.NewVersion], s.Running)
+	fmt.Printf("gateways: %d on the old version, %d on the new one; a controller runs: %v\n",
+		s.On[rollout.OldVersion], s.On[rollout.NewVersion], s.Running)
 	return nil
 }
 
-// Run shows where a change stands.
+// formatTime formats nanoseconds since the Unix epoch.
+func formatTime(ns int64) string { return time.Unix(0, ns).Format(time.DateTime) }
+
+// Run shows the status of the last change.
 func (c *statusCommand) Run() error {
 	s, err := controller.Last(c.State)
 	if err != nil {
@@ -213,11 +218,11 @@
 	return c.show(s)
 }
 
-// Run sends a command: the subcommand's own name.
+// Run sends a command to the running controller: the subcommand's own name.
 func (c *controlCommand) Run(command string) error {
-	s, err := controller.SendCommand(c.State, command[len("rollout "):])
+	s, err := controller.SendCommand(c.State, strings.TrimPrefix(command, commandPrefix))
 	if errors.Is(err, controller.ErrNone) {
-		return exit{exitBusy, err}
+		return codedError{exitBusy, err}
 	}
 	if err != nil {
 		return err
@@ -225,20 +230,20 @@
 	return c.show(s)
 }
 
-// Run shows what happened.
+// Run shows the journal of a change.
 func (c *historyCommand) Run() error {
 	history, err := controller.History(c.State, c.Name)
 	if errors.Is(err, controller.ErrRunning) {
-		return exit{exitBusy, err}
+		return codedError{exitBusy, err}
 	}
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(history)
+		return printJSON(history)
 	}
-	for _, l := range history {
-		fmt.Println(time.Unix(0, int64(l.At)).Format(time.DateTime), l.Text)
+	for _, line := range history {
+		fmt.Println(formatTime(int64(line.At)), line.Text)
 	}
 	return nil
 }
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -23,7 +23,7 @@
 // decides and what clients got, not times; waits are bounded by many times what is expected.
 const (
 	changeGateways = 12
-	changeMost     = 3 * time.Minute
+	changeTimeout  = 3 * time.Minute
 )
 
 func startChange(t *testing.T, opt testfleet.ChangeOptions) *testfleet.Change {
@@ -57,14 +57,14 @@
 			t.Logf("the controller's log:\n%s", text)
 		}
 	})
-	c.Send(changeMost)
+	c.Send(changeTimeout)
 	return c
 }
 
-// carry carries the change to its end in this process.
-func carry(t *testing.T, c *testfleet.Change) rollout.State {
+// executeChange carries the change to its end in this process.
+func executeChange(t *testing.T, c *testfleet.Change) rollout.State {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), changeMost)
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
 	s, err := c.Carry(ctx)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return s
 }
 
-// answered checks that every request had one whole answer; lost ones are allowed where a gateway was killed.
-func answered(t *testing.T, c *testfleet.Change, killed bool) map[emulator.Verdict]int {
+// checkReplies checks that every request had one whole answer; lost ones are allowed where a gateway was killed.
+func checkReplies(t *testing.T, c *testfleet.Change, killed bool) map[emulator.Verdict]int {
 	t.Helper()
 	ends := map[emulator.Verdict]int{}
 	for _, o := range c.StopClients() {
@@ -94,8 +94,8 @@
 func TestFleetGoodChangeGoesThrough(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 1})
-	s := carry(t, c)
-	ends := answered(t, c, false)
+	s := executeChange(t, c)
+	ends := checkReplies(t, c, false)
 	t.Logf("%s, %v", s.Phase, ends)
 	if s.Phase != rollout.Done || ends[emulator.Spoilt] > 0 {
 		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
@@ -113,8 +113,8 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			c := startChange(t, testfleet.ChangeOptions{Seed: 2, Fault: fault, LeastS: 15, MostS: 100})
-			s := carry(t, c)
-			ends := answered(t, c, true)
+			s := executeChange(t, c)
+			ends := checkReplies(t, c, true)
 			t.Logf("%s: %s; %v", s.Phase, s.Reason, ends)
 			if s.Phase != rollout.Returned || s.Stage != 0 {
 				t.Errorf("%s in stage %d: %s", s.Phase, s.Stage+1, s.Reason)
@@ -132,8 +132,8 @@
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 3, Settings: "\n# a comment makes another file\n"})
 	before := controller.Processes(c.Checked.Fleet)
-	s := carry(t, c)
-	ends := answered(t, c, false)
+	s := executeChange(t, c)
+	ends := checkReplies(t, c, false)
 	if s.Phase != rollout.Done {
 		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
 	}
@@ -173,7 +173,7 @@
 	}
 	cmd, ended := run()
 	defer cmd.Process.Kill()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for second := exitDone; second != exitBusy; {
 		select {
 		case err := <-ended:
@@ -194,13 +194,13 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(changeMost):
+	case <-time.After(changeTimeout):
 		t.Fatal("the change does not end")
 	}
 	if code := cmd.ProcessState.ExitCode(); code != exitDone {
 		t.Errorf("exit code %d", code)
 	}
-	answered(t, c, false)
+	checkReplies(t, c, false)
 	starts, err := controller.History(c.State, "")
 	if err != nil || len(starts) == 0 {
 		t.Errorf("history: %d lines, %v", len(starts), err)
@@ -213,7 +213,7 @@
 
 // awaitPhase waits until the change is in a phase; it returns false if the change does not get there.
 func awaitPhase(c *testfleet.Change, phase rollout.Phase) bool {
-	for deadline := time.Now().Add(changeMost); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(changeTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		status, err := controller.Last(c.State)
 		if err == nil && status.State.Phase == phase {
 			return true
@@ -248,8 +248,8 @@
 			c.Pool.Engines()[0].Silence(false)
 		})
 	}()
-	s := carry(t, c)
-	ends := answered(t, c, true)
+	s := executeChange(t, c)
+	ends := checkReplies(t, c, true)
 	t.Logf("%s: %s; %v", s.Phase, s.Reason, ends)
 	if s.Phase != rollout.Done {
 		t.Errorf("%s: %s", s.Phase, s.Reason)
--- a/cmd/frostpier/spread_test.go
+++ b/cmd/frostpier/spread_test.go
@@ -19,27 +19,27 @@
 	spreadGateways = 24
 	spreadEngines  = 8
 	spreadCores    = 8
-	spreadFor      = 16 * time.Second
-	faultAfter     = 5 * time.Second
-	evenMost       = 4.0 // the busiest engine's threads over the mean; 1.6 to 2 is expected
+	spreadDuration = 16 * time.Second
+	faultDelay     = 5 * time.Second
+	maxImbalance   = 4.0 // the busiest engine's threads over the mean; 1.6 to 2 is expected
 )
 
-// spreadFleet is what such a run has.
-type spreadFleet struct {
+// loadedFleet is what such a run has.
+type loadedFleet struct {
 	*testFleet
-	pool    *testfleet.Pool
-	clients *emulator.Clients
-	traffic emulator.Traffic
-	lasts   time.Duration // one play
+	pool     *testfleet.Pool
+	clients  *emulator.Clients
+	traffic  emulator.Traffic
+	duration time.Duration // one play
 }
 
-func startSpread(t *testing.T, seed uint64) *spreadFleet {
+func startSpread(t *testing.T, seed uint64) *loadedFleet {
 	t.Helper()
 	return startLoad(t, seed, 0.5, testfleet.Options{Gateways: spreadGateways, Operator: "\n[spread]\n"})
 }
 
 // startLoad starts gateways before engines, and clients that bring so much load.
-func startLoad(t *testing.T, seed uint64, load float64, opt testfleet.Options) *spreadFleet {
+func startLoad(t *testing.T, seed uint64, load float64, opt testfleet.Options) *loadedFleet {
 	t.Helper()
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
@@ -48,26 +48,26 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(pool.Close)
-	s := &spreadFleet{pool: pool, lasts: spreadFor, traffic: emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 1,
+	s := &loadedFleet{pool: pool, duration: spreadDuration, traffic: emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 1,
 		Groups: 20, Zipf: 0.7, Estimate: 0.5, Seed: seed}}
 	s.traffic.Rate = s.traffic.RateFor(load, spreadCores*spreadEngines)
 	opt.Seed, opt.Engines = seed, pool.EngineList()
 	opt.Settings = func(n, self int) string { return emulator.Settings(s.traffic.Classes, n, self, spreadCores) }
-	s.testFleet = startOptions(t, opt)
+	s.testFleet = startFleetWith(t, opt)
 	pool.PublishTo(s.Discovery)
 	s.clients = emulator.NewClients(s.Clients(), s.traffic.Classes, seed, clock)
 	t.Cleanup(s.clients.Close)
 	return s
 }
 
-// play sends the traffic with a fault in it, and returns what became of each request and how even the load was.
-func (s *spreadFleet) play(fault func()) (map[emulator.Verdict]int, testfleet.Balance) {
+// run sends the traffic with a fault in it, and returns what became of each request and how even the load was.
+func (s *loadedFleet) run(fault func()) (map[emulator.Verdict]int, testfleet.Balance) {
 	s.t.Helper()
-	requests := s.traffic.Draw(s.lasts)
+	requests := s.traffic.Draw(s.duration)
 	stop, watched := make(chan struct{}), make(chan testfleet.Balance, 1)
 	go func() { watched <- s.pool.Watch(stop) }()
 	if fault != nil {
-		alarm := time.AfterFunc(faultAfter, fault)
+		alarm := time.AfterFunc(faultDelay, fault)
 		defer alarm.Stop()
 	}
 	_, mark := s.clients.Outcomes(0)
@@ -98,8 +98,8 @@
 	return ends, <-watched
 }
 
-// mostly reports whether at least so large a share was served.
-func mostly(ends map[emulator.Verdict]int, share float64) bool {
+// servedShare reports whether at least so large a share was served.
+func servedShare(ends map[emulator.Verdict]int, share float64) bool {
 	all := 0
 	for _, n := range ends {
 		all += n
@@ -111,26 +111,26 @@
 // replaced: each request has one end, nothing is spoilt, no cold engine falls, no engine gets many times its part.
 func TestFleetLoadSpreadsThroughFaults(t *testing.T) {
 	s := startSpread(t, 17)
-	ends, even := s.play(nil)
+	ends, even := s.run(nil)
 	t.Logf("calm: %v, %+v", ends, even)
-	if !mostly(ends, 0.97) || ends[emulator.Lost] > 0 || even.MostMean > evenMost {
+	if !servedShare(ends, 0.97) || ends[emulator.Lost] > 0 || even.MostMean > maxImbalance {
 		t.Errorf("calm: %v, %+v", ends, even)
 	}
 	killed := 3
-	ends, even = s.play(func() {
+	ends, even = s.run(func() {
 		s.pool.Engines()[0].Silence(true)
 		if err := s.Kill(killed); err != nil {
 			t.Error(err)
 		}
 	})
 	t.Logf("an engine silent, a gateway killed: %v, %+v", ends, even)
-	if !mostly(ends, 0.85) {
+	if !servedShare(ends, 0.85) {
 		t.Errorf("an engine silent, a gateway killed: %v", ends)
 	}
 	s.pool.Engines()[0].Silence(false)
 	s.must(s.Start(killed))
-	s.agree("after the start", tellMost)
-	ends, even = s.play(func() {
+	s.waitAgreed("after the start", detectTimeout)
+	ends, even = s.run(func() {
 		s.Relay.Usual(testfleet.Link{Cut: true})
 		engines := s.pool.Engines()
 		for _, e := range engines[:len(engines)*6/10] {
@@ -142,7 +142,7 @@
 		}
 	})
 	t.Logf("engines replaced, peers cut: %v, %+v", ends, even)
-	if !mostly(ends, 0.6) {
+	if !servedShare(ends, 0.6) {
 		t.Errorf("engines replaced, peers cut: %v", ends)
 	}
 }
--- a/cmd/frostpier/subset_test.go
+++ b/cmd/frostpier/subset_test.go
@@ -16,11 +16,11 @@
 const (
 	subsetGateways = 4
 	subsetEngines  = 32
-	subsetFor      = 6 * time.Second
+	subsetDuration = 6 * time.Second
 )
 
 // startSubset starts them without a subset.
-func startSubset(t *testing.T) *spreadFleet {
+func startSubset(t *testing.T) *loadedFleet {
 	t.Helper()
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
@@ -29,10 +29,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(pool.Close)
-	s := &spreadFleet{pool: pool, lasts: subsetFor, traffic: emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: subsetGateways,
+	s := &loadedFleet{pool: pool, duration: subsetDuration, traffic: emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: subsetGateways,
 		Groups: 20, Zipf: 0.7, Estimate: 0.5, Seed: 31}}
 	s.traffic.Rate = s.traffic.RateFor(0.4, 2*subsetEngines)
-	s.testFleet = startOptions(t, testfleet.Options{Gateways: subsetGateways, Seed: 31, Engines: pool.EngineList(), Operator: "\n[spread]\n",
+	s.testFleet = startFleetWith(t, testfleet.Options{Gateways: subsetGateways, Seed: 31, Engines: pool.EngineList(), Operator: "\n[spread]\n",
 		Settings: func(n, self int) string { return emulator.Settings(s.traffic.Classes, n, self, 2) }})
 	pool.PublishTo(s.Discovery)
 	s.clients = emulator.NewClients(s.Clients(), s.traffic.Classes, 31, clock)
@@ -40,9 +40,9 @@
 	return s
 }
 
-// logged waits until every gateway has logged a text so often.
-func (s *spreadFleet) logged(text string, times int) {
-	s.try(s.Wait(patience, func() error {
+// waitLogged waits until every gateway has logged a text so often.
+func (s *loadedFleet) waitLogged(text string, times int) {
+	s.check(s.Wait(waitTimeout, func() error {
 		for i := range s.Size() {
 			if n := strings.Count(s.Log(i), text); n < times {
 				return fmt.Errorf("gateway %d has logged %q %d times, not %d", i, text, n, times)
@@ -60,18 +60,18 @@
 	go func() {
 		defer close(changed)
 		time.Sleep(500 * time.Millisecond)
-		s.try(s.Reload("\n[spread]\n[subset]\nleast = 6\ncoverage = 1\nlinger_ms = 300\n"))
-		s.logged(`msg="subset size changed"`, 2) // every engine, and then some
-		s.try(s.Reload("\n[spread]\n[subset]\nleast = 12\ncoverage = 1\nlinger_ms = 300\n"))
-		s.logged(`msg="subset configured" on=true`, 2)
+		s.check(s.Reload("\n[spread]\n[subset]\nleast = 6\ncoverage = 1\nlinger_ms = 300\n"))
+		s.waitLogged(`msg="subset size changed"`, 2) // every engine, and then some
+		s.check(s.Reload("\n[spread]\n[subset]\nleast = 12\ncoverage = 1\nlinger_ms = 300\n"))
+		s.waitLogged(`msg="subset configured" on=true`, 2)
 		time.Sleep(500 * time.Millisecond)
-		s.try(s.Reload("\n[spread]\n"))
-		s.logged(`msg="subset configured" on=false`, 1)
+		s.check(s.Reload("\n[spread]\n"))
+		s.waitLogged(`msg="subset configured" on=false`, 1)
 	}()
-	ends, _ := s.play(nil)
+	ends, _ := s.run(nil)
 	<-changed
 	t.Logf("%v", ends)
-	if !mostly(ends, 0.97) || ends[emulator.Lost]+ends[emulator.Failed] > 0 {
+	if !servedShare(ends, 0.97) || ends[emulator.Lost]+ends[emulator.Failed] > 0 {
 		t.Errorf("ends: %v", ends)
 	}
 	for i := range s.Size() {
