--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -77,15 +77,15 @@
 
 // newDeaths returns how many gateways have declared each member dead since the last call.
 func (f *testFleet) newDeaths() map[int]int {
-	told, mark := f.StateChanges(f.stateMark)
+	changes, mark := f.StateChanges(f.stateMark)
 	f.stateMark = mark
-	out := map[int]int{}
-	for _, t := range told {
-		if t.Is == "dead" {
-			out[t.Member]++
+	deaths := map[int]int{}
+	for _, change := range changes {
+		if change.Is == "dead" {
+			deaths[change.Member]++
 		}
 	}
-	return out
+	return deaths
 }
 
 // wantNoDeaths checks that no member was declared dead except the listed ones.
@@ -202,9 +202,9 @@
 	f.waitView("outbound dropped", 9, "dead")
 	f.Relay.Heal()
 	f.waitAgreed("outbound restored", healTimeout)
-	told, mark := f.StateChanges(f.stateMark)
+	changes, mark := f.StateChanges(f.stateMark)
 	f.stateMark = mark
-	for _, d := range told { // the two themselves may declare members dead that they cannot reach
+	for _, d := range changes { // the two themselves may declare members dead that they cannot reach
 		if d.Is == "dead" && d.Member != 2 && d.Member != 9 && d.Viewer != 2 && d.Viewer != 9 {
 			t.Errorf("gateway %d declared %d dead", d.Viewer, d.Member)
 		}
--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -176,17 +176,17 @@
 		return rollout.State{}, err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	k, err := controller.Open(c.State, checked, log)
+	changer, err := controller.Open(c.State, checked, log)
 	if errors.Is(err, controller.ErrRunning) {
 		return rollout.State{}, codedError{exitBusy, err}
 	}
 	if err != nil {
 		return rollout.State{}, err
 	}
-	defer k.Close()
+	defer changer.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	return k.Run(ctx)
+	return changer.Run(ctx)
 }
 
 // show prints the status of a change.
--- a/internal/program/setup.go
+++ b/internal/program/setup.go
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	sockets := divideSockets(s.conf.Limits.Sockets, s.operator.MySQL != nil)
-	pool := enginepool.New(loop, log, s.host.ConnectTimeout, s.host.ConnIdle, sockets.engines)
+	pool := enginepool.New(loop, log, s.host.ConnectTimeout, s.host.ConnIdleTimeout, sockets.engines)
 	requests := dispatcher.New(loop, c, pool, log)
 	engineEvents := &discovery.Stream{}
 	initialEvents, err := engineEvents.Restore(s.conf.Known)
@@ -146,7 +146,7 @@
 		if err != nil {
 			return err
 		}
-		engines := enginepool.New(p.loop, p.log, s.host.ConnectTimeout, s.host.ConnIdle, sockets.mysqlEngines)
+		engines := enginepool.New(p.loop, p.log, s.host.ConnectTimeout, s.host.ConnIdleTimeout, sockets.mysqlEngines)
 		p.dispatcher.Pools = append(p.dispatcher.Pools, engines)
 		p.mysql = frontend.NewMySQLListener(p.dispatcher, engines, p.log, config)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,15 +13,14 @@
 
 // Host is what a gateway needs of the settings object beyond the settings of the decision module.
 type Host struct {
-	Module         policy.Settings
-	ConnIdle       time.Duration // engines close connections that were idle for so long
-	ConnectTimeout time.Duration
-	MaxOpen        int           // requests that may be pending at once; 0 = no limit
-	ComeBack       time.Duration // maximum Retry-After of a rejection
-	Models         []string      // names of the engine kinds, by number
-	Zones          []string      // names of the zones, by number
-	ReportFields   []string      // fields of the engines' load reports
-	PeerMessages   bool          // gateways may send each other datagrams
+	Module          policy.Settings
+	ConnIdleTimeout time.Duration // engines close connections that were idle for so long
+	ConnectTimeout  time.Duration
+	MaxOpen         int           // requests that may be pending at once; 0 = no limit
+	ComeBack        time.Duration // maximum Retry-After of a rejection
+	Models          []string      // names of the engine kinds, by number
+	Zones           []string      // names of the zones, by number
+	PeerMessages    bool          // gateways may send each other datagrams
 }
 
 // Parse reads a settings object for the decision module alone. The error of an invalid value is a *KeyError.
@@ -45,9 +44,8 @@
 	}
 	p := s.Permissions
 	return Host{
-		Module: module, ConnIdle: p.ConnIdle, ConnectTimeout: p.ConnectTimeout, MaxOpen: p.MaxOpen,
-		ComeBack: p.MaxRetryAfter, Models: s.Models, Zones: s.Zones, ReportFields: s.Report.Fields,
-		PeerMessages: p.PeerMessages,
+		Module: module, ConnIdleTimeout: p.ConnIdle, ConnectTimeout: p.ConnectTimeout, MaxOpen: p.MaxOpen,
+		ComeBack: p.MaxRetryAfter, Models: s.Models, Zones: s.Zones, PeerMessages: p.PeerMessages,
 	}, nil
 }
 
