--- a/cmd/frostpier/cold_test.go
+++ b/cmd/frostpier/cold_test.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	coldGateways = 30
-	coldFor      = 6 * time.Second // three times the span in which a cold engine may fall
+	warmupGateways = 30
+	warmupDuration = 6 * time.Second // three times the span in which an engine that warms up can be overloaded
 )
 
-// try is for what runs beside the test: it notes an error, and the test goes on.
-func (s *spreadFleet) try(err error) {
+// check reports an error from a goroutine beside the test, which goes on.
+func (s *loadedFleet) check(err error) {
 	if err != nil {
 		s.t.Error(err)
 	}
 }
 
-// Cold engines and thirty gateways that all see them come: what they send together stays under the budget of N queries of mean
-// work, but for chance (2 x root of N + 2), whatever they know of each other: nothing, too much (half of them have just been
-// restarted), or not what the others do (none hears another).
+// Thirty gateways see engines appear that are warming up. What they send together stays within the warm-up budget of N
+// queries of mean work, plus 2*sqrt(N)+2 for chance, whatever the gateways know of each other: nothing, too much, as half of
+// them have just been restarted, or outdated things, as no datagram arrives.
 func TestFleetColdEnginesUnderThirtyGateways(t *testing.T) {
 	mean := 0.0
 	for _, c := range emulator.DefaultClasses() {
@@ -33,45 +33,45 @@
 	}
 	for name, c := range map[string]struct {
 		opt   testfleet.Options
-		fault func(*spreadFleet)
+		fault func(*loadedFleet)
 	}{
 		"members unknown": {opt: testfleet.Options{Bare: true}},
-		"just restarted": {fault: func(s *spreadFleet) {
-			for i := range coldGateways / 2 {
-				s.try(s.Kill(2 * i))
+		"just restarted": {fault: func(s *loadedFleet) {
+			for i := range warmupGateways / 2 {
+				s.check(s.Kill(2 * i))
 			}
-			s.try(s.StartAll())
+			s.check(s.StartAll())
 		}},
-		"cut off from each other": {fault: func(s *spreadFleet) { s.Relay.Usual(testfleet.Link{Cut: true}) }},
+		"cut off from each other": {fault: func(s *loadedFleet) { s.Relay.Usual(testfleet.Link{Cut: true}) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.opt.Gateways = coldGateways
+			c.opt.Gateways = warmupGateways
 			s := startLoad(t, 23, 0.9, c.opt)
-			s.lasts = faultAfter + coldFor
-			s.play(func() {
+			s.duration = faultDelay + warmupDuration
+			s.run(func() {
 				if c.fault != nil {
 					c.fault(s)
 				}
 				for _, e := range s.pool.Engines()[:spreadEngines/2] {
-					s.try(s.pool.Replace(e))
+					s.check(s.pool.Replace(e))
 				}
 				s.pool.Publish()
 			})
-			cold := 0
+			warmingUp := 0
 			for _, e := range s.pool.Engines() {
 				p := e.Pressed()
 				if p.Bears == 0 {
 					continue
 				}
-				cold++
-				n, sent := p.Bears/mean, p.Sent/mean
-				t.Logf("%s was sent %.1f queries of mean work where it bears %.1f", e.Name(), sent, n)
-				if sent > n+2*math.Sqrt(n)+2 {
-					t.Errorf("%s was sent %.1f queries of mean work where it bears %.1f", e.Name(), sent, n)
+				warmingUp++
+				budget, sent := p.Bears/mean, p.Sent/mean
+				t.Logf("%s was sent %.1f queries of mean work, its budget is %.1f", e.Name(), sent, budget)
+				if sent > budget+2*math.Sqrt(budget)+2 {
+					t.Errorf("%s was sent %.1f queries of mean work, its budget is %.1f", e.Name(), sent, budget)
 				}
 			}
-			if cold == 0 {
-				t.Error("no engine was sent anything while cold")
+			if warmingUp == 0 {
+				t.Error("no engine was sent anything while warming up")
 			}
 		})
 	}
--- a/cmd/frostpier/httpengine_test.go
+++ b/cmd/frostpier/httpengine_test.go
@@ -13,19 +13,20 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// httpEngine stands in for an engine of the platform. What a statement's text holds tells what becomes of it:
-// "sleep" runs until deleted, "full" never runs, "fault" fails, "break" runs but its connection is cut, "pages"
-// has three pages, "mute" gets no answer.
+// httpEngine is a fake engine of the platform. A word in the statement selects what it does: "sleep" runs until it is
+// deleted, "full" is rejected, "fault" fails, "break" runs but its connection is cut, "garbage" gets no valid HTTP
+// response, "pages" has a result of three pages. Any other statement has a result of one row.
 type httpEngine struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	posts []post
-	gone  map[string]bool // deleted
-	out   map[string]int
-	most  int  // attempts of one statement out together, here
-	well  bool // it serves whatever the text holds; set before the program starts
+	ln          net.Listener
+	mu          sync.Mutex
+	posts       []post
+	deletedIDs  map[string]bool // of the queries that were deleted
+	inFlight    map[string]int  // attempts by query
+	maxInFlight int             // of any query at one time
+	servesAll   bool            // every statement has a result of one row; set before the program starts
 }
 
+// post is a POST request, which starts a query.
 type post struct {
 	head textproto.MIMEHeader
 	body string
@@ -33,14 +34,15 @@
 
 func newHTTPEngine(t *testing.T) *httpEngine {
 	t.Helper()
-	e := &httpEngine{gone: map[string]bool{}, out: map[string]int{}}
-	e.ln = standIn(t, e.serve)
+	e := &httpEngine{deletedIDs: map[string]bool{}, inFlight: map[string]int{}}
+	e.ln = serveTCP(t, e.serve)
 	return e
 }
 
 func (e *httpEngine) addr() string { return e.ln.Addr().String() }
 
-func (e *httpEngine) got(text string) int {
+// received returns how many POST requests had the text in their body.
+func (e *httpEngine) received(text string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
@@ -52,10 +54,11 @@
 	return n
 }
 
-func (e *httpEngine) deleted() int {
+// deletions returns how many queries were deleted.
+func (e *httpEngine) deletions() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.gone)
+	return len(e.deletedIDs)
 }
 
 func (e *httpEngine) serve(nc net.Conn) {
@@ -66,7 +69,7 @@
 		if err != nil {
 			return
 		}
-		answer := e.answer(call.Method, call.Path, call.Head, call.Body)
+		answer := e.respond(call.Method, call.Path, call.Head, call.Body)
 		if answer == "" {
 			return
 		}
@@ -76,9 +79,11 @@
 	}
 }
 
-const report = "X-Report: queue:0;inflight:1;x0:0.2;x1:0.1"
+// reportHeader is a load report.
+const reportHeader = "X-Report: queue:0;inflight:1;x0:0.2;x1:0.1"
 
-func (e *httpEngine) answer(method, path string, head textproto.MIMEHeader, body string) string {
+// respond returns the response to a call; empty = the connection is cut.
+func (e *httpEngine) respond(method, path string, head textproto.MIMEHeader, body string) string {
 	id, page := head.Get("X-Hop-Id"), "0"
 	if method != "POST" {
 		parts := strings.Split(strings.TrimPrefix(path, "/v2/q/"), "/")
@@ -91,8 +96,8 @@
 	defer e.mu.Unlock()
 	if method == "POST" {
 		e.posts = append(e.posts, post{head, body})
-		e.out[id]++
-		e.most = max(e.most, e.out[id])
+		e.inFlight[id]++
+		e.maxInFlight = max(e.maxInFlight, e.inFlight[id])
 	} else {
 		for _, p := range e.posts {
 			if p.head.Get("X-Hop-Id") == id {
@@ -101,34 +106,35 @@
 		}
 	}
 	if method == "DELETE" {
-		e.gone[id] = true
-		e.out[id] = 0
+		e.deletedIDs[id] = true
+		e.inFlight[id] = 0
 		return emulator.Answer(204, "")
 	}
 	e.mu.Unlock()
 	defer e.mu.Lock()
-	return e.news(id, page, body, method == "POST")
+	return e.result(id, page, body, method == "POST")
 }
 
-func (e *httpEngine) news(id, page, body string, first bool) string {
+// result returns the response to a call that asks for a page of a query's result. first is set for the POST.
+func (e *httpEngine) result(id, page, body string, first bool) string {
 	end := func(answer string) string {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.out[id] = 0
+		e.inFlight[id] = 0
 		return answer
 	}
 	switch {
 	case body == "":
 		return emulator.Answer(500, "")
-	case e.well:
-		return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", report))
+	case e.servesAll:
+		return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
 	case strings.Contains(body, "sleep"):
-		time.Sleep(30 * time.Millisecond) // a poll here is shorter than the platform's
+		time.Sleep(30 * time.Millisecond) // a long poll, shorter than the platform's
 		return emulator.Answer(202, "", "X-Tell: done", "Figure: 0.5")
 	case strings.Contains(body, "full"):
-		return end(emulator.Answer(503, "", "X-No-Effect: 1", report))
+		return end(emulator.Answer(503, "", "X-No-Effect: 1", reportHeader))
 	case strings.Contains(body, "fault"):
-		return end(emulator.Answer(500, "", report))
+		return end(emulator.Answer(500, "", reportHeader))
 	case strings.Contains(body, "garbage") && first:
 		return "HTTP/1.1 nonsense\r\n\r\n"
 	case strings.Contains(body, "break") && first:
@@ -137,7 +143,7 @@
 	case strings.Contains(body, "pages") && page != "0":
 		return emulator.Answer(200, "page"+page+"\tx\ty\n", "Page-No: "+page)
 	case strings.Contains(body, "pages"):
-		return end(emulator.Answer(200, "page0\tx\ty\n", "Page-Count: 3", report))
+		return end(emulator.Answer(200, "page0\tx\ty\n", "Page-Count: 3", reportHeader))
 	}
-	return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", report))
+	return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
 }
