--- a/cmd/fleettest/chart.go
+++ b/cmd/fleettest/chart.go
@@ -13,45 +13,55 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
+// chartExtension is the file name extension of a chart; it decides the format.
+const chartExtension = ".svg"
+
 const (
-	width  = 18 * vg.Centimeter
-	height = 10 * vg.Centimeter
+	chartWidth  = 18 * vg.Centimeter
+	chartHeight = 10 * vg.Centimeter
 )
 
-// chartViews draws how many members the gateways hold to be in service over time: the fewest and the most of all.
-func chartViews(path string, members int, began time.Time, told []testfleet.StateChange) error {
+// chartViews draws how many members are in service in the gateways' views over time: in the view with most, and in that
+// with fewest.
+func chartViews(path string, members int, start time.Time, changes []testfleet.StateChange) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d gateways: members held to be in service", members)
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "members"
 	p.Y.Min = 0
-	out := make([]map[int]bool, members) // by viewer
-	for i := range out {
-		out[i] = map[int]bool{}
+	fullest, emptiest := viewLines(members, start, changes)
+	if err := plotutil.AddLines(p, "in the fullest view", fullest, "in the emptiest view", emptiest); err != nil {
+		return err
 	}
-	fewest, most := plotter.XYs{{X: 0, Y: float64(members)}}, plotter.XYs{{X: 0, Y: float64(members)}}
-	for _, t := range told {
-		if t.Is == "alive" {
-			delete(out[t.Viewer], t.Member)
+	p.Legend.YOffs = 5
+	return p.Save(chartWidth, chartHeight, path)
+}
+
+// viewLines returns the number of members in service over time, in the view with most and in that with fewest.
+func viewLines(members int, start time.Time, changes []testfleet.StateChange) (fullest, emptiest plotter.XYs) {
+	outOfService := make([]map[int]bool, members) // by viewer
+	for i := range outOfService {
+		outOfService[i] = map[int]bool{}
+	}
+	fullest, emptiest = plotter.XYs{{X: 0, Y: float64(members)}}, plotter.XYs{{X: 0, Y: float64(members)}}
+	for _, change := range changes {
+		if change.Is == "alive" {
+			delete(outOfService[change.Viewer], change.Member)
 		} else {
-			out[t.Viewer][t.Member] = true
+			outOfService[change.Viewer][change.Member] = true
 		}
-		least, all := 0, members
-		for v := range out {
-			least, all = max(least, len(out[v])), min(all, len(out[v]))
+		fewestOut, mostOut := members, 0
+		for _, out := range outOfService {
+			fewestOut, mostOut = min(fewestOut, len(out)), max(mostOut, len(out))
 		}
-		x := t.At.Sub(began).Seconds()
-		fewest = append(fewest, plotter.XY{X: x, Y: float64(members - least)})
-		most = append(most, plotter.XY{X: x, Y: float64(members - all)})
-	}
-	if err := plotutil.AddLines(p, "in the fullest view", most, "in the emptiest view", fewest); err != nil {
-		return err
+		x := change.At.Sub(start).Seconds()
+		fullest = append(fullest, plotter.XY{X: x, Y: float64(members - fewestOut)})
+		emptiest = append(emptiest, plotter.XY{X: x, Y: float64(members - mostOut)})
 	}
-	p.Legend.YOffs = 5
-	return p.Save(width, height, path)
+	return fullest, emptiest
 }
 
 // chartDetection draws detection times over the fleet's size.
-func chartDetection(path string, rows []measured) error {
+func chartDetection(path string, rows []membershipRow) error {
 	p := plot.New()
 	p.Title.Text = "A kill: when it is told"
 	p.X.Label.Text, p.Y.Label.Text = "members", "seconds after the kill"
@@ -70,5 +80,5 @@
 		return err
 	}
 	p.Legend.Top = true
-	return p.Save(width, height, path)
+	return p.Save(chartWidth, chartHeight, path)
 }
--- /dev/null
+++ b/cmd/fleettest/distributiontable.go
@@ -0,0 +1,125 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"frostpier/internal/testbed/emulator"
+)
+
+// Classes of emulator.DefaultClasses whose latencies the table shows.
+const (
+	lookupClass = 0
+	reportClass = 1
+)
+
+// outcomeSummary sums up the outcomes of one version.
+type outcomeSummary struct {
+	queries   int
+	served    int
+	rejected  int
+	failed    int
+	lost      int // or unanswered, or no gateway reached
+	corrupted int // or answered twice
+	weight    float64
+	inTime    float64 // weight of the queries served within their latency objective
+	latencies []*hdrhistogram.Histogram
+}
+
+// newLatencies returns a histogram of latencies, from a microsecond to a minute.
+func newLatencies() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+}
+
+// recordLatency adds a latency. One beyond the histogram's range, longer than any client waits, is left out.
+func recordLatency(h *hdrhistogram.Histogram, latency time.Duration) {
+	_ = h.RecordValue(latency.Microseconds())
+}
+
+func summarize(outcomes []emulator.Outcome, classes []emulator.Class) outcomeSummary {
+	s := outcomeSummary{queries: len(outcomes)}
+	for range classes {
+		s.latencies = append(s.latencies, newLatencies())
+	}
+	for _, o := range outcomes {
+		s.add(o, classes[o.Class].Weight)
+	}
+	return s
+}
+
+// add adds an outcome of a query with the given priority weight.
+func (s *outcomeSummary) add(o emulator.Outcome, weight float64) {
+	s.weight += weight
+	switch o.Verdict {
+	case emulator.Served:
+		s.served++
+		recordLatency(s.latencies[o.Class], o.Latency)
+		if o.InTime {
+			s.inTime += weight
+		}
+	case emulator.Refused:
+		s.rejected++
+	case emulator.Failed:
+		s.failed++
+	case emulator.Spoilt:
+		s.corrupted++
+	default:
+		s.lost++
+	}
+	if o.Twice > 0 {
+		s.corrupted++
+	}
+}
+
+// share is a count's share of the queries.
+func (s *outcomeSummary) share(count int) string {
+	return fmt.Sprintf("%.3f", float64(count)/s.queriesOrOne())
+}
+
+func (s *outcomeSummary) queriesOrOne() float64 { return float64(max(1, s.queries)) }
+
+// quantiles formats the median and the 99th percentile of a class's latencies, in a unit of so many microseconds.
+func (s *outcomeSummary) quantiles(class int, unit float64) string {
+	at := func(q float64) string {
+		return fmt.Sprintf("%.3g", float64(s.latencies[class].ValueAtQuantile(q))/unit)
+	}
+	return at(50) + " / " + at(99)
+}
+
+// Units in which latencies are shown.
+const (
+	microsPerMilli = 1e3
+	microsPerSecond = 1e6
+)
+
+func (c *distributionCommand) table(results []versionResult) table {
+	t := table{header: []string{"version", "worth in time", "served", "refused", "failed", "lost or unanswered", "spoilt or twice",
+		"look-ups ms (50 / 99)", "reports s (50 / 99)", "most over mean (mean / 95th)", "under half of the mean for s",
+		"most over its part in 0.5 s", "threads a core", "connections at most", "queries sent a query", "turned away", "engines fallen"}}
+	classes := emulator.DefaultClasses()
+	for _, r := range results {
+		s, b := summarize(r.outcomes, classes), r.balance
+		t.rows = append(t.rows, []string{
+			r.name,
+			fmt.Sprintf("%.3f", s.inTime/max(1, s.weight)),
+			s.share(s.served),
+			s.share(s.rejected),
+			s.share(s.failed),
+			fmt.Sprint(s.lost),
+			fmt.Sprint(s.corrupted),
+			s.quantiles(lookupClass, microsPerMilli),
+			s.quantiles(reportClass, microsPerSecond),
+			fmt.Sprintf("%.2f / %.2f", b.MostMean, b.PeakToMeanP95),
+			fmt.Sprintf("%.0f", b.LongestIdle),
+			fmt.Sprintf("%.1f", b.Burst),
+			fmt.Sprintf("%.2f", b.Threads),
+			fmt.Sprint(b.Conns),
+			fmt.Sprintf("%.3f", float64(b.Arrivals)/s.queriesOrOne()),
+			fmt.Sprint(b.Rejected),
+			fmt.Sprint(r.collapsed),
+		})
+	}
+	return t
+}
--- /dev/null
+++ b/cmd/fleettest/gateway.go
@@ -0,0 +1,29 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"frostpier/internal/program"
+	"frostpier/internal/testbed/emulator"
+)
+
+// gatewayCommand is the program with the fault that the environment names: a bad version of it.
+type gatewayCommand struct{}
+
+// Run serves as the program does until SIGTERM; SIGHUP reloads the operator's file.
+func (gatewayCommand) Run() error {
+	hooks, err := emulator.Hooks()
+	if err != nil {
+		return err
+	}
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	hup := make(chan os.Signal, 1)
+	signal.Notify(hup, syscall.SIGHUP)
+	return program.Run(term, hup, log, hooks)
+}
--- a/cmd/fleettest/main.go
+++ b/cmd/fleettest/main.go
@@ -1,5 +1,6 @@
-// Fleetlab is the project's experiment tool: it plays scenarios of faults on fleets of real processes, and on fleets
-// of a thousand members on a virtual clock, and keeps the results as tables and charts.
+// Fleettest is the project's test tool: it starts fleets of gateways, as processes of the program or simulated on a virtual
+// clock, puts them under load, injects faults, and keeps the results as tables and charts. Each subcommand is a type with a
+// method Run, in a file of its own. The tool decides nothing for a gateway, and listens on loopback addresses alone.
 package main
 
 import (
@@ -10,14 +11,14 @@
 )
 
 type commands struct {
-	Demo     demoCommand     `cmd:"" help:"Show the program at work for half a minute: a few gateways, stand-in engines, one of each killed."`
-	Run      runCommand      `cmd:"" help:"Play a scenario on a fleet of processes of the program."`
-	Simulate simulateCommand `cmd:"" help:"Measure membership on a virtual clock, beside a heartbeat detector."`
-	Spread   spreadCommand   `cmd:"" help:"Compare how evenly versions of the program load stand-in engines."`
-	Rollout  rolloutCommand  `cmd:"" help:"Play good and bad changes in stages on fleets of processes."`
-	Scale    scaleCommand    `cmd:"" help:"Read what control costs gateways in a fleet of hundreds, most of them hollow."`
-	Slopes   slopesCommand   `cmd:"" help:"Measure how the cost of each part grows with the fleet, for docs/CAPACITY.md."`
-	Capacity capacityCommand `cmd:"" help:"Work the tables of docs/CAPACITY.md out from the measured slopes."`
+	Demo     demoCommand         `cmd:"" help:"Show the program at work for half a minute: a few gateways, stand-in engines, one of each killed."`
+	Run      runCommand          `cmd:"" help:"Play a scenario on a fleet of processes of the program."`
+	Simulate simulateCommand     `cmd:"" help:"Measure membership on a virtual clock, beside a heartbeat detector."`
+	Spread   distributionCommand `cmd:"" help:"Compare how evenly versions of the program load stand-in engines."`
+	Rollout  rolloutCommand      `cmd:"" help:"Play good and bad changes in stages on fleets of processes."`
+	Scale    scaleCommand        `cmd:"" help:"Read what control costs gateways in a fleet of hundreds, most of them hollow."`
+	Slopes   slopesCommand       `cmd:"" help:"Measure how the cost of each part grows with the fleet, for docs/CAPACITY.md."`
+	Capacity capacityCommand     `cmd:"" help:"Work the tables of docs/CAPACITY.md out from the measured slopes."`
 
 	HollowGateways hollowGatewaysCommand `cmd:"" hidden:"" help:"Run hollow gateways as standard input says."`
 	HollowEngines  hollowEnginesCommand  `cmd:"" hidden:"" help:"Run hollow engines as standard input says."`
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -43,9 +43,12 @@
 
 func TestChartOfViews(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "views.svg")
-	began := time.Now()
-	told := []testfleet.StateChange{{At: began.Add(time.Second), Viewer: 0, Member: 1, Is: "dead"}, {At: began.Add(2 * time.Second), Viewer: 0, Member: 1, Is: "alive"}}
-	if err := chartViews(path, 3, began, told); err != nil {
+	start := time.Now()
+	changes := []testfleet.StateChange{
+		{At: start.Add(time.Second), Viewer: 0, Member: 1, Is: "dead"},
+		{At: start.Add(2 * time.Second), Viewer: 0, Member: 1, Is: "alive"},
+	}
+	if err := chartViews(path, 3, start, changes); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || !strings.Contains(string(text), "<svg") {
--- a/cmd/fleettest/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -3,114 +3,72 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"os"
-	"os/signal"
-	"path/filepath"
 	"slices"
-	"sync"
-	"syscall"
 	"time"
 
 	"frostpier/internal/control/rollout"
 	"frostpier/internal/control/rollout/controller"
-	"frostpier/internal/program"
 	"frostpier/internal/testbed/emulator"
 	"frostpier/internal/testbed/testfleet"
 )
 
 type rolloutCommand struct {
-	Gateways int           `default:"30" help:"Gateways of a fleet."`
-	Engines  int           `default:"8" help:"Stand-in engines."`
-	Cores    float64       `default:"8" help:"Cores of an engine."`
-	Load     float64       `default:"0.6" help:"Work that clients ask for, over what the engines' cores can do."`
-	Seeds    int           `default:"20" help:"Plays of each kind of change."`
-	Kinds    []string      `help:"Kinds of change; all where none is named. good is a good one."`
-	Stages   []string      `default:"1,20%,100%" help:"Stages of the plans."`
-	Least    float64       `default:"15" help:"Shortest watch of a stage, in seconds."`
-	Together int           `default:"2" help:"Fleets that play at a time."`
-	Plain    bool          `help:"A plain rolling restart in the rollout's place."`
-	Most     time.Duration `default:"6m" help:"The longest play."`
-	Out      string        `default:"found/fleettest" help:"The folder for tables and logs."`
+	Gateways    int           `default:"30" help:"Gateways of a fleet."`
+	Engines     int           `default:"8" help:"Stand-in engines."`
+	Cores       float64       `default:"8" help:"Cores of an engine."`
+	Load        float64       `default:"0.6" help:"Work that clients ask for, over what the engines' cores can do."`
+	Seeds       int           `default:"20" help:"Plays of each kind of change."`
+	Kinds       []string      `help:"Kinds of change; all where none is named. good is a good one."`
+	Stages      []string      `default:"1,20%,100%" help:"Stages of the plans."`
+	MinWatch    float64       `name:"least" default:"15" help:"Shortest watch of a stage, in seconds."`
+	Parallel    int           `name:"together" default:"2" help:"Fleets that play at a time."`
+	Plain       bool          `help:"A plain rolling restart in the rollout's place."`
+	MaxDuration time.Duration `name:"most" default:"6m" help:"The longest play."`
+	Out         string        `default:"found/fleettest" help:"The folder for tables and logs."`
 }
 
-// gatewayCommand is the program with what its environment says is wrong with it: a stand-in for a bad version.
-type gatewayCommand struct{}
+const (
+	goodKind = "good" // a change without a fault
 
-// Run serves as the program does.
-func (gatewayCommand) Run() error {
-	hooks, err := emulator.Hooks()
-	if err != nil {
-		return err
-	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	return program.Run(term, hup, log, hooks)
-}
+	phaseRolled rollout.Phase = "rolled" // of a rolling restart, which has no phases of its own
 
-const goodKind = "good"
-
-// changed is what came of one change.
-type changed struct {
-	kind   string
-	phase  rollout.Phase
-	stage  int
-	took   time.Duration
-	ends   map[emulator.Verdict]int
-	twice  int
-	harmed int // lost, unanswered, unreached, failed, spoilt, or not served in time at a gateway of the first stage
-	first  int // queries at gateways of the first stage
-	all    int
-	why    string
-	err    error
+	maxWatchFactor  = 8 // longest watch of a stage over the shortest
+	rollingInterval = time.Second
+)
+
+// rolloutResult is the result of one change.
+type rolloutResult struct {
+	kind       string
+	phase      rollout.Phase
+	stage      int
+	duration   time.Duration
+	verdicts   map[emulator.Verdict]int
+	twice      int // answers after the first
+	harmed     int // queries; see harmed
+	firstStage int // queries at gateways of the first stage
+	queries    int
+	reason     string
+	err        error
 }
 
-// Run plays each kind so often.
+// Run plays each kind of change so often, and keeps a table of the results.
 func (c *rolloutCommand) Run() error {
 	kinds := c.Kinds
 	if len(kinds) == 0 {
 		kinds = append(emulator.Faults(), goodKind)
 	}
-	var jobs []func() changed
-	for _, kind := range kinds {
-		for seed := range c.Seeds {
-			jobs = append(jobs, func() changed {
-				r := c.play(kind, uint64(1+seed))
-				note("%s, seed %d: %s in stage %d after %.0f s; %d of %d harmed; %s %v", kind, 1+seed, r.phase, r.stage+1, r.took.Seconds(), r.harmed, r.all, r.why, r.err)
-				return r
-			})
-		}
-	}
-	results := make([]changed, len(jobs))
-	var wg sync.WaitGroup
-	next := make(chan int)
-	for range max(1, c.Together) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for k := range next {
-				results[k] = jobs[k]()
-			}
-		}()
-	}
-	for k := range jobs {
-		next <- k
+	results, err := c.playAll(kinds)
+	if err != nil {
+		return err
 	}
-	close(next)
-	wg.Wait()
 	name := "rollout"
 	if c.Plain {
 		name = "rolling"
 	}
 	t := c.table(kinds, results)
 	fmt.Print(t.markdown())
-	if err := os.MkdirAll(c.Out, 0o755); err != nil {
-		return err
-	}
-	if err := t.write(filepath.Join(c.Out, fmt.Sprintf("%s-%d", name, c.Gateways)), func(string) error { return nil }); err != nil {
+	if err := t.saveIn(c.Out, fmt.Sprintf("%s-%d", name, c.Gateways)); err != nil {
 		return err
 	}
 	for _, r := range results {
@@ -121,101 +79,128 @@
 	return nil
 }
 
+// playAll plays all changes, some at the same time. A change that fails has its error in its result.
+func (c *rolloutCommand) playAll(kinds []string) ([]rolloutResult, error) {
+	results := make([]rolloutResult, len(kinds)*c.Seeds)
+	var jobs []func() error
+	for _, kind := range kinds {
+		for k := range c.Seeds {
+			result, seed := &results[len(jobs)], uint64(1+k)
+			jobs = append(jobs, func() error {
+				*result = c.play(kind, seed)
+				result.log(seed)
+				return nil
+			})
+		}
+	}
+	return results, runAll(max(1, c.Parallel), jobs)
+}
+
+// log writes a line about the result to standard error.
+func (r *rolloutResult) log(seed uint64) {
+	logProgress("%s, seed %d: %s in stage %d after %.0f s; %d of %d harmed; %s %v", r.kind, seed, r.phase, r.stage+1,
+		r.duration.Seconds(), r.harmed, r.queries, r.reason, r.err)
+}
+
 // play plays one change with a fleet of its own.
-func (c *rolloutCommand) play(kind string, seed uint64) (r changed) {
-	r = changed{kind: kind, ends: map[emulator.Verdict]int{}}
+func (c *rolloutCommand) play(kind string, seed uint64) rolloutResult {
+	r := rolloutResult{kind: kind, verdicts: map[emulator.Verdict]int{}}
+	r.err = c.playChange(&r, seed)
+	return r
+}
+
+// playChange starts a fleet, rolls the change out under load, and ends the fleet.
+func (c *rolloutCommand) playChange(r *rolloutResult, seed uint64) (err error) {
 	dir, err := os.MkdirTemp("", "frostpier-rollout-")
 	if err != nil {
-		r.err = err
-		return r
+		return err
 	}
-	defer os.RemoveAll(dir)
-	self, err := os.Executable()
+	defer func() { _ = os.RemoveAll(dir) }()
+	options, err := c.changeOptions(r.kind, seed, dir)
 	if err != nil {
-		r.err = err
-		return r
-	}
-	fault := kind
-	if kind == goodKind {
-		fault = ""
+		return err
 	}
-	change, err := testfleet.NewChange(testfleet.ChangeOptions{Gateways: c.Gateways, Engines: c.Engines, Cores: c.Cores, Load: c.Load, Seed: seed, Dir: dir,
-		Program: []string{self, "gateway"}, Env: emulator.OwnerEnv(), Fault: fault, Stages: c.Stages, LeastS: c.Least, MostS: 8 * c.Least})
+	change, err := testfleet.NewChange(options)
 	if err != nil {
-		r.err = err
-		return r
+		return err
 	}
 	defer func() {
-		if err := change.Close(); r.err == nil {
-			r.err = err
+		if closing := change.Close(); err == nil {
+			err = closing
 		}
 	}()
-	change.Send(c.Most)
-	began := time.Now()
-	if c.Plain {
-		r.err = change.Rolling(time.Second)
-		r.phase = "rolled"
-	} else {
-		ctx, cancel := context.WithTimeout(context.Background(), c.Most)
-		defer cancel()
-		var s rollout.State
-		s, r.err = change.Carry(ctx)
-		r.phase, r.stage, r.why = s.Phase, s.Stage, s.Reason
+	change.Send(c.MaxDuration)
+	start := time.Now()
+	err = c.rollOut(change, r)
+	r.duration = time.Since(start)
+	r.addOutcomes(change.StopClients(), change.Checked.Plan.Order(c.Gateways)[0], c.Plain)
+	if running := controller.Processes(change.Checked.Fleet); r.phase == rollout.Returned && slices.Contains(running, 0) {
+		return fmt.Errorf("%s, seed %d: a gateway does not run after the return", r.kind, seed)
+	}
+	return err
+}
+
+// changeOptions are the options of a change, whose gateways are processes of this tool.
+func (c *rolloutCommand) changeOptions(kind string, seed uint64, dir string) (testfleet.ChangeOptions, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return testfleet.ChangeOptions{}, err
+	}
+	fault := kind
+	if kind == goodKind {
+		fault = ""
 	}
-	r.took = time.Since(began)
-	order := change.Checked.Plan.Order(c.Gateways)
-	for _, o := range change.StopClients() {
-		r.ends[o.Verdict]++
-		r.all++
+	return testfleet.ChangeOptions{
+		Gateways: c.Gateways,
+		Engines:  c.Engines,
+		Cores:    c.Cores,
+		Load:     c.Load,
+		Seed:     seed,
+		Dir:      dir,
+		Program:  []string{self, "gateway"},
+		Env:      emulator.OwnerEnv(),
+		Fault:    fault,
+		Stages:   c.Stages,
+		LeastS:   c.MinWatch,
+		MostS:    maxWatchFactor * c.MinWatch,
+	}, nil
+}
+
+// rollOut carries a change out, by its stages or as a rolling restart.
+func (c *rolloutCommand) rollOut(change *testfleet.Change, r *rolloutResult) error {
+	if c.Plain {
+		r.phase = phaseRolled
+		return change.Rolling(rollingInterval)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), c.MaxDuration)
+	defer cancel()
+	state, err := change.Carry(ctx)
+	r.phase, r.stage, r.reason = state.Phase, state.Stage, state.Reason
+	return err
+}
+
+// addOutcomes counts what became of the clients' queries; firstStage has the gateways of the first stage.
+func (r *rolloutResult) addOutcomes(outcomes []emulator.Outcome, firstStage []int, rolling bool) {
+	for _, o := range outcomes {
+		r.verdicts[o.Verdict]++
+		r.queries++
 		r.twice += o.Twice
-		first := slices.Contains(order[0], o.Gateway)
-		if first {
-			r.first++
+		inFirstStage := slices.Contains(firstStage, o.Gateway)
+		if inFirstStage {
+			r.firstStage++
 		}
-		switch o.Verdict {
-		case emulator.Served, emulator.Refused:
-			if !o.InTime && (first || c.Plain) {
-				r.harmed++
-			}
-		default:
+		if harmed(o, inFirstStage || rolling) {
 			r.harmed++
 		}
 	}
-	if left := controller.Processes(change.Checked.Fleet); r.phase == rollout.Returned && slices.Contains(left, 0) {
-		r.err = fmt.Errorf("%s, seed %d: a gateway does not run after the return", kind, seed)
-	}
-	return r
 }
 
-func (c *rolloutCommand) table(kinds []string, results []changed) table {
-	t := table{head: []string{"change", "plays", "stopped in the first stage", "stopped later", "went through", "s to the end (median / most)",
-		"queries harmed, share of all", "share of the first stage in all", "lost or unanswered", "spoilt", "answered twice"}}
-	for _, kind := range kinds {
-		var n, first, later, through, harmed, all, ofFirst, lost, spoilt, twice int
-		var took []time.Duration
-		for _, r := range results {
-			if r.kind != kind || r.err != nil {
-				continue
-			}
-			n++
-			switch {
-			case r.phase == rollout.Returned && r.stage == 0:
-				first++
-			case r.phase == rollout.Returned:
-				later++
-			case r.phase == rollout.Done || c.Plain:
-				through++
-			}
-			harmed, all, ofFirst = harmed+r.harmed, all+r.all, ofFirst+r.first
-			lost += r.ends[emulator.Lost] + r.ends[emulator.Unanswered]
-			spoilt += r.ends[emulator.Spoilt]
-			twice += r.twice
-			took = append(took, r.took)
-		}
-		slices.Sort(took)
-		t.rows = append(t.rows, []string{kind, fmt.Sprint(n), fmt.Sprint(first), fmt.Sprint(later), fmt.Sprint(through), spread(took),
-			fmt.Sprintf("%.4f", float64(harmed)/float64(max(1, all))), fmt.Sprintf("%.3f", float64(ofFirst)/float64(max(1, all))), fmt.Sprint(lost),
-			fmt.Sprint(spoilt), fmt.Sprint(twice)})
-	}
-	return t
+// harmed reports whether a query was lost, failed, answered wrongly or not at all; or, at a gateway that had the new
+// version from the start, rejected or served after its latency objective.
+func harmed(o emulator.Outcome, newVersion bool) bool {
+	switch o.Verdict {
+	case emulator.Served, emulator.Refused:
+		return !o.InTime && newVersion
+	}
+	return true
 }
--- a/cmd/fleettest/run.go
+++ b/cmd/fleettest/run.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -17,64 +18,89 @@
 	Out      string `default:"found/fleettest" help:"The folder for tables, the chart and the logs."`
 }
 
-// Run plays the scenario.
+// maxDatagram is the longest datagram that gateways may send, in bytes.
+const maxDatagram = 256
+
+// Run plays the scenario, prints its table, and keeps the table, a chart and the gateways' logs.
 func (c *runCommand) Run() (err error) {
-	text, err := os.ReadFile(c.Scenario)
+	scenario, err := c.readScenario()
 	if err != nil {
 		return err
 	}
-	s, err := testfleet.ParseScenario(text)
+	name := fmt.Sprintf("%s-%d", scenario.Name, scenario.Gateways)
+	f, err := c.newFleet(scenario, filepath.Join(c.Out, name+"-logs"))
 	if err != nil {
 		return err
 	}
-	if c.Gateways > 0 {
-		s.Gateways = c.Gateways
-	}
-	if c.Seed > 0 {
-		s.Seed = c.Seed
-	}
-	name := fmt.Sprintf("%s-%d", s.Name, s.Gateways)
-	logs := filepath.Join(c.Out, name+"-logs")
-	if err := os.RemoveAll(logs); err != nil {
+	defer func() { err = errors.Join(err, f.Close()) }()
+	start := time.Now()
+	results, err := playScenario(f, scenario, progressSince(start))
+	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(logs, 0o755); err != nil {
+	t := resultTable(results)
+	fmt.Print(t.markdown())
+	base := filepath.Join(c.Out, name)
+	if err := t.save(base); err != nil {
 		return err
 	}
-	program, err := filepath.Abs(c.Program)
+	changes, _ := f.StateChanges(0)
+	return chartViews(base+chartExtension, scenario.Gateways, start, changes)
+}
+
+// readScenario reads the scenario with the size and the seed of the command.
+func (c *runCommand) readScenario() (testfleet.Scenario, error) {
+	text, err := os.ReadFile(c.Scenario)
 	if err != nil {
-		return err
+		return testfleet.Scenario{}, err
 	}
-	f, err := testfleet.New(testfleet.Options{Gateways: s.Gateways, Seed: s.Seed, Dir: logs, Command: []string{program},
-		Interval: time.Duration(s.IntervalMS) * time.Millisecond, Link: s.Network.Link()})
+	scenario, err := testfleet.ParseScenario(text)
 	if err != nil {
-		return err
+		return scenario, err
+	}
+	if c.Gateways > 0 {
+		scenario.Gateways = c.Gateways
 	}
-	defer func() {
-		if closing := f.Close(); err == nil {
-			err = closing
-		}
-	}()
-	began := time.Now()
+	if c.Seed > 0 {
+		scenario.Seed = c.Seed
+	}
+	return scenario, nil
+}
+
+// newFleet prepares the fleet of a scenario, with an empty folder for its logs.
+func (c *runCommand) newFleet(scenario testfleet.Scenario, logs string) (*testfleet.Fleet, error) {
+	if err := emptyFolder(logs); err != nil {
+		return nil, err
+	}
+	program, err := filepath.Abs(c.Program)
+	if err != nil {
+		return nil, err
+	}
+	return testfleet.New(testfleet.Options{
+		Gateways: scenario.Gateways,
+		Seed:     scenario.Seed,
+		Dir:      logs,
+		Command:  []string{program},
+		Interval: time.Duration(scenario.IntervalMS) * time.Millisecond,
+		Link:     scenario.Network.Link(),
+	})
+}
+
+// playScenario starts the gateways and plays the scenario. An alarm in a log or a datagram that is too long is an error.
+func playScenario(f *testfleet.Fleet, scenario testfleet.Scenario, progress func(string)) ([]testfleet.Result, error) {
 	if err := f.StartAll(); err != nil {
-		return err
+		return nil, err
 	}
-	note := func(text string) { fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(began).Seconds(), text) }
-	note(fmt.Sprintf("%d gateways serve", s.Gateways))
-	results, err := f.Play(s, note)
+	progress(fmt.Sprintf("%d gateways serve", scenario.Gateways))
+	results, err := f.Play(scenario, progress)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	if alarms := f.Alarms(); len(alarms) > 0 {
-		return fmt.Errorf("in the logs: %s", alarms[0])
+	if err := checkAlarms(f); err != nil {
+		return nil, err
 	}
-	if longest, _ := f.Relay.Longest(); longest > 256 {
-		return fmt.Errorf("a datagram of %d bytes", longest)
+	if longest, _ := f.Relay.Longest(); longest > maxDatagram {
+		return nil, fmt.Errorf("a datagram of %d bytes", longest)
 	}
-	told, _ := f.StateChanges(0)
-	t := resultTable(results)
-	fmt.Print(t.markdown())
-	return t.write(filepath.Join(c.Out, name), func(path string) error {
-		return chartViews(path, s.Gateways, began, told)
-	})
+	return results, nil
 }
--- a/cmd/fleettest/scale.go
+++ b/cmd/fleettest/scale.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	file, err := c.earlier()
+	file, err := c.load()
 	if err != nil {
 		return err
 	}
@@ -56,14 +56,14 @@
 		if len(run.Steps) > 0 {
 			file.Runs = append(file.Runs, run)
 		}
-		if err := errors.Join(playErr, c.keep(file)); err != nil {
+		if err := errors.Join(playErr, c.save(file)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// plans checks all sizes before the first is played.
+// plans returns the plan of each size. All are checked before the first is played.
 func (c *scaleCommand) plans() (out []scale.Plan, err error) {
 	machine, err := runner.ThisMachine()
 	if err != nil {
@@ -88,7 +88,7 @@
 	return out, nil
 }
 
-// play starts a fleet, plays the plan on it, and ends it.
+// play starts a fleet, plays the plan on it, and ends it. After an error it returns what has been measured before.
 func (c *scaleCommand) play(ctx context.Context, plan scale.Plan) (run scale.Run, err error) {
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
@@ -99,14 +99,13 @@
 		return run, err
 	}
 	logs := filepath.Join(c.Out, fmt.Sprintf("scale-%d-logs", plan.Members()))
-	if err := errors.Join(os.RemoveAll(logs), os.MkdirAll(logs, 0o755)); err != nil {
+	if err := emptyFolder(logs); err != nil {
 		return run, err
 	}
-	began := time.Now()
 	fleet, err := runner.Start(ctx, runner.Options{Plan: plan, Dir: logs, Program: []string{program},
 		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
 		EngineDelay: time.Duration(c.Delay) * time.Millisecond, ReportsPerSecond: c.Reports,
-		Note: func(text string) { fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(began).Seconds(), text) }})
+		Note: progressSince(time.Now())})
 	if err != nil {
 		return run, err
 	}
@@ -116,14 +115,17 @@
 	return run, err
 }
 
-// options are those that reproduce a run.
+// options returns the options of the command that reproduce a run.
 func (c *scaleCommand) options(plan scale.Plan) string {
 	var steps []string
 	for _, step := range plan.Steps {
 		steps = append(steps, string(step))
 	}
-	return fmt.Sprintf("--real %d --hollow %d --engines %d --zones %d --regions %d --seed %d --subset %d --rate %g --reports %g --delay %d --quiet %d --cut %d --restarts-over %d --steps %s",
-		plan.Real, plan.Hollow, plan.Engines, plan.Zones, plan.Regions, plan.Seed, plan.Subset, plan.Rate, c.Reports, c.Delay, c.Quiet, c.Cut, c.Restart, strings.Join(steps, ","))
+	sizes := fmt.Sprintf("--real %d --hollow %d --engines %d --zones %d --regions %d --seed %d --subset %d",
+		plan.Real, plan.Hollow, plan.Engines, plan.Zones, plan.Regions, plan.Seed, plan.Subset)
+	load := fmt.Sprintf("--rate %g --reports %g --delay %d", plan.Rate, c.Reports, c.Delay)
+	times := fmt.Sprintf("--quiet %d --cut %d --restarts-over %d", c.Quiet, c.Cut, c.Restart)
+	return strings.Join([]string{sizes, load, times, "--steps", strings.Join(steps, ",")}, " ")
 }
 
 func (c *scaleCommand) resultPath() string {
@@ -133,8 +135,8 @@
 	return filepath.Join(c.Out, "scale-results.json")
 }
 
-// earlier is what the result file holds, where it is to be added to.
-func (c *scaleCommand) earlier() (scale.File, error) {
+// load returns the content of the result file, if the new runs are to be added to it.
+func (c *scaleCommand) load() (scale.File, error) {
 	if !c.Add {
 		return scale.File{}, nil
 	}
@@ -148,8 +150,8 @@
 	return scale.DecodeFile(text)
 }
 
-// keep writes the structured results, a table of all runs, and a chart of each step's slope.
-func (c *scaleCommand) keep(file scale.File) error {
+// save writes the structured results, a table of all runs, and a chart of each step's slope.
+func (c *scaleCommand) save(file scale.File) error {
 	text, err := file.Encode()
 	if err != nil {
 		return err
@@ -164,23 +166,26 @@
 	for _, run := range file.Runs {
 		all = append(all, run.Steps...)
 	}
-	return scaleTable(all).write(filepath.Join(c.Out, "scale"), func(string) error { return chartSlopes(c.Out, file) })
+	if err := scaleTable(all).save(filepath.Join(c.Out, "scale")); err != nil {
+		return err
+	}
+	return chartSlopes(c.Out, file)
 }
 
-// Names of the hidden commands that run hollow parts.
+// Names of the hidden commands that run hollow gateways and engines.
 const (
 	hollowGatewaysName = "hollow-gateways"
 	hollowEnginesName  = "hollow-engines"
 )
 
-// hollowGatewaysCommand is a process of hollow gateways.
+// hollowGatewaysCommand runs hollow gateways as the lines on standard input say.
 type hollowGatewaysCommand struct{}
 
-// Run serves until its input ends.
+// Run serves until standard input ends.
 func (hollowGatewaysCommand) Run() error { return hollow.ServeGateways(os.Stdin, os.Stdout) }
 
-// hollowEnginesCommand is a process of hollow engines.
+// hollowEnginesCommand runs hollow engines as the lines on standard input say.
 type hollowEnginesCommand struct{}
 
-// Run serves until its input ends.
+// Run serves until standard input ends.
 func (hollowEnginesCommand) Run() error { return hollow.ServeEngines(os.Stdin, os.Stdout) }
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -19,7 +19,7 @@
 	"frostpier/internal/testbed/scale/runner"
 )
 
-// asToolVariable has the test binary be the tool, whose hidden commands serve as gateways and hollow parts.
+// asToolVariable makes the test binary run as the tool, whose hidden commands run gateways, real and hollow, and engines.
 const asToolVariable = "FLEETLAB_AS_TOOL"
 
 func TestMain(m *testing.M) {
@@ -29,8 +29,8 @@
 	main()
 }
 
-// smallScale is a run that CI can bear. Times are short, and what is waited for may take long: verdicts are counts and
-// final states alone.
+// smallScale returns the options of a run that is small enough for CI. Its times are short and its timeouts long: only counts
+// and final states are checked.
 func smallScale(t *testing.T, steps []scale.Step) runner.Options {
 	t.Helper()
 	sizes := scale.Sizes{Real: 8, Hollow: 100, Engines: 60, Zones: 4, Regions: 2, Rate: 5, Subset: 10}
@@ -42,8 +42,8 @@
 		Note: func(text string) { t.Log(text) }}
 }
 
-// Each part of a step ends once all members hold the same members and the same list of engines, or fails; at the end
-// nothing is left running.
+// Each part of a step ends once all gateways agree on the members and the engine list, or fails; at the end nothing is left
+// running.
 func TestSmallScaleAgreesAfterEachStep(t *testing.T) {
 	opt := smallScale(t, scale.AllSteps())
 	fleet, err := runner.Start(context.Background(), opt)
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkEnded fails if any of the processes runs.
+// checkEnded fails if any of the processes still runs.
 func checkEnded(t *testing.T, processes []int, want int) {
 	t.Helper()
 	if len(processes) != want {
@@ -86,7 +86,7 @@
 	}
 }
 
-// checkLogsEmpty fails if a process of hollow parts wrote anything: a panic, a data race, an error.
+// checkLogsEmpty fails if a process of hollow gateways or engines has written anything: a panic, a data race, an error.
 func checkLogsEmpty(t *testing.T, dir string) {
 	t.Helper()
 	for _, pattern := range []string{"hollow-*.log", "engines-*.log"} {
@@ -121,8 +121,8 @@
 	checkEnded(t, processes, 4)
 }
 
-// Sizes that do not fit are refused before anything is started, with an error that names the option.
-func TestScaleRefusesWhatDoesNotFit(t *testing.T) {
+// Sizes that do not fit are rejected before anything is started, with an error that names the option.
+func TestScaleRejectsWhatDoesNotFit(t *testing.T) {
 	good := scaleCommand{Program: "x", Real: 8, Hollow: []int{100}, Engines: 60, Zones: 4, Regions: 2, Quiet: 1, Cut: 1, Restart: 1, Out: t.TempDir()}
 	if _, err := good.plans(); err != nil {
 		t.Fatal(err)
@@ -157,17 +157,17 @@
 func TestScaleKeepsItsResults(t *testing.T) {
 	c := scaleCommand{Out: t.TempDir(), Add: true}
 	for _, hollow := range []int{92, 192} {
-		file, err := c.earlier()
+		file, err := c.load()
 		if err != nil {
 			t.Fatal(err)
 		}
 		step := scale.StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, MeanBytesPerSecond: 900}
 		file.Runs = append(file.Runs, scale.Run{Steps: []scale.StepResult{step}})
-		if err := c.keep(file); err != nil {
+		if err := c.save(file); err != nil {
 			t.Fatal(err)
 		}
 	}
-	file, err := c.earlier()
+	file, err := c.load()
 	if err != nil || len(file.Runs) != 2 || len(file.Slope("quiet")) != 2 || !slices.Equal(file.StepNames(), []string{"quiet"}) {
 		t.Fatalf("%+v %v", file, err)
 	}
--- a/cmd/fleettest/scaletable.go
+++ b/cmd/fleettest/scaletable.go
@@ -11,8 +11,9 @@
 	"frostpier/internal/testbed/scale"
 )
 
+// scaleTable shows the results of steps.
 func scaleTable(steps []scale.StepResult) table {
-	t := table{head: []string{"step", "real gateways", "hollow gateways", "engines", "seconds", "statements a s",
+	t := table{header: []string{"step", "real gateways", "hollow gateways", "engines", "seconds", "statements a s",
 		"served", "share of a core (mean / highest)", "resident MB", "sent B/s", "highest over 10 s", "received B/s", "highest over 10 s",
 		"engine list B/s", "connections", "all knew after s", "engines used", "of these known"}}
 	for _, s := range steps {
@@ -27,21 +28,26 @@
 	return t
 }
 
-// slopeChart is one figure of each step over the fleet's size.
+// slopeChart is the chart of one figure of each step over the size of the fleet.
 type slopeChart struct {
 	file, title, unit string
 	value             func(scale.StepResult) float64
 }
 
 var slopeCharts = []slopeChart{
-	{"scale-processor.svg", "Processor time of a real gateway", "share of a core", func(s scale.StepResult) float64 { return s.ProcessorShare }},
-	{"scale-memory.svg", "Resident memory of a real gateway, the largest", "MB", func(s scale.StepResult) float64 { return s.ResidentMB }},
-	{"scale-bytes.svg", "Datagrams that a real gateway sends", "bytes a second", func(s scale.StepResult) float64 { return s.MeanBytesPerSecond }},
-	{"scale-peak.svg", "Datagrams that a real gateway sends, the highest over 10 s", "bytes a second", func(s scale.StepResult) float64 { return s.HighestBytesPerSecond }},
-	{"scale-known.svg", "Time until all gateways know", "seconds", func(s scale.StepResult) float64 { return s.SecondsUntilAllKnow }},
+	{"scale-processor.svg", "Processor time of a real gateway", "share of a core",
+		func(s scale.StepResult) float64 { return s.ProcessorShare }},
+	{"scale-memory.svg", "Resident memory of a real gateway, the largest", "MB",
+		func(s scale.StepResult) float64 { return s.ResidentMB }},
+	{"scale-bytes.svg", "Datagrams that a real gateway sends", "bytes a second",
+		func(s scale.StepResult) float64 { return s.MeanBytesPerSecond }},
+	{"scale-peak.svg", "Datagrams that a real gateway sends, the highest over 10 s", "bytes a second",
+		func(s scale.StepResult) float64 { return s.HighestBytesPerSecond }},
+	{"scale-known.svg", "Time until all gateways know", "seconds",
+		func(s scale.StepResult) float64 { return s.SecondsUntilAllKnow }},
 }
 
-// chartSlopes draws each figure into a file of the folder.
+// chartSlopes draws each chart into a file of the folder.
 func chartSlopes(folder string, file scale.File) error {
 	for _, chart := range slopeCharts {
 		if err := chart.draw(filepath.Join(folder, chart.file), file); err != nil {
@@ -51,6 +57,7 @@
 	return nil
 }
 
+// draw draws a line for each step.
 func (c slopeChart) draw(path string, file scale.File) error {
 	p := plot.New()
 	p.Title.Text = c.title
@@ -68,5 +75,5 @@
 		return err
 	}
 	p.Legend.Top, p.Legend.Left = true, true
-	return p.Save(width, height, path)
+	return p.Save(chartWidth, chartHeight, path)
 }
--- a/cmd/fleettest/simulate.go
+++ b/cmd/fleettest/simulate.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 	"runtime"
 	"sync"
@@ -22,81 +20,84 @@
 	Out   string  `default:"found/fleettest" help:"The folder for tables and the chart."`
 }
 
+// Times of the simulations.
 const (
-	apart     = 30 * time.Second // between a kill and the start after it
-	pauseOnce = 30 * time.Second // in which each member pauses once on average
-	pauseMost = 2 * time.Second
-	checked   = 1000 // steps between two checks of a node's rules
+	killInterval   = 30 * time.Second // between a kill and the start after it
+	pauseInterval  = 30 * time.Second // in which each member pauses once on average
+	maxPause       = 2 * time.Second
+	steadyTime     = time.Minute
+	checkInterval  = 1000 // steps between two checks of a node's invariants
+	seedsPerSize   = 4    // of the lossy simulations
+	heartbeatRate  = 1    // heartbeats a second that a member of the baseline sends: the protocol's datagrams in the steady state
+	missedForDeath = 3    // silent rounds after which the baseline declares a death
 )
 
-// measured is a row of the table.
-type measured struct {
+// membershipRow has the figures of one size of the fleet.
+type membershipRow struct {
 	members               int
 	steady, kills, pauses simulation.Figures
-	beatPauses            simulation.Figures
+	heartbeatPauses       simulation.Figures
 }
 
-// heartbeats has the baseline in the protocol's place: the datagrams a second that the protocol sends in the steady
-// state, and three silent rounds for a death.
-func heartbeats(perSecond float64) func(c membership.Config) (simulation.Detector, error) {
-	return func(c membership.Config) (simulation.Detector, error) {
-		return simulation.NewHeartbeat(c, perSecond, 3), nil
-	}
+// newHeartbeatDetector returns the baseline that the protocol is compared with.
+func newHeartbeatDetector(c membership.Config) (simulation.Detector, error) {
+	return simulation.NewHeartbeat(c, heartbeatRate, missedForDeath), nil
 }
 
-// Run measures each size, each seed on a core.
+// Run simulates each size, on all cores, and keeps a table and a chart of the results.
 func (c *simulateCommand) Run() error {
-	rows := make([]measured, len(c.Sizes))
+	rows := make([]membershipRow, len(c.Sizes))
 	var jobs []func() error
-	var mu sync.Mutex
-	add := func(into *simulation.Figures, f simulation.Figures) {
-		mu.Lock()
-		defer mu.Unlock()
-		*into = into.Merge(f)
-	}
-	for k, n := range c.Sizes {
-		row := &rows[k]
-		row.members = n
-		lossy := simulation.Setup{Members: n, Loss: c.Loss, Every: checked, Spread: time.Second}
-		jobs = append(jobs, func() (err error) {
-			calm := lossy
-			calm.Loss, calm.Seed = 0, c.Seed
-			row.steady, err = simulation.Steady(calm, time.Minute)
-			return err
-		})
-		const parts = 4
-		lasts := time.Duration(c.Hours / parts / float64(n) * float64(time.Hour))
-		for part := range uint64(parts) {
-			s := lossy
-			s.Seed = c.Seed + part
-			jobs = append(jobs, func() error {
-				f, err := simulation.Kills(s, c.Kills/parts, apart)
-				add(&row.kills, f)
-				return err
-			}, func() error {
-				f, err := simulation.Pauses(s, lasts, pauseOnce, pauseMost)
-				add(&row.pauses, f)
-				return err
-			}, func() error {
-				beats := s // a copy: the other jobs run at the same time
-				beats.Make = heartbeats(1)
-				f, err := simulation.Pauses(beats, lasts, pauseOnce, pauseMost)
-				add(&row.beatPauses, f)
-				return err
-			})
-		}
+	for k, members := range c.Sizes {
+		rows[k].members = members
+		jobs = append(jobs, c.jobs(&rows[k])...)
 	}
-	if err := onAllCores(jobs); err != nil {
+	if err := runAll(runtime.GOMAXPROCS(0), jobs); err != nil {
 		return err
 	}
 	t := simulationTable(rows)
 	fmt.Print(t.markdown())
-	if err := os.MkdirAll(c.Out, 0o755); err != nil {
+	const name = "membership-simulated"
+	if err := t.saveIn(c.Out, name); err != nil {
+		return err
+	}
+	return chartDetection(filepath.Join(c.Out, name+chartExtension), rows)
+}
+
+// jobs are the simulations of one size. They may run at the same time.
+func (c *simulateCommand) jobs(row *membershipRow) []func() error {
+	var mu sync.Mutex
+	add := func(sum *simulation.Figures, f simulation.Figures, err error) error {
+		mu.Lock()
+		defer mu.Unlock()
+		*sum = sum.Merge(f)
+		return err
+	}
+	lossy := simulation.Setup{Members: row.members, Loss: c.Loss, Every: checkInterval, Spread: time.Second}
+	jobs := []func() error{func() (err error) {
+		lossless := lossy
+		lossless.Loss, lossless.Seed = 0, c.Seed
+		row.steady, err = simulation.Steady(lossless, steadyTime)
 		return err
+	}}
+	duration := time.Duration(c.Hours / seedsPerSize / float64(row.members) * float64(time.Hour))
+	for k := range uint64(seedsPerSize) {
+		setup := lossy
+		setup.Seed = c.Seed + k
+		baseline := setup
+		baseline.Make = newHeartbeatDetector
+		jobs = append(jobs, func() error {
+			f, err := simulation.Kills(setup, c.Kills/seedsPerSize, killInterval)
+			return add(&row.kills, f, err)
+		}, func() error {
+			f, err := simulation.Pauses(setup, duration, pauseInterval, maxPause)
+			return add(&row.pauses, f, err)
+		}, func() error {
+			f, err := simulation.Pauses(baseline, duration, pauseInterval, maxPause)
+			return add(&row.heartbeatPauses, f, err)
+		})
 	}
-	return t.write(filepath.Join(c.Out, "membership-simulated"), func(path string) error {
-		return chartDetection(path, rows)
-	})
+	return jobs
 }
 
 type replayCommand struct {
@@ -105,7 +106,7 @@
 	Every int    `default:"0" help:"Steps between two checks of a node's rules; 0 = a twentieth of the members."`
 }
 
-// Run plays the runs; a seed that broke a rule is named, and replays identically.
+// Run plays the runs. A seed that violates an invariant is named in the error, and replays identically.
 func (c *replayCommand) Run() error {
 	var jobs []func() error
 	steps, mu, began := 0, sync.Mutex{}, time.Now()
@@ -126,34 +127,7 @@
 			return err
 		})
 	}
-	err := onAllCores(jobs)
+	err := runAll(runtime.GOMAXPROCS(0), jobs)
 	fmt.Printf("%d runs, %d steps, %v\n", c.Runs, steps, time.Since(began).Round(time.Second))
 	return err
 }
-
-// onAllCores does all jobs and joins their errors.
-func onAllCores(jobs []func() error) error {
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var errs []error
-	next := make(chan func() error)
-	for range runtime.GOMAXPROCS(0) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for job := range next {
-				if err := job(); err != nil {
-					mu.Lock()
-					errs = append(errs, err)
-					mu.Unlock()
-				}
-			}
-		}()
-	}
-	for _, job := range jobs {
-		next <- job
-	}
-	close(next)
-	wg.Wait()
-	return errors.Join(errs...)
-}
--- a/cmd/fleettest/slopes.go
+++ b/cmd/fleettest/slopes.go
@@ -6,12 +6,11 @@
 	"path/filepath"
 	"runtime"
 	"runtime/debug"
-	"strconv"
-	"strings"
 	"time"
 
 	"frostpier/internal/testbed/capacity"
 	"frostpier/internal/testbed/capacity/measure"
+	"frostpier/internal/testbed/scale/runner"
 )
 
 type slopesCommand struct {
@@ -25,18 +24,18 @@
 
 // Run measures the slopes and writes the result file.
 func (c *slopesCommand) Run() error {
-	options := measure.Options{Seed: c.Seed, Quick: c.Quick, Only: capacity.Group(c.Only), Faults: c.Faults, Note: note}
+	options := measure.Options{Seed: c.Seed, Quick: c.Quick, Only: capacity.Group(c.Only), Faults: c.Faults, Note: logProgress}
 	if err := options.CheckMemory(c.Memory << 20); err != nil {
 		return fmt.Errorf("%w: see --memory-mb", err)
 	}
 	debug.SetMemoryLimit(c.Memory << 20)
-	began, machine := time.Now(), machineFacts()
-	machine.Quick, machine.LoadBefore = c.Quick, loadAverage()
+	began, machine := time.Now(), thisMachine()
+	machine.Quick, machine.LoadBefore = c.Quick, runner.LoadAverage()
 	slopes, err := measure.Slopes(options)
 	if err != nil {
 		return err
 	}
-	machine.LoadAfter, machine.Seconds = loadAverage(), time.Since(began).Round(time.Second).Seconds()
+	machine.LoadAfter, machine.Seconds = runner.LoadAverage(), time.Since(began).Round(time.Second).Seconds()
 	result := capacity.Result{Machine: machine, Seed: c.Seed, Slopes: slopes}
 	fmt.Print(capacity.SlopeTable(result).Markdown())
 	if c.Only != "" {
@@ -52,22 +51,8 @@
 	return os.WriteFile(c.Out, text, 0o644)
 }
 
-// machineFacts are what of the machine bears on timings.
-func machineFacts() capacity.Machine {
+// thisMachine describes the machine, as far as it matters to timings.
+func thisMachine() capacity.Machine {
 	return capacity.Machine{Cores: runtime.NumCPU(), GoVersion: runtime.Version(),
 		System: runtime.GOOS + "/" + runtime.GOARCH, MeasuredDay: time.Now().UTC().Format(time.DateOnly)}
 }
-
-// loadAverage is the system's load over the last minute; 0 where it does not tell.
-func loadAverage() float64 {
-	text, err := os.ReadFile("/proc/loadavg")
-	if err != nil {
-		return 0
-	}
-	first, _, _ := strings.Cut(string(text), " ")
-	load, err := strconv.ParseFloat(first, 64)
-	if err != nil {
-		return 0
-	}
-	return load
-}
