--- a/cmd/fleettest/distributiontable.go
+++ b/cmd/fleettest/distributiontable.go
@@ -90,7 +90,7 @@
 
 // Units in which latencies are shown.
 const (
-	microsPerMilli = 1e3
+	microsPerMilli  = 1e3
 	microsPerSecond = 1e6
 )
 
