--- a/cmd/fleettest/account.go
+++ b/cmd/fleettest/account.go
@@ -136,7 +136,7 @@
 	if !math.IsNaN(at) && (r.start == 0 || at < r.start) {
 		r.start = at
 	}
-	switch record.Msg {
+	switch record.Message {
 	case "serving":
 		r.serving = true
 	case "attempt decided":
--- a/cmd/fleettest/account_test.go
+++ b/cmd/fleettest/account_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Two gateways' logs: what the second believed of an engine is compared with what the first had out there; refusals
-// go to the guard that held them; lines that are no records are passed over.
+// The account of two gateways' logs compares the second one's estimate of an engine's load with what the first had in flight
+// there. Rejected requests count for the guard that queued them last, and lines that are no records are skipped.
 func TestAccount(t *testing.T) {
 	dir := t.TempDir()
 	logs := map[string]string{
--- a/cmd/fleettest/chart.go
+++ b/cmd/fleettest/chart.go
@@ -16,6 +16,7 @@
 // chartExtension is the file name extension of a chart; it decides the format.
 const chartExtension = ".svg"
 
+// Size of a chart.
 const (
 	chartWidth  = 18 * vg.Centimeter
 	chartHeight = 10 * vg.Centimeter
@@ -60,7 +61,7 @@
 	return fullest, emptiest
 }
 
-// chartDetection draws detection times over the fleet's size.
+// chartDetection draws detection times over the size of the fleet.
 func chartDetection(path string, rows []membershipRow) error {
 	p := plot.New()
 	p.Title.Text = "A kill: when it is told"
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -139,14 +139,16 @@
 		"--quiet":         func(c *scaleCommand) { c.Quiet = 0 },
 		"--restarts-over": func(c *scaleCommand) { c.Restart = 0 },
 	} {
-		changed := good
-		change(&changed)
-		err := changed.Run()
-		var limit *scale.LimitError
-		var value *scale.ValueError
-		if !errors.As(err, &limit) && !errors.As(err, &value) || !strings.Contains(err.Error(), option) {
-			t.Errorf("%s: %v", option, err)
-		}
+		t.Run(option, func(t *testing.T) {
+			changed := good
+			change(&changed)
+			err := changed.Run()
+			var limit *scale.LimitError
+			var value *scale.ValueError
+			if !errors.As(err, &limit) && !errors.As(err, &value) || !strings.Contains(err.Error(), option) {
+				t.Error(err)
+			}
+		})
 	}
 	if entries, err := os.ReadDir(good.Out); err != nil || len(entries) > 0 {
 		t.Error("something was started:", entries, err)
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -30,10 +30,12 @@
 		"--hollow":  {Sizes{Real: 2, Hollow: 798, Engines: 1100, Zones: 7, Regions: 2}, Machine{1 << 30, 20_000}},
 		"--engines": {fullSize, Machine{24 << 30, 1024}},
 	} {
-		var limit *LimitError
-		if err := c.sizes.Check(c.machine); !errors.As(err, &limit) || limit.Option != option || limit.Need <= limit.Have {
-			t.Errorf("%s: %v", option, err)
-		}
+		t.Run(option, func(t *testing.T) {
+			var limit *LimitError
+			if err := c.sizes.Check(c.machine); !errors.As(err, &limit) || limit.Option != option || limit.Need <= limit.Have {
+				t.Error(err)
+			}
+		})
 	}
 	var value *ValueError
 	nan := fullSize
--- a/internal/testbed/testfleet/record.go
+++ b/internal/testbed/testfleet/record.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Record is a line of a gateway's log: its message and its fields.
+// Record is a line of a gateway's log. Fields has all keys, the message's too.
 type Record struct {
-	Msg    string
-	Fields map[string]string
+	Message string
+	Fields  map[string]string
 }
 
-// ParseRecord reads a line that log/slog's text handler wrote; ok is false for any other.
+// ParseRecord parses a line of log/slog's text handler; ok is false for any other line.
 func ParseRecord(line string) (r Record, ok bool) {
 	r.Fields = map[string]string{}
 	for rest := line; rest != ""; {
 		rest = strings.TrimLeft(rest, " ")
 		key, after, found := strings.Cut(rest, "=")
 		if !found {
-			return r, r.Msg != ""
+			return r, r.Message != ""
 		}
 		value := ""
 		if strings.HasPrefix(after, `"`) {
@@ -35,14 +35,14 @@
 			value, rest, _ = strings.Cut(after, " ")
 		}
 		if key == "msg" {
-			r.Msg = value
+			r.Message = value
 		}
 		r.Fields[key] = value
 	}
-	return r, r.Msg != ""
+	return r, r.Message != ""
 }
 
-// Number is a field as a number; NaN where it is none.
+// Number returns a field as a number; NaN where it is missing or none.
 func (r Record) Number(key string) float64 {
 	v, err := strconv.ParseFloat(r.Fields[key], 64)
 	if err != nil {
