--- a/cmd/fleettest/capacity.go
+++ b/cmd/fleettest/capacity.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return "", err
 	}
-	return capacity.Fill(page, capacity.NewModel(result).Blocks(runs))
+	return capacity.Fill(page, capacity.New(result).Blocks(runs))
 }
 
 // scaleResult reads the scale runs; nil where there is no file of them.
--- a/cmd/fleettest/capacity_test.go
+++ b/cmd/fleettest/capacity_test.go
@@ -69,12 +69,12 @@
 
 // shownElsewhere are quantities of the phases that stand in the result file alone.
 func shownElsewhere(name string) bool {
-	return strings.Contains(name, string(capacity.PeakDatagrams)) || strings.Contains(name, string(capacity.PeakProcessor))
+	return strings.Contains(name, string(capacity.PeakDatagrams)) || strings.Contains(name, string(capacity.PeakProcessorTime))
 }
 
 func blocksOf(result capacity.Result) string {
 	var text strings.Builder
-	blocks := capacity.NewModel(result).Blocks(nil)
+	blocks := capacity.New(result).Blocks(nil)
 	for _, definition := range []string{"slopes", "fault slopes", "roles", "peaks", "ranking"} {
 		text.WriteString(blocks[definition])
 	}
--- a/cmd/fleettest/demo.go
+++ b/cmd/fleettest/demo.go
@@ -129,8 +129,8 @@
 			fmt.Sprint(r.queries),
 			fmt.Sprint(r.verdicts[emulator.Served]),
 			fmt.Sprint(r.inTime),
-			fmt.Sprint(r.verdicts[emulator.Refused]),
-			fmt.Sprint(r.verdicts[emulator.Failed] + r.verdicts[emulator.Spoilt]),
+			fmt.Sprint(r.verdicts[emulator.Rejected]),
+			fmt.Sprint(r.verdicts[emulator.Failed] + r.verdicts[emulator.Corrupted]),
 			fmt.Sprint(lost),
 			fmt.Sprintf("%.0f / %.0f", float64(r.lookups.ValueAtQuantile(50))/microsPerMilli, float64(r.lookups.ValueAtQuantile(99))/microsPerMilli),
 		})
--- a/cmd/fleettest/distribution.go
+++ b/cmd/fleettest/distribution.go
@@ -164,15 +164,15 @@
 		return nil, err
 	}
 	return testfleet.New(testfleet.Options{
-		Gateways: c.Gateways,
-		Seed:     c.Seed,
-		Dir:      logs,
-		Command:  []string{program},
-		Engines:  pool.EngineList(),
-		Link:     testfleet.Network{DelayMS: [2]int64{1, 38}}.Link(),
-		Operator: c.operatorSections(name),
-		Bare:     slices.Contains(c.Bare, name),
-		Settings: func(n, self int) string { return emulator.Settings(traffic.Classes, n, self, c.Cores) },
+		Gateways:            c.Gateways,
+		Seed:                c.Seed,
+		Dir:                 logs,
+		Command:             []string{program},
+		Engines:             pool.EngineList(),
+		Link:                testfleet.Network{DelayMS: [2]int64{1, 38}}.Link(),
+		Operator:            c.operatorSections(name),
+		WithoutOperatorFile: slices.Contains(c.Bare, name),
+		Settings:            func(n, self int) string { return emulator.Settings(traffic.Classes, n, self, c.Cores) },
 	})
 }
 
@@ -194,7 +194,7 @@
 	end := time.AfterFunc(c.duration(), func() { close(stop) })
 	defer end.Stop()
 	play()
-	return versionResult{name: name, balance: <-balance, collapsed: pool.Fallen()}
+	return versionResult{name: name, balance: <-balance, collapsed: pool.Collapsed()}
 }
 
 // injectFault injects the fault of the case; f is nil for baseline gateways.
@@ -202,7 +202,7 @@
 	engines := pool.Engines()
 	switch c.Case {
 	case "lost":
-		engines[0].Silence(true)
+		engines[0].SetHung(true)
 	case "release":
 		replaceEngines(pool, engines)
 	case "reports":
@@ -211,7 +211,7 @@
 		}
 	case "cut":
 		if f != nil {
-			f.Relay.Usual(testfleet.Link{Cut: true})
+			f.Relay.SetDefaultLink(testfleet.Link{Cut: true})
 		}
 	case "herd":
 		if f != nil {
--- a/cmd/fleettest/distributiontable.go
+++ b/cmd/fleettest/distributiontable.go
@@ -59,16 +59,16 @@
 		if o.InTime {
 			s.inTime += weight
 		}
-	case emulator.Refused:
+	case emulator.Rejected:
 		s.rejected++
 	case emulator.Failed:
 		s.failed++
-	case emulator.Spoilt:
+	case emulator.Corrupted:
 		s.corrupted++
 	default:
 		s.lost++
 	}
-	if o.Twice > 0 {
+	if o.DuplicateAnswers > 0 {
 		s.corrupted++
 	}
 }
@@ -111,7 +111,7 @@
 			fmt.Sprint(s.corrupted),
 			s.quantiles(lookupClass, microsPerMilli),
 			s.quantiles(reportClass, microsPerSecond),
-			fmt.Sprintf("%.2f / %.2f", b.MostMean, b.PeakToMeanP95),
+			fmt.Sprintf("%.2f / %.2f", b.PeakToMean, b.PeakToMeanP95),
 			fmt.Sprintf("%.0f", b.LongestIdle),
 			fmt.Sprintf("%.1f", b.Burst),
 			fmt.Sprintf("%.2f", b.Threads),
--- a/cmd/fleettest/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -134,7 +134,7 @@
 	err = c.rollOut(change, r)
 	r.duration = time.Since(start)
 	r.addOutcomes(change.StopClients(), change.Checked.Plan.Order(c.Gateways)[0], c.Plain)
-	if running := controller.Processes(change.Checked.Fleet); r.phase == rollout.Returned && slices.Contains(running, 0) {
+	if running := controller.FindProcesses(change.Checked.Fleet); r.phase == rollout.RolledBack && slices.Contains(running, 0) {
 		return fmt.Errorf("%s, seed %d: a gateway does not run after the return", r.kind, seed)
 	}
 	return err
@@ -151,18 +151,18 @@
 		fault = ""
 	}
 	return testfleet.ChangeOptions{
-		Gateways: c.Gateways,
-		Engines:  c.Engines,
-		Cores:    c.Cores,
-		Load:     c.Load,
-		Seed:     seed,
-		Dir:      dir,
-		Program:  []string{self, "gateway"},
-		Env:      emulator.OwnerEnv(),
-		Fault:    fault,
-		Stages:   c.Stages,
-		LeastS:   c.MinWatch,
-		MostS:    maxWatchFactor * c.MinWatch,
+		Gateways:        c.Gateways,
+		Engines:         c.Engines,
+		Cores:           c.Cores,
+		Load:            c.Load,
+		Seed:            seed,
+		Dir:             dir,
+		Program:         []string{self, "gateway"},
+		Env:             emulator.OwnerEnv(),
+		Fault:           fault,
+		Stages:          c.Stages,
+		MinWatchSeconds: c.MinWatch,
+		MaxWatchSeconds: maxWatchFactor * c.MinWatch,
 	}, nil
 }
 
@@ -174,7 +174,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.MaxDuration)
 	defer cancel()
-	state, err := change.Carry(ctx)
+	state, err := change.RunController(ctx)
 	r.phase, r.stage, r.reason = state.Phase, state.Stage, state.Reason
 	return err
 }
@@ -184,7 +184,7 @@
 	for _, o := range outcomes {
 		r.verdicts[o.Verdict]++
 		r.queries++
-		r.twice += o.Twice
+		r.twice += o.DuplicateAnswers
 		inFirstStage := slices.Contains(firstStage, o.Gateway)
 		if inFirstStage {
 			r.firstStage++
@@ -199,7 +199,7 @@
 // version from the start, rejected or served after its latency objective.
 func harmed(o emulator.Outcome, newVersion bool) bool {
 	switch o.Verdict {
-	case emulator.Served, emulator.Refused:
+	case emulator.Served, emulator.Rejected:
 		return !o.InTime && newVersion
 	}
 	return true
--- a/cmd/fleettest/rollouttable.go
+++ b/cmd/fleettest/rollouttable.go
@@ -20,9 +20,9 @@
 func (s *rolloutSummary) add(r rolloutResult) {
 	s.plays++
 	switch {
-	case r.phase == rollout.Returned && r.stage == 0:
+	case r.phase == rollout.RolledBack && r.stage == 0:
 		s.stoppedFirst++
-	case r.phase == rollout.Returned:
+	case r.phase == rollout.RolledBack:
 		s.stoppedLater++
 	case r.phase == rollout.Done || r.phase == phaseRolled:
 		s.completed++
@@ -31,7 +31,7 @@
 	s.queries += r.queries
 	s.firstStage += r.firstStage
 	s.lost += r.verdicts[emulator.Lost] + r.verdicts[emulator.Unanswered]
-	s.corrupted += r.verdicts[emulator.Spoilt]
+	s.corrupted += r.verdicts[emulator.Corrupted]
 	s.twice += r.twice
 	s.durations = append(s.durations, r.duration)
 }
--- a/cmd/fleettest/simulate.go
+++ b/cmd/fleettest/simulate.go
@@ -73,7 +73,7 @@
 		*sum = sum.Merge(f)
 		return err
 	}
-	lossy := simulation.Setup{Members: row.members, Loss: c.Loss, Every: checkInterval, Spread: time.Second}
+	lossy := simulation.Setup{Members: row.members, Loss: c.Loss, CheckInterval: checkInterval, StartSpread: time.Second}
 	jobs := []func() error{func() (err error) {
 		lossless := lossy
 		lossless.Loss, lossless.Seed = 0, c.Seed
@@ -85,7 +85,7 @@
 		setup := lossy
 		setup.Seed = c.Seed + k
 		baseline := setup
-		baseline.Make = newHeartbeatDetector
+		baseline.NewDetector = newHeartbeatDetector
 		jobs = append(jobs, func() error {
 			f, err := simulation.Kills(setup, c.Kills/seedsPerSize, killInterval)
 			return add(&row.kills, f, err)
@@ -113,7 +113,7 @@
 	for k := range c.Runs {
 		seed := c.From + c.Runs - 1 - k
 		jobs = append(jobs, func() error {
-			n := simulation.SizeOf(seed)
+			n := simulation.RandomSize(seed)
 			every := c.Every
 			if every == 0 {
 				every = max(1, n/20)
--- a/cmd/fleettest/slopes.go
+++ b/cmd/fleettest/slopes.go
@@ -24,7 +24,7 @@
 
 // Run measures the slopes and writes the result file.
 func (c *slopesCommand) Run() error {
-	options := measure.Options{Seed: c.Seed, Quick: c.Quick, Only: capacity.Group(c.Only), Faults: c.Faults, Note: logProgress}
+	options := measure.Options{Seed: c.Seed, Quick: c.Quick, Group: capacity.Group(c.Only), FaultRuns: c.Faults, Logf: logProgress}
 	if err := options.CheckMemory(c.Memory << 20); err != nil {
 		return fmt.Errorf("%w: see --memory-mb", err)
 	}
--- a/cmd/fleettest/table.go
+++ b/cmd/fleettest/table.go
@@ -83,8 +83,8 @@
 	for _, r := range rows {
 		t.rows = append(t.rows, []string{fmt.Sprint(r.members), fmt.Sprintf("%.2f", r.steady.Datagrams),
 			fmt.Sprintf("%.1f", r.steady.Bytes), fmt.Sprint(r.kills.Kills),
-			seconds(simulation.Quantile(r.kills.First, 0.5)) + " / " + seconds(simulation.Quantile(r.kills.First, 0.99)),
-			medianAndMax(r.kills.All), fmt.Sprint(r.kills.Missed),
+			seconds(simulation.Quantile(r.kills.Detection, 0.5)) + " / " + seconds(simulation.Quantile(r.kills.Detection, 0.99)),
+			medianAndMax(r.kills.Dissemination), fmt.Sprint(r.kills.Missed),
 			fmt.Sprintf("%d in %.0f", r.pauses.FalseDeaths, r.pauses.ProcessHours), fmt.Sprint(r.heartbeatPauses.FalseDeaths)})
 	}
 	return t
--- a/cmd/frostpier/cold_test.go
+++ b/cmd/frostpier/cold_test.go
@@ -35,14 +35,14 @@
 		opt   testfleet.Options
 		fault func(*loadedFleet)
 	}{
-		"members unknown": {opt: testfleet.Options{Bare: true}},
+		"members unknown": {opt: testfleet.Options{WithoutOperatorFile: true}},
 		"just restarted": {fault: func(s *loadedFleet) {
 			for i := range warmupGateways / 2 {
 				s.check(s.Kill(2 * i))
 			}
 			s.check(s.StartAll())
 		}},
-		"cut off from each other": {fault: func(s *loadedFleet) { s.Relay.Usual(testfleet.Link{Cut: true}) }},
+		"cut off from each other": {fault: func(s *loadedFleet) { s.Relay.SetDefaultLink(testfleet.Link{Cut: true}) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.opt.Gateways = warmupGateways
@@ -59,12 +59,12 @@
 			})
 			warmingUp := 0
 			for _, e := range s.pool.Engines() {
-				p := e.Pressed()
-				if p.Bears == 0 {
+				p := e.PeakPressure()
+				if p.Limit == 0 {
 					continue
 				}
 				warmingUp++
-				budget, sent := p.Bears/mean, p.Sent/mean
+				budget, sent := p.Limit/mean, p.Sent/mean
 				t.Logf("%s was sent %.1f queries of mean work, its budget is %.1f", e.Name(), sent, budget)
 				if sent > budget+2*math.Sqrt(budget)+2 {
 					t.Errorf("%s was sent %.1f queries of mean work, its budget is %.1f", e.Name(), sent, budget)
--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -168,11 +168,11 @@
 func TestFleetLossAndRestarts(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
-	f.Relay.Usual(testfleet.Link{Loss: 0.2, Double: 0.1, DelayMin: time.Millisecond, DelayMax: 120 * time.Millisecond})
+	f.Relay.SetDefaultLink(testfleet.Link{Loss: 0.2, Duplicate: 0.1, DelayMin: time.Millisecond, DelayMax: 120 * time.Millisecond})
 	time.Sleep(15 * time.Second)
 	f.waitAgreed("20% loss", healTimeout)
 	f.wantNoDeaths("20% loss")
-	f.Relay.Usual(testfleet.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond})
+	f.Relay.SetDefaultLink(testfleet.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond})
 
 	f.Relay.Set(1, 0, testfleet.Link{Cut: true})
 	time.Sleep(15 * time.Second)
@@ -211,7 +211,7 @@
 	}
 
 	for i := range fleetSize {
-		f.Relay.Side(i, i%2)
+		f.Relay.SetPartitionSide(i, i%2)
 	}
 	time.Sleep(10 * time.Second)
 	f.Relay.Heal()
--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -84,10 +84,10 @@
 }
 
 // readPlan reads and checks a plan.
-func readPlan(path string) (controller.Checked, error) {
+func readPlan(path string) (controller.CheckedPlan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return controller.Checked{}, codedError{exitPlan, err}
+		return controller.CheckedPlan{}, codedError{exitPlan, err}
 	}
 	checked, err := controller.CheckPlan(text)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func printPlan(checked controller.Checked, stages [][]int) {
+func printPlan(checked controller.CheckedPlan, stages [][]int) {
 	fmt.Printf("change %q of %d gateways\n", checked.Plan.Name, len(checked.Fleet.Gateways))
 	for _, version := range []string{rollout.OldVersion, rollout.NewVersion} {
 		id := checked.IDs[version]
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	started, err := controller.Up(c.State, checked)
+	started, err := controller.StartGateways(c.State, checked)
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 	switch state.Phase {
 	case rollout.Done:
 		return nil
-	case rollout.Returned:
+	case rollout.RolledBack:
 		return codedError{exitReturned, fmt.Errorf("stage %d was taken back: %s", state.Stage+1, state.Reason)}
 	}
 	return codedError{exitStopped, fmt.Errorf("ended while %s; start it again to go on", state.Phase)}
@@ -198,8 +198,8 @@
 	if s.State.Reason != "" {
 		fmt.Println("because:", s.State.Reason)
 	}
-	if s.Opinion.Why != "" {
-		fmt.Println("thought:", s.Opinion.Why)
+	if s.Verdict.Reason != "" {
+		fmt.Println("thought:", s.Verdict.Reason)
 	}
 	fmt.Printf("gateways: %d on the old version, %d on the new one; a controller runs: %v\n",
 		s.On[rollout.OldVersion], s.On[rollout.NewVersion], s.Running)
@@ -211,7 +211,7 @@
 
 // Run shows the status of the last change.
 func (c *statusCommand) Run() error {
-	s, err := controller.Last(c.State)
+	s, err := controller.LastStatus(c.State)
 	if err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 // Run sends a command to the running controller: the subcommand's own name.
 func (c *controlCommand) Run(command string) error {
 	s, err := controller.SendCommand(c.State, strings.TrimPrefix(command, commandPrefix))
-	if errors.Is(err, controller.ErrNone) {
+	if errors.Is(err, controller.ErrNotRunning) {
 		return codedError{exitBusy, err}
 	}
 	if err != nil {
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -35,8 +35,8 @@
 	if opt.Stages == nil {
 		opt.Stages = []string{"2", "100%"}
 	}
-	if opt.LeastS == 0 {
-		opt.LeastS, opt.MostS = 7, 60
+	if opt.MinWatchSeconds == 0 {
+		opt.MinWatchSeconds, opt.MaxWatchSeconds = 7, 60
 	}
 	c, err := testfleet.NewChange(opt)
 	if err != nil {
@@ -67,7 +67,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
-	s, err := c.Carry(ctx)
+	s, err := c.RunController(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,8 +81,8 @@
 	ends := map[emulator.Verdict]int{}
 	for _, o := range c.StopClients() {
 		ends[o.Verdict]++
-		if o.Twice > 0 {
-			t.Errorf("a request got %d more replies", o.Twice)
+		if o.DuplicateAnswers > 0 {
+			t.Errorf("a request got %d more replies", o.DuplicateAnswers)
 		}
 	}
 	if !killed && ends[emulator.Lost]+ends[emulator.Unanswered] > 0 {
@@ -99,10 +99,10 @@
 	s := executeChange(t, c)
 	ends := checkReplies(t, c, false)
 	t.Logf("%s, %v", s.Phase, ends)
-	if s.Phase != rollout.Done || ends[emulator.Spoilt] > 0 {
+	if s.Phase != rollout.Done || ends[emulator.Corrupted] > 0 {
 		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
 	}
-	st, err := controller.Last(c.State)
+	st, err := controller.LastStatus(c.State)
 	if err != nil || st.On[rollout.NewVersion] != changeGateways {
 		t.Errorf("status: %+v, %v", st, err)
 	}
@@ -114,14 +114,14 @@
 	for _, fault := range emulator.Faults() {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			c := startChange(t, testfleet.ChangeOptions{Seed: 2, Fault: fault, LeastS: 15, MostS: 100})
+			c := startChange(t, testfleet.ChangeOptions{Seed: 2, Fault: fault, MinWatchSeconds: 15, MaxWatchSeconds: 100})
 			s := executeChange(t, c)
 			ends := checkReplies(t, c, true)
 			t.Logf("%s: %s; %v", s.Phase, s.Reason, ends)
-			if s.Phase != rollout.Returned || s.Stage != 0 {
+			if s.Phase != rollout.RolledBack || s.Stage != 0 {
 				t.Errorf("%s in stage %d: %s", s.Phase, s.Stage+1, s.Reason)
 			}
-			st, err := controller.Last(c.State)
+			st, err := controller.LastStatus(c.State)
 			if err != nil || st.On[rollout.OldVersion] != changeGateways {
 				t.Errorf("status: %+v, %v", st, err)
 			}
@@ -133,13 +133,13 @@
 func TestFleetSettingsChangeWhileRunning(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 3, Settings: "\n# a comment makes another file\n"})
-	before := controller.Processes(c.Checked.Fleet)
+	before := controller.FindProcesses(c.Checked.Fleet)
 	s := executeChange(t, c)
 	ends := checkReplies(t, c, false)
 	if s.Phase != rollout.Done {
 		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
 	}
-	for i, pid := range controller.Processes(c.Checked.Fleet) {
+	for i, pid := range controller.FindProcesses(c.Checked.Fleet) {
 		if pid != before[i] {
 			t.Errorf("gateway %d was process %d and is %d", i, before[i], pid)
 		}
@@ -150,7 +150,7 @@
 // controller beside it is rejected.
 func TestFleetControllerIsKilled(t *testing.T) {
 	t.Parallel()
-	c := startChange(t, testfleet.ChangeOptions{Seed: 4, Stages: []string{"2", "5", "100%"}, LeastS: 3, MostS: 60})
+	c := startChange(t, testfleet.ChangeOptions{Seed: 4, Stages: []string{"2", "5", "100%"}, MinWatchSeconds: 3, MaxWatchSeconds: 60})
 	for _, after := range []time.Duration{300, 900, 1700, 2600, 3100, 4500} {
 		startController(t, c).killAfter(after * time.Millisecond)
 	}
@@ -170,7 +170,7 @@
 	if err != nil || len(history) == 0 {
 		t.Errorf("history: %d lines, %v", len(history), err)
 	}
-	status, err := controller.Last(c.State)
+	status, err := controller.LastStatus(c.State)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,7 +242,7 @@
 // awaitPhase waits until the change is in a phase. It returns false if the change ends before.
 func awaitPhase(c *testfleet.Change, phase rollout.Phase) bool {
 	for deadline := time.Now().Add(changeTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
-		status, err := controller.Last(c.State)
+		status, err := controller.LastStatus(c.State)
 		if err == nil && status.State.Phase == phase {
 			return true
 		}
@@ -257,23 +257,23 @@
 // engine in the middle of a stage.
 func TestFleetTroublesOfTheStageAreNotBlamed(t *testing.T) {
 	t.Parallel()
-	c := startChange(t, testfleet.ChangeOptions{Seed: 5, LeastS: 10, MostS: 90})
+	c := startChange(t, testfleet.ChangeOptions{Seed: 5, MinWatchSeconds: 10, MaxWatchSeconds: 90})
 	order := c.Checked.Plan.Order(changeGateways)
 	go func() {
 		if !awaitPhase(c, rollout.Watching) {
 			return // executeChange reports how the change ended
 		}
 		time.Sleep(time.Second)
-		c.Cut(order[0][0], order[1][0], order[1][1], order[1][2])
-		c.Pool.Engines()[0].Silence(true)
-		if pid := controller.Processes(c.Checked.Fleet)[order[0][1]]; pid > 0 {
+		c.DropReports(order[0][0], order[1][0], order[1][1], order[1][2])
+		c.Pool.Engines()[0].SetHung(true)
+		if pid := controller.FindProcesses(c.Checked.Fleet)[order[0][1]]; pid > 0 {
 			if p, err := os.FindProcess(pid); err == nil {
 				p.Kill()
 			}
 		}
 		time.AfterFunc(8*time.Second, func() {
-			c.Cut()
-			c.Pool.Engines()[0].Silence(false)
+			c.DropReports()
+			c.Pool.Engines()[0].SetHung(false)
 		})
 	}()
 	s := executeChange(t, c)
--- a/cmd/frostpier/spread_test.go
+++ b/cmd/frostpier/spread_test.go
@@ -80,22 +80,22 @@
 	ends := map[emulator.Verdict]int{}
 	for _, o := range outcomes {
 		ends[o.Verdict]++
-		if o.Twice > 0 {
-			s.t.Errorf("a request got %d more replies", o.Twice)
+		if o.DuplicateAnswers > 0 {
+			s.t.Errorf("a request got %d more replies", o.DuplicateAnswers)
 		}
 	}
 	if len(outcomes) != len(requests) {
 		s.t.Errorf("%d requests, %d ends", len(requests), len(outcomes))
 	}
-	if ends[emulator.Spoilt] > 0 || ends[emulator.Unanswered] > 0 {
+	if ends[emulator.Corrupted] > 0 || ends[emulator.Unanswered] > 0 {
 		s.t.Errorf("spoilt or unanswered: %v", ends)
 	}
-	if n := s.pool.Fallen(); n > 0 {
+	if n := s.pool.Collapsed(); n > 0 {
 		s.t.Errorf("%d engines were overloaded while warming up", n)
 	}
 	for _, e := range s.pool.Engines() {
-		if _, f, _ := e.Load(); f.Twice > 0 {
-			s.t.Errorf("%s got %d queries that were in flight there already", e.Name(), f.Twice)
+		if _, f, _ := e.Load(); f.Resubmitted > 0 {
+			s.t.Errorf("%s got %d queries that were in flight there already", e.Name(), f.Resubmitted)
 		}
 	}
 	return ends, <-watched
@@ -117,12 +117,12 @@
 	s := startSpread(t, 17)
 	ends, even := s.run(nil)
 	t.Logf("calm: %v, %+v", ends, even)
-	if !servedAtLeast(ends, 0.97) || ends[emulator.Lost] > 0 || even.MostMean > maxImbalance {
+	if !servedAtLeast(ends, 0.97) || ends[emulator.Lost] > 0 || even.PeakToMean > maxImbalance {
 		t.Errorf("calm: %v, %+v", ends, even)
 	}
 	killed := 3
 	ends, even = s.run(func() {
-		s.pool.Engines()[0].Silence(true)
+		s.pool.Engines()[0].SetHung(true)
 		if err := s.Kill(killed); err != nil {
 			t.Error(err)
 		}
@@ -131,11 +131,11 @@
 	if !servedAtLeast(ends, 0.85) {
 		t.Errorf("an engine silent, a gateway killed: %v", ends)
 	}
-	s.pool.Engines()[0].Silence(false)
+	s.pool.Engines()[0].SetHung(false)
 	s.must(s.Start(killed))
 	s.waitAgreed("after the start", detectTimeout)
 	ends, even = s.run(func() {
-		s.Relay.Usual(testfleet.Link{Cut: true})
+		s.Relay.SetDefaultLink(testfleet.Link{Cut: true})
 		engines := s.pool.Engines()
 		for _, e := range engines[:len(engines)*6/10] {
 			if err := s.pool.Replace(e); err != nil {
--- a/internal/control/loadreport/subset_test.go
+++ b/internal/control/loadreport/subset_test.go
@@ -71,7 +71,7 @@
 		sum := 0.0
 		for _, other := range numbers {
 			if other != number {
-				sum += chooser.Overlaps(other)
+				sum += chooser.Overlap(other)
 			}
 			g.cumulativeWeights = append(g.cumulativeWeights, sum)
 		}
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -94,8 +94,8 @@
 	Fleet             string           // name of the fleet: datagrams of another are dropped
 	Seed              uint64           // of all random draws
 	Interval          time.Duration    // protocol period between two probes; 0 = DefaultInterval. The same at each gateway
-	Timeout           time.Duration    // of a direct probe, after which indirect probes are requested; 0 = a fifth of the interval
-	Suspect           time.Duration    // shortest suspicion timeout; 0 = 1.75 intervals
+	ProbeTimeout      time.Duration    // of a direct probe, after which indirect probes are requested; 0 = a fifth of the interval
+	SuspicionTimeout  time.Duration    // shortest suspicion timeout; 0 = 1.75 intervals
 	Extensions        []Extension      // subsystems that piggyback messages on the datagrams
 	ExtensionInterval time.Duration    // between two datagrams that carry extensions alone, each to one member; 0 = none
 	// Weights returns the weight of each member, by number, as the receiver of a datagram that carries extensions alone. Where
@@ -139,11 +139,11 @@
 	if c.Interval == 0 {
 		c.Interval = DefaultInterval
 	}
-	if c.Timeout == 0 {
-		c.Timeout = c.intervals(directProbeShare)
+	if c.ProbeTimeout == 0 {
+		c.ProbeTimeout = c.intervals(directProbeShare)
 	}
-	if c.Suspect == 0 {
-		c.Suspect = c.intervals(suspicionShare)
+	if c.SuspicionTimeout == 0 {
+		c.SuspicionTimeout = c.intervals(suspicionShare)
 	}
 }
 
@@ -168,12 +168,12 @@
 	switch {
 	case c.Interval < minInterval:
 		return &ConfigError{"Interval", c.Interval, fmt.Sprintf("at least %v", minInterval)}
-	case c.Timeout <= 0 || c.Timeout >= c.Interval/2:
-		return &ConfigError{"Timeout", c.Timeout, fmt.Sprintf("above 0 and below half of the interval, %v", c.Interval/2)}
+	case c.ProbeTimeout <= 0 || c.ProbeTimeout >= c.Interval/2:
+		return &ConfigError{"Timeout", c.ProbeTimeout, fmt.Sprintf("above 0 and below half of the interval, %v", c.Interval/2)}
 	case c.ExtensionInterval != 0 && c.ExtensionInterval < minExtensionInterval:
 		return &ConfigError{"ExtensionInterval", c.ExtensionInterval, fmt.Sprintf("0 or at least %v", minExtensionInterval)}
-	case c.Suspect < c.Interval/2:
-		return &ConfigError{"Suspect", c.Suspect, fmt.Sprintf("at least half of the interval, %v", c.Interval/2)}
+	case c.SuspicionTimeout < c.Interval/2:
+		return &ConfigError{"Suspect", c.SuspicionTimeout, fmt.Sprintf("at least half of the interval, %v", c.Interval/2)}
 	}
 	return nil
 }
--- a/internal/control/membership/config_test.go
+++ b/internal/control/membership/config_test.go
@@ -23,10 +23,10 @@
 		"peer without port":        {func(c *Config) { c.Peers[2] = netip.AddrPort{} }, "Peers[2]"},
 		"too many peers":           {func(c *Config) { c.Peers = peerAddresses(MaxMembers + 1) }, "len(Peers)"},
 		"interval too short":       {func(c *Config) { c.Interval = time.Millisecond }, "Interval"},
-		"timeout too long":         {func(c *Config) { c.Timeout = time.Second }, "Timeout"},
-		"suspicion too short":      {func(c *Config) { c.Suspect = time.Millisecond }, "Suspect"},
+		"timeout too long":         {func(c *Config) { c.ProbeTimeout = time.Second }, "Timeout"},
+		"suspicion too short":      {func(c *Config) { c.SuspicionTimeout = time.Millisecond }, "Suspect"},
 		"extensions too frequent":  {func(c *Config) { c.ExtensionInterval = time.Millisecond }, "ExtensionInterval"},
-		"negative probe's timeout": {func(c *Config) { c.Timeout = -1 }, "Timeout"},
+		"negative probe's timeout": {func(c *Config) { c.ProbeTimeout = -1 }, "Timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := valid()
@@ -46,12 +46,12 @@
 // An invalid timeout changes nothing while the protocol runs; a valid one takes effect.
 func TestAdjustRejectsInvalidTimeouts(t *testing.T) {
 	n := newNode(t, 0, 5)
-	before := n.cfg.Timeout
+	before := n.cfg.ProbeTimeout
 	var invalid *ConfigError
-	if err := n.Adjust(n.cfg.Interval, 0); !errors.As(err, &invalid) || invalid.Field != "Timeout" || n.cfg.Timeout != before {
-		t.Errorf("error %v, timeout %v", err, n.cfg.Timeout)
+	if err := n.SetTimeouts(n.cfg.Interval, 0); !errors.As(err, &invalid) || invalid.Field != "Timeout" || n.cfg.ProbeTimeout != before {
+		t.Errorf("error %v, timeout %v", err, n.cfg.ProbeTimeout)
 	}
-	if err := n.Adjust(before/2, 0); err != nil || n.cfg.Timeout != before/2 {
-		t.Errorf("error %v, timeout %v", err, n.cfg.Timeout)
+	if err := n.SetTimeouts(before/2, 0); err != nil || n.cfg.ProbeTimeout != before/2 {
+		t.Errorf("error %v, timeout %v", err, n.cfg.ProbeTimeout)
 	}
 }
--- a/internal/control/membership/example_test.go
+++ b/internal/control/membership/example_test.go
@@ -19,7 +19,7 @@
 		a.Receive(epoch+time.Second, peers[1], d.Bytes)
 	}
 	for _, e := range a.Events() {
-		fmt.Println("member", e.Member, e.Was, "->", e.Is)
+		fmt.Println("member", e.Member, e.OldState, "->", e.NewState)
 	}
 	// Output: member 1 alive -> left
 }
--- a/internal/control/membership/invariants_test.go
+++ b/internal/control/membership/invariants_test.go
@@ -37,8 +37,8 @@
 			if err := n.Check(); err != nil {
 				t.Fatal(err)
 			}
-			if n.Next() < now {
-				t.Fatalf("the next Tick was due %v ago", now-n.Next())
+			if n.NextTick() < now {
+				t.Fatalf("the next Tick was due %v ago", now-n.NextTick())
 			}
 		}
 	})
--- a/internal/control/membership/node.go
+++ b/internal/control/membership/node.go
@@ -145,11 +145,11 @@
 	n.scheduleNextTick(now)
 }
 
-// Adjust sets Config.Timeout and Config.Suspect while the protocol runs; 0 means the default. If one is invalid it
+// SetTimeouts sets Config.Timeout and Config.Suspect while the protocol runs; 0 means the default. If one is invalid it
 // returns an error that wraps a *ConfigError, and changes nothing.
-func (n *Node) Adjust(timeout, suspect time.Duration) error {
+func (n *Node) SetTimeouts(timeout, suspect time.Duration) error {
 	next := n.cfg
-	next.Timeout, next.Suspect = timeout, suspect
+	next.ProbeTimeout, next.SuspicionTimeout = timeout, suspect
 	if err := next.validate(); err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
@@ -178,8 +178,8 @@
 // Events returns those of the last call, valid until the next call.
 func (n *Node) Events() []Event { return n.events }
 
-// Next returns the time at which Tick must be called; 0 before Start.
-func (n *Node) Next() time.Duration { return n.nextTickAt }
+// NextTick returns the time at which Tick must be called; 0 before Start.
+func (n *Node) NextTick() time.Duration { return n.nextTickAt }
 
 // InService returns the number of members in service, this one included unless it leaves.
 func (n *Node) InService() int { return n.serving }
@@ -190,8 +190,8 @@
 // Member returns the state of a member and its incarnation, which is 0 if it was never heard of.
 func (n *Node) Member(i int) (State, uint64) { return n.members[i].state, n.members[i].incarnation }
 
-// Health returns the local health score of Lifeguard: 0 is healthy, 4 the worst. Probes slow down with it.
-func (n *Node) Health() int { return n.healthScore }
+// HealthScore returns the local health score of Lifeguard: 0 is healthy, 4 the worst. Probes slow down with it.
+func (n *Node) HealthScore() int { return n.healthScore }
 
 // Counts returns the totals since New.
 func (n *Node) Counts() Counts { return n.counts }
--- a/internal/control/membership/probe.go
+++ b/internal/control/membership/probe.go
@@ -67,7 +67,7 @@
 	n.probe = probe{
 		pending:    true,
 		target:     target,
-		indirectAt: now + n.scaleByHealth(n.cfg.Timeout),
+		indirectAt: now + n.scaleByHealth(n.cfg.ProbeTimeout),
 		failAt:     now + n.scaleByHealth(n.cfg.intervals(probeShare)),
 		helpers:    n.probe.helpers[:0],
 		nackedBy:   n.probe.nackedBy[:0],
@@ -82,7 +82,7 @@
 		p.indirectAt = 0
 		p.indirectRounds++
 		if p.indirectRounds < indirectProbeRounds {
-			p.indirectAt = now + n.scaleByHealth(n.cfg.intervals(probeShare)-n.cfg.Timeout)/indirectProbeRounds
+			p.indirectAt = now + n.scaleByHealth(n.cfg.intervals(probeShare)-n.cfg.ProbeTimeout)/indirectProbeRounds
 		}
 		n.requestIndirectProbes(now)
 	}
--- a/internal/control/membership/relay.go
+++ b/internal/control/membership/relay.go
@@ -33,7 +33,7 @@
 	if len(n.relayedProbes) == maxRelayedProbes {
 		n.removeRelayedProbe(0) // the oldest is the next to expire
 	}
-	nackDelay := n.cfg.Timeout / 2 // so that the NACK arrives before the probe of the origin fails
+	nackDelay := n.cfg.ProbeTimeout / 2 // so that the NACK arrives before the probe of the origin fails
 	n.relayedProbes = append(n.relayedProbes, relayedProbe{
 		origin:         origin,
 		subject:        subject,
--- a/internal/control/membership/simulation/detector.go
+++ b/internal/control/membership/simulation/detector.go
@@ -14,7 +14,7 @@
 	Tick(now time.Duration)
 	Receive(now time.Duration, from netip.AddrPort, b []byte)
 	Leave(now time.Duration)
-	Next() time.Duration
+	NextTick() time.Duration
 	Datagrams() []membership.Datagram
 	Events() []membership.Event
 	Member(i int) (membership.State, uint64)
--- a/internal/control/membership/simulation/fleet.go
+++ b/internal/control/membership/simulation/fleet.go
@@ -29,16 +29,16 @@
 
 // Setup holds the parameters of a run.
 type Setup struct {
-	Members  int
-	Seed     uint64
-	Interval time.Duration // protocol period; 0 = the default of membership
-	Loss     float64       // share of the datagrams that are lost
-	Double   float64       // share of the datagrams that are duplicated
-	DelayMin time.Duration // of a datagram; delays are uniform between the two, so datagrams are reordered
-	DelayMax time.Duration // 0 = default delays
-	Spread   time.Duration // after Epoch, within which the members start
-	Make     func(cfg membership.Config) (Detector, error)
-	Every    int // steps between two checks of a node's invariants; 0 = every step
+	Members       int
+	Seed          uint64
+	Interval      time.Duration // protocol period; 0 = the default of membership
+	Loss          float64       // share of the datagrams that are lost
+	Duplication   float64       // share of the datagrams that are duplicated
+	DelayMin      time.Duration // of a datagram; delays are uniform between the two, so datagrams are reordered
+	DelayMax      time.Duration // 0 = default delays
+	StartSpread   time.Duration // after Epoch, within which the members start
+	NewDetector   func(cfg membership.Config) (Detector, error)
+	CheckInterval int // steps between two checks of a node's invariants; 0 = every step
 }
 
 // Member is one simulated process.
@@ -61,9 +61,9 @@
 	Now     time.Duration // virtual time since the Unix epoch
 	Steps   int           // calls of the nodes so far
 	// Seen, if set, is called for every event of a member. An error ends the run.
-	Seen func(at int, e membership.Event) error
+	OnEvent func(at int, e membership.Event) error
 	// Cut, if set, reports whether datagrams between two members are dropped, in this direction.
-	Cut             func(from, to int) bool
+	Drops           func(from, to int) bool
 	Sent, SentBytes []int // datagrams and bytes sent, by member
 	addrs           []netip.AddrPort
 	rnd             *rand.Rand
@@ -75,8 +75,8 @@
 
 // New returns a fleet whose members start within Setup.Spread. An error of Setup.Make is returned by Run.
 func New(s Setup) (*Fleet, error) {
-	if s.Make == nil {
-		s.Make = func(cfg membership.Config) (Detector, error) { return membership.New(cfg) }
+	if s.NewDetector == nil {
+		s.NewDetector = func(cfg membership.Config) (Detector, error) { return membership.New(cfg) }
 	}
 	if s.DelayMax == 0 {
 		s.DelayMin, s.DelayMax = minDefaultDelay, maxDefaultDelay
@@ -94,10 +94,10 @@
 	}
 	for i := range f.Members {
 		at := time.Duration(0)
-		if s.Spread > 0 {
-			at = time.Duration(f.rnd.Int64N(int64(s.Spread)))
+		if s.StartSpread > 0 {
+			at = time.Duration(f.rnd.Int64N(int64(s.StartSpread)))
 		}
-		f.At(at, func() { f.Start(i, 0) })
+		f.After(at, func() { f.Start(i, 0) })
 	}
 	return f, nil
 }
@@ -111,7 +111,7 @@
 func (f *Fleet) Start(i int, skew time.Duration) {
 	m := &f.Members[i]
 	m.starts++
-	node, err := f.Make(membership.Config{Self: i, Peers: f.addrs, Fleet: "virtual", Interval: f.Interval,
+	node, err := f.NewDetector(membership.Config{Self: i, Peers: f.addrs, Fleet: "virtual", Interval: f.Interval,
 		Seed: f.Seed*1_000_003 + uint64(i)*101 + uint64(m.starts)})
 	if err != nil {
 		f.err = err
@@ -133,7 +133,7 @@
 	m := &f.Members[i]
 	f.step(i, func(now time.Duration) { m.Node.Leave(now) })
 	starts := m.starts
-	f.At(leaveGrace, func() {
+	f.After(leaveGrace, func() {
 		if m.starts == starts {
 			f.Kill(i)
 		}
@@ -148,7 +148,7 @@
 	}
 	m.paused = true
 	starts := m.starts
-	f.At(d, func() {
+	f.After(d, func() {
 		if m.starts == starts {
 			f.resume(i)
 		}
@@ -161,7 +161,7 @@
 	m.paused, m.Since = false, f.Now
 	buffered := m.buffered
 	m.buffered = nil
-	if f.rnd.IntN(2) == 0 && m.Node.Next() <= f.Now+m.Skew {
+	if f.rnd.IntN(2) == 0 && m.Node.NextTick() <= f.Now+m.Skew {
 		f.step(i, m.Node.Tick)
 	}
 	for _, datagram := range buffered {
@@ -180,18 +180,18 @@
 	m.lastNow = now
 	call(now)
 	f.Steps++
-	if f.Every == 0 || f.Steps%f.Every == 0 {
+	if f.CheckInterval == 0 || f.Steps%f.CheckInterval == 0 {
 		f.fail(i, m.Node.Check())
 	}
 	for _, e := range m.Node.Events() {
-		if f.Seen != nil && f.err == nil {
-			f.fail(i, f.Seen(i, e))
+		if f.OnEvent != nil && f.err == nil {
+			f.fail(i, f.OnEvent(i, e))
 		}
 	}
 	for _, d := range m.Node.Datagrams() {
 		f.transmit(i, d)
 	}
-	if next := m.Node.Next() - m.Skew; m.timerAt <= f.Now || next < m.timerAt {
+	if next := m.Node.NextTick() - m.Skew; m.timerAt <= f.Now || next < m.timerAt {
 		f.setTimer(i, max(next, f.Now))
 	}
 }
--- a/internal/control/membership/simulation/fleet_test.go
+++ b/internal/control/membership/simulation/fleet_test.go
@@ -25,7 +25,7 @@
 		go func() {
 			defer wg.Done()
 			for seed := range next {
-				n := SizeOf(seed)
+				n := RandomSize(seed)
 				if n > maxMembers {
 					continue
 				}
@@ -60,7 +60,7 @@
 // No false death at 10% loss with pauses of up to 2 s. The baseline, with the same seed, declares some.
 func TestPausesCauseNoFalseDeath(t *testing.T) {
 	t.Parallel()
-	s := Setup{Members: 50, Seed: 3, Loss: 0.1, Every: 100}
+	s := Setup{Members: 50, Seed: 3, Loss: 0.1, CheckInterval: 100}
 	hours := 10 * time.Hour
 	if raceDetector {
 		hours = time.Hour
@@ -72,7 +72,7 @@
 	if raceDetector {
 		return // the run is too short for a false death of the baseline
 	}
-	s.Make = func(c membership.Config) (Detector, error) { return NewHeartbeat(c, 1, 3), nil }
+	s.NewDetector = func(c membership.Config) (Detector, error) { return NewHeartbeat(c, 1, 3), nil }
 	if f, err = Pauses(s, hours/50, 30*time.Second, 2*time.Second); err != nil || f.FalseDeaths < 5 {
 		t.Fatalf("the baseline declared %d false deaths, %v: the scenario proves nothing", f.FalseDeaths, err)
 	}
@@ -88,14 +88,14 @@
 			if raceDetector {
 				kills = 200 / n
 			}
-			f, err := Kills(Setup{Members: n, Seed: 8, Every: 50}, kills, 30*time.Second)
+			f, err := Kills(Setup{Members: n, Seed: 8, CheckInterval: 50}, kills, 30*time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if f.Missed > 0 || f.FalseDeaths > 0 || len(f.First) != kills {
-				t.Errorf("%d of %d kills missed, %d false deaths", kills-len(f.First)+f.Missed, kills, f.FalseDeaths)
+			if f.Missed > 0 || f.FalseDeaths > 0 || len(f.Detection) != kills {
+				t.Errorf("%d of %d kills missed, %d false deaths", kills-len(f.Detection)+f.Missed, kills, f.FalseDeaths)
 			}
-			median, worst, dissemination := Quantile(f.First, 0.5), Quantile(f.First, 0.99), Quantile(f.All, 1)
+			median, worst, dissemination := Quantile(f.Detection, 0.5), Quantile(f.Detection, 0.99), Quantile(f.Dissemination, 1)
 			if !raceDetector && (median > 3*interval || worst > 8*interval || dissemination > 4*interval) {
 				t.Errorf("detected after %v (median), %v (99th percentile); disseminated within %v", median, worst, dissemination)
 			}
@@ -112,7 +112,7 @@
 	}
 	var smallest Figures
 	for _, n := range sizes {
-		f, err := Steady(Setup{Members: n, Seed: 5, Spread: time.Second, Every: 1000}, 30*time.Second)
+		f, err := Steady(Setup{Members: n, Seed: 5, StartSpread: time.Second, CheckInterval: 1000}, 30*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -129,13 +129,13 @@
 // startedFleet returns a fleet whose members have all started, and the number of false deaths declared from then on.
 func startedFleet(t *testing.T, n int) (*Fleet, *int) {
 	t.Helper()
-	f, err := New(Setup{Members: n, Seed: 21, Spread: time.Second})
+	f, err := New(Setup{Members: n, Seed: 21, StartSpread: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	deaths := 0
-	f.Seen = func(_ int, e membership.Event) error {
-		if e.Kind == membership.Changed && e.Is == membership.Dead && f.Members[e.Member].Up {
+	f.OnEvent = func(_ int, e membership.Event) error {
+		if e.Kind == membership.StateChanged && e.NewState == membership.Dead && f.Members[e.Member].Up {
 			deaths++
 		}
 		return nil
@@ -174,7 +174,7 @@
 func TestOneDroppedLink(t *testing.T) {
 	t.Parallel()
 	f, deaths := startedFleet(t, 12)
-	f.Cut = func(a, b int) bool { return a == 1 && b == 0 }
+	f.Drops = func(a, b int) bool { return a == 1 && b == 0 }
 	runFor(t, f, 5*time.Minute)
 	if *deaths > 0 {
 		t.Fatalf("%d deaths declared", *deaths)
@@ -191,7 +191,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, deaths := startedFleet(t, 12)
-			f.Cut = cut
+			f.Drops = cut
 			runFor(t, f, 30*time.Second)
 			for viewer := 1; viewer < 12; viewer++ {
 				for i := range 12 {
@@ -203,7 +203,7 @@
 			if *deaths < 11 {
 				t.Errorf("declared dead %d times", *deaths)
 			}
-			f.Cut = nil
+			f.Drops = nil
 			awaitAgreement(t, f, time.Minute)
 		})
 	}
@@ -215,12 +215,12 @@
 	for _, n := range []int{12, 100} {
 		t.Run(fmt.Sprintf("members=%d", n), func(t *testing.T) {
 			f, _ := startedFleet(t, n)
-			f.Cut = oddFromEven
+			f.Drops = oddFromEven
 			runFor(t, f, 40*time.Second)
 			if serving := f.Members[0].Node.InService(); serving != n/2 {
 				t.Errorf("%d in service in a partition", serving)
 			}
-			f.Cut = nil
+			f.Drops = nil
 			awaitAgreement(t, f, time.Minute)
 		})
 	}
--- a/internal/control/membership/simulation/golden_test.go
+++ b/internal/control/membership/simulation/golden_test.go
@@ -32,8 +32,8 @@
 	t.Parallel()
 	var out strings.Builder
 	hash, count := fnv.New64a(), 0
-	setup := Setup{Members: 24, Seed: 26, Loss: 0.02, Double: 0.01, DelayMin: time.Millisecond, DelayMax: 20 * time.Millisecond,
-		Spread: 2 * time.Second, Make: func(cfg membership.Config) (Detector, error) {
+	setup := Setup{Members: 24, Seed: 26, Loss: 0.02, Duplication: 0.01, DelayMin: time.Millisecond, DelayMax: 20 * time.Millisecond,
+		StartSpread: 2 * time.Second, NewDetector: func(cfg membership.Config) (Detector, error) {
 			node, err := membership.New(cfg)
 			if err != nil {
 				return nil, err
@@ -50,12 +50,12 @@
 		t.Fatal(err)
 	}
 	cut := false
-	f.Cut = func(from, to int) bool { return cut && from%2 != to%2 }
-	f.At(20*time.Second, func() { f.Kill(3); f.Kill(4) })
-	f.At(25*time.Second, func() { f.Pause(7, 4*time.Second) })
-	f.At(40*time.Second, func() { cut = true })
-	f.At(60*time.Second, func() { cut = false })
-	f.At(70*time.Second, func() { f.Start(3, 0); f.Leave(9) })
+	f.Drops = func(from, to int) bool { return cut && from%2 != to%2 }
+	f.After(20*time.Second, func() { f.Kill(3); f.Kill(4) })
+	f.After(25*time.Second, func() { f.Pause(7, 4*time.Second) })
+	f.After(40*time.Second, func() { cut = true })
+	f.After(60*time.Second, func() { cut = false })
+	f.After(70*time.Second, func() { f.Start(3, 0); f.Leave(9) })
 	if err := f.Run(2 * time.Minute); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/membership/simulation/heal_test.go
+++ b/internal/control/membership/simulation/heal_test.go
@@ -20,10 +20,10 @@
 		for _, loss := range []float64{0, 0.1} {
 			t.Run(fmt.Sprintf("members=%d,loss=%v", n, loss), func(t *testing.T) {
 				f, _ := startedFleet(t, n)
-				f.Loss, f.Every = loss, 100
-				f.Cut = oddFromEven
+				f.Loss, f.CheckInterval = loss, 100
+				f.Drops = oddFromEven
 				runFor(t, f, 40*time.Second)
-				f.Cut = nil
+				f.Drops = nil
 				ownDead := deadInOwnPartition(f)
 				sent, healed := total(f.Sent), f.Now
 				awaitAgreement(t, f, time.Minute)
@@ -42,8 +42,8 @@
 // deadInOwnPartition returns the members that one of the same parity declares dead from now on.
 func deadInOwnPartition(f *Fleet) map[int]bool {
 	dead := map[int]bool{}
-	f.Seen = func(at int, e membership.Event) error {
-		if e.Kind == membership.Changed && e.Is == membership.Dead && at%2 == e.Member%2 {
+	f.OnEvent = func(at int, e membership.Event) error {
+		if e.Kind == membership.StateChanged && e.NewState == membership.Dead && at%2 == e.Member%2 {
 			dead[e.Member] = true
 		}
 		return nil
@@ -60,8 +60,8 @@
 		name   string
 		inject func()
 	}{
-		{"partition", func() { f.Cut = oddFromEven }},
-		{"healed", func() { f.Cut = nil }},
+		{"partition", func() { f.Drops = oddFromEven }},
+		{"healed", func() { f.Drops = nil }},
 		{"a fifth killed", func() { eachFifthMember(n, f.Kill) }},
 		{"restarted", func() { eachFifthMember(n, func(i int) { f.Start(i, 0) }) }},
 	} {
@@ -81,7 +81,7 @@
 	t.Parallel()
 	f := lossyFleet(t, 500, 60)
 	n := len(f.Members)
-	f.Cut = oddFromEven
+	f.Drops = oddFromEven
 	runFor(t, f, 45*time.Second)
 	for i := range f.Members {
 		if serving := f.Members[i].Node.InService(); serving != n/2 {
@@ -97,7 +97,7 @@
 		members = membersUnderRace
 	}
 	f, _ := startedFleet(t, members)
-	f.Loss, f.Every = 0.05, 1000
+	f.Loss, f.CheckInterval = 0.05, 1000
 	return f
 }
 
--- a/internal/control/membership/simulation/heartbeat.go
+++ b/internal/control/membership/simulation/heartbeat.go
@@ -97,7 +97,7 @@
 		h.serving++
 	}
 	h.dead[i] = dead
-	h.events = append(h.events, membership.Event{Kind: membership.Changed, Member: i, Was: was, Is: is, By: h.cfg.Self})
+	h.events = append(h.events, membership.Event{Kind: membership.StateChanged, Member: i, OldState: was, NewState: is, By: h.cfg.Self})
 }
 
 // Receive handles a heartbeat.
@@ -113,8 +113,8 @@
 // Leave does nothing: the baseline has no graceful leave.
 func (h *Heartbeat) Leave(time.Duration) { h.reset() }
 
-// Next returns the time of the next heartbeat.
-func (h *Heartbeat) Next() time.Duration { return h.nextSendAt }
+// NextTick returns the time of the next heartbeat.
+func (h *Heartbeat) NextTick() time.Duration { return h.nextSendAt }
 
 // Datagrams returns those of the last call.
 func (h *Heartbeat) Datagrams() []membership.Datagram { return h.datagrams }
--- a/internal/control/membership/simulation/measure.go
+++ b/internal/control/membership/simulation/measure.go
@@ -10,15 +10,15 @@
 
 // Figures are the results of a measurement.
 type Figures struct {
-	Members      int
-	ProcessHours float64
-	FalseDeaths  int // deaths of a member that was up, each counted once however many members declared it
-	Kills        int
-	Missed       int             // kills that some member had not learned of when the next step began
-	First        []time.Duration // from a kill until the first member declared it, sorted (detection time)
-	All          []time.Duration // from then until the last member learned of it, sorted (dissemination time)
-	Datagrams    float64         // sent per member and second in the steady state
-	Bytes        float64         // likewise
+	Members       int
+	ProcessHours  float64
+	FalseDeaths   int // deaths of a member that was up, each counted once however many members declared it
+	Kills         int
+	Missed        int             // kills that some member had not learned of when the next step began
+	Detection     []time.Duration // from a kill until the first member declared it, sorted (detection time)
+	Dissemination []time.Duration // from then until the last member learned of it, sorted (dissemination time)
+	Datagrams     float64         // sent per member and second in the steady state
+	Bytes         float64         // likewise
 }
 
 // Quantile returns the value at a share from 0 to 1 of a sorted list; 0 for an empty list.
@@ -68,13 +68,13 @@
 		return Figures{}, err
 	}
 	out := Figures{Members: s.Members, ProcessHours: float64(s.Members) * d.Hours()}
-	f.Seen = f.countFalseDeaths(&out.FalseDeaths)
+	f.OnEvent = f.countFalseDeaths(&out.FalseDeaths)
 	var pause func()
 	pause = func() {
 		f.Pause(f.rnd.IntN(s.Members), time.Duration(float64(longest)*(0.25+0.75*f.rnd.Float64())))
-		f.At(time.Duration(f.rnd.ExpFloat64()*float64(interval)/float64(s.Members)), pause)
+		f.After(time.Duration(f.rnd.ExpFloat64()*float64(interval)/float64(s.Members)), pause)
 	}
-	f.At(startup, pause)
+	f.After(startup, pause)
 	err = f.Run(d)
 	return out, err
 }
@@ -85,7 +85,7 @@
 	const sameDeath = 10 * time.Second
 	lastDeclared := make([]time.Duration, len(f.Members))
 	return func(_ int, e membership.Event) error {
-		if e.Kind != membership.Changed || e.Is != membership.Dead || !f.Members[e.Member].Up {
+		if e.Kind != membership.StateChanged || e.NewState != membership.Dead || !f.Members[e.Member].Up {
 			return nil
 		}
 		last := lastDeclared[e.Member]
@@ -107,7 +107,7 @@
 	}
 	out := Figures{Members: s.Members, Kills: kills}
 	k := &killMeasurement{fleet: f, figures: &out, victim: -1}
-	f.Seen = k.observe
+	f.OnEvent = k.observe
 	if err := f.Run(startup); err != nil {
 		return out, err
 	}
@@ -120,8 +120,8 @@
 			return out, err
 		}
 	}
-	slices.Sort(out.First)
-	slices.Sort(out.All)
+	slices.Sort(out.Detection)
+	slices.Sort(out.Dissemination)
 	if agreed, difference := f.Agreed(); !agreed {
 		return out, fmt.Errorf("seed %d: after the last start %s", s.Seed, difference)
 	}
@@ -142,7 +142,7 @@
 	f := k.fleet
 	k.victim, k.learned, k.first, k.last = f.rnd.IntN(len(f.Members)), 0, 0, 0
 	killed := f.Now + time.Duration(f.rnd.Int64N(int64(membership.DefaultInterval)))
-	f.At(killed-f.Now, func() { f.Kill(k.victim) })
+	f.After(killed-f.Now, func() { f.Kill(k.victim) })
 	if err := f.Run(interval); err != nil {
 		return err
 	}
@@ -150,15 +150,15 @@
 		k.figures.Missed++
 	}
 	if k.first > 0 {
-		k.figures.First = append(k.figures.First, k.first-killed)
-		k.figures.All = append(k.figures.All, k.last-k.first)
+		k.figures.Detection = append(k.figures.Detection, k.first-killed)
+		k.figures.Dissemination = append(k.figures.Dissemination, k.last-k.first)
 	}
 	return nil
 }
 
 // observe records when members learn of the death. The death of any other member is false.
 func (k *killMeasurement) observe(_ int, e membership.Event) error {
-	if e.Kind != membership.Changed || e.Is != membership.Dead {
+	if e.Kind != membership.StateChanged || e.NewState != membership.Dead {
 		return nil
 	}
 	if e.Member != k.victim {
@@ -179,10 +179,10 @@
 	a.FalseDeaths += b.FalseDeaths
 	a.Kills += b.Kills
 	a.Missed += b.Missed
-	a.First = append(a.First, b.First...)
-	a.All = append(a.All, b.All...)
-	slices.Sort(a.First)
-	slices.Sort(a.All)
+	a.Detection = append(a.Detection, b.Detection...)
+	a.Dissemination = append(a.Dissemination, b.Dissemination...)
+	slices.Sort(a.Detection)
+	slices.Sort(a.Dissemination)
 	a.Members = max(a.Members, b.Members)
 	return a
 }
--- a/internal/control/membership/simulation/network.go
+++ b/internal/control/membership/simulation/network.go
@@ -19,11 +19,11 @@
 func (f *Fleet) transmit(from int, d membership.Datagram) {
 	f.Sent[from]++
 	f.SentBytes[from] += len(d.Bytes)
-	if f.Cut != nil && f.Cut(from, d.To) {
+	if f.Drops != nil && f.Drops(from, d.To) {
 		return
 	}
 	copies := 1
-	if f.Double > 0 && f.rnd.Float64() < f.Double {
+	if f.Duplication > 0 && f.rnd.Float64() < f.Duplication {
 		copies = 2
 	}
 	for range copies {
--- a/internal/control/membership/simulation/random.go
+++ b/internal/control/membership/simulation/random.go
@@ -31,17 +31,17 @@
 // partitions. Invariants are checked every so many steps. Then the network heals, and all views must become correct within
 // maxConvergence. It returns the run, and an error if a check failed.
 func Random(seed uint64, members int, every int) (*Fleet, error) {
-	f, err := New(Setup{Members: members, Seed: seed, Every: every, Spread: time.Second})
+	f, err := New(Setup{Members: members, Seed: seed, CheckInterval: every, StartSpread: time.Second})
 	if err != nil {
 		return nil, err
 	}
 	f.Loss = maxLoss * f.rnd.Float64()
-	f.Double = maxDuplication * f.rnd.Float64()
+	f.Duplication = maxDuplication * f.rnd.Float64()
 	r := newRandomRun(f)
-	f.Cut = r.drops
-	f.Seen = r.check
+	f.Drops = r.drops
+	f.OnEvent = r.check
 	for at := firstFaultAt; at < faultPeriod; at += time.Duration(f.rnd.Int64N(int64(maxFaultInterval))) {
-		f.At(at, r.injectFault)
+		f.After(at, r.injectFault)
 	}
 	if err := f.Run(faultPeriod); err != nil {
 		return f, err
@@ -108,13 +108,13 @@
 
 // check returns an error if the view of a member reverts, or declares a member dead without a recent fault of either.
 func (r *randomRun) check(viewer int, e membership.Event) error {
-	if e.Kind != membership.Changed || e.Member == viewer {
+	if e.Kind != membership.StateChanged || e.Member == viewer {
 		return nil
 	}
 	if err := r.checkOrder(viewer, e); err != nil {
 		return err
 	}
-	if e.Is == membership.Dead && r.fleet.Members[e.Member].Up && !r.excused(e.Member) && !r.excused(viewer) {
+	if e.NewState == membership.Dead && r.fleet.Members[e.Member].Up && !r.excused(e.Member) && !r.excused(viewer) {
 		return fmt.Errorf("%w: member %d", errFalseDeath, e.Member)
 	}
 	return nil
@@ -126,7 +126,7 @@
 	if r.reports[viewer] == nil || r.reportsOf[viewer] != starts {
 		r.reports[viewer], r.reportsOf[viewer] = map[int]report{}, starts
 	}
-	was, is := r.reports[viewer][e.Member], report{e.Is, e.Incarnation}
+	was, is := r.reports[viewer][e.Member], report{e.NewState, e.Incarnation}
 	if is.incarnation < was.incarnation || is.incarnation == was.incarnation && is.state <= was.state {
 		return fmt.Errorf("%w: member %d from %v to %v", errViewReverted, e.Member, was, is)
 	}
@@ -178,7 +178,7 @@
 		f.Kill(i)
 	}
 	skew := time.Duration(f.rnd.Int64N(int64(2*maxSkew))) - maxSkew
-	f.At(delay, func() {
+	f.After(delay, func() {
 		if !f.Members[i].Up {
 			f.Start(i, skew)
 		}
@@ -188,13 +188,13 @@
 // dropLink drops the datagrams of one direction for a time.
 func (r *randomRun) dropLink(l link, duration time.Duration) {
 	r.droppedLinks[l] = true
-	r.fleet.At(duration, func() { delete(r.droppedLinks, l) })
+	r.fleet.After(duration, func() { delete(r.droppedLinks, l) })
 }
 
 // dropAll drops the datagrams to a member (dropInbound) or from it (dropOutbound) for a time.
 func (r *randomRun) dropAll(dropped []bool, i int, duration time.Duration) {
 	dropped[i] = true
-	r.fleet.At(duration, func() { dropped[i] = false })
+	r.fleet.After(duration, func() { dropped[i] = false })
 }
 
 // split divides the fleet into two random partitions for a time.
@@ -203,7 +203,7 @@
 		r.partition[i] = r.fleet.rnd.IntN(2)
 		r.recordFault(i)
 	}
-	r.fleet.At(duration, func() { clear(r.partition) })
+	r.fleet.After(duration, func() { clear(r.partition) })
 }
 
 // healNetwork ends the faults of the network. Members that are down stay down.
@@ -214,8 +214,8 @@
 	clear(r.droppedLinks)
 }
 
-// SizeOf returns the number of members of a seed's random run: mostly a few, at times a thousand.
-func SizeOf(seed uint64) int {
+// RandomSize returns the number of members of a seed's random run: mostly a few, at times a thousand.
+func RandomSize(seed uint64) int {
 	switch {
 	case seed%500 == 499:
 		return 1000
--- a/internal/control/membership/simulation/scheduler.go
+++ b/internal/control/membership/simulation/scheduler.go
@@ -52,8 +52,8 @@
 	return last
 }
 
-// At has a function called when a time has passed since Now.
-func (f *Fleet) At(after time.Duration, call func()) {
+// After has a function called when a time has passed since Now.
+func (f *Fleet) After(after time.Duration, call func()) {
 	f.push(event{at: f.Now + after, kind: eventCall, call: call})
 }
 
@@ -96,7 +96,7 @@
 	if e.starts != m.starts || m.paused || e.at != m.timerAt {
 		return
 	}
-	if next := m.Node.Next(); next > f.Now+m.Skew { // the node has postponed it since
+	if next := m.Node.NextTick(); next > f.Now+m.Skew { // the node has postponed it since
 		f.setTimer(e.to, next-m.Skew)
 		return
 	}
--- a/internal/control/membership/suspicion.go
+++ b/internal/control/membership/suspicion.go
@@ -107,7 +107,7 @@
 	if m.reportedDead {
 		return n.cfg.intervals(minSuspectPingTime), 0
 	}
-	shortest := float64(n.cfg.Suspect)
+	shortest := float64(n.cfg.SuspicionTimeout)
 	longest := shortest * maxSuspicionFactor
 	scaled := longest - (longest-shortest)*math.Log(float64(max(1, m.suspectedByCount)))/math.Log(maxConfirmations+1)
 	scaled *= 1 + float64(n.healthScore)/2
--- a/internal/control/membership/suspicion_test.go
+++ b/internal/control/membership/suspicion_test.go
@@ -10,11 +10,11 @@
 // A member whose Tick is late after a pause suspects nobody: the answers may still wait in its socket.
 func TestOwnPauseRaisesNoSuspicion(t *testing.T) {
 	n := newNode(t, 0, 5)
-	now := n.Next()
+	now := n.NextTick()
 	n.Tick(now) // sends a probe
 	n.Tick(now + 30*time.Second)
-	if n.Counts().Suspected > 0 || n.Counts().Late != 1 || n.Health() == 0 {
-		t.Fatalf("counts %+v, health %d", n.Counts(), n.Health())
+	if n.Counts().Suspected > 0 || n.Counts().Late != 1 || n.HealthScore() == 0 {
+		t.Fatalf("counts %+v, health %d", n.Counts(), n.HealthScore())
 	}
 }
 
@@ -93,7 +93,7 @@
 	pinged, pings := map[int]bool{}, 0
 	const span = 10 * time.Second
 	pingInterval := n.cfg.intervals(suspectPingShare)
-	for now := epoch + time.Second; now < epoch+time.Second+span; now = max(now+time.Millisecond, n.Next()) {
+	for now := epoch + time.Second; now < epoch+time.Second+span; now = max(now+time.Millisecond, n.NextTick()) {
 		n.Tick(now)
 		for _, d := range n.Datagrams() {
 			if d.To >= 2 && d.To < 2+gone && n.nextSuspectPingAt == now+pingInterval/suspectPingsPerRound {
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -49,7 +49,7 @@
 		n.adjustHealth(1) // Lifeguard section IV-A: a suspected member may itself be slow
 	}
 	n.queueUpdate(now, n.cfg.Self, n.retransmitLimit)
-	n.events = append(n.events, Event{Kind: Refuted, Member: n.cfg.Self, Was: s, Is: m.state, Incarnation: m.incarnation, By: by})
+	n.events = append(n.events, Event{Kind: Refuted, Member: n.cfg.Self, OldState: s, NewState: m.state, Incarnation: m.incarnation, By: by})
 }
 
 // recordContact records that a datagram of a member arrived, with the sender's incarnation. It reports whether the member
@@ -105,7 +105,7 @@
 		n.startSuspicion(now, i, by)
 	}
 	if was != s {
-		n.events = append(n.events, Event{Kind: Changed, Member: i, Was: was, Is: s, Incarnation: incarnation, By: by})
+		n.events = append(n.events, Event{Kind: StateChanged, Member: i, OldState: was, NewState: s, Incarnation: incarnation, By: by})
 	}
 }
 
--- a/internal/control/membership/types.go
+++ b/internal/control/membership/types.go
@@ -27,20 +27,20 @@
 
 // The kinds of events.
 const (
-	Changed           EventKind = iota // the state of a member changed
+	StateChanged      EventKind = iota // the state of a member changed
 	Refuted                            // this member refuted an update on itself
 	ExtensionReceived                  // a message of an Extension arrived
 )
 
 // Event reports something that the host acts on or logs.
 type Event struct {
-	Kind          EventKind
-	Member        int    // whose state changed; the sender of an extension message
-	Was, Is       State  // of Changed: the state before and after. Of Refuted: the state refuted, and the own state
-	Incarnation   uint64 // of Changed and Refuted
-	By            int    // the member that reported it, -1 where unknown
-	ExtensionKind uint32 // of ExtensionReceived: Extension.Kind ...
-	Body          []byte // ... and the message, valid until the next call
+	Kind               EventKind
+	Member             int    // whose state changed; the sender of an extension message
+	OldState, NewState State  // of Changed: the state before and after. Of Refuted: the state refuted, and the own state
+	Incarnation        uint64 // of Changed and Refuted
+	By                 int    // the member that reported it, -1 where unknown
+	ExtensionKind      uint32 // of ExtensionReceived: Extension.Kind ...
+	Body               []byte // ... and the message, valid until the next call
 }
 
 // Datagram is a datagram to send.
--- a/internal/control/rollout/codec.go
+++ b/internal/control/rollout/codec.go
@@ -10,8 +10,8 @@
 	"frostpier/internal/control/rollout/rolloutpb"
 )
 
-// MostReport is the maximum length of a report in bytes: reports of hundreds of gateways fit into a socket's buffer.
-const MostReport = 1400
+// MaxReportBytes is the maximum length of a report in bytes: reports of hundreds of gateways fit into a socket's buffer.
+const MaxReportBytes = 1400
 
 // Bounds of the values of a report. Reports with greater ones are invalid.
 const (
@@ -51,7 +51,7 @@
 	if err != nil {
 		return dst, fmt.Errorf("%w: %w", ErrInvalidReport, err)
 	}
-	if length := len(out) - len(dst); length > MostReport {
+	if length := len(out) - len(dst); length > MaxReportBytes {
 		return dst, fmt.Errorf("%w: %d bytes", ErrInvalidReport, length)
 	}
 	return out, nil
@@ -60,7 +60,7 @@
 // ParseReport decodes a report of a gateway of the fleet. Fields that a newer program adds are skipped. It fails with
 // ErrOtherFleet for a gateway of another fleet, and else with ErrInvalidReport.
 func ParseReport(b []byte, fleet string, gateways, classes int) (Report, error) {
-	if len(b) > MostReport {
+	if len(b) > MaxReportBytes {
 		return Report{}, fmt.Errorf("%w: %d bytes", ErrInvalidReport, len(b))
 	}
 	var message rolloutpb.Report
--- a/internal/control/rollout/codec_test.go
+++ b/internal/control/rollout/codec_test.go
@@ -61,7 +61,7 @@
 		{"too few gateways", b, "f", 7, 3, ErrInvalidReport},
 		{"too many classes", b, "f", 8, 2, ErrInvalidReport},
 		{"too few classes", b, "f", 8, 4, ErrInvalidReport},
-		{"too long", make([]byte, MostReport+1), "f", 8, 3, ErrInvalidReport},
+		{"too long", make([]byte, MaxReportBytes+1), "f", 8, 3, ErrInvalidReport},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/control/rollout/controller/checker.go
+++ b/internal/control/rollout/controller/checker.go
@@ -48,7 +48,7 @@
 	results        rollout.CheckResults
 }
 
-func newChecker(c Checked, results chan<- checkResult) *checker {
+func newChecker(c CheckedPlan, results chan<- checkResult) *checker {
 	k := &checker{checks: c.Plan.Checks, gateways: c.Fleet.Gateways, results: results, running: map[int]context.CancelFunc{}}
 	for _, check := range c.Plan.Checks {
 		class := slices.Index(c.Fleet.Classes, check.Class)
--- a/internal/control/rollout/controller/control.go
+++ b/internal/control/rollout/controller/control.go
@@ -22,8 +22,8 @@
 	controlListenAddr = "127.0.0.1:0"
 )
 
-// ErrNone says that no controller runs.
-var ErrNone = errors.New("no controller runs")
+// ErrNotRunning says that no controller runs.
+var ErrNotRunning = errors.New("no controller runs")
 
 // Operators' commands on the control connection.
 const (
@@ -45,7 +45,7 @@
 	Name    string          `json:"name"`
 	Running bool            `json:"running"` // a controller carries it
 	State   rollout.State   `json:"state"`
-	Opinion rollout.Verdict `json:"opinion"` // on the stage that is watched
+	Verdict rollout.Verdict `json:"opinion"` // on the stage that is watched
 	On      map[string]int  `json:"on"`      // gateways by the version that they were last started on
 	History []HistoryEntry  `json:"history,omitempty"`
 	Error   string          `json:"error,omitempty"`
@@ -123,7 +123,7 @@
 		err = fmt.Errorf("unknown command %q", command)
 	}
 	s := statusOf(k.checked.Plan.Name, k.machine.State())
-	s.Running, s.Opinion, s.History = true, k.machine.Verdict(), history
+	s.Running, s.Verdict, s.History = true, k.machine.Verdict(), history
 	if err != nil {
 		s.Error = err.Error()
 	}
@@ -143,14 +143,14 @@
 func SendCommand(dir, command string) (s Status, err error) {
 	addr, err := os.ReadFile(filepath.Join(dir, controlName))
 	if errors.Is(err, os.ErrNotExist) {
-		return s, ErrNone
+		return s, ErrNotRunning
 	}
 	if err != nil {
 		return s, fmt.Errorf("control: %w", err)
 	}
 	conn, err := net.DialTimeout("tcp", string(addr), dialTimeout)
 	if err != nil { // it was killed and left the file behind
-		return s, ErrNone
+		return s, ErrNotRunning
 	}
 	defer func() { _ = conn.Close() }()
 	if err := conn.SetDeadline(time.Now().Add(controlTimeout)); err != nil {
@@ -168,10 +168,10 @@
 	return s, nil
 }
 
-// Last returns the state of the last change: from the running controller, else from the journal.
-func Last(dir string) (Status, error) {
+// LastStatus returns the state of the last change: from the running controller, else from the journal.
+func LastStatus(dir string) (Status, error) {
 	s, err := SendCommand(dir, commandStatus)
-	if !errors.Is(err, ErrNone) {
+	if !errors.Is(err, ErrNotRunning) {
 		return s, err
 	}
 	c, err := ReadChange(dir, "")
@@ -187,7 +187,7 @@
 	if err == nil && (name == "" || name == s.Name) {
 		return s.History, nil
 	}
-	if err != nil && !errors.Is(err, ErrNone) {
+	if err != nil && !errors.Is(err, ErrNotRunning) {
 		return nil, err
 	}
 	c, err := ReadChange(dir, name)
--- a/internal/control/rollout/controller/control_test.go
+++ b/internal/control/rollout/controller/control_test.go
@@ -10,16 +10,16 @@
 // A command to a controller that does not run fails with ErrNone.
 func TestNoControllerRuns(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNone) {
+	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNotRunning) {
 		t.Errorf("no file: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, controlName), []byte("127.0.0.1:1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNone) {
+	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNotRunning) {
 		t.Errorf("a file that was left behind: %v", err)
 	}
-	if _, err := Last(dir); !errors.Is(err, ErrNoChange) {
+	if _, err := LastStatus(dir); !errors.Is(err, ErrNoChange) {
 		t.Errorf("no journal: %v", err)
 	}
 }
--- a/internal/control/rollout/controller/controller.go
+++ b/internal/control/rollout/controller/controller.go
@@ -27,7 +27,7 @@
 type Controller struct {
 	log      *slog.Logger
 	dir      string
-	checked  Checked
+	checked  CheckedPlan
 	journal  *Journal
 	machine  *rollout.Machine
 	procs    *processes
@@ -52,7 +52,7 @@
 
 // Open begins a change, or resumes the one of this name that is not over. The controller keeps its state in dir. Open fails
 // with ErrRunning while another controller has the journal, and with a *ConflictError while another change is under way.
-func Open(dir string, c Checked, log *slog.Logger) (_ *Controller, err error) {
+func Open(dir string, c CheckedPlan, log *slog.Logger) (_ *Controller, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -281,7 +281,7 @@
 
 // receiveReports reads reports until the socket is closed.
 func (k *Controller) receiveReports() {
-	buf := make([]byte, rollout.MostReport+1)
+	buf := make([]byte, rollout.MaxReportBytes+1)
 	fleet := k.checked.Fleet
 	for {
 		n, _, err := k.sock.ReadFromUDPAddrPort(buf)
--- a/internal/control/rollout/controller/golden_test.go
+++ b/internal/control/rollout/controller/golden_test.go
@@ -32,13 +32,13 @@
 	}
 	s := statusOf(c.Name, c.State)
 	s.Running, s.History, s.Error = true, c.History, "e"
-	s.Opinion = rollout.Verdict{Worse: true, Conclusive: true, Why: "why"}
+	s.Verdict = rollout.Verdict{Worse: true, Conclusive: true, Reason: "why"}
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	testutil.Golden(t, "status.golden", append(append(text, '\n'), c.Plan...))
 	keys := testutil.FieldKeys("json", "status", Status{}) + testutil.FieldKeys("json", "line", HistoryEntry{}) +
-		testutil.FieldKeys("json", "checked", Checked{})
+		testutil.FieldKeys("json", "checked", CheckedPlan{})
 	testutil.Golden(t, "keys.golden", []byte(keys))
 }
--- a/internal/control/rollout/controller/plan.go
+++ b/internal/control/rollout/controller/plan.go
@@ -11,8 +11,8 @@
 	"frostpier/internal/settings"
 )
 
-// Checked is a valid plan with what it names: the fleet and both versions exist and can be read.
-type Checked struct {
+// CheckedPlan is a valid plan with what it names: the fleet and both versions exist and can be read.
+type CheckedPlan struct {
 	Plan  rollout.Plan
 	Text  []byte // of the plan
 	Fleet Fleet
@@ -27,8 +27,8 @@
 
 // CheckPlan reads and validates a plan and all that it names, before anything is changed. Errors are *rollout.PlanError and
 // *FleetError.
-func CheckPlan(text []byte) (Checked, error) {
-	c := Checked{Text: text, IDs: map[string]rollout.ID{}}
+func CheckPlan(text []byte) (CheckedPlan, error) {
+	c := CheckedPlan{Text: text, IDs: map[string]rollout.ID{}}
 	pattern, err := rollout.PlanConfigs(text)
 	if err != nil {
 		return c, err
--- a/internal/control/rollout/controller/processes.go
+++ b/internal/control/rollout/controller/processes.go
@@ -36,7 +36,7 @@
 	reloadable bool // its operator's file is the one that the controller writes: new settings need no restart
 }
 
-func newProcesses(dir string, c Checked) *processes {
+func newProcesses(dir string, c CheckedPlan) *processes {
 	return &processes{
 		dir:      dir,
 		gateways: c.Fleet.Gateways,
@@ -187,8 +187,8 @@
 	return syscall.Kill(pid, s)
 }
 
-// Processes returns the ids of the gateways' processes, by their numbers; 0 where there is none.
-func Processes(f Fleet) (pids []int) {
+// FindProcesses returns the ids of the gateways' processes, by their numbers; 0 where there is none.
+func FindProcesses(f Fleet) (pids []int) {
 	p := &processes{gateways: f.Gateways, pids: map[int]int{}}
 	for _, found := range p.find() {
 		pids = append(pids, found.pid)
--- a/internal/control/rollout/controller/restart.go
+++ b/internal/control/rollout/controller/restart.go
@@ -12,8 +12,8 @@
 // stopPollInterval is the time between two checks whether a process that was asked to stop has ended.
 const stopPollInterval = 50 * time.Millisecond
 
-// Up starts the gateways that do not run, on the plan's old version, and returns how many those were.
-func Up(dir string, c Checked) (started int, err error) {
+// StartGateways starts the gateways that do not run, on the plan's old version, and returns how many those were.
+func StartGateways(dir string, c CheckedPlan) (started int, err error) {
 	if dir, err = filepath.Abs(dir); err != nil {
 		return 0, err
 	}
@@ -30,9 +30,9 @@
 	return started, nil
 }
 
-// Rolling stops each gateway in turn and starts it on the new version, with a pause after each, and does not watch how it does: a
+// RollingRestart stops each gateway in turn and starts it on the new version, with a pause after each, and does not watch how it does: a
 // plain rolling restart, to compare with.
-func Rolling(dir string, c Checked, pause time.Duration) error {
+func RollingRestart(dir string, c CheckedPlan, pause time.Duration) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return err
--- a/internal/control/rollout/golden_test.go
+++ b/internal/control/rollout/golden_test.go
@@ -35,7 +35,7 @@
 	testutil.Golden(t, "keys.golden", []byte(keys))
 	state := State{Phase: Holding, ResumePhase: Watching, Stage: 2, Since: 5 * time.Second, Reason: "r", Crashes: [2]int{1, 2},
 		Gateways: []GatewayState{{Target: NewVersion, Step: Starting, Started: NewVersion, Since: time.Second, PID: 7}, {Target: OldVersion, Step: Steady}}}
-	text, err := json.MarshalIndent([]any{state, Verdict{Worse: true, Conclusive: true, Why: "w"}, ID{1, 2}}, "", " ")
+	text, err := json.MarshalIndent([]any{state, Verdict{Worse: true, Conclusive: true, Reason: "w"}, ID{1, 2}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/rollout/judge.go
+++ b/internal/control/rollout/judge.go
@@ -15,7 +15,7 @@
 type Verdict struct {
 	Worse      bool   `json:"Worse"`  // it does worse
 	Conclusive bool   `json:"Enough"` // it is known that it does not
-	Why        string `json:"Why"`    // what is worse, or what is not known yet
+	Reason     string `json:"Why"`    // what is worse, or what is not known yet
 }
 
 // Evaluate compares the new gateways of a stage with the old ones over the same time. The first clientClasses of the classes
@@ -23,13 +23,13 @@
 func (j Judge) Evaluate(samples []Sample, classNames []string, clientClasses, stages int) Verdict {
 	newSamples, oldSamples := splitByVersion(samples)
 	if len(newSamples) == 0 || len(oldSamples) == 0 {
-		return Verdict{Why: "there is nobody to compare with"}
+		return Verdict{Reason: "there is nobody to compare with"}
 	}
 	if why := j.corruptedResults(newSamples, oldSamples); why != "" {
-		return Verdict{Worse: true, Why: why}
+		return Verdict{Worse: true, Reason: why}
 	}
 	if why := j.excessMemory(newSamples, oldSamples); why != "" {
-		return Verdict{Worse: true, Why: why}
+		return Verdict{Worse: true, Reason: why}
 	}
 	all := metrics()
 	alpha := j.FalseAlarm / float64(stages*len(all)*(len(classNames)+1))
@@ -39,7 +39,7 @@
 		for k, m := range all {
 			c := compare(newSamples, oldSamples, classesOf(class, clientClasses), m)
 			if c.exceeds(j.AllowedRegression, alpha) {
-				return Verdict{Worse: true, Why: c.describe(name, m.name)}
+				return Verdict{Worse: true, Reason: c.describe(name, m.name)}
 			}
 			if k == notInTime && unknown == "" {
 				unknown = j.inconclusive(c, class, name, m.name)
@@ -49,7 +49,7 @@
 	if unknown == "" && correctChecks(newSamples) < j.MinChecks {
 		unknown = "too few results of known queries so far"
 	}
-	return Verdict{Conclusive: unknown == "", Why: unknown}
+	return Verdict{Conclusive: unknown == "", Reason: unknown}
 }
 
 // inconclusive says why too little is known about a class to go on; it is empty if enough is known.
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -123,7 +123,7 @@
 
 // Abort rolls the change back. It is an error if it is over or being rolled back.
 func (m *Machine) Abort(now time.Duration) error {
-	if m.state.Phase.Over() || m.state.Phase == Returning {
+	if m.state.Phase.Over() || m.state.Phase == RollingBack {
 		return &PhaseError{m.state.Phase}
 	}
 	m.rollBack(now, "an operator took it back")
@@ -154,10 +154,10 @@
 		}
 	case Watching:
 		m.evaluateStage(now)
-	case Returning:
+	case RollingBack:
 		if m.converged(OldVersion) {
 			m.addNote("all gateways are on the old version")
-			m.setPhase(now, Returned, m.state.Reason)
+			m.setPhase(now, RolledBack, m.state.Reason)
 		}
 	}
 }
--- a/internal/control/rollout/machine_test.go
+++ b/internal/control/rollout/machine_test.go
@@ -20,7 +20,7 @@
 			for seed := range uint64(seeds) {
 				sim := newSimulation(t, 30, seed, bug)
 				phase := sim.run(20 * time.Minute)
-				if phase == Returned && sim.machine.State().Stage == 0 && sim.allOn(OldVersion) {
+				if phase == RolledBack && sim.machine.State().Stage == 0 && sim.allOn(OldVersion) {
 					rolledBack++
 					longest = max(longest, sim.now-simEpoch)
 				}
@@ -113,7 +113,7 @@
 		sim.partitioned = func(i int, at time.Duration) bool {
 			return at-simEpoch > 10*time.Second && at-simEpoch < 100*time.Second && i == first
 		}
-		if phase := sim.run(40 * time.Minute); phase != Returned || sim.gateways[first].starts[OldVersion] != 1 {
+		if phase := sim.run(40 * time.Minute); phase != RolledBack || sim.gateways[first].starts[OldVersion] != 1 {
 			t.Errorf("%s, started %v", phase, sim.gateways[first].starts)
 		}
 	})
@@ -129,8 +129,8 @@
 		phase     Phase
 	}{
 		{"with a third of the old ones", "", false, Done},
-		{"alone", "", true, Returned},
-		{"with a third of the old ones, and it does not start", "hang at start", false, Returned},
+		{"alone", "", true, RolledBack},
+		{"with a third of the old ones, and it does not start", "hang at start", false, RolledBack},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 
 // With too little traffic the watch is inconclusive, and the plan decides.
 func TestInconclusiveWatch(t *testing.T) {
-	for onInconclusive, want := range map[string]Phase{HoldInconclusive: Holding, RollBackInconclusive: Returned} {
+	for onInconclusive, want := range map[string]Phase{HoldInconclusive: Holding, RollBackInconclusive: RolledBack} {
 		t.Run(onInconclusive, func(t *testing.T) {
 			sim := newSimulation(t, 30, 2, "")
 			sim.plan.Watch.OnInconclusive = onInconclusive
@@ -205,7 +205,7 @@
 		t.Run(fmt.Sprintf("action %d of a rollback", action), func(t *testing.T) {
 			sim := newSimulation(t, 6, 9, "rejects a class")
 			sim.killAt = action
-			if phase := sim.run(40 * time.Minute); phase != Returned || !sim.allOn(OldVersion) {
+			if phase := sim.run(40 * time.Minute); phase != RolledBack || !sim.allOn(OldVersion) {
 				t.Errorf("%s", phase)
 			}
 		})
@@ -232,13 +232,13 @@
 	if err := sim.machine.Abort(sim.now); err != nil {
 		t.Fatal(err)
 	}
-	if phase := sim.run(5 * time.Minute); phase != Returned || !sim.allOn(OldVersion) {
+	if phase := sim.run(5 * time.Minute); phase != RolledBack || !sim.allOn(OldVersion) {
 		t.Errorf("aborted: %s", phase)
 	}
-	if err := sim.machine.Abort(sim.now); !isPhaseError(err, Returned) {
+	if err := sim.machine.Abort(sim.now); !isPhaseError(err, RolledBack) {
 		t.Errorf("aborted after the end: %v", err)
 	}
-	if err := sim.machine.Resume(sim.now); !isPhaseError(err, Returned) {
+	if err := sim.machine.Resume(sim.now); !isPhaseError(err, RolledBack) {
 		t.Errorf("resumed after the end: %v", err)
 	}
 }
--- a/internal/control/rollout/mixed_test.go
+++ b/internal/control/rollout/mixed_test.go
@@ -23,8 +23,8 @@
 	t.Helper()
 	f := &mixedFleet{t: t, mixes: map[int]*Mix{}, digests: map[int]*loadreport.Digest{}}
 	var err error
-	f.members, err = simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
-		Make: func(cfg membership.Config) (simulation.Detector, error) {
+	f.members, err = simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, CheckInterval: 10,
+		NewDetector: func(cfg membership.Config) (simulation.Detector, error) {
 			d := loadreport.New()
 			d.SetEngines([]uint64{1, 2, 3})
 			f.digests[cfg.Self], cfg.ExtensionInterval = d, 300*time.Millisecond
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.members.Seen = f.handleEvent
+	f.members.OnEvent = f.handleEvent
 	return f
 }
 
@@ -51,7 +51,7 @@
 		f.t.Errorf("member %d got what it has no extension for", at)
 	case e.Kind == membership.ExtensionReceived && e.ExtensionKind == ExtensionKind:
 		f.mixes[at].Receive(e.Member, e.Body)
-	case e.Kind == membership.Changed && e.Is == membership.Dead && f.members.Members[e.Member].Up:
+	case e.Kind == membership.StateChanged && e.NewState == membership.Dead && f.members.Members[e.Member].Up:
 		f.deaths++
 	}
 	return nil
--- a/internal/control/rollout/reconcile.go
+++ b/internal/control/rollout/reconcile.go
@@ -171,7 +171,7 @@
 func (m *Machine) startFailed(now time.Duration, gateway int, failure string) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
 	m.addNote("gateway %d on the %s version %s", gateway, g.Started, failure)
-	if g.Started == NewVersion && m.state.Phase != Returning {
+	if g.Started == NewVersion && m.state.Phase != RollingBack {
 		m.rollBack(now, fmt.Sprintf("gateway %d %s", gateway, failure))
 	}
 	switch {
@@ -207,7 +207,7 @@
 	onOld := len(m.observed) - onNew
 	crashesOld, crashesNew := m.state.Crashes[oldCrashes], m.state.Crashes[newCrashes]
 	allowed := m.plan.Judge.MaxCrashes + crashesOld*onNew/max(1, onOld)
-	if m.state.Phase != Returning && crashesNew >= allowed {
+	if m.state.Phase != RollingBack && crashesNew >= allowed {
 		m.rollBack(now, fmt.Sprintf("%d crashes of new gateways, %d of old ones", crashesNew, crashesOld))
 	} else if m.state.Phase == Watching {
 		m.state.Since = now
--- a/internal/control/rollout/stage.go
+++ b/internal/control/rollout/stage.go
@@ -26,7 +26,7 @@
 // startWatch starts to count from zero.
 func (m *Machine) startWatch(now time.Duration) {
 	m.state.Since, m.dirty = now, true
-	m.verdict = Verdict{Why: "it has just begun"}
+	m.verdict = Verdict{Reason: "it has just begun"}
 	for i := range m.observed {
 		observed := &m.observed[i]
 		observed.baseline, observed.baselinePID = nil, 0
@@ -49,7 +49,7 @@
 // rollBack returns all gateways to the old version.
 func (m *Machine) rollBack(now time.Duration, reason string) {
 	m.addNote("stage %d is taken back: %s", m.state.Stage+1, reason)
-	m.setPhase(now, Returning, reason)
+	m.setPhase(now, RollingBack, reason)
 	for i := range m.state.Gateways {
 		m.state.Gateways[i].Target = OldVersion
 	}
@@ -77,14 +77,14 @@
 	m.verdict = m.evaluateSamples(samples)
 	switch {
 	case m.verdict.Worse:
-		m.rollBack(now, m.verdict.Why)
+		m.rollBack(now, m.verdict.Reason)
 		return
 	case silentNew > 0 && watched > seconds(m.plan.Change.SilentSeconds) && !m.reportPathSuspect(silentOld):
 		// A gateway that does not report in time counts as worse.
 		m.rollBack(now, fmt.Sprintf("%d new gateways report nothing", silentNew))
 		return
 	case silentNew > 0:
-		m.verdict = Verdict{Why: fmt.Sprintf("%d new and %d old gateways report nothing", silentNew, silentOld)}
+		m.verdict = Verdict{Reason: fmt.Sprintf("%d new and %d old gateways report nothing", silentNew, silentOld)}
 	}
 	switch {
 	case m.verdict.Conclusive && watched >= seconds(m.plan.Watch.MinSeconds) && m.converged(NewVersion):
@@ -110,7 +110,7 @@
 
 // endInconclusiveWatch does what the plan has for a stage about which too little is known after the longest watch.
 func (m *Machine) endInconclusiveWatch(now time.Duration) {
-	reason := "too little is known after the longest watch: " + m.verdict.Why
+	reason := "too little is known after the longest watch: " + m.verdict.Reason
 	if m.plan.Watch.OnInconclusive == RollBackInconclusive {
 		m.rollBack(now, reason)
 		return
@@ -133,7 +133,7 @@
 		incorrect += s.Checks.Incorrect
 	}
 	if incorrect >= minIncorrectResults {
-		return Verdict{Worse: true, Why: fmt.Sprintf("%d wrong results of known queries", incorrect)}
+		return Verdict{Worse: true, Reason: fmt.Sprintf("%d wrong results of known queries", incorrect)}
 	}
-	return Verdict{Conclusive: len(samples) > 0, Why: "nobody is left to compare with"}
+	return Verdict{Conclusive: len(samples) > 0, Reason: "nobody is left to compare with"}
 }
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -7,16 +7,16 @@
 
 // The phases.
 const (
-	Changing  Phase = "changing"  // gateways of the stage are being changed
-	Watching  Phase = "watching"  // the stage is compared with the old gateways
-	Holding   Phase = "holding"   // paused by an operator, or inconclusive: nothing is changed until an operator resumes
-	Returning Phase = "returning" // rolling back: all gateways return to the old version
-	Done      Phase = "done"      // all gateways are on the new version
-	Returned  Phase = "returned"  // rolled back: all gateways are on the old version again
+	Changing    Phase = "changing"  // gateways of the stage are being changed
+	Watching    Phase = "watching"  // the stage is compared with the old gateways
+	Holding     Phase = "holding"   // paused by an operator, or inconclusive: nothing is changed until an operator resumes
+	RollingBack Phase = "returning" // rolling back: all gateways return to the old version
+	Done        Phase = "done"      // all gateways are on the new version
+	RolledBack  Phase = "returned"  // rolled back: all gateways are on the old version again
 )
 
 // Over reports whether the change has ended.
-func (p Phase) Over() bool { return p == Done || p == Returned }
+func (p Phase) Over() bool { return p == Done || p == RolledBack }
 
 // Step is what is being done to a gateway.
 type Step string
--- a/internal/control/subset/chooser.go
+++ b/internal/control/subset/chooser.go
@@ -10,14 +10,14 @@
 
 // Engine is an engine of the list.
 type Engine struct {
-	ID    uint64
-	Zone  int
-	Ready bool // listed, and neither draining nor gone
-	Cold  bool // may still be warming up
+	ID        uint64
+	Zone      int
+	Ready     bool // listed, and neither draining nor gone
+	WarmingUp bool // may still be warming up
 }
 
 // serves reports whether the engine counts towards the size of a subset.
-func (e Engine) serves() bool { return e.Ready && !e.Cold }
+func (e Engine) serves() bool { return e.Ready && !e.WarmingUp }
 
 // unknownZone stands for a zone of a gateway that is not known.
 const unknownZone = -1
@@ -207,13 +207,13 @@
 	return changed
 }
 
-// Holders returns the mean number of gateways in service that use an engine of this subset, this one included, by what this
+// MeanGateways returns the mean number of gateways in service that use an engine of this subset, this one included, by what this
 // gateway knows. A gateway whose zone is not known counts with the share of all engines that it wants.
-func (c *Chooser) Holders() float64 { return c.view().holders }
+func (c *Chooser) MeanGateways() float64 { return c.view().holders }
 
-// Overlaps returns the share of another gateway'c subset that lies in the own one, by what this gateway knows. It is 0 if the
+// Overlap returns the share of another gateway'c subset that lies in the own one, by what this gateway knows. It is 0 if the
 // number is out of range or the gateway'c zone is not known, and 1 for an unknown zone if the own subset is every engine.
-func (c *Chooser) Overlaps(number int) float64 {
+func (c *Chooser) Overlap(number int) float64 {
 	if number < 0 || number >= len(c.gateways) {
 		return 0
 	}
--- a/internal/control/subset/chooser_test.go
+++ b/internal/control/subset/chooser_test.go
@@ -25,8 +25,8 @@
 		t.Errorf("%d engines at once when the others are known", n)
 	}
 	c.SetGateways(time.Minute, nil)
-	if !c.All() || c.Holders() != 1 {
-		t.Errorf("%d engines of a gateway that is alone, used by %v", len(c.IDs()), c.Holders())
+	if !c.All() || c.MeanGateways() != 1 {
+		t.Errorf("%d engines of a gateway that is alone, used by %v", len(c.IDs()), c.MeanGateways())
 	}
 	c.SetGateways(2*time.Minute, f.gateways)
 	steps, last := tickUntilDone(t, c)
@@ -52,14 +52,14 @@
 // TestSmallFleet checks that every gateway of a fleet with few engines uses all of them.
 func TestSmallFleet(t *testing.T) {
 	c := fleetOf(300, DefaultMinEngines, contiguous).chooser(3)
-	if !c.All() || c.Holders() != 300 || c.Overlaps(299) != 1 {
-		t.Errorf("all engines: %v, used by %v", c.All(), c.Holders())
+	if !c.All() || c.MeanGateways() != 300 || c.Overlap(299) != 1 {
+		t.Errorf("all engines: %v, used by %v", c.All(), c.MeanGateways())
 	}
 }
 
 func TestConfigErrors(t *testing.T) {
 	for key, change := range map[string]func(*Config){
-		"least":       func(c *Config) { c.Least = 0 },
+		"least":       func(c *Config) { c.MinEngines = 0 },
 		"rate":        func(c *Config) { c.Rate = math.NaN() },
 		"engine_rate": func(c *Config) { c.EngineRate = 0 },
 		"coverage":    func(c *Config) { c.Coverage = -1 },
--- a/internal/control/subset/config.go
+++ b/internal/control/subset/config.go
@@ -27,7 +27,7 @@
 
 // Config sets how many engines a gateway uses, and how long it keeps those that it no longer wants.
 type Config struct {
-	Least      int           // minimum engines of a subset
+	MinEngines int           `json:"Least"` // minimum engines of a subset
 	Rate       float64       // statements per second of one gateway; 0 = not known: Least and Coverage decide
 	EngineRate float64       // statements per second of one gateway on one engine
 	Coverage   int           // minimum number of subsets that an engine is in, on average
@@ -49,14 +49,14 @@
 
 // DefaultConfig returns the settings of a fleet that sets nothing.
 func DefaultConfig() Config {
-	return Config{Least: DefaultMinEngines, EngineRate: DefaultEngineRate, Coverage: DefaultCoverage, Linger: DefaultLinger}
+	return Config{MinEngines: DefaultMinEngines, EngineRate: DefaultEngineRate, Coverage: DefaultCoverage, Linger: DefaultLinger}
 }
 
 // Check returns a *ConfigError for the first invalid key, nil if there is none.
 func (c Config) Check() error {
 	switch {
-	case c.Least < 1 || c.Least > MaxEngines:
-		return &ConfigError{"least", c.Least, fmt.Sprintf("not from 1 to %d engines", MaxEngines)}
+	case c.MinEngines < 1 || c.MinEngines > MaxEngines:
+		return &ConfigError{"least", c.MinEngines, fmt.Sprintf("not from 1 to %d engines", MaxEngines)}
 	case !(c.Rate >= 0 && c.Rate <= maxRate):
 		return &ConfigError{"rate", c.Rate, fmt.Sprintf("not from 0 to %g statements a second", float64(maxRate))}
 	case !(c.EngineRate > 0 && c.EngineRate <= maxRate):
@@ -102,5 +102,5 @@
 func (c Config) size(engines, gateways int) int {
 	byRate := math.Ceil(c.Rate / c.EngineRate)
 	byCoverage := (c.Coverage*engines + gateways - 1) / gateways
-	return min(engines, max(c.Least, int(min(byRate, MaxEngines)), byCoverage))
+	return min(engines, max(c.MinEngines, int(min(byRate, MaxEngines)), byCoverage))
 }
--- a/internal/control/subset/driver/driver.go
+++ b/internal/control/subset/driver/driver.go
@@ -15,7 +15,7 @@
 }
 
 // NewDriver returns a Driver whose Updater is off. Start has to be called before anything else.
-func NewDriver(place Place, loop *eventloop.Loop, engines Engines, log *slog.Logger) *Driver {
+func NewDriver(place Location, loop *eventloop.Loop, engines Engines, log *slog.Logger) *Driver {
 	return &Driver{Updater: New(place, engines, log), loop: loop}
 }
 
@@ -34,7 +34,7 @@
 // schedule sets the timer of the next update, if subsets are on.
 func (d *Driver) schedule() {
 	d.timer.Stop()
-	if !d.On() {
+	if !d.Enabled() {
 		return
 	}
 	d.timer = d.loop.After(Interval, func() {
--- a/internal/control/subset/driver/fleet_test.go
+++ b/internal/control/subset/driver/fleet_test.go
@@ -52,26 +52,26 @@
 		id := (uint64(i) + 1) * 0x9e3779b97f4a7c15
 		m.engines = append(m.engines, subset.Engine{ID: id, Zone: i % setup.zones, Ready: true})
 	}
-	fleet, err := simulation.New(simulation.Setup{Members: setup.gateways, Seed: setup.seed, Loss: setup.loss, Spread: setup.started,
-		Every: 1 << 30, Make: m.startGateway})
+	fleet, err := simulation.New(simulation.Setup{Members: setup.gateways, Seed: setup.seed, Loss: setup.loss, StartSpread: setup.started,
+		CheckInterval: 1 << 30, NewDetector: m.startGateway})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.Fleet = fleet
-	fleet.Seen = m.handleEvent
-	fleet.At(0, m.step)
+	fleet.OnEvent = m.handleEvent
+	fleet.After(0, m.step)
 	return m
 }
 
 // placeOf returns the place of a gateway. Numbers are given to the zones in turn.
-func (m *model) placeOf(number int) Place {
+func (m *model) placeOf(number int) Location {
 	zones := []string{"a", "b", "c", "d", "e", "f", "g"}[:m.setup.zones]
-	return Place{Number: number, Gateways: m.setup.gateways, Zones: zones, Zone: number % len(zones)}
+	return Location{Number: number, Gateways: m.setup.gateways, Zones: zones, Zone: number % len(zones)}
 }
 
 func (m *model) config() *subset.Config {
 	config := subset.DefaultConfig()
-	config.Least, config.Coverage = m.setup.minEngines, 1
+	config.MinEngines, config.Coverage = m.setup.minEngines, 1
 	return &config
 }
 
@@ -119,7 +119,7 @@
 			g.digest.Record(m.Now, g.used[m.random.IntN(len(g.used))], 1+m.random.IntN(20))
 		}
 	}
-	m.At(modelStep, m.step)
+	m.After(modelStep, m.step)
 }
 
 // snapshot is the state of all gateways: the mean and the largest number of engines used, and the mean share of these whose load is known.
@@ -218,7 +218,7 @@
 
 func (g *modelGateway) SubsetSize() (listed, used int) { return len(g.model.engines), len(g.used) }
 func (g *modelGateway) Narrowed() bool                 { return !g.chooser.All() }
-func (g *modelGateway) Overlap(gateway int) float64    { return g.chooser.Overlaps(gateway) }
+func (g *modelGateway) Overlap(gateway int) float64    { return g.chooser.Overlap(gateway) }
 
 // The fleet that CI simulates, and the one that operators expect. Both have more gateways than a message on zones holds.
 var (
--- a/internal/control/subset/driver/updater.go
+++ b/internal/control/subset/driver/updater.go
@@ -47,8 +47,8 @@
 	Started(member int) time.Duration
 }
 
-// Place is the place of a gateway in its fleet.
-type Place struct {
+// Location is the place of a gateway in its fleet.
+type Location struct {
 	Number   int      // of the gateway, from 0
 	Gateways int      // configured ones
 	Zones    []string // names; empty = a fleet without zones
@@ -62,7 +62,7 @@
 	members      Members
 	zoneTable    *zonetable.Table
 	log          *slog.Logger
-	place        Place
+	place        Location
 	config       *subset.Config   // in force; nil = every engine is used
 	joinDeadline time.Duration    // when a first subset is chosen at the latest
 	joined       bool             // a first subset is chosen
@@ -73,7 +73,7 @@
 }
 
 // New returns an Updater that is off. Start has to be called before anything else.
-func New(place Place, engines Engines, log *slog.Logger) *Updater {
+func New(place Location, engines Engines, log *slog.Logger) *Updater {
 	if len(place.Zones) == 0 {
 		place.Zones = []string{""} // a fleet without zones is one zone without a name
 	}
@@ -95,8 +95,8 @@
 	u.Configure(now, config)
 }
 
-// On reports whether subsets are configured.
-func (u *Updater) On() bool { return u.config != nil }
+// Enabled reports whether subsets are configured.
+func (u *Updater) Enabled() bool { return u.config != nil }
 
 // zone returns the own zone, unknownZone if the settings do not name it.
 func (u *Updater) zone() int {
@@ -124,7 +124,7 @@
 		return
 	}
 	u.config = config
-	u.log.Info("subset configured", "on", u.On())
+	u.log.Info("subset configured", "on", u.Enabled())
 	u.Tick(now)
 }
 
@@ -139,7 +139,7 @@
 }
 
 func (u *Updater) disable() {
-	u.zoneTable.SetOn(false)
+	u.zoneTable.SetUsesSubset(false)
 	u.weights = nil
 	u.engines.UseSubset(nil)
 }
@@ -150,7 +150,7 @@
 		return
 	}
 	listed, _ := u.engines.SubsetSize()
-	u.zoneTable.SetOn(listed > u.config.Least)
+	u.zoneTable.SetUsesSubset(listed > u.config.MinEngines)
 	u.updateGateways(now)
 	u.engines.TickSubset()
 	u.updateWeights(now)
--- a/internal/control/subset/fleet.go
+++ b/internal/control/subset/fleet.go
@@ -64,7 +64,7 @@
 		if a.hash != b.hash {
 			return cmp.Compare(a.hash, b.hash)
 		}
-		return cmp.Or(cmp.Compare(a.Zone, b.Zone), compareBool(a.Ready, b.Ready), compareBool(a.Cold, b.Cold))
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), compareBool(a.Ready, b.Ready), compareBool(a.WarmingUp, b.WarmingUp))
 	})
 	sorted = slices.CompactFunc(sorted, func(a, b listedEngine) bool { return a.ID == b.ID })
 	return sorted[:min(len(sorted), MaxEngines)]
--- a/internal/control/subset/fleet_test.go
+++ b/internal/control/subset/fleet_test.go
@@ -162,7 +162,7 @@
 		{"a region is gone", 1.25, func(_ int, e *Engine) { e.Ready = e.Zone < 4 }},
 		{"60% replaced", 1.25, func(i int, e *Engine) {
 			if i%5 < 3 {
-				*e = Engine{ID: named(i + 10000), Zone: e.Zone, Ready: true, Cold: true}
+				*e = Engine{ID: named(i + 10000), Zone: e.Zone, Ready: true, WarmingUp: true}
 			}
 		}},
 		{"half a subset drains", 1.35, func(_ int, e *Engine) { e.Ready = !slices.Contains(half, e.ID) }},
@@ -303,7 +303,7 @@
 	s := f.chooser(3)
 	for b.Loop() {
 		s.peers = nil
-		s.Holders()
+		s.MeanGateways()
 	}
 }
 
--- a/internal/control/subset/properties_test.go
+++ b/internal/control/subset/properties_test.go
@@ -21,12 +21,12 @@
 
 func drawEngine(t *rapid.T, zones int) Engine {
 	return Engine{ID: rapid.Uint64().Draw(t, "id"), Zone: rapid.IntRange(0, zones-1).Draw(t, "zone"),
-		Ready: rapid.IntRange(0, 9).Draw(t, "ready") > 0, Cold: rapid.IntRange(0, 9).Draw(t, "cold") == 0}
+		Ready: rapid.IntRange(0, 9).Draw(t, "ready") > 0, WarmingUp: rapid.IntRange(0, 9).Draw(t, "cold") == 0}
 }
 
 func drawFleet(t *rapid.T) fleetModel {
 	zones := rapid.IntRange(1, 5).Draw(t, "zones")
-	f := fleetModel{config: Config{Least: rapid.IntRange(1, 40).Draw(t, "least"), EngineRate: 1,
+	f := fleetModel{config: Config{MinEngines: rapid.IntRange(1, 40).Draw(t, "least"), EngineRate: 1,
 		Coverage: rapid.IntRange(1, 4).Draw(t, "coverage"), Linger: time.Second}}
 	if zones > 2 && rapid.Bool().Draw(t, "regions") {
 		f.config.Regions = [][]int{{0, 1}, {2}}
@@ -214,7 +214,7 @@
 		again := f
 		again.engines = append(rapid.Permutation(f.engines).Draw(t, "order"), f.engines[0])
 		a, b := f.chooser(number), again.chooser(number)
-		if !slices.Equal(a.IDs(), b.IDs()) || a.Holders() != b.Holders() {
+		if !slices.Equal(a.IDs(), b.IDs()) || a.MeanGateways() != b.MeanGateways() {
 			t.Fatalf("%x and %x of the same list", a.IDs(), b.IDs())
 		}
 		size := f.config.size(len(f.engines), len(f.gateways))
@@ -250,13 +250,13 @@
 					both++
 				}
 			}
-			if share := both / float64(len(ids)); own.Overlaps(other) != share {
-				t.Fatalf("overlap with %d is %v, computed as %v", other, share, own.Overlaps(other))
+			if share := both / float64(len(ids)); own.Overlap(other) != share {
+				t.Fatalf("overlap with %d is %v, computed as %v", other, share, own.Overlap(other))
 			}
 			holders += both / float64(len(own.IDs()))
 		}
-		if math.Abs(own.Holders()-holders) > 1e-9 {
-			t.Fatalf("%v holders, computed as %v", holders, own.Holders())
+		if math.Abs(own.MeanGateways()-holders) > 1e-9 {
+			t.Fatalf("%v holders, computed as %v", holders, own.MeanGateways())
 		}
 	})
 }
@@ -337,10 +337,10 @@
 	anyZoneOf = rapid.OneOf(rapid.Int(), rapid.IntRange(-1, 3))
 	anyEngine = rapid.Custom(func(t *rapid.T) Engine {
 		return Engine{
-			ID:    rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 9)).Draw(t, "id"),
-			Zone:  anyZoneOf.Draw(t, "zone"),
-			Ready: rapid.Bool().Draw(t, "ready"),
-			Cold:  rapid.Bool().Draw(t, "cold"),
+			ID:        rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 9)).Draw(t, "id"),
+			Zone:      anyZoneOf.Draw(t, "zone"),
+			Ready:     rapid.Bool().Draw(t, "ready"),
+			WarmingUp: rapid.Bool().Draw(t, "cold"),
 		}
 	})
 	anyGateway = rapid.Custom(func(t *rapid.T) Gateway {
@@ -348,7 +348,7 @@
 	})
 	anyConfig = rapid.Custom(func(t *rapid.T) Config {
 		return Config{
-			Least:      rapid.IntRange(-1, 20).Draw(t, "least"),
+			MinEngines: rapid.IntRange(-1, 20).Draw(t, "least"),
 			EngineRate: rapid.Float64().Draw(t, "engine rate"),
 			Rate:       rapid.Float64().Draw(t, "rate"),
 			Coverage:   rapid.IntRange(-1, 9).Draw(t, "coverage"),
@@ -397,7 +397,7 @@
 			t.Fatalf("engine %x: in the list %v", e.ID, found)
 		}
 	}
-	if h, o := c.Holders(), c.Overlaps(rapid.Int().Draw(t, "other")); !(h >= 1 && h <= 9) || !(o >= 0 && o <= 1) {
+	if h, o := c.MeanGateways(), c.Overlap(rapid.Int().Draw(t, "other")); !(h >= 1 && h <= 9) || !(o >= 0 && o <= 1) {
 		t.Fatalf("%v holders, overlap %v", h, o)
 	}
 }
--- a/internal/control/zonetable/mixed_test.go
+++ b/internal/control/zonetable/mixed_test.go
@@ -12,8 +12,8 @@
 func TestMixedVersions(t *testing.T) {
 	const members = 20
 	tables := map[int]*Table{}
-	f, err := simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, Spread: time.Second, Every: 10,
-		Make: func(cfg membership.Config) (simulation.Detector, error) {
+	f, err := simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, CheckInterval: 10,
+		NewDetector: func(cfg membership.Config) (simulation.Detector, error) {
 			if cfg.Self%2 == 0 {
 				return membership.New(cfg)
 			}
@@ -22,7 +22,7 @@
 				_, incarnation := (*node).Member(member)
 				return time.Duration(incarnation) * time.Second
 			})
-			table.SetOn(true)
+			table.SetUsesSubset(true)
 			tables[cfg.Self] = table
 			cfg.Extensions = append(cfg.Extensions, table)
 			made, err := membership.New(cfg)
@@ -32,13 +32,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Seen = func(at int, e membership.Event) error {
+	f.OnEvent = func(at int, e membership.Event) error {
 		switch {
 		case e.Kind == membership.ExtensionReceived && tables[at] == nil:
 			t.Errorf("member %d received a message of kind %d", at, e.ExtensionKind)
 		case e.Kind == membership.ExtensionReceived && !tables[at].Receive(e.Member, e.Body):
 			t.Errorf("member %d dropped a message of member %d", at, e.Member)
-		case e.Kind == membership.Changed && e.Is == membership.Dead:
+		case e.Kind == membership.StateChanged && e.NewState == membership.Dead:
 			t.Errorf("member %d declares %d dead", at, e.Member)
 		}
 		return nil
--- a/internal/control/zonetable/model_test.go
+++ b/internal/control/zonetable/model_test.go
@@ -18,7 +18,7 @@
 	for i := range gateways {
 		started[i] = epoch
 		table := New(i, gateways, modelZones, i%len(modelZones), func(member int) time.Duration { return started[member] })
-		table.SetOn(true)
+		table.SetUsesSubset(true)
 		tables = append(tables, table)
 	}
 	known := func(table *Table) (count int) { // a wrong zone fails the test
@@ -60,7 +60,7 @@
 	now = epoch + startupPeriod + time.Second
 	bytes, started[7] = 0, now
 	tables[7] = New(7, gateways, modelZones, 0, func(member int) time.Duration { return started[member] })
-	tables[7].SetOn(true)
+	tables[7].SetUsesSubset(true)
 	run(4 * time.Second)
 	t.Logf("4 s after its start a gateway knows %d; %d bytes per gateway and second", known(tables[7]), bytes/gateways/4)
 	if known(tables[7]) < gateways*9/10 || bytes/gateways/4 > 64 {
--- a/internal/control/zonetable/table.go
+++ b/internal/control/zonetable/table.go
@@ -17,8 +17,8 @@
 const (
 	// ExtensionKind identifies this subsystem among the extensions of membership.
 	ExtensionKind = 3
-	// MostZones is the upper bound of the number of zones in the settings: the code of a zone takes at most eight bits.
-	MostZones = 254
+	// MaxZones is the upper bound of the number of zones in the settings: the code of a zone takes at most eight bits.
+	MaxZones = 254
 )
 
 const (
@@ -76,8 +76,8 @@
 	return h.Sum32()
 }
 
-// SetOn sets whether this gateway uses a subset of the engines. Until it first does, no message is sent.
-func (t *Table) SetOn(usesSubset bool) {
+// SetUsesSubset sets whether this gateway uses a subset of the engines. Until it first does, no message is sent.
+func (t *Table) SetUsesSubset(usesSubset bool) {
 	t.usesSubset = usesSubset
 	t.everUsedSubset = t.everUsedSubset || usesSubset
 }
--- a/internal/control/zonetable/table_test.go
+++ b/internal/control/zonetable/table_test.go
@@ -20,7 +20,7 @@
 // newTable returns the table of a gateway that uses a subset of the engines.
 func newTable(number, gateways int) *Table {
 	t := New(number, gateways, zones, number%len(zones), startedLongAgo)
-	t.SetOn(true)
+	t.SetUsesSubset(true)
 	return t
 }
 
@@ -38,7 +38,7 @@
 	if receiver.Zone(2) != 2 {
 		t.Errorf("zone %d of the gateway that reported 2", receiver.Zone(2))
 	}
-	third.SetOn(false)
+	third.SetUsesSubset(false)
 	receiver.Receive(2, third.Append(epoch+2*sendInterval, 9, 200, nil))
 	receiver.Receive(1, reporter.Append(epoch+2*sendInterval, 9, 200, nil))
 	if receiver.Zone(2) != -1 {
@@ -74,7 +74,7 @@
 	if sends(epoch, 2) || sends(epoch, 5) {
 		t.Error("a message without a subset")
 	}
-	table.SetOn(true)
+	table.SetUsesSubset(true)
 	if !sends(epoch, 2) || sends(epoch+sendInterval/2, 3) || !sends(epoch+sendInterval, 3) {
 		t.Error("messages not at the send interval")
 	}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -47,7 +47,7 @@
 // onlyAttemptInFlight checks that every other attempt of the request has ended.
 func (c *Core) onlyAttemptInFlight(id ID, r *request, n int) bool {
 	for i, other := range r.attempts {
-		if !c.invariants.Holds(i == n || other.ended, "one attempt out at a time", "request", id) {
+		if !c.invariants.Check(i == n || other.ended, "one attempt out at a time", "request", id) {
 			return false
 		}
 	}
@@ -68,7 +68,7 @@
 func (c *Core) AttemptEnded(now time.Duration, id ID, n int, outcome policy.Outcome, fields []Field) []Action {
 	r := c.requests[id]
 	known := r != nil && n < len(r.attempts) && !r.attempts[n].ended
-	if !c.invariants.Holds(known, "an attempt ends once", "request", id, "attempt", n) {
+	if !c.invariants.Check(known, "an attempt ends once", "request", id, "attempt", n) {
 		return nil
 	}
 	a := r.attempts[n]
@@ -76,7 +76,7 @@
 	r.inFlight--
 	c.inFlight--
 	plausible := a.sent || outcome.NeverRan() || outcome == policy.Cancelled
-	if c.invariants.Holds(plausible, "nothing ran unsent", "outcome", outcome) {
+	if c.invariants.Check(plausible, "nothing ran unsent", "outcome", outcome) {
 		c.logAttemptEnd(now, id, n, outcome)
 	}
 	c.recordLoad(now, a.engine, fields)
@@ -100,7 +100,7 @@
 	case outcome == policy.OK:
 		return c.replyOnly(now, id, Served, 0)
 	case r.responseStarted:
-		return c.replyOnly(now, id, Broken, 0)
+		return c.replyOnly(now, id, FailedMidResponse, 0)
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 func (c *Core) startAttempt(now time.Duration, s policy.Send) {
 	r, e := c.requests[s.ID], c.engines[s.Engine]
 	valid := r != nil && !r.replied && r.inFlight == 0 && e != nil
-	if !c.invariants.Holds(valid, "an attempt is for an open request", "request", s.ID) {
+	if !c.invariants.Check(valid, "an attempt is for an open request", "request", s.ID) {
 		return
 	}
 	n := len(r.attempts)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -32,7 +32,7 @@
 	module       decisionModule
 	host         settings.Host
 	log          *slog.Logger
-	invariants   *invariant.Keeper
+	invariants   *invariant.Monitor
 	requests     map[ID]*request
 	activeNames  map[string]bool // names of the requests that are pending or have an attempt in flight
 	lastID       ID
@@ -57,7 +57,7 @@
 
 // New returns a Core for the host's settings. The seed determines every random choice. It returns an error if the
 // decision module does not accept the settings.
-func New(host settings.Host, seed uint64, log *slog.Logger, invariants *invariant.Keeper) (*Core, error) {
+func New(host settings.Host, seed uint64, log *slog.Logger, invariants *invariant.Monitor) (*Core, error) {
 	module, err := policy.New(host.Module, seed)
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
@@ -108,15 +108,15 @@
 // InService sets how many gateways are believed to be in service, this one included.
 func (c *Core) InService(now time.Duration, gateways int) []Action {
 	c.gatewaysInService = gateways
-	if c.Narrowed() { // the next count of sharers takes it into account
+	if c.UsesSubset() { // the next count of sharers takes it into account
 		return nil
 	}
 	c.sentInService = policy.InService{Count: gateways}
 	return c.dispatch(now, policy.InService{Count: gateways})
 }
 
-// Close gives every pending request its final reply. Requests that are submitted later are rejected at once.
-func (c *Core) Close(now time.Duration) []Action {
+// Shutdown gives every pending request its final reply. Requests that are submitted later are rejected at once.
+func (c *Core) Shutdown(now time.Duration) []Action {
 	c.shuttingDown = true
 	return c.dispatch(now, policy.ShuttingDown{})
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,7 +16,7 @@
 const start = time.Duration(1_700_000_000) * time.Second
 
 // newCore returns the core of a single gateway with two classes, the second of which needs idempotency keys.
-func newCore(t testing.TB) (*Core, *invariant.Keeper) {
+func newCore(t testing.TB) (*Core, *invariant.Monitor) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	invariants := invariant.New(log)
@@ -24,7 +24,7 @@
 	keyed := class
 	keyed.Name, keyed.Idempotency, keyed.DedupWindow = "form-load", policy.IdempotentWithKey, 12*time.Second
 	host := settings.Host{
-		ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"}, MaxOpen: 100,
+		MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, Zones: []string{"z"}, MaxPending: 100,
 		Module: policy.Settings{
 			Classes: []policy.Class{class, keyed}, Gateways: 1, Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4,
 			Kinds: []policy.Kind{{Cores: 8}},
@@ -132,7 +132,7 @@
 	c.MaySend(start, id, 0, false)
 	c.ResponseStarted(start, id, 0)
 	actions := c.AttemptEnded(start, id, 0, policy.Reset, nil)
-	if r := first[Reply](t, actions); r.Verdict != Broken || len(actions) != 1 {
+	if r := first[Reply](t, actions); r.Verdict != FailedMidResponse || len(actions) != 1 {
 		t.Fatalf("%+v", actions)
 	}
 }
@@ -140,7 +140,7 @@
 func TestCloseRejectsPendingRequests(t *testing.T) {
 	c, _ := newCore(t)
 	queued, _ := c.Submit(start, testQuery) // as there is no engine
-	if r := first[Reply](t, c.Close(start)); r.ID != queued || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
+	if r := first[Reply](t, c.Shutdown(start)); r.ID != queued || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -241,10 +241,10 @@
 	c.Cancel(start, id)
 	c.Submit(start, Query{Class: 1, Remaining: time.Millisecond})
 	want := ClassCounts{Taken: 4, InTime: 2, Late: 1, Fast: 1}
-	if got := c.ByClass()[0]; got != want {
+	if got := c.CountsByClass()[0]; got != want {
 		t.Errorf("lookup: %+v, want %+v", got, want)
 	}
-	if got := c.ByClass()[1]; got.Taken != 1 || got.Refused+got.Failed != 1 {
+	if got := c.CountsByClass()[1]; got.Taken != 1 || got.Refused+got.Failed != 1 {
 		t.Errorf("form-load: %+v", got)
 	}
 }
@@ -274,7 +274,7 @@
 func TestWhatComesAfterCloseIsRefused(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	c.Close(start)
+	c.Shutdown(start)
 	_, actions := c.Submit(start, testQuery)
 	if r := first[Reply](t, actions); r.Verdict != Rejected || len(actions) != 1 {
 		t.Fatalf("%+v", actions)
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -26,8 +26,8 @@
 // Counts returns the counts since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// ByClass returns the counts of each class since the start. The caller must not change or keep the slice.
-func (c *Core) ByClass() []ClassCounts { return c.countsByClass }
+// CountsByClass returns the counts of each class since the start. The caller must not change or keep the slice.
+func (c *Core) CountsByClass() []ClassCounts { return c.countsByClass }
 
 // classCounts returns the counts of a request's class. A request of an unknown class is counted nowhere.
 func (c *Core) classCounts(r *request) *ClassCounts {
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -15,14 +15,14 @@
 type modelRun struct {
 	t          *rapid.T
 	core       *Core
-	invariants *invariant.Keeper
+	invariants *invariant.Monitor
 	now        time.Duration
 	ids        []ID
 	replies    map[ID]int // cancelled requests count as replied
 	inFlight   map[ID]Start
 }
 
-func newModelRun(t *rapid.T, c *Core, invariants *invariant.Keeper) *modelRun {
+func newModelRun(t *rapid.T, c *Core, invariants *invariant.Monitor) *modelRun {
 	return &modelRun{t: t, core: c, invariants: invariants, now: start, replies: map[ID]int{}, inFlight: map[ID]Start{}}
 }
 
@@ -93,7 +93,7 @@
 // finish closes the core and checks that each request has one final reply and that nothing is left behind.
 func (m *modelRun) finish() {
 	c := m.core
-	m.execute(c.Close(m.now))
+	m.execute(c.Shutdown(m.now))
 	for _, id := range m.ids {
 		if m.replies[id] != 1 {
 			m.t.Fatalf("request %d has %d replies", id, m.replies[id])
@@ -110,7 +110,7 @@
 			m.t.Fatalf("%d %s are left", left, what)
 		}
 	}
-	if broken := m.invariants.Broken(); broken != 0 {
+	if broken := m.invariants.Violations(); broken != 0 {
 		m.t.Fatalf("%d invariants were broken", broken)
 	}
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -14,10 +14,10 @@
 
 // The verdicts.
 const (
-	Served   Verdict = iota // an engine's complete response
-	Rejected                // not executed; the client may retry after a delay
-	Failed                  // no result, and none of the response went out
-	Broken                  // failed after a part of the response went out
+	Served            Verdict = iota // an engine's complete response
+	Rejected                         // not executed; the client may retry after a delay
+	Failed                           // no result, and none of the response went out
+	FailedMidResponse                // failed after a part of the response went out
 )
 
 // deadlineSlackTicks is how many ticks before the client's deadline a reply still counts as caused by the deadline: the
@@ -69,7 +69,7 @@
 		c.activeNames[q.Name] = true
 	}
 	if c.shuttingDown || c.overCapacity() {
-		return id, c.replyOnly(now, id, Rejected, c.host.ComeBack)
+		return id, c.replyOnly(now, id, Rejected, c.host.MaxRetryAfter)
 	}
 	return id, c.dispatch(now, policy.Arrival{
 		ID: id, Class: q.Class, Key: q.Key, TableGroup: q.TableGroup, EstimatedWork: q.EstimatedWork,
@@ -79,7 +79,7 @@
 
 // overCapacity reports whether more requests are pending than the settings allow for one gateway.
 func (c *Core) overCapacity() bool {
-	return c.host.MaxOpen > 0 && c.pending > c.host.MaxOpen
+	return c.host.MaxPending > 0 && c.pending > c.host.MaxPending
 }
 
 // latencyObjective returns the time after which a reply is late. The query's work is known only as an estimate.
@@ -123,7 +123,7 @@
 func (c *Core) reject(now time.Duration, action policy.Reject) {
 	retryAfter := action.RetryAfter
 	if retryAfter == 0 {
-		retryAfter = c.host.ComeBack
+		retryAfter = c.host.MaxRetryAfter
 	}
 	c.reply(now, action.ID, Rejected, retryAfter)
 }
@@ -138,7 +138,7 @@
 // reply gives a request its one final reply.
 func (c *Core) reply(now time.Duration, id ID, v Verdict, retryAfter time.Duration) {
 	r := c.requests[id]
-	if !c.invariants.Holds(r != nil && !r.replied, "a request is answered once", "request", id) {
+	if !c.invariants.Check(r != nil && !r.replied, "a request is answered once", "request", id) {
 		return
 	}
 	r.replied = true
@@ -147,7 +147,7 @@
 	c.countReply(r, v, now-r.submittedAt)
 	c.actions = append(c.actions, Reply{
 		ID: id, Verdict: v,
-		RetryAfter:       min(retryAfter, c.host.ComeBack),
+		RetryAfter:       min(retryAfter, c.host.MaxRetryAfter),
 		DeadlineExceeded: r.deadline-now <= deadlineSlackTicks*c.host.Module.Tick,
 	})
 	c.forgetIfDone(id, r)
--- a/internal/core/sharers.go
+++ b/internal/core/sharers.go
@@ -12,7 +12,7 @@
 	if c.subset != nil {
 		c.subset.sharersAt = now + sharersInterval
 	}
-	state := policy.InService{Count: c.sharers(), Subset: c.Narrowed()}
+	state := policy.InService{Count: c.sharers(), Subset: c.UsesSubset()}
 	if state == c.sentInService {
 		return nil
 	}
@@ -35,6 +35,6 @@
 	}
 	listed, used := c.SubsetSize()
 	// The chooser already counts an unknown gateway as the mean share of a subset; the rest is added here.
-	holders := s.chooser.Holders() + float64(unknown)*(1-float64(used)/float64(max(1, listed)))
+	holders := s.chooser.MeanGateways() + float64(unknown)*(1-float64(used)/float64(max(1, listed)))
 	return max(1, min(c.gatewaysInService, int(math.Round(holders))))
 }
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -124,7 +124,7 @@
 			s.warmingUp[id] = true
 		}
 		engines = append(engines, subset.Engine{
-			ID: uint64(id), Zone: e.info.Zone, Ready: e.Health == policy.Ready, Cold: warmingUp,
+			ID: uint64(id), Zone: e.info.Zone, Ready: e.Health == policy.Ready, WarmingUp: warmingUp,
 		})
 	}
 	s.chooser.SetEngines(now, engines)
@@ -174,7 +174,7 @@
 // overflow reports whether an engine lies beyond the core of the gateway's subset: there it shares the engine with many
 // other gateways.
 func (c *Core) overflow(e *Engine) bool {
-	return c.Narrowed() && !c.subset.chooser.Core(uint64(e.ID))
+	return c.UsesSubset() && !c.subset.chooser.Core(uint64(e.ID))
 }
 
 // Overlap returns which share, 0 to 1, of another gateway's subset lies in the own one; 1 without a subset.
@@ -182,11 +182,11 @@
 	if c.subset == nil {
 		return 1
 	}
-	return c.subset.chooser.Overlaps(gateway)
+	return c.subset.chooser.Overlap(gateway)
 }
 
-// Narrowed reports whether the gateway uses fewer than all engines.
-func (c *Core) Narrowed() bool {
+// UsesSubset reports whether the gateway uses fewer than all engines.
+func (c *Core) UsesSubset() bool {
 	return c.subset != nil && !c.subset.lifted && !c.subset.chooser.All()
 }
 
@@ -210,7 +210,7 @@
 	if c.subset == nil {
 		return counts
 	}
-	counts.MeanGateways = c.subset.chooser.Holders()
+	counts.MeanGateways = c.subset.chooser.MeanGateways()
 	counts.Added, counts.Removed = c.subset.added, c.subset.removed
 	for _, e := range c.engines {
 		if e.Health == policy.Ready && c.inSubset(e) {
--- a/internal/core/subset_helpers_test.go
+++ b/internal/core/subset_helpers_test.go
@@ -49,12 +49,12 @@
 }
 
 // newRecordedCore returns the core of one gateway of several, and the recorder of what its module is sent.
-func newRecordedCore(t testing.TB) (*Core, *eventRecorder, *invariant.Keeper) {
+func newRecordedCore(t testing.TB) (*Core, *eventRecorder, *invariant.Monitor) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	invariants := invariant.New(log)
 	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
-	host := settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"}, MaxOpen: 1000,
+	host := settings.Host{MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, Zones: []string{"z"}, MaxPending: 1000,
 		Module: policy.Settings{Classes: []policy.Class{class}, Gateways: subsetGateways, Number: 3, Tick: 5 * time.Millisecond, MayCancel: true,
 			MaxAttempts: 4, Kinds: []policy.Kind{{Cores: 40}}, Rules: policy.Rules{WarmupTime: 20 * time.Second}}}
 	c, err := New(host, 1, log, invariants)
@@ -72,7 +72,7 @@
 
 func subsetConfig() subset.Config {
 	config := subset.DefaultConfig()
-	config.Least, config.Coverage, config.Linger = 6, 1, 2*time.Second
+	config.MinEngines, config.Coverage, config.Linger = 6, 1, 2*time.Second
 	return config
 }
 
--- a/internal/core/subset_model_test.go
+++ b/internal/core/subset_model_test.go
@@ -91,7 +91,7 @@
 // configure changes the subset, or lifts it.
 func (m subsetModelRun) configure() {
 	config := subsetConfig()
-	config.Least = rapid.IntRange(1, subsetEngines).Draw(m.t, "least")
+	config.MinEngines = rapid.IntRange(1, subsetEngines).Draw(m.t, "least")
 	switch rapid.IntRange(0, 3).Draw(m.t, "change") {
 	case 0:
 		m.execute(m.core.UseSubset(m.now, nil))
@@ -130,7 +130,7 @@
 // While the subset is the full list, the module is sent the very same events, in the same order, as without a subset.
 func TestFullSubsetChangesNothing(t *testing.T) {
 	full := subsetConfig()
-	full.Least = subsetEngines
+	full.MinEngines = subsetEngines
 	rapid.Check(t, func(rt *rapid.T) {
 		d := &differentialRun{t: rt, now: start, newChooser: func() *subset.Chooser { return newChooser(t, full) }}
 		d.plain, d.plainSent, _ = newRecordedCore(t)
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -41,7 +41,7 @@
 		t.Fatal("no engine with an attempt in flight was removed")
 	}
 	checkNewAttemptsInSubset(t, c)
-	if invariants.Broken() > 0 {
+	if invariants.Violations() > 0 {
 		t.Error("an invariant was broken")
 	}
 }
@@ -165,7 +165,7 @@
 		return count
 	}
 	known := sharers()
-	if holders := c.subset.chooser.Holders(); known != int(holders+0.5) || known >= subsetGateways {
+	if holders := c.subset.chooser.MeanGateways(); known != int(holders+0.5) || known >= subsetGateways {
 		t.Fatalf("%d sharers, %.2f holders", known, holders)
 	}
 	gateways := allGateways(subsetGateways)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -8,18 +8,18 @@
 	"sync/atomic"
 )
 
-// Keeper counts violated invariants.
-type Keeper struct {
+// Monitor counts violated invariants.
+type Monitor struct {
 	log    *slog.Logger
 	broken atomic.Int64
 }
 
 // New returns a Keeper that logs violations to log.
-func New(log *slog.Logger) *Keeper { return &Keeper{log: log} }
+func New(log *slog.Logger) *Monitor { return &Monitor{log: log} }
 
-// Holds reports whether an invariant holds, and returns ok. If it does not, Holds counts the violation, logs it with
+// Check reports whether an invariant holds, and returns ok. If it does not, Holds counts the violation, logs it with
 // the name of the invariant and the attributes in args, and in a debug build panics.
-func (k *Keeper) Holds(ok bool, name string, args ...any) bool {
+func (k *Monitor) Check(ok bool, name string, args ...any) bool {
 	if !ok {
 		n := k.broken.Add(1)
 		k.log.Error("invariant broken", append([]any{"what", name, "count", n}, args...)...)
@@ -28,5 +28,5 @@
 	return ok
 }
 
-// Broken returns how many violations were counted.
-func (k *Keeper) Broken() int64 { return k.broken.Load() }
+// Violations returns how many violations were counted.
+func (k *Monitor) Violations() int64 { return k.broken.Load() }
--- a/internal/program/extensions_test.go
+++ b/internal/program/extensions_test.go
@@ -46,7 +46,7 @@
 				received[event.ExtensionKind]++
 			}
 		}
-		now = sender.Next()
+		now = sender.NextTick()
 		sender.Tick(now)
 	}
 	if received[rollout.ExtensionKind] == 0 || received[loadreport.ExtensionKind] == 0 {
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -29,7 +29,7 @@
 }
 
 // newMembership returns the driver of the membership protocol. Nothing is sent before its start.
-func newMembership(s membershipSetup, loop *eventloop.Loop, log *slog.Logger, invariants *invariant.Keeper) (*datagram.MembershipDriver, error) {
+func newMembership(s membershipSetup, loop *eventloop.Loop, log *slog.Logger, invariants *invariant.Monitor) (*datagram.MembershipDriver, error) {
 	listen, peers, err := s.conf.PeerAddrs()
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -41,7 +41,7 @@
 	interval, timeout, suspect := s.section.Times()
 	node, err := membership.New(membership.Config{
 		Self: s.host.Module.Number, Peers: peers, Fleet: s.section.Fleet, Seed: s.conf.SeedNumber(),
-		Interval: interval, Timeout: timeout, Suspect: suspect,
+		Interval: interval, ProbeTimeout: timeout, SuspicionTimeout: suspect,
 		Extensions: s.extensions, ExtensionInterval: s.extensionInterval, Weights: s.weights,
 	})
 	if err != nil {
--- a/internal/program/mysql.go
+++ b/internal/program/mysql.go
@@ -23,11 +23,11 @@
 // settings. sockets is the descriptor budget for clients.
 func mysqlConfig(m *settings.MySQL, c *core.Core, sockets int) (frontend.MySQLConfig, error) {
 	config := frontend.MySQLConfig{
-		Listen: m.Listen, MostOpen: sockets * 8 / 9, User: m.EngineUser, Password: m.EnginePassword,
+		Listen: m.Listen, MaxConns: sockets * 8 / 9, User: m.EngineUser, Password: m.EnginePassword,
 		EnginePort: strconv.Itoa(m.EnginePort), Engines: m.Engines, Accounts: map[string]*mysql.Account{},
 	}
 	if m.MaxClients > 0 {
-		config.MostOpen = min(config.MostOpen, m.MaxClients)
+		config.MaxConns = min(config.MaxConns, m.MaxClients)
 	}
 	for _, a := range m.Accounts {
 		class, known := c.Class(a.Class)
@@ -43,7 +43,7 @@
 			return config, accountError(a.User, "user", a.User, "used by two accounts", nil)
 		}
 		config.Accounts[a.User] = &mysql.Account{
-			User: a.User, Hash: hash, Class: class, Keyed: c.NeedsIdempotencyKey(class),
+			User: a.User, Hash: hash, Class: class, NeedsReplayKey: c.NeedsIdempotencyKey(class),
 			Budget: time.Duration(a.BudgetMS) * time.Millisecond,
 		}
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -35,7 +35,7 @@
 	loadReports   *loadreport.Digest         // nil = off
 	version       *versionReporter           // nil = off
 	subset        *driver.Driver             // nil = off
-	invariants    *invariant.Keeper
+	invariants    *invariant.Monitor
 	log           *slog.Logger
 	engineEvents  *discovery.Stream
 	initialEvents []discovery.Event // of the engine list, from the configuration
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -52,7 +52,7 @@
 	overdue := time.NewTimer(p.maxDeadline + closeGrace + peerCloseGrace + hangGrace)
 	go p.loop.Do(p.gracefulShutdown)
 	if waitStopped(loopCtx, overdue.C, log) {
-		log.Info("stopped", "counts", p.dispatcher.Core.Counts(), "invariants", p.invariants.Broken())
+		log.Info("stopped", "counts", p.dispatcher.Core.Counts(), "invariants", p.invariants.Violations())
 	}
 	return nil
 }
--- a/internal/program/run_test.go
+++ b/internal/program/run_test.go
@@ -25,12 +25,12 @@
 			b := divideSockets(sockets, withMySQL)
 			sum := reservedSockets
 			for _, budget := range []enginepool.Budget{b.clients, b.engines, b.mysqlClients, b.mysqlEngines} {
-				sum += budget.Most + budget.Urgent
+				sum += budget.Max + budget.Urgent
 			}
 			if sum > sockets {
 				t.Errorf("%d descriptors: %+v, %d in all", sockets, b, sum)
 			}
-			if b.engines.Most < sockets/6 || b.engines.Urgent < 1 || b.clients.Most < sockets/5 {
+			if b.engines.Max < sockets/6 || b.engines.Urgent < 1 || b.clients.Max < sockets/5 {
 				t.Errorf("%d descriptors: a budget is too small: %+v", sockets, b)
 			}
 		}
--- a/internal/program/setup.go
+++ b/internal/program/setup.go
@@ -120,7 +120,7 @@
 		loop: loop, dispatcher: requests, invariants: invariants, log: log, host: s.host, operator: s.operator,
 		engineEvents: engineEvents, initialEvents: initialEvents, maxDeadline: stopDeadline(s.host),
 		discovery: enginewatch.New(loop, requests, log, s.conf.Discovery, engineEvents),
-		clients:   frontend.NewPlatformListener(requests, log, sockets.clients.Most, int(bufferLimit)),
+		clients:   frontend.NewPlatformListener(requests, log, sockets.clients.Max, int(bufferLimit)),
 	}
 	if err := p.addOperatorSections(s, sockets); err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 // addMySQL adds the MySQL frontend and its virtual router.
 func (p *program) addMySQL(s setup, sockets socketBudgets) (err error) {
 	if m := s.operator.MySQL; m != nil {
-		config, err := mysqlConfig(m, p.dispatcher.Core, sockets.mysqlClients.Most)
+		config, err := mysqlConfig(m, p.dispatcher.Core, sockets.mysqlClients.Max)
 		if err != nil {
 			return err
 		}
--- a/internal/program/stats.go
+++ b/internal/program/stats.go
@@ -27,7 +27,7 @@
 	p.logSubset()
 	c := p.dispatcher.Core
 	p.log.Info("counts", "total", c.Counts(), "open", c.PendingRequests(), "out", c.AttemptsInFlight(),
-		"lag", p.loop.Lag(), "invariants", p.invariants.Broken())
+		"lag", p.loop.Lag(), "invariants", p.invariants.Violations())
 }
 
 func (p *program) logMembership() {
@@ -50,7 +50,7 @@
 
 // logSubset logs the size of the engine subset and how many gateways share it.
 func (p *program) logSubset() {
-	if p.subset == nil || !p.subset.On() {
+	if p.subset == nil || !p.subset.Enabled() {
 		return
 	}
 	c := p.dispatcher.Core.SubsetCounts()
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -101,7 +101,7 @@
 	}
 	p.closing = true
 	p.dispatcher.Close() // if all deadlines are short, this comes before replyGrace ends
-	p.clients.Finish()
+	p.clients.Shutdown()
 	if p.version != nil {
 		p.version.sender.Stop()
 	}
@@ -109,7 +109,7 @@
 		p.membership.Stop()
 	}
 	if p.mysql != nil {
-		p.mysql.Finish()
+		p.mysql.Shutdown()
 	}
 	p.clients.WhenEmpty(p.exitWhenMySQLEmpty)
 	p.loop.After(peerCloseTimeout, p.exit)
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -18,16 +18,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(zones) > zonetable.MostZones {
-		reason := fmt.Sprintf("the settings have %d zones, %d at most", len(zones), zonetable.MostZones)
+	if len(zones) > zonetable.MaxZones {
+		reason := fmt.Sprintf("the settings have %d zones, %d at most", len(zones), zonetable.MaxZones)
 		return nil, &settings.KeyError{Source: settings.SourceOperator, Key: "subset", Reason: reason}
 	}
 	return &config, nil
 }
 
 // placeInFleet returns where the settings put this gateway in its fleet.
-func placeInFleet(host settings.Host) driver.Place {
-	return driver.Place{
+func placeInFleet(host settings.Host) driver.Location {
+	return driver.Location{
 		Number: host.Module.Number, Gateways: host.Module.Gateways,
 		Zones: host.Zones, Zone: host.Module.Zone,
 	}
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -79,7 +79,7 @@
 		Gateway: v.number, PID: os.Getpid(), Started: v.started, Program: v.own.Program, Settings: v.own.Settings,
 		Serving: v.serving, Pending: v.restartPending, MemoryMB: residentMemoryMB(),
 	}
-	for _, counts := range v.core.ByClass() {
+	for _, counts := range v.core.CountsByClass() {
 		report.Classes = append(report.Classes, rollout.Counts(counts))
 	}
 	var err error
--- a/internal/protocol/mysql/exchange_setup.go
+++ b/internal/protocol/mysql/exchange_setup.go
@@ -73,10 +73,10 @@
 	if x.call.Schema != "" && x.call.Schema != s.schema {
 		x.queue(expectOK, commandPacket(comInitDB, []byte(x.call.Schema)))
 	}
-	if x.call.Key != "" {
-		x.queue(expectOK, commandPacket(comQuery, []byte("SET @replay_key="+x.call.Key)))
+	if x.call.ReplayKey != "" {
+		x.queue(expectOK, commandPacket(comQuery, []byte("SET @replay_key="+x.call.ReplayKey)))
 	}
-	execution := x.call.Execute
+	execution := x.call.Execution
 	if execution == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 
 // preparedKey is the key of the call's statement among the session's prepared statements. It includes the schema: names
 // in a statement are resolved in the schema in which it was prepared.
-func (x *Exchange) preparedKey() string { return x.call.Schema + "\x00" + x.call.Execute.Text }
+func (x *Exchange) preparedKey() string { return x.call.Schema + "\x00" + x.call.Execution.Text }
 
 // sendNext sends the next setup command or, after the last one, the query.
 func (x *Exchange) sendNext() {
@@ -108,7 +108,7 @@
 	}
 	x.phase = phaseQuerySent
 	x.emit(attempt.SetTimer{Timer: attempt.ResponseTimeout})
-	if execution := x.call.Execute; execution != nil {
+	if execution := x.call.Execution; execution != nil {
 		x.write(attempt.Primary, append(execution.longDataPackets(x.statementID), execution.executePacket(x.statementID)...))
 		return
 	}
@@ -150,7 +150,7 @@
 	columns := int(binary.LittleEndian.Uint16(payload[5:]))
 	params := int(binary.LittleEndian.Uint16(payload[7:]))
 	// With another number of parameters the engine would bind the values differently from what the client means.
-	if params != x.call.Execute.Params {
+	if params != x.call.Execution.Params {
 		x.handleMalformed(attempt.Primary)
 		return
 	}
--- a/internal/protocol/mysql/front.go
+++ b/internal/protocol/mysql/front.go
@@ -7,20 +7,20 @@
 
 // Account is a login of the front and the properties of the queries that it sends.
 type Account struct {
-	User   string
-	Hash   Hash
-	Class  int           // index of the query class
-	Budget time.Duration // for a whole query, retries included
-	Keyed  bool          // its queries need a replay key
+	User           string
+	Hash           Hash
+	Class          int           // index of the query class
+	Budget         time.Duration // for a whole query, retries included
+	NeedsReplayKey bool          // its queries need a replay key
 }
 
 // Call is a query that a client requests.
 type Call struct {
-	Account *Account
-	Schema  string     // the client's current schema; may be empty
-	Text    string     // of the statement, prepared or not
-	Key     string     // the replay key as the client wrote it, a quoted SQL literal; may be empty
-	Execute *Execution // nil for a query of the text protocol
+	Account   *Account
+	Schema    string     // the client's current schema; may be empty
+	Text      string     // of the statement, prepared or not
+	ReplayKey string     // the replay key as the client wrote it, a quoted SQL literal; may be empty
+	Execution *Execution // nil for a query of the text protocol
 }
 
 // Event is what the front's driver is to do next; exactly one field is set.
@@ -83,8 +83,8 @@
 	f.events = append(f.events, Event{Close: true})
 }
 
-// Feed handles bytes that the client sent. Commands that arrive while a query runs are buffered until Done.
-func (f *Front) Feed(b []byte) []Event {
+// Received handles bytes that the client sent. Commands that arrive while a query runs are buffered until Done.
+func (f *Front) Received(b []byte) []Event {
 	if f.stage == stageClosed {
 		return nil
 	}
@@ -96,8 +96,8 @@
 	return f.process()
 }
 
-// Done ends the running query: its result was written to the end, and the commands received meanwhile are handled.
-func (f *Front) Done() []Event {
+// QueryEnded ends the running query: its result was written to the end, and the commands received meanwhile are handled.
+func (f *Front) QueryEnded() []Event {
 	if f.stage == stageRunning {
 		f.stage = stageReady
 	}
@@ -147,25 +147,27 @@
 // serves one query.
 func (f *Front) startQuery(call *Call) {
 	call.Account, call.Schema = f.account, f.schema
-	if f.account.Keyed {
+	if f.account.NeedsReplayKey {
 		if f.replayKey == "" {
 			f.sendError(1, erUnknownError, "nothing ran: this account's loads need SET @replay_key='...' before each")
 			return
 		}
-		call.Key, f.replayKey = f.replayKey, ""
+		call.ReplayKey, f.replayKey = f.replayKey, ""
 	}
 	f.stage = stageRunning
 	f.events = append(f.events, Event{Call: call})
 }
 
-// Refusal is the ERR packet for a query that was rejected because of load; its message gives the time after which to retry.
-func Refusal(retryAfter time.Duration) []byte {
+// RejectedPacket is the ERR packet for a query that was rejected because of load; its message gives the time after which to retry.
+func RejectedPacket(retryAfter time.Duration) []byte {
 	message := fmt.Sprintf("Overloaded, trying again is harmless: come back in %d ms", retryAfter.Milliseconds())
 	return errPacket(1, erConCount, message)
 }
 
-// Deadline is the ERR packet for a query that had no result within the account's budget.
-func Deadline() []byte { return errPacket(1, erQueryTimeout, "no answer within the account's budget") }
+// DeadlineExceededPacket is the ERR packet for a query that had no result within the account's budget.
+func DeadlineExceededPacket() []byte {
+	return errPacket(1, erQueryTimeout, "no answer within the account's budget")
+}
 
-// Failure is the ERR packet for a query that failed and may have run.
-func Failure() []byte { return errPacket(1, erUnknownError, "the query failed and may have run") }
+// FailedPacket is the ERR packet for a query that failed and may have run.
+func FailedPacket() []byte { return errPacket(1, erUnknownError, "the query failed and may have run") }
--- a/internal/protocol/mysql/front_commands.go
+++ b/internal/protocol/mysql/front_commands.go
@@ -121,7 +121,7 @@
 		return
 	}
 	s.clearLongData()
-	f.startQuery(&Call{Text: s.text, Execute: execution})
+	f.startQuery(&Call{Text: s.text, Execution: execution})
 }
 
 // handleLongData handles COM_STMT_SEND_LONG_DATA. It has no response, so data that cannot be kept is dropped.
--- a/internal/protocol/mysql/golden_test.go
+++ b/internal/protocol/mysql/golden_test.go
@@ -41,23 +41,23 @@
 	fmt.Fprintf(&out, "greeting %q\n", greeting)
 	for _, in := range slices.Concat([][]byte{loginBytes(t)}, goldenCommands()) {
 		fmt.Fprintf(&out, "in %q\n", in)
-		events := f.Feed(in)
+		events := f.Received(in)
 		for _, e := range slices.Clone(events) {
 			if e.Call != nil {
-				events = append(events, f.Done()...)
+				events = append(events, f.QueryEnded()...)
 			}
 		}
 		for _, e := range events {
 			fmt.Fprintf(&out, "  write %q close %v\n", e.Write, e.Close)
 			if c := e.Call; c != nil {
-				fmt.Fprintf(&out, "  call schema %q text %q key %q\n", c.Schema, c.Text, c.Key)
-				if c.Execute != nil {
-					fmt.Fprintf(&out, "  execute %q\n", slices.Concat(c.Execute.longDataPackets(5), c.Execute.executePacket(5)))
+				fmt.Fprintf(&out, "  call schema %q text %q key %q\n", c.Schema, c.Text, c.ReplayKey)
+				if c.Execution != nil {
+					fmt.Fprintf(&out, "  execute %q\n", slices.Concat(c.Execution.longDataPackets(5), c.Execution.executePacket(5)))
 				}
 			}
 		}
 	}
-	for _, answer := range [][]byte{Refusal(1500 * time.Millisecond), Refusal(0), Deadline(), Failure()} {
+	for _, answer := range [][]byte{RejectedPacket(1500 * time.Millisecond), RejectedPacket(0), DeadlineExceededPacket(), FailedPacket()} {
 		fmt.Fprintf(&out, "answer %q\n", answer)
 	}
 	testutil.Golden(t, "front.golden", []byte(out.String()))
@@ -74,7 +74,7 @@
 	preparedAnswer := slices.Concat(frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}), frame(2, []byte(definition)), eofPacket(3))
 	for _, execute := range []*Execution{nil, prepared} {
 		var memory [2]any
-		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", Key: "'k'", Execute: execute}
+		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", ReplayKey: "'k'", Execution: execute}
 		x, steps := NewExchange(call, "u", "p")
 		note("new", steps)
 		note("opened", x.Connected(attempt.Primary, &memory[0], permission))
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -55,13 +55,13 @@
 		}
 		for len(rest) > 0 {
 			n := rapid.IntRange(1, len(rest)).Draw(rt, "piece")
-			collect(f.Feed(rest[:n]))
+			collect(f.Received(rest[:n]))
 			rest = rest[n:]
 		}
-		if len(calls) != 1 || calls[0].Execute == nil || calls[0].Execute.Params != 1 {
+		if len(calls) != 1 || calls[0].Execution == nil || calls[0].Execution.Params != 1 {
 			rt.Fatalf("calls %+v while the first query runs", calls)
 		}
-		collect(f.Done())
+		collect(f.QueryEnded())
 		if len(calls) != 2 || calls[1].Text != "SELECT 1" {
 			rt.Fatalf("calls %+v after the first query", calls)
 		}
@@ -75,16 +75,16 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFront(t)
 		if rapid.Bool().Draw(rt, "logged in") {
-			f.Feed(login)
+			f.Received(login)
 		}
 		for _, p := range rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 0, 40)).Draw(rt, "packets") {
 			if len(p) > 0 && rapid.Bool().Draw(rt, "known command") {
 				p[0] = rapid.SampledFrom(commands).Draw(rt, "command")
 			}
-			f.Feed(frame(0, p))
-			f.Done()
+			f.Received(frame(0, p))
+			f.QueryEnded()
 		}
-		f.Feed(rapid.SliceOf(rapid.Byte()).Draw(rt, "bytes"))
+		f.Received(rapid.SliceOf(rapid.Byte()).Draw(rt, "bytes"))
 	})
 }
 
@@ -241,9 +241,9 @@
 		frame(2, []byte(definition)),
 	})
 	rapid.Check(t, func(rt *rapid.T) {
-		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", Key: "'k'"}
+		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", ReplayKey: "'k'"}
 		if rapid.Bool().Draw(rt, "prepared") {
-			call.Execute = &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}}
+			call.Execution = &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}}
 		}
 		x, _ := NewExchange(call, "u", "p")
 		var memory [2]any
--- a/internal/protocol/vrrp/golden_test.go
+++ b/internal/protocol/vrrp/golden_test.go
@@ -16,9 +16,9 @@
 	note := func(event string, steps []Step) {
 		fmt.Fprintf(&out, "%s\n", event)
 		for _, s := range steps {
-			fmt.Fprintf(&out, "  send %x timer %v stop %v\n", s.Send, s.Alarm, s.Quiet)
-			if s.Now != nil {
-				fmt.Fprintf(&out, "  state %d\n", *s.Now)
+			fmt.Fprintf(&out, "  send %x timer %v stop %v\n", s.Send, s.StartTimer, s.StopTimer)
+			if s.NewState != nil {
+				fmt.Fprintf(&out, "  state %d\n", *s.NewState)
 			}
 		}
 	}
--- a/internal/protocol/vrrp/router.go
+++ b/internal/protocol/vrrp/router.go
@@ -21,10 +21,10 @@
 
 // Step is what the driver is to do next. Zero fields have no effect.
 type Step struct {
-	Send  []byte        // an advertisement for all peers
-	Alarm time.Duration // (re)start the timer; there is one timer
-	Quiet bool          // stop the timer
-	Now   *State        // the new state
+	Send       []byte        // an advertisement for all peers
+	StartTimer time.Duration // (re)start the timer; there is one timer
+	StopTimer  bool          // stop the timer
+	NewState   *State        // the new state
 }
 
 // Router is the state machine of a virtual router on one router.
@@ -57,7 +57,7 @@
 
 func (r *Router) transition(s State) Step {
 	r.state = s
-	return Step{Now: &s}
+	return Step{NewState: &s}
 }
 
 func (r *Router) advertise(priority uint8) Step {
@@ -67,7 +67,7 @@
 
 // advertiseAndWait sends an advertisement and starts the timer for the next.
 func (r *Router) advertiseAndWait() []Step {
-	return []Step{r.advertise(r.config.Priority), {Alarm: r.config.Interval}}
+	return []Step{r.advertise(r.config.Priority), {StartTimer: r.config.Interval}}
 }
 
 // Startup handles the Startup event in the state Initialize (RFC 9568 section 6.4.1): the owner of the addresses becomes
@@ -80,7 +80,7 @@
 		return r.becomeActive()
 	}
 	r.activeInterval = r.config.Interval
-	return []Step{{Alarm: r.activeDownInterval()}, r.transition(Backup)}
+	return []Step{{StartTimer: r.activeDownInterval()}, r.transition(Backup)}
 }
 
 func (r *Router) becomeActive() []Step {
@@ -94,7 +94,7 @@
 	if previous == Initialize {
 		return nil
 	}
-	steps := []Step{{Quiet: true}, r.transition(Initialize)}
+	steps := []Step{{StopTimer: true}, r.transition(Initialize)}
 	if previous == Master {
 		steps = append([]Step{r.advertise(releasePriority)}, steps...)
 	}
@@ -149,10 +149,10 @@
 func (r *Router) handleAsBackup(a advertisement) []Step {
 	switch {
 	case a.priority == releasePriority:
-		return []Step{{Alarm: max(intervalUnit, r.skewTime())}}
+		return []Step{{StartTimer: max(intervalUnit, r.skewTime())}}
 	case !r.config.Preempt || a.priority >= r.config.Priority:
 		r.activeInterval = a.interval
-		return []Step{{Alarm: r.activeDownInterval()}}
+		return []Step{{StartTimer: r.activeDownInterval()}}
 	}
 	return nil
 }
@@ -165,7 +165,7 @@
 		return r.advertiseAndWait()
 	case r.yieldsTo(from, a.priority):
 		r.activeInterval = a.interval
-		return []Step{{Alarm: r.activeDownInterval()}, r.transition(Backup)}
+		return []Step{{StartTimer: r.activeDownInterval()}, r.transition(Backup)}
 	}
 	return []Step{r.advertise(r.config.Priority)}
 }
--- a/internal/protocol/vrrp/vrrp_test.go
+++ b/internal/protocol/vrrp/vrrp_test.go
@@ -34,8 +34,8 @@
 // timer returns the timer that steps start; 0 for none.
 func timer(steps []Step) time.Duration {
 	for _, s := range steps {
-		if s.Alarm > 0 {
-			return s.Alarm
+		if s.StartTimer > 0 {
+			return s.StartTimer
 		}
 	}
 	return 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,9 +16,9 @@
 	Module          policy.Settings
 	ConnIdleTimeout time.Duration // engines close connections that were idle for so long
 	ConnectTimeout  time.Duration
-	MaxOpen         int           // requests that may be pending at once; 0 = no limit
-	ComeBack        time.Duration // maximum Retry-After of a rejection
-	Models          []string      // names of the engine kinds, by number
+	MaxPending      int           // requests that may be pending at once; 0 = no limit
+	MaxRetryAfter   time.Duration // maximum Retry-After of a rejection
+	EngineKinds     []string      // names of the engine kinds, by number
 	Zones           []string      // names of the zones, by number
 	PeerMessages    bool          // gateways may send each other datagrams
 }
@@ -44,8 +44,8 @@
 	}
 	p := s.Permissions
 	return Host{
-		Module: module, ConnIdleTimeout: p.ConnIdle, ConnectTimeout: p.ConnectTimeout, MaxOpen: p.MaxOpen,
-		ComeBack: p.MaxRetryAfter, Models: s.Models, Zones: s.Zones, PeerMessages: p.PeerMessages,
+		Module: module, ConnIdleTimeout: p.ConnIdle, ConnectTimeout: p.ConnectTimeout, MaxPending: p.MaxOpen,
+		MaxRetryAfter: p.MaxRetryAfter, EngineKinds: s.Models, Zones: s.Zones, PeerMessages: p.PeerMessages,
 	}, nil
 }
 
--- a/internal/settings/subset.go
+++ b/internal/settings/subset.go
@@ -12,7 +12,7 @@
 
 // Subset has the gateway use a subset of the engines. A key that is nil has the default of the package subset.
 type Subset struct {
-	Least      *int64     `toml:"least"`       // minimum number of engines
+	MinEngines *int64     `toml:"least"`       // minimum number of engines
 	Rate       *float64   `toml:"rate"`        // statements per second of one gateway
 	EngineRate *float64   `toml:"engine_rate"` // statements per second that one gateway sends to one engine
 	Coverage   *int64     `toml:"coverage"`    // minimum of the mean number of gateways per engine
@@ -50,8 +50,8 @@
 // sizes returns the section's configuration without the regions.
 func (s Subset) sizes() (subset.Config, error) {
 	config := subset.DefaultConfig()
-	if s.Least != nil {
-		config.Least = int(*s.Least)
+	if s.MinEngines != nil {
+		config.MinEngines = int(*s.MinEngines)
 	}
 	if s.Rate != nil {
 		if *s.Rate <= 0 {
--- a/internal/testbed/capacity/catalogue.go
+++ b/internal/testbed/capacity/catalogue.go
@@ -92,7 +92,7 @@
 // phaseDefinitions returns the slopes of a phase. Without a fault, and after one has settled, gossip costs a gateway the
 // same in a fleet of any size, so those curves are flat.
 func phaseDefinitions(phase Phase) (list []Definition) {
-	units := map[PhaseQuantity]string{PeakDatagrams: PerSecond, PeakProcessor: SecondsPerSecond, ConvergenceSeconds: Seconds}
+	units := map[PhaseQuantity]string{PeakDatagrams: PerSecond, PeakProcessorTime: SecondsPerSecond, ConvergenceSeconds: Seconds}
 	for _, quantity := range PhaseQuantities(phase) {
 		unit, form := units[quantity], Power
 		if unit == "" {
--- a/internal/testbed/capacity/fault.go
+++ b/internal/testbed/capacity/fault.go
@@ -93,8 +93,8 @@
 	decision := m.decisionCost(state.Engines, state.Statements)
 	total := decision.Add(m.connectionCost(state.Engines)).Add(m.membershipCost(t.Gateways)).
 		Add(m.reportCost(t.Gateways, state.Engines))
-	quiet := m.estimate(PeakProcessor.SlopeName(Quiet), t.Gateways)
-	total.Processor += max(0, m.estimate(PeakProcessor.SlopeName(phase), t.Gateways)-quiet)
+	quiet := m.estimate(PeakProcessorTime.SlopeName(Quiet), t.Gateways)
+	total.Processor += max(0, m.estimate(PeakProcessorTime.SlopeName(phase), t.Gateways)-quiet)
 	total.BytesPerSecond = m.estimate(PeakBytesWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond
 	peak := Peak{
 		State: state, Decisions: decision.Processor, Total: total,
--- a/internal/testbed/capacity/measure/connections.go
+++ b/internal/testbed/capacity/measure/connections.go
@@ -77,7 +77,7 @@
 	defer server.close()
 	loop, stop := startLoop()
 	defer stop()
-	pool := enginepool.New(loop, discardLogger(), connectTimeout, time.Hour, enginepool.Budget{Most: connections, Urgent: 1})
+	pool := enginepool.New(loop, discardLogger(), connectTimeout, time.Hour, enginepool.Budget{Max: connections, Urgent: 1})
 	time.Sleep(settleDelay)
 	before := liveMemory()
 	if err := openIdleConnections(loop, pool, server, connections); err != nil {
--- a/internal/testbed/capacity/measure/discovery.go
+++ b/internal/testbed/capacity/measure/discovery.go
@@ -48,7 +48,7 @@
 // newCore returns the core of a gateway with the target's settings.
 func newCore() (*core.Core, error) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	host := settings.Host{ComeBack: time.Second, Models: []string{engineKind}, MaxOpen: 20_000, Module: decisionSettings(800)}
+	host := settings.Host{MaxRetryAfter: time.Second, EngineKinds: []string{engineKind}, MaxPending: 20_000, Module: decisionSettings(800)}
 	for zone := range zoneCount {
 		host.Zones = append(host.Zones, zoneName(zone))
 	}
--- a/internal/testbed/capacity/measure/faults.go
+++ b/internal/testbed/capacity/measure/faults.go
@@ -53,7 +53,7 @@
 		{capacity.ZoneLost, func(f *fleet) { f.killFirst(zoneCount) }, 60 * second, 35 * second, false},
 		{capacity.ZoneRecovered, (*fleet).startStopped, 40 * second, 20 * second, false},
 		{capacity.RegionsPartitioned, (*fleet).partition, 120 * second, 60 * second, true},
-		{capacity.PartitionHealed, func(f *fleet) { f.Cut = nil }, 60 * second, 30 * second, false},
+		{capacity.PartitionHealed, func(f *fleet) { f.Drops = nil }, 60 * second, 30 * second, false},
 	}
 }
 
@@ -61,7 +61,7 @@
 func restartOne(f *fleet) {
 	last := f.setup.Gateways - 1
 	f.Leave(last)
-	f.At(5*time.Second, func() { f.Start(last, 0) })
+	f.After(5*time.Second, func() { f.Start(last, 0) })
 }
 
 // killFirst kills one in divisor of the gateways, those with the lowest numbers.
@@ -83,7 +83,7 @@
 // partition partitions the fleet into two halves.
 func (f *fleet) partition() {
 	half := f.setup.Gateways / 2
-	f.Cut = func(from, to int) bool { return (from < half) != (to < half) }
+	f.Drops = func(from, to int) bool { return (from < half) != (to < half) }
 }
 
 // Faults runs all phases on one fleet and returns the cost of each. A phase lasts until the fleet has settled if full is
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -32,14 +32,14 @@
 func newFleet(setup FleetSetup) (*fleet, error) {
 	f := &fleet{setup: setup, digests: make([]*loadreport.Digest, setup.Gateways), random: rand.New(rand.NewPCG(setup.Seed, 23))}
 	running, err := simulation.New(simulation.Setup{Members: setup.Gateways, Seed: setup.Seed, Loss: setup.Loss,
-		Spread: time.Second, Every: 1 << 30, Make: f.newDetector})
+		StartSpread: time.Second, CheckInterval: 1 << 30, NewDetector: f.newDetector})
 	if err != nil {
 		return nil, err
 	}
 	f.Fleet = running
 	if setup.Engines > 0 {
-		running.Seen = f.handleEvent
-		running.At(0, f.recordReports)
+		running.OnEvent = f.handleEvent
+		running.After(0, f.recordReports)
 	}
 	return f, nil
 }
@@ -84,7 +84,7 @@
 			digest.Record(f.Now, engineNumber(f.random.IntN(f.setup.Engines)), f.random.IntN(20))
 		}
 	}
-	f.At(reportInterval, f.recordReports)
+	f.After(reportInterval, f.recordReports)
 }
 
 // randomRound rounds up or down at random such that the mean of its results is the given value.
--- a/internal/testbed/capacity/measure/measure_test.go
+++ b/internal/testbed/capacity/measure/measure_test.go
@@ -91,7 +91,7 @@
 
 // A run of one group returns the slopes of that group only, and each can be fitted.
 func TestSlopesOfOneGroup(t *testing.T) {
-	slopes, err := Slopes(Options{Seed: 1, Quick: true, Only: capacity.GroupStaged, Note: t.Logf})
+	slopes, err := Slopes(Options{Seed: 1, Quick: true, Group: capacity.GroupStaged, Logf: t.Logf})
 	if err != nil || len(slopes) != 2 {
 		t.Fatalf("%d slopes, %v", len(slopes), err)
 	}
@@ -110,7 +110,7 @@
 	if !errors.As(err, &limit) || limit.Allowed != allowed || limit.Needed <= allowed {
 		t.Errorf("full run: error %v, want a MemoryLimitError", err)
 	}
-	for name, options := range map[string]Options{"quick": {Quick: true}, "small group": {Only: capacity.GroupDecision}} {
+	for name, options := range map[string]Options{"quick": {Quick: true}, "small group": {Group: capacity.GroupDecision}} {
 		t.Run(name, func(t *testing.T) {
 			if err := options.CheckMemory(allowed); err != nil {
 				t.Errorf("%+v: %v", options, err)
--- a/internal/testbed/capacity/measure/memory.go
+++ b/internal/testbed/capacity/measure/memory.go
@@ -40,4 +40,4 @@
 }
 
 // runs reports whether a group is measured.
-func (o Options) runs(group capacity.Group) bool { return o.Only == "" || o.Only == group }
+func (o Options) runs(group capacity.Group) bool { return o.Group == "" || o.Group == group }
--- a/internal/testbed/capacity/measure/plan.go
+++ b/internal/testbed/capacity/measure/plan.go
@@ -9,11 +9,11 @@
 
 // Options select the measurements of a run.
 type Options struct {
-	Seed   uint64
-	Quick  bool                        // smaller sizes, one run each
-	Only   capacity.Group              // the one group to measure; "" = all
-	Faults int                         // fault runs at each size; at least one is made
-	Note   func(text string, a ...any) // reports progress, as fmt.Printf does
+	Seed      uint64
+	Quick     bool                        // smaller sizes, one run each
+	Group     capacity.Group              // the one group to measure; "" = all
+	FaultRuns int                         // fault runs at each size; at least one is made
+	Logf      func(text string, a ...any) // reports progress, as fmt.Printf does
 }
 
 // Conditions of the measurements.
@@ -87,7 +87,7 @@
 		if !p.runs(group) {
 			continue
 		}
-		p.Note("measures %s", group)
+		p.Logf("measures %s", group)
 		if err := measurements[group](); err != nil {
 			return nil, fmt.Errorf("%s: %w", group, err)
 		}
@@ -183,7 +183,7 @@
 }
 
 func (p *plan) faults() error {
-	for run := range max(1, p.Faults) {
+	for run := range max(1, p.FaultRuns) {
 		for _, gateways := range p.gateways {
 			if err := p.faultsAt(gateways, p.Seed+uint64(run)); err != nil {
 				return err
@@ -224,7 +224,7 @@
 	add(capacity.PeakBurst, cost.Burst)
 	add(capacity.PeakTopSender, cost.TopSender)
 	add(capacity.PeakDatagrams, cost.Datagrams)
-	add(capacity.PeakProcessor, cost.Processor)
+	add(capacity.PeakProcessorTime, cost.Processor)
 	add(capacity.SettledBytes, cost.Settled)
 	if cost.Phase != capacity.RegionsPartitioned {
 		add(capacity.ConvergenceSeconds, cost.ConvergenceSeconds)
--- a/internal/testbed/capacity/model.go
+++ b/internal/testbed/capacity/model.go
@@ -15,8 +15,8 @@
 	curve Fit
 }
 
-// NewModel returns the model of the expected fleet. The result must have all slopes, as DecodeResult ensures.
-func NewModel(result Result) Model {
+// New returns the model of the expected fleet. The result must have all slopes, as DecodeResult ensures.
+func New(result Result) Model {
 	m := Model{Target: Expected(), Result: result, fitted: map[string]fittedSlope{}}
 	for _, slope := range result.Slopes {
 		m.fitted[slope.Name] = fittedSlope{slope, slope.Fit()}
--- a/internal/testbed/capacity/model_test.go
+++ b/internal/testbed/capacity/model_test.go
@@ -47,7 +47,7 @@
 
 // The quiet total is the sum of all roles without client connections, here computed by hand from the slopes.
 func TestQuietTotal(t *testing.T) {
-	m := NewModel(resultOf(1e-6))
+	m := New(resultOf(1e-6))
 	total := m.QuietTotal()
 	processor := 1100*1e-6*1625 + 1100*1e-6 // decisions; membership and load reports together
 	if !nearlyEqual(total.Processor, processor) {
@@ -64,7 +64,7 @@
 
 // The load of a lost zone moves to the other zones; partitioned regions keep theirs.
 func TestStatesOfFaults(t *testing.T) {
-	m := NewModel(resultOf(1))
+	m := New(resultOf(1))
 	for _, state := range m.States() {
 		total := state.Statements * state.Gateways
 		if state.Phase == RegionsPartitioned {
@@ -82,7 +82,7 @@
 
 // Requirements are ranked by the fleet that misses them; those that the target meets come last.
 func TestRankingOrder(t *testing.T) {
-	ranking := NewModel(resultOf(0.1)).Ranking()
+	ranking := New(resultOf(0.1)).Ranking()
 	previous, met := 0.0, false
 	for _, requirement := range ranking {
 		met = met || !requirement.Missed
@@ -123,7 +123,7 @@
 		scale.Table().Rows[0][7] != "41.5" {
 		t.Fatalf("%+v, %v", scale, err)
 	}
-	if text := NewModel(resultOf(1)).Blocks(nil)[blockScale]; text != NotMeasured {
+	if text := New(resultOf(1)).Blocks(nil)[blockScale]; text != NotMeasured {
 		t.Errorf("%q", text)
 	}
 }
--- a/internal/testbed/capacity/names.go
+++ b/internal/testbed/capacity/names.go
@@ -58,7 +58,7 @@
 	PeakBurst                PhaseQuantity = "bytes a second, highest over 5 s"
 	PeakTopSender            PhaseQuantity = "bytes a second of the gateway that sends most, highest over 10 s"
 	PeakDatagrams            PhaseQuantity = "datagrams a second, highest over 10 s"
-	PeakProcessor            PhaseQuantity = "processor time a second, highest over 10 s"
+	PeakProcessorTime        PhaseQuantity = "processor time a second, highest over 10 s"
 	SettledBytes             PhaseQuantity = "bytes a second, last 10 s of the phase"
 	ConvergenceSeconds       PhaseQuantity = "seconds until all views are right"
 	PeakBytesWithReports     PhaseQuantity = "bytes a second with load reports, highest over 10 s"
@@ -73,7 +73,7 @@
 // PhaseQuantities returns the quantities that have a slope in a phase. While regions are partitioned the views of their
 // members differ by design, so there is no time of convergence.
 func PhaseQuantities(phase Phase) []PhaseQuantity {
-	list := []PhaseQuantity{PeakBytes, PeakBurst, PeakTopSender, PeakDatagrams, PeakProcessor, SettledBytes,
+	list := []PhaseQuantity{PeakBytes, PeakBurst, PeakTopSender, PeakDatagrams, PeakProcessorTime, SettledBytes,
 		PeakBytesWithReports, PeakTopSenderWithReports}
 	if phase != RegionsPartitioned {
 		list = append(list, ConvergenceSeconds)
--- a/internal/testbed/emulator/baseline.go
+++ b/internal/testbed/emulator/baseline.go
@@ -240,9 +240,9 @@
 	case r.code == http.StatusOK && r.body == Rows(request.ID):
 		return Served
 	case r.code == http.StatusOK:
-		return Spoilt
+		return Corrupted
 	case r.code == http.StatusServiceUnavailable:
-		return Refused
+		return Rejected
 	}
 	return Failed
 }
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -311,7 +311,7 @@
 	p := k.pending[r.ID]
 	if p == nil || err != nil {
 		if o := k.answered[r.ID]; o != nil {
-			o.Twice++
+			o.DuplicateAnswers++
 		}
 		return
 	}
@@ -329,11 +329,11 @@
 func verdictOf(r reply, request Request) Verdict {
 	switch {
 	case r.Error != nil && r.Error.Code == codeRejected:
-		return Refused
+		return Rejected
 	case r.Error != nil || r.Result == nil:
 		return Failed
 	case r.Result.Blob != base64.StdEncoding.EncodeToString([]byte(Rows(request.ID))):
-		return Spoilt
+		return Corrupted
 	}
 	return Served
 }
--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -48,10 +48,10 @@
 
 // Totals count what an engine has seen since its start.
 type Totals struct {
-	Arrived  int // queries
-	Rejected int // of them, since the engine was full
-	Conns    int // connections open now
-	Twice    int // queries submitted again while they were running
+	Arrived     int // queries
+	Rejected    int // of them, since the engine was full
+	Conns       int // connections open now
+	Resubmitted int // queries submitted again while they were running
 }
 
 // queryState is a query that the engine runs, or whose result can still be polled.
@@ -123,8 +123,8 @@
 	e.goroutines.Wait()
 }
 
-// Silence makes the engine accept every call and answer none, as one that hangs; or makes it answer again.
-func (e *Engine) Silence(on bool) { e.locked(func() { e.silent = on }) }
+// SetHung makes the engine accept every call and answer none, as one that hangs; or makes it answer again.
+func (e *Engine) SetHung(on bool) { e.locked(func() { e.silent = on }) }
 
 // SetStolenShare sets the share of the machine, from 0 to 1, that other programs take.
 func (e *Engine) SetStolenShare(share float64) {
@@ -147,8 +147,8 @@
 	return load, totals, collapsed
 }
 
-// Pressed returns the highest pressure on the engine while it was warming up.
-func (e *Engine) Pressed() (p Pressure) {
+// PeakPressure returns the highest pressure on the engine while it was warming up.
+func (e *Engine) PeakPressure() (p Pressure) {
 	e.locked(func() { p = e.model.PeakPressure() })
 	return p
 }
--- a/internal/testbed/emulator/enginehttp.go
+++ b/internal/testbed/emulator/enginehttp.go
@@ -70,7 +70,7 @@
 		return nil, Answer(http.StatusInternalServerError, "", e.reportHeader())
 	}
 	if e.queries[id] != nil && !e.queries[id].finished {
-		e.totals.Twice++
+		e.totals.Resubmitted++
 	}
 	query.ID = id
 	e.totals.Arrived++
--- a/internal/testbed/emulator/model.go
+++ b/internal/testbed/emulator/model.go
@@ -91,7 +91,7 @@
 
 // Pressure is the work that an engine was sent within CollapseWindow while warming up, and the work at which it may
 // collapse, both in seconds on one thread.
-type Pressure struct{ Sent, Bears float64 }
+type Pressure struct{ Sent, Limit float64 }
 
 // workSent is the work of one query and when it was sent.
 type workSent struct {
@@ -162,7 +162,7 @@
 	// The operators' rule: an engine collapses at more than N + 3 * sqrt(N) + 3 queries of mean work. Here N is in work.
 	bears := m.spec.CollapseFactor * m.spec.Cores * m.warmUpFactor() * m.spec.CollapseWindow.Seconds()
 	m.collapsed = m.collapsed || sum > bears+3*math.Sqrt(bears)+3
-	if m.peakPressure.Bears == 0 || sum/bears > m.peakPressure.Sent/m.peakPressure.Bears {
+	if m.peakPressure.Limit == 0 || sum/bears > m.peakPressure.Sent/m.peakPressure.Limit {
 		m.peakPressure = Pressure{sum, bears}
 	}
 }
--- a/internal/testbed/emulator/outcome.go
+++ b/internal/testbed/emulator/outcome.go
@@ -8,10 +8,10 @@
 // Verdicts of a request.
 const (
 	Served     Verdict = iota
-	Refused            // rejected without effect: a retry is harmless
+	Rejected           // rejected without effect: a retry is harmless
 	Failed             // any other error
 	Lost               // the connection ended without an answer
-	Spoilt             // answered with a result that no engine made for it
+	Corrupted          // answered with a result that no engine made for it
 	Unanswered         // no answer until answerSlack after the client's timeout
 	Unreached          // no gateway accepted a connection
 )
@@ -23,11 +23,11 @@
 
 // Outcome is how a request ended.
 type Outcome struct {
-	At      time.Duration // when it was sent, by the clients' clock
-	Gateway int
-	Class   int
-	Verdict Verdict
-	Latency time.Duration
-	InTime  bool // served within its latency objective
-	Twice   int  // answers after the first
+	At               time.Duration // when it was sent, by the clients' clock
+	Gateway          int
+	Class            int
+	Verdict          Verdict
+	Latency          time.Duration
+	InTime           bool // served within its latency objective
+	DuplicateAnswers int  // answers after the first
 }
--- a/internal/testbed/hollow/subset.go
+++ b/internal/testbed/hollow/subset.go
@@ -52,7 +52,7 @@
 	if s.chooser == nil {
 		return 1
 	}
-	return s.chooser.Overlaps(gateway)
+	return s.chooser.Overlap(gateway)
 }
 
 // updateEngines passes the list of engines to the chooser. To a hollow gateway no engine is warming up.
--- a/internal/testbed/scale/runner/members.go
+++ b/internal/testbed/scale/runner/members.go
@@ -149,7 +149,7 @@
 	if cut {
 		change = hollow.CutRegions
 		for member := range r.plan.Members() {
-			r.fleet.Relay.Side(member, r.plan.RegionOf(member))
+			r.fleet.Relay.SetPartitionSide(member, r.plan.RegionOf(member))
 		}
 	} else {
 		r.fleet.Relay.Heal()
--- a/internal/testbed/scale/runner/settings.go
+++ b/internal/testbed/scale/runner/settings.go
@@ -64,7 +64,7 @@
 		return nil
 	}
 	config := subset.DefaultConfig()
-	config.Least, config.Regions = r.plan.Subset, r.plan.ZonesByRegion()
+	config.MinEngines, config.Regions = r.plan.Subset, r.plan.ZonesByRegion()
 	return &config
 }
 
@@ -79,7 +79,7 @@
 	var sections operatorSections
 	if r.plan.Subset > 0 {
 		least := int64(r.plan.Subset)
-		sections.Subset = &settings.Subset{Least: &least, Regions: r.regionNames()}
+		sections.Subset = &settings.Subset{MinEngines: &least, Regions: r.regionNames()}
 	}
 	var text strings.Builder
 	if err := toml.NewEncoder(&text).Encode(sections); err != nil {
--- a/internal/testbed/testfleet/balance.go
+++ b/internal/testbed/testfleet/balance.go
@@ -28,7 +28,7 @@
 // Balance describes how evenly load was spread over the engines. A window lasts one second.
 type Balance struct {
 	Windows       int
-	MostMean      float64 // peak to mean: the busiest engine's threads over the mean of a window, averaged over the windows
+	PeakToMean    float64 // peak to mean: the busiest engine's threads over the mean of a window, averaged over the windows
 	PeakToMeanP95 float64 // the same, 95th percentile of the windows
 	LongestIdle   float64 // seconds for which an engine had less than half of the mean load, at most
 	Burst         float64 // arrivals at an engine in half a second over its equal share, 99.9th percentile
@@ -155,7 +155,7 @@
 	slices.Sort(s.bursts)
 	b.Windows = len(s.peakToMean)
 	for _, ratio := range s.peakToMean {
-		b.MostMean += ratio / float64(b.Windows)
+		b.PeakToMean += ratio / float64(b.Windows)
 	}
 	b.PeakToMeanP95 = quantile(s.peakToMean, peakQuantile)
 	b.Burst = quantile(s.bursts, burstQuantile)
--- a/internal/testbed/testfleet/change.go
+++ b/internal/testbed/testfleet/change.go
@@ -20,17 +20,17 @@
 
 // ChangeOptions describe a change and the fleet that it is rolled out to.
 type ChangeOptions struct {
-	Gateways, Engines int
-	Cores             float64 // of an engine
-	Load              float64 // work that clients send, as a share of what the engines' cores can do
-	Seed              uint64
-	Dir               string   // for the plan, configurations and logs
-	Program           []string // command of the old version
-	Env               []string // of all processes
-	Fault             string   // of the new version, one of emulator.Faults; "" = none
-	Settings          string   // further sections of the new version's operator's file; "" = the program changes
-	Stages            []string
-	LeastS, MostS     float64 // shortest and longest watch of a stage, in seconds
+	Gateways, Engines                int
+	Cores                            float64 // of an engine
+	Load                             float64 // work that clients send, as a share of what the engines' cores can do
+	Seed                             uint64
+	Dir                              string   // for the plan, configurations and logs
+	Program                          []string // command of the old version
+	Env                              []string // of all processes
+	Fault                            string   // of the new version, one of emulator.Faults; "" = none
+	Settings                         string   // further sections of the new version's operator's file; "" = the program changes
+	Stages                           []string
+	MinWatchSeconds, MaxWatchSeconds float64 // shortest and longest watch of a stage, in seconds
 }
 
 // Change is a fleet of processes under load, with engines, and a plan that a controller carries out.
@@ -39,7 +39,7 @@
 	Pool        *Pool
 	Fleet       *Fleet
 	Clients     *emulator.Clients
-	Checked     controller.Checked
+	Checked     controller.CheckedPlan
 	Plan        string // path of the plan
 	State       string // the controller's state folder
 	traffic     emulator.Traffic
@@ -71,7 +71,7 @@
 	if err := c.writePlan(); err != nil {
 		return c, err
 	}
-	if _, err := controller.Up(c.State, c.Checked); err != nil {
+	if _, err := controller.StartGateways(c.State, c.Checked); err != nil {
 		return c, err
 	}
 	c.Clients = emulator.NewClients(c.Fleet.Clients(), c.traffic.Classes, opt.Seed, c.clock)
@@ -141,16 +141,16 @@
 	return out
 }
 
-// Cut drops the reports of these gateways on their way to the controller; without arguments it drops none.
-func (c *Change) Cut(gateways ...int) { c.reportProxy.setCut(gateways) }
+// DropReports drops the reports of these gateways on their way to the controller; without arguments it drops none.
+func (c *Change) DropReports(gateways ...int) { c.reportProxy.setCut(gateways) }
 
 // openLog opens the log that all controllers of the change append to.
 func (c *Change) openLog() (*os.File, error) {
 	return os.OpenFile(c.path("controller.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// Carry runs a controller of the change in this process until the change has ended or the context has.
-func (c *Change) Carry(ctx context.Context) (rollout.State, error) {
+// RunController runs a controller of the change in this process until the change has ended or the context has.
+func (c *Change) RunController(ctx context.Context) (rollout.State, error) {
 	log, err := c.openLog()
 	if err != nil {
 		return rollout.State{}, err
@@ -182,13 +182,13 @@
 // Rolling is the rolling restart to compare with: each gateway in turn is restarted on the new version, and nothing
 // evaluates it.
 func (c *Change) Rolling(each time.Duration) error {
-	return controller.Rolling(c.State, c.Checked, each)
+	return controller.RollingRestart(c.State, c.Checked, each)
 }
 
 // Close ends every process of the fleet, by its process ID, and everything else that NewChange started.
 func (c *Change) Close() error {
 	var errs []error
-	for _, pid := range controller.Processes(c.Checked.Fleet) {
+	for _, pid := range controller.FindProcesses(c.Checked.Fleet) {
 		if pid > 0 {
 			errs = append(errs, syscall.Kill(pid, syscall.SIGKILL))
 		}
--- a/internal/testbed/testfleet/changeplan.go
+++ b/internal/testbed/testfleet/changeplan.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net"
+	"net/netip"
 	"os"
 	"path/filepath"
 	"slices"
@@ -76,7 +77,7 @@
 	if err := c.writeOperatorFiles(); err != nil {
 		return err
 	}
-	listen, err := freeUDPAddr()
+	listen, err := freeUDPAddr(loopbackAddr(c.options.Seed))
 	if err != nil {
 		return err
 	}
@@ -134,7 +135,7 @@
 	return fmt.Sprintf(changePlan, opt.Seed, FleetName, listen, c.reportProxy.addr(), configs, tomlStrings(opt.Stages),
 		opt.Program[0], args, tomlStrings(opt.Env), c.path(oldOperatorFile),
 		newProgram, args, tomlStrings(newEnv), c.path(newOperatorFile),
-		opt.LeastS, opt.MostS, statement)
+		opt.MinWatchSeconds, opt.MaxWatchSeconds, statement)
 }
 
 // path is the path of a file in the folder of the change.
@@ -149,12 +150,13 @@
 	return strings.Join(quoted, ", ")
 }
 
-// freeUDPAddr is a loopback address with a UDP port that is free.
-func freeUDPAddr() (string, error) {
-	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+// freeUDPAddr returns an address with a free UDP port. On loopbackAddr hardly anybody else takes the port until the controller
+// listens there.
+func freeUDPAddr(addr netip.Addr) (string, error) {
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
 	if err != nil {
 		return "", err
 	}
-	addr := conn.LocalAddr().String()
-	return addr, conn.Close()
+	listen := conn.LocalAddr().String()
+	return listen, conn.Close()
 }
--- a/internal/testbed/testfleet/fleet.go
+++ b/internal/testbed/testfleet/fleet.go
@@ -13,19 +13,19 @@
 
 // Options describe a fleet.
 type Options struct {
-	Gateways       int
-	Seed           uint64
-	Dir            string        // of configurations and logs, which exists
-	Command        []string      // command of a gateway
-	Env            []string      // of the gateways, beside that of this process
-	Interval       time.Duration // of the membership protocol; 0 = its default
-	Link           Link          // between any two gateways
-	Engines        []Engine
-	Settings       func(gateways, self int) string // the platform's settings object, as JSON; nil = defaultSettings
-	Operator       string                          // further sections of the operator's file, as TOML
-	RemoteMembers  int                             // members that the caller runs, at RemoteAddrs
-	MaxDescriptors int                             // descriptors that a gateway may use; 0 = defaultMaxDescriptors
-	Bare           bool                            // no operator's file: for versions of the program without membership
+	Gateways            int
+	Seed                uint64
+	Dir                 string        // of configurations and logs, which exists
+	Command             []string      // command of a gateway
+	Env                 []string      // of the gateways, beside that of this process
+	Interval            time.Duration // of the membership protocol; 0 = its default
+	Link                Link          // between any two gateways
+	Engines             []Engine
+	Settings            func(gateways, self int) string // the platform's settings object, as JSON; nil = defaultSettings
+	Operator            string                          // further sections of the operator's file, as TOML
+	RemoteMembers       int                             // members that the caller runs, at RemoteAddrs
+	MaxDescriptors      int                             // descriptors that a gateway may use; 0 = defaultMaxDescriptors
+	WithoutOperatorFile bool                            // no operator's file: for versions of the program without membership
 }
 
 // Fleet runs gateways as processes of the program, with the relay and the discovery server that they need. Its methods may
@@ -67,7 +67,7 @@
 		f.Relay.Close()
 		return nil, err
 	}
-	f.Relay.Usual(opt.Link)
+	f.Relay.SetDefaultLink(opt.Link)
 	if len(opt.Engines) == 0 {
 		opt.Engines = []Engine{{Name: "e1", Addr: "127.0.0.1:1", Zone: "z", Kind: "m", State: "in_service"}}
 	}
@@ -114,7 +114,7 @@
 		return err
 	}
 	operator := f.operatorFile
-	if f.options.Bare {
+	if f.options.WithoutOperatorFile {
 		operator = ""
 	}
 	env := append([]string{"GW_CONFIG=" + conf, "FROSTPIER_OPERATOR=" + operator, "GW_LISTEN="}, f.options.Env...)
--- a/internal/testbed/testfleet/play.go
+++ b/internal/testbed/testfleet/play.go
@@ -138,10 +138,10 @@
 		time.Sleep(duration)
 		return forEach(affected, f.Resume)
 	case DoNetwork:
-		f.Relay.Usual(step.Network.Link())
+		f.Relay.SetDefaultLink(step.Network.Link())
 		time.Sleep(duration)
 		if duration > 0 {
-			f.Relay.Usual(f.options.Link)
+			f.Relay.SetDefaultLink(f.options.Link)
 		}
 	case DoQuiet:
 		time.Sleep(duration)
@@ -165,7 +165,7 @@
 	case DoCut:
 		f.Relay.Set(step.From, gateway, Link{Cut: true})
 	case DoSplit:
-		f.Relay.Side(gateway, 1)
+		f.Relay.SetPartitionSide(gateway, 1)
 	}
 }
 
--- a/internal/testbed/testfleet/pool.go
+++ b/internal/testbed/testfleet/pool.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Fallen returns how many engines have collapsed under load while warming up.
-func (p *Pool) Fallen() int {
+// Collapsed returns how many engines have collapsed under load while warming up.
+func (p *Pool) Collapsed() int {
 	n := p.collapsedEnded
 	for _, e := range p.Engines() {
 		if _, _, collapsed := e.Load(); collapsed {
--- a/internal/testbed/testfleet/relay.go
+++ b/internal/testbed/testfleet/relay.go
@@ -12,11 +12,11 @@
 
 // Link describes the network from one gateway to another.
 type Link struct {
-	Cut      bool          // nothing arrives
-	Loss     float64       // share of datagrams lost
-	Double   float64       // share of datagrams duplicated
-	DelayMin time.Duration // delays are uniform between the two, so that datagrams are reordered
-	DelayMax time.Duration
+	Cut       bool          // nothing arrives
+	Loss      float64       // share of datagrams lost
+	Duplicate float64       // share of datagrams duplicated
+	DelayMin  time.Duration // delays are uniform between the two, so that datagrams are reordered
+	DelayMax  time.Duration
 }
 
 // Relay forwards datagrams between gateways. Each gateway has one face: the relay's address that the other gateways know it
@@ -88,8 +88,8 @@
 	r.goroutines.Wait()
 }
 
-// Usual sets the link of all pairs for which Set has set none.
-func (r *Relay) Usual(l Link) { r.locked(func() { r.defaultLink = l }) }
+// SetDefaultLink sets the link of all pairs for which Set has set none.
+func (r *Relay) SetDefaultLink(l Link) { r.locked(func() { r.defaultLink = l }) }
 
 // Set sets the link from one gateway to another.
 func (r *Relay) Set(from, to int, l Link) { r.locked(func() { r.links[[2]int{from, to}] = l }) }
@@ -100,8 +100,8 @@
 // DropOutbound starts or stops dropping all datagrams from a gateway.
 func (r *Relay) DropOutbound(i int, on bool) { r.locked(func() { r.dropOutbound[i] = on }) }
 
-// Side puts a gateway on a side of a network partition, across which nothing passes. All start on side 0.
-func (r *Relay) Side(i, side int) { r.locked(func() { r.side[i] = side }) }
+// SetPartitionSide puts a gateway on a side of a network partition, across which nothing passes. All start on side 0.
+func (r *Relay) SetPartitionSide(i, side int) { r.locked(func() { r.side[i] = side }) }
 
 // Heal removes all faults but those of the link that Usual has set.
 func (r *Relay) Heal() {
@@ -175,7 +175,7 @@
 		return
 	}
 	copies := 1
-	if r.random.Float64() < link.Double {
+	if r.random.Float64() < link.Duplicate {
 		copies = 2
 	}
 	for range copies {
--- a/internal/testbed/testfleet/relay_test.go
+++ b/internal/testbed/testfleet/relay_test.go
@@ -82,7 +82,7 @@
 	f.expect(0, 1, "the other way")
 	f.send(2, 1, "another pair") // had the first passed, it would come before this one
 	f.expect(1, 2, "another pair")
-	f.relay.Set(0, 1, Link{Double: 1})
+	f.relay.Set(0, 1, Link{Duplicate: 1})
 	f.send(0, 1, "twice")
 	f.expect(1, 0, "twice")
 	f.expect(1, 0, "twice")
@@ -90,7 +90,7 @@
 	f.send(0, 1, "outbound")
 	f.waitSent(4) // what becomes of a datagram is decided when the relay reads it
 	f.relay.Heal()
-	f.relay.Side(2, 1)
+	f.relay.SetPartitionSide(2, 1)
 	f.send(0, 2, "cut off")
 	f.waitSent(5)
 	f.send(0, 1, "healed")
--- a/internal/testbed/testfleet/reportproxy.go
+++ b/internal/testbed/testfleet/reportproxy.go
@@ -62,7 +62,7 @@
 }
 
 func (p *reportProxy) serve() {
-	buf := make([]byte, rollout.MostReport+1) // a report that fills it is too long to be valid
+	buf := make([]byte, rollout.MaxReportBytes+1) // a report that fills it is too long to be valid
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/testbed/testfleet/scenario.go
+++ b/internal/testbed/testfleet/scenario.go
@@ -28,7 +28,7 @@
 
 // Link returns the link that the relay uses.
 func (n Network) Link() Link {
-	return Link{Loss: n.Loss, Double: n.Double, DelayMin: time.Duration(n.DelayMS[0]) * time.Millisecond,
+	return Link{Loss: n.Loss, Duplicate: n.Double, DelayMin: time.Duration(n.DelayMS[0]) * time.Millisecond,
 		DelayMax: time.Duration(n.DelayMS[1]) * time.Millisecond}
 }
 
--- a/internal/transport/datagram/membership.go
+++ b/internal/transport/datagram/membership.go
@@ -54,7 +54,7 @@
 type MembershipDriver struct {
 	loop       *eventloop.Loop
 	log        *slog.Logger
-	invariants *invariant.Keeper
+	invariants *invariant.Monitor
 	node       *membership.Node
 	peers      []netip.AddrPort
 	socket     Socket
@@ -65,7 +65,7 @@
 }
 
 // NewMembershipDriver returns a driver that sends and receives on socket, which Stop closes. peers has the addresses of all members.
-func NewMembershipDriver(loop *eventloop.Loop, log *slog.Logger, invariants *invariant.Keeper, node *membership.Node, socket Socket,
+func NewMembershipDriver(loop *eventloop.Loop, log *slog.Logger, invariants *invariant.Monitor, node *membership.Node, socket Socket,
 	peers []netip.AddrPort, listener MembershipListener) *MembershipDriver {
 	return &MembershipDriver{
 		loop:       loop,
@@ -94,7 +94,7 @@
 
 // Adjust changes the probe timeout and the suspicion timeout of the running protocol; 0 means the default.
 func (m *MembershipDriver) Adjust(timeout, suspect time.Duration) error {
-	return m.node.Adjust(timeout, suspect)
+	return m.node.SetTimeouts(timeout, suspect)
 }
 
 // Serves reports whether a member is in service.
@@ -128,7 +128,7 @@
 	}
 	if invariant.Checks {
 		err := m.node.Check()
-		m.invariants.Holds(err == nil, "membership", "error", err)
+		m.invariants.Check(err == nil, "membership", "error", err)
 	}
 	m.restartTimer()
 	if n := m.node.InService(); n != m.inService {
@@ -147,7 +147,7 @@
 
 func (m *MembershipDriver) restartTimer() {
 	m.timer.Stop()
-	m.timer = m.loop.After(m.node.Next()-m.loop.Now(), func() {
+	m.timer = m.loop.After(m.node.NextTick()-m.loop.Now(), func() {
 		m.node.Tick(m.loop.Now())
 		m.execute()
 	})
@@ -175,19 +175,19 @@
 	switch {
 	case e.Kind == membership.Refuted:
 		msg = "refuted that this gateway is out of service"
-	case e.Kind != membership.Changed:
+	case e.Kind != membership.StateChanged:
 		return
-	case e.Was.Serves() && e.Is.Serves():
+	case e.OldState.Serves() && e.NewState.Serves():
 		level, msg = slog.LevelDebug, "member suspected or cleared"
-	case e.Is == membership.Dead:
+	case e.NewState == membership.Dead:
 		level = slog.LevelWarn
 	}
-	m.log.Log(context.Background(), level, msg, "member", e.Member, "was", e.Was.String(), "is", e.Is.String(),
+	m.log.Log(context.Background(), level, msg, "member", e.Member, "was", e.OldState.String(), "is", e.NewState.String(),
 		"by", e.By, "incarnation", e.Incarnation, "in_service", m.node.InService())
 }
 
 // Counts returns the number of gateways in service, the local health score, how many datagrams could not be sent, and the counters
 // of the protocol.
 func (m *MembershipDriver) Counts() (inService, health, unsent int, c membership.Counts) {
-	return m.node.InService(), m.node.Health(), m.unsent, m.node.Counts()
+	return m.node.InService(), m.node.HealthScore(), m.unsent, m.node.Counts()
 }
--- a/internal/transport/datagram/vrrp.go
+++ b/internal/transport/datagram/vrrp.go
@@ -64,15 +64,15 @@
 		if step.Send != nil {
 			d.send(step.Send)
 		}
-		if step.Quiet || step.Alarm > 0 {
+		if step.StopTimer || step.StartTimer > 0 {
 			d.timer.Stop()
 		}
-		if step.Alarm > 0 {
-			d.timer = d.loop.After(step.Alarm, func() { d.execute(d.router.TimerFired()) })
+		if step.StartTimer > 0 {
+			d.timer = d.loop.After(step.StartTimer, func() { d.execute(d.router.TimerFired()) })
 		}
-		if step.Now != nil {
-			d.log.Info("vrrp state", "state", step.Now.String())
-			d.onState(*step.Now)
+		if step.NewState != nil {
+			d.log.Info("vrrp state", "state", step.NewState.String())
+			d.onState(*step.NewState)
 		}
 	}
 }
--- a/internal/transport/dispatcher/dispatcher.go
+++ b/internal/transport/dispatcher/dispatcher.go
@@ -186,7 +186,7 @@
 }
 
 // Close makes the core reply to all open requests at once.
-func (d *Dispatcher) Close() { d.execute(d.Core.Close(d.Loop.Now()), nil) }
+func (d *Dispatcher) Close() { d.execute(d.Core.Shutdown(d.Loop.Now()), nil) }
 
 // WhenIdle sets a function that is called once, as soon as no request is open and no attempt in flight.
 func (d *Dispatcher) WhenIdle(f func()) {
--- a/internal/transport/dispatcher/subset.go
+++ b/internal/transport/dispatcher/subset.go
@@ -28,7 +28,7 @@
 func (d *Dispatcher) SubsetSize() (listed, used int) { return d.Core.SubsetSize() }
 
 // Narrowed reports whether the gateway uses fewer than all engines.
-func (d *Dispatcher) Narrowed() bool { return d.Core.Narrowed() }
+func (d *Dispatcher) Narrowed() bool { return d.Core.UsesSubset() }
 
 // Overlap returns the share of another gateway's subset, from 0 to 1, that is in this gateway's own, as far as it is known.
 func (d *Dispatcher) Overlap(gateway int) float64 { return d.Core.Overlap(gateway) }
--- a/internal/transport/enginepool/pool.go
+++ b/internal/transport/enginepool/pool.go
@@ -20,7 +20,7 @@
 )
 
 // Budget is a number of descriptors: Most for any use, and Urgent more for what must not wait.
-type Budget struct{ Most, Urgent int }
+type Budget struct{ Max, Urgent int }
 
 // endpointKey identifies where a connection leads. Both parts are needed: an address may pass from one engine to another, and an
 // engine may change its address.
@@ -128,7 +128,7 @@
 
 // ensureCapacity reports whether one more descriptor may be used. If the budget is used up, it closes an idle connection.
 func (p *Pool) ensureCapacity(urgent bool) bool {
-	limit := p.budget.Most
+	limit := p.budget.Max
 	if urgent {
 		limit += p.budget.Urgent
 	}
--- a/internal/transport/frontend/crossings_clients_test.go
+++ b/internal/transport/frontend/crossings_clients_test.go
@@ -86,7 +86,7 @@
 		c.conn.SetWriteLimit(2 * len(long))
 		f.loop.SetWriteBudget(2 * int64(len(long)))
 		c.conn.Write([]byte(long))
-		f.Finish()
+		f.Shutdown()
 	})
 	if got, err := io.ReadAll(nc); err != nil || len(got) != len(long) {
 		t.Fatalf("%d bytes, %v, want %d and the end", len(got), err, len(long))
--- a/internal/transport/frontend/crossings_listeners_test.go
+++ b/internal/transport/frontend/crossings_listeners_test.go
@@ -74,7 +74,7 @@
 func TestUnreadMySQLBytesBeforeClose(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 8})
+	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MaxConns: 8})
 	loop.Do(func() {
 		if err := l.Listen(); err != nil {
 			t.Error(err)
@@ -108,7 +108,7 @@
 func TestAcceptedMySQLConnectionsAreServedAfterStop(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 8})
+	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MaxConns: 8})
 	var late []net.Conn
 	loop.Do(func() {
 		if err := l.Listen(); err != nil {
--- a/internal/transport/frontend/listener.go
+++ b/internal/transport/frontend/listener.go
@@ -75,8 +75,8 @@
 	return len(s.open) == 0
 }
 
-// Finish gracefully closes all connections: what is queued for their clients is still written.
-func (s *connSet[C]) Finish() {
+// Shutdown gracefully closes all connections: what is queued for their clients is still written.
+func (s *connSet[C]) Shutdown() {
 	for c := range s.open {
 		c.shutdown()
 	}
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -24,7 +24,7 @@
 // MySQLConfig configures a MySQLListener.
 type MySQLConfig struct {
 	Listen     string // address
-	MostOpen   int    // connections
+	MaxConns   int    // connections
 	Accounts   map[string]*mysql.Account
 	User       string // at the engines
 	Password   string // at the engines
@@ -49,7 +49,7 @@
 // NewMySQLListener returns a listener that does not listen yet. pool is for its connections to engines alone.
 func NewMySQLListener(d *dispatcher.Dispatcher, pool *enginepool.Pool, log *slog.Logger, config MySQLConfig) *MySQLListener {
 	return &MySQLListener{
-		connSet:      newConnSet[*mysqlClient](config.MostOpen),
+		connSet:      newConnSet[*mysqlClient](config.MaxConns),
 		dispatcher:   d,
 		pool:         pool,
 		log:          log,
@@ -99,7 +99,7 @@
 
 // handleConn handles an accepted connection.
 func (l *MySQLListener) handleConn(nc net.Conn) {
-	if len(l.open) >= l.config.MostOpen {
+	if len(l.open) >= l.config.MaxConns {
 		l.log.Warn("too many mysql clients", "open", len(l.open))
 		_ = nc.Close() // the client gets its end either way
 		return
--- a/internal/transport/frontend/mysql_client.go
+++ b/internal/transport/frontend/mysql_client.go
@@ -22,7 +22,7 @@
 var _ dispatcher.Client = (*mysqlClient)(nil)
 
 // Data feeds received bytes to the state machine.
-func (c *mysqlClient) Data(b []byte) { c.execute(c.machine.Feed(b)) }
+func (c *mysqlClient) Data(b []byte) { c.execute(c.machine.Received(b)) }
 
 // Closed cancels the open query of a client that has closed its connection.
 func (c *mysqlClient) Closed(error) {
@@ -125,21 +125,21 @@
 	last, _ := result.([]byte)
 	c.query, c.attempt, c.paused = nil, nil, false
 	switch {
-	case reply.Verdict == core.Served, reply.Verdict == core.Broken && last != nil:
+	case reply.Verdict == core.Served, reply.Verdict == core.FailedMidResponse && last != nil:
 		c.conn.Write(last)
-	case reply.Verdict == core.Broken:
+	case reply.Verdict == core.FailedMidResponse:
 		c.close()
 		return
 	case reply.DeadlineExceeded:
-		c.conn.Write(mysql.Deadline())
+		c.conn.Write(mysql.DeadlineExceededPacket())
 	case reply.Verdict == core.Rejected:
-		c.conn.Write(mysql.Refusal(reply.RetryAfter))
+		c.conn.Write(mysql.RejectedPacket(reply.RetryAfter))
 	default:
-		c.conn.Write(mysql.Failure())
+		c.conn.Write(mysql.FailedPacket())
 	}
 	c.listener.dispatcher.Loop.After(0, func() {
 		if c.conn.IsOpen() {
-			c.execute(c.machine.Done())
+			c.execute(c.machine.QueryEnded())
 		}
 	})
 }
--- a/internal/transport/frontend/mysql_test.go
+++ b/internal/transport/frontend/mysql_test.go
@@ -14,7 +14,7 @@
 func TestMySQLClientThatDoesNotLogInIsClosed(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MostOpen: 1})
+	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MaxConns: 1})
 	l.loginTimeout = 20 * time.Millisecond
 	var addr string
 	loop.Do(func() {
--- a/internal/transport/frontend/scripted_test.go
+++ b/internal/transport/frontend/scripted_test.go
@@ -37,7 +37,7 @@
 	t          *testing.T
 	loop       *eventloop.Loop
 	pool       *enginepool.Pool
-	invariants *invariant.Keeper
+	invariants *invariant.Monitor
 }
 
 // The classes of a fixture, by whether a query that may have run can be retried.
@@ -57,7 +57,7 @@
 	nonIdempotent.Name, nonIdempotent.Idempotency = nonIdempotentClass, policy.NotIdempotent
 	keyed.Name, keyed.Idempotency, keyed.DedupWindow = keyedClass, policy.IdempotentWithKey, dedupWindow
 	invariants := invariant.New(log)
-	gatewayCore, err := core.New(settings.Host{ComeBack: 500 * time.Millisecond, Models: []string{"m"}, Zones: []string{"z"},
+	gatewayCore, err := core.New(settings.Host{MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, Zones: []string{"z"},
 		Module: policy.Settings{Classes: []policy.Class{class, nonIdempotent, keyed}, Kinds: []policy.Kind{{Cores: 8}}, Gateways: 1,
 			Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4}}, 1, log, invariants)
 	if err != nil {
@@ -71,7 +71,7 @@
 	t.Cleanup(func() {
 		loop.Do(func() {
 			f.Stop(func() {})
-			if n := invariants.Broken(); n != 0 {
+			if n := invariants.Violations(); n != 0 {
 				t.Errorf("%d invariants broken", n)
 			}
 		})
@@ -160,7 +160,7 @@
 func newPool(t *testing.T, budget int) (*eventloop.Loop, *enginepool.Pool) {
 	t.Helper()
 	loop := eventlooptest.Start(t)
-	p := enginepool.New(loop, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Second, time.Minute, enginepool.Budget{Most: budget, Urgent: 1})
+	p := enginepool.New(loop, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Second, time.Minute, enginepool.Budget{Max: budget, Urgent: 1})
 	p.SetDrainDelay(0) // tests of late bytes on idle connections set it themselves
 	return loop, p
 }
