--- a/cmd/fleettest/capacity.go
+++ b/cmd/fleettest/capacity.go
@@ -11,7 +11,7 @@
 type capacityCommand struct {
 	Slopes string `default:"scenarios/capacity-slopes.json" type:"existingfile" help:"The result file of fleettest slopes."`
 	Scale  string `default:"scenarios/scale-results.json" help:"The result file of fleettest scale; without it the page says so."`
-	Page   string `default:"docs/CAPACITY.md" type:"existingfile" help:"The page whose tables are written anew between their markers."`
+	Page   string `default:"docs/operators/CAPACITY.md" type:"existingfile" help:"The page whose tables are written anew between their markers."`
 }
 
 // Run writes the page's tables.
--- a/cmd/fleettest/distribution.go
+++ b/cmd/fleettest/distribution.go
@@ -21,7 +21,7 @@
 	Seconds     int            `default:"40" help:"How long clients send."`
 	Groups      int            `default:"0" help:"Table groups; 0 = 2.5 an engine."`
 	Skew        float64        `default:"1" help:"Deviation of the gateways' shares of the traffic over their mean."`
-	Case        string         `default:"calm" enum:"calm,hot,lost,release,reports,cut,herd" help:"What happens: calm, hot (one table group has half of the queries), lost (an engine falls silent), release (six in ten engines are replaced within 7 s), reports (they come 5 s late), cut (gateways do not hear each other), herd (seven in ten gateways are killed at once)."`
+	Case        string         `default:"calm" enum:"calm,hot,lost,release,reports,cut,herd" help:"${load_case_help}"`
 	Program     []string       `default:"now=bin/frostpier" help:"Programs to compare, as name=path."`
 	Bare        []string       `help:"Of these programs, by name, gateways get no operator's file: for versions from before membership."`
 	SubsetFloor map[string]int `name:"least" help:"Of these programs, by name, gateways get a section [subset] with this floor of engines, as name=least."`
--- a/cmd/fleettest/main.go
+++ b/cmd/fleettest/main.go
@@ -17,8 +17,8 @@
 	Spread   distributionCommand `cmd:"" help:"Compare how evenly versions of the program load stand-in engines."`
 	Rollout  rolloutCommand      `cmd:"" help:"Play good and bad changes in stages on fleets of processes."`
 	Scale    scaleCommand        `cmd:"" help:"Read what control costs gateways in a fleet of hundreds, most of them hollow."`
-	Slopes   slopesCommand       `cmd:"" help:"Measure how the cost of each part grows with the fleet, for docs/CAPACITY.md."`
-	Capacity capacityCommand     `cmd:"" help:"Work the tables of docs/CAPACITY.md out from the measured slopes."`
+	Slopes   slopesCommand       `cmd:"" help:"Measure how the cost of each part grows with the fleet, for docs/operators/CAPACITY.md."`
+	Capacity capacityCommand     `cmd:"" help:"Work the tables of docs/operators/CAPACITY.md out from the measured slopes."`
 
 	HollowGateways hollowGatewaysCommand `cmd:"" hidden:"" help:"Run hollow gateways as standard input says."`
 	HollowEngines  hollowEnginesCommand  `cmd:"" hidden:"" help:"Run hollow engines as standard input says."`
@@ -28,9 +28,17 @@
 	Replay  replayCommand  `cmd:"" help:"Play the random runs of some seeds on a virtual clock, with every rule checked."`
 }
 
+// helpTexts are the help texts that are too long for a struct tag, by the name under which a tag refers to them.
+var helpTexts = kong.Vars{
+	"load_case_help": "What happens: calm, hot (one table group has half of the queries), lost (an engine falls silent), release " +
+		"(six in ten engines are replaced within 7 s), reports (they come 5 s late), cut (gateways do not hear " +
+		"each other), herd (seven in ten gateways are killed at once).",
+	"slope_group_help": "One group of slopes: they are printed, and no file is written.",
+}
+
 func main() {
 	var c commands
-	ctx := kong.Parse(&c, kong.Name("fleettest"), kong.UsageOnError(),
+	ctx := kong.Parse(&c, kong.Name("fleettest"), kong.UsageOnError(), helpTexts,
 		kong.Description("Experiments with fleets of frostpier gateways, on loopback alone."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "fleettest:", err)
--- a/cmd/fleettest/slopes.go
+++ b/cmd/fleettest/slopes.go
@@ -15,7 +15,7 @@
 
 type slopesCommand struct {
 	Out    string `default:"scenarios/capacity-slopes.json" help:"The result file."`
-	Only   string `default:"" enum:",decision,reports,membership,faults,discovery,connections,staged" help:"One group of slopes: they are printed, and no file is written."`
+	Only   string `default:"" enum:",decision,reports,membership,faults,discovery,connections,staged" help:"${slope_group_help}"`
 	Quick  bool   `help:"Smaller sizes and one run each: some seconds. The page needs a full run."`
 	Memory int64  `name:"memory-mb" default:"256" help:"What the measurements may hold, in MB; a full run says how much it needs."`
 	Faults int    `default:"1" help:"Runs of the faults at each size, with seeds that follow each other."`
--- a/cmd/frostpier/crossings_test.go
+++ b/cmd/frostpier/crossings_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// docs/crossings.md has a row for each of these.
+// docs/design/crossings.md has a row for each of these.
 
 // terminate sends SIGTERM and waits until the shutdown has begun.
 func (n *node) terminate() {
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -11,7 +11,7 @@
 // 4.3 (round-robin probe targets). A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More
 // Accurate Failure Detection" (2017): sections IV-A (local health multiplier, nack), IV-B (suspicion timeout shortened
 // by confirmations) and IV-C (buddy system: a suspect is notified first). Deviations from the papers are marked
-// "deviation" with their reason; docs/design-membership.md discusses them.
+// "deviation" with their reason; docs/design/membership.md discusses them.
 //
 // Files: node.go (API, state), probe.go (direct and indirect probes), suspicion.go, table.go (state of the members,
 // refutation), broadcast.go (queue of updates), gossip.go (rounds of gossip), extension.go (messages of other
--- a/internal/control/membership/simulation/fleet_test.go
+++ b/internal/control/membership/simulation/fleet_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// A kill is detected and disseminated within the times that docs/MEMBERSHIP.md states.
+// A kill is detected and disseminated within the times that docs/operators/MEMBERSHIP.md states.
 func TestKillsAreDetected(t *testing.T) {
 	t.Parallel()
 	const interval = membership.DefaultInterval
--- a/internal/control/rollout/doc.go
+++ b/internal/control/rollout/doc.go
@@ -11,5 +11,5 @@
 // Sources: R. Johari, L. Pekelis, D. Walsh, "Always Valid Inference: Bringing Sequential Analysis to A/B Testing" (2015), and
 // H. Robbins, "Statistical Methods Related to the Law of the Iterated Logarithm" (1970), for a test whose result may be read
 // at any time; P. McCullagh, J. Nelder, "Generalized Linear Models" (1989) for the dispersion by which counts of gateways
-// vary more than chance alone explains. docs/design-rollout.md weighs them.
+// vary more than chance alone explains. docs/design/rollout.md weighs them.
 package rollout
--- a/internal/control/subset/doc.go
+++ b/internal/control/subset/doc.go
@@ -11,5 +11,5 @@
 // knows no socket, clock or goroutine. A Chooser belongs to one goroutine, in the program the gateway's event loop.
 //
 // Sources: the deterministic aperture of Twitter's Finagle (2019) for rings and windows; Envoy's zone-aware routing for
-// what leaves a zone that is short of engines. docs/design-subset.md weighs them against others.
+// what leaves a zone that is short of engines. docs/design/subset.md weighs them against others.
 package subset
--- a/internal/control/subset/fleet_test.go
+++ b/internal/control/subset/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The tables of docs/design-subset.md; go test -v prints them.
+// The tables of docs/design/subset.md; go test -v prints them.
 
 const zoneCount = 7
 
--- a/internal/testbed/capacity/doc.go
+++ b/internal/testbed/capacity/doc.go
@@ -1,4 +1,4 @@
-// Package capacity is the model behind docs/CAPACITY.md. It holds the fleet that operators expect, estimates what each
+// Package capacity is the model behind docs/operators/CAPACITY.md. It holds the fleet that operators expect, estimates what each
 // part of the program costs there from slopes that were measured at several sizes, and ranks the requirements by the
 // fleet size at which each is missed first.
 //
--- a/internal/testbed/capacity/role.go
+++ b/internal/testbed/capacity/role.go
@@ -81,7 +81,7 @@
 	t := m.Target
 	cost := m.membershipCost(t.Gateways)
 	return Role{Name: Membership, State: fmt.Sprintf("%s members", formatCount(t.Gateways)),
-		Messages: "one datagram a second", Cost: cost, Mechanism: "SWIM with Lifeguard, `internal/membership`",
+		Messages: "one datagram a second", Cost: cost, Mechanism: "SWIM with Lifeguard, `internal/control/membership`",
 		Verdict: compare("3 KB/s in the quiet state; see the faults", cost.BytesPerSecond, t.BytesPerSecond)}
 }
 
@@ -92,7 +92,7 @@
 	return Role{Name: LoadReports, State: fmt.Sprintf("%s of the engines known, %s old (%s if only 6 answers a second brought reports)",
 		formatNumber(m.estimate(KnownAtFullRate, t.Engines)), formatSeconds(m.estimate(AgeAtFullRate, t.Engines)), formatNumber(knownAtLowRate)),
 		Messages: "3.3 datagrams a second of its own, and every membership datagram filled to 256 bytes",
-		Cost:     m.reportCost(t.Gateways, t.Engines), Mechanism: "`internal/spread`, a table of 1,024 engines",
+		Cost:     m.reportCost(t.Gateways, t.Engines), Mechanism: "`internal/control/loadreport`, a table of 1,024 engines",
 		Verdict: compare("0.95 of the engines known", t.KnownShare, known)}
 }
 
@@ -103,7 +103,7 @@
 	return Role{Name: Discovery, State: fmt.Sprintf("a list of %s; the server is the platform's, not the project's", formatBytes(bytes)),
 		Messages: fmt.Sprintf("a line a second; a whole list takes %s of processor time; %s for all watchers", formatSeconds(processor),
 			formatBytes(bytes*t.Gateways)),
-		Mechanism: "`internal/discovery`: numbered events, asked for after the last one seen",
+		Mechanism: "`internal/protocol/discovery`: numbered events, asked for after the last one seen",
 		Verdict:   compare("3 KB/s over 10 s, received, where a reconnection brings a whole list", bytes/peakWindowSeconds, t.BytesPerSecond)}
 }
 
@@ -126,11 +126,11 @@
 	return Role{Name: StagedChange, State: "a journal at one controller",
 		Messages: fmt.Sprintf("a report a second; %s/s and %s of a core at the controller", formatBytes(cost.BytesPerSecond*t.Gateways),
 			formatPercent(m.estimate(StagedReportProcessor, t.Gateways))),
-		Cost: cost, Mechanism: "`internal/rollout`, `internal/controller`: gateways on the controller's own machine only",
+		Cost: cost, Mechanism: "`internal/control/rollout`, `internal/control/rollout/controller`: gateways on the controller's own machine only",
 		Verdict: compare("14 s, by one stage's least watch of 30 s", minWatchSeconds, t.ConfigurationWithin.Seconds())}
 }
 
-// minWatchSeconds is the default of watch.least_s in a rollout plan, see docs/ROLLOUT.md.
+// minWatchSeconds is the default of watch.least_s in a rollout plan, see docs/operators/ROLLOUT.md.
 const minWatchSeconds = 30
 
 func (m Model) primaries() Role {
--- a/internal/testbed/capacity/table.go
+++ b/internal/testbed/capacity/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Table is a table of docs/CAPACITY.md.
+// Table is a table of docs/operators/CAPACITY.md.
 type Table struct {
 	Header []string
 	Rows   [][]string
--- a/internal/transport/frontend/crossings_clients_test.go
+++ b/internal/transport/frontend/crossings_clients_test.go
@@ -12,7 +12,7 @@
 	"frostpier/internal/testutil/nettest"
 )
 
-// docs/crossings.md has a row for each of these tests.
+// docs/design/crossings.md has a row for each of these tests.
 
 // A request that was sent before its idle connection is closed gets its response, whether it is unread in the socket or the reader
 // has it and waits for the loop. It was once lost with a reset.
--- a/internal/transport/frontend/crossings_discovery_test.go
+++ b/internal/transport/frontend/crossings_discovery_test.go
@@ -13,7 +13,7 @@
 	"frostpier/internal/transport/enginewatch"
 )
 
-// docs/crossings.md has a row for each of these tests.
+// docs/design/crossings.md has a row for each of these tests.
 
 // A watch times out, and in that moment the server sends an event on it: nothing more of the old connection is used, the new one
 // resumes after the last event that was applied, and no event is applied twice.
--- a/internal/transport/frontend/crossings_engines_test.go
+++ b/internal/transport/frontend/crossings_engines_test.go
@@ -14,7 +14,7 @@
 	"frostpier/policy"
 )
 
-// docs/crossings.md has a row for each of these tests.
+// docs/design/crossings.md has a row for each of these tests.
 
 // An engine closes an idle connection, or sends unexpected bytes on it, just before a query is written on it: before the connection is
 // chosen, or between that and the first byte. The query is sent on another.
--- a/internal/transport/frontend/crossings_listeners_test.go
+++ b/internal/transport/frontend/crossings_listeners_test.go
@@ -12,7 +12,7 @@
 	"frostpier/internal/transport/dispatcher"
 )
 
-// docs/crossings.md has a row for each of these tests.
+// docs/design/crossings.md has a row for each of these tests.
 
 // Connections that the kernel has accepted before the listener closes are served: their requests may have been sent already.
 func TestAcceptedConnectionsAreServedAfterStop(t *testing.T) {
--- a/policy/events.go
+++ b/policy/events.go
@@ -137,7 +137,7 @@
 
 // InService reports how many gateways are believed to be in service, including this one. The even shares of
 // concurrency, memory and the window follow it. The warm-up budget and the retry budget do not, because the views of
-// different gateways may differ; see docs/design-membership.md.
+// different gateways may differ; see docs/design/membership.md.
 type InService struct {
 	Count  int
 	Subset bool // the engine list is a subset of the fleet, shared by Count gateways
