--- a/cmd/frostpier/mysql_test.go
+++ b/cmd/frostpier/mysql_test.go
@@ -432,13 +432,3 @@
 	c.send(0x03, "SELECT 1")
 	c.wantRows()
 }
-
-func freeUDP(t *testing.T) string {
-	t.Helper()
-	sock, err := net.ListenPacket("udp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer sock.Close()
-	return sock.LocalAddr().String()
-}
--- a/cmd/frostpier/program_test.go
+++ b/cmd/frostpier/program_test.go
@@ -97,17 +97,6 @@
 "rules":{"answer_slack":20000000,"drain_grace":2000000000,"free_resends":2,"extra_share":0.1,"ratio_span":5000000000},
 "siblings":1,"tick":5000000}`
 
-// freePort returns a TCP address on which nothing listens.
-func freePort(t *testing.T) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
 // startNode starts the program with engines in its configuration's list and an operator's file; empty = none.
 func startNode(t *testing.T, operator string, engines ...engineEntry) *node {
 	t.Helper()
