--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,7 +7,7 @@
 )
 
 // Engine selection follows P-DACA: K. Ohn, S. Lee, H. Cho, "Transaction Routing in Real-Time Shared Disks Clusters",
-// section 2.3. Step numbers in comments are those of the paper's algorithm; docs/DESIGN-frostpier.md adds to it, and
+// section 2.3. Step numbers in comments are those of the paper's algorithm; the design notes add to it, and
 // each departure of this code is marked as one. A transaction of the paper is a request here, a node an engine, an
 // affinity cluster a table group, and #T counts threads instead of transactions.
 
