--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -9,16 +9,16 @@
 // Action is something that the host must do.
 type Action interface{ action() }
 
-// Start starts an attempt. The host must ask MaySend before the first byte goes out.
-type Start struct {
+// StartAttempt starts an attempt. The host must ask MaySend before the first byte goes out.
+type StartAttempt struct {
 	ID      ID
 	Attempt int
 	Engine  Engine
 	Timeout time.Duration
 }
 
-// Stop cancels an attempt. The host must report AttemptEnded once the engine certainly no longer executes it.
-type Stop struct {
+// CancelAttempt cancels an attempt. The host must report AttemptEnded once the engine certainly no longer executes it.
+type CancelAttempt struct {
 	ID      ID
 	Attempt int
 }
@@ -32,8 +32,8 @@
 	DeadlineExceeded bool          // the client's deadline has passed, or is about to
 }
 
-// Timer asks for a TimerFired with this token.
-type Timer struct {
+// StartTimer asks for a TimerFired with this token.
+type StartTimer struct {
 	After time.Duration
 	Token uint64
 }
@@ -42,8 +42,8 @@
 // released.
 type Disconnect struct{ Engine policy.EngineID }
 
-func (Start) action()      {}
-func (Stop) action()       {}
-func (Reply) action()      {}
-func (Timer) action()      {}
-func (Disconnect) action() {}
+func (StartAttempt) action()  {}
+func (CancelAttempt) action() {}
+func (Reply) action()         {}
+func (StartTimer) action()    {}
+func (Disconnect) action()    {}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -65,7 +65,7 @@
 
 // AttemptEnded reports the end of an attempt, which must be certain: the engine no longer executes it. fields is the
 // load report that came with the response; nil = none.
-func (c *Core) AttemptEnded(now time.Duration, id ID, n int, outcome policy.Outcome, fields []Field) []Action {
+func (c *Core) AttemptEnded(now time.Duration, id ID, n int, outcome policy.Outcome, fields []ReportField) []Action {
 	r := c.requests[id]
 	known := r != nil && n < len(r.attempts) && !r.attempts[n].ended
 	if !c.invariants.Check(known, "an attempt ends once", "request", id, "attempt", n) {
@@ -147,11 +147,11 @@
 		c.classCounts(r).Further++
 	}
 	c.logAttemptDecision(now, s.ID, n)
-	c.actions = append(c.actions, Start{ID: s.ID, Attempt: n, Engine: *e, Timeout: s.Timeout})
+	c.actions = append(c.actions, StartAttempt{ID: s.ID, Attempt: n, Engine: *e, Timeout: s.Timeout})
 }
 
 // loadReport translates the fields of a load report to the module's metrics.
-func loadReport(fields []Field) policy.Report {
+func loadReport(fields []ReportField) policy.Report {
 	if len(fields) == 0 {
 		return policy.Report{}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -105,8 +105,8 @@
 	return c.dispatch(now, policy.TimerFired{Token: token})
 }
 
-// InService sets how many gateways are believed to be in service, this one included.
-func (c *Core) InService(now time.Duration, gateways int) []Action {
+// SetGatewaysInService sets how many gateways are believed to be in service, this one included.
+func (c *Core) SetGatewaysInService(now time.Duration, gateways int) []Action {
 	c.gatewaysInService = gateways
 	if c.UsesSubset() { // the next count of sharers takes it into account
 		return nil
@@ -136,13 +136,13 @@
 	case policy.Send:
 		c.startAttempt(now, a)
 	case policy.Cancel:
-		c.actions = append(c.actions, Stop{ID: a.ID, Attempt: a.Attempt})
+		c.actions = append(c.actions, CancelAttempt{ID: a.ID, Attempt: a.Attempt})
 	case policy.Reject:
 		c.reject(now, a)
 	case policy.Fail:
 		c.reply(now, a.ID, Failed, 0)
 	case policy.SetTimer:
-		c.actions = append(c.actions, Timer{After: a.After, Token: a.Token})
+		c.actions = append(c.actions, StartTimer{After: a.After, Token: a.Token})
 	case policy.Log:
 		c.log.Info("decision module", "says", a.Text)
 	case policy.Subscribe, policy.Probe, policy.SetTerms:
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -62,7 +62,7 @@
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	id, actions := c.Submit(start, testQuery)
-	s := first[Start](t, actions)
+	s := first[StartAttempt](t, actions)
 	if left, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); !ok || left > 4*time.Second {
 		t.Fatalf("may send: %v, %v left", ok, left)
 	}
@@ -98,7 +98,7 @@
 	if _, ok := c.MaySend(start+4*time.Second, expired, 0, false); ok {
 		t.Error("sent after the client's deadline")
 	}
-	first[Stop](t, c.Cancel(start, cancelled))
+	first[CancelAttempt](t, c.Cancel(start, cancelled))
 	if _, ok := c.MaySend(start, cancelled, 0, false); ok {
 		t.Error("sent for a client that cancelled")
 	}
@@ -114,7 +114,7 @@
 	if wanted, _ := c.ResponseStarted(start, id, 0); !wanted {
 		t.Fatal("not wanted")
 	}
-	first[Stop](t, c.Cancel(start, id))
+	first[CancelAttempt](t, c.Cancel(start, id))
 	if wanted, _ := c.ResponseStarted(start, id, 0); wanted {
 		t.Fatal("still wanted")
 	}
@@ -201,7 +201,7 @@
 		t.Fatal("accepted while an attempt of that name is in flight")
 	}
 	c.AttemptEnded(start, id, 0, policy.Cancelled, nil)
-	if _, actions = c.Submit(start, named); first[Start](t, actions).Attempt != 0 {
+	if _, actions = c.Submit(start, named); first[StartAttempt](t, actions).Attempt != 0 {
 		t.Fatal("the name is not free again")
 	}
 }
@@ -257,13 +257,13 @@
 	for delay, want := range map[time.Duration]bool{0: true, 10 * time.Millisecond: true, time.Second: false} {
 		c, _ := newCore(t)
 		c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
-		id, actions := c.Submit(start, Query{Class: 1, Key: 7, Remaining: 20 * time.Second})
-		s := first[Start](t, actions)
+		id, actions := c.Submit(start, Query{Class: 1, IdempotencyKey: 7, Remaining: 20 * time.Second})
+		s := first[StartAttempt](t, actions)
 		if _, ok := c.MaySend(start, id, s.Attempt, false); !ok {
 			t.Fatal("the first attempt may not go out")
 		}
 		at := start + window - 50*time.Millisecond
-		s = first[Start](t, c.AttemptEnded(at, id, s.Attempt, policy.Reset, nil))
+		s = first[StartAttempt](t, c.AttemptEnded(at, id, s.Attempt, policy.Reset, nil))
 		if _, ok := c.MaySend(at+delay, id, s.Attempt, false); ok != want {
 			t.Errorf("%v after the decision: %t, want %t", delay, ok, want)
 		}
@@ -287,14 +287,14 @@
 	c, _ := newCore(t)
 	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	id, actions := c.Submit(start, testQuery)
-	s := first[Start](t, actions)
+	s := first[StartAttempt](t, actions)
 	moved := listedEngine("a", policy.Ready)
 	moved.Addr = "elsewhere:1"
 	c.UpdateEngines(start, false, []ListedEngine{moved})
 	if _, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); ok {
 		t.Fatal("sent to the former address")
 	}
-	if s = first[Start](t, c.AttemptEnded(start+time.Millisecond, id, 0, policy.NotSent, nil)); s.Engine.Addr != moved.Addr {
+	if s = first[StartAttempt](t, c.AttemptEnded(start+time.Millisecond, id, 0, policy.NotSent, nil)); s.Engine.Addr != moved.Addr {
 		t.Fatalf("%+v", s)
 	}
 }
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// ListedEngines returns how many engines are listed and not gone.
-func (c *Core) ListedEngines() (engines int) {
+// EngineCount returns how many engines are listed and not gone.
+func (c *Core) EngineCount() (engines int) {
 	for _, e := range c.engines {
 		if e.Health != policy.Gone {
 			engines++
--- a/internal/core/loadreports.go
+++ b/internal/core/loadreports.go
@@ -7,8 +7,8 @@
 	"frostpier/policy"
 )
 
-// Field is one value of an engine's load report, under the name that the settings give it.
-type Field struct {
+// ReportField is one value of an engine's load report, under the name that the settings give it.
+type ReportField struct {
 	Name  string
 	Value float64
 }
@@ -37,7 +37,7 @@
 }
 
 // recordLoad records the load that a response reported.
-func (c *Core) recordLoad(now time.Duration, engine policy.EngineID, fields []Field) {
+func (c *Core) recordLoad(now time.Duration, engine policy.EngineID, fields []ReportField) {
 	if c.loadReports == nil {
 		return
 	}
--- a/internal/core/loadreports_test.go
+++ b/internal/core/loadreports_test.go
@@ -18,12 +18,12 @@
 	a.UpdateEngines(start, true, []ListedEngine{listedEngine("x", policy.Ready), listedEngine("y", policy.Ready)})
 	b.UpdateEngines(start, true, []ListedEngine{listedEngine("x", policy.Ready)})
 	for _, e := range []string{"x", "y"} { // both, as the module selects the engine
-		a.recordLoad(start+time.Second, engineID(e), []Field{{Name: "queue", Value: 1}, {Name: "inflight", Value: 9}})
+		a.recordLoad(start+time.Second, engineID(e), []ReportField{{Name: "queue", Value: 1}, {Name: "inflight", Value: 9}})
 	}
 	id, actions := a.Submit(start+time.Second, testQuery)
-	s := first[Start](t, actions)
+	s := first[StartAttempt](t, actions)
 	a.MaySend(start+time.Second, id, s.Attempt, false)
-	a.AttemptEnded(start+1100*time.Millisecond, id, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 11}})
+	a.AttemptEnded(start+1100*time.Millisecond, id, s.Attempt, policy.OK, []ReportField{{Name: "inflight", Value: 11}})
 	now := start + 1200*time.Millisecond
 	body := append([]byte(nil), digestA.Append(now, 1, 200, nil)...)
 	b.ReceiveLoadReports(now, body)
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -19,17 +19,17 @@
 	now        time.Duration
 	ids        []ID
 	replies    map[ID]int // cancelled requests count as replied
-	inFlight   map[ID]Start
+	inFlight   map[ID]StartAttempt
 }
 
 func newModelRun(t *rapid.T, c *Core, invariants *invariant.Monitor) *modelRun {
-	return &modelRun{t: t, core: c, invariants: invariants, now: start, replies: map[ID]int{}, inFlight: map[ID]Start{}}
+	return &modelRun{t: t, core: c, invariants: invariants, now: start, replies: map[ID]int{}, inFlight: map[ID]StartAttempt{}}
 }
 
 func (m *modelRun) execute(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Start:
+		case StartAttempt:
 			m.startAttempt(a)
 		case Reply:
 			if m.replies[a.ID]++; m.replies[a.ID] > 1 {
@@ -41,7 +41,7 @@
 	}
 }
 
-func (m *modelRun) startAttempt(s Start) {
+func (m *modelRun) startAttempt(s StartAttempt) {
 	if _, inFlight := m.inFlight[s.ID]; inFlight {
 		m.t.Fatalf("request %d has two attempts in flight", s.ID)
 	}
@@ -80,7 +80,7 @@
 }
 
 // endAttempt ends an attempt in some way.
-func (m *modelRun) endAttempt(s Start) {
+func (m *modelRun) endAttempt(s StartAttempt) {
 	outcomes := []policy.Outcome{policy.OK, policy.Error, policy.Rejected, policy.Reset}
 	outcome := rapid.SampledFrom(outcomes).Draw(m.t, "outcome")
 	if _, ok := m.core.MaySend(m.now, s.ID, s.Attempt, false); !ok {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -29,7 +29,7 @@
 	Name              string // name by which engines know the query; empty = none. Unique among active requests.
 	Class             int
 	TableGroup        int           // 0 = none
-	Key               uint64        // idempotency key; 0 = none
+	IdempotencyKey    uint64        // idempotency key; 0 = none
 	EstimatedWork     time.Duration // 0 = unknown
 	EstimatedMemoryMB float64       // 0 = unknown
 	Remaining         time.Duration // until the client's deadline
@@ -72,7 +72,7 @@
 		return id, c.replyOnly(now, id, Rejected, c.host.MaxRetryAfter)
 	}
 	return id, c.dispatch(now, policy.Arrival{
-		ID: id, Class: q.Class, Key: q.Key, TableGroup: q.TableGroup, EstimatedWork: q.EstimatedWork,
+		ID: id, Class: q.Class, Key: q.IdempotencyKey, TableGroup: q.TableGroup, EstimatedWork: q.EstimatedWork,
 		EstimatedMemoryMB: q.EstimatedMemoryMB, Remaining: q.Remaining, IsClientRetry: q.IsClientRetry,
 	})
 }
@@ -113,7 +113,7 @@
 func (r *request) stopAll(id ID) (stops []Action) {
 	for n, a := range r.attempts {
 		if !a.ended {
-			stops = append(stops, Stop{ID: id, Attempt: n})
+			stops = append(stops, CancelAttempt{ID: id, Attempt: n})
 		}
 	}
 	return stops
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -177,8 +177,8 @@
 	return c.UsesSubset() && !c.subset.chooser.Core(uint64(e.ID))
 }
 
-// Overlap returns which share, 0 to 1, of another gateway's subset lies in the own one; 1 without a subset.
-func (c *Core) Overlap(gateway int) float64 {
+// SubsetOverlap returns which share, 0 to 1, of another gateway's subset lies in the own one; 1 without a subset.
+func (c *Core) SubsetOverlap(gateway int) float64 {
 	if c.subset == nil {
 		return 1
 	}
--- a/internal/core/subset_bench_test.go
+++ b/internal/core/subset_bench_test.go
@@ -91,7 +91,7 @@
 type benchLoad struct {
 	core               *Core
 	now, timerFiredAt  time.Duration
-	inFlight           []Start
+	inFlight           []StartAttempt
 	endsAt             []time.Duration // one for each of inFlight
 	submitted, waiting int
 }
@@ -108,7 +108,7 @@
 	for len(l.endsAt) > 0 && l.endsAt[0] <= l.now {
 		s := l.inFlight[0]
 		l.inFlight, l.endsAt = l.inFlight[1:], l.endsAt[1:]
-		l.execute(l.core.AttemptEnded(l.now, s.ID, s.Attempt, policy.OK, []Field{{Name: "inflight", Value: 20}}))
+		l.execute(l.core.AttemptEnded(l.now, s.ID, s.Attempt, policy.OK, []ReportField{{Name: "inflight", Value: 20}}))
 	}
 	if l.now-l.timerFiredAt >= benchTimerInterval {
 		l.timerFiredAt = l.now
@@ -143,7 +143,7 @@
 		c.TickSubset(now)
 		for number := range gateways {
 			if i%5 == 0 { // as often as the program does
-				c.Overlap(number)
+				c.SubsetOverlap(number)
 			}
 		}
 	}
--- a/internal/core/subset_helpers_test.go
+++ b/internal/core/subset_helpers_test.go
@@ -104,9 +104,9 @@
 }
 
 // starts returns the attempts that the actions start.
-func starts(actions []Action) (started []Start) {
+func starts(actions []Action) (started []StartAttempt) {
 	for _, a := range actions {
-		if s, ok := a.(Start); ok {
+		if s, ok := a.(StartAttempt); ok {
 			started = append(started, s)
 		}
 	}
--- a/internal/core/subset_model_test.go
+++ b/internal/core/subset_model_test.go
@@ -84,7 +84,7 @@
 func (m subsetModelRun) changeGateways() {
 	gateways := allGateways(rapid.IntRange(1, subsetGateways).Draw(m.t, "in service"))
 	gateways[rapid.IntRange(0, subsetGateways-1).Draw(m.t, "unknown")].Zone = -1
-	m.execute(m.core.InService(m.now, rapid.IntRange(1, subsetGateways).Draw(m.t, "count")))
+	m.execute(m.core.SetGatewaysInService(m.now, rapid.IntRange(1, subsetGateways).Draw(m.t, "count")))
 	m.execute(m.core.SetGateways(m.now, gateways))
 }
 
@@ -164,7 +164,7 @@
 		d.both("timer", func(c *Core) []Action { return c.TimerFired(d.now, 1<<63) })
 	case 4:
 		gateways := rapid.IntRange(1, subsetGateways).Draw(d.t, "gateways")
-		d.both("in service", func(c *Core) []Action { return c.InService(d.now, gateways) })
+		d.both("in service", func(c *Core) []Action { return c.SetGatewaysInService(d.now, gateways) })
 	case 5:
 		d.endSome()
 	case 6:
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -47,7 +47,7 @@
 }
 
 // startAttempts submits so many requests and sends their attempts.
-func startAttempts(t *testing.T, c *Core, requests int) (attempts []Start) {
+func startAttempts(t *testing.T, c *Core, requests int) (attempts []StartAttempt) {
 	t.Helper()
 	for range requests {
 		_, actions := c.Submit(start, testQuery)
@@ -63,7 +63,7 @@
 
 // endServed ends an attempt with a response and checks that its request gets one reply. It returns how many engines are
 // to be disconnected.
-func endServed(t *testing.T, c *Core, s Start) (disconnects int) {
+func endServed(t *testing.T, c *Core, s StartAttempt) (disconnects int) {
 	t.Helper()
 	replies := 0
 	for _, a := range c.AttemptEnded(start+time.Second, s.ID, s.Attempt, policy.OK, nil) {
@@ -72,7 +72,7 @@
 			replies++
 		case Disconnect:
 			disconnects++
-		case Stop:
+		case CancelAttempt:
 			t.Errorf("attempt %+v was stopped", a)
 		}
 	}
@@ -113,7 +113,7 @@
 		t.Errorf("the module was sent an engine outside the subset: %+v", info)
 	}
 	_, actions := c.Submit(start+time.Second, testQuery)
-	s := first[Start](t, actions)
+	s := first[StartAttempt](t, actions)
 	c.UpdateEngines(start+time.Second, false, []ListedEngine{listedEngine(s.Engine.Name, policy.Draining)})
 	if _, ok := c.MaySend(start+time.Second, s.ID, s.Attempt, false); ok {
 		t.Error("a draining engine gets new work")
@@ -175,7 +175,7 @@
 	if n := sharers(); n <= known {
 		t.Errorf("%d sharers while two gateways may use every engine, %d while none does", n, known)
 	}
-	c.InService(start+sharersInterval, 9)
+	c.SetGatewaysInService(start+sharersInterval, 9)
 	c.UseSubset(start+sharersInterval, nil)
 	if n := sharers(); n != 9 {
 		t.Errorf("%d sharers of 9 gateways in service without a subset", n)
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -19,8 +19,8 @@
 // Hooks change a gateway for tests, so that they can run a faulty version without building one. The program itself has
 // none.
 type Hooks struct {
-	Host func(*settings.Host)  // changes the settings before the decision module is made; nil = none
-	Loop func(*eventloop.Loop) // is called once the event loop runs; nil = none
+	ModifyHost  func(*settings.Host)  // changes the settings before the decision module is made; nil = none
+	LoopStarted func(*eventloop.Loop) // is called once the event loop runs; nil = none
 }
 
 // Run serves until ctx is cancelled and every accepted request has its reply. Each signal on hup reloads the
@@ -39,8 +39,8 @@
 	defer exit()
 	p.exit = exit
 	go p.loop.Run(loopCtx)
-	if hooks.Loop != nil {
-		hooks.Loop(p.loop)
+	if hooks.LoopStarted != nil {
+		hooks.LoopStarted(p.loop)
 	}
 	listed := p.start(s)
 	if stopped, err := p.openListeners(ctx, s.conf.Listen); err != nil || stopped {
--- a/internal/program/setup.go
+++ b/internal/program/setup.go
@@ -57,8 +57,8 @@
 	if s.host, err = settings.ParseHost(s.conf.Settings); err != nil {
 		return s, err
 	}
-	if hooks.Host != nil {
-		hooks.Host(&s.host)
+	if hooks.ModifyHost != nil {
+		hooks.ModifyHost(&s.host)
 	}
 	if s.operator, err = readOperator(); err != nil {
 		return s, err
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -101,8 +101,8 @@
 func (m coreModule) handle(now time.Duration, event any) []followUp {
 	switch e := event.(type) {
 	case attemptEnd:
-		return m.followUps(now, m.core.AttemptEnded(now, e.id, e.attempt, policy.OK, []core.Field{{Name: "inflight", Value: 1}}))
-	case core.Timer:
+		return m.followUps(now, m.core.AttemptEnded(now, e.id, e.attempt, policy.OK, []core.ReportField{{Name: "inflight", Value: 1}}))
+	case core.StartTimer:
 		return m.followUps(now, m.core.TimerFired(now, e.Token))
 	}
 	return nil
@@ -111,11 +111,11 @@
 func (m coreModule) followUps(now time.Duration, actions []core.Action) (followUps []followUp) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case core.Start:
+		case core.StartAttempt:
 			if _, may := m.core.MaySend(now, a.ID, a.Attempt, false); may {
 				followUps = append(followUps, followUp{ResponseTime, attemptEnd{a.ID, a.Attempt}, true})
 			}
-		case core.Timer:
+		case core.StartTimer:
 			followUps = append(followUps, followUp{a.After, a, false})
 		}
 	}
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -73,9 +73,9 @@
 	case CrashAfterStart:
 		time.AfterFunc(crashDelay, func() { os.Exit(exitCrashed) })
 	case StallsLoop:
-		return program.Hooks{Loop: func(l *eventloop.Loop) { go stallLoop(l) }}, nil
+		return program.Hooks{LoopStarted: func(l *eventloop.Loop) { go stallLoop(l) }}, nil
 	case RejectsClass:
-		return program.Hooks{Host: rejectClass}, nil
+		return program.Hooks{ModifyHost: rejectClass}, nil
 	case CorruptsResponses:
 		return program.Hooks{}, startCorruptingProxy()
 	case LeaksMemory:
--- a/internal/transport/dispatcher/attempt.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -17,7 +17,7 @@
 type AttemptDriver struct {
 	dispatcher *Dispatcher
 	pool       *enginepool.Pool
-	start      core.Start
+	start      core.StartAttempt
 	addr       string
 	machine    attempt.Machine
 	relay      func([]byte)
@@ -36,7 +36,7 @@
 
 // StartAttempt starts an attempt on the engine at addr and executes the machine's first steps. relay is called with the parts of
 // the response that go to the client before the attempt ends.
-func StartAttempt(d *Dispatcher, pool *enginepool.Pool, start core.Start, addr string, machine attempt.Machine, steps []attempt.Step,
+func StartAttempt(d *Dispatcher, pool *enginepool.Pool, start core.StartAttempt, addr string, machine attempt.Machine, steps []attempt.Step,
 	relay func([]byte)) *AttemptDriver {
 	a := &AttemptDriver{
 		dispatcher: d,
@@ -173,15 +173,15 @@
 }
 
 // parseLoadReport parses a load report such as "inflight:7;util:0.61". Fields whose value is not a number are left out.
-func parseLoadReport(report string) []core.Field {
+func parseLoadReport(report string) []core.ReportField {
 	if report == "" {
 		return nil
 	}
-	var out []core.Field
+	var out []core.ReportField
 	for _, part := range strings.Split(report, ";") {
 		name, text, _ := strings.Cut(strings.TrimSpace(part), ":")
 		if value, err := strconv.ParseFloat(strings.TrimSpace(text), 64); err == nil {
-			out = append(out, core.Field{Name: name, Value: value})
+			out = append(out, core.ReportField{Name: name, Value: value})
 		}
 	}
 	return out
--- a/internal/transport/dispatcher/dispatcher.go
+++ b/internal/transport/dispatcher/dispatcher.go
@@ -16,7 +16,7 @@
 // Client is a frontend's side of a request: it starts the attempts and gives the reply.
 type Client interface {
 	// StartAttempt starts an attempt, which calls Dispatcher.AttemptEnded once.
-	StartAttempt(start core.Start) Attempt
+	StartAttempt(start core.StartAttempt) Attempt
 	// Reply gives the final reply; result is what the attempt that served it returned.
 	Reply(reply core.Reply, result any)
 	// ReadPending handles all bytes that the client has sent by now. It is not called from within a call of the client's own.
@@ -105,7 +105,7 @@
 		d.disconnect(e.ID)
 	}
 	d.execute(actions, nil)
-	return d.Core.ListedEngines()
+	return d.Core.EngineCount()
 }
 
 // disconnect ends the use of all present connections to an engine.
@@ -158,7 +158,7 @@
 }
 
 // AttemptEnded reports the end of an attempt. It is called once for each attempt.
-func (d *Dispatcher) AttemptEnded(id core.ID, attempt int, outcome policy.Outcome, report []core.Field, result any) {
+func (d *Dispatcher) AttemptEnded(id core.ID, attempt int, outcome policy.Outcome, report []core.ReportField, result any) {
 	r := d.requests[id]
 	if r != nil && r.attemptNumber == attempt {
 		r.timeout.Stop()
@@ -177,7 +177,7 @@
 
 // InService reports how many gateways are in service.
 func (d *Dispatcher) InService(gateways int) {
-	d.execute(d.Core.InService(d.Loop.Now(), gateways), nil)
+	d.execute(d.Core.SetGatewaysInService(d.Loop.Now(), gateways), nil)
 }
 
 // ReceiveLoadReports applies the load reports of another gateway.
@@ -219,9 +219,9 @@
 func (d *Dispatcher) execute(actions []core.Action, result any) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case core.Start:
+		case core.StartAttempt:
 			d.startAttempt(a)
-		case core.Stop:
+		case core.CancelAttempt:
 			if r := d.requests[a.ID]; r != nil && r.attempt != nil && r.attemptNumber == a.Attempt {
 				r.attempt.Cancel(policy.Cancelled)
 			}
@@ -233,14 +233,14 @@
 			}
 		case core.Disconnect:
 			d.disconnect(a.Engine)
-		case core.Timer:
+		case core.StartTimer:
 			d.Loop.After(a.After, func() { d.execute(d.Core.TimerFired(d.Loop.Now(), a.Token), nil) })
 		}
 	}
 	d.checkIdle()
 }
 
-func (d *Dispatcher) startAttempt(start core.Start) {
+func (d *Dispatcher) startAttempt(start core.StartAttempt) {
 	r := d.requests[start.ID]
 	r.attemptNumber = start.Attempt
 	r.attempt = r.client.StartAttempt(start)
--- a/internal/transport/dispatcher/subset.go
+++ b/internal/transport/dispatcher/subset.go
@@ -31,4 +31,4 @@
 func (d *Dispatcher) Narrowed() bool { return d.Core.UsesSubset() }
 
 // Overlap returns the share of another gateway's subset, from 0 to 1, that is in this gateway's own, as far as it is known.
-func (d *Dispatcher) Overlap(gateway int) float64 { return d.Core.Overlap(gateway) }
+func (d *Dispatcher) Overlap(gateway int) float64 { return d.Core.SubsetOverlap(gateway) }
--- a/internal/transport/frontend/mysql_client.go
+++ b/internal/transport/frontend/mysql_client.go
@@ -101,7 +101,7 @@
 }
 
 // StartAttempt sends the query to an engine.
-func (c *mysqlClient) StartAttempt(start core.Start) dispatcher.Attempt {
+func (c *mysqlClient) StartAttempt(start core.StartAttempt) dispatcher.Attempt {
 	l := c.listener
 	machine, steps := mysql.NewExchange(c.query, l.config.User, l.config.Password)
 	c.attempt = dispatcher.StartAttempt(l.dispatcher, l.pool, start, l.engineAddr(start.Engine), machine, steps, c.relay)
--- a/internal/transport/frontend/platform_request.go
+++ b/internal/transport/frontend/platform_request.go
@@ -22,7 +22,7 @@
 var _ dispatcher.Client = (*request)(nil)
 
 // StartAttempt sends the query to an engine.
-func (r *request) StartAttempt(start core.Start) dispatcher.Attempt {
+func (r *request) StartAttempt(start core.StartAttempt) dispatcher.Attempt {
 	d := r.client.listener.dispatcher
 	machine, steps := enginehttp.NewQuery(enginehttp.Request{
 		Host:      start.Engine.Addr,
