--- a/cmd/fleettest/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -133,7 +133,7 @@
 	start := time.Now()
 	err = c.rollOut(change, r)
 	r.duration = time.Since(start)
-	r.addOutcomes(change.StopClients(), change.Checked.Plan.Order(c.Gateways)[0], c.Plain)
+	r.addOutcomes(change.StopClients(), change.Checked.Plan.StageGateways(c.Gateways)[0], c.Plain)
 	if running := controller.FindProcesses(change.Checked.Fleet); r.phase == rollout.RolledBack && slices.Contains(running, 0) {
 		return fmt.Errorf("%s, seed %d: a gateway does not run after the return", r.kind, seed)
 	}
--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -101,9 +101,9 @@
 
 // planOutput is the JSON output of the command plan.
 type planOutput struct {
-	IDs    map[string]rollout.ID `json:"ids"` // by version
-	Plan   rollout.Plan          `json:"plan"`
-	Stages [][]int               `json:"stages"` // numbers of the gateways
+	IDs    map[string]rollout.VersionID `json:"ids"` // by version
+	Plan   rollout.Plan                 `json:"plan"`
+	Stages [][]int                      `json:"stages"` // numbers of the gateways
 }
 
 // Run checks and shows a plan.
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	stages := checked.Plan.Order(len(checked.Fleet.Gateways))
+	stages := checked.Plan.StageGateways(len(checked.Fleet.Gateways))
 	if c.JSON {
 		return printJSON(planOutput{IDs: checked.IDs, Plan: checked.Plan, Stages: stages})
 	}
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -246,7 +246,7 @@
 		if err == nil && status.State.Phase == phase {
 			return true
 		}
-		if err == nil && status.State.Phase.Over() {
+		if err == nil && status.State.Phase.Finished() {
 			return false
 		}
 	}
@@ -258,7 +258,7 @@
 func TestFleetTroublesOfTheStageAreNotBlamed(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 5, MinWatchSeconds: 10, MaxWatchSeconds: 90})
-	order := c.Checked.Plan.Order(changeGateways)
+	order := c.Checked.Plan.StageGateways(changeGateways)
 	go func() {
 		if !awaitPhase(c, rollout.Watching) {
 			return // executeChange reports how the change ended
--- a/internal/control/rollout/codec.go
+++ b/internal/control/rollout/codec.go
@@ -37,11 +37,11 @@
 		Fleet:     fleet,
 		Gateway:   uint32(r.Gateway),
 		Pid:       uint32(r.PID),
-		StartedMs: uint64(r.Started / time.Millisecond),
+		StartedMs: uint64(r.StartedAt / time.Millisecond),
 		Program:   r.Program,
 		Settings:  r.Settings,
 		Serving:   r.Serving,
-		Pending:   r.Pending,
+		Pending:   r.RestartPending,
 		MemoryKb:  uint32(r.MemoryMB * kilobytesPerMB),
 	}
 	for _, c := range r.Classes {
@@ -75,14 +75,14 @@
 			ErrInvalidReport, message.Gateway, message.Pid, len(message.Classes))
 	}
 	r := Report{
-		Gateway:  int(message.Gateway),
-		PID:      int(message.Pid),
-		Started:  time.Duration(message.StartedMs) * time.Millisecond,
-		Program:  message.Program,
-		Settings: message.Settings,
-		Serving:  message.Serving,
-		Pending:  message.Pending,
-		MemoryMB: float64(message.MemoryKb) / kilobytesPerMB,
+		Gateway:        int(message.Gateway),
+		PID:            int(message.Pid),
+		StartedAt:      time.Duration(message.StartedMs) * time.Millisecond,
+		Program:        message.Program,
+		Settings:       message.Settings,
+		Serving:        message.Serving,
+		RestartPending: message.Pending,
+		MemoryMB:       float64(message.MemoryKb) / kilobytesPerMB,
 	}
 	for _, c := range message.Classes {
 		r.Classes = append(r.Classes, decodeCounts(c))
@@ -107,24 +107,24 @@
 
 func encodeCounts(c Counts) *rolloutpb.Class {
 	return &rolloutpb.Class{
-		Taken:   c.Taken,
+		Taken:   c.Requests,
 		InTime:  c.InTime,
 		Late:    c.Late,
-		Refused: c.Refused,
+		Refused: c.Rejected,
 		Failed:  c.Failed,
 		Fast:    c.Fast,
-		Further: c.Further,
+		Further: c.Retries,
 	}
 }
 
 func decodeCounts(c *rolloutpb.Class) Counts {
 	return Counts{
-		Taken:   c.GetTaken(),
-		InTime:  c.GetInTime(),
-		Late:    c.GetLate(),
-		Refused: c.GetRefused(),
-		Failed:  c.GetFailed(),
-		Fast:    c.GetFast(),
-		Further: c.GetFurther(),
+		Requests: c.GetTaken(),
+		InTime:   c.GetInTime(),
+		Late:     c.GetLate(),
+		Rejected: c.GetRefused(),
+		Failed:   c.GetFailed(),
+		Fast:     c.GetFast(),
+		Retries:  c.GetFurther(),
 	}
 }
--- a/internal/control/rollout/codec_test.go
+++ b/internal/control/rollout/codec_test.go
@@ -15,8 +15,8 @@
 )
 
 func testReport() Report {
-	return Report{Gateway: 7, PID: 4711, Started: 1_800_000_000 * time.Second, Program: 1 << 63, Settings: 3, Serving: true, MemoryMB: 17.5,
-		Classes: []Counts{{1, 2, 3, 4, 5, 6, 7}, {}, {Taken: 1 << 40}}}
+	return Report{Gateway: 7, PID: 4711, StartedAt: 1_800_000_000 * time.Second, Program: 1 << 63, Settings: 3, Serving: true, MemoryMB: 17.5,
+		Classes: []Counts{{1, 2, 3, 4, 5, 6, 7}, {}, {Requests: 1 << 40}}}
 }
 
 // encodedReport returns the encoding of testReport in the fleet "f".
@@ -108,15 +108,15 @@
 	if b, err = hex.DecodeString(firstVersion); err != nil {
 		t.Fatal(err)
 	}
-	m := NewMix(3, ID{})
-	if !m.Receive(2, b) || m.received[2] != (ID{1 << 8, 2 << 8}) {
+	m := NewVersionTracker(3, VersionID{})
+	if !m.Receive(2, b) || m.received[2] != (VersionID{1 << 8, 2 << 8}) {
 		t.Errorf("%+v", m.received)
 	}
 }
 
 // The version is sent to every member at intervals, and again after a change. Malformed messages change nothing.
 func TestMixExchange(t *testing.T) {
-	a, b := NewMix(3, ID{1 << 40, 2 << 40}), NewMix(3, ID{3 << 40, 2 << 40})
+	a, b := NewVersionTracker(3, VersionID{1 << 40, 2 << 40}), NewVersionTracker(3, VersionID{3 << 40, 2 << 40})
 	now := 100 * time.Second
 	body := a.Append(now, 1, 50, nil)
 	if len(body) == 0 || len(a.Append(now+time.Second, 1, 50, nil)) > 0 || len(a.Append(now, 2, 3, nil)) > 0 {
@@ -129,16 +129,16 @@
 		t.Error("the wrong messages were accepted")
 	}
 	counts := b.Counts(1, func(int) bool { return true })
-	if len(counts) != 2 || counts[0].Members != 1 || FormatCounts(counts) == "" {
+	if len(counts) != 2 || counts[0].Members != 1 || FormatVersionCounts(counts) == "" {
 		t.Errorf("%+v", counts)
 	}
 	if got := b.Counts(1, func(i int) bool { return i != 0 }); len(got) != 1 {
 		t.Errorf("one out of service counts: %+v", got)
 	}
-	a.Own(ID{5 << 40, 2 << 40})
+	a.SetOwn(VersionID{5 << 40, 2 << 40})
 	if body := a.Append(now+resendInterval, 1, 50, nil); len(body) == 0 {
 		t.Error("a new version was not sent")
-	} else if b.Receive(0, body); b.Counts(1, func(int) bool { return true })[0].ID == (ID{}) {
+	} else if b.Receive(0, body); b.Counts(1, func(int) bool { return true })[0].ID == (VersionID{}) {
 		t.Error("lost")
 	}
 }
--- a/internal/control/rollout/comparison.go
+++ b/internal/control/rollout/comparison.go
@@ -29,12 +29,12 @@
 func metrics() []metric {
 	return []metric{
 		{"not served in time", func(c Counts) proportion { return proportion{c.answers() - c.InTime, c.answers()} }},
-		{"refused", func(c Counts) proportion { return proportion{c.Refused, c.answers()} }},
+		{"refused", func(c Counts) proportion { return proportion{c.Rejected, c.answers()} }},
 		{"failed", func(c Counts) proportion { return proportion{c.Failed, c.answers()} }},
 		{"slower than a quarter of the aim", func(c Counts) proportion {
 			return proportion{saturatingSub(c.answers(), c.Fast), c.answers()}
 		}},
-		{"further attempts", func(c Counts) proportion { return proportion{min(c.Further, c.Taken), c.Taken} }},
+		{"further attempts", func(c Counts) proportion { return proportion{min(c.Retries, c.Requests), c.Requests} }},
 	}
 }
 
--- a/internal/control/rollout/counts.go
+++ b/internal/control/rollout/counts.go
@@ -4,45 +4,45 @@
 
 // Counts are a class's totals at one gateway, of answers unless said otherwise.
 type Counts struct {
-	Taken   uint64 `json:"t"` // requests accepted
-	InTime  uint64 `json:"i"` // served within the latency objective
-	Late    uint64 `json:"l"` // served after it
-	Refused uint64 `json:"r"` // rejected
-	Failed  uint64 `json:"f"`
-	Fast    uint64 `json:"q"` // served within a quarter of the latency objective
-	Further uint64 `json:"a"` // retries: attempts beyond a request's first
+	Requests uint64 `json:"t"` // requests accepted
+	InTime   uint64 `json:"i"` // served within the latency objective
+	Late     uint64 `json:"l"` // served after it
+	Rejected uint64 `json:"r"` // rejected
+	Failed   uint64 `json:"f"`
+	Fast     uint64 `json:"q"` // served within a quarter of the latency objective
+	Retries  uint64 `json:"a"` // retries: attempts beyond a request's first
 }
 
-func (c Counts) answers() uint64 { return c.InTime + c.Late + c.Refused + c.Failed }
+func (c Counts) answers() uint64 { return c.InTime + c.Late + c.Rejected + c.Failed }
 
 // subtract returns what was added since an earlier report. Where a total has fallen, the process restarted and all of it is
 // new.
 func (c Counts) subtract(earlier Counts) Counts {
-	restarted := c.Taken < earlier.Taken || c.InTime < earlier.InTime || c.Late < earlier.Late ||
-		c.Refused < earlier.Refused || c.Failed < earlier.Failed
+	restarted := c.Requests < earlier.Requests || c.InTime < earlier.InTime || c.Late < earlier.Late ||
+		c.Rejected < earlier.Rejected || c.Failed < earlier.Failed
 	if restarted {
 		return c
 	}
 	return Counts{
-		Taken:   c.Taken - earlier.Taken,
-		InTime:  c.InTime - earlier.InTime,
-		Late:    c.Late - earlier.Late,
-		Refused: c.Refused - earlier.Refused,
-		Failed:  c.Failed - earlier.Failed,
-		Fast:    saturatingSub(c.Fast, earlier.Fast),
-		Further: saturatingSub(c.Further, earlier.Further),
+		Requests: c.Requests - earlier.Requests,
+		InTime:   c.InTime - earlier.InTime,
+		Late:     c.Late - earlier.Late,
+		Rejected: c.Rejected - earlier.Rejected,
+		Failed:   c.Failed - earlier.Failed,
+		Fast:     saturatingSub(c.Fast, earlier.Fast),
+		Retries:  saturatingSub(c.Retries, earlier.Retries),
 	}
 }
 
 func (c Counts) add(o Counts) Counts {
 	return Counts{
-		Taken:   c.Taken + o.Taken,
-		InTime:  c.InTime + o.InTime,
-		Late:    c.Late + o.Late,
-		Refused: c.Refused + o.Refused,
-		Failed:  c.Failed + o.Failed,
-		Fast:    c.Fast + o.Fast,
-		Further: c.Further + o.Further,
+		Requests: c.Requests + o.Requests,
+		InTime:   c.InTime + o.InTime,
+		Late:     c.Late + o.Late,
+		Rejected: c.Rejected + o.Rejected,
+		Failed:   c.Failed + o.Failed,
+		Fast:     c.Fast + o.Fast,
+		Retries:  c.Retries + o.Retries,
 	}
 }
 
@@ -50,15 +50,15 @@
 // better, or worse, than those that serve none.
 func (c Counts) withoutChecks(results CheckResults) Counts {
 	checks := results.asCounts()
-	refused := min(c.Refused, checks.Failed)
+	refused := min(c.Rejected, checks.Failed)
 	return Counts{
-		Taken:   saturatingSub(c.Taken, checks.Taken),
-		InTime:  saturatingSub(c.InTime, checks.InTime),
-		Late:    saturatingSub(c.Late, checks.Late),
-		Refused: c.Refused - refused,
-		Failed:  saturatingSub(c.Failed, checks.Failed-refused),
-		Fast:    saturatingSub(c.Fast, checks.Fast),
-		Further: c.Further,
+		Requests: saturatingSub(c.Requests, checks.Requests),
+		InTime:   saturatingSub(c.InTime, checks.InTime),
+		Late:     saturatingSub(c.Late, checks.Late),
+		Rejected: c.Rejected - refused,
+		Failed:   saturatingSub(c.Failed, checks.Failed-refused),
+		Fast:     saturatingSub(c.Fast, checks.Fast),
+		Retries:  c.Retries,
 	}
 }
 
@@ -124,10 +124,10 @@
 func (c CheckResults) asCounts() Counts {
 	served := c.Correct + c.Incorrect
 	return Counts{
-		Taken:  uint64(served + c.Unserved),
-		InTime: uint64(c.InTime),
-		Late:   uint64(served - c.InTime),
-		Failed: uint64(c.Unserved),
-		Fast:   uint64(c.Fast),
+		Requests: uint64(served + c.Unserved),
+		InTime:   uint64(c.InTime),
+		Late:     uint64(served - c.InTime),
+		Failed:   uint64(c.Unserved),
+		Fast:     uint64(c.Fast),
 	}
 }
--- a/internal/control/rollout/golden_test.go
+++ b/internal/control/rollout/golden_test.go
@@ -17,12 +17,12 @@
 	report, err := testReport().Append(nil, "f")
 	fmt.Fprintf(&out, "report %x, error %v\n", report, err != nil)
 	other := testReport()
-	other.Serving, other.Pending, other.Gateway = false, true, 0
+	other.Serving, other.RestartPending, other.Gateway = false, true, 0
 	report, err = other.Append(nil, "fleet of the north")
 	fmt.Fprintf(&out, "report %x, error %v\n", report, err != nil)
-	mix := NewMix(3, ID{1 << 40, 2 << 40})
+	mix := NewVersionTracker(3, VersionID{1 << 40, 2 << 40})
 	fmt.Fprintf(&out, "version %x\n", mix.Append(100*time.Second, 1, 50, nil))
-	mix.Own(ID{5, 6})
+	mix.SetOwn(VersionID{5, 6})
 	fmt.Fprintf(&out, "version %x\n", mix.Append(101*time.Second, 2, 50, nil))
 	testutil.Golden(t, "messages.golden", []byte(out.String()))
 }
@@ -31,11 +31,11 @@
 func TestStoredKeys(t *testing.T) {
 	t.Parallel()
 	keys := testutil.FieldKeys("json", "state", State{}) + testutil.FieldKeys("json", "opinion", Verdict{}) +
-		testutil.FieldKeys("json", "id", ID{}) + testutil.FieldKeys("toml", "plan", Plan{}) + testutil.FieldKeys("json", "plan json", Plan{})
+		testutil.FieldKeys("json", "id", VersionID{}) + testutil.FieldKeys("toml", "plan", Plan{}) + testutil.FieldKeys("json", "plan json", Plan{})
 	testutil.Golden(t, "keys.golden", []byte(keys))
 	state := State{Phase: Holding, ResumePhase: Watching, Stage: 2, Since: 5 * time.Second, Reason: "r", Crashes: [2]int{1, 2},
-		Gateways: []GatewayState{{Target: NewVersion, Step: Starting, Started: NewVersion, Since: time.Second, PID: 7}, {Target: OldVersion, Step: Steady}}}
-	text, err := json.MarshalIndent([]any{state, Verdict{Worse: true, Conclusive: true, Reason: "w"}, ID{1, 2}}, "", " ")
+		Gateways: []GatewayState{{TargetVersion: NewVersion, Step: Starting, StartedVersion: NewVersion, Since: time.Second, PID: 7}, {TargetVersion: OldVersion, Step: Steady}}}
+	text, err := json.MarshalIndent([]any{state, Verdict{Worse: true, Conclusive: true, Reason: "w"}, VersionID{1, 2}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/rollout/judge.go
+++ b/internal/control/rollout/judge.go
@@ -32,7 +32,7 @@
 		return Verdict{Worse: true, Reason: why}
 	}
 	all := metrics()
-	alpha := j.FalseAlarm / float64(stages*len(all)*(len(classNames)+1))
+	alpha := j.FalseAlarmProbability / float64(stages*len(all)*(len(classNames)+1))
 	unknown := ""
 	for class := allClasses; class < len(classNames); class++ {
 		name := className(classNames, class)
@@ -58,7 +58,7 @@
 	switch {
 	case c.new.total < uint64(j.MinAnswers) && (together || c.old.total > 0):
 		return "too few answers: " + c.describe(className, metricName)
-	case together && c.upperBound(j.FalseAlarm) > j.NonInferiorityMargin:
+	case together && c.upperBound(j.FalseAlarmProbability) > j.NonInferiorityMargin:
 		return "it may still be worse: " + c.describe(className, metricName)
 	}
 	return ""
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -13,9 +13,9 @@
 // then carries out Actions.
 type Machine struct {
 	plan        Plan
-	ids         map[string]ID // by version
-	classes     []string      // of clients' requests
-	order       []int         // the gateways in the order in which they are changed
+	ids         map[string]VersionID // by version
+	classes     []string             // of clients' requests
+	order       []int                // the gateways in the order in which they are changed
 	state       State
 	observed    []observation // by gateway
 	actions     []Action      // not yet returned by Actions
@@ -33,11 +33,11 @@
 const minPause = 2 * time.Second
 
 // New begins a change; all gateways are expected to run the old version. The ids are how the two versions show in reports.
-func New(now time.Duration, p Plan, oldID, newID ID, classes []string, gateways int) *Machine {
+func New(now time.Duration, p Plan, oldID, newID VersionID, classes []string, gateways int) *Machine {
 	m := newMachine(now, p, oldID, newID, classes, gateways)
 	m.state = State{Phase: Changing, Since: now, Gateways: make([]GatewayState, gateways)}
 	for i := range m.state.Gateways {
-		m.state.Gateways[i] = GatewayState{Target: OldVersion, Step: Steady, Started: OldVersion}
+		m.state.Gateways[i] = GatewayState{TargetVersion: OldVersion, Step: Steady, StartedVersion: OldVersion}
 	}
 	m.addNote("begun: %d stages, %d gateways", len(p.Stages), gateways)
 	m.startStage(now, 0)
@@ -45,7 +45,7 @@
 }
 
 // Resume returns a Machine that continues a change from a stored state.
-func Resume(now time.Duration, p Plan, oldID, newID ID, classes []string, s State) *Machine {
+func Resume(now time.Duration, p Plan, oldID, newID VersionID, classes []string, s State) *Machine {
 	m := newMachine(now, p, oldID, newID, classes, len(s.Gateways))
 	m.state = s
 	m.state.Gateways = slices.Clone(s.Gateways)
@@ -58,10 +58,10 @@
 	return m
 }
 
-func newMachine(now time.Duration, p Plan, oldID, newID ID, classes []string, gateways int) *Machine {
+func newMachine(now time.Duration, p Plan, oldID, newID VersionID, classes []string, gateways int) *Machine {
 	m := &Machine{
 		plan:     p,
-		ids:      map[string]ID{OldVersion: oldID, NewVersion: newID},
+		ids:      map[string]VersionID{OldVersion: oldID, NewVersion: newID},
 		classes:  classes,
 		order:    p.order(gateways),
 		observed: make([]observation, gateways),
@@ -130,7 +130,7 @@
 
 // Abort rolls the change back. It is an error if it is over or being rolled back.
 func (m *Machine) Abort(now time.Duration) error {
-	if m.state.Phase.Over() || m.state.Phase == RollingBack {
+	if m.state.Phase.Finished() || m.state.Phase == RollingBack {
 		return &PhaseError{m.state.Phase}
 	}
 	m.rollBack(now, "an operator took it back")
@@ -146,7 +146,7 @@
 // Tick does what is due. It is called several times a second.
 func (m *Machine) Tick(now time.Duration) {
 	elapsed := m.compensatePause(now)
-	if m.state.Phase.Over() {
+	if m.state.Phase.Finished() {
 		return
 	}
 	m.watchReportPath(now, elapsed)
--- a/internal/control/rollout/machine_test.go
+++ b/internal/control/rollout/machine_test.go
@@ -49,7 +49,7 @@
 	}
 	report := func(n uint64) {
 		counts := make([]Counts, len(simClasses))
-		counts[class] = Counts{Taken: n, InTime: n, Fast: n}
+		counts[class] = Counts{Requests: n, InTime: n, Fast: n}
 		sim.machine.ReceiveReport(sim.now, Report{Gateway: gateway, PID: 1, Classes: counts})
 	}
 	check(100)
@@ -61,7 +61,7 @@
 	if len(samples) != 1 {
 		t.Fatalf("%d samples", len(samples))
 	}
-	if got, want := samples[0].Classes[class], (Counts{Taken: 20, InTime: 20, Fast: 20}); got != want {
+	if got, want := samples[0].Classes[class], (Counts{Requests: 20, InTime: 20, Fast: 20}); got != want {
 		t.Errorf("%+v of clients, want %+v", got, want)
 	}
 }
--- a/internal/control/rollout/mixed_test.go
+++ b/internal/control/rollout/mixed_test.go
@@ -14,14 +14,14 @@
 type mixedFleet struct {
 	t       *testing.T
 	members *simulation.Fleet
-	mixes   map[int]*Mix
+	mixes   map[int]*VersionTracker
 	digests map[int]*loadreport.Digest
 	deaths  int // members that were declared dead while they ran
 }
 
 func newMixedFleet(t *testing.T, members int) *mixedFleet {
 	t.Helper()
-	f := &mixedFleet{t: t, mixes: map[int]*Mix{}, digests: map[int]*loadreport.Digest{}}
+	f := &mixedFleet{t: t, mixes: map[int]*VersionTracker{}, digests: map[int]*loadreport.Digest{}}
 	var err error
 	f.members, err = simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, CheckInterval: 10,
 		NewDetector: func(cfg membership.Config) (simulation.Detector, error) {
@@ -30,7 +30,7 @@
 			f.digests[cfg.Self], cfg.ExtensionInterval = d, 300*time.Millisecond
 			cfg.Extensions = append(cfg.Extensions, d)
 			if cfg.Self%2 == 1 {
-				f.mixes[cfg.Self] = NewMix(members, ID{uint64(7+cfg.Self%3) << 32, 1 << 32})
+				f.mixes[cfg.Self] = NewVersionTracker(members, VersionID{uint64(7+cfg.Self%3) << 32, 1 << 32})
 				cfg.Extensions = append(cfg.Extensions, f.mixes[cfg.Self])
 			}
 			return membership.New(cfg)
--- a/internal/control/rollout/observation.go
+++ b/internal/control/rollout/observation.go
@@ -31,7 +31,7 @@
 		return
 	}
 	observed := &m.observed[r.Gateway]
-	if observed.reportedAt > 0 && r.Started < observed.report.Started {
+	if observed.reportedAt > 0 && r.StartedAt < observed.report.StartedAt {
 		return // of an earlier process, reordered by the network
 	}
 	restarted := observed.baselinePID != 0 && observed.report.PID == observed.baselinePID && r.PID != observed.baselinePID
@@ -74,7 +74,7 @@
 // isSilent reports whether a gateway's last report is too old.
 func (m *Machine) isSilent(now time.Duration, gateway int) bool {
 	at := m.observed[gateway].reportedAt
-	return at == 0 || now-at > seconds(m.plan.Change.SilentSeconds)
+	return at == 0 || now-at > seconds(m.plan.Change.ReportTimeoutSeconds)
 }
 
 // countSilent counts the steady gateways that are silent, by the version that they were started on.
@@ -82,7 +82,7 @@
 	for i, g := range m.state.Gateways {
 		switch {
 		case g.Step != Steady || !m.isSilent(now, i):
-		case g.Started == NewVersion:
+		case g.StartedVersion == NewVersion:
 			silentNew++
 		default:
 			silentOld++
@@ -98,7 +98,7 @@
 		if m.isSilent(now, i) || observed.baselinePID == 0 {
 			continue
 		}
-		isNew := m.state.Gateways[i].Started == NewVersion
+		isNew := m.state.Gateways[i].StartedVersion == NewVersion
 		samples = append(samples, m.sample(isNew, observed))
 	}
 	return samples
--- a/internal/control/rollout/outage_test.go
+++ b/internal/control/rollout/outage_test.go
@@ -43,7 +43,7 @@
 // run plays the change to its end, with the controller killed and resumed on the way.
 func (o *reportOutage) run(sim *fleetSimulation) Phase {
 	sim.partitioned = func(i int, at time.Duration) bool { return o.isLost(i, at-simEpoch) }
-	for end := sim.now + 40*time.Minute; o.resumeAfter > 0 && sim.now < end && !sim.machine.State().Phase.Over(); {
+	for end := sim.now + 40*time.Minute; o.resumeAfter > 0 && sim.now < end && !sim.machine.State().Phase.Finished(); {
 		sim.run(simTick)
 		if o.begunAt > 0 && sim.now-simEpoch >= o.begunAt+o.resumeAfter {
 			sim.resume()
@@ -76,7 +76,7 @@
 		},
 		"first start": func(sim *fleetSimulation) reportOutage {
 			// It ends, by the seed, in the two seconds before the gateway has been waited for twice as long as a start may take.
-			ends := seconds(2*sim.plan.Change.ReadySeconds) - time.Duration(sim.rand.IntN(10))*simTick
+			ends := seconds(2*sim.plan.Change.ReadyTimeoutSeconds) - time.Duration(sim.rand.IntN(10))*simTick
 			return reportOutage{to: ends, after: func() bool { return sim.gateways[sim.machine.order[0]].starts[NewVersion] > 0 }}
 		},
 		"last watch": func(sim *fleetSimulation) reportOutage {
@@ -139,7 +139,7 @@
 					silent := i == first && sim.gateways[i].version == NewVersion && since >= c.silentFrom
 					return silent || c.outage && since >= 10*time.Second && since < outageEnd
 				}
-				from := max(c.silentFrom, seconds(sim.plan.Change.ReadySeconds))
+				from := max(c.silentFrom, seconds(sim.plan.Change.ReadyTimeoutSeconds))
 				if c.outage {
 					from = outageEnd
 				}
--- a/internal/control/rollout/parse.go
+++ b/internal/control/rollout/parse.go
@@ -54,9 +54,9 @@
 
 const missingReason = "it is missing"
 
-// PlanConfigs reads the pattern of a plan's gateway configurations, without which ParsePlan cannot check the rest. Errors are
+// ParseConfigPattern reads the pattern of a plan's gateway configurations, without which ParsePlan cannot check the rest. Errors are
 // *PlanError.
-func PlanConfigs(text []byte) (string, error) {
+func ParseConfigPattern(text []byte) (string, error) {
 	var p Plan
 	if _, err := toml.Decode(string(text), &p); err != nil {
 		return "", decodeError(err)
@@ -157,13 +157,13 @@
 
 func (c *Change) setDefaults() {
 	c.MaxUnavailable = cmp.Or(c.MaxUnavailable, 1)
-	c.ReadySeconds = cmp.Or(c.ReadySeconds, 20)
-	c.StopSeconds = cmp.Or(c.StopSeconds, 10)
-	c.SilentSeconds = cmp.Or(c.SilentSeconds, 5)
+	c.ReadyTimeoutSeconds = cmp.Or(c.ReadyTimeoutSeconds, 20)
+	c.StopTimeoutSeconds = cmp.Or(c.StopTimeoutSeconds, 10)
+	c.ReportTimeoutSeconds = cmp.Or(c.ReportTimeoutSeconds, 5)
 }
 
 func (j *Judge) setDefaults(checks bool) {
-	j.FalseAlarm = cmp.Or(j.FalseAlarm, 0.02)
+	j.FalseAlarmProbability = cmp.Or(j.FalseAlarmProbability, 0.02)
 	j.AllowedRegression = cmp.Or(j.AllowedRegression, 0.02)
 	j.NonInferiorityMargin = cmp.Or(j.NonInferiorityMargin, 0.15)
 	j.MinAnswers = cmp.Or(j.MinAnswers, 5)
--- a/internal/control/rollout/plan.go
+++ b/internal/control/rollout/plan.go
@@ -52,16 +52,16 @@
 
 // Change sets how gateways are changed.
 type Change struct {
-	MaxUnavailable int     `toml:"down_at_once" json:"DownAtOnce"` // gateways out of service for the change at once; 0 = 1
-	ReadySeconds   float64 `toml:"ready_s" json:"ReadyS"`          // from a start to the first report of serving; 0 = 20
-	StopSeconds    float64 `toml:"stop_s" json:"StopS"`            // from SIGTERM to SIGKILL; 0 = 10
-	SilentSeconds  float64 `toml:"silent_s" json:"SilentS"`        // without a report, after which a gateway is silent; 0 = 5
+	MaxUnavailable       int     `toml:"down_at_once" json:"DownAtOnce"` // gateways out of service for the change at once; 0 = 1
+	ReadyTimeoutSeconds  float64 `toml:"ready_s" json:"ReadyS"`          // from a start to the first report of serving; 0 = 20
+	StopTimeoutSeconds   float64 `toml:"stop_s" json:"StopS"`            // from SIGTERM to SIGKILL; 0 = 10
+	ReportTimeoutSeconds float64 `toml:"silent_s" json:"SilentS"`        // without a report, after which a gateway is silent; 0 = 5
 }
 
 // Judge sets when a stage does worse than the old version, and when it is known that it does not.
 type Judge struct {
-	// FalseAlarm is the probability that a change no worse than the old version is stopped; 0 = 0.02.
-	FalseAlarm float64 `toml:"false_alarm" json:"FalseAlarm"`
+	// FalseAlarmProbability is the probability that a change no worse than the old version is stopped; 0 = 0.02.
+	FalseAlarmProbability float64 `toml:"false_alarm" json:"FalseAlarm"`
 
 	// AllowedRegression is the share of answers by which a class may do worse; 0 = 0.02.
 	AllowedRegression float64 `toml:"worse" json:"Worse"`
@@ -111,8 +111,8 @@
 	return rand.New(rand.NewPCG(h.Sum64(), uint64(gateways))).Perm(gateways)
 }
 
-// Order returns the gateways that each stage changes, in order.
-func (p *Plan) Order(gateways int) (stages [][]int) {
+// StageGateways returns the gateways that each stage changes, in order.
+func (p *Plan) StageGateways(gateways int) (stages [][]int) {
 	order := p.order(gateways)
 	previous := 0
 	for _, stage := range p.Stages {
--- a/internal/control/rollout/reconcile.go
+++ b/internal/control/rollout/reconcile.go
@@ -55,12 +55,12 @@
 	if observed.reportedAt == 0 || observed.report.PID != observed.pid {
 		return // its version is not known
 	}
-	running, target := observed.report.id(), m.ids[g.Target]
+	running, target := observed.report.id(), m.ids[g.TargetVersion]
 	if running == target || m.state.Phase == Holding || m.unavailable() >= m.plan.Change.MaxUnavailable {
 		return
 	}
-	g.Started = g.Target
-	if running.Program == target.Program && observed.reloadable && !observed.report.Pending {
+	g.StartedVersion = g.TargetVersion
+	if running.Program == target.Program && observed.reloadable && !observed.report.RestartPending {
 		m.reload(now, gateway)
 		return
 	}
@@ -76,7 +76,7 @@
 	case observed.recovered:
 		m.setStep(now, gateway, Stopping, g.PID)
 		m.addAction(Stop{gateway, g.PID})
-	case now-g.Since > seconds(m.plan.Change.StopSeconds):
+	case now-g.Since > seconds(m.plan.Change.StopTimeoutSeconds):
 		m.addNote("gateway %d did not stop in time and is killed", gateway)
 		m.setStep(now, gateway, Stopping, g.PID)
 		m.addAction(Kill{gateway, g.PID})
@@ -86,20 +86,20 @@
 // reconcileReloading waits for a process to report the new settings, and restarts it if it cannot use them without.
 func (m *Machine) reconcileReloading(now time.Duration, gateway int) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
-	needsRestart := observed.report.Pending && observed.reportedAt > g.Since
+	needsRestart := observed.report.RestartPending && observed.reportedAt > g.Since
 	switch {
 	case observed.pid != g.PID: // it has ended: the next call handles the crash
 		m.setStep(now, gateway, Steady, 0)
-	case m.runsVersion(gateway, g.Target):
+	case m.runsVersion(gateway, g.TargetVersion):
 		m.setStep(now, gateway, Steady, 0)
 	case observed.recovered:
 		m.setStep(now, gateway, Reloading, g.PID)
-		m.addAction(Reload{gateway, g.Target, g.PID})
-	case needsRestart, now-g.Since > seconds(m.plan.Change.ReadySeconds):
+		m.addAction(Reload{gateway, g.TargetVersion, g.PID})
+	case needsRestart, now-g.Since > seconds(m.plan.Change.ReadyTimeoutSeconds):
 		if !needsRestart && m.isSilent(now, gateway) && m.waitForReport(now, gateway) {
 			return
 		}
-		if g.Target == NewVersion && !observed.report.Pending {
+		if g.TargetVersion == NewVersion && !observed.report.RestartPending {
 			m.rollBack(now, fmt.Sprintf("gateway %d did not take the new settings", gateway))
 		}
 		m.stopProcess(now, gateway)
@@ -111,21 +111,21 @@
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
 	elapsed := now - g.Since
 	visible := restartBackoff
-	if g.Started == NewVersion {
+	if g.StartedVersion == NewVersion {
 		visible = processVisibleAfter
 	}
 	switch {
-	case g.Started != g.Target && observed.pid > 0: // the target changed meanwhile
+	case g.StartedVersion != g.TargetVersion && observed.pid > 0: // the target changed meanwhile
 		m.stopProcess(now, gateway)
-	case g.Started != g.Target:
+	case g.StartedVersion != g.TargetVersion:
 		m.startProcess(now, gateway)
-	case m.runsVersion(gateway, g.Target):
+	case m.runsVersion(gateway, g.TargetVersion):
 		m.setStep(now, gateway, Steady, 0)
 	case observed.pid == 0 && observed.recovered:
 		m.startProcess(now, gateway) // the controller may have ended before it started the process
 	case observed.pid == 0 && elapsed > visible:
 		m.startFailed(now, gateway, "ended at its start")
-	case elapsed > seconds(m.plan.Change.ReadySeconds):
+	case elapsed > seconds(m.plan.Change.ReadyTimeoutSeconds):
 		m.startOverdue(now, gateway)
 	}
 }
@@ -138,7 +138,7 @@
 	if unreported && m.waitForReport(now, gateway) {
 		return
 	}
-	m.startFailed(now, gateway, fmt.Sprintf("did not serve on its version %g s after its start", m.plan.Change.ReadySeconds))
+	m.startFailed(now, gateway, fmt.Sprintf("did not serve on its version %g s after its start", m.plan.Change.ReadyTimeoutSeconds))
 }
 
 // waitForReport reports whether a gateway's overdue report is waited for longer, as the path of the reports is suspect.
@@ -156,9 +156,9 @@
 // startProcess starts a gateway on its target version.
 func (m *Machine) startProcess(now time.Duration, gateway int) {
 	g := &m.state.Gateways[gateway]
-	g.Started = g.Target
+	g.StartedVersion = g.TargetVersion
 	m.setStep(now, gateway, Starting, 0)
-	m.addAction(Start{gateway, g.Started})
+	m.addAction(Start{gateway, g.StartedVersion})
 }
 
 // stopProcess stops the process that a gateway runs.
@@ -172,18 +172,18 @@
 func (m *Machine) reload(now time.Duration, gateway int) {
 	pid := m.observed[gateway].pid
 	m.setStep(now, gateway, Reloading, pid)
-	m.addAction(Reload{gateway, m.state.Gateways[gateway].Target, pid})
+	m.addAction(Reload{gateway, m.state.Gateways[gateway].TargetVersion, pid})
 }
 
 // startFailed handles a start after which the gateway does not serve. On the new version it rolls the change back.
 func (m *Machine) startFailed(now time.Duration, gateway int, failure string) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
-	m.addNote("gateway %d on the %s version %s", gateway, g.Started, failure)
-	if g.Started == NewVersion && m.state.Phase != RollingBack {
+	m.addNote("gateway %d on the %s version %s", gateway, g.StartedVersion, failure)
+	if g.StartedVersion == NewVersion && m.state.Phase != RollingBack {
 		m.rollBack(now, fmt.Sprintf("gateway %d %s", gateway, failure))
 	}
 	switch {
-	case observed.pid > 0 && g.Started == OldVersion && g.Target == OldVersion:
+	case observed.pid > 0 && g.StartedVersion == OldVersion && g.TargetVersion == OldVersion:
 		// It runs: perhaps only its reports do not arrive, and another start would not change that.
 		m.setStep(now, gateway, Starting, 0)
 	case observed.pid > 0:
@@ -198,8 +198,8 @@
 func (m *Machine) processCrashed(now time.Duration, gateway int) {
 	g := &m.state.Gateways[gateway]
 	crashes := &m.state.Crashes
-	m.addNote("gateway %d on the %s version has ended by itself", gateway, g.Started)
-	if g.Started == NewVersion {
+	m.addNote("gateway %d on the %s version has ended by itself", gateway, g.StartedVersion)
+	if g.StartedVersion == NewVersion {
 		crashes[newCrashes]++
 		m.judgeCrash(now)
 	} else {
--- a/internal/control/rollout/reload_test.go
+++ b/internal/control/rollout/reload_test.go
@@ -10,7 +10,7 @@
 // them up, or is silent alone, has the change rolled back.
 func TestReloadInReportOutage(t *testing.T) {
 	const gateways, outage = 12, 28 * time.Second
-	oldID, newID := ID{Program: 1, Settings: 5}, ID{Program: 1, Settings: 6}
+	oldID, newID := VersionID{Program: 1, Settings: 5}, VersionID{Program: 1, Settings: 6}
 	for name, c := range map[string]struct {
 		affects   func(gateway, reloaded int) bool // whose reports are lost during the outage
 		takes     bool                             // it takes the new settings
@@ -33,7 +33,7 @@
 					lost := reloaded >= 0 && now < reloadedAt+outage && c.affects(i, reloaded)
 					late := i == reloaded && now < reloadedAt+outage+2*time.Second // it is heard of again after the others
 					if isDue := (int(now/simTick)+i)%5 == 0; isDue && !lost && !(late && c.affects(i, reloaded)) {
-						m.ReceiveReport(now, Report{Gateway: i, PID: 100 + i, Started: simEpoch, Program: id.Program, Settings: id.Settings,
+						m.ReceiveReport(now, Report{Gateway: i, PID: 100 + i, StartedAt: simEpoch, Program: id.Program, Settings: id.Settings,
 							Serving: true, Classes: make([]Counts, len(simClasses))})
 					}
 				}
--- a/internal/control/rollout/reportpath.go
+++ b/internal/control/rollout/reportpath.go
@@ -44,7 +44,7 @@
 		}
 		isOverdue := missing > m.overdueAfter()
 		all, allOverdue = all+1, allOverdue+boolToInt(isOverdue)
-		if g.Started == OldVersion {
+		if g.StartedVersion == OldVersion {
 			old, oldOverdue = old+1, oldOverdue+boolToInt(isOverdue)
 		}
 	}
@@ -53,13 +53,13 @@
 
 // overdueAfter returns how long a gateway has not reported when it is overdue.
 func (m *Machine) overdueAfter() time.Duration {
-	return min(time.Duration(overdueReports*float64(reportInterval)), seconds(m.plan.Change.SilentSeconds))
+	return min(time.Duration(overdueReports*float64(reportInterval)), seconds(m.plan.Change.ReportTimeoutSeconds))
 }
 
 // pathIsSound reports whether the path of the reports has been sound for as long as a gateway may be silent. Only then does a gateway's
 // silence say something about it: when an outage ends, any gateway may be the last to be heard of again.
 func (m *Machine) pathIsSound(now time.Duration) bool {
-	return now-m.pathSuspectAt > seconds(m.plan.Change.SilentSeconds)
+	return now-m.pathSuspectAt > seconds(m.plan.Change.ReportTimeoutSeconds)
 }
 
 func boolToInt(b bool) int {
--- a/internal/control/rollout/sim_test.go
+++ b/internal/control/rollout/sim_test.go
@@ -45,7 +45,7 @@
 	crashAt    time.Duration  // 0 = never
 }
 
-var simIDs = map[string]ID{OldVersion: {1 << 40, 5 << 40}, NewVersion: {2 << 40, 6 << 40}}
+var simIDs = map[string]VersionID{OldVersion: {1 << 40, 5 << 40}, NewVersion: {2 << 40, 6 << 40}}
 
 const (
 	simEpoch     = 1_800_000_000 * time.Second
@@ -173,7 +173,7 @@
 func (sim *fleetSimulation) runChecks(gateway int) {
 	g := &sim.gateways[gateway]
 	for range 4 {
-		g.counts[0].Taken++
+		g.counts[0].Requests++
 		g.counts[0].InTime++
 		g.counts[0].Fast++
 		if g.version == NewVersion && sim.bug == "corrupts results" && sim.rand.IntN(50) == 0 {
@@ -188,7 +188,7 @@
 	class, miss, fast := sim.drawClass()
 	miss = min(1, max(0, miss+g.missOffset)+sim.outage(sim.now))
 	c := &g.counts[class]
-	c.Taken++
+	c.Requests++
 	sim.answers++
 	rejected := false
 	if isNew {
@@ -204,7 +204,7 @@
 	}
 	switch x := sim.rand.Float64(); {
 	case rejected || x < miss/2:
-		c.Refused++
+		c.Rejected++
 	case x < miss:
 		c.Late++
 	default:
@@ -275,14 +275,14 @@
 		memory += 3 * (sim.now - g.startedAt).Seconds()
 	}
 	sim.machine.ReceiveReport(sim.now, Report{
-		Gateway:  gateway,
-		PID:      g.pid,
-		Started:  g.startedAt,
-		Program:  id.Program,
-		Settings: id.Settings,
-		Serving:  g.stopAt == 0,
-		MemoryMB: memory,
-		Classes:  append([]Counts(nil), g.counts...),
+		Gateway:   gateway,
+		PID:       g.pid,
+		StartedAt: g.startedAt,
+		Program:   id.Program,
+		Settings:  id.Settings,
+		Serving:   g.stopAt == 0,
+		MemoryMB:  memory,
+		Classes:   append([]Counts(nil), g.counts...),
 	})
 }
 
@@ -322,7 +322,7 @@
 		sim.stepFleet()
 		sim.stepController()
 		sim.maxDown = max(sim.maxDown, sim.down())
-		if sim.machine.State().Phase.Over() {
+		if sim.machine.State().Phase.Finished() {
 			break
 		}
 	}
--- a/internal/control/rollout/stage.go
+++ b/internal/control/rollout/stage.go
@@ -19,7 +19,7 @@
 	m.state.Crashes = [2]int{}
 	m.setPhase(now, Changing, "")
 	for _, gateway := range m.order[:m.stageTarget(stage)] {
-		m.state.Gateways[gateway].Target = NewVersion
+		m.state.Gateways[gateway].TargetVersion = NewVersion
 	}
 }
 
@@ -53,14 +53,14 @@
 	m.addNote("stage %d is taken back: %s", m.state.Stage+1, reason)
 	m.setPhase(now, RollingBack, reason)
 	for i := range m.state.Gateways {
-		m.state.Gateways[i].Target = OldVersion
+		m.state.Gateways[i].TargetVersion = OldVersion
 	}
 }
 
 // converged reports whether all gateways are steady, and those whose target is the version run it.
 func (m *Machine) converged(version string) bool {
 	for i, g := range m.state.Gateways {
-		if g.Step != Steady || g.Target == version && !m.runsVersion(i, version) {
+		if g.Step != Steady || g.TargetVersion == version && !m.runsVersion(i, version) {
 			return false
 		}
 	}
@@ -81,7 +81,7 @@
 	case m.verdict.Worse:
 		m.rollBack(now, m.verdict.Reason)
 		return
-	case silentNew > 0 && watched > seconds(m.plan.Change.SilentSeconds) && m.pathIsSound(now):
+	case silentNew > 0 && watched > seconds(m.plan.Change.ReportTimeoutSeconds) && m.pathIsSound(now):
 		// A gateway that does not report in time counts as worse.
 		m.rollBack(now, fmt.Sprintf("%d new gateways report nothing", silentNew))
 		return
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -15,8 +15,8 @@
 	RolledBack  Phase = "returned"  // rolled back: all gateways are on the old version again
 )
 
-// Over reports whether the change has ended.
-func (p Phase) Over() bool { return p == Done || p == RolledBack }
+// Finished reports whether the change has ended.
+func (p Phase) Finished() bool { return p == Done || p == RolledBack }
 
 // Step is what is being done to a gateway.
 type Step string
@@ -37,11 +37,11 @@
 
 // GatewayState is what is stored of one gateway.
 type GatewayState struct {
-	Target  string        `json:"want"` // the version that it is to run
-	Step    Step          `json:"step"`
-	Started string        `json:"going,omitempty"` // the version that was started last
-	Since   time.Duration `json:"since,omitempty"` // Unix time of the step
-	PID     int           `json:"pid,omitempty"`   // of the process that is being stopped or reloaded
+	TargetVersion  string        `json:"want"` // the version that it is to run
+	Step           Step          `json:"step"`
+	StartedVersion string        `json:"going,omitempty"` // the version that was started last
+	Since          time.Duration `json:"since,omitempty"` // Unix time of the step
+	PID            int           `json:"pid,omitempty"`   // of the process that is being stopped or reloaded
 }
 
 // State is all that is stored of a change. Stored after each call of a Machine and before its actions are carried out, it is
@@ -64,22 +64,22 @@
 
 // Report is what a gateway sends to the controller once a second.
 type Report struct {
-	Gateway  int           // its number in the fleet, from 0
-	PID      int           // of its process
-	Started  time.Duration // Unix time of the process's start
-	Program  uint64        // the first 8 bytes of the executable's SHA-256
-	Settings uint64        // those of the operator's file in force
-	Serving  bool          // it accepts requests
-	Pending  bool          // a file was reloaded, and some of it takes effect only at the next start
-	MemoryMB float64
-	Classes  []Counts // since the process's start
+	Gateway        int           // its number in the fleet, from 0
+	PID            int           // of its process
+	StartedAt      time.Duration // Unix time of the process's start
+	Program        uint64        // the first 8 bytes of the executable's SHA-256
+	Settings       uint64        // those of the operator's file in force
+	Serving        bool          // it accepts requests
+	RestartPending bool          // a file was reloaded, and some of it takes effect only at the next start
+	MemoryMB       float64
+	Classes        []Counts // since the process's start
 }
 
 // id returns the version that the gateway runs.
-func (r Report) id() ID { return ID{r.Program, r.Settings} }
+func (r Report) id() VersionID { return VersionID{r.Program, r.Settings} }
 
-// ID identifies a version in reports.
-type ID struct {
+// VersionID identifies a version in reports.
+type VersionID struct {
 	Program  uint64 `json:"Program"`
 	Settings uint64 `json:"Settings"`
 }
--- a/internal/control/rollout/validate.go
+++ b/internal/control/rollout/validate.go
@@ -71,12 +71,12 @@
 	switch {
 	case c.MaxUnavailable < 1 || c.MaxUnavailable >= gateways:
 		return &problem{"change.down_at_once", c.MaxUnavailable, fmt.Sprintf("%d of %d gateways", c.MaxUnavailable, gateways)}
-	case c.ReadySeconds < 0:
-		return &problem{"change.ready_s", c.ReadySeconds, negative}
-	case c.StopSeconds < 0:
-		return &problem{"change.stop_s", c.StopSeconds, negative}
-	case c.SilentSeconds < minSilentSeconds:
-		return &problem{"change.silent_s", c.SilentSeconds, "gateways report each second: it has to be 1 at least"}
+	case c.ReadyTimeoutSeconds < 0:
+		return &problem{"change.ready_s", c.ReadyTimeoutSeconds, negative}
+	case c.StopTimeoutSeconds < 0:
+		return &problem{"change.stop_s", c.StopTimeoutSeconds, negative}
+	case c.ReportTimeoutSeconds < minSilentSeconds:
+		return &problem{"change.silent_s", c.ReportTimeoutSeconds, "gateways report each second: it has to be 1 at least"}
 	}
 	return nil
 }
@@ -84,8 +84,8 @@
 func (j *Judge) validate() *problem {
 	share := func(v float64) bool { return v > 0 && v < 1 }
 	switch {
-	case !share(j.FalseAlarm):
-		return &problem{"judge.false_alarm", j.FalseAlarm, fmt.Sprintf("%g is no chance between 0 and 1", j.FalseAlarm)}
+	case !share(j.FalseAlarmProbability):
+		return &problem{"judge.false_alarm", j.FalseAlarmProbability, fmt.Sprintf("%g is no chance between 0 and 1", j.FalseAlarmProbability)}
 	case !share(j.AllowedRegression):
 		return &problem{"judge.worse", j.AllowedRegression, fmt.Sprintf("%g is no share between 0 and 1", j.AllowedRegression)}
 	case !share(j.NonInferiorityMargin) || j.NonInferiorityMargin < j.AllowedRegression:
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -133,7 +133,7 @@
 func statusOf(name string, s rollout.State) Status {
 	on := map[string]int{}
 	for _, g := range s.Gateways {
-		on[g.Started]++
+		on[g.StartedVersion]++
 	}
 	return Status{Name: name, State: s, On: on}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -117,7 +117,7 @@
 	if err != nil && !errors.Is(err, ErrNoChange) {
 		return err
 	}
-	if err == nil && !last.State.Phase.Over() {
+	if err == nil && !last.State.Phase.Finished() {
 		return k.resume(last)
 	}
 	return k.begin()
@@ -181,7 +181,7 @@
 		if err := k.tick(); err != nil {
 			return k.machine.State(), err
 		}
-		if s := k.machine.State(); s.Phase.Over() {
+		if s := k.machine.State(); s.Phase.Finished() {
 			return s, nil
 		}
 		k.checker.setTargets(k.gatewaysToCheck())
@@ -269,7 +269,7 @@
 		if g.Step != rollout.Steady {
 			continue
 		}
-		if g.Started == rollout.NewVersion {
+		if g.StartedVersion == rollout.NewVersion {
 			gateways = append(gateways, i)
 		} else if olds < checkedOld {
 			olds++
--- a/internal/controller/journal_test.go
+++ b/internal/controller/journal_test.go
@@ -17,7 +17,7 @@
 	return rollout.State{
 		Phase:    rollout.Watching,
 		Stage:    stage,
-		Gateways: []rollout.GatewayState{{Target: "new", Step: rollout.Steady}},
+		Gateways: []rollout.GatewayState{{TargetVersion: "new", Step: rollout.Steady}},
 	}
 }
 
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -16,7 +16,7 @@
 	Plan  rollout.Plan
 	Text  []byte // of the plan
 	Fleet Fleet
-	IDs   map[string]rollout.ID // by version
+	IDs   map[string]rollout.VersionID // by version
 }
 
 // versionPlan is one version of a plan, and its key there.
@@ -28,8 +28,8 @@
 // CheckPlan reads and validates a plan and all that it names, before anything is changed. Errors are *rollout.PlanError and
 // *FleetError.
 func CheckPlan(text []byte) (CheckedPlan, error) {
-	c := CheckedPlan{Text: text, IDs: map[string]rollout.ID{}}
-	pattern, err := rollout.PlanConfigs(text)
+	c := CheckedPlan{Text: text, IDs: map[string]rollout.VersionID{}}
+	pattern, err := rollout.ParseConfigPattern(text)
 	if err != nil {
 		return c, err
 	}
@@ -59,7 +59,7 @@
 }
 
 // identify validates a version's files and returns how it shows in reports.
-func (v versionPlan) identify(fleet, reportTo string) (id rollout.ID, err error) {
+func (v versionPlan) identify(fleet, reportTo string) (id rollout.VersionID, err error) {
 	if id.Program, err = hashProgram(v.version.Program); err != nil {
 		return id, v.invalid("program", v.version.Program, err)
 	}
--- a/internal/controller/restart.go
+++ b/internal/controller/restart.go
@@ -38,8 +38,8 @@
 		return err
 	}
 	p := newProcesses(dir, c)
-	stopTimeout := time.Duration(c.Plan.Change.StopSeconds * float64(time.Second))
-	for _, stage := range c.Plan.Order(len(c.Fleet.Gateways)) {
+	stopTimeout := time.Duration(c.Plan.Change.StopTimeoutSeconds * float64(time.Second))
+	for _, stage := range c.Plan.StageGateways(len(c.Fleet.Gateways)) {
 		for _, gateway := range stage {
 			if err := p.stop(gateway, stopTimeout); err != nil {
 				return err
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -144,7 +144,7 @@
 	c.counts.Attempts++
 	if n > 0 {
 		c.counts.Further++
-		c.classCounts(r).Further++
+		c.classCounts(r).Retries++
 	}
 	c.logAttemptDecision(now, s.ID, n)
 	c.actions = append(c.actions, StartAttempt{ID: s.ID, Attempt: n, Engine: *e, Timeout: s.Timeout})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -240,11 +240,11 @@
 	id, _ := c.Submit(start, testQuery)
 	c.Cancel(start, id)
 	c.Submit(start, Query{Class: 1, Remaining: time.Millisecond})
-	want := ClassCounts{Taken: 4, InTime: 2, Late: 1, Fast: 1}
+	want := ClassCounts{Requests: 4, InTime: 2, Late: 1, Fast: 1}
 	if got := c.CountsByClass()[0]; got != want {
 		t.Errorf("lookup: %+v, want %+v", got, want)
 	}
-	if got := c.CountsByClass()[1]; got.Taken != 1 || got.Refused+got.Failed != 1 {
+	if got := c.CountsByClass()[1]; got.Requests != 1 || got.Rejected+got.Failed != 1 {
 		t.Errorf("form-load: %+v", got)
 	}
 }
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -4,13 +4,13 @@
 
 // ClassCounts counts the requests and attempts of one class since the start. A rollout judges a version by them.
 type ClassCounts struct {
-	Taken   uint64 // submitted
-	InTime  uint64 // served within the latency objective
-	Late    uint64 // served after it
-	Refused uint64 // rejected
-	Failed  uint64 // without a complete response, for any other reason than a rejection
-	Fast    uint64 // of InTime: served within a quarter of the latency objective
-	Further uint64 // attempts after a request's first
+	Requests uint64 // submitted
+	InTime   uint64 // served within the latency objective
+	Late     uint64 // served after it
+	Rejected uint64 // rejected
+	Failed   uint64 // without a complete response, for any other reason than a rejection
+	Fast     uint64 // of InTime: served within a quarter of the latency objective
+	Retries  uint64 // attempts after a request's first
 }
 
 // fastFraction divides the latency objective: a reply within that part of it counts as fast. A slower version of the
@@ -46,7 +46,7 @@
 		class.countServed(took, r.objective)
 	case Rejected:
 		c.counts.Refused++
-		class.Refused++
+		class.Rejected++
 	default:
 		c.counts.Failed++
 		class.Failed++
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -57,7 +57,7 @@
 	id := c.lastID
 	r := &request{class: q.Class, submittedAt: now, deadline: now + q.Remaining, objective: c.latencyObjective(q)}
 	c.requests[id] = r
-	c.classCounts(r).Taken++
+	c.classCounts(r).Requests++
 	c.pending++
 	c.counts.Taken++
 	duplicate := q.Name != "" && c.activeNames[q.Name]
--- a/internal/program/extensions_test.go
+++ b/internal/program/extensions_test.go
@@ -24,7 +24,7 @@
 	for _, number := range numbers {
 		digest.Record(now, number, 3)
 	}
-	p := &program{loadReports: digest, version: &versionReporter{versions: rollout.NewMix(2, rollout.ID{Program: 1 << 40, Settings: 1 << 41})}}
+	p := &program{loadReports: digest, version: &versionReporter{versions: rollout.NewVersionTracker(2, rollout.VersionID{Program: 1 << 40, Settings: 1 << 41})}}
 	peers := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), netip.MustParseAddrPort("127.0.0.2:9")}
 	node := func(self int) *membership.Node {
 		n, err := membership.New(membership.Config{Self: self, Peers: peers, Fleet: "f", Seed: 1, Extensions: p.extensions(),
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -102,7 +102,7 @@
 // for the core.
 type peerMessages struct {
 	*dispatcher.Dispatcher
-	versions *rollout.Mix // nil where versions are not reported
+	versions *rollout.VersionTracker // nil where versions are not reported
 	subset   *subsetdriver.Driver
 }
 
--- a/internal/program/stats.go
+++ b/internal/program/stats.go
@@ -45,7 +45,7 @@
 	}
 	counts := p.version.versions.Counts(p.version.number, p.membership.Serves)
 	own := fmt.Sprintf("%016x/%016x", p.version.own.Program, p.version.own.Settings)
-	p.log.Info("versions", "own", own, "in_service", rollout.FormatCounts(counts), "reports_unsent", p.version.sender.Unsent())
+	p.log.Info("versions", "own", own, "in_service", rollout.FormatVersionCounts(counts), "reports_unsent", p.version.sender.Unsent())
 }
 
 // logSubset logs the size of the engine subset and how many gateways share it.
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -41,9 +41,9 @@
 // versionReporter reports this gateway's version and health to the controller of a rollout. After its creation it is used
 // on the event loop only.
 type versionReporter struct {
-	own            rollout.ID
-	versions       *rollout.Mix // of all gateways
-	restartPending bool         // the operator's file has changes that take effect at the next start
+	own            rollout.VersionID
+	versions       *rollout.VersionTracker // of all gateways
+	restartPending bool                    // the operator's file has changes that take effect at the next start
 	started        time.Duration
 	number         int    // of this gateway
 	fleet          string // empty without membership
@@ -67,7 +67,7 @@
 	if v.own.Settings, err = HashFile(os.Getenv(envOperator)); err != nil {
 		return nil, fmt.Errorf("%s: %w", envOperator, err)
 	}
-	v.versions = rollout.NewMix(max(1, s.host.Module.Gateways), v.own)
+	v.versions = rollout.NewVersionTracker(max(1, s.host.Module.Gateways), v.own)
 	section := s.operator.Rollout
 	v.sender, err = datagram.NewReporter(loop, section.ReportTo, section.ReportInterval(), v.encodeReport)
 	return v, err
@@ -76,8 +76,8 @@
 // encodeReport returns the current report; nil if it cannot be encoded.
 func (v *versionReporter) encodeReport() []byte {
 	report := rollout.Report{
-		Gateway: v.number, PID: os.Getpid(), Started: v.started, Program: v.own.Program, Settings: v.own.Settings,
-		Serving: v.serving, Pending: v.restartPending, MemoryMB: residentMemoryMB(),
+		Gateway: v.number, PID: os.Getpid(), StartedAt: v.started, Program: v.own.Program, Settings: v.own.Settings,
+		Serving: v.serving, RestartPending: v.restartPending, MemoryMB: residentMemoryMB(),
 	}
 	for _, counts := range v.core.CountsByClass() {
 		report.Classes = append(report.Classes, rollout.Counts(counts))
@@ -101,7 +101,7 @@
 	v.restartPending = !applied
 	if applied {
 		v.own.Settings = hash
-		v.versions.Own(v.own)
+		v.versions.SetOwn(v.own)
 	}
 }
 
--- a/internal/testbed/capacity/measure/staged.go
+++ b/internal/testbed/capacity/measure/staged.go
@@ -37,10 +37,10 @@
 // stagedReport returns a typical report of a gateway.
 func stagedReport(gateway int) rollout.Report {
 	report := rollout.Report{
-		Gateway: gateway, PID: 1000 + gateway, Started: virtualEpoch, Program: 1 << 63, Settings: 1 << 62, Serving: true, MemoryMB: 40,
+		Gateway: gateway, PID: 1000 + gateway, StartedAt: virtualEpoch, Program: 1 << 63, Settings: 1 << 62, Serving: true, MemoryMB: 40,
 	}
 	for range stagedClasses {
-		report.Classes = append(report.Classes, rollout.Counts{Taken: 1 << 20, InTime: 1 << 20, Late: 100, Refused: 100})
+		report.Classes = append(report.Classes, rollout.Counts{Requests: 1 << 20, InTime: 1 << 20, Late: 100, Rejected: 100})
 	}
 	return report
 }
