--- a/cmd/fleettest/chart.go
+++ b/cmd/fleettest/chart.go
@@ -71,10 +71,10 @@
 	var median, late, all plotter.XYs
 	for _, r := range rows {
 		x := float64(r.members)
-		first := simulation.Quantile(r.kills.Detection, 0.5).Seconds()
+		first := simulation.Quantile(r.kills.DetectionTimes, 0.5).Seconds()
 		median = append(median, plotter.XY{X: x, Y: first})
-		late = append(late, plotter.XY{X: x, Y: simulation.Quantile(r.kills.Detection, 0.99).Seconds()})
-		all = append(all, plotter.XY{X: x, Y: first + simulation.Quantile(r.kills.Dissemination, 0.5).Seconds()})
+		late = append(late, plotter.XY{X: x, Y: simulation.Quantile(r.kills.DetectionTimes, 0.99).Seconds()})
+		all = append(all, plotter.XY{X: x, Y: first + simulation.Quantile(r.kills.DisseminationTimes, 0.5).Seconds()})
 	}
 	if err := plotutil.AddLinePoints(p, "first told, median", median, "first told, 99th percentile", late,
 		"all told, median", all); err != nil {
--- a/cmd/fleettest/simulate.go
+++ b/cmd/fleettest/simulate.go
@@ -35,13 +35,13 @@
 // membershipRow has the figures of one size of the fleet.
 type membershipRow struct {
 	members               int
-	steady, kills, pauses simulation.Figures
-	heartbeatPauses       simulation.Figures
+	steady, kills, pauses simulation.Results
+	heartbeatPauses       simulation.Results
 }
 
 // newHeartbeatDetector returns the baseline that the protocol is compared with.
 func newHeartbeatDetector(c membership.Config) (simulation.Detector, error) {
-	return simulation.NewHeartbeat(c, heartbeatRate, missedForDeath), nil
+	return simulation.NewHeartbeatDetector(c, heartbeatRate, missedForDeath), nil
 }
 
 // Run simulates each size, on all cores, and keeps a table and a chart of the results.
@@ -67,17 +67,17 @@
 // jobs are the simulations of one size. They may run at the same time.
 func (c *simulateCommand) jobs(row *membershipRow) []func() error {
 	var mu sync.Mutex
-	add := func(sum *simulation.Figures, f simulation.Figures, err error) error {
+	add := func(sum *simulation.Results, f simulation.Results, err error) error {
 		mu.Lock()
 		defer mu.Unlock()
 		*sum = sum.Merge(f)
 		return err
 	}
-	lossy := simulation.Setup{Members: row.members, Loss: c.Loss, CheckInterval: checkInterval, StartSpread: time.Second}
+	lossy := simulation.Setup{Members: row.members, Loss: c.Loss, StepsPerCheck: checkInterval, StartSpread: time.Second}
 	jobs := []func() error{func() (err error) {
 		lossless := lossy
 		lossless.Loss, lossless.Seed = 0, c.Seed
-		row.steady, err = simulation.Steady(lossless, steadyTime)
+		row.steady, err = simulation.MeasureSteadyState(lossless, steadyTime)
 		return err
 	}}
 	duration := time.Duration(c.Hours / seedsPerSize / float64(row.members) * float64(time.Hour))
@@ -87,13 +87,13 @@
 		baseline := setup
 		baseline.NewDetector = newHeartbeatDetector
 		jobs = append(jobs, func() error {
-			f, err := simulation.Kills(setup, c.Kills/seedsPerSize, killInterval)
+			f, err := simulation.MeasureKills(setup, c.Kills/seedsPerSize, killInterval)
 			return add(&row.kills, f, err)
 		}, func() error {
-			f, err := simulation.Pauses(setup, duration, pauseInterval, maxPause)
+			f, err := simulation.MeasurePauses(setup, duration, pauseInterval, maxPause)
 			return add(&row.pauses, f, err)
 		}, func() error {
-			f, err := simulation.Pauses(baseline, duration, pauseInterval, maxPause)
+			f, err := simulation.MeasurePauses(baseline, duration, pauseInterval, maxPause)
 			return add(&row.heartbeatPauses, f, err)
 		})
 	}
@@ -113,12 +113,12 @@
 	for k := range c.Runs {
 		seed := c.From + c.Runs - 1 - k
 		jobs = append(jobs, func() error {
-			n := simulation.RandomSize(seed)
+			n := simulation.RandomFleetSize(seed)
 			every := c.Every
 			if every == 0 {
 				every = max(1, n/20)
 			}
-			f, err := simulation.Random(seed, n, every)
+			f, err := simulation.RunRandom(seed, n, every)
 			if f != nil {
 				mu.Lock()
 				steps += f.Steps
--- a/cmd/fleettest/table.go
+++ b/cmd/fleettest/table.go
@@ -81,11 +81,11 @@
 		"first told after s (median / 99th)", "all told s later (median / most)", "not told to all", "false deaths in h",
 		"by heartbeats"}}
 	for _, r := range rows {
-		t.rows = append(t.rows, []string{fmt.Sprint(r.members), fmt.Sprintf("%.2f", r.steady.Datagrams),
-			fmt.Sprintf("%.1f", r.steady.Bytes), fmt.Sprint(r.kills.Kills),
-			seconds(simulation.Quantile(r.kills.Detection, 0.5)) + " / " + seconds(simulation.Quantile(r.kills.Detection, 0.99)),
-			medianAndMax(r.kills.Dissemination), fmt.Sprint(r.kills.Missed),
-			fmt.Sprintf("%d in %.0f", r.pauses.FalseDeaths, r.pauses.ProcessHours), fmt.Sprint(r.heartbeatPauses.FalseDeaths)})
+		t.rows = append(t.rows, []string{fmt.Sprint(r.members), fmt.Sprintf("%.2f", r.steady.DatagramRate),
+			fmt.Sprintf("%.1f", r.steady.ByteRate), fmt.Sprint(r.kills.Kills),
+			seconds(simulation.Quantile(r.kills.DetectionTimes, 0.5)) + " / " + seconds(simulation.Quantile(r.kills.DetectionTimes, 0.99)),
+			medianAndMax(r.kills.DisseminationTimes), fmt.Sprint(r.kills.MissedKills),
+			fmt.Sprintf("%d in %.0f", r.pauses.FalsePositives, r.pauses.ProcessHours), fmt.Sprint(r.heartbeatPauses.FalsePositives)})
 	}
 	return t
 }
--- a/internal/control/membership/budget.go
+++ b/internal/control/membership/budget.go
@@ -29,7 +29,7 @@
 func newByteBudget(c Config) byteBudget {
 	b := byteBudget{perInterval: bytesPerInterval, interval: c.Interval}
 	if c.ExtensionInterval > 0 {
-		extensions := MaxDatagram * float64(c.Interval) / float64(c.ExtensionInterval)
+		extensions := MaxDatagramSize * float64(c.Interval) / float64(c.ExtensionInterval)
 		b.perInterval = max(b.perInterval, extensions/extensionShare)
 	}
 	b.level = budgetCapacity * b.perInterval
--- a/internal/control/membership/budget_test.go
+++ b/internal/control/membership/budget_test.go
@@ -6,7 +6,7 @@
 )
 
 // fullDatagram is the lower bound of the length of a datagram that extensions fill.
-const fullDatagram = MaxDatagram - 3*listOverhead
+const fullDatagram = MaxDatagramSize - 3*listOverhead
 
 // lengths returns the lengths of the last call's datagrams.
 func (n *Node) lengths() (out []int) {
@@ -88,7 +88,7 @@
 func TestBudgetAllowsForExtensions(t *testing.T) {
 	usual := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: 300 * time.Millisecond})
 	often := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: minExtensionInterval})
-	if usual.perInterval != bytesPerInterval || often.perInterval < MaxDatagram*float64(DefaultInterval/minExtensionInterval)/extensionShare {
+	if usual.perInterval != bytesPerInterval || often.perInterval < MaxDatagramSize*float64(DefaultInterval/minExtensionInterval)/extensionShare {
 		t.Errorf("%g and %g bytes an interval", usual.perInterval, often.perInterval)
 	}
 }
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -27,8 +27,8 @@
 	"time"
 )
 
-// MaxDatagram is the upper bound in bytes of a datagram, extension messages included.
-const MaxDatagram = 256
+// MaxDatagramSize is the upper bound in bytes of a datagram, extension messages included.
+const MaxDatagramSize = 256
 
 // MaxMembers is the upper bound of len(Config.Peers), and with it of every table.
 const MaxMembers = 4096
@@ -98,10 +98,10 @@
 	SuspicionTimeout  time.Duration    // shortest suspicion timeout; 0 = 1.75 intervals
 	Extensions        []Extension      // subsystems that piggyback messages on the datagrams
 	ExtensionInterval time.Duration    // between two datagrams that carry extensions alone, each to one member; 0 = none
-	// Weights returns the weight of each member, by number, as the receiver of a datagram that carries extensions alone. Where
+	// ExtensionWeights returns the weight of each member, by number, as the receiver of a datagram that carries extensions alone. Where
 	// it is nil, or returns nil, or no weight is above 0, all members are equally likely; otherwise a member without a weight
 	// above 0 receives none.
-	Weights func() []float64
+	ExtensionWeights func() []float64
 }
 
 // Extension is a subsystem that piggybacks small messages on the datagrams. The message of another gateway's Extension
--- a/internal/control/membership/decode.go
+++ b/internal/control/membership/decode.go
@@ -20,7 +20,7 @@
 		n.counts.Strangers++
 		return 0, false
 	}
-	if len(b) > MaxDatagram {
+	if len(b) > MaxDatagramSize {
 		n.counts.Oversize++
 		return 0, false
 	}
@@ -32,7 +32,7 @@
 	switch {
 	case d.Fleet != n.fleet:
 		n.counts.OtherFleet++
-	case d.Least > Version:
+	case d.Least > ProtocolVersion:
 		n.counts.TooNew++
 	case int(d.From) != sender:
 		n.counts.Strangers++
--- a/internal/control/membership/decode_test.go
+++ b/internal/control/membership/decode_test.go
@@ -44,7 +44,7 @@
 		"truncated":                {peers[1], deathFrom(1, nil)[:20], malformed},
 		"empty":                    {peers[1], nil, malformed},
 		"other fleet":              {peers[1], deathFrom(1, func(d *membershippb.Datagram) { d.Fleet++ }), otherFleet},
-		"too new":                  {peers[1], deathFrom(1, func(d *membershippb.Datagram) { d.Least = Version + 1 }), tooNew},
+		"too new":                  {peers[1], deathFrom(1, func(d *membershippb.Datagram) { d.Least = ProtocolVersion + 1 }), tooNew},
 		"no version":               {peers[1], deathFrom(1, func(d *membershippb.Datagram) { d.Version = 0 }), malformed},
 		"incarnation out of range": {peers[1], deathFrom(1, func(d *membershippb.Datagram) { d.Incarnation = 1 << 63 }), malformed},
 	} {
@@ -64,7 +64,7 @@
 	n := newNode(t, 0, 5)
 	inc := startIncarnation + 5
 	b := datagramFrom(n, 1, func(d *membershippb.Datagram) {
-		d.Version, d.Kind = Version+3, 99
+		d.Version, d.Kind = ProtocolVersion+3, 99
 		withUpdate(2, 7, inc, 1)(d) // a future state
 		withUpdate(400, Dead, inc, 1)(d)
 		withUpdate(3, Left, inc, 1)(d)
--- a/internal/control/membership/encode.go
+++ b/internal/control/membership/encode.go
@@ -11,9 +11,9 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// Version is the version of the datagrams that this program writes; minReaderVersion is the lowest that can read them.
+// ProtocolVersion is the version of the datagrams that this program writes; minReaderVersion is the lowest that can read them.
 const (
-	Version          = 1
+	ProtocolVersion  = 1
 	minReaderVersion = 1
 )
 
@@ -69,7 +69,7 @@
 func (n *Node) newDatagram(kind membershippb.Kind, sequence uint32) *membershippb.Datagram {
 	d := &n.outgoing
 	resetMessage(d)
-	d.Version, d.Least, d.Fleet = Version, minReaderVersion, n.fleet
+	d.Version, d.Least, d.Fleet = ProtocolVersion, minReaderVersion, n.fleet
 	d.From, d.Incarnation = uint32(n.cfg.Self), n.members[n.cfg.Self].incarnation
 	d.Kind, d.Sequence, d.Digest = kind, sequence, n.digest
 	return d
@@ -107,7 +107,7 @@
 		d.Subject, d.SubjectIncarnation = uint32(subject+1), subjectIncarnation
 	}
 	const lists = 3 // About, Word and By
-	w := datagramWriter{datagram: d, remaining: MaxDatagram - checksumSize - proto.Size(d) - lists*listOverhead}
+	w := datagramWriter{datagram: d, remaining: MaxDatagramSize - checksumSize - proto.Size(d) - lists*listOverhead}
 	if n.needsNotice(to) {
 		w.appendUpdate(to, &n.members[to])
 	}
@@ -138,7 +138,7 @@
 func (n *Node) enqueueDatagram(to int, d *membershippb.Datagram) {
 	k := len(n.datagrams)
 	if k == len(n.buffers) {
-		n.buffers = append(n.buffers, make([]byte, 0, MaxDatagram))
+		n.buffers = append(n.buffers, make([]byte, 0, MaxDatagramSize))
 	}
 	b, err := proto.MarshalOptions{}.MarshalAppend(n.buffers[k][:0], d)
 	if err != nil {
--- a/internal/control/membership/encode_test.go
+++ b/internal/control/membership/encode_test.go
@@ -22,7 +22,7 @@
 		}))
 		for k := range 20 {
 			n.Tick(epoch + time.Duration(round*20+k+20)*200*time.Millisecond)
-			if err := n.Check(); err != nil { // checks the lengths
+			if err := n.CheckInvariants(); err != nil { // checks the lengths
 				t.Fatal(err)
 			}
 			for _, d := range n.Datagrams() {
--- a/internal/control/membership/extension.go
+++ b/internal/control/membership/extension.go
@@ -25,8 +25,8 @@
 // 0; noMember if there is none.
 func (n *Node) randomExtensionReceiver() int {
 	var weights []float64
-	if n.cfg.Weights != nil {
-		weights = n.cfg.Weights()
+	if n.cfg.ExtensionWeights != nil {
+		weights = n.cfg.ExtensionWeights()
 	}
 	if weights == nil {
 		return n.randomMember(noMember)
@@ -61,7 +61,7 @@
 
 // weight returns the weight of a member; 0 if it is out of service or has none.
 func (n *Node) weight(weights []float64, member int) float64 {
-	if member >= len(weights) || !n.members[member].state.Serves() {
+	if member >= len(weights) || !n.members[member].state.InService() {
 		return 0
 	}
 	return max(0, weights[member])
@@ -91,7 +91,7 @@
 	for _, payload := range d.Payload {
 		for _, extension := range n.cfg.Extensions {
 			if extension.Kind() == payload.GetKind() {
-				n.events = append(n.events, Event{Kind: ExtensionReceived, Member: from, By: from,
+				n.events = append(n.events, Event{Kind: ExtensionReceived, Member: from, ReportedBy: from,
 					ExtensionKind: payload.GetKind(), Body: payload.GetBody()})
 			}
 		}
--- a/internal/control/membership/extension_test.go
+++ b/internal/control/membership/extension_test.go
@@ -19,7 +19,7 @@
 func receivers(t *testing.T, weights func() []float64) (members []int) {
 	t.Helper()
 	node := startNode(t, Config{Self: 0, Peers: peerAddresses(6), Fleet: "test", Seed: 1, Extensions: []Extension{testExtension{1}},
-		ExtensionInterval: minExtensionInterval, Weights: weights})
+		ExtensionInterval: minExtensionInterval, ExtensionWeights: weights})
 	for i := range 200 {
 		now := node.nextExtensionsAt
 		node.reset()
@@ -57,7 +57,7 @@
 
 // A member out of service receives no datagram for extensions, whatever its weight.
 func TestWeightsOfMembersOutOfServiceDoNotCount(t *testing.T) {
-	node := startNode(t, Config{Self: 0, Peers: peerAddresses(4), Fleet: "test", Seed: 1, Weights: func() []float64 { return []float64{0, 5, 1, 0} }})
+	node := startNode(t, Config{Self: 0, Peers: peerAddresses(4), Fleet: "test", Seed: 1, ExtensionWeights: func() []float64 { return []float64{0, 5, 1, 0} }})
 	node.deliverUpdate(t, 1, Left, startIncarnation, 1)
 	for range 50 {
 		if to := node.randomExtensionReceiver(); to != 2 {
--- a/internal/control/membership/helpers_test.go
+++ b/internal/control/membership/helpers_test.go
@@ -49,7 +49,7 @@
 
 // datagramFrom builds a datagram of another member; change may alter it before the checksum is added.
 func datagramFrom(n *Node, member int, change func(d *membershippb.Datagram)) []byte {
-	d := &membershippb.Datagram{Version: Version, Least: minReaderVersion, Fleet: n.fleet, From: uint32(member),
+	d := &membershippb.Datagram{Version: ProtocolVersion, Least: minReaderVersion, Fleet: n.fleet, From: uint32(member),
 		Incarnation: startIncarnation, Kind: membershippb.Kind_KIND_GOSSIP}
 	if change != nil {
 		change(d)
@@ -71,7 +71,7 @@
 func (n *Node) deliver(t failer, member int, b []byte) {
 	t.Helper()
 	n.Receive(epoch+time.Second, n.cfg.Peers[member], b)
-	if err := n.Check(); err != nil {
+	if err := n.CheckInvariants(); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/control/membership/invariants.go
+++ b/internal/control/membership/invariants.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Check returns an error for the first invariant that is violated. Tests, and programs built with -tags debug, call it
+// CheckInvariants returns an error for the first invariant that is violated. Tests, and programs built with -tags debug, call it
 // after every other call.
-func (n *Node) Check() error {
+func (n *Node) CheckInvariants() error {
 	if err := n.checkMembers(); err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 			return fmt.Errorf("member %d in state %d", i, m.state)
 		}
 		digest ^= memberDigest(i, m.state)
-		if m.state.Serves() {
+		if m.state.InService() {
 			serving++
 		}
 		if m.retransmits > 0 {
@@ -67,7 +67,7 @@
 
 func (n *Node) checkDatagrams() error {
 	for _, d := range n.datagrams {
-		if len(d.Bytes) > MaxDatagram || d.To == n.cfg.Self || d.To < 0 || d.To >= len(n.members) {
+		if len(d.Bytes) > MaxDatagramSize || d.To == n.cfg.Self || d.To < 0 || d.To >= len(n.members) {
 			return fmt.Errorf("datagram of %d bytes to member %d", len(d.Bytes), d.To)
 		}
 	}
--- a/internal/control/membership/invariants_test.go
+++ b/internal/control/membership/invariants_test.go
@@ -34,7 +34,7 @@
 					}
 				}))
 			}
-			if err := n.Check(); err != nil {
+			if err := n.CheckInvariants(); err != nil {
 				t.Fatal(err)
 			}
 			if n.NextTick() < now {
--- a/internal/control/membership/node.go
+++ b/internal/control/membership/node.go
@@ -181,8 +181,8 @@
 // NextTick returns the time at which Tick must be called; 0 before Start.
 func (n *Node) NextTick() time.Duration { return n.nextTickAt }
 
-// InService returns the number of members in service, this one included unless it leaves.
-func (n *Node) InService() int { return n.serving }
+// NumInService returns the number of members in service, this one included unless it leaves.
+func (n *Node) NumInService() int { return n.serving }
 
 // Member returns the state of a member and its incarnation, which is 0 if it was never heard of.
 func (n *Node) Member(i int) (State, uint64) { return n.members[i].state, n.members[i].incarnation }
@@ -202,7 +202,7 @@
 	if len(n.others) == 0 {
 		return noMember
 	}
-	eligible := func(i int) bool { return i != exclude && n.members[i].state.Serves() }
+	eligible := func(i int) bool { return i != exclude && n.members[i].state.InService() }
 	const attempts = 4 // draws before all members are searched
 	for range attempts {
 		i := n.others[n.rnd.IntN(len(n.others))]
--- a/internal/control/membership/probe.go
+++ b/internal/control/membership/probe.go
@@ -120,7 +120,7 @@
 	if len(p.nackedBy) == 0 {
 		n.adjustHealth(2)
 	}
-	if n.members[p.target].state.Serves() {
+	if n.members[p.target].state.InService() {
 		n.suspectAfterProbe(now, p.target, p.nackedBy)
 	}
 }
@@ -143,7 +143,7 @@
 	}
 	offset := n.probeOffsets[slot%uint64(len(n.others))]
 	target := (n.cfg.Self + offset) % len(n.members)
-	if n.members[target].state.Serves() {
+	if n.members[target].state.InService() {
 		return target
 	}
 	return n.randomMember(noMember)
@@ -181,7 +181,7 @@
 	for range n.members {
 		n.lastOutOfServiceProbed = (n.lastOutOfServiceProbed + 1) % len(n.members)
 		i := n.lastOutOfServiceProbed
-		if i != n.cfg.Self && !n.members[i].state.Serves() {
+		if i != n.cfg.Self && !n.members[i].state.InService() {
 			n.ping(now, i)
 			return
 		}
--- a/internal/control/membership/simulation/detector.go
+++ b/internal/control/membership/simulation/detector.go
@@ -18,6 +18,6 @@
 	Datagrams() []membership.Datagram
 	Events() []membership.Event
 	Member(i int) (membership.State, uint64)
-	InService() int
-	Check() error
+	NumInService() int
+	CheckInvariants() error
 }
--- a/internal/control/membership/simulation/fleet.go
+++ b/internal/control/membership/simulation/fleet.go
@@ -38,20 +38,20 @@
 	DelayMax      time.Duration // 0 = default delays
 	StartSpread   time.Duration // after Epoch, within which the members start
 	NewDetector   func(cfg membership.Config) (Detector, error)
-	CheckInterval int // steps between two checks of a node's invariants; 0 = every step
+	StepsPerCheck int // steps between two checks of a node's invariants; 0 = every step
 }
 
 // Member is one simulated process.
 type Member struct {
-	Node     Detector
-	Up       bool
-	Since    time.Duration // when it last started or resumed
-	Skew     time.Duration // of its clock
-	paused   bool
-	buffered []arrival     // received during a pause
-	timerAt  time.Duration // of its next Tick
-	starts   int           // starts and ends so far, to recognize events of a former process
-	lastNow  time.Duration // of its clock, which never decreases
+	Node      Detector
+	Up        bool
+	UpSince   time.Duration // when it last started or resumed
+	ClockSkew time.Duration // of its clock
+	paused    bool
+	buffered  []arrival     // received during a pause
+	timerAt   time.Duration // of its next Tick
+	starts    int           // starts and ends so far, to recognize events of a former process
+	lastNow   time.Duration // of its clock, which never decreases
 }
 
 // Fleet is a run.
@@ -117,7 +117,7 @@
 		f.err = err
 		return
 	}
-	*m = Member{Node: node, Up: true, Since: f.Now, Skew: skew, starts: m.starts}
+	*m = Member{Node: node, Up: true, UpSince: f.Now, ClockSkew: skew, starts: m.starts}
 	f.step(i, node.Start)
 }
 
@@ -158,10 +158,10 @@
 // resume ends a pause: the member handles what waits in its socket and its timer, in either order.
 func (f *Fleet) resume(i int) {
 	m := &f.Members[i]
-	m.paused, m.Since = false, f.Now
+	m.paused, m.UpSince = false, f.Now
 	buffered := m.buffered
 	m.buffered = nil
-	if f.rnd.IntN(2) == 0 && m.Node.NextTick() <= f.Now+m.Skew {
+	if f.rnd.IntN(2) == 0 && m.Node.NextTick() <= f.Now+m.ClockSkew {
 		f.step(i, m.Node.Tick)
 	}
 	for _, datagram := range buffered {
@@ -176,12 +176,12 @@
 	if !m.Up || f.err != nil {
 		return
 	}
-	now := max(f.Now+m.Skew, m.lastNow)
+	now := max(f.Now+m.ClockSkew, m.lastNow)
 	m.lastNow = now
 	call(now)
 	f.Steps++
-	if f.CheckInterval == 0 || f.Steps%f.CheckInterval == 0 {
-		f.fail(i, m.Node.Check())
+	if f.StepsPerCheck == 0 || f.Steps%f.StepsPerCheck == 0 {
+		f.fail(i, m.Node.CheckInvariants())
 	}
 	for _, e := range m.Node.Events() {
 		if f.OnEvent != nil && f.err == nil {
@@ -191,7 +191,7 @@
 	for _, d := range m.Node.Datagrams() {
 		f.transmit(i, d)
 	}
-	if next := m.Node.NextTick() - m.Skew; m.timerAt <= f.Now || next < m.timerAt {
+	if next := m.Node.NextTick() - m.ClockSkew; m.timerAt <= f.Now || next < m.timerAt {
 		f.setTimer(i, max(next, f.Now))
 	}
 }
@@ -203,16 +203,16 @@
 	}
 }
 
-// Agreed reports whether in the view of every member that is up exactly those that are up are in service; if not, it
+// ViewsAgree reports whether in the view of every member that is up exactly those that are up are in service; if not, it
 // describes a difference.
-func (f *Fleet) Agreed() (bool, string) {
+func (f *Fleet) ViewsAgree() (bool, string) {
 	for viewer := range f.Members {
 		if !f.Members[viewer].Up || f.Members[viewer].paused {
 			continue
 		}
 		for i := range f.Members {
 			s, _ := f.Members[viewer].Node.Member(i)
-			if s.Serves() != f.Members[i].Up {
+			if s.InService() != f.Members[i].Up {
 				return false, fmt.Sprintf("at member %d: member %d is %v, up: %v", viewer, i, s, f.Members[i].Up)
 			}
 		}
--- a/internal/control/membership/simulation/fleet_test.go
+++ b/internal/control/membership/simulation/fleet_test.go
@@ -25,11 +25,11 @@
 		go func() {
 			defer wg.Done()
 			for seed := range next {
-				n := RandomSize(seed)
+				n := RandomFleetSize(seed)
 				if n > maxMembers {
 					continue
 				}
-				if _, err := Random(seed, n, max(1, n/20)); err != nil {
+				if _, err := RunRandom(seed, n, max(1, n/20)); err != nil {
 					t.Errorf("%d members: %v", n, err)
 				}
 			}
@@ -46,7 +46,7 @@
 func TestSeedReplays(t *testing.T) {
 	t.Parallel()
 	replay := func() string {
-		f, err := Random(17, 25, 1)
+		f, err := RunRandom(17, 25, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,21 +60,21 @@
 // No false death at 10% loss with pauses of up to 2 s. The baseline, with the same seed, declares some.
 func TestPausesCauseNoFalseDeath(t *testing.T) {
 	t.Parallel()
-	s := Setup{Members: 50, Seed: 3, Loss: 0.1, CheckInterval: 100}
+	s := Setup{Members: 50, Seed: 3, Loss: 0.1, StepsPerCheck: 100}
 	hours := 10 * time.Hour
 	if raceDetector {
 		hours = time.Hour
 	}
-	f, err := Pauses(s, hours/50, 30*time.Second, 2*time.Second)
-	if err != nil || f.FalseDeaths > 0 {
-		t.Fatalf("%d false deaths, %v", f.FalseDeaths, err)
+	f, err := MeasurePauses(s, hours/50, 30*time.Second, 2*time.Second)
+	if err != nil || f.FalsePositives > 0 {
+		t.Fatalf("%d false deaths, %v", f.FalsePositives, err)
 	}
 	if raceDetector {
 		return // the run is too short for a false death of the baseline
 	}
-	s.NewDetector = func(c membership.Config) (Detector, error) { return NewHeartbeat(c, 1, 3), nil }
-	if f, err = Pauses(s, hours/50, 30*time.Second, 2*time.Second); err != nil || f.FalseDeaths < 5 {
-		t.Fatalf("the baseline declared %d false deaths, %v: the scenario proves nothing", f.FalseDeaths, err)
+	s.NewDetector = func(c membership.Config) (Detector, error) { return NewHeartbeatDetector(c, 1, 3), nil }
+	if f, err = MeasurePauses(s, hours/50, 30*time.Second, 2*time.Second); err != nil || f.FalsePositives < 5 {
+		t.Fatalf("the baseline declared %d false deaths, %v: the scenario proves nothing", f.FalsePositives, err)
 	}
 }
 
@@ -88,14 +88,14 @@
 			if raceDetector {
 				kills = 200 / n
 			}
-			f, err := Kills(Setup{Members: n, Seed: 8, CheckInterval: 50}, kills, 30*time.Second)
+			f, err := MeasureKills(Setup{Members: n, Seed: 8, StepsPerCheck: 50}, kills, 30*time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if f.Missed > 0 || f.FalseDeaths > 0 || len(f.Detection) != kills {
-				t.Errorf("%d of %d kills missed, %d false deaths", kills-len(f.Detection)+f.Missed, kills, f.FalseDeaths)
+			if f.MissedKills > 0 || f.FalsePositives > 0 || len(f.DetectionTimes) != kills {
+				t.Errorf("%d of %d kills missed, %d false deaths", kills-len(f.DetectionTimes)+f.MissedKills, kills, f.FalsePositives)
 			}
-			median, worst, dissemination := Quantile(f.Detection, 0.5), Quantile(f.Detection, 0.99), Quantile(f.Dissemination, 1)
+			median, worst, dissemination := Quantile(f.DetectionTimes, 0.5), Quantile(f.DetectionTimes, 0.99), Quantile(f.DisseminationTimes, 1)
 			if !raceDetector && (median > 3*interval || worst > 8*interval || dissemination > 4*interval) {
 				t.Errorf("detected after %v (median), %v (99th percentile); disseminated within %v", median, worst, dissemination)
 			}
@@ -110,18 +110,18 @@
 	if raceDetector {
 		sizes = []int{10, 100}
 	}
-	var smallest Figures
+	var smallest Results
 	for _, n := range sizes {
-		f, err := Steady(Setup{Members: n, Seed: 5, StartSpread: time.Second, CheckInterval: 1000}, 30*time.Second)
+		f, err := MeasureSteadyState(Setup{Members: n, Seed: 5, StartSpread: time.Second, StepsPerCheck: 1000}, 30*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if smallest.Members == 0 {
 			smallest = f
 		}
-		if f.Datagrams > 1.2*smallest.Datagrams || f.Bytes > 1.2*smallest.Bytes || f.Datagrams > 3 || f.Bytes > 400 {
+		if f.DatagramRate > 1.2*smallest.DatagramRate || f.ByteRate > 1.2*smallest.ByteRate || f.DatagramRate > 3 || f.ByteRate > 400 {
 			t.Errorf("%d members: %.2f datagrams and %.1f bytes a second, with %d it was %.2f and %.1f", n,
-				f.Datagrams, f.Bytes, smallest.Members, smallest.Datagrams, smallest.Bytes)
+				f.DatagramRate, f.ByteRate, smallest.Members, smallest.DatagramRate, smallest.ByteRate)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 	t.Helper()
 	for end := f.Now + within; ; {
 		runFor(t, f, time.Second)
-		agreed, difference := f.Agreed()
+		agreed, difference := f.ViewsAgree()
 		if agreed {
 			return
 		}
@@ -195,7 +195,7 @@
 			runFor(t, f, 30*time.Second)
 			for viewer := 1; viewer < 12; viewer++ {
 				for i := range 12 {
-					if s, _ := f.Members[viewer].Node.Member(i); s.Serves() != (i != 0) {
+					if s, _ := f.Members[viewer].Node.Member(i); s.InService() != (i != 0) {
 						t.Errorf("at member %d: member %d is %v", viewer, i, s)
 					}
 				}
@@ -217,7 +217,7 @@
 			f, _ := startedFleet(t, n)
 			f.Drops = oddFromEven
 			runFor(t, f, 40*time.Second)
-			if serving := f.Members[0].Node.InService(); serving != n/2 {
+			if serving := f.Members[0].Node.NumInService(); serving != n/2 {
 				t.Errorf("%d in service in a partition", serving)
 			}
 			f.Drops = nil
@@ -266,7 +266,7 @@
 			runFor(t, f, 3500*time.Millisecond)
 			f.Start(4, skew)
 			runFor(t, f, time.Minute)
-			if agreed, difference := f.Agreed(); !agreed {
+			if agreed, difference := f.ViewsAgree(); !agreed {
 				t.Error(difference)
 			}
 		})
@@ -279,7 +279,7 @@
 	f, deaths := startedFleet(t, 30)
 	f.Leave(7)
 	runFor(t, f, 4*time.Second)
-	if agreed, difference := f.Agreed(); !agreed || *deaths > 0 {
+	if agreed, difference := f.ViewsAgree(); !agreed || *deaths > 0 {
 		t.Fatalf("%s; %d deaths", difference, *deaths)
 	}
 }
--- a/internal/control/membership/simulation/heal_test.go
+++ b/internal/control/membership/simulation/heal_test.go
@@ -20,7 +20,7 @@
 		for _, loss := range []float64{0, 0.1} {
 			t.Run(fmt.Sprintf("members=%d,loss=%v", n, loss), func(t *testing.T) {
 				f, _ := startedFleet(t, n)
-				f.Loss, f.CheckInterval = loss, 100
+				f.Loss, f.StepsPerCheck = loss, 100
 				f.Drops = oddFromEven
 				runFor(t, f, 40*time.Second)
 				f.Drops = nil
@@ -84,7 +84,7 @@
 	f.Drops = oddFromEven
 	runFor(t, f, 45*time.Second)
 	for i := range f.Members {
-		if serving := f.Members[i].Node.InService(); serving != n/2 {
+		if serving := f.Members[i].Node.NumInService(); serving != n/2 {
 			t.Fatalf("after 45 s member %d has %d of %d in service", i, serving, n)
 		}
 	}
@@ -97,7 +97,7 @@
 		members = membersUnderRace
 	}
 	f, _ := startedFleet(t, members)
-	f.Loss, f.CheckInterval = 0.05, 1000
+	f.Loss, f.StepsPerCheck = 0.05, 1000
 	return f
 }
 
--- a/internal/control/membership/simulation/heartbeat.go
+++ b/internal/control/membership/simulation/heartbeat.go
@@ -9,10 +9,10 @@
 	"frostpier/internal/control/membership"
 )
 
-// Heartbeat is the baseline that the protocol is compared with: a heartbeat failure detector with the same budget of
+// HeartbeatDetector is the baseline that the protocol is compared with: a heartbeat failure detector with the same budget of
 // datagrams. Each member sends heartbeats to all others in a shuffled round-robin order, at a constant rate, and declares a
 // member dead after a timeout of some rounds. It has no indirect probes, no suspicion and no gossip.
-type Heartbeat struct {
+type HeartbeatDetector struct {
 	cfg           membership.Config
 	interval      time.Duration // between two heartbeats
 	timeout       time.Duration // without a heartbeat, after which a member is dead
@@ -29,10 +29,10 @@
 	events        []membership.Event
 }
 
-// NewHeartbeat returns a Heartbeat that sends perSecond datagrams a second, and declares a member dead after so many rounds
+// NewHeartbeatDetector returns a Heartbeat that sends perSecond datagrams a second, and declares a member dead after so many rounds
 // without a heartbeat.
-func NewHeartbeat(cfg membership.Config, perSecond, rounds float64) *Heartbeat {
-	h := &Heartbeat{
+func NewHeartbeatDetector(cfg membership.Config, perSecond, rounds float64) *HeartbeatDetector {
+	h := &HeartbeatDetector{
 		cfg:           cfg,
 		interval:      time.Duration(float64(time.Second) / perSecond),
 		rnd:           rand.New(rand.NewPCG(cfg.Seed, 3)),
@@ -52,7 +52,7 @@
 }
 
 // Start begins the heartbeats.
-func (h *Heartbeat) Start(now time.Duration) {
+func (h *HeartbeatDetector) Start(now time.Duration) {
 	for i := range h.lastContactAt {
 		h.lastContactAt[i] = now
 	}
@@ -60,7 +60,7 @@
 }
 
 // Tick sends the next heartbeat and declares members dead, if that is due.
-func (h *Heartbeat) Tick(now time.Duration) {
+func (h *HeartbeatDetector) Tick(now time.Duration) {
 	h.reset()
 	if now < h.nextSendAt {
 		return
@@ -75,10 +75,10 @@
 }
 
 // reset drops the datagrams and events of the last call.
-func (h *Heartbeat) reset() { h.datagrams, h.events = h.datagrams[:0], h.events[:0] }
+func (h *HeartbeatDetector) reset() { h.datagrams, h.events = h.datagrams[:0], h.events[:0] }
 
 // sendNext sends a heartbeat to the next member of the round.
-func (h *Heartbeat) sendNext() {
+func (h *HeartbeatDetector) sendNext() {
 	if h.nextReceiver == 0 {
 		h.rnd.Shuffle(len(h.others), func(a, b int) { h.others[a], h.others[b] = h.others[b], h.others[a] })
 	}
@@ -88,7 +88,7 @@
 }
 
 // setDead changes the state of a member.
-func (h *Heartbeat) setDead(i int, dead bool) {
+func (h *HeartbeatDetector) setDead(i int, dead bool) {
 	was, is := membership.Alive, membership.Dead
 	if dead {
 		h.serving--
@@ -97,11 +97,11 @@
 		h.serving++
 	}
 	h.dead[i] = dead
-	h.events = append(h.events, membership.Event{Kind: membership.StateChanged, Member: i, OldState: was, NewState: is, By: h.cfg.Self})
+	h.events = append(h.events, membership.Event{Kind: membership.StateChanged, Member: i, OldState: was, NewState: is, ReportedBy: h.cfg.Self})
 }
 
 // Receive handles a heartbeat.
-func (h *Heartbeat) Receive(now time.Duration, from netip.AddrPort, _ []byte) {
+func (h *HeartbeatDetector) Receive(now time.Duration, from netip.AddrPort, _ []byte) {
 	h.reset()
 	i := h.numbers[from]
 	h.lastContactAt[i] = now
@@ -111,27 +111,27 @@
 }
 
 // Leave does nothing: the baseline has no graceful leave.
-func (h *Heartbeat) Leave(time.Duration) { h.reset() }
+func (h *HeartbeatDetector) Leave(time.Duration) { h.reset() }
 
 // NextTick returns the time of the next heartbeat.
-func (h *Heartbeat) NextTick() time.Duration { return h.nextSendAt }
+func (h *HeartbeatDetector) NextTick() time.Duration { return h.nextSendAt }
 
 // Datagrams returns those of the last call.
-func (h *Heartbeat) Datagrams() []membership.Datagram { return h.datagrams }
+func (h *HeartbeatDetector) Datagrams() []membership.Datagram { return h.datagrams }
 
 // Events returns those of the last call.
-func (h *Heartbeat) Events() []membership.Event { return h.events }
+func (h *HeartbeatDetector) Events() []membership.Event { return h.events }
 
 // Member returns the state of a member, and 1 for its incarnation.
-func (h *Heartbeat) Member(i int) (membership.State, uint64) {
+func (h *HeartbeatDetector) Member(i int) (membership.State, uint64) {
 	if h.dead[i] {
 		return membership.Dead, 1
 	}
 	return membership.Alive, 1
 }
 
-// InService returns the number of members in service.
-func (h *Heartbeat) InService() int { return h.serving }
+// NumInService returns the number of members in service.
+func (h *HeartbeatDetector) NumInService() int { return h.serving }
 
-// Check returns nil: there are no invariants.
-func (h *Heartbeat) Check() error { return nil }
+// CheckInvariants returns nil: there are no invariants.
+func (h *HeartbeatDetector) CheckInvariants() error { return nil }
--- a/internal/control/membership/simulation/measure.go
+++ b/internal/control/membership/simulation/measure.go
@@ -8,17 +8,17 @@
 	"frostpier/internal/control/membership"
 )
 
-// Figures are the results of a measurement.
-type Figures struct {
-	Members       int
-	ProcessHours  float64
-	FalseDeaths   int // deaths of a member that was up, each counted once however many members declared it
-	Kills         int
-	Missed        int             // kills that some member had not learned of when the next step began
-	Detection     []time.Duration // from a kill until the first member declared it, sorted (detection time)
-	Dissemination []time.Duration // from then until the last member learned of it, sorted (dissemination time)
-	Datagrams     float64         // sent per member and second in the steady state
-	Bytes         float64         // likewise
+// Results are the results of a measurement.
+type Results struct {
+	Members            int
+	ProcessHours       float64
+	FalsePositives     int // deaths of a member that was up, each counted once however many members declared it
+	Kills              int
+	MissedKills        int             // kills that some member had not learned of when the next step began
+	DetectionTimes     []time.Duration // from a kill until the first member declared it, sorted (detection time)
+	DisseminationTimes []time.Duration // from then until the last member learned of it, sorted (dissemination time)
+	DatagramRate       float64         // sent per member and second in the steady state
+	ByteRate           float64         // likewise
 }
 
 // Quantile returns the value at a share from 0 to 1 of a sorted list; 0 for an empty list.
@@ -29,25 +29,25 @@
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
 }
 
-// Steady measures what a member sends for a time without faults, from a minute after the start on.
-func Steady(s Setup, d time.Duration) (Figures, error) {
+// MeasureSteadyState measures what a member sends for a time without faults, from a minute after the start on.
+func MeasureSteadyState(s Setup, d time.Duration) (Results, error) {
 	const startup = time.Minute
 	f, err := New(s)
 	if err != nil {
-		return Figures{}, err
+		return Results{}, err
 	}
 	if err := f.Run(startup); err != nil {
-		return Figures{}, err
+		return Results{}, err
 	}
 	sent, bytes := total(f.Sent), total(f.SentBytes)
 	if err := f.Run(d); err != nil {
-		return Figures{}, err
+		return Results{}, err
 	}
 	memberSeconds := float64(s.Members) * d.Seconds()
-	return Figures{
+	return Results{
 		Members:      s.Members,
-		Datagrams:    float64(total(f.Sent)-sent) / memberSeconds,
-		Bytes:        float64(total(f.SentBytes)-bytes) / memberSeconds,
+		DatagramRate: float64(total(f.Sent)-sent) / memberSeconds,
+		ByteRate:     float64(total(f.SentBytes)-bytes) / memberSeconds,
 		ProcessHours: memberSeconds / 3600,
 	}, nil
 }
@@ -59,16 +59,16 @@
 	return sum
 }
 
-// Pauses simulates pauses of random members for a time, and counts the deaths declared: all of them are false. Each member
+// MeasurePauses simulates pauses of random members for a time, and counts the deaths declared: all of them are false. Each member
 // pauses once per interval on average, for a quarter of longest up to longest.
-func Pauses(s Setup, d, interval, longest time.Duration) (Figures, error) {
+func MeasurePauses(s Setup, d, interval, longest time.Duration) (Results, error) {
 	const startup = 10 * time.Second
 	f, err := New(s)
 	if err != nil {
-		return Figures{}, err
+		return Results{}, err
 	}
-	out := Figures{Members: s.Members, ProcessHours: float64(s.Members) * d.Hours()}
-	f.OnEvent = f.countFalseDeaths(&out.FalseDeaths)
+	out := Results{Members: s.Members, ProcessHours: float64(s.Members) * d.Hours()}
+	f.OnEvent = f.countFalseDeaths(&out.FalsePositives)
 	var pause func()
 	pause = func() {
 		f.Pause(f.rnd.IntN(s.Members), time.Duration(float64(longest)*(0.25+0.75*f.rnd.Float64())))
@@ -97,15 +97,15 @@
 	}
 }
 
-// Kills kills random members one after the other, at an interval, and measures when the others learn of it. Each starts
+// MeasureKills kills random members one after the other, at an interval, and measures when the others learn of it. Each starts
 // again afterwards.
-func Kills(s Setup, kills int, interval time.Duration) (Figures, error) {
+func MeasureKills(s Setup, kills int, interval time.Duration) (Results, error) {
 	const startup = 20 * time.Second
 	f, err := New(s)
 	if err != nil {
-		return Figures{}, err
+		return Results{}, err
 	}
-	out := Figures{Members: s.Members, Kills: kills}
+	out := Results{Members: s.Members, Kills: kills}
 	k := &killMeasurement{fleet: f, figures: &out, victim: -1}
 	f.OnEvent = k.observe
 	if err := f.Run(startup); err != nil {
@@ -120,9 +120,9 @@
 			return out, err
 		}
 	}
-	slices.Sort(out.Detection)
-	slices.Sort(out.Dissemination)
-	if agreed, difference := f.Agreed(); !agreed {
+	slices.Sort(out.DetectionTimes)
+	slices.Sort(out.DisseminationTimes)
+	if agreed, difference := f.ViewsAgree(); !agreed {
 		return out, fmt.Errorf("seed %d: after the last start %s", s.Seed, difference)
 	}
 	return out, nil
@@ -131,7 +131,7 @@
 // killMeasurement measures one kill after the other.
 type killMeasurement struct {
 	fleet       *Fleet
-	figures     *Figures
+	figures     *Results
 	victim      int           // of the last kill; -1 before the first
 	learned     int           // members that declared it dead, or learned of it
 	first, last time.Duration // when the first and the last did; 0 = none
@@ -147,11 +147,11 @@
 		return err
 	}
 	if k.learned < len(f.Members)-1 {
-		k.figures.Missed++
+		k.figures.MissedKills++
 	}
 	if k.first > 0 {
-		k.figures.Detection = append(k.figures.Detection, k.first-killed)
-		k.figures.Dissemination = append(k.figures.Dissemination, k.last-k.first)
+		k.figures.DetectionTimes = append(k.figures.DetectionTimes, k.first-killed)
+		k.figures.DisseminationTimes = append(k.figures.DisseminationTimes, k.last-k.first)
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 		return nil
 	}
 	if e.Member != k.victim {
-		k.figures.FalseDeaths++
+		k.figures.FalsePositives++
 		return nil
 	}
 	if k.first == 0 {
@@ -174,15 +174,15 @@
 }
 
 // Merge returns the figures of several runs of one size taken together.
-func (a Figures) Merge(b Figures) Figures {
+func (a Results) Merge(b Results) Results {
 	a.ProcessHours += b.ProcessHours
-	a.FalseDeaths += b.FalseDeaths
+	a.FalsePositives += b.FalsePositives
 	a.Kills += b.Kills
-	a.Missed += b.Missed
-	a.Detection = append(a.Detection, b.Detection...)
-	a.Dissemination = append(a.Dissemination, b.Dissemination...)
-	slices.Sort(a.Detection)
-	slices.Sort(a.Dissemination)
+	a.MissedKills += b.MissedKills
+	a.DetectionTimes = append(a.DetectionTimes, b.DetectionTimes...)
+	a.DisseminationTimes = append(a.DisseminationTimes, b.DisseminationTimes...)
+	slices.Sort(a.DetectionTimes)
+	slices.Sort(a.DisseminationTimes)
 	a.Members = max(a.Members, b.Members)
 	return a
 }
--- a/internal/control/membership/simulation/network.go
+++ b/internal/control/membership/simulation/network.go
@@ -39,7 +39,7 @@
 func (f *Fleet) buffer() []byte {
 	k := len(f.freeBuffers) - 1
 	if k < 0 {
-		return make([]byte, 0, membership.MaxDatagram)
+		return make([]byte, 0, membership.MaxDatagramSize)
 	}
 	b := f.freeBuffers[k]
 	f.freeBuffers = f.freeBuffers[:k]
--- a/internal/control/membership/simulation/random.go
+++ b/internal/control/membership/simulation/random.go
@@ -26,12 +26,12 @@
 	errFalseDeath   = errors.New("a member without a recent fault was declared dead")
 )
 
-// Random simulates a run whose faults are drawn from the seed: members that are killed, that restart with clocks set
+// RunRandom simulates a run whose faults are drawn from the seed: members that are killed, that restart with clocks set
 // forward or back, that pause and that leave; datagrams dropped in one direction, all from or to a member, or between
 // partitions. Invariants are checked every so many steps. Then the network heals, and all views must become correct within
 // maxConvergence. It returns the run, and an error if a check failed.
-func Random(seed uint64, members int, every int) (*Fleet, error) {
-	f, err := New(Setup{Members: members, Seed: seed, CheckInterval: every, StartSpread: time.Second})
+func RunRandom(seed uint64, members int, every int) (*Fleet, error) {
+	f, err := New(Setup{Members: members, Seed: seed, StepsPerCheck: every, StartSpread: time.Second})
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 		if err := f.Run(checkInterval); err != nil {
 			return err
 		}
-		agreed, difference := f.Agreed()
+		agreed, difference := f.ViewsAgree()
 		if agreed {
 			return nil
 		}
@@ -214,8 +214,8 @@
 	clear(r.droppedLinks)
 }
 
-// RandomSize returns the number of members of a seed's random run: mostly a few, at times a thousand.
-func RandomSize(seed uint64) int {
+// RandomFleetSize returns the number of members of a seed's random run: mostly a few, at times a thousand.
+func RandomFleetSize(seed uint64) int {
 	switch {
 	case seed%500 == 499:
 		return 1000
--- a/internal/control/membership/simulation/scheduler.go
+++ b/internal/control/membership/simulation/scheduler.go
@@ -96,8 +96,8 @@
 	if e.starts != m.starts || m.paused || e.at != m.timerAt {
 		return
 	}
-	if next := m.Node.NextTick(); next > f.Now+m.Skew { // the node has postponed it since
-		f.setTimer(e.to, next-m.Skew)
+	if next := m.Node.NextTick(); next > f.Now+m.ClockSkew { // the node has postponed it since
+		f.setTimer(e.to, next-m.ClockSkew)
 		return
 	}
 	f.step(e.to, m.Node.Tick)
--- a/internal/control/membership/suspicion_test.go
+++ b/internal/control/membership/suspicion_test.go
@@ -87,8 +87,8 @@
 	}
 	reportAll()
 	reportAll()
-	if n.InService() != peers {
-		t.Fatalf("%d of %d in service: a death reported twice was not verified", n.InService(), peers)
+	if n.NumInService() != peers {
+		t.Fatalf("%d of %d in service: a death reported twice was not verified", n.NumInService(), peers)
 	}
 	pinged, pings := map[int]bool{}, 0
 	const span = 10 * time.Second
@@ -101,7 +101,7 @@
 				pings++
 			}
 		}
-		if err := n.Check(); err != nil {
+		if err := n.CheckInvariants(); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/control/membership/sync.go
+++ b/internal/control/membership/sync.go
@@ -80,7 +80,7 @@
 func (n *Node) sendSyncChunk(to, first int) int {
 	d := n.newDatagram(membershippb.Kind_KIND_SYNC, 0)
 	d.First = uint32(first)
-	room := MaxDatagram - checksumSize - proto.Size(d) - listOverhead
+	room := MaxDatagramSize - checksumSize - proto.Size(d) - listOverhead
 	next := first
 	for ; next < len(n.members); next++ {
 		m := &n.members[next]
@@ -126,13 +126,13 @@
 	switch {
 	case incarnation == 0 && s != Dead:
 	case !m.overrides(s, incarnation):
-		if s.Serves() && incarnation == m.incarnation && !m.state.Serves() {
+		if s.InService() && incarnation == m.incarnation && !m.state.InService() {
 			n.notify(now, about) // one of the two views is wrong: the member itself decides
 		}
-	case s == Dead && m.state.Serves() && trustsOwnView:
+	case s == Dead && m.state.InService() && trustsOwnView:
 		n.suspectReportedDead(now, about, incarnation, from)
 		n.notify(now, about)
-	case m.state.Serves() == s.Serves():
+	case m.state.InService() == s.InService():
 		n.setState(now, about, s, incarnation, from)
 	default:
 		n.broadcastState(now, about, s, incarnation, from)
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -49,7 +49,7 @@
 		n.adjustHealth(1) // Lifeguard section IV-A: a suspected member may itself be slow
 	}
 	n.queueUpdate(now, n.cfg.Self, n.retransmitLimit)
-	n.events = append(n.events, Event{Kind: Refuted, Member: n.cfg.Self, OldState: s, NewState: m.state, Incarnation: m.incarnation, By: by})
+	n.events = append(n.events, Event{Kind: Refuted, Member: n.cfg.Self, OldState: s, NewState: m.state, Incarnation: m.incarnation, ReportedBy: by})
 }
 
 // recordContact records that a datagram of a member arrived, with the sender's incarnation. It reports whether the member
@@ -60,7 +60,7 @@
 	if incarnation > m.incarnation {
 		n.setAlive(now, from, incarnation, from)
 	}
-	return m.state.Serves() && !m.staleIncarnation
+	return m.state.InService() && !m.staleIncarnation
 }
 
 // needsNotice reports whether a member must be sent the update on itself, so that it can refute it.
@@ -91,10 +91,10 @@
 	m := &n.members[i]
 	was := m.state
 	n.digest ^= memberDigest(i, was) ^ memberDigest(i, s)
-	if was.Serves() {
+	if was.InService() {
 		n.serving--
 	}
-	if s.Serves() {
+	if s.InService() {
 		n.serving++
 	}
 	m.state, m.incarnation, m.reportedBy = s, incarnation, int32(by)
@@ -105,13 +105,13 @@
 		n.startSuspicion(now, i, by)
 	}
 	if was != s {
-		n.events = append(n.events, Event{Kind: StateChanged, Member: i, OldState: was, NewState: s, Incarnation: incarnation, By: by})
+		n.events = append(n.events, Event{Kind: StateChanged, Member: i, OldState: was, NewState: s, Incarnation: incarnation, ReportedBy: by})
 	}
 }
 
 // memberDigest returns what a member adds to the digest of a view: 0 while in service, so that views agree from the start.
 func memberDigest(i int, s State) uint32 {
-	if s.Serves() {
+	if s.InService() {
 		return 0
 	}
 	x := uint64(i)<<stateBits | uint64(s) // the finalizer of splitmix64
--- a/internal/control/membership/types.go
+++ b/internal/control/membership/types.go
@@ -19,8 +19,8 @@
 	return [...]string{"none", "alive", "suspect", "dead", "left", "", "", ""}[s&7]
 }
 
-// Serves reports whether a member in this state counts as in service.
-func (s State) Serves() bool { return s == Alive || s == Suspect }
+// InService reports whether a member in this state counts as in service.
+func (s State) InService() bool { return s == Alive || s == Suspect }
 
 // EventKind is the kind of an Event.
 type EventKind uint8
@@ -38,7 +38,7 @@
 	Member             int    // whose state changed; the sender of an extension message
 	OldState, NewState State  // of Changed: the state before and after. Of Refuted: the state refuted, and the own state
 	Incarnation        uint64 // of Changed and Refuted
-	By                 int    // the member that reported it, -1 where unknown
+	ReportedBy         int    // the member that reported it, -1 where unknown
 	ExtensionKind      uint32 // of ExtensionReceived: Extension.Kind ...
 	Body               []byte // ... and the message, valid until the next call
 }
--- a/internal/control/rollout/mixed_test.go
+++ b/internal/control/rollout/mixed_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	f := &mixedFleet{t: t, mixes: map[int]*VersionTracker{}, digests: map[int]*loadreport.Digest{}}
 	var err error
-	f.members, err = simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, CheckInterval: 10,
+	f.members, err = simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, StepsPerCheck: 10,
 		NewDetector: func(cfg membership.Config) (simulation.Detector, error) {
 			d := loadreport.New()
 			d.SetEngines([]uint64{1, 2, 3})
@@ -83,7 +83,7 @@
 	}
 	f.members.Kill(4)
 	f.run(90 * time.Second)
-	if ok, why := f.members.Agreed(); !ok || f.deaths > 0 {
+	if ok, why := f.members.ViewsAgree(); !ok || f.deaths > 0 {
 		t.Errorf("%s; %d false deaths", why, f.deaths)
 	}
 	for i, m := range f.mixes {
--- a/internal/control/zonetable/mixed_test.go
+++ b/internal/control/zonetable/mixed_test.go
@@ -12,7 +12,7 @@
 func TestMixedVersions(t *testing.T) {
 	const members = 20
 	tables := map[int]*Table{}
-	f, err := simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, CheckInterval: 10,
+	f, err := simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, StepsPerCheck: 10,
 		NewDetector: func(cfg membership.Config) (simulation.Detector, error) {
 			if cfg.Self%2 == 0 {
 				return membership.New(cfg)
@@ -46,7 +46,7 @@
 	if err := f.Run(30 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if ok, why := f.Agreed(); !ok {
+	if ok, why := f.ViewsAgree(); !ok {
 		t.Error(why)
 	}
 	for at, table := range tables {
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -42,7 +42,7 @@
 	node, err := membership.New(membership.Config{
 		Self: s.host.Module.Number, Peers: peers, Fleet: s.section.Fleet, Seed: s.conf.SeedNumber(),
 		Interval: interval, ProbeTimeout: timeout, SuspicionTimeout: suspect,
-		Extensions: s.extensions, ExtensionInterval: s.extensionInterval, Weights: s.weights,
+		Extensions: s.extensions, ExtensionInterval: s.extensionInterval, ExtensionWeights: s.weights,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/subsetdriver/fleet_test.go
+++ b/internal/subsetdriver/fleet_test.go
@@ -53,7 +53,7 @@
 		m.engines = append(m.engines, subset.Engine{ID: id, Zone: i % setup.zones, Ready: true})
 	}
 	fleet, err := simulation.New(simulation.Setup{Members: setup.gateways, Seed: setup.seed, Loss: setup.loss, StartSpread: setup.started,
-		CheckInterval: 1 << 30, NewDetector: m.startGateway})
+		StepsPerCheck: 1 << 30, NewDetector: m.startGateway})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	m.gateways[config.Self] = g
 	g.updater = New(m.placeOf(config.Self), g, slog.New(slog.DiscardHandler))
 	config.Extensions = []membership.Extension{g.updater.Extension(), g.digest}
-	config.ExtensionInterval, config.Weights = loadreport.Interval, g.updater.ReceiverWeights
+	config.ExtensionInterval, config.ExtensionWeights = loadreport.Interval, g.updater.ReceiverWeights
 	node, err := membership.New(config)
 	if err != nil {
 		return nil, err
@@ -179,7 +179,7 @@
 
 func (m modelMembers) Serves(member int) bool {
 	state, _ := m.node.Member(member)
-	return state.Serves()
+	return state.InService()
 }
 
 func (m modelMembers) Started(member int) time.Duration {
--- a/internal/testbed/capacity/measure/detection.go
+++ b/internal/testbed/capacity/measure/detection.go
@@ -19,15 +19,15 @@
 // Detection measures membership's detection times: it kills that many gateways one after the other on a virtual clock,
 // with the given share of datagrams lost.
 func Detection(gateways, kills int, loss float64, seed uint64) (DetectionTimes, error) {
-	figures, err := simulation.Kills(simulation.Setup{Members: gateways, Seed: seed, Loss: loss, StartSpread: time.Second,
-		CheckInterval: 1 << 30}, kills, killInterval)
+	figures, err := simulation.MeasureKills(simulation.Setup{Members: gateways, Seed: seed, Loss: loss, StartSpread: time.Second,
+		StepsPerCheck: 1 << 30}, kills, killInterval)
 	if err != nil {
 		return DetectionTimes{}, err
 	}
-	longest := simulation.Quantile(figures.Detection, 1) + simulation.Quantile(figures.Dissemination, 1)
+	longest := simulation.Quantile(figures.DetectionTimes, 1) + simulation.Quantile(figures.DisseminationTimes, 1)
 	return DetectionTimes{
-		FirstMember: simulation.Quantile(figures.Detection, 0.5).Seconds(),
-		AllMembers:  simulation.Quantile(figures.Dissemination, 0.5).Seconds(),
+		FirstMember: simulation.Quantile(figures.DetectionTimes, 0.5).Seconds(),
+		AllMembers:  simulation.Quantile(figures.DisseminationTimes, 0.5).Seconds(),
 		Max:         longest.Seconds(),
 	}, nil
 }
--- a/internal/testbed/capacity/measure/faults.go
+++ b/internal/testbed/capacity/measure/faults.go
@@ -136,7 +136,7 @@
 			return cost, err
 		}
 		samples = append(samples, f.readCounters())
-		agreed, _ := f.Agreed()
+		agreed, _ := f.ViewsAgree()
 		if !agreed {
 			cost.ConvergenceSeconds = -1
 		} else if !plan.partitioned && cost.ConvergenceSeconds < 0 {
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -32,7 +32,7 @@
 func newFleet(setup FleetSetup) (*fleet, error) {
 	f := &fleet{setup: setup, digests: make([]*loadreport.Digest, setup.Gateways), random: rand.New(rand.NewPCG(setup.Seed, 23))}
 	running, err := simulation.New(simulation.Setup{Members: setup.Gateways, Seed: setup.Seed, Loss: setup.Loss,
-		StartSpread: time.Second, CheckInterval: 1 << 30, NewDetector: f.newDetector})
+		StartSpread: time.Second, StepsPerCheck: 1 << 30, NewDetector: f.newDetector})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/hollow/gateway.go
+++ b/internal/testbed/hollow/gateway.go
@@ -83,7 +83,7 @@
 	setup := g.host.setup
 	node, err := membership.New(membership.Config{Self: member.Number, Peers: setup.Peers, Fleet: setup.Fleet,
 		Seed: setup.Seed + uint64(member.Number), Interval: setup.Interval, Extensions: []membership.Extension{g.subset.Extension(), g.digest},
-		ExtensionInterval: loadreport.Interval, Weights: g.subset.ReceiverWeights})
+		ExtensionInterval: loadreport.Interval, ExtensionWeights: g.subset.ReceiverWeights})
 	if err != nil {
 		return fmt.Errorf("hollow gateway %d: %w", member.Number, err)
 	}
--- a/internal/transport/datagram/membership.go
+++ b/internal/transport/datagram/membership.go
@@ -20,7 +20,7 @@
 )
 
 // maxReadBytes exceeds the limit of a datagram, so that one over the limit is not truncated to a valid one.
-const maxReadBytes = 2 * membership.MaxDatagram
+const maxReadBytes = 2 * membership.MaxDatagramSize
 
 // Socket sends and receives the datagrams of members: a UDP socket, or one in which a test cuts links.
 type Socket interface {
@@ -75,7 +75,7 @@
 		peers:      peers,
 		socket:     socket,
 		listener:   listener,
-		inService:  node.InService(),
+		inService:  node.NumInService(),
 	}
 }
 
@@ -100,7 +100,7 @@
 // Serves reports whether a member is in service.
 func (m *MembershipDriver) Serves(member int) bool {
 	state, _ := m.node.Member(member)
-	return state.Serves()
+	return state.InService()
 }
 
 // Started returns when a member last started, by its own Unix clock, or 0 if it is unknown.
@@ -127,11 +127,11 @@
 		m.handle(e)
 	}
 	if invariant.Checks {
-		err := m.node.Check()
+		err := m.node.CheckInvariants()
 		m.invariants.Check(err == nil, "membership", "error", err)
 	}
 	m.restartTimer()
-	if n := m.node.InService(); n != m.inService {
+	if n := m.node.NumInService(); n != m.inService {
 		m.inService = n
 		m.listener.InService(n)
 	}
@@ -177,17 +177,17 @@
 		msg = "refuted that this gateway is out of service"
 	case e.Kind != membership.StateChanged:
 		return
-	case e.OldState.Serves() && e.NewState.Serves():
+	case e.OldState.InService() && e.NewState.InService():
 		level, msg = slog.LevelDebug, "member suspected or cleared"
 	case e.NewState == membership.Dead:
 		level = slog.LevelWarn
 	}
 	m.log.Log(context.Background(), level, msg, "member", e.Member, "was", e.OldState.String(), "is", e.NewState.String(),
-		"by", e.By, "incarnation", e.Incarnation, "in_service", m.node.InService())
+		"by", e.ReportedBy, "incarnation", e.Incarnation, "in_service", m.node.NumInService())
 }
 
 // Counts returns the number of gateways in service, the local health score, how many datagrams could not be sent, and the counters
 // of the protocol.
 func (m *MembershipDriver) Counts() (inService, health, unsent int, c membership.Counts) {
-	return m.node.InService(), m.node.HealthScore(), m.unsent, m.node.Counts()
+	return m.node.NumInService(), m.node.HealthScore(), m.unsent, m.node.Counts()
 }
