--- a/cmd/simadapter/convert.go
+++ b/cmd/simadapter/convert.go
@@ -52,7 +52,7 @@
 	event := policy.Arrival{
 		ID:                policy.RequestID(r.Request),
 		Class:             int(r.Class),
-		Key:               r.Key,
+		OrderingKey:       r.Key,
 		TableGroup:        tableGroup(r.TableGroup),
 		EstimatedMemoryMB: float64(r.EstimatedMemoryMB),
 		Remaining:         duration(r.Remaining),
@@ -79,12 +79,12 @@
 }
 
 // loadReport names the values of a load report by the metrics of the instance's settings.
-func (a *adapter) loadReport(number uint32, load simproto.LoadReport) policy.Report {
+func (a *adapter) loadReport(number uint32, load simproto.LoadReport) policy.LoadReport {
 	target := a.instances[number]
 	if target == nil || load.N == 0 {
-		return policy.Report{}
+		return policy.LoadReport{}
 	}
-	report := policy.Report{Present: true, Values: make(map[policy.Metric]float64, load.N)}
+	report := policy.LoadReport{Present: true, Values: make(map[policy.Metric]float64, load.N)}
 	for i := 0; i < int(load.N) && i < len(target.metrics); i++ {
 		report.Values[target.metrics[i]] = float64(load.Values[i])
 	}
@@ -141,7 +141,7 @@
 	switch a := action.(type) {
 	case policy.Send:
 		return &simproto.SendAttempt{Instance: number, Request: uint32(a.ID), Engine: encodeEngineID(a.Engine), Timeout: uint64(a.Timeout)}
-	case policy.SetTerms:
+	case policy.SetResources:
 		return &simproto.SetTerms{Instance: number, Request: uint32(a.ID), GrantMB: float32(a.GrantMB), Priority: uint8(a.Priority)}
 	case policy.Reject:
 		return &simproto.Reject{Instance: number, Request: uint32(a.ID), RetryAfter: uint64(a.RetryAfter)}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -90,7 +90,7 @@
 	invalid := func(key string, value any, format string, args ...any) error {
 		return &FleetError{Path: path, Key: key, Value: value, Reason: fmt.Sprintf(format, args...)}
 	}
-	number, gateways := host.Module.Number, len(f.Gateways)
+	number, gateways := host.Module.GatewayIndex, len(f.Gateways)
 	switch {
 	case host.Module.Gateways != gateways || number < 0 || number >= gateways:
 		return invalid("self_index", number, "number %d of %d, there are %d configurations", number, host.Module.Gateways, gateways)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -58,7 +58,7 @@
 // run out since it asked for it.
 func (c *Core) moduleAllows(now time.Duration, id ID, n int, resend bool) bool {
 	if resend {
-		return c.module.MayResend(now, id, n)
+		return c.module.ReserveResend(now, id, n)
 	}
 	return c.module.AttemptAllowed(now, id, n)
 }
@@ -151,11 +151,11 @@
 }
 
 // loadReport translates the fields of a load report to the module's metrics.
-func loadReport(fields []ReportField) policy.Report {
+func loadReport(fields []ReportField) policy.LoadReport {
 	if len(fields) == 0 {
-		return policy.Report{}
+		return policy.LoadReport{}
 	}
-	report := policy.Report{Present: true, Values: make(map[policy.Metric]float64, len(fields))}
+	report := policy.LoadReport{Present: true, Values: make(map[policy.Metric]float64, len(fields))}
 	for _, f := range fields {
 		report.Values[settings.MetricOf(f.Name)] = f.Value
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,7 +20,7 @@
 // decisionModule is the part of policy.Gateway that a Core uses.
 type decisionModule interface {
 	Handle(now time.Duration, event policy.Event) []policy.Action
-	MayResend(now time.Duration, id policy.RequestID, attempt int) bool
+	ReserveResend(now time.Duration, id policy.RequestID, attempt int) bool
 	AttemptAllowed(now time.Duration, id policy.RequestID, attempt int) bool
 	Estimate(now time.Duration, id policy.EngineID) policy.EngineEstimate
 	Explain(now time.Duration, id policy.RequestID) (queued bool, by policy.Guard, estimates []policy.EngineEstimate)
@@ -49,10 +49,10 @@
 	loadReports     *loadreport.Digest // shared with the other gateways; nil = not shared
 	waitingLoggedAt time.Duration      // last debug records of queued requests
 
-	subset            *engineSubset           // nil = every engine is used
-	inFlightByEngine  map[policy.EngineID]int // attempts that have not ended
-	gatewaysInService int                     // by the host's last count
-	sentInService     policy.InService        // what the module was sent last
+	subset            *engineSubset            // nil = every engine is used
+	inFlightByEngine  map[policy.EngineID]int  // attempts that have not ended
+	gatewaysInService int                      // by the host's last count
+	sentInService     policy.GatewaysInService // what the module was sent last
 }
 
 // New returns a Core for the host's settings. The seed determines every random choice. It returns an error if the
@@ -71,7 +71,7 @@
 		countsByClass:     make([]ClassCounts, len(host.Module.Classes)),
 		inFlightByEngine:  map[policy.EngineID]int{},
 		gatewaysInService: host.Module.Gateways,
-		sentInService:     policy.InService{Count: host.Module.Gateways},
+		sentInService:     policy.GatewaysInService{Count: host.Module.Gateways},
 	}
 	for i, class := range host.Module.Classes {
 		c.classes[class.Name] = i
@@ -111,8 +111,8 @@
 	if c.UsesSubset() { // the next count of sharers takes it into account
 		return nil
 	}
-	c.sentInService = policy.InService{Count: gateways}
-	return c.dispatch(now, policy.InService{Count: gateways})
+	c.sentInService = policy.GatewaysInService{Count: gateways}
+	return c.dispatch(now, policy.GatewaysInService{Count: gateways})
 }
 
 // Shutdown gives every pending request its final reply. Requests that are submitted later are rejected at once.
@@ -145,7 +145,7 @@
 		c.actions = append(c.actions, StartTimer{After: a.After, Token: a.Token})
 	case policy.Log:
 		c.log.Info("decision module", "says", a.Text)
-	case policy.Subscribe, policy.Probe, policy.SetTerms:
+	case policy.Subscribe, policy.Probe, policy.SetResources:
 		// Discovery pushes the engine list without a subscription; engines have no probes and no terms.
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -27,7 +27,7 @@
 		MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, Zones: []string{"z"}, MaxPending: 100,
 		Module: policy.Settings{
 			Classes: []policy.Class{class, keyed}, Gateways: 1, Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4,
-			Kinds: []policy.Kind{{Cores: 8}},
+			MachineTypes: []policy.MachineType{{Cores: 8}},
 		},
 	}
 	c, err := New(host, 1, log, invariants)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -72,7 +72,7 @@
 		return id, c.replyOnly(now, id, Rejected, c.host.MaxRetryAfter)
 	}
 	return id, c.dispatch(now, policy.Arrival{
-		ID: id, Class: q.Class, Key: q.IdempotencyKey, TableGroup: q.TableGroup, EstimatedWork: q.EstimatedWork,
+		ID: id, Class: q.Class, OrderingKey: q.IdempotencyKey, TableGroup: q.TableGroup, EstimatedWork: q.EstimatedWork,
 		EstimatedMemoryMB: q.EstimatedMemoryMB, Remaining: q.Remaining, IsClientRetry: q.IsClientRetry,
 	})
 }
--- a/internal/core/sharers.go
+++ b/internal/core/sharers.go
@@ -12,7 +12,7 @@
 	if c.subset != nil {
 		c.subset.sharersAt = now + sharersInterval
 	}
-	state := policy.InService{Count: c.sharers(), Subset: c.UsesSubset()}
+	state := policy.GatewaysInService{Count: c.sharers(), Subset: c.UsesSubset()}
 	if state == c.sentInService {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	}
 	unknown := 0
 	for number, g := range s.gateways {
-		if g.InService && g.Zone < 0 && number != c.host.Module.Number {
+		if g.InService && g.Zone < 0 && number != c.host.Module.GatewayIndex {
 			unknown++
 		}
 	}
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -158,7 +158,7 @@
 	c.SetGateways(start, allGateways(subsetGateways))
 	sharers := func() (count int) {
 		for _, event := range recorded.events {
-			if e, ok := event.(policy.InService); ok {
+			if e, ok := event.(policy.GatewaysInService); ok {
 				count = e.Count
 			}
 		}
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -40,7 +40,7 @@
 	}
 	interval, timeout, suspect := s.section.Times()
 	node, err := membership.New(membership.Config{
-		Self: s.host.Module.Number, Peers: peers, Fleet: s.section.Fleet, Seed: s.conf.SeedNumber(),
+		Self: s.host.Module.GatewayIndex, Peers: peers, Fleet: s.section.Fleet, Seed: s.conf.SeedNumber(),
 		Interval: interval, ProbeTimeout: timeout, SuspicionTimeout: suspect,
 		Extensions: s.extensions, ExtensionInterval: s.extensionInterval, ExtensionWeights: s.weights,
 	})
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -28,7 +28,7 @@
 // placeInFleet returns where the settings put this gateway in its fleet.
 func placeInFleet(host settings.Host) subsetdriver.Location {
 	return subsetdriver.Location{
-		Number: host.Module.Number, Gateways: host.Module.Gateways,
+		Number: host.Module.GatewayIndex, Gateways: host.Module.Gateways,
 		Zones: host.Zones, Zone: host.Module.Zone,
 	}
 }
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -56,7 +56,7 @@
 
 // newVersionReporter returns a reporter. Nothing is sent before the event loop runs.
 func newVersionReporter(s setup, loop *eventloop.Loop, log *slog.Logger, c *core.Core) (*versionReporter, error) {
-	v := &versionReporter{started: loop.Now(), number: s.host.Module.Number, core: c, log: log}
+	v := &versionReporter{started: loop.Now(), number: s.host.Module.GatewayIndex, core: c, log: log}
 	if s.operator.Membership != nil {
 		v.fleet = s.operator.Membership.Fleet
 	}
--- a/internal/settings/setup.go
+++ b/internal/settings/setup.go
@@ -85,8 +85,8 @@
 )
 
 var metrics = map[string]policy.Metric{
-	"inflight": policy.Inflight, "queue": policy.Queued, "util": policy.Util, "latency_ms": policy.LatencyMS,
-	"qps": policy.QueriesPerSecond, "eps": policy.ErrorsPerSecond, "x0": policy.MemoryShare, "x1": policy.DiskShare,
+	"inflight": policy.RunningQueries, "queue": policy.QueuedQueries, "util": policy.CPUUtilization, "latency_ms": policy.LatencyMS,
+	"qps": policy.QueriesPerSecond, "eps": policy.ErrorsPerSecond, "x0": policy.MemoryUtilization, "x1": policy.DiskUtilization,
 }
 
 var idempotencies = map[string]policy.Idempotency{
@@ -100,7 +100,7 @@
 // moduleSettings translates the settings object to the settings of the decision module.
 func (s *setup) moduleSettings() (policy.Settings, error) {
 	out := policy.Settings{
-		Zones: len(s.Zones), Zone: s.Zone, Gateways: s.Gateways, Number: s.GatewayNumber, Tick: s.Tick,
+		Zones: len(s.Zones), Zone: s.Zone, Gateways: s.Gateways, GatewayIndex: s.GatewayNumber, Tick: s.Tick,
 		PollEngineList: s.EngineListMode == engineListOnRequest, MaxGrantShare: s.Engines.MaxGrantShare,
 		HonorsGrants: s.Engines.HonorsGrants, HonorsPriority: s.Engines.HonorsPriority,
 		QueuesForMemory: s.Engines.MemoryOvercommit == overcommitQueues, WorkInResponses: s.Engines.WorkInResponses,
@@ -116,8 +116,8 @@
 		out.Metrics = append(out.Metrics, metrics[name])
 	}
 	for i := range s.Models {
-		kind := policy.Kind{Cores: elementAt(s.Engines.CoresByKind, i), MemoryMB: elementAt(s.Engines.MemoryMBByKind, i)}
-		out.Kinds = append(out.Kinds, kind)
+		kind := policy.MachineType{Cores: elementAt(s.Engines.CoresByKind, i), MemoryMB: elementAt(s.Engines.MemoryMBByKind, i)}
+		out.MachineTypes = append(out.MachineTypes, kind)
 	}
 	for i := range s.Classes {
 		class, err := s.class(i)
@@ -139,7 +139,7 @@
 		RetryBudget: r.RetryShare != nil || r.FreeRetries != nil,
 	}
 	if r.FreeRetries != nil {
-		rules.FreeRetries = *r.FreeRetries
+		rules.MinRetries = *r.FreeRetries
 	}
 	if r.RetryShare != nil {
 		rules.RetryShare = *r.RetryShare
@@ -162,9 +162,9 @@
 		Name: c.Name, LatencyObjective: c.LatencyObjective, ObjectivePerWork: c.ObjectivePerWork, Deadline: c.Deadline,
 		Weight: c.Weight, LateWeightShare: c.LateWeightShare, Idempotency: idempotency, DedupScope: scope,
 		DedupWindow: c.DedupWindow, Ordered: c.Ordered, Stream: c.Stream, Threads: elementAt(s.Engines.ThreadsByClass, i),
-		IsLoad: elementAt(s.Engines.IsLoadByClass, i), WaitsForLoads: elementAt(s.Engines.WaitsForLoadsByClass, i),
-		RestrictZones: c.Zones != nil, RestrictKinds: c.Kinds != nil,
-		Zones: indexesOf(c.Zones, s.Zones), Kinds: indexesOf(c.Kinds, s.Models),
+		IsDataLoad: elementAt(s.Engines.IsLoadByClass, i), WaitsForDataLoads: elementAt(s.Engines.WaitsForLoadsByClass, i),
+		RestrictZones: c.Zones != nil, RestrictMachineTypes: c.Kinds != nil,
+		Zones: indexesOf(c.Zones, s.Zones), MachineTypes: indexesOf(c.Kinds, s.Models),
 	}, nil
 }
 
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -30,13 +30,13 @@
 // decisionSettings returns the settings of a fleet with one class of statements.
 func decisionSettings(gateways int) policy.Settings {
 	return policy.Settings{
-		Classes:  []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: statementDeadline, Weight: 1, Threads: 1}},
-		Kinds:    []policy.Kind{{Cores: engineCores, MemoryMB: engineMemoryMB}},
-		Zones:    1,
-		Gateways: gateways,
-		Tick:     decisionTick,
-		Metrics:  []policy.Metric{policy.Inflight},
-		Rules:    policy.Rules{DrainGrace: time.Second},
+		Classes:      []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: statementDeadline, Weight: 1, Threads: 1}},
+		MachineTypes: []policy.MachineType{{Cores: engineCores, MemoryMB: engineMemoryMB}},
+		Zones:        1,
+		Gateways:     gateways,
+		Tick:         decisionTick,
+		Metrics:      []policy.Metric{policy.RunningQueries},
+		Rules:        policy.Rules{DrainGrace: time.Second},
 	}
 }
 
@@ -58,7 +58,7 @@
 	for _, action := range m.gateway.Handle(now, event.(policy.Event)) {
 		switch a := action.(type) {
 		case policy.Send:
-			report := policy.Report{Present: true, Values: map[policy.Metric]float64{policy.Inflight: 1}}
+			report := policy.LoadReport{Present: true, Values: map[policy.Metric]float64{policy.RunningQueries: 1}}
 			end := policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK, Duration: ResponseTime, Terminal: true, Report: report}
 			followUps = append(followUps, followUp{ResponseTime, end, true})
 		case policy.SetTimer:
--- a/internal/transport/frontend/scripted_test.go
+++ b/internal/transport/frontend/scripted_test.go
@@ -58,7 +58,7 @@
 	keyed.Name, keyed.Idempotency, keyed.DedupWindow = keyedClass, policy.IdempotentWithKey, dedupWindow
 	invariants := invariant.New(log)
 	gatewayCore, err := core.New(settings.Host{MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, Zones: []string{"z"},
-		Module: policy.Settings{Classes: []policy.Class{class, nonIdempotent, keyed}, Kinds: []policy.Kind{{Cores: 8}}, Gateways: 1,
+		Module: policy.Settings{Classes: []policy.Class{class, nonIdempotent, keyed}, MachineTypes: []policy.MachineType{{Cores: 8}}, Gateways: 1,
 			Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4}}, 1, log, invariants)
 	if err != nil {
 		t.Fatal(err)
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -12,8 +12,9 @@
 	Timeout time.Duration
 }
 
-// SetTerms sets memory grant and priority of a request's next sends. The priority also applies to attempts in flight.
-type SetTerms struct {
+// SetResources sets the memory grant and the priority of a request's next sends. The priority also applies to
+// its attempts in flight.
+type SetResources struct {
 	ID       RequestID
 	GrantMB  float64 // 0 = the engine chooses
 	Priority int     // 0 (lowest) to 3
@@ -49,12 +50,12 @@
 // Log is a message for the operators.
 type Log struct{ Text string }
 
-func (Send) action()      {}
-func (SetTerms) action()  {}
-func (Reject) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (Probe) action()     {}
-func (SetTimer) action()  {}
-func (Subscribe) action() {}
-func (Log) action()       {}
+func (Send) action()         {}
+func (SetResources) action() {}
+func (Reject) action()       {}
+func (Fail) action()         {}
+func (Cancel) action()       {}
+func (Probe) action()        {}
+func (SetTimer) action()     {}
+func (Subscribe) action()    {}
+func (Log) action()          {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -45,11 +45,11 @@
 	r.objectiveDeadline = min(g.now+objective, r.deadline)
 	g.requests[a.ID] = r
 	g.openRequests = append(g.openRequests, r)
-	if c.Ordered && a.Key != 0 {
-		if g.keyQueues[a.Key] == nil {
-			g.keyQueues[a.Key] = &keyQueue{}
+	if c.Ordered && a.OrderingKey != 0 {
+		if g.keyQueues[a.OrderingKey] == nil {
+			g.keyQueues[a.OrderingKey] = &keyQueue{}
 		}
-		g.keyQueues[a.Key].requests = append(g.keyQueues[a.Key].requests, r)
+		g.keyQueues[a.OrderingKey].requests = append(g.keyQueues[a.OrderingKey].requests, r)
 	}
 	return r
 }
@@ -110,10 +110,10 @@
 // is neither ejected nor rejecting, and the request has not been there before. Two loads of one table group are never
 // sent to the same engine, because the second would block there and keep its memory.
 func (g *Gateway) eligible(r *request, e *engine) bool {
-	sameLoad := func(a *attempt) bool { return a.request.class.IsLoad && a.request.group == r.group }
+	sameLoad := func(a *attempt) bool { return a.request.class.IsDataLoad && a.request.group == r.group }
 	return g.engineAllowed(r, e) && !g.unavailable(e) && !g.alreadyAttempted(r, e) &&
 		g.now >= max(e.rejectingUntil, e.classRates[r.Class].nextSendAt) &&
-		!(r.class.IsLoad && slices.ContainsFunc(e.inFlight, sameLoad))
+		!(r.class.IsDataLoad && slices.ContainsFunc(e.inFlight, sameLoad))
 }
 
 // alreadyAttempted reports whether the request was sent to the engine before. A faulty engine must not consume all
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -22,14 +22,14 @@
 	g := newTestGateway(t, 1, func(s *Settings) { s.MayCancel = false })
 	g.Handle(g.now, Arrival{ID: 5, Remaining: 4 * time.Second})
 	actions := g.Handle(g.now, ClientGone{5})
-	if len(actions) == 0 || actions[0] != (SetTerms{ID: 5}) {
+	if len(actions) == 0 || actions[0] != (SetResources{ID: 5}) {
 		t.Fatalf("actions %v, want the lowest priority", actions)
 	}
 }
 
 // Loads of one table group block each other on an engine.
 func TestLoadsOfOneGroupAreNotPlacedTogether(t *testing.T) {
-	g := newTestGateway(t, 2, func(s *Settings) { s.Classes[0].IsLoad = true })
+	g := newTestGateway(t, 2, func(s *Settings) { s.Classes[0].IsDataLoad = true })
 	addInFlight(g, g.engines[0], 1, g.now+time.Second)
 	sameGroup, otherGroup := newTestRequest(g, 1, g.now+time.Second), newTestRequest(g, 2, g.now)
 	if g.accepts(sameGroup, g.engines[0]) {
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -149,7 +149,7 @@
 func (g *Gateway) homeEngine(gr *group) *engine {
 	if g.homeByGroup == nil {
 		ids := slices.Sorted(maps.Keys(g.groups))
-		homeNumber := g.settings.Number % g.homesPerGroup()
+		homeNumber := g.settings.GatewayIndex % g.homesPerGroup()
 		g.homeByGroup = assignHomes(ids, g.homeCandidates(), homeNumber)
 	}
 	return g.homeByGroup[gr.id]
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -90,7 +90,7 @@
 	for gateways, want := range map[int]int{1: 1, 3: 1, 19: 1, 20: 2, 300: 2} {
 		homes := map[EngineID]bool{}
 		for number := range min(gateways, 4) {
-			g := newTestGateway(t, 12, func(s *Settings) { s.Gateways, s.Number = gateways, number })
+			g := newTestGateway(t, 12, func(s *Settings) { s.Gateways, s.GatewayIndex = gateways, number })
 			homes[g.homeEngine(g.tableGroup(7)).ID] = true
 		}
 		if len(homes) != want {
@@ -104,9 +104,9 @@
 func TestHomeEngineWithinASubset(t *testing.T) {
 	homes := map[EngineID]bool{}
 	for number := range 4 {
-		g := newTestGateway(t, 12, func(s *Settings) { s.Gateways, s.Number = 300, number })
+		g := newTestGateway(t, 12, func(s *Settings) { s.Gateways, s.GatewayIndex = 300, number })
 		g.homeEngine(g.tableGroup(7)) // computed for the complete fleet first
-		g.Handle(g.now, InService{Count: 50, Subset: true})
+		g.Handle(g.now, GatewaysInService{Count: 50, Subset: true})
 		home := g.homeEngine(g.tableGroup(7))
 		homes[home.ID] = true
 		overflow := home.EngineInfo
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -19,7 +19,7 @@
 	memoryGrantDeviations = 1.05
 )
 
-// Priorities of SetTerms, from lowest to highest.
+// Priorities of SetResources, from lowest to highest.
 const (
 	priorityLate = iota // past the latency objective, or without a client
 	priorityNormal
@@ -33,7 +33,7 @@
 		g.enqueue(r)
 		return
 	}
-	terms := SetTerms{ID: r.ID, GrantMB: g.memoryGrant(r, e), Priority: g.priority(r)}
+	terms := SetResources{ID: r.ID, GrantMB: g.memoryGrant(r, e), Priority: g.priority(r)}
 	if g.settings.HonorsGrants || g.settings.HonorsPriority {
 		g.emit(terms)
 	}
@@ -72,7 +72,7 @@
 		return priorityLate
 	case g.overcommitShare(r) > 0:
 		return priorityValuable
-	case r.class.IsLoad:
+	case r.class.IsDataLoad:
 		return priorityLoad
 	}
 	return priorityNormal
@@ -82,7 +82,7 @@
 // is gone.
 func (g *Gateway) lowerPriority(r *request) {
 	if g.settings.HonorsPriority && r.inFlight > 0 {
-		g.emit(SetTerms{ID: r.ID, GrantMB: r.attempts[len(r.attempts)-1].grantMB, Priority: priorityLate})
+		g.emit(SetResources{ID: r.ID, GrantMB: r.attempts[len(r.attempts)-1].grantMB, Priority: priorityLate})
 	}
 }
 
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -48,9 +48,9 @@
 
 // adjustTarget adjusts an engine's target by a report: down while cores or disks are saturated; up while neither is and
 // this gateway's limit is what holds work back. Without the metric of cores the target does not increase.
-func (g *Gateway) adjustTarget(e *engine, report Report) {
-	cores, coresKnown := metricValue(report, Util)
-	disks, disksKnown := metricValue(report, DiskShare)
+func (g *Gateway) adjustTarget(e *engine, report LoadReport) {
+	cores, coresKnown := metricValue(report, CPUUtilization)
+	disks, disksKnown := metricValue(report, DiskUtilization)
 	if !coresKnown && !disksKnown || g.now < e.nextAdjustAt {
 		return
 	}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -12,7 +12,7 @@
 	e := g.engines[0]
 	report := func(util float64) {
 		g.now += time.Second
-		g.applyReport(e, Report{Present: true, Values: map[Metric]float64{Util: util}})
+		g.applyReport(e, LoadReport{Present: true, Values: map[Metric]float64{CPUUtilization: util}})
 	}
 	start := g.concurrencyTarget(e)
 	for range 30 {
@@ -32,7 +32,7 @@
 		t.Fatalf("target %v at first, %v after high and %v after low utilization", start, low, high)
 	}
 	before := g.concurrencyTarget(e)
-	g.applyReport(e, Report{})
+	g.applyReport(e, LoadReport{})
 	if g.concurrencyTarget(e) != before {
 		t.Fatal("a missing report changed the target")
 	}
@@ -45,7 +45,7 @@
 	target := g.concurrencyTarget(e)
 	for count, shares := range map[int]float64{10: 10, 4: 4, 1: 1, 0: 1, -3: 1, 99: 10} {
 		t.Run(fmt.Sprintf("in service=%d", count), func(t *testing.T) {
-			g.Handle(g.now, InService{Count: count})
+			g.Handle(g.now, GatewaysInService{Count: count})
 			if got := g.concurrencyLimit(e, 1); got < target/shares*0.999 || got > target/shares*1.001 {
 				t.Errorf("limit %.2f, want %.2f", got, target/shares)
 			}
@@ -61,7 +61,7 @@
 	report := func(queries float64) {
 		for range 40 {
 			g.now += 100 * time.Millisecond
-			g.applyReport(g.engines[0], Report{Present: true, Values: map[Metric]float64{Inflight: queries}})
+			g.applyReport(g.engines[0], LoadReport{Present: true, Values: map[Metric]float64{RunningQueries: queries}})
 		}
 	}
 	costly := func() *request {
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -28,8 +28,8 @@
 	gateway, err := policy.New(policy.Settings{
 		Classes: []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second,
 			Weight: 1, Threads: 1}},
-		Kinds:    []policy.Kind{{Cores: 32, MemoryMB: 65536}},
-		Gateways: 800, Tick: 5 * time.Millisecond, Metrics: []policy.Metric{policy.Inflight},
+		MachineTypes: []policy.MachineType{{Cores: 32, MemoryMB: 65536}},
+		Gateways:     800, Tick: 5 * time.Millisecond, Metrics: []policy.Metric{policy.RunningQueries},
 	}, 1)
 	if err != nil {
 		b.Fatal(err)
@@ -48,7 +48,7 @@
 		switch a := action.(type) {
 		case policy.Send:
 			h.endAt = append(h.endAt, h.now+benchAnswerTime)
-			report := policy.Report{Present: true, Values: map[policy.Metric]float64{policy.Inflight: 1}}
+			report := policy.LoadReport{Present: true, Values: map[policy.Metric]float64{policy.RunningQueries: 1}}
 			h.ends = append(h.ends, policy.AttemptEnded{ID: a.ID, Engine: a.Engine, Outcome: policy.OK,
 				Duration: benchAnswerTime, Terminal: true, Report: report})
 		case policy.SetTimer:
--- a/policy/engines.go
+++ b/policy/engines.go
@@ -91,8 +91,8 @@
 	}
 	e.EngineInfo, e.listedAt = info, g.now
 	e.cores, e.memoryMB = 1, 0
-	if info.Kind < len(g.settings.Kinds) {
-		kind := g.settings.Kinds[info.Kind]
+	if info.MachineType < len(g.settings.MachineTypes) {
+		kind := g.settings.MachineTypes[info.MachineType]
 		e.cores, e.memoryMB = max(1, kind.Cores), kind.MemoryMB
 	}
 }
--- a/policy/engines_test.go
+++ b/policy/engines_test.go
@@ -18,7 +18,7 @@
 				g.Handle(g.now+time.Minute, EngineList{Kind: ListDelta, Engines: []EngineInfo{e}})
 				for i := range 20 {
 					id++
-					a := Arrival{ID: id, Class: i % 2, Key: uint64(id), TableGroup: day, EstimatedWork: time.Millisecond,
+					a := Arrival{ID: id, Class: i % 2, OrderingKey: uint64(id), TableGroup: day, EstimatedWork: time.Millisecond,
 						Remaining: 4 * time.Second}
 					for _, action := range g.Handle(g.now+100*time.Millisecond, a) {
 						if s, ok := action.(Send); ok {
--- a/policy/events.go
+++ b/policy/events.go
@@ -34,13 +34,13 @@
 
 // EngineInfo is one entry of the engine list.
 type EngineInfo struct {
-	ID      EngineID
-	Zone    int
-	Kind    int // index into Settings.Kinds
-	Cell    int
-	Health  Health
-	Scale   float64       // size relative to other engines; 1 if unknown
-	Started time.Duration // last start of the engine on the host's clock; 0 = long ago
+	ID          EngineID
+	Zone        int
+	MachineType int // index into Settings.Kinds
+	Cell        int
+	Health      Health
+	Scale       float64       // size relative to other engines; 1 if unknown
+	Started     time.Duration // last start of the engine on the host's clock; 0 = long ago
 
 	// Overflow marks an engine that the host uses in addition to the subset it shares with most of its peers. No table
 	// group has its home engine there, because few peers would help to keep the group's data cached.
@@ -57,7 +57,7 @@
 type Arrival struct {
 	ID                RequestID
 	Class             int    // index into Settings.Classes
-	Key               uint64 // orders requests of ordered classes; 0 = none
+	OrderingKey       uint64 // orders requests of ordered classes; 0 = none
 	TableGroup        int
 	EstimatedWork     time.Duration // thread time over all threads; 0 = no estimate
 	EstimatedMemoryMB float64       // 0 = no estimate
@@ -92,8 +92,8 @@
 // NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == NoConnection || o == NotSent }
 
-// Report is the load report of an engine.
-type Report struct {
+// LoadReport is the load report of an engine.
+type LoadReport struct {
 	Present bool
 	Values  map[Metric]float64
 }
@@ -108,7 +108,7 @@
 	Terminal bool          // the client has its final answer
 	Work     time.Duration // thread time that the query needed; 0 = unknown
 	UsedMB   float64       // memory that it needed; 0 = unknown
-	Report   Report
+	Report   LoadReport
 }
 
 // ProbeEnded reports the outcome of a Probe.
@@ -116,7 +116,7 @@
 	Engine   EngineID
 	Outcome  Outcome
 	Duration time.Duration
-	Report   Report
+	Report   LoadReport
 }
 
 // Progress reports the share of its work, 0 to 1, that a running attempt has done.
@@ -135,19 +135,19 @@
 // TimerFired reports that a timer set with SetTimer has fired.
 type TimerFired struct{ Token uint64 }
 
-// InService reports how many gateways are believed to be in service, including this one. The even shares of
+// GatewaysInService reports how many gateways are believed to be in service, including this one. The even shares of
 // concurrency, memory and the window follow it. The warm-up budget and the retry budget do not, because the views of
 // different gateways may differ; see docs/design/membership.md.
-type InService struct {
+type GatewaysInService struct {
 	Count  int
 	Subset bool // the engine list is a subset of the fleet, shared by Count gateways
 }
 
 // PeerReport is a load report that a peer received.
 type PeerReport struct {
-	Engine     EngineID
-	Inflight   float64       // running queries, over all gateways
-	ReportedAt time.Duration // when the peer received it, on this host's clock
+	Engine         EngineID
+	RunningQueries float64       // running queries, over all gateways
+	ReportedAt     time.Duration // when the peer received it, on this host's clock
 }
 
 // PeerReports carries load reports forwarded by other gateways.
@@ -156,15 +156,15 @@
 // ShuttingDown reports that the host shuts down. Every open request that is not streaming gets its final answer.
 type ShuttingDown struct{}
 
-func (EngineList) event()      {}
-func (Arrival) event()         {}
-func (ClientGone) event()      {}
-func (ResponseStarted) event() {}
-func (AttemptEnded) event()    {}
-func (ProbeEnded) event()      {}
-func (Progress) event()        {}
-func (ResponseOverdue) event() {}
-func (TimerFired) event()      {}
-func (InService) event()       {}
-func (PeerReports) event()     {}
-func (ShuttingDown) event()    {}
+func (EngineList) event()        {}
+func (Arrival) event()           {}
+func (ClientGone) event()        {}
+func (ResponseStarted) event()   {}
+func (AttemptEnded) event()      {}
+func (ProbeEnded) event()        {}
+func (Progress) event()          {}
+func (ResponseOverdue) event()   {}
+func (TimerFired) event()        {}
+func (GatewaysInService) event() {}
+func (PeerReports) event()       {}
+func (ShuttingDown) event()      {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -12,9 +12,9 @@
 	gateway, err := policy.New(policy.Settings{
 		Classes: []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second,
 			Weight: 1, Threads: 1}},
-		Kinds:    []policy.Kind{{Cores: 8, MemoryMB: 16384}},
-		Gateways: 1,
-		Tick:     5 * time.Millisecond,
+		MachineTypes: []policy.MachineType{{Cores: 8, MemoryMB: 16384}},
+		Gateways:     1,
+		Tick:         5 * time.Millisecond,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- a/policy/explain.go
+++ b/policy/explain.go
@@ -15,7 +15,7 @@
 	GuardAttempted   Guard = "tried"  // the request was sent there before
 	GuardRejected    Guard = "full"   // the engine rejected a query and gets none for a backoff
 	GuardRate        Guard = "rate"   // the class is rate-limited there
-	GuardLoad        Guard = "load"   // a load of the same table group runs there
+	GuardDataLoad    Guard = "load"   // a load of the same table group runs there
 	GuardConcurrency Guard = "limit"  // this gateway's concurrency limit there
 	GuardMemory      Guard = "memory" // the memory grants there
 	GuardWindow      Guard = "window" // this gateway's concurrency window
@@ -120,7 +120,7 @@
 	case g.now < e.classRates[r.Class].nextSendAt:
 		return GuardRate
 	case !g.eligible(r, e):
-		return GuardLoad
+		return GuardDataLoad
 	case g.hasCapacity(r, e):
 		return GuardNone
 	case !g.fitsInMemory(r, e):
--- a/policy/fleetviews_test.go
+++ b/policy/fleetviews_test.go
@@ -24,7 +24,7 @@
 		all := make([]*viewedGateway, s.Gateways)
 		begin := func(i int, now time.Duration) *viewedGateway {
 			own := s
-			own.Number = i
+			own.GatewayIndex = i
 			g, err := New(own, uint64(i))
 			if err != nil {
 				t.Fatal(err)
@@ -37,7 +37,7 @@
 			all[i] = begin(i, start)
 		}
 		rules, sends := s.Rules, []warmupSend{}
-		budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.Kinds[0].Cores *
+		budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.MachineTypes[0].Cores *
 			rules.WarmupBudgetSpan.Seconds()
 		views := rapid.SliceOfN(rapid.SampledFrom([]int{-5, 0, 1, 1, 2, 3, 12, 1 << 40}), 16, 16).Draw(t, "views")
 		failing := rapid.IntRange(1, 6).Draw(t, "failing") // of ten attempts
@@ -50,7 +50,7 @@
 					all[i] = v
 				}
 				if step%5 == 0 {
-					v.apply(now, v.gateway.Handle(now, InService{Count: views[(step/5)%len(views)]}))
+					v.apply(now, v.gateway.Handle(now, GatewaysInService{Count: views[(step/5)%len(views)]}))
 				}
 				v.next++
 				v.accepted = append(v.accepted, now)
@@ -68,7 +68,7 @@
 				v.sent = nil
 				retries := countWithin(v.retries, now, rules.RetryBudgetSpan)
 				accepted := countWithin(v.accepted, now, rules.RetryBudgetSpan)
-				budget := rules.FreeRetries + rules.RetryShare*float64(accepted)
+				budget := rules.MinRetries + rules.RetryShare*float64(accepted)
 				if float64(retries) > budget {
 					t.Fatalf("at %v gateway %d made %d retries, want at most %.1f", now-start, i, retries, budget)
 				}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -122,10 +122,10 @@
 	return g.actions
 }
 
-// MayResend reports whether an attempt may be sent once more to the same engine. The host asks when the connection
+// ReserveResend reports whether an attempt may be sent once more to the same engine. The host asks when the connection
 // broke before a response and the engine does not know the query, so that it probably never read it. If the answer is
 // yes, the resend is counted against the retry budget.
-func (g *Gateway) MayResend(now time.Duration, id RequestID, attempt int) bool {
+func (g *Gateway) ReserveResend(now time.Duration, id RequestID, attempt int) bool {
 	g.now = max(now, g.now)
 	a := g.findAttempt(id, attempt)
 	return a != nil && g.allowResend(a)
@@ -171,7 +171,7 @@
 		g.handleResponseOverdue(e)
 	case ProbeEnded:
 		g.handleProbeEnded(e)
-	case InService:
+	case GatewaysInService:
 		g.handleInService(e)
 	case PeerReports:
 		g.handlePeerReports(e)
@@ -221,7 +221,7 @@
 
 // handleInService applies the number of gateways in service. It changes shares of concurrency, memory and the window,
 // but neither the warm-up budget nor the retry budget, because the gateways' views of this number may differ.
-func (g *Gateway) handleInService(event InService) {
+func (g *Gateway) handleInService(event GatewaysInService) {
 	g.gatewaysInService = float64(min(max(1, event.Count), g.settings.Gateways))
 	if event.Subset != g.usesSubset {
 		g.usesSubset, g.homeByGroup = event.Subset, nil
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -22,12 +22,12 @@
 	base := testSettings()
 	base.Classes = append([]Class{}, base.Classes...)
 	load, waits := base.Classes[0], base.Classes[0]
-	load.Idempotency, load.IsLoad, load.Threads = IdempotentWithKey, true, 2
-	waits.WaitsForLoads, waits.Threads = true, 3
+	load.Idempotency, load.IsDataLoad, load.Threads = IdempotentWithKey, true, 2
+	waits.WaitsForDataLoads, waits.Threads = true, 3
 	base.Classes = append(base.Classes, load, waits)
 
 	fleet, lone, bare, priced, asking := base, base, base, base, base
-	fleet.Gateways, fleet.Number = 120, 7
+	fleet.Gateways, fleet.GatewayIndex = 120, 7
 	lone.Gateways, lone.QueuesForMemory = 1, true
 	bare.Metrics, bare.MayProbe, bare.MayCancel, bare.HonorsGrants, bare.HonorsPriority = nil, false, false, false, false
 	bare.Rules.RetryBudget, bare.MaxAttempts, bare.WorkInResponses = false, 3, false
@@ -82,7 +82,7 @@
 		r.write("send %d %x %d", a.ID, uint64(a.Engine), a.Timeout)
 		r.sent = append(r.sent, recordedSend{a.ID, r.attempt[a.ID], a.Engine, r.now})
 		r.attempt[a.ID]++
-	case SetTerms:
+	case SetResources:
 		r.write("terms %d %g %d", a.ID, a.GrantMB, a.Priority)
 	case Reject:
 		r.write("refuse %d %d", a.ID, a.RetryAfter)
@@ -105,16 +105,17 @@
 	}
 }
 
-func (r *recorder) report() Report {
+func (r *recorder) report() LoadReport {
 	if r.rnd.IntN(3) == 0 {
-		return Report{}
+		return LoadReport{}
 	}
-	return Report{Present: true, Values: map[Metric]float64{Inflight: float64(r.rnd.IntN(40)), Util: r.rnd.Float64(),
-		Queued: float64(r.rnd.IntN(4)), MemoryShare: r.rnd.Float64(), DiskShare: r.rnd.Float64()}}
+	return LoadReport{Present: true, Values: map[Metric]float64{RunningQueries: float64(r.rnd.IntN(40)),
+		CPUUtilization: r.rnd.Float64(), QueuedQueries: float64(r.rnd.IntN(4)), MemoryUtilization: r.rnd.Float64(),
+		DiskUtilization: r.rnd.Float64()}}
 }
 
 func (r *recorder) engineInfo(id EngineID) EngineInfo {
-	info := EngineInfo{ID: id, Zone: int(id) % 2, Kind: int(id) % 2, Cell: int(id) % 3, Scale: 1}
+	info := EngineInfo{ID: id, Zone: int(id) % 2, MachineType: int(id) % 2, Cell: int(id) % 3, Scale: 1}
 	switch r.rnd.IntN(12) {
 	case 0:
 		info.Health = Draining
@@ -145,7 +146,7 @@
 		a.EstimatedWork, a.EstimatedMemoryMB = time.Duration(20+r.rnd.IntN(900))*time.Millisecond, 20+900*r.rnd.Float64()
 	}
 	if r.rnd.IntN(2) == 0 {
-		a.Key = uint64(1 + r.rnd.IntN(5))
+		a.OrderingKey = uint64(1 + r.rnd.IntN(5))
 	}
 	a.IsClientRetry = r.rnd.IntN(10) == 0
 	r.open = append(r.open, a.ID)
@@ -192,7 +193,7 @@
 	case kind < 96:
 		r.list(ListKind(r.rnd.IntN(4)), 4+r.rnd.IntN(2*goldenEngines))
 	case kind < 97:
-		r.handle(InService{Count: r.rnd.IntN(r.s.Gateways + 2), Subset: r.rnd.IntN(3) == 0})
+		r.handle(GatewaysInService{Count: r.rnd.IntN(r.s.Gateways + 2), Subset: r.rnd.IntN(3) == 0})
 	default:
 		r.handle(PeerReports{[]PeerReport{{EngineID(1 + r.rnd.IntN(goldenEngines)), float64(r.rnd.IntN(60)),
 			r.now - time.Duration(r.rnd.IntN(3000))*time.Millisecond}}})
@@ -214,7 +215,7 @@
 func (r *recorder) duringAttempt(kind int, s recordedSend) {
 	switch {
 	case kind < 80:
-		r.write("may %v %v", r.g.AttemptAllowed(r.now, s.id, s.attempt), r.g.MayResend(r.now, s.id, s.attempt))
+		r.write("may %v %v", r.g.AttemptAllowed(r.now, s.id, s.attempt), r.g.ReserveResend(r.now, s.id, s.attempt))
 	case kind < 83:
 		r.handle(ResponseOverdue{s.id, s.attempt})
 	case kind < 85:
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -14,16 +14,17 @@
 	keyed.Idempotency, keyed.Ordered, keyed.Threads = IdempotentWithKey, true, 2
 	unsafe.Idempotency = NotIdempotent
 	restricted.RestrictZones, restricted.Zones = true, []int{1}
-	restricted.RestrictKinds, restricted.Kinds = true, []int{0}
+	restricted.RestrictMachineTypes, restricted.MachineTypes = true, []int{0}
 	cell.Idempotency, cell.DedupScope, cell.Threads, cell.Weight = IdempotentWithKey, DedupCell, 4, 4
-	return Settings{Classes: []Class{plain, keyed, unsafe, restricted, cell}, Kinds: []Kind{{8, 16384}, {4, 8192}},
-		Zones: 2, Gateways: 2, Tick: 5 * time.Millisecond, Metrics: []Metric{Inflight, Util}, MaxGrantShare: 0.4,
-		HonorsGrants: true, HonorsPriority: true, WorkInResponses: true, MayCancel: true, MayProbe: true,
+	return Settings{Classes: []Class{plain, keyed, unsafe, restricted, cell},
+		MachineTypes: []MachineType{{8, 16384}, {4, 8192}}, Zones: 2, Gateways: 2, Tick: 5 * time.Millisecond, Metrics: []Metric{RunningQueries, CPUUtilization},
+		MaxGrantShare: 0.4,
+		HonorsGrants:  true, HonorsPriority: true, WorkInResponses: true, MayCancel: true, MayProbe: true,
 		MaxRetryAfter: time.Second, MaxAttempts: 4,
 		Rules: Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond, InitialCapacityShare: 0.3,
 			WarmupTime: 10 * time.Second, WarmupBudgetMultiple: 2, WarmupBudgetSpan: 2 * time.Second,
 			OrderedKeyPause: 300 * time.Millisecond,
-			RetryBudget:     true, FreeRetries: 3, RetryShare: 0.1, RetryBudgetSpan: 2 * time.Second}}
+			RetryBudget:     true, MinRetries: 3, RetryShare: 0.1, RetryBudgetSpan: 2 * time.Second}}
 }
 
 // newTestGateway creates a Gateway with ready engines of 4 cores and the IDs 1, 2, 3 ... change may modify the
@@ -31,7 +32,7 @@
 func newTestGateway(t *testing.T, engines int, change func(*Settings)) *Gateway {
 	t.Helper()
 	s := testSettings()
-	s.Gateways, s.Kinds = 1, []Kind{{4, 8192}}
+	s.Gateways, s.MachineTypes = 1, []MachineType{{4, 8192}}
 	if change != nil {
 		change(&s)
 	}
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -24,7 +24,7 @@
 )
 
 // metricValue returns the value of a metric, and whether the report contains it and it is plausible.
-func metricValue(report Report, metric Metric) (float64, bool) {
+func metricValue(report LoadReport, metric Metric) (float64, bool) {
 	value, ok := report.Values[metric]
 	return value, ok && report.Present && value >= 0 && !math.IsInf(value, 0)
 }
@@ -32,10 +32,10 @@
 // applyReport updates the estimated peer load of an engine, and its target, by a load report. Peer load is the number
 // of running queries less the own ones. Without that metric it is derived from the utilization of cores, which says
 // least when all of them are busy.
-func (g *Gateway) applyReport(e *engine, report Report) {
+func (g *Gateway) applyReport(e *engine, report LoadReport) {
 	e.smoothedInFlight += inFlightSmoothing * (float64(len(e.inFlight)) - e.smoothedInFlight)
-	queries, queriesKnown := metricValue(report, Inflight)
-	utilization, utilizationKnown := metricValue(report, Util)
+	queries, queriesKnown := metricValue(report, RunningQueries)
+	utilization, utilizationKnown := metricValue(report, CPUUtilization)
 	switch {
 	case queriesKnown:
 		g.recordPeerThreads(e, max(0, queries-e.smoothedInFlight)*g.threadsPerQuery)
@@ -54,7 +54,7 @@
 		if e == nil || report.ReportedAt <= e.reportedAt || report.ReportedAt > g.now {
 			continue
 		}
-		g.recordPeerThreads(e, max(0, report.Inflight-e.smoothedInFlight)*g.threadsPerQuery)
+		g.recordPeerThreads(e, max(0, report.RunningQueries-e.smoothedInFlight)*g.threadsPerQuery)
 		e.reportedAt = report.ReportedAt
 	}
 	g.updateMeanOverEngines()
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -14,7 +14,7 @@
 		t.Fatal("without a report the load is not the own #T")
 	}
 	e.smoothedInFlight = 1
-	g.applyReport(e, Report{Present: true, Values: map[Metric]float64{Inflight: 8}})
+	g.applyReport(e, LoadReport{Present: true, Values: map[Metric]float64{RunningQueries: 8}})
 	if got := g.totalLoadPerCore(e); got != (7*g.threadsPerQuery+1)/4 {
 		t.Fatalf("load %v after a report of 8 queries on 4 cores", got)
 	}
@@ -59,7 +59,7 @@
 	}
 	for range 200 {
 		g.now += 10 * time.Millisecond
-		g.applyReport(g.engines[3], Report{Present: true, Values: map[Metric]float64{Inflight: 0}})
+		g.applyReport(g.engines[3], LoadReport{Present: true, Values: map[Metric]float64{RunningQueries: 0}})
 	}
 	g.handlePeerReports(PeerReports{[]PeerReport{{g.engines[0].ID, 40, g.now - 10*time.Millisecond}}})
 	if want := 80 / g.readyCores; g.meanPeerLoad < want*0.9 || g.meanPeerLoad > want*1.1 {
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -119,10 +119,10 @@
 		return
 	}
 	delete(g.requests, r.ID)
-	if queue := g.keyQueues[r.Key]; queue != nil {
+	if queue := g.keyQueues[r.OrderingKey]; queue != nil {
 		queue.requests = remove(queue.requests, r)
 		if len(queue.requests) == 0 && g.now >= queue.pausedUntil {
-			delete(g.keyQueues, r.Key)
+			delete(g.keyQueues, r.OrderingKey)
 		}
 	}
 }
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -65,7 +65,7 @@
 	}
 	// Requests are counted over a tick less, and retries over a tick more than the span, as timers are that coarse.
 	accepted := g.acceptedRequests.total(g.now, rules.RetryBudgetSpan-g.settings.Tick)
-	budget := rules.FreeRetries + rules.RetryShare*accepted
+	budget := rules.MinRetries + rules.RetryShare*accepted
 	if g.belowMeanWeight(r) {
 		budget *= lowWeightBudgetShare
 	}
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -10,7 +10,7 @@
 // setRetryBudget sets a retry budget over 5 s.
 func setRetryBudget(s *Settings, freeRetries, share float64) {
 	s.Rules.RetryBudget, s.Rules.RetryBudgetSpan = true, 5*time.Second
-	s.Rules.FreeRetries, s.Rules.RetryShare = freeRetries, share
+	s.Rules.MinRetries, s.Rules.RetryShare = freeRetries, share
 }
 
 // On a day with many resets, short queries used up the retry budget, and queries of higher weight waited for it until
@@ -37,11 +37,11 @@
 	}
 	a := g.requests[id].attempts[1]
 	for range 2 {
-		if !g.MayResend(g.now, id, 1) {
+		if !g.ReserveResend(g.now, id, 1) {
 			t.Fatal("not resent within the budget")
 		}
 	}
-	if g.MayResend(g.now, id, 1) || a.request.resends != 2 {
+	if g.ReserveResend(g.now, id, 1) || a.request.resends != 2 {
 		t.Fatal("resent beyond the budget for its weight")
 	}
 	if actions := failFirstAttempt(0); len(actions) != 1 || actions[0] != (Reject{id, budgetRetryAfter}) {
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -62,10 +62,10 @@
 // keyInOrder: queries of one key of an ordered class run one at a time, in order of arrival, and pause after an attempt
 // that may still be running (rule 5). The request that caused the pause need not observe it.
 func (g *Gateway) keyInOrder(r *request) bool {
-	if !r.class.Ordered || r.Key == 0 {
+	if !r.class.Ordered || r.OrderingKey == 0 {
 		return true
 	}
-	queue := g.keyQueues[r.Key]
+	queue := g.keyQueues[r.OrderingKey]
 	return queue.requests[0] == r && (g.now >= queue.pausedUntil || queue.pausedFor == r)
 }
 
@@ -73,7 +73,7 @@
 // (rule 5).
 func (g *Gateway) pauseKey(r *request, outcome Outcome) {
 	mayStillRun := outcome == Timeout || outcome == Reset || outcome == Cancelled
-	if queue := g.keyQueues[r.Key]; queue != nil && mayStillRun {
+	if queue := g.keyQueues[r.OrderingKey]; queue != nil && mayStillRun {
 		queue.pausedUntil, queue.pausedFor = g.now+g.settings.Rules.OrderedKeyPause, r
 	}
 }
@@ -82,5 +82,5 @@
 func (g *Gateway) placementAllowed(r *request, e *engine) bool {
 	c := &r.class.Class
 	return (!c.RestrictZones || slices.Contains(c.Zones, e.Zone)) &&
-		(!c.RestrictKinds || slices.Contains(c.Kinds, e.Kind))
+		(!c.RestrictMachineTypes || slices.Contains(c.MachineTypes, e.MachineType))
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -25,7 +25,7 @@
 		},
 		"rule 6: placement": func(g *Gateway, r *request, e *engine) { r.class, e.Zone = g.classes[3], 0 },
 		"rule 7: out of budget": func(g *Gateway, r *request, e *engine) {
-			g.settings.Rules.FreeRetries, r.attempts = 0, []*attempt{{}}
+			g.settings.Rules.MinRetries, r.attempts = 0, []*attempt{{}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	r := newTestRequest(g, 1, g.now+time.Second)
 	g.actions = nil
 	if g.send(r, g.engines[0]); len(g.actions) != 2 {
-		t.Fatalf("actions %v, want SetTerms and Send", g.actions)
+		t.Fatalf("actions %v, want SetResources and Send", g.actions)
 	}
 }
 
@@ -57,7 +57,7 @@
 			c := newRulesChecker(t, s, seed)
 			var infos []EngineInfo
 			for i := range 6 {
-				info := EngineInfo{ID: EngineID(i + 10), Zone: i % 2, Kind: i % 4 / 2, Cell: i % 2, Scale: 1}
+				info := EngineInfo{ID: EngineID(i + 10), Zone: i % 2, MachineType: i % 4 / 2, Cell: i % 2, Scale: 1}
 				if i == 5 {
 					info.Started = c.now - time.Second
 				}
--- a/policy/ruleschecker_test.go
+++ b/policy/ruleschecker_test.go
@@ -206,8 +206,8 @@
 	if class.RestrictZones && !slices.Contains(class.Zones, listed.info.Zone) {
 		c.fail("rule 6: class sent to zone %d, which it must not use", listed.info.Zone)
 	}
-	if class.RestrictKinds && !slices.Contains(class.Kinds, listed.info.Kind) {
-		c.fail("rule 6: class sent to kind %d, which it must not use", listed.info.Kind)
+	if class.RestrictMachineTypes && !slices.Contains(class.MachineTypes, listed.info.MachineType) {
+		c.fail("rule 6: class sent to kind %d, which it must not use", listed.info.MachineType)
 	}
 	if !c.settings.MayHedge && tracked.inFlight() > 0 {
 		c.fail("rule 2: two attempts in flight")
@@ -265,14 +265,14 @@
 
 // checkKeyOrder checks rule 5: requests of a key run one at a time, in order, with a pause after doubtful outcomes.
 func (c *rulesChecker) checkKeyOrder(tracked *trackedRequest, class Class) {
-	if !class.Ordered || tracked.arrival.Key == 0 {
+	if !class.Ordered || tracked.arrival.OrderingKey == 0 {
 		return
 	}
 	for _, earlier := range c.inOrder {
 		if earlier == tracked {
 			return
 		}
-		if earlier.arrival.Key != tracked.arrival.Key || !c.settings.Classes[earlier.arrival.Class].Ordered {
+		if earlier.arrival.OrderingKey != tracked.arrival.OrderingKey || !c.settings.Classes[earlier.arrival.Class].Ordered {
 			continue
 		}
 		if !earlier.done || earlier.inFlight() > 0 {
@@ -304,7 +304,7 @@
 		}
 	}
 	c.retries = append(c.retries, c.now)
-	if float64(retries) > c.settings.Rules.FreeRetries+c.settings.Rules.RetryShare*float64(accepted) {
+	if float64(retries) > c.settings.Rules.MinRetries+c.settings.Rules.RetryShare*float64(accepted) {
 		c.fail("rule 7: %d retries with %d requests accepted", retries, accepted)
 	}
 }
@@ -327,7 +327,7 @@
 			sum += s.work
 		}
 	}
-	cores := c.settings.Kinds[listed.info.Kind].Cores
+	cores := c.settings.MachineTypes[listed.info.MachineType].Cores
 	budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * cores * rules.WarmupBudgetSpan.Seconds()
 	limit := budget / float64(c.settings.Gateways)
 	if sum > limit {
@@ -372,7 +372,8 @@
 }
 
 func (c *rulesChecker) deliver(f pendingOutcome) {
-	rep := Report{Present: c.random.Intn(2) == 0, Values: map[Metric]float64{Inflight: float64(c.random.Intn(30))}}
+	rep := LoadReport{Present: c.random.Intn(2) == 0,
+		Values: map[Metric]float64{RunningQueries: float64(c.random.Intn(30))}}
 	if f.attempt < 0 {
 		c.handle(ProbeEnded{Engine: f.engine, Outcome: f.outcome, Report: rep})
 		return
@@ -394,7 +395,7 @@
 		EstimatedMemoryMB: float64(50 + c.random.Intn(200)),
 		Remaining:         time.Duration(20+c.random.Intn(5000)) * time.Millisecond}
 	if c.settings.Classes[class].Ordered {
-		a.Key = uint64(1 + c.random.Intn(3))
+		a.OrderingKey = uint64(1 + c.random.Intn(3))
 	}
 	tracked := c.arrive(a)
 	if c.random.Intn(40) == 0 && !tracked.done {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -141,7 +141,7 @@
 	selected := map[EngineID]int{}
 	for number := range gateways {
 		s := testSettings()
-		s.Gateways, s.Number = gateways, number
+		s.Gateways, s.GatewayIndex = gateways, number
 		g, err := New(s, uint64(number))
 		if err != nil {
 			t.Fatal(err)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -27,28 +27,28 @@
 
 // Class describes a class of queries.
 type Class struct {
-	Name             string
-	LatencyObjective time.Duration // an answer within it earns the full weight
-	ObjectivePerWork float64       // the objective grows by this times the query's work per thread
-	Deadline         time.Duration // how long the client waits, over all its retries
-	Weight           float64       // what an answer is worth relative to other classes
-	LateWeightShare  float64       // share of Weight of an answer between objective and deadline
-	Idempotency      Idempotency
-	DedupScope       DedupScope
-	DedupWindow      time.Duration // how long engines deduplicate a keyed query
-	Ordered          bool          // queries of one key run one at a time, in order of arrival
-	Stream           bool          // the response is streamed
-	Threads          int           // threads that a query occupies
-	IsLoad           bool          // the query blocks WaitsForLoads queries of its table group on its engine
-	WaitsForLoads    bool          // the query blocks on its engine while a load of its table group runs
-	RestrictZones    bool          // Zones applies
-	Zones            []int         // the only zones allowed
-	RestrictKinds    bool          // Kinds applies
-	Kinds            []int         // the only machine kinds allowed
+	Name                 string
+	LatencyObjective     time.Duration // an answer within it earns the full weight
+	ObjectivePerWork     float64       // the objective grows by this times the query's work per thread
+	Deadline             time.Duration // how long the client waits, over all its retries
+	Weight               float64       // what an answer is worth relative to other classes
+	LateWeightShare      float64       // share of Weight of an answer between objective and deadline
+	Idempotency          Idempotency
+	DedupScope           DedupScope
+	DedupWindow          time.Duration // how long engines deduplicate a keyed query
+	Ordered              bool          // queries of one key run one at a time, in order of arrival
+	Stream               bool          // the response is streamed
+	Threads              int           // threads that a query occupies
+	IsDataLoad           bool          // the query blocks WaitsForDataLoads queries of its table group on its engine
+	WaitsForDataLoads    bool          // the query blocks on its engine while a load of its table group runs
+	RestrictZones        bool          // Zones applies
+	Zones                []int         // the only zones allowed
+	RestrictMachineTypes bool          // Kinds applies
+	MachineTypes         []int         // the only machine kinds allowed
 }
 
-// Kind describes a kind of machine.
-type Kind struct {
+// MachineType describes a kind of machine.
+type MachineType struct {
 	Cores    float64
 	MemoryMB float64 // 0 = unknown
 }
@@ -58,31 +58,31 @@
 
 // Metrics of a load report.
 const (
-	UnknownMetric    Metric = iota
-	Inflight                // running queries
-	Queued                  // queries waiting in the engine
-	Util                    // share of cores busy, 0 to 1
-	LatencyMS               // milliseconds
-	QueriesPerSecond        // completed queries
-	ErrorsPerSecond         // failed queries
-	MemoryShare             // share of memory in use, 0 to 1
-	DiskShare               // share of disk throughput in use, 0 to 1
+	UnknownMetric     Metric = iota
+	RunningQueries           // running queries
+	QueuedQueries            // queries waiting in the engine
+	CPUUtilization           // share of cores busy, 0 to 1
+	LatencyMS                // milliseconds
+	QueriesPerSecond         // completed queries
+	ErrorsPerSecond          // failed queries
+	MemoryUtilization        // share of memory in use, 0 to 1
+	DiskUtilization          // share of disk throughput in use, 0 to 1
 )
 
 // Settings configures a Gateway. It is read once, by New.
 type Settings struct {
 	Classes         []Class
-	Kinds           []Kind
+	MachineTypes    []MachineType
 	Zones           int           // number of zones
 	Zone            int           // zone of this gateway
 	Gateways        int           // gateways named by the configuration, including this one
-	Number          int           // index of this gateway among them, from 0
+	GatewayIndex    int           // index of this gateway among them, from 0
 	Tick            time.Duration // granularity of the host's timers
 	PollEngineList  bool          // the engine list must be requested with Subscribe
 	Metrics         []Metric      // metrics that load reports contain
 	MaxGrantShare   float64       // largest share of an engine's memory for one query; 0 = no bound
-	HonorsGrants    bool          // engines honor SetTerms.GrantMB
-	HonorsPriority  bool          // engines honor SetTerms.Priority
+	HonorsGrants    bool          // engines honor SetResources.GrantMB
+	HonorsPriority  bool          // engines honor SetResources.Priority
 	QueuesForMemory bool          // a query whose grant does not fit waits in the engine's queue
 	WorkInResponses bool          // responses contain the work that the query needed
 	MayCancel       bool          // attempts may be cancelled
@@ -104,7 +104,7 @@
 	WarmupBudgetSpan       time.Duration // over which that work is summed up
 	OrderedKeyPause        time.Duration // pause of an ordered key after an attempt that may still be running
 	RetryBudget            bool          // the three fields below apply
-	FreeRetries            float64       // retries allowed regardless of traffic
+	MinRetries             float64       // retries allowed regardless of traffic
 	RetryShare             float64       // further retries, as a share of the accepted requests
 	RetryBudgetSpan        time.Duration // over which both are counted
 	EngineListPollInterval time.Duration
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -74,7 +74,7 @@
 // hasWarmupTurn reports whether it is this gateway's turn. The low bits of the engine's ID vary the turns by engine.
 func (g *Gateway) hasWarmupTurn(e *engine, turn int, gatewaysPerTurn float64) bool {
 	rounds := int(math.Ceil(float64(g.settings.Gateways) / gatewaysPerTurn))
-	return (turn/len(g.classes)+g.settings.Number+int(e.ID&0xffff))%rounds == 0
+	return (turn/len(g.classes)+g.settings.GatewayIndex+int(e.ID&0xffff))%rounds == 0
 }
 
 // warmupCharge is the work in seconds that a request is charged against the budget: its expected work, but at least
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -16,7 +16,7 @@
 			start := time.Hour
 			info := EngineInfo{ID: 77, Zone: 1, Started: start}
 			newGateway := func(i int, now time.Duration) *Gateway {
-				s.Number = i
+				s.GatewayIndex = i
 				g, err := New(s, uint64(i))
 				if err != nil {
 					t.Fatal(err)
@@ -29,7 +29,7 @@
 				all = append(all, newGateway(i, start))
 			}
 			rules, sent, total := s.Rules, []warmupSend{}, 0.0
-			budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.Kinds[0].Cores *
+			budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.MachineTypes[0].Cores *
 				rules.WarmupBudgetSpan.Seconds()
 			for now := start; now < start+rules.WarmupTime; now += 50 * time.Millisecond {
 				for i, g := range all {
