--- a/internal/program/mysql.go
+++ b/internal/program/mysql.go
@@ -23,8 +23,8 @@
 // settings. sockets is the descriptor budget for clients.
 func mysqlConfig(m *settings.MySQL, c *core.Core, sockets int) (frontend.MySQLConfig, error) {
 	config := frontend.MySQLConfig{
-		Listen: m.Listen, MaxConns: sockets * 8 / 9, User: m.EngineUser, Password: m.EnginePassword,
-		EnginePort: strconv.Itoa(m.EnginePort), Engines: m.Engines, Accounts: map[string]*mysql.Account{},
+		Listen: m.Listen, MaxConns: sockets * 8 / 9, EngineUser: m.EngineUser, EnginePassword: m.EnginePassword,
+		EnginePort: strconv.Itoa(m.EnginePort), EngineAddrs: m.Engines, Accounts: map[string]*mysql.Account{},
 	}
 	if m.MaxClients > 0 {
 		config.MaxConns = min(config.MaxConns, m.MaxClients)
@@ -80,6 +80,6 @@
 func listenAsMaster(log *slog.Logger, listener *frontend.MySQLListener) {
 	if err := listener.Listen(); err != nil {
 		log.Error("mysql front cannot listen", "error", err)
-		listener.Retry(masterListenRetryInterval, func() { listenAsMaster(log, listener) })
+		listener.ScheduleRetry(masterListenRetryInterval, func() { listenAsMaster(log, listener) })
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -50,7 +50,7 @@
 // start starts everything that needs no listener. It returns how many engines the configuration's events list.
 func (p *program) start(s setup) (listed int) {
 	p.loop.Do(func() {
-		p.loop.WatchLag()
+		p.loop.StartLagMonitor()
 		if p.membership != nil {
 			p.membership.Start()
 			p.subset.Start(p.membership, s.subset)
@@ -58,7 +58,7 @@
 		for _, e := range p.initialEvents {
 			listed = p.dispatcher.UpdateEngines(e.Full, e.Engines)
 		}
-		p.discovery.Follow(s.conf.Discovery)
+		p.discovery.SetServer(s.conf.Discovery)
 		p.scheduleStats()
 	})
 	return listed
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -52,7 +52,7 @@
 	for _, e := range known {
 		p.dispatcher.UpdateEngines(e.Full, e.Engines)
 	}
-	p.discovery.Follow(conf.Discovery)
+	p.discovery.SetServer(conf.Discovery)
 	return len(known)
 }
 
@@ -105,7 +105,7 @@
 	}
 	if p.membership != nil && file.settings.Membership != nil {
 		_, timeout, suspect := file.settings.Membership.Times()
-		if err := p.membership.Adjust(timeout, suspect); err != nil {
+		if err := p.membership.SetTimeouts(timeout, suspect); err != nil {
 			p.log.Error("membership times not changed", "error", err)
 		}
 	}
--- a/internal/program/stats.go
+++ b/internal/program/stats.go
@@ -43,7 +43,7 @@
 	if p.version == nil || p.membership == nil {
 		return
 	}
-	counts := p.version.versions.Counts(p.version.number, p.membership.Serves)
+	counts := p.version.versions.Counts(p.version.number, p.membership.IsInService)
 	own := fmt.Sprintf("%016x/%016x", p.version.own.Program, p.version.own.Settings)
 	p.log.Info("versions", "own", own, "in_service", rollout.FormatVersionCounts(counts), "reports_unsent", p.version.sender.Unsent())
 }
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -84,7 +84,7 @@
 // once no attempt is in flight then.
 func (p *program) closeIdleConnections() {
 	if p.closeIdle() {
-		p.dispatcher.WhenIdle(p.closeConnections)
+		p.dispatcher.OnIdle(p.closeConnections)
 		return
 	}
 	p.loop.After(idleCheckInterval, p.closeIdleConnections)
@@ -113,7 +113,7 @@
 	if p.mysql != nil {
 		p.mysql.Shutdown()
 	}
-	p.clients.WhenEmpty(p.exitWhenMySQLEmpty)
+	p.clients.OnEmpty(p.exitWhenMySQLEmpty)
 	p.loop.After(peerCloseTimeout, p.exit)
 }
 
@@ -123,5 +123,5 @@
 		p.exit()
 		return
 	}
-	p.mysql.WhenEmpty(p.exit)
+	p.mysql.OnEmpty(p.exit)
 }
--- a/internal/subsetdriver/fleet_test.go
+++ b/internal/subsetdriver/fleet_test.go
@@ -177,12 +177,12 @@
 // modelMembers is what membership knows, as datagram.MembershipDriver passes it on.
 type modelMembers struct{ node *membership.Node }
 
-func (m modelMembers) Serves(member int) bool {
+func (m modelMembers) IsInService(member int) bool {
 	state, _ := m.node.Member(member)
 	return state.InService()
 }
 
-func (m modelMembers) Started(member int) time.Duration {
+func (m modelMembers) StartTime(member int) time.Duration {
 	_, incarnation := m.node.Member(member)
 	return time.Duration(incarnation) * time.Second
 }
@@ -216,9 +216,9 @@
 	}
 }
 
-func (g *modelGateway) SubsetSize() (listed, used int) { return len(g.model.engines), len(g.used) }
-func (g *modelGateway) Narrowed() bool                 { return !g.chooser.All() }
-func (g *modelGateway) Overlap(gateway int) float64    { return g.chooser.Overlap(gateway) }
+func (g *modelGateway) SubsetSize() (listed, used int)    { return len(g.model.engines), len(g.used) }
+func (g *modelGateway) SubsetActive() bool                { return !g.chooser.All() }
+func (g *modelGateway) SubsetOverlap(gateway int) float64 { return g.chooser.Overlap(gateway) }
 
 // The fleet that CI simulates, and the one that operators expect. Both have more gateways than a message on zones holds.
 var (
--- a/internal/subsetdriver/updater.go
+++ b/internal/subsetdriver/updater.go
@@ -33,18 +33,18 @@
 	TickSubset()
 	// SubsetSize returns how many engines are listed, and how many of them are used.
 	SubsetSize() (listed, used int)
-	// Narrowed reports whether fewer than all engines are used.
-	Narrowed() bool
-	// Overlap returns the share of another gateway's subset that lies in the own one, 0 if it is not known.
-	Overlap(gateway int) float64
+	// SubsetActive reports whether fewer than all engines are used.
+	SubsetActive() bool
+	// SubsetOverlap returns the share of another gateway's subset that lies in the own one, 0 if it is not known.
+	SubsetOverlap(gateway int) float64
 }
 
 // Members is what membership knows of the gateways.
 type Members interface {
-	// Serves reports whether a gateway is in service.
-	Serves(member int) bool
-	// Started returns the Unix time of a gateway's start.
-	Started(member int) time.Duration
+	// IsInService reports whether a gateway is in service.
+	IsInService(member int) bool
+	// StartTime returns the Unix time of a gateway's start.
+	StartTime(member int) time.Duration
 }
 
 // Location is the place of a gateway in its fleet.
@@ -79,7 +79,7 @@
 	}
 	u := &Updater{engines: engines, log: log, place: place}
 	u.zoneTable = zonetable.New(place.Number, place.Gateways, place.Zones, u.zone(),
-		func(member int) time.Duration { return u.members.Started(member) })
+		func(member int) time.Duration { return u.members.StartTime(member) })
 	return u
 }
 
@@ -176,7 +176,7 @@
 func (u *Updater) knownGateways() []subset.Gateway {
 	gateways := make([]subset.Gateway, u.place.Gateways)
 	for i := range gateways {
-		gateways[i] = subset.Gateway{Zone: u.zoneTable.Zone(i), InService: u.members.Serves(i)}
+		gateways[i] = subset.Gateway{Zone: u.zoneTable.Zone(i), InService: u.members.IsInService(i)}
 	}
 	return gateways
 }
@@ -198,7 +198,7 @@
 
 // updateWeights sets the weights by which load reports are sent to the gateways that use the same engines.
 func (u *Updater) updateWeights(now time.Duration) {
-	if !u.engines.Narrowed() {
+	if !u.engines.SubsetActive() {
 		u.weights = nil
 		return
 	}
@@ -208,7 +208,7 @@
 	u.weightsAt = now + weightsInterval
 	u.weights = make([]float64, len(u.gateways))
 	for i, g := range u.gateways {
-		u.weights[i] = u.engines.Overlap(i)
+		u.weights[i] = u.engines.SubsetOverlap(i)
 		if g.Zone < 0 {
 			u.weights[i] = unknownWeight
 		}
--- a/internal/testbed/capacity/measure/connections.go
+++ b/internal/testbed/capacity/measure/connections.go
@@ -86,7 +86,7 @@
 	after := liveMemory()
 	loop.Do(func() {
 		for i := range connections {
-			pool.Forget(policy.EngineID(i))
+			pool.Invalidate(policy.EngineID(i))
 		}
 	})
 	return (after - before) / float64(connections), nil
--- a/internal/testbed/hollow/gateway.go
+++ b/internal/testbed/hollow/gateway.go
@@ -72,7 +72,7 @@
 	g.loop.Do(func() {
 		g.membership.Start()
 		g.subset.Start(g.membership, s.setup.Subset)
-		g.watch.Follow(s.setup.Discovery)
+		g.watch.SetServer(s.setup.Discovery)
 		g.scheduleReport()
 	})
 	return g, nil
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// InService is called when the number of gateways in service changes; a hollow gateway has no quotas to divide.
-func (g *gateway) InService(int) {}
+// InServiceChanged is called when the number of gateways in service changes; a hollow gateway has no quotas to divide.
+func (g *gateway) InServiceChanged(int) {}
 
 // ReceiveLoadReports applies another gateway's load reports.
 func (g *gateway) ReceiveLoadReports(body []byte) { g.digest.Receive(g.loop.Now(), body) }
@@ -160,7 +160,7 @@
 func (g *gateway) stop() {
 	g.loop.Do(func() {
 		g.reportTimer.Stop()
-		g.watch.Follow("")
+		g.watch.SetServer("")
 		g.membership.Stop()
 	})
 	g.cancel()
@@ -171,7 +171,7 @@
 	out := GatewayState{Number: g.number, Up: true}
 	g.loop.Do(func() {
 		out.InService, _, _, _ = g.membership.Counts()
-		out.Fingerprint = scale.Fingerprint(len(g.host.setup.Peers), g.membership.Serves)
+		out.Fingerprint = scale.Fingerprint(len(g.host.setup.Peers), g.membership.IsInService)
 		out.Version, out.Engines = g.stream.ResourceVersion(), len(g.engines)
 		out.Used, out.Ready = len(g.reported), g.readyEngines()
 		if countKnown {
--- a/internal/testbed/hollow/subset.go
+++ b/internal/testbed/hollow/subset.go
@@ -44,11 +44,11 @@
 	return listed, len(s.chooser.IDs())
 }
 
-// Narrowed reports whether fewer than all engines are used.
-func (s *subsetEngines) Narrowed() bool { return s.chooser != nil && !s.chooser.All() }
+// SubsetActive reports whether fewer than all engines are used.
+func (s *subsetEngines) SubsetActive() bool { return s.chooser != nil && !s.chooser.All() }
 
-// Overlap is the share of another gateway's subset that lies in the own one.
-func (s *subsetEngines) Overlap(gateway int) float64 {
+// SubsetOverlap is the share of another gateway's subset that lies in the own one.
+func (s *subsetEngines) SubsetOverlap(gateway int) float64 {
 	if s.chooser == nil {
 		return 1
 	}
--- a/internal/transport/datagram/membership.go
+++ b/internal/transport/datagram/membership.go
@@ -40,8 +40,8 @@
 
 // MembershipListener receives changes of the membership and messages of other gateways. It is called on the loop.
 type MembershipListener interface {
-	// InService is called whenever the number of gateways in service has changed.
-	InService(gateways int)
+	// InServiceChanged is called whenever the number of gateways in service has changed.
+	InServiceChanged(gateways int)
 	// ReceiveLoadReports is called with each load report message of another gateway.
 	ReceiveLoadReports(body []byte)
 	// ReceiveVersion is called with each version message of another gateway.
@@ -92,19 +92,19 @@
 	m.execute()
 }
 
-// Adjust changes the probe timeout and the suspicion timeout of the running protocol; 0 means the default.
-func (m *MembershipDriver) Adjust(timeout, suspect time.Duration) error {
+// SetTimeouts changes the probe timeout and the suspicion timeout of the running protocol; 0 means the default.
+func (m *MembershipDriver) SetTimeouts(timeout, suspect time.Duration) error {
 	return m.node.SetTimeouts(timeout, suspect)
 }
 
-// Serves reports whether a member is in service.
-func (m *MembershipDriver) Serves(member int) bool {
+// IsInService reports whether a member is in service.
+func (m *MembershipDriver) IsInService(member int) bool {
 	state, _ := m.node.Member(member)
 	return state.InService()
 }
 
-// Started returns when a member last started, by its own Unix clock, or 0 if it is unknown.
-func (m *MembershipDriver) Started(member int) time.Duration {
+// StartTime returns when a member last started, by its own Unix clock, or 0 if it is unknown.
+func (m *MembershipDriver) StartTime(member int) time.Duration {
 	_, incarnation := m.node.Member(member)
 	return time.Duration(incarnation) * time.Second
 }
@@ -133,7 +133,7 @@
 	m.restartTimer()
 	if n := m.node.NumInService(); n != m.inService {
 		m.inService = n
-		m.listener.InService(n)
+		m.listener.InServiceChanged(n)
 	}
 }
 
--- a/internal/transport/dispatcher/attempt.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -83,7 +83,7 @@
 		case attempt.Release:
 			a.closeChannel(s.Channel, (*enginepool.Conn).Release)
 		case attempt.Close:
-			a.closeChannel(s.Channel, (*enginepool.Conn).Drop)
+			a.closeChannel(s.Channel, (*enginepool.Conn).Discard)
 		case attempt.SetTimer:
 			a.setTimer(s)
 		case attempt.Progress:
@@ -116,7 +116,7 @@
 }
 
 func (a *AttemptDriver) openChannel(s attempt.Open) {
-	a.closeChannel(s.Channel, (*enginepool.Conn).Drop)
+	a.closeChannel(s.Channel, (*enginepool.Conn).Discard)
 	c := &channel{driver: a, id: s.Channel}
 	a.channels[s.Channel] = c
 	urgent := s.Channel == attempt.Control
@@ -132,11 +132,11 @@
 		return
 	}
 	c.conn = conn
-	a.dispatcher.ReadClient(a.start.ID)
+	a.dispatcher.ReadPendingInput(a.start.ID)
 	if c.closed { // the client has cancelled the request
 		return
 	}
-	a.execute(a.machine.Connected(c.id, &conn.Memory, func(again bool) (time.Duration, bool) {
+	a.execute(a.machine.Connected(c.id, &conn.ProtocolState, func(again bool) (time.Duration, bool) {
 		return a.dispatcher.MaySend(a.start.ID, a.start.Attempt, again)
 	}))
 }
--- a/internal/transport/dispatcher/dispatcher.go
+++ b/internal/transport/dispatcher/dispatcher.go
@@ -19,11 +19,11 @@
 	StartAttempt(start core.StartAttempt) Attempt
 	// Reply gives the final reply; result is what the attempt that served it returned.
 	Reply(reply core.Reply, result any)
-	// ReadPending handles all bytes that the client has sent by now. It is not called from within a call of the client's own.
-	ReadPending()
-	// Unread reports whether bytes of the client wait to be handled, and whether the client has closed its connection,
+	// ReadPendingInput handles all bytes that the client has sent by now. It is not called from within a call of the client's own.
+	ReadPendingInput()
+	// PeekInput reports whether bytes of the client wait to be handled, and whether the client has closed its connection,
 	// which may be known only from the socket.
-	Unread() (pending, closed bool)
+	PeekInput() (pending, closed bool)
 }
 
 // Attempt is an attempt in flight.
@@ -111,7 +111,7 @@
 // disconnect ends the use of all present connections to an engine.
 func (d *Dispatcher) disconnect(engine policy.EngineID) {
 	for _, p := range d.Pools {
-		p.Forget(engine)
+		p.Invalidate(engine)
 	}
 }
 
@@ -123,17 +123,17 @@
 	if r == nil {
 		return 0, false
 	}
-	pending, closed := r.client.Unread()
+	pending, closed := r.client.PeekInput()
 	if closed || pending && again {
 		return 0, false
 	}
 	return d.Core.MaySend(d.Loop.Now(), id, attempt, again)
 }
 
-// ReadClient handles all bytes that a request's client has sent by now: they may cancel the request.
-func (d *Dispatcher) ReadClient(id core.ID) {
+// ReadPendingInput handles all bytes that a request's client has sent by now: they may cancel the request.
+func (d *Dispatcher) ReadPendingInput(id core.ID) {
 	if r := d.requests[id]; r != nil {
-		r.client.ReadPending()
+		r.client.ReadPendingInput()
 	}
 }
 
@@ -165,7 +165,7 @@
 		r.attempt = nil
 	}
 	if outcome != policy.OK && r != nil && !r.replied {
-		if _, closed := r.client.Unread(); closed {
+		if _, closed := r.client.PeekInput(); closed {
 			d.Cancel(id) // otherwise the core would retry for a client that has gone
 		}
 	}
@@ -175,8 +175,8 @@
 	}
 }
 
-// InService reports how many gateways are in service.
-func (d *Dispatcher) InService(gateways int) {
+// InServiceChanged reports how many gateways are in service.
+func (d *Dispatcher) InServiceChanged(gateways int) {
 	d.execute(d.Core.SetGatewaysInService(d.Loop.Now(), gateways), nil)
 }
 
@@ -188,13 +188,13 @@
 // Close makes the core reply to all open requests at once.
 func (d *Dispatcher) Close() { d.execute(d.Core.Shutdown(d.Loop.Now()), nil) }
 
-// WhenIdle sets a function that is called once, as soon as no request is open and no attempt in flight.
-func (d *Dispatcher) WhenIdle(f func()) {
+// OnIdle sets a function that is called once, as soon as no request is open and no attempt in flight.
+func (d *Dispatcher) OnIdle(f func()) {
 	d.onIdle = f
 	d.checkIdle()
 }
 
-// checkIdle has the function of WhenIdle called if the dispatcher is idle. That is done behind what the loop is doing now: a client may
+// checkIdle has the function of OnIdle called if the dispatcher is idle. That is done behind what the loop is doing now: a client may
 // be in the middle of a read, with further requests in it.
 func (d *Dispatcher) checkIdle() {
 	if d.onIdle != nil && d.isIdle() {
@@ -202,7 +202,7 @@
 	}
 }
 
-// callIfIdle calls the function of WhenIdle if the dispatcher is still idle.
+// callIfIdle calls the function of OnIdle if the dispatcher is still idle.
 func (d *Dispatcher) callIfIdle() {
 	if f := d.onIdle; f != nil && d.isIdle() {
 		d.onIdle = nil
--- a/internal/transport/dispatcher/subset.go
+++ b/internal/transport/dispatcher/subset.go
@@ -27,8 +27,8 @@
 // SubsetSize returns how many engines are listed and not removed, and how many of them the gateway uses.
 func (d *Dispatcher) SubsetSize() (listed, used int) { return d.Core.SubsetSize() }
 
-// Narrowed reports whether the gateway uses fewer than all engines.
-func (d *Dispatcher) Narrowed() bool { return d.Core.UsesSubset() }
+// SubsetActive reports whether the gateway uses fewer than all engines.
+func (d *Dispatcher) SubsetActive() bool { return d.Core.UsesSubset() }
 
-// Overlap returns the share of another gateway's subset, from 0 to 1, that is in this gateway's own, as far as it is known.
-func (d *Dispatcher) Overlap(gateway int) float64 { return d.Core.SubsetOverlap(gateway) }
+// SubsetOverlap returns the share of another gateway's subset, from 0 to 1, that is in this gateway's own, as far as it is known.
+func (d *Dispatcher) SubsetOverlap(gateway int) float64 { return d.Core.SubsetOverlap(gateway) }
--- a/internal/transport/enginepool/conn.go
+++ b/internal/transport/enginepool/conn.go
@@ -10,8 +10,8 @@
 type Conn struct {
 	*eventloop.Conn // nil while the dial is in progress
 
-	// Memory is kept for the state machines of attempts from one use of the connection to the next.
-	Memory any
+	// ProtocolState is kept for the state machines of attempts from one use of the connection to the next.
+	ProtocolState any
 
 	pool       *Pool
 	key        endpointKey
@@ -30,7 +30,7 @@
 		return
 	}
 	c.pool.removeIdle(c)
-	c.Drop()
+	c.Discard()
 	c.endDrainDelay()
 }
 
@@ -48,8 +48,8 @@
 	c.endDrainDelay()
 }
 
-// Drop closes the connection.
-func (c *Conn) Drop() {
+// Discard closes the connection.
+func (c *Conn) Discard() {
 	c.dropWithoutAdmitting()
 	c.pool.admitWaiters()
 }
@@ -69,7 +69,7 @@
 		return
 	}
 	if c.stale {
-		c.Drop()
+		c.Discard()
 		return
 	}
 	c.Resume()
@@ -80,7 +80,7 @@
 	}
 	c.timer = c.pool.loop.After(c.pool.idleTimeout, func() {
 		c.pool.removeIdle(c)
-		c.Drop()
+		c.Discard()
 	})
 	c.pool.idle[c.key] = append(c.pool.idle[c.key], c)
 	c.pool.admitWaiters()
--- a/internal/transport/enginepool/pool.go
+++ b/internal/transport/enginepool/pool.go
@@ -76,9 +76,9 @@
 	return r.cancel
 }
 
-// Forget ends the use of all connections to an engine that was removed or has moved: idle ones are closed now, those in use when
+// Invalidate ends the use of all connections to an engine that was removed or has moved: idle ones are closed now, those in use when
 // they are released, and those that are being dialed when they come up.
-func (p *Pool) Forget(engine policy.EngineID) {
+func (p *Pool) Invalidate(engine policy.EngineID) {
 	for c := range p.conns {
 		c.stale = c.stale || c.key.engine == engine
 	}
--- a/internal/transport/enginepool/pool_test.go
+++ b/internal/transport/enginepool/pool_test.go
@@ -72,7 +72,7 @@
 	if urgent.key.engine != 1 {
 		t.Fatal("the request that should wait was served first")
 	}
-	loop.Do(func() { urgent.Drop(); first.Release() })
+	loop.Do(func() { urgent.Discard(); first.Release() })
 	if second := <-got; second.key.engine != 2 {
 		t.Fatal("another connection came")
 	}
@@ -102,7 +102,7 @@
 	}
 	loop.Do(first.Release)
 	loop.Do(func() {
-		if p.Forget(1); p.inUse != 1 || first.IsOpen() {
+		if p.Invalidate(1); p.inUse != 1 || first.IsOpen() {
 			t.Errorf("%d in use after engine 1 was removed", p.inUse)
 		}
 	})
@@ -159,13 +159,13 @@
 		cancel := p.Get(1, addr, false, false, discard{}, func(*Conn, error) { t.Error("a cancelled request got a connection") })
 		nettest.Eventually(t, "the dial", func() bool { return loop.Queued() > 0 })
 		cancel()
-		p.Forget(1)
+		p.Invalidate(1)
 	})
 	e.Accept().ExpectClosed()
 	loop.Do(func() { p.Get(1, addr, false, false, discard{}, func(c *Conn, _ error) { got <- c }) })
 	used := <-got
 	loop.Do(func() {
-		p.Forget(1)
+		p.Invalidate(1)
 		used.Release()
 		if len(p.idle) != 0 || p.inUse != 0 || len(p.conns) != 0 {
 			t.Errorf("idle %v, %d in use, %d connections", p.idle, p.inUse, len(p.conns))
--- a/internal/transport/enginewatch/watch.go
+++ b/internal/transport/enginewatch/watch.go
@@ -47,8 +47,8 @@
 	return &Watch{loop: loop, listener: listener, log: log, addr: addr, stream: stream, readTimeout: defaultReadTimeout}
 }
 
-// Follow closes the present watch and opens one at addr, which resumes after the last event received. An empty addr opens none.
-func (w *Watch) Follow(addr string) {
+// SetServer closes the present watch and opens one at addr, which resumes after the last event received. An empty addr opens none.
+func (w *Watch) SetServer(addr string) {
 	w.disconnect()
 	w.addr = addr
 	if addr != "" {
--- a/internal/transport/enginewatch/watch_test.go
+++ b/internal/transport/enginewatch/watch_test.go
@@ -49,24 +49,24 @@
 	second, secondRequests, secondEnds := silentServer(t)
 	w := New(loop, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), "", &discovery.Stream{})
 	loop.Do(func() {
-		w.Follow(first) // the dial is cancelled at once
-		w.Follow(second)
+		w.SetServer(first) // the dial is cancelled at once
+		w.SetServer(second)
 	})
 	if line := <-secondRequests; line != "after 0\n" {
 		t.Fatalf("request %q", line)
 	}
 	loop.Do(func() {
 		w.Reconnect() // starts the backoff before another dial of the second
-		w.Follow(first)
+		w.SetServer(first)
 	})
 	<-secondEnds
 	<-firstRequests
-	loop.Do(func() { w.Follow(second) })
+	loop.Do(func() { w.SetServer(second) })
 	<-firstEnds
 	<-secondRequests
 	time.Sleep(2 * retryBackoff) // long enough for a timer that was not stopped to show
 	if len(firstRequests) > 0 || len(secondRequests) > 0 {
 		t.Fatal("a second watch was opened")
 	}
-	loop.Do(func() { w.Follow("") })
+	loop.Do(func() { w.SetServer("") })
 }
--- a/internal/transport/eventloop/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -42,16 +42,16 @@
 	lagDecay    = 0.97                  // factor for each measurement: half in about a second
 )
 
-// WatchLag starts measuring how late the loop runs its timers.
-func (l *Loop) WatchLag() {
+// StartLagMonitor starts measuring how late the loop runs its timers.
+func (l *Loop) StartLagMonitor() {
 	due := l.Now() + lagInterval
 	l.After(lagInterval, func() {
 		l.lag = max(l.Now()-due, time.Duration(float64(l.lag)*lagDecay))
-		l.WatchLag()
+		l.StartLagMonitor()
 	})
 }
 
-// Lag returns the largest recent delay of the loop. It is 0 before WatchLag.
+// Lag returns the largest recent delay of the loop. It is 0 before StartLagMonitor.
 func (l *Loop) Lag() time.Duration { return l.lag }
 
 // Run calls posted functions until the context ends.
--- a/internal/transport/eventloop/loop_test.go
+++ b/internal/transport/eventloop/loop_test.go
@@ -7,7 +7,7 @@
 
 func TestLoopMeasuresItsLag(t *testing.T) {
 	loop := startLoop(t)
-	loop.Do(loop.WatchLag)
+	loop.Do(loop.StartLagMonitor)
 	loop.Do(func() { time.Sleep(lagInterval + 100*time.Millisecond) }) // delays the next measurement by at least 100 ms
 	loop.Do(func() {})                                                 // the delayed measurement may be queued behind this
 	for lag := time.Duration(0); lag < 50*time.Millisecond; time.Sleep(time.Millisecond) {
--- a/internal/transport/frontend/crossings_clients_test.go
+++ b/internal/transport/frontend/crossings_clients_test.go
@@ -133,7 +133,7 @@
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
 	f.loop.Do(func() {
 		c.conn.DeliverPending()
-		f.dispatcher.WhenIdle(func() { f.CloseIdle(0) })
+		f.dispatcher.OnIdle(func() { f.CloseIdle(0) })
 		nettest.Send(t, nc, `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}`+"\n"+queryLine(12, idempotentClass))
 		c.conn.DeliverPending()
 		f.dispatcher.Close()
--- a/internal/transport/frontend/crossings_discovery_test.go
+++ b/internal/transport/frontend/crossings_discovery_test.go
@@ -65,7 +65,7 @@
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
 	at := e.Accept()
 	at.ReadRequest()
-	f.loop.Do(func() { engineWatch.Follow(second.ln.Addr().String()) })
+	f.loop.Do(func() { engineWatch.SetServer(second.ln.Addr().String()) })
 	nettest.Send(t, second.accept(1), eventLine(2, e, "terminating")+eventLine(3, other, "in_service"))
 	f.waitLines(engineWatch, 3)
 	f.loop.Do(func() {
@@ -135,8 +135,8 @@
 // watch starts a watch of a discovery server that passes its events to the fixture's gateway.
 func (f *fixture) watch(server *discoveryServer) *enginewatch.Watch {
 	engineWatch := enginewatch.New(f.loop, f.dispatcher, f.dispatcher.Log, "", &discovery.Stream{})
-	f.loop.Do(func() { engineWatch.Follow(server.ln.Addr().String()) })
-	f.t.Cleanup(func() { f.loop.Do(func() { engineWatch.Follow("") }) })
+	f.loop.Do(func() { engineWatch.SetServer(server.ln.Addr().String()) })
+	f.t.Cleanup(func() { f.loop.Do(func() { engineWatch.SetServer("") }) })
 	return engineWatch
 }
 
--- a/internal/transport/frontend/crossings_engines_test.go
+++ b/internal/transport/frontend/crossings_engines_test.go
@@ -179,7 +179,7 @@
 	})
 	f.loop.Do(func() {
 		for _, engine := range f.pool.IdleEngines() {
-			f.pool.Forget(engine)
+			f.pool.Invalidate(engine)
 		}
 	})
 }
--- a/internal/transport/frontend/listener.go
+++ b/internal/transport/frontend/listener.go
@@ -89,5 +89,5 @@
 	}
 }
 
-// WhenEmpty sets a function that is called once, as soon as no connection is open or being closed.
-func (s *connSet[C]) WhenEmpty(f func()) { s.lingering.whenEmpty(f) }
+// OnEmpty sets a function that is called once, as soon as no connection is open or being closed.
+func (s *connSet[C]) OnEmpty(f func()) { s.lingering.whenEmpty(f) }
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -23,13 +23,13 @@
 
 // MySQLConfig configures a MySQLListener.
 type MySQLConfig struct {
-	Listen     string // address
-	MaxConns   int    // connections
-	Accounts   map[string]*mysql.Account
-	User       string // at the engines
-	Password   string // at the engines
-	EnginePort string
-	Engines    map[string]string // MySQL addresses by engine name, for those that EnginePort does not give
+	Listen         string // address
+	MaxConns       int    // connections
+	Accounts       map[string]*mysql.Account
+	EngineUser     string // at the engines
+	EnginePassword string // at the engines
+	EnginePort     string
+	EngineAddrs    map[string]string // MySQL addresses by engine name, for those that EnginePort does not give
 }
 
 // MySQLListener accepts clients that speak MySQL. Its methods are called on the loop.
@@ -92,8 +92,8 @@
 	}
 }
 
-// Retry calls try after a delay, unless StopAccepting is called before.
-func (l *MySQLListener) Retry(after time.Duration, try func()) {
+// ScheduleRetry calls try after a delay, unless StopAccepting is called before.
+func (l *MySQLListener) ScheduleRetry(after time.Duration, try func()) {
 	l.retryTimer = l.dispatcher.Loop.After(after, try)
 }
 
@@ -127,7 +127,7 @@
 
 // engineAddr returns the address at which an engine speaks MySQL.
 func (l *MySQLListener) engineAddr(e core.Engine) string {
-	if addr, configured := l.config.Engines[e.Name]; configured {
+	if addr, configured := l.config.EngineAddrs[e.Name]; configured {
 		return addr
 	}
 	host, _, err := net.SplitHostPort(e.Addr)
--- a/internal/transport/frontend/mysql_client.go
+++ b/internal/transport/frontend/mysql_client.go
@@ -103,7 +103,7 @@
 // StartAttempt sends the query to an engine.
 func (c *mysqlClient) StartAttempt(start core.StartAttempt) dispatcher.Attempt {
 	l := c.listener
-	machine, steps := mysql.NewExchange(c.query, l.config.User, l.config.Password)
+	machine, steps := mysql.NewExchange(c.query, l.config.EngineUser, l.config.EnginePassword)
 	c.attempt = dispatcher.StartAttempt(l.dispatcher, l.pool, start, l.engineAddr(start.Engine), machine, steps, c.relay)
 	return c.attempt
 }
@@ -126,11 +126,11 @@
 	}
 }
 
-// ReadPending handles all bytes that the client has sent by now.
-func (c *mysqlClient) ReadPending() { c.conn.DeliverPending() }
+// ReadPendingInput handles all bytes that the client has sent by now.
+func (c *mysqlClient) ReadPendingInput() { c.conn.DeliverPending() }
 
-// Unread reports whether bytes of the client wait to be handled, and whether it has closed its connection.
-func (c *mysqlClient) Unread() (pending, closed bool) { return c.conn.Peek() }
+// PeekInput reports whether bytes of the client wait to be handled, and whether it has closed its connection.
+func (c *mysqlClient) PeekInput() (pending, closed bool) { return c.conn.Peek() }
 
 // Reply ends the query. Only the end of the connection tells the client of a result that broke off in the middle of a row.
 func (c *mysqlClient) Reply(reply core.Reply, result any) {
--- a/internal/transport/frontend/platform_request.go
+++ b/internal/transport/frontend/platform_request.go
@@ -34,11 +34,11 @@
 	return dispatcher.StartAttempt(d, d.Pool, start, start.Engine.Addr, machine, steps, func([]byte) {})
 }
 
-// ReadPending handles all bytes that the client has sent by now.
-func (r *request) ReadPending() { r.client.conn.DeliverPending() }
+// ReadPendingInput handles all bytes that the client has sent by now.
+func (r *request) ReadPendingInput() { r.client.conn.DeliverPending() }
 
-// Unread reports whether bytes of the client wait to be handled, and whether it has closed its connection.
-func (r *request) Unread() (pending, closed bool) { return r.client.conn.Peek() }
+// PeekInput reports whether bytes of the client wait to be handled, and whether it has closed its connection.
+func (r *request) PeekInput() (pending, closed bool) { return r.client.conn.Peek() }
 
 // Reply writes the response of the query.
 func (r *request) Reply(reply core.Reply, result any) {
