--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -12,58 +12,59 @@
 type Handler interface {
 	// Data is called with received bytes, which are valid until it returns.
 	Data(b []byte)
-	// Closed is called once when the connection has ended, unless the owner has ended it with Close or CloseGracefully.
+	// Closed is called once when the connection is lost. It is not called after Close or CloseGracefully.
 	Closed(err error)
 }
 
-// errSlowPeer is passed to Handler.Closed when the peer does not read and its queue is over the limit.
+// errSlowPeer is passed to Handler.Closed when the peer reads so slowly that its write queue exceeds a limit.
 var errSlowPeer = errors.New("peer reads too slowly")
 
 const (
 	readBufferSize       = 8 << 10          // bytes
-	maxPeekBytes         = 64 << 10         // read ahead of the handler in search of the connection's end
-	fairQueuedBytes      = 64 << 10         // a connection may queue this much even if the loop's write budget is used up
-	writeTimeout         = 10 * time.Second // a peer that accepts no byte for so long is gone
-	defaultLingerTimeout = 2 * time.Second  // a peer that is there ends its side within a round trip of the half-close
+	maxPeekBytes         = 64 << 10         // bytes that Peek reads ahead at most while it looks for EOF
+	guaranteedQueueBytes = 64 << 10         // bytes that each connection may queue even if the loop's write budget is exhausted
+	writeTimeout         = 10 * time.Second // a peer that accepts no data for this long is considered dead
+	defaultLingerTimeout = 2 * time.Second  // a live peer closes its side within one round trip after the half-close
 )
 
-// phase is the state of a connection. Only the loop changes it, and only forward.
+// phase is the state of a connection. Only the loop changes it, and never back to an earlier phase.
 type phase uint8
 
 const (
 	connOpen      phase = iota // both directions are in use
-	connFlushing               // queued bytes are written; received bytes are discarded
-	connLingering              // half-closed: received bytes are discarded until the peer ends its side
+	connFlushing               // queued bytes are still written; received bytes are discarded
+	connLingering              // half-closed: received bytes are discarded until the peer closes its side
 	connClosed
 )
 
-// Conn is a connection whose reads and writes block on two goroutines of its own, and whose events are handled on the loop. Its
-// methods are called on the loop. Both goroutines end after the connection is closed.
+// Conn is a connection with a reader goroutine and a writer goroutine for blocking I/O; its events are handled on the loop. Its methods
+// are called on the loop. Both goroutines return after the connection is closed.
 type Conn struct {
 	nc            net.Conn
-	raw           syscall.RawConn // nil where the connection is not a socket
+	raw           syscall.RawConn // nil if the connection is not a socket
 	loop          *Loop
 	handler       Handler
-	writeLimit    int    // bytes that may be queued
-	onReleased    func() // nil, or called on the loop after the descriptor was closed
-	onLingering   func() // nil, or called on the loop after the half-close
+	writeLimit    int    // bytes that may be queued before the connection is closed
+	onReleased    func() // if not nil, called on the loop after the file descriptor is closed
+	onLingering   func() // if not nil, called on the loop after the half-close
 	lingerTimeout time.Duration
 	lingerTimer   *Timer
 
-	writeSignal  chan struct{} // of capacity 1: wakes the writer
-	resumeSignal chan struct{} // of capacity 1: wakes a paused reader
+	writeSignal  chan struct{} // capacity 1; wakes the writer
+	resumeSignal chan struct{} // capacity 1; wakes a paused reader
 
 	mu          sync.Mutex
-	phase       phase    // written by the loop under mu, read by the loop, or under mu
-	received    []byte   // not yet passed to the handler
-	eof         bool     // the peer has ended its side
-	writeQueue  [][]byte // not yet taken by the writer
-	queuedBytes int      // in writeQueue, or being written
-	paused      bool     // the reader waits for resumeSignal after its present read
-	onDrained   func()   // nil, or called on the loop whenever all bytes have been written
+	phase       phase    // written on the loop with mu held; read on the loop or with mu held
+	received    []byte   // bytes not yet passed to the handler
+	eof         bool     // the peer has closed its side
+	writeQueue  [][]byte // buffers that the writer has not dequeued yet
+	queuedBytes int      // bytes in writeQueue or being written
+	paused      bool     // the reader waits for resumeSignal after its current read
+	onDrained   func()   // if not nil, called on the loop whenever all queued bytes have been written
 }
 
-// NewConn takes over nc and starts its reader and writer. At most writeLimit bytes may be queued for the peer.
+// NewConn takes ownership of nc and starts its reader and writer goroutines. The connection is closed if more than writeLimit bytes are
+// queued for the peer.
 func NewConn(loop *Loop, nc net.Conn, handler Handler, writeLimit int) *Conn {
 	c := &Conn{
 		nc:            nc,
@@ -84,7 +85,7 @@
 	return c
 }
 
-// advance is the only place that changes the phase.
+// advance moves the connection to phase p, unless it is already in a later phase. All phase changes go through it.
 func (c *Conn) advance(p phase) {
 	c.mu.Lock()
 	c.phase = max(c.phase, p)
@@ -94,7 +95,7 @@
 // IsOpen reports whether the connection can still be used.
 func (c *Conn) IsOpen() bool { return c.phase == connOpen }
 
-// IsLingering reports whether the connection is half-closed and waits for the peer to end its side.
+// IsLingering reports whether the connection is half-closed and waits for the peer to close its side.
 func (c *Conn) IsLingering() bool { return c.phase == connLingering }
 
 // IsClosed reports whether the connection is closed.
@@ -103,26 +104,26 @@
 // RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() net.Addr { return c.nc.RemoteAddr() }
 
-// OnReleased sets a function that is called on the loop after the descriptor was closed.
+// OnReleased sets a function that is called on the loop after the file descriptor is closed.
 func (c *Conn) OnReleased(f func()) { c.onReleased = f }
 
-// OnLingering sets a function that is called on the loop once the connection is half-closed and waits for the peer to end its side.
+// OnLingering sets a function that is called on the loop once the connection is half-closed and waits for the peer to close its side.
 func (c *Conn) OnLingering(f func()) { c.onLingering = f }
 
-// SetWriteLimit sets how many bytes may be queued before the connection is closed because its peer is too slow.
+// SetWriteLimit sets how many bytes may be queued before the connection is closed because its peer reads too slowly.
 func (c *Conn) SetWriteLimit(bytes int) { c.writeLimit = bytes }
 
-// SetLingerTimeout sets how long a half-closed connection waits for the peer to end its side.
+// SetLingerTimeout sets how long a half-closed connection waits for the peer to close its side.
 func (c *Conn) SetLingerTimeout(d time.Duration) { c.lingerTimeout = d }
 
-// connectionLost handles the end of the connection, or a read or write error.
+// connectionLost handles EOF, or a read or write error.
 func (c *Conn) connectionLost(err error) {
-	c.deliver() // bytes received before the end
+	c.deliver() // the bytes received before the connection was lost
 	switch c.phase {
 	case connOpen:
 		c.close()
 		c.handler.Closed(err)
-	case connFlushing: // the peer sends nothing more, but may still read
+	case connFlushing: // the peer will not send more data, but may still read
 		c.mu.Lock()
 		c.eof = true
 		c.mu.Unlock()
@@ -131,8 +132,8 @@
 	}
 }
 
-// CloseGracefully half-closes the connection when all queued bytes are written, and closes it when the peer has ended its side,
-// or after the linger timeout. The handler is not called any more.
+// CloseGracefully half-closes the connection once all queued bytes are written, and closes it when the peer has closed its side or the
+// linger timeout expires. The handler is no longer called.
 func (c *Conn) CloseGracefully() {
 	if !c.IsOpen() {
 		return
@@ -142,8 +143,8 @@
 	c.signalWriter()
 }
 
-// closeWrite ends the sending side; it is called by the writer. The connection is closed only when the peer has ended its side
-// too: to close it over unread bytes would reset it, and the peer could lose bytes sent before.
+// closeWrite shuts down the sending side; it is called by the writer. The connection is closed only after the peer has closed its side
+// too: closing a socket that has unread bytes sends a reset, and the peer could lose data that was sent before it.
 func (c *Conn) closeWrite() {
 	half, ok := c.nc.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -169,7 +170,7 @@
 	}
 }
 
-// Close closes the connection at once. The handler is not called any more.
+// Close closes the connection immediately. The handler is no longer called.
 func (c *Conn) Close() {
 	if c.phase != connClosed {
 		c.close()
@@ -179,7 +180,7 @@
 func (c *Conn) close() {
 	c.lingerTimer.Stop()
 	c.advance(connClosed)
-	_ = c.nc.Close() // nothing depends on it: the connection is not used any more
+	_ = c.nc.Close() // the connection is not used any more, so an error has no consequence
 	c.Resume()
 	c.mu.Lock()
 	c.loop.queuedBytes.Add(-int64(c.queuedBytes))
--- a/internal/transport/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/transport/eventloop/eventlooptest/eventlooptest.go
@@ -1,4 +1,4 @@
-// Package eventlooptest starts event loops for the tests of packages that run on one.
+// Package eventlooptest starts event loops for the tests of packages that use one.
 package eventlooptest
 
 import (
@@ -9,10 +9,10 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// WriteBudget is how many bytes the connections of a test's loop together may queue.
+// WriteBudget is the number of bytes that the connections of a test's loop together may queue.
 const WriteBudget = 8 << 20
 
-// Start returns a loop that runs on a goroutine of its own and ends with the test.
+// Start starts a loop on a new goroutine. It is stopped at the end of the test.
 func Start(t testing.TB) *eventloop.Loop {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/transport/eventloop/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -1,6 +1,6 @@
 // Package eventloop provides the single goroutine on which a gateway's state machines run, with its timers and TCP connections.
-// Blocking reads and writes run on goroutines of their own and post their results to the Loop. The package decides nothing: it
-// does not know what the bytes mean. Unless stated otherwise, methods are called on the loop.
+// Blocking reads and writes run on separate goroutines that post their results to the Loop. The package contains no protocol logic and
+// does not interpret the bytes it transfers. Unless stated otherwise, methods are called on the loop.
 package eventloop
 
 import (
@@ -11,19 +11,19 @@
 
 const queueLength = 1024 // functions that may be queued before Post blocks
 
-// Loop calls the functions that are posted to it, one after the other, on the goroutine that calls Run.
+// Loop calls the functions that are posted to it, one at a time, on the goroutine that calls Run.
 type Loop struct {
 	queue       chan func()
 	done        chan struct{} // closed when Run returns
 	start       time.Time
-	base        time.Duration // start, since the Unix epoch
-	queuedBytes atomic.Int64  // to be written, over all connections
-	writeBudget int64         // bytes; above it the connections with the longest queues are closed
-	lag         time.Duration // largest recent delay of a timer, decaying
+	base        time.Duration // start as the time since the Unix epoch
+	queuedBytes atomic.Int64  // bytes to be written, over all connections
+	writeBudget int64         // bytes; if exceeded, a connection that queues more than guaranteedQueueBytes is closed
+	lag         time.Duration // largest recent delay of a timer, decaying over time
 }
 
-// New returns a Loop whose connections together may queue writeBudget bytes. Its clock is the Unix clock at start, advanced by
-// the monotonic clock, so that it never goes back.
+// New returns a Loop whose connections together may queue writeBudget bytes. Its clock starts at the wall-clock time start and advances
+// with the monotonic clock, so that it never goes backward.
 func New(start time.Time, writeBudget int64) *Loop {
 	return &Loop{
 		queue:       make(chan func(), queueLength),
@@ -38,11 +38,11 @@
 func (l *Loop) Now() time.Duration { return l.base + time.Since(l.start) }
 
 const (
-	lagInterval = 50 * time.Millisecond // between two measurements
-	lagDecay    = 0.97                  // factor for each measurement: half in about a second
+	lagInterval = 50 * time.Millisecond // time between two measurements
+	lagDecay    = 0.97                  // factor per measurement: a half-life of about 1 s
 )
 
-// StartLagMonitor starts measuring how late the loop runs its timers.
+// StartLagMonitor starts to measure periodically how late the loop runs its timers.
 func (l *Loop) StartLagMonitor() {
 	due := l.Now() + lagInterval
 	l.After(lagInterval, func() {
@@ -51,10 +51,10 @@
 	})
 }
 
-// Lag returns the largest recent delay of the loop. It is 0 before StartLagMonitor.
+// Lag returns the largest recent delay of the loop's timers. It is 0 before StartLagMonitor is called.
 func (l *Loop) Lag() time.Duration { return l.lag }
 
-// Run calls posted functions until the context ends.
+// Run calls posted functions until the context is done.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	for {
@@ -67,8 +67,8 @@
 	}
 }
 
-// Post queues a function for the loop. It blocks while the queue is full, so it must not be called on the loop itself. After the
-// loop has ended, the function is dropped.
+// Post queues a function for the loop. It blocks while the queue is full, so it must not be called on the loop itself. After Run has
+// returned, the function is dropped.
 func (l *Loop) Post(f func()) {
 	select {
 	case l.queue <- f:
@@ -82,7 +82,7 @@
 	l.postAndWait(func() { f(); done <- struct{}{} }, done)
 }
 
-// postAndWait posts a function that sends on done when it is finished, and waits for that. It returns false if the loop has ended.
+// postAndWait posts a function that sends on done when it is finished, and waits for that. It returns false if Run has returned.
 func (l *Loop) postAndWait(f func(), done <-chan struct{}) bool {
 	l.Post(f)
 	select {
@@ -93,7 +93,7 @@
 	}
 }
 
-// After calls f on the loop after d. It may be called on any goroutine.
+// After calls f on the loop once d has elapsed. It may be called on any goroutine.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
 	t := &Timer{}
 	t.timer = time.AfterFunc(d, func() {
@@ -107,13 +107,13 @@
 	return t
 }
 
-// Timer is a pending call of After.
+// Timer is a function call scheduled by After.
 type Timer struct {
 	timer   *time.Timer
-	stopped bool // or expired
+	stopped bool // also set when the function is called
 }
 
-// Stop prevents the call, also if the timer has expired and the call is queued. It does nothing on a nil Timer.
+// Stop prevents the call, even if the timer has expired and the call is already queued. It does nothing on a nil Timer.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.stopped = true
@@ -124,9 +124,9 @@
 // Queued returns how many functions are queued. It may be called on any goroutine.
 func (l *Loop) Queued() int { return len(l.queue) }
 
-// RunNext calls the first queued function, waiting for one if there is none. Tests that hold the loop use it to force an order of
-// events.
+// RunNext calls the first queued function, and waits for one if the queue is empty. Tests that block the loop use it to force an order
+// of events.
 func (l *Loop) RunNext() { (<-l.queue)() }
 
-// SetWriteBudget sets how many bytes all connections together may queue.
+// SetWriteBudget sets the number of bytes that all connections together may queue.
 func (l *Loop) SetWriteBudget(bytes int64) { l.writeBudget = bytes }
--- a/internal/transport/eventloop/loop_test.go
+++ b/internal/transport/eventloop/loop_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-func TestLoopMeasuresItsLag(t *testing.T) {
+// Lag reports the delay of a timer that expired while the loop was blocked.
+func TestLagReportsTimerDelay(t *testing.T) {
 	loop := startLoop(t)
 	loop.Do(loop.StartLagMonitor)
 	loop.Do(func() { time.Sleep(lagInterval + 100*time.Millisecond) }) // delays the next measurement by at least 100 ms
--- a/internal/transport/eventloop/read.go
+++ b/internal/transport/eventloop/read.go
@@ -8,7 +8,7 @@
 
 const peekBufferSize = 512 // bytes
 
-// readLoop is the reader goroutine. It waits until the loop has handled the bytes of a read before it reads again.
+// readLoop is the reader goroutine. After each read it waits until the loop has handled the bytes before it reads again.
 func (c *Conn) readLoop() {
 	buf := make([]byte, readBufferSize)
 	handled := make(chan struct{}, 1)
@@ -17,8 +17,8 @@
 		handled <- struct{}{}
 	}
 	for {
-		wanted, err := c.receive(buf)
-		if wanted && !c.loop.postAndWait(deliver, handled) {
+		buffered, err := c.receive(buf)
+		if buffered && !c.loop.postAndWait(deliver, handled) {
 			return
 		}
 		if err != nil {
@@ -37,9 +37,9 @@
 	}
 }
 
-// receive waits for bytes and buffers them, and reports whether there are some for the handler. The read from the socket and the
-// buffering are one step under the lock, so that Peek finds bytes either in the buffer or in the socket.
-func (c *Conn) receive(buf []byte) (wanted bool, err error) {
+// receive reads bytes, waiting for some if necessary, and buffers them. It reports whether any were buffered for the handler. The read
+// from the socket and the buffering are a single critical section, so that Peek finds each byte either in the buffer or in the socket.
+func (c *Conn) receive(buf []byte) (buffered bool, err error) {
 	if c.raw == nil {
 		n, err := c.nc.Read(buf)
 		c.mu.Lock()
@@ -53,31 +53,31 @@
 		if n, err = readAvailable(fd, buf); errors.Is(err, syscall.EAGAIN) {
 			return false
 		}
-		wanted = c.bufferReceived(buf[:n])
+		buffered = c.bufferReceived(buf[:n])
 		c.eof = c.eof || err != nil
 		return true
 	})
 	if err == nil {
 		err = rawErr
 	}
-	return wanted, err
+	return buffered, err
 }
 
-// bufferReceived buffers bytes for the handler and reports whether it did. Bytes received after the connection was ended are
-// discarded. The caller holds the lock.
+// bufferReceived buffers bytes for the handler and reports whether it did. Bytes received after Close or CloseGracefully are discarded.
+// The caller holds c.mu.
 func (c *Conn) bufferReceived(b []byte) bool {
 	if c.phase != connOpen || len(b) == 0 {
 		return false
 	}
 	if c.received == nil {
-		c.received = b[:len(b):len(b)] // not copied: the reader does not reuse its buffer before they are delivered
+		c.received = b[:len(b):len(b)] // not copied: the reader does not reuse its buffer before delivery
 	} else {
 		c.received = append(c.received, b...)
 	}
 	return true
 }
 
-// readAvailable reads without blocking: it returns EAGAIN if nothing is available, and io.EOF at the end.
+// readAvailable reads without blocking: it returns EAGAIN if no bytes are available, and io.EOF if the peer has closed its side.
 func readAvailable(fd uintptr, buf []byte) (int, error) {
 	for {
 		n, err := syscall.Read(int(fd), buf)
@@ -93,15 +93,16 @@
 	}
 }
 
-// Peek reads what is available in the socket without passing it to the handler, which may be in the middle of something. It
-// reports whether bytes wait for the handler, and whether the peer has ended its side.
+// Peek reads the bytes that are available in the socket into the receive buffer, and schedules their delivery on the loop instead of
+// calling the handler directly, since the handler may be the caller. It reports whether bytes are pending for the handler, and whether
+// the peer has closed its side.
 func (c *Conn) Peek() (pending, eof bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != connOpen || c.raw == nil {
 		return len(c.received) > 0, c.eof
 	}
-	read := false
+	anyBuffered := false
 	for !c.eof && len(c.received) < maxPeekBytes {
 		var n int
 		var err error
@@ -110,17 +111,18 @@
 		if controlErr != nil || errors.Is(err, syscall.EAGAIN) {
 			break
 		}
-		read = c.bufferReceived(buf[:n]) || read
+		anyBuffered = c.bufferReceived(buf[:n]) || anyBuffered
 		c.eof = err != nil
 	}
-	if read {
+	if anyBuffered {
 		c.loop.After(0, c.deliver)
 	}
 	return len(c.received) > 0, c.eof
 }
 
-// DeliverPending passes all bytes received so far to the handler, and the end of the connection, and returns true if there was
-// nothing to deliver. Such a connection may be half-closed at once: later bytes were sent before the peer saw the half-close.
+// DeliverPending passes all bytes received so far, and EOF, to the handler. It returns true if there was nothing to deliver and the
+// connection is open. The caller may then half-close it immediately: bytes that arrive later were sent before the peer saw the
+// half-close.
 func (c *Conn) DeliverPending() bool {
 	pending, eof := c.Peek()
 	if eof {
@@ -130,7 +132,7 @@
 	return !pending && c.IsOpen()
 }
 
-// deliver passes received bytes to the handler.
+// deliver passes the buffered bytes to the handler.
 func (c *Conn) deliver() {
 	for c.IsOpen() {
 		c.mu.Lock()
@@ -144,10 +146,10 @@
 	}
 }
 
-// Pause stops reading, after the present read, until Resume.
+// Pause stops reading after the current read, until Resume is called.
 func (c *Conn) Pause() { c.setPaused(true) }
 
-// Resume continues reading.
+// Resume resumes reading after Pause.
 func (c *Conn) Resume() {
 	c.setPaused(false)
 	select {
--- a/internal/transport/eventloop/write.go
+++ b/internal/transport/eventloop/write.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Write queues bytes, which must not be changed afterwards. A connection whose queue is over its limit is closed, and so is one
-// with more than a fair share of the queue when the loop's write budget is used up.
+// Write queues bytes, which must not be modified afterwards. The connection is closed if its queue exceeds its write limit, or if the
+// loop's write budget is exceeded and its queue is longer than guaranteedQueueBytes.
 func (c *Conn) Write(b []byte) {
 	if !c.IsOpen() {
 		return
@@ -15,7 +15,7 @@
 	c.writeQueue = append(c.writeQueue, b)
 	c.queuedBytes += len(b)
 	total := c.loop.queuedBytes.Add(int64(len(b)))
-	overLimit := c.queuedBytes > c.writeLimit || total > c.loop.writeBudget && c.queuedBytes > fairQueuedBytes
+	overLimit := c.queuedBytes > c.writeLimit || total > c.loop.writeBudget && c.queuedBytes > guaranteedQueueBytes
 	c.mu.Unlock()
 	if overLimit {
 		c.loop.After(0, func() {
@@ -28,14 +28,14 @@
 	c.signalWriter()
 }
 
-// QueuedBytes returns how many bytes have not been written yet.
+// QueuedBytes returns the number of bytes that have not been written yet.
 func (c *Conn) QueuedBytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queuedBytes
 }
 
-// OnDrained sets a function that is called on the loop whenever all bytes have been written.
+// OnDrained sets a function that is called on the loop whenever all queued bytes have been written.
 func (c *Conn) OnDrained(f func()) {
 	c.mu.Lock()
 	c.onDrained = f
@@ -57,7 +57,7 @@
 			if err := c.writeBuffers(bufs); err != nil {
 				c.loop.Post(func() {
 					c.connectionLost(err)
-					c.Close() // one that is flushing has no other end; its queued bytes no longer count
+					c.Close() // connectionLost leaves a flushing connection open; Close also releases its share of the write budget
 				})
 				return
 			}
@@ -75,7 +75,7 @@
 	}
 }
 
-// drainWriteQueue empties the queue and returns its buffers, their size in bytes and the present phase.
+// drainWriteQueue empties the queue and returns its buffers, their total size in bytes and the current phase.
 func (c *Conn) drainWriteQueue() (bufs net.Buffers, size int, phase phase) {
 	c.mu.Lock()
 	bufs, phase = c.writeQueue, c.phase
@@ -88,17 +88,18 @@
 }
 
 func (c *Conn) writeBuffers(bufs net.Buffers) error {
-	// Without the deadline, which fails only on a closed connection, the write would fail too.
+	// SetWriteDeadline fails only on a closed connection, and then the write fails too.
 	_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := bufs.WriteTo(c.nc)
 	return err
 }
 
-// markWritten subtracts written bytes from the queue, and reports whether all are written, and what to call then.
+// markWritten subtracts written bytes from the queue size. It reports whether all queued bytes are written, and returns the function to
+// call in this case.
 func (c *Conn) markWritten(size int) (drained bool, onDrained func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != connClosed { // otherwise close has subtracted them
+	if c.phase != connClosed { // otherwise close has already subtracted them
 		c.queuedBytes -= size
 		c.loop.queuedBytes.Add(-int64(size))
 	}
