--- a/internal/transport/enginepool/conn.go
+++ b/internal/transport/enginepool/conn.go
@@ -6,24 +6,24 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// Conn is a connection to an engine: used by one attempt at a time, or idle in the pool.
+// Conn is a connection to an engine. It is used by one attempt at a time, or idle in the pool.
 type Conn struct {
 	*eventloop.Conn // nil while the dial is in progress
 
-	// ProtocolState is kept for the state machines of attempts from one use of the connection to the next.
+	// ProtocolState is state of the connection that the attempts' state machines keep from one use to the next.
 	ProtocolState any
 
 	pool       *Pool
 	key        endpointKey
-	stale      bool              // the engine was removed or has moved: not reused
-	handler    eventloop.Handler // of the attempt that uses it; nil while there is none
+	stale      bool              // the engine was removed or its address changed: not to be reused
+	handler    eventloop.Handler // of the attempt that uses the connection; nil if there is none
 	releasedAt time.Duration     // on the loop's clock
-	settled    func()            // ends the drain delay of a connection that is reserved; nil if it is not
+	onDrained  func()            // called at the end of a reserved connection's drain delay; nil if it is not reserved
 	timer      *eventloop.Timer  // idle timeout or drain delay
 }
 
-// Data passes received bytes to the attempt. A connection that receives bytes while no attempt uses it is closed, also if it is
-// reserved for one.
+// Data passes received bytes to the attempt. A connection that receives bytes while no attempt uses it is closed, even if it is reserved
+// for one.
 func (c *Conn) Data(b []byte) {
 	if c.handler != nil {
 		c.handler.Data(b)
@@ -34,7 +34,7 @@
 	c.endDrainDelay()
 }
 
-// Closed passes the end of the connection to the attempt.
+// Closed reports the loss of the connection to the attempt.
 func (c *Conn) Closed(err error) {
 	if c.handler == nil {
 		c.pool.removeIdle(c)
@@ -48,14 +48,14 @@
 	c.endDrainDelay()
 }
 
-// Discard closes the connection.
+// Discard closes the connection and frees its descriptor for waiting requests.
 func (c *Conn) Discard() {
-	c.dropWithoutAdmitting()
+	c.discardWithoutAdmitting()
 	c.pool.admitWaiters()
 }
 
-// dropWithoutAdmitting closes the connection and leaves it to the caller to admit waiters.
-func (c *Conn) dropWithoutAdmitting() {
+// discardWithoutAdmitting closes the connection like Discard, but does not call Pool.admitWaiters: the caller does.
+func (c *Conn) discardWithoutAdmitting() {
 	c.timer.Stop()
 	if c.IsOpen() {
 		c.pool.release(c)
@@ -63,7 +63,8 @@
 	}
 }
 
-// Release ends the use of the connection by an attempt. It is handed to a waiter or becomes idle; a stale one is closed.
+// Release returns the connection to the pool after an attempt. It is handed to a waiting request or becomes idle, or is closed if it is
+// stale.
 func (c *Conn) Release() {
 	if !c.IsOpen() {
 		return
@@ -86,15 +87,15 @@
 	c.pool.admitWaiters()
 }
 
-// settle reserves a released connection until its drain delay is over, and then calls done. If something came on the
-// connection, or its end, it is closed and not usable.
-func (c *Conn) settle(done func(usable bool)) {
-	c.settled = func() {
-		c.settled = nil
+// awaitDrainDelay reserves a released connection until its drain delay has elapsed, and then calls done. If bytes or EOF were received
+// on the connection meanwhile, it is closed and not usable.
+func (c *Conn) awaitDrainDelay(done func(usable bool)) {
+	c.onDrained = func() {
+		c.onDrained = nil
 		c.timer.Stop()
-		usable := c.clean()
+		usable := c.isReusable()
 		if !usable {
-			c.dropWithoutAdmitting()
+			c.discardWithoutAdmitting()
 		}
 		done(usable)
 	}
@@ -104,13 +105,13 @@
 
 // endDrainDelay ends the drain delay of a reserved connection. It does nothing if the connection is not reserved.
 func (c *Conn) endDrainDelay() {
-	if c.settled != nil {
-		c.settled()
+	if c.onDrained != nil {
+		c.onDrained()
 	}
 }
 
-// clean reports whether the connection is open and nothing waits to be read from it, not even its end.
-func (c *Conn) clean() bool {
+// isReusable reports whether the connection is open and has neither bytes nor EOF to be read.
+func (c *Conn) isReusable() bool {
 	pending, eof := c.Peek()
 	return !pending && !eof && c.IsOpen()
 }
--- a/internal/transport/enginepool/pool.go
+++ b/internal/transport/enginepool/pool.go
@@ -1,6 +1,6 @@
-// Package enginepool keeps TCP connections to engines within a budget of descriptors: it dials them, hands each to one attempt at
-// a time, and keeps idle ones for reuse. It does not know the engines' protocol, and never writes. All methods are called on the
-// event loop. Each dial runs on a goroutine of its own, which ends with the dial and posts its result to the loop.
+// Package enginepool keeps TCP connections to engines within a budget of file descriptors: it dials them, hands each to one attempt at a
+// time, and keeps idle ones for reuse. It does not know the engines' protocol and never writes to a connection. All methods are called
+// on the event loop. Each dial runs on a separate goroutine, which posts the result to the loop and returns.
 package enginepool
 
 import (
@@ -14,15 +14,15 @@
 )
 
 const (
-	writeLimit        = 4 << 20               // bytes queued for an engine: a statement and a request on it are always less
-	idleTimeoutParts  = 3                     // idle connections are closed after this part of the engines' own idle timeout
-	defaultDrainDelay = 25 * time.Millisecond // some engines send a duplicate response up to milliseconds late
+	writeLimit         = 4 << 20               // bytes queued for an engine: one query with its statement is always smaller
+	idleTimeoutDivisor = 3                     // idle connections are closed after 1/3 of the engines' idle timeout
+	defaultDrainDelay  = 25 * time.Millisecond // some engines send a duplicate response several milliseconds later
 )
 
-// Budget is a number of descriptors: Most for any use, and Urgent more for what must not wait.
+// Budget is the number of file descriptors that a pool may use: Max for any request, and Urgent more for requests that must not wait.
 type Budget struct{ Max, Urgent int }
 
-// endpointKey identifies where a connection leads. Both parts are needed: an address may pass from one engine to another, and an
+// endpointKey identifies the endpoint of a connection. Both fields are needed: an address may be reassigned to another engine, and an
 // engine may change its address.
 type endpointKey struct {
 	engine policy.EngineID
@@ -40,18 +40,18 @@
 
 	conns   map[*Conn]bool          // all connections, dials included
 	inUse   int                     // descriptors in use, dials included
-	idle    map[endpointKey][]*Conn // in the order of their release
-	waiters []*request              // for a descriptor, in order of arrival
+	idle    map[endpointKey][]*Conn // in order of release
+	waiters []*request              // requests that wait for a descriptor, in order of arrival
 }
 
-// New returns a Pool of at most budget connections; the urgent ones are for cancellations. connect is the timeout of a dial, idle
-// the time after which engines close idle connections.
-func New(loop *eventloop.Loop, log *slog.Logger, connect, idle time.Duration, budget Budget) *Pool {
+// New returns a Pool of at most budget connections; the urgent ones are for cancellations. engineIdleTimeout is the time after which
+// engines close idle connections.
+func New(loop *eventloop.Loop, log *slog.Logger, dialTimeout, engineIdleTimeout time.Duration, budget Budget) *Pool {
 	return &Pool{
 		loop:        loop,
 		log:         log,
-		dialer:      net.Dialer{Timeout: connect, KeepAlive: -1},
-		idleTimeout: idle / idleTimeoutParts,
+		dialer:      net.Dialer{Timeout: dialTimeout, KeepAlive: -1},
+		idleTimeout: engineIdleTimeout / idleTimeoutDivisor,
 		drainDelay:  defaultDrainDelay,
 		budget:      budget,
 		conns:       map[*Conn]bool{},
@@ -59,9 +59,9 @@
 	}
 }
 
-// Get requests a connection for handler: an idle one as soon as its drain delay is over, unless fresh, or a new one. done is
-// called on the loop with the connection or the error of the dial, never before Get returns. The returned function cancels the
-// request; done is not called after that.
+// Get requests a connection for handler: an idle one once its drain delay has elapsed, or a new one if there is none or fresh is set.
+// done is called on the loop with the connection or the dial error, never before Get returns. The returned function cancels the request;
+// done is not called after that.
 func (p *Pool) Get(engine policy.EngineID, addr string, fresh, urgent bool, handler eventloop.Handler,
 	done func(*Conn, error)) (cancel func()) {
 	r := &request{
@@ -76,8 +76,8 @@
 	return r.cancel
 }
 
-// Invalidate ends the use of all connections to an engine that was removed or has moved: idle ones are closed now, those in use when
-// they are released, and those that are being dialed when they come up.
+// Invalidate closes all connections to an engine that was removed or whose address changed: idle ones now, those in use when they are
+// released, and those being dialed once the dial has completed and no request uses them.
 func (p *Pool) Invalidate(engine policy.EngineID) {
 	for c := range p.conns {
 		c.stale = c.stale || c.key.engine == engine
@@ -87,15 +87,15 @@
 			continue
 		}
 		for _, c := range conns {
-			c.dropWithoutAdmitting()
+			c.discardWithoutAdmitting()
 		}
 		delete(p.idle, key)
 	}
 	p.admitWaiters()
 }
 
-// acquireIdle returns an idle connection, or nil. The one released last is the least likely to be stale, but one whose drain delay is
-// over is preferred.
+// acquireIdle removes an idle connection from the pool and returns it, or nil if there is none. It chooses the one that was released last
+// among those whose drain delay has elapsed, since it is the least likely to be stale; without such a one, the last released of all.
 func (p *Pool) acquireIdle(key endpointKey) *Conn {
 	conns := p.idle[key]
 	if len(conns) == 0 {
@@ -126,7 +126,7 @@
 	}
 }
 
-// ensureCapacity reports whether one more descriptor may be used. If the budget is used up, it closes an idle connection.
+// ensureCapacity reports whether one more descriptor may be used. If the budget is exhausted, it closes an idle connection.
 func (p *Pool) ensureCapacity(urgent bool) bool {
 	limit := p.budget.Max
 	if urgent {
@@ -139,13 +139,13 @@
 	for _, conns := range p.idle {
 		oldest := conns[0]
 		p.removeIdle(oldest)
-		oldest.dropWithoutAdmitting()
+		oldest.discardWithoutAdmitting()
 		return true
 	}
 	return false
 }
 
-// admitWaiters starts the dials of the requests that wait for a descriptor, as far as there is capacity.
+// admitWaiters starts the dials of requests that wait for a descriptor, in order of arrival, while there is capacity.
 func (p *Pool) admitWaiters() {
 	for len(p.waiters) > 0 {
 		next := p.waiters[0]
@@ -159,16 +159,16 @@
 	}
 }
 
-// handToWaiter gives a connection that was released to the first request that waits for one to the same endpoint, and reports
-// whether there is one. Otherwise it would be closed to free a descriptor for that request's dial: on an overloaded day three
-// connections were made for each one needed.
+// handToWaiter hands a released connection to the first request that waits for one to the same endpoint, and reports whether there is
+// one. Without it, the connection would be closed to free a descriptor for that request's dial: under overload, three connections were
+// dialed for each one needed.
 func (p *Pool) handToWaiter(c *Conn) bool {
 	for i, r := range p.waiters {
 		if r.key != c.key || r.fresh || r.cancelled {
 			continue
 		}
 		p.waiters = slices.Delete(p.waiters, i, i+1)
-		c.settle(func(usable bool) { r.offered(c, usable, r.dial) })
+		c.awaitDrainDelay(func(usable bool) { r.drainDelayEnded(c, usable, r.dial) })
 		return true
 	}
 	return false
@@ -180,14 +180,14 @@
 	delete(p.conns, c)
 }
 
-// Waiting returns how many requests wait for a descriptor. It is called on the loop.
+// Waiting returns the number of requests that wait for a descriptor.
 func (p *Pool) Waiting() int { return len(p.waiters) }
 
-// SetDrainDelay sets how long a released connection is not reused, so that a duplicate response of the engine shows. It is called
-// on the loop.
+// SetDrainDelay sets the time after its release during which a connection is not reused, so that a late duplicate response of the engine
+// is detected.
 func (p *Pool) SetDrainDelay(d time.Duration) { p.drainDelay = d }
 
-// IdleEngines returns the engines to which idle connections lead. It is called on the loop.
+// IdleEngines returns the engines that have idle connections.
 func (p *Pool) IdleEngines() []policy.EngineID {
 	var engines []policy.EngineID
 	for key := range p.idle {
--- a/internal/transport/enginepool/request.go
+++ b/internal/transport/enginepool/request.go
@@ -7,7 +7,7 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// request is one call of Pool.Get, until its connection comes or it is cancelled.
+// request is a pending call of Pool.Get: it ends with a connection, a dial error or its cancellation.
 type request struct {
 	pool          *Pool
 	key           endpointKey
@@ -16,15 +16,15 @@
 	done          func(*Conn, error)
 
 	cancelled  bool
-	cancelDial context.CancelFunc // nil before the dial
+	cancelDial context.CancelFunc // nil until the dial starts
 }
 
-// start reserves an idle connection, or dials one as soon as there is a descriptor for it.
+// start reserves an idle connection, or dials a new one as soon as a descriptor is available.
 func (r *request) start() {
 	if !r.fresh {
 		if c := r.pool.acquireIdle(r.key); c != nil {
-			// An idle connection that the engine has closed says nothing against the engine: start again.
-			c.settle(func(usable bool) { r.offered(c, usable, r.start) })
+			// An idle connection that the engine has closed is not a failure of the engine: start again.
+			c.awaitDrainDelay(func(usable bool) { r.drainDelayEnded(c, usable, r.start) })
 			return
 		}
 	}
@@ -32,14 +32,14 @@
 		r.dial()
 		return
 	}
-	// A lack of descriptors is no fault of the engine: the request waits until another connection is released.
+	// Running out of descriptors is not a failure of the engine: the request waits until another connection is released.
 	if len(r.pool.waiters) == 0 {
-		r.pool.log.Warn("attempts wait for a descriptor", "in_use", r.pool.inUse)
+		r.pool.log.Warn("descriptor limit for engine connections reached, attempts wait", "in_use", r.pool.inUse)
 	}
 	r.pool.waiters = append(r.pool.waiters, r)
 }
 
-// cancel ends the request; done is not called any more.
+// cancel cancels the request; done is not called after that.
 func (r *request) cancel() {
 	r.cancelled = true
 	if r.cancelDial != nil {
@@ -47,9 +47,9 @@
 	}
 }
 
-// offered handles the end of the drain delay of a connection that was reserved for the request. If it is not usable, retry is
-// called.
-func (r *request) offered(c *Conn, usable bool, retry func()) {
+// drainDelayEnded handles the end of the drain delay of a connection that was reserved for the request. It calls retry if the connection
+// is not usable.
+func (r *request) drainDelayEnded(c *Conn, usable bool, retry func()) {
 	switch {
 	case r.cancelled && usable:
 		c.Release()
@@ -89,7 +89,7 @@
 		return
 	}
 	c.Conn = eventloop.NewConn(p.loop, nc, c, writeLimit)
-	if r.cancelled { // the connection came up late and serves another attempt
+	if r.cancelled { // the connection is kept for other attempts
 		c.Release()
 		return
 	}
