--- a/internal/transport/dispatcher/attempt.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -12,8 +12,8 @@
 	"frostpier/policy"
 )
 
-// AttemptDriver executes the steps of one attempt's state machine, whatever protocol its engine speaks: it owns the attempt's
-// connections and timers and feeds their events to the machine. All methods are called on the event loop.
+// AttemptDriver executes the steps of one attempt's state machine, independent of the engine's protocol. It owns the attempt's connections
+// and timers and passes their events to the machine. All methods are called on the event loop.
 type AttemptDriver struct {
 	dispatcher *Dispatcher
 	pool       *enginepool.Pool
@@ -21,21 +21,21 @@
 	addr       string
 	machine    attempt.Machine
 	relay      func([]byte)
-	channels   [2]*channel // by attempt.Channel; nil while not in use
+	channels   [2]*channel // by attempt.Channel; nil if not in use
 	timers     map[attempt.Timer]*eventloop.Timer
 }
 
-// channel is a connection of an attempt, or the wait for one.
+// channel is a connection of an attempt, or a pending request for one.
 type channel struct {
 	driver    *AttemptDriver
 	id        attempt.Channel
 	conn      *enginepool.Conn
-	cancelGet func() // ends the wait; nil once it is over
+	cancelGet func() // cancels the pending request; nil if there is none
 	closed    bool   // no longer used by the attempt
 }
 
-// StartAttempt starts an attempt on the engine at addr and executes the machine's first steps. relay is called with the parts of
-// the response that go to the client before the attempt ends.
+// StartAttempt starts an attempt on the engine at addr and executes the machine's first steps. relay is called with the parts of the
+// response that are relayed to the client before the attempt ends.
 func StartAttempt(d *Dispatcher, pool *enginepool.Pool, start core.StartAttempt, addr string, machine attempt.Machine, steps []attempt.Step,
 	relay func([]byte)) *AttemptDriver {
 	a := &AttemptDriver{
@@ -51,10 +51,10 @@
 	return a
 }
 
-// Pause stops reading the response until Resume.
+// Pause stops reading the response until Resume is called.
 func (a *AttemptDriver) Pause() { a.onPrimary((*eventloop.Conn).Pause) }
 
-// Resume continues reading the response.
+// Resume resumes reading the response.
 func (a *AttemptDriver) Resume() { a.onPrimary((*eventloop.Conn).Resume) }
 
 // onPrimary calls do with the connection of the primary channel, if there is one.
@@ -64,7 +64,7 @@
 	}
 }
 
-// Cancel cancels the attempt. It ends with outcome, unless something else ends it first.
+// Cancel cancels the attempt. The attempt ends with outcome, unless it ends for another reason first.
 func (a *AttemptDriver) Cancel(outcome policy.Outcome) {
 	a.Resume()
 	a.execute(a.machine.Cancel(outcome))
@@ -100,8 +100,8 @@
 	}
 }
 
-// setTimer restarts or stops a timer. A response timeout is extended by twice the loop's lag, since a response that came while
-// this process waited for its turn has not been read yet.
+// setTimer restarts or stops a timer. A response timeout is extended by twice the loop's lag, since a response that arrived while this
+// process was not scheduled has not been read yet.
 func (a *AttemptDriver) setTimer(s attempt.SetTimer) {
 	a.timers[s.Timer].Stop()
 	delete(a.timers, s.Timer)
@@ -133,15 +133,15 @@
 	}
 	c.conn = conn
 	a.dispatcher.ReadPendingInput(a.start.ID)
-	if c.closed { // the client has cancelled the request
+	if c.closed { // the pending input cancelled the request
 		return
 	}
-	a.execute(a.machine.Connected(c.id, &conn.ProtocolState, func(again bool) (time.Duration, bool) {
-		return a.dispatcher.MaySend(a.start.ID, a.start.Attempt, again)
+	a.execute(a.machine.Connected(c.id, &conn.ProtocolState, func(resend bool) (time.Duration, bool) {
+		return a.dispatcher.MaySend(a.start.ID, a.start.Attempt, resend)
 	}))
 }
 
-// closeChannel ends the use of a channel: the wait for its connection is cancelled, or the connection is given to dispose.
+// closeChannel stops using a channel: it cancels the pending request for its connection, or calls dispose with the connection.
 func (a *AttemptDriver) closeChannel(id attempt.Channel, dispose func(*enginepool.Conn)) {
 	c := a.channels[id]
 	if c == nil {
@@ -157,14 +157,14 @@
 	}
 }
 
-// Data feeds received bytes to the machine.
+// Data passes received bytes to the machine.
 func (c *channel) Data(b []byte) {
 	if !c.closed {
 		c.driver.execute(c.driver.machine.Received(c.id, b))
 	}
 }
 
-// Closed reports the end of the connection to the machine.
+// Closed reports the loss of the connection to the machine.
 func (c *channel) Closed(error) {
 	if !c.closed {
 		c.conn = nil
@@ -172,7 +172,7 @@
 	}
 }
 
-// parseLoadReport parses a load report such as "inflight:7;util:0.61". Fields whose value is not a number are left out.
+// parseLoadReport parses a load report such as "inflight:7;util:0.61". It skips fields whose value is not a number.
 func parseLoadReport(report string) []core.ReportField {
 	if report == "" {
 		return nil
--- a/internal/transport/dispatcher/dispatcher.go
+++ b/internal/transport/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher connects the frontends and the connection pools with the core: it hands requests, engine lists and outcomes
-// of attempts to the core, and executes the actions that the core returns. It owns the requests' timers and attempts, and decides
-// nothing itself. All methods are called on the event loop, and no goroutine is started here.
+// Package dispatcher connects the frontends and the connection pools with the core: it passes requests, engine lists and outcomes of
+// attempts to the core, and executes the actions that the core returns. It owns the requests' timers and attempts, and leaves all
+// decisions to the core. All methods are called on the event loop, and the package starts no goroutines.
 package dispatcher
 
 import (
@@ -13,22 +13,23 @@
 	"frostpier/policy"
 )
 
-// Client is a frontend's side of a request: it starts the attempts and gives the reply.
+// Client is a frontend's side of a request: it starts the attempts and writes the reply.
 type Client interface {
 	// StartAttempt starts an attempt, which calls Dispatcher.AttemptEnded once.
 	StartAttempt(start core.StartAttempt) Attempt
-	// Reply gives the final reply; result is what the attempt that served it returned.
+	// Reply writes the final reply; result is the result of the attempt that served the request.
 	Reply(reply core.Reply, result any)
-	// ReadPendingInput handles all bytes that the client has sent by now. It is not called from within a call of the client's own.
+	// ReadPendingInput reads and handles all bytes that the client has sent so far. It is never called while the client calls the
+	// Dispatcher.
 	ReadPendingInput()
-	// PeekInput reports whether bytes of the client wait to be handled, and whether the client has closed its connection,
-	// which may be known only from the socket.
+	// PeekInput reports whether bytes from the client are pending, and whether the client has closed its connection. It also checks the
+	// socket for data that has not been read yet.
 	PeekInput() (pending, closed bool)
 }
 
 // Attempt is an attempt in flight.
 type Attempt interface {
-	// Cancel cancels the attempt. It ends with outcome as soon as it is no longer in flight.
+	// Cancel cancels the attempt. The attempt ends with outcome as soon as it is no longer in flight.
 	Cancel(outcome policy.Outcome)
 }
 
@@ -41,19 +42,19 @@
 	Log   *slog.Logger
 
 	requests map[core.ID]*request
-	onIdle   func() // called once when no request is open and no attempt in flight
+	onIdle   func() // called once when no request is open and no attempt is in flight
 }
 
-// request is a request that has no reply yet, or still has an attempt in flight.
+// request is a request that has not been replied to or still has an attempt in flight.
 type request struct {
 	client        Client
-	attempt       Attempt          // nil while none is in flight
+	attempt       Attempt          // nil if none is in flight
 	attemptNumber int              // of the latest attempt
 	timeout       *eventloop.Timer // of the latest attempt
-	replied       bool             // or cancelled by the client
+	replied       bool             // true also after the client has cancelled the request
 }
 
-// New returns a Dispatcher that uses a single pool.
+// New returns a Dispatcher with a single pool.
 func New(loop *eventloop.Loop, c *core.Core, pool *enginepool.Pool, log *slog.Logger) *Dispatcher {
 	return &Dispatcher{
 		Loop:     loop,
@@ -65,31 +66,31 @@
 	}
 }
 
-// The margin that is kept between the core's deadline and the client's.
+// Bounds of the margin between the core's deadline for a request and the client's.
 const (
 	minDeadlineMargin      = 60 * time.Millisecond
 	maxDeadlineMarginShare = 0.25 // of the client's remaining time
 )
 
-// usableBudget returns the part of a client's remaining time that the core may use. The loop's lag counts twice: a request may
-// have waited that long to be read, and its reply may wait as long to be written. A reply that is late for this reason is a lost
-// request, however early the core decided on it.
-func usableBudget(remaining, lag time.Duration) time.Duration {
+// coreTimeBudget returns the part of a client's remaining time that the core may use. The loop's lag is subtracted twice: the request may
+// have waited that long to be read, and the reply may wait that long to be written. A reply after the client's deadline is lost, however
+// early the core decided on it.
+func coreTimeBudget(remaining, lag time.Duration) time.Duration {
 	margin := minDeadlineMargin + 2*lag
 	maxMargin := time.Duration(maxDeadlineMarginShare * float64(remaining))
 	return remaining - min(margin, maxMargin)
 }
 
-// Submit submits a request to the core. numbered is called with its ID before anything else happens to it.
-func (d *Dispatcher) Submit(query core.Query, client Client, numbered func(core.ID)) {
-	query.Remaining = usableBudget(query.Remaining, d.Loop.Lag())
+// Submit submits a request to the core. onID is called with the request's ID before any of the core's actions is executed.
+func (d *Dispatcher) Submit(query core.Query, client Client, onID func(core.ID)) {
+	query.Remaining = coreTimeBudget(query.Remaining, d.Loop.Lag())
 	id, actions := d.Core.Submit(d.Loop.Now(), query)
 	d.requests[id] = &request{client: client}
-	numbered(id)
+	onID(id)
 	d.execute(actions, nil)
 }
 
-// Cancel cancels a request: its client does not wait for a reply any more.
+// Cancel cancels a request whose client no longer waits for a reply.
 func (d *Dispatcher) Cancel(id core.ID) {
 	if r := d.requests[id]; r != nil {
 		r.replied = true
@@ -98,7 +99,7 @@
 	}
 }
 
-// UpdateEngines applies an engine list, the full one or only its changes, and returns how many engines are listed now.
+// UpdateEngines applies an engine list, either the full list or only its changes, and returns the number of engines listed now.
 func (d *Dispatcher) UpdateEngines(full bool, engines []core.ListedEngine) (listed int) {
 	removed, actions := d.Core.UpdateEngines(d.Loop.Now(), full, engines)
 	for _, e := range removed {
@@ -108,46 +109,47 @@
 	return d.Core.EngineCount()
 }
 
-// disconnect ends the use of all present connections to an engine.
+// disconnect invalidates all existing connections to an engine.
 func (d *Dispatcher) disconnect(engine policy.EngineID) {
 	for _, p := range d.Pools {
 		p.Invalidate(engine)
 	}
 }
 
-// MaySend is called before the first byte of an attempt, or before it is sent again, and returns how long the attempt may take
-// and whether it may be sent at all. Nothing is sent for a client that has closed its connection or may have cancelled the
-// request: that may be unread behind other bytes, or queued for the loop.
-func (d *Dispatcher) MaySend(id core.ID, attempt int, again bool) (time.Duration, bool) {
+// MaySend is called before the first byte of an attempt is sent, or with resend set before the attempt is sent again. It returns how long
+// the attempt may take and whether it may be sent at all. Nothing is sent if the client has closed its connection, and nothing is resent
+// while input from the client is pending, since it may contain a cancellation. Both are looked up with PeekInput, since the data may still
+// be in the socket or queued for the loop.
+func (d *Dispatcher) MaySend(id core.ID, attempt int, resend bool) (time.Duration, bool) {
 	r := d.requests[id]
 	if r == nil {
 		return 0, false
 	}
 	pending, closed := r.client.PeekInput()
-	if closed || pending && again {
+	if closed || pending && resend {
 		return 0, false
 	}
-	return d.Core.MaySend(d.Loop.Now(), id, attempt, again)
+	return d.Core.MaySend(d.Loop.Now(), id, attempt, resend)
 }
 
-// ReadPendingInput handles all bytes that a request's client has sent by now: they may cancel the request.
+// ReadPendingInput reads and handles all bytes that a request's client has sent so far. They may cancel the request.
 func (d *Dispatcher) ReadPendingInput(id core.ID) {
 	if r := d.requests[id]; r != nil {
 		r.client.ReadPendingInput()
 	}
 }
 
-// ResponseStarted reports the first part of an attempt's response to the core, and returns whether it goes to the client.
+// ResponseStarted reports to the core that an attempt's response has started, and returns whether the response is relayed to the client.
 func (d *Dispatcher) ResponseStarted(id core.ID, attempt int) bool {
-	wanted, actions := d.Core.ResponseStarted(d.Loop.Now(), id, attempt)
+	relayed, actions := d.Core.ResponseStarted(d.Loop.Now(), id, attempt)
 	if r := d.requests[id]; r != nil && len(actions) > 0 {
 		r.timeout.Stop()
 	}
 	d.execute(actions, nil)
-	return wanted
+	return relayed
 }
 
-// Progress reports the share done of a running query, between 0 and 1.
+// Progress reports the completed share of a running query, from 0 to 1.
 func (d *Dispatcher) Progress(id core.ID, attempt int, done float64) {
 	d.execute(d.Core.Progress(d.Loop.Now(), id, attempt, done), nil)
 }
@@ -157,7 +159,7 @@
 	d.execute(d.Core.ResponseOverdue(d.Loop.Now(), id, attempt), nil)
 }
 
-// AttemptEnded reports the end of an attempt. It is called once for each attempt.
+// AttemptEnded reports the end of an attempt. It is called exactly once for each attempt.
 func (d *Dispatcher) AttemptEnded(id core.ID, attempt int, outcome policy.Outcome, report []core.ReportField, result any) {
 	r := d.requests[id]
 	if r != nil && r.attemptNumber == attempt {
@@ -166,7 +168,7 @@
 	}
 	if outcome != policy.OK && r != nil && !r.replied {
 		if _, closed := r.client.PeekInput(); closed {
-			d.Cancel(id) // otherwise the core would retry for a client that has gone
+			d.Cancel(id) // otherwise the core would retry for a client that has disconnected
 		}
 	}
 	d.execute(d.Core.AttemptEnded(d.Loop.Now(), id, attempt, outcome, report), result)
@@ -175,7 +177,7 @@
 	}
 }
 
-// InServiceChanged reports how many gateways are in service.
+// InServiceChanged reports the number of gateways in service.
 func (d *Dispatcher) InServiceChanged(gateways int) {
 	d.execute(d.Core.SetGatewaysInService(d.Loop.Now(), gateways), nil)
 }
@@ -185,24 +187,24 @@
 	d.execute(d.Core.ReceiveLoadReports(d.Loop.Now(), body), nil)
 }
 
-// Close makes the core reply to all open requests at once.
+// Close makes the core reply immediately to all open requests.
 func (d *Dispatcher) Close() { d.execute(d.Core.Shutdown(d.Loop.Now()), nil) }
 
-// OnIdle sets a function that is called once, as soon as no request is open and no attempt in flight.
+// OnIdle sets a function that is called once, as soon as no request is open and no attempt is in flight.
 func (d *Dispatcher) OnIdle(f func()) {
 	d.onIdle = f
 	d.checkIdle()
 }
 
-// checkIdle has the function of OnIdle called if the dispatcher is idle. That is done behind what the loop is doing now: a client may
-// be in the middle of a read, with further requests in it.
+// checkIdle schedules the call of the OnIdle function if the dispatcher is idle. The function is not called directly, since a client may be
+// handling a read that contains further requests.
 func (d *Dispatcher) checkIdle() {
 	if d.onIdle != nil && d.isIdle() {
 		d.Loop.After(0, d.callIfIdle)
 	}
 }
 
-// callIfIdle calls the function of OnIdle if the dispatcher is still idle.
+// callIfIdle calls the OnIdle function if the dispatcher is still idle.
 func (d *Dispatcher) callIfIdle() {
 	if f := d.onIdle; f != nil && d.isIdle() {
 		d.onIdle = nil
@@ -210,12 +212,12 @@
 	}
 }
 
-// isIdle reports whether no request is open and no attempt in flight.
+// isIdle reports whether no request is open and no attempt is in flight.
 func (d *Dispatcher) isIdle() bool {
 	return d.Core.PendingRequests() == 0 && d.Core.AttemptsInFlight() == 0
 }
 
-// execute executes actions of the core; result is what the attempt that caused them returned.
+// execute executes actions of the core; result is the result of the attempt whose end caused them, if any.
 func (d *Dispatcher) execute(actions []core.Action, result any) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -251,7 +253,7 @@
 	})
 }
 
-// removeIfDone removes a request that has its reply and no attempt in flight.
+// removeIfDone removes a request that has been replied to and has no attempt in flight.
 func (d *Dispatcher) removeIfDone(id core.ID, r *request) {
 	if r.replied && r.attempt == nil {
 		r.timeout.Stop()
