--- a/internal/transport/enginewatch/watch.go
+++ b/internal/transport/enginewatch/watch.go
@@ -1,6 +1,6 @@
-// Package enginewatch keeps one connection to the discovery server open and passes the events of the engine list to a listener. It
-// reconnects after errors and after a read timeout, and never parses: that is done by package discovery. All methods are called on
-// the event loop. Each dial runs on a goroutine of its own, which ends with the dial and posts its result to the loop.
+// Package enginewatch keeps a connection to the discovery server open and passes changes of the engine list to a listener. It reconnects
+// after errors and read timeouts. Package discovery does the parsing. All methods are called on the event loop. Each dial runs on a
+// separate goroutine, which posts the result to the loop and returns.
 package enginewatch
 
 import (
@@ -17,17 +17,17 @@
 const (
 	dialTimeout        = time.Second
 	retryBackoff       = 200 * time.Millisecond
-	defaultReadTimeout = 2500 * time.Millisecond // the server sends a heartbeat every second; a drain must be known within 4 s
-	writeLimit         = 1 << 10                 // bytes: the watch request
+	defaultReadTimeout = 2500 * time.Millisecond // the server sends a heartbeat every second; a drain must be noticed within 4 s
+	writeLimit         = 1 << 10                 // bytes; enough for the watch request
 )
 
 // EngineListener receives the changes of the engine list. It is called on the loop.
 type EngineListener interface {
-	// UpdateEngines applies an engine list, the full one or only its changes, and returns how many engines are listed now.
+	// UpdateEngines applies an engine list, either the full list or only its changes, and returns the number of engines listed now.
 	UpdateEngines(full bool, engines []core.ListedEngine) (listed int)
 }
 
-// Watch is a discovery watch that is kept open: it has a connection, a dial or a retry timer at a time.
+// Watch is a discovery watch that reconnects. It has at most one of a connection, a dial in progress and a running retry timer.
 type Watch struct {
 	loop        *eventloop.Loop
 	listener    EngineListener
@@ -41,13 +41,14 @@
 	readTimeout time.Duration
 }
 
-// New returns a Watch of the server at addr, which passes the events behind the last one of the stream to the listener. Nothing is
-// dialed before Connect or Follow.
+// New returns a Watch of the server at addr, which passes the events that follow the stream's last event to the listener. It does not dial
+// until Connect or SetServer is called.
 func New(loop *eventloop.Loop, listener EngineListener, log *slog.Logger, addr string, stream *discovery.Stream) *Watch {
 	return &Watch{loop: loop, listener: listener, log: log, addr: addr, stream: stream, readTimeout: defaultReadTimeout}
 }
 
-// SetServer closes the present watch and opens one at addr, which resumes after the last event received. An empty addr opens none.
+// SetServer closes the current connection and connects to the server at addr, where the watch resumes after the last event applied. If addr
+// is empty, it only closes the connection.
 func (w *Watch) SetServer(addr string) {
 	w.disconnect()
 	w.addr = addr
@@ -56,11 +57,11 @@
 	}
 }
 
-// Connect dials the server and sends the watch request. A present watch is closed first.
+// Connect closes the current connection, dials the server and sends the watch request.
 func (w *Watch) Connect() {
 	w.disconnect()
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
-	cancelled := false // a cancelled dial may have succeeded already: the lines of two watches would be mixed
+	cancelled := false // a cancelled dial may already have succeeded; using it would mix the lines of two connections
 	w.cancelDial = func() {
 		cancelled = true
 		cancel()
@@ -72,7 +73,7 @@
 		w.loop.Post(func() {
 			switch {
 			case cancelled && nc != nil:
-				_ = nc.Close() // nothing was written on it
+				_ = nc.Close() // nothing was written to it
 			case !cancelled:
 				w.dialed(nc, err)
 			}
@@ -80,7 +81,7 @@
 	}()
 }
 
-// disconnect ends the connection, or the dial or the retry delay before one.
+// disconnect closes the connection, cancels a dial in progress and stops the timers.
 func (w *Watch) disconnect() {
 	w.readTimer.Stop()
 	w.retryTimer.Stop()
@@ -97,7 +98,7 @@
 func (w *Watch) dialed(nc net.Conn, err error) {
 	w.cancelDial = nil
 	if err != nil {
-		w.log.Warn("discovery server not reached", "error", err)
+		w.log.Warn("cannot connect to discovery server, retrying", "error", err)
 		w.Reconnect()
 		return
 	}
@@ -106,16 +107,16 @@
 	w.resetReadTimer()
 }
 
-// resetReadTimer restarts the timeout for the next line.
+// resetReadTimer restarts the read timeout for the next line.
 func (w *Watch) resetReadTimer() {
 	w.readTimer.Stop()
 	w.readTimer = w.loop.After(w.readTimeout, func() {
-		w.log.Warn("discovery watch timed out")
+		w.log.Warn("discovery watch timed out, reconnecting")
 		w.Reconnect()
 	})
 }
 
-// Data passes received events to the listener. Only complete lines reset the read timeout.
+// Data parses received bytes and passes the events to the listener. Only complete lines reset the read timeout.
 func (w *Watch) Data(b []byte) {
 	before := w.stream.LinesRead()
 	events, err := w.stream.Feed(b)
@@ -125,26 +126,26 @@
 	}
 	switch {
 	case err != nil:
-		w.log.Warn("discovery event rejected", "error", err)
+		w.log.Warn("discovery event rejected, reconnecting", "error", err)
 		w.Reconnect()
 	case w.stream.LinesRead() != before:
 		w.resetReadTimer()
 	}
 }
 
-// Closed reconnects after the connection has ended.
+// Closed reconnects after the connection was lost.
 func (w *Watch) Closed(err error) {
-	w.log.Warn("discovery watch closed", "error", err)
+	w.log.Warn("discovery watch closed, reconnecting", "error", err)
 	w.Reconnect()
 }
 
-// LinesRead returns how many complete lines have been received.
+// LinesRead returns the number of complete lines received.
 func (w *Watch) LinesRead() int { return w.stream.LinesRead() }
 
-// SetReadTimeout sets the read timeout from the next line on.
+// SetReadTimeout sets the read timeout. It takes effect when the timeout is next restarted.
 func (w *Watch) SetReadTimeout(d time.Duration) { w.readTimeout = d }
 
-// Reconnect closes the connection and opens another after a backoff.
+// Reconnect closes the connection and opens a new one after a backoff.
 func (w *Watch) Reconnect() {
 	w.disconnect()
 	w.retryTimer = w.loop.After(retryBackoff, w.Connect)
--- a/internal/transport/enginewatch/watch_test.go
+++ b/internal/transport/enginewatch/watch_test.go
@@ -12,15 +12,16 @@
 	"frostpier/internal/transport/eventloop/eventlooptest"
 )
 
-// silentServer starts a discovery server that never answers, and reports each request and the end of each connection.
-func silentServer(t *testing.T) (addr string, requests, ends chan string) {
+// startSilentServer starts a discovery server that never responds. It sends each request line on requests, and at the end of the connection
+// on closed.
+func startSilentServer(t *testing.T) (addr string, requests, closed chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	requests, ends = make(chan string, 16), make(chan string, 16)
+	requests, closed = make(chan string, 16), make(chan string, 16)
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -34,39 +35,39 @@
 					requests <- line
 					io.Copy(io.Discard, r)
 				}
-				ends <- line
+				closed <- line
 			}()
 		}
 	}()
-	return ln.Addr().String(), requests, ends
+	return ln.Addr().String(), requests, closed
 }
 
-// There is one watch at a time: whatever the watch does when it is moved to another server (a dial, a backoff, an open
-// connection), none of that goes on.
-func TestWatchFollowsOneServer(t *testing.T) {
+// SetServer stops whatever the watch is doing for the previous server, whether it is dialing, in a backoff or connected, so that there is
+// never more than one connection.
+func TestSetServerReplacesPreviousWatch(t *testing.T) {
 	loop := eventlooptest.Start(t)
-	first, firstRequests, firstEnds := silentServer(t)
-	second, secondRequests, secondEnds := silentServer(t)
+	first, firstRequests, firstClosed := startSilentServer(t)
+	second, secondRequests, secondClosed := startSilentServer(t)
 	w := New(loop, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), "", &discovery.Stream{})
 	loop.Do(func() {
 		w.SetServer(first) // the dial is cancelled at once
 		w.SetServer(second)
 	})
 	if line := <-secondRequests; line != "after 0\n" {
-		t.Fatalf("request %q", line)
+		t.Fatalf("watch request is %q, want %q", line, "after 0\n")
 	}
 	loop.Do(func() {
-		w.Reconnect() // starts the backoff before another dial of the second
+		w.Reconnect() // starts the backoff before the second server is dialed again
 		w.SetServer(first)
 	})
-	<-secondEnds
+	<-secondClosed
 	<-firstRequests
 	loop.Do(func() { w.SetServer(second) })
-	<-firstEnds
+	<-firstClosed
 	<-secondRequests
-	time.Sleep(2 * retryBackoff) // long enough for a timer that was not stopped to show
+	time.Sleep(2 * retryBackoff) // long enough for a retry timer that was not stopped to expire
 	if len(firstRequests) > 0 || len(secondRequests) > 0 {
-		t.Fatal("a second watch was opened")
+		t.Fatal("the watch opened more than one connection")
 	}
 	loop.Do(func() { w.SetServer("") })
 }
