--- a/internal/transport/datagram/membership.go
+++ b/internal/transport/datagram/membership.go
@@ -1,6 +1,6 @@
-// Package datagram drives the state machines of gateways that use UDP: the membership protocol, VRRP, and the reports to the
-// controller of a rollout. It owns their sockets and timers and decides nothing. Each socket that is read has a reading goroutine,
-// which ends when the socket is closed; all other code runs on the event loop.
+// Package datagram drives a gateway's protocols over UDP: the membership protocol, VRRP, and the reports to the rollout controller. It owns
+// their sockets and timers; the protocol logic is in the state machines. Each socket that receives has a reader goroutine, which returns
+// when the socket is closed. All other code runs on the event loop.
 package datagram
 
 import (
@@ -19,17 +19,17 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// maxReadBytes exceeds the limit of a datagram, so that one over the limit is not truncated to a valid one.
+// maxReadBytes is larger than any valid datagram, so that an oversized datagram is not truncated to a valid one.
 const maxReadBytes = 2 * membership.MaxDatagramSize
 
-// Socket sends and receives the datagrams of members: a UDP socket, or one in which a test cuts links.
+// Socket sends and receives datagrams of the membership protocol. It is a UDP socket, or a wrapper that drops datagrams in tests.
 type Socket interface {
 	ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
 	Close() error
 }
 
-// Listen opens the UDP socket for the datagrams of peers.
+// Listen opens the UDP socket for datagrams from peers.
 func Listen(listen netip.AddrPort) (*net.UDPConn, error) {
 	sock, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
@@ -38,15 +38,15 @@
 	return sock, nil
 }
 
-// MembershipListener receives changes of the membership and messages of other gateways. It is called on the loop.
+// MembershipListener receives membership changes and messages from other gateways. It is called on the loop.
 type MembershipListener interface {
 	// InServiceChanged is called whenever the number of gateways in service has changed.
 	InServiceChanged(gateways int)
-	// ReceiveLoadReports is called with each load report message of another gateway.
+	// ReceiveLoadReports is called with each load report message from another gateway.
 	ReceiveLoadReports(body []byte)
-	// ReceiveVersion is called with each version message of another gateway.
+	// ReceiveVersion is called with each version message from another gateway.
 	ReceiveVersion(member int, body []byte)
-	// ReceiveZones is called with each message of another gateway on the zones of gateways.
+	// ReceiveZones is called with each zone table message from another gateway.
 	ReceiveZones(member int, body []byte)
 }
 
@@ -60,11 +60,12 @@
 	socket     Socket
 	timer      *eventloop.Timer
 	listener   MembershipListener
-	inService  int // gateways, as last reported to the listener
+	inService  int // number of gateways last reported to the listener
 	unsent     int // datagrams that could not be sent
 }
 
-// NewMembershipDriver returns a driver that sends and receives on socket, which Stop closes. peers has the addresses of all members.
+// NewMembershipDriver returns a driver that sends and receives on socket, which Stop closes. peers contains the addresses of all members,
+// by member number.
 func NewMembershipDriver(loop *eventloop.Loop, log *slog.Logger, invariants *invariant.Monitor, node *membership.Node, socket Socket,
 	peers []netip.AddrPort, listener MembershipListener) *MembershipDriver {
 	return &MembershipDriver{
@@ -79,22 +80,22 @@
 	}
 }
 
-// Start starts the reading goroutine and the protocol.
+// Start starts the reader goroutine and the protocol.
 func (m *MembershipDriver) Start() {
 	go readDatagrams(m.loop, m.log, "peers", m.socket, maxReadBytes, m.received)
 	m.node.Start(m.loop.Now())
 	m.execute()
 }
 
-// Leave announces that this gateway goes out of service. It still answers the others.
+// Leave announces that this gateway leaves service. It still responds to the other members.
 func (m *MembershipDriver) Leave() {
 	m.node.Leave(m.loop.Now())
 	m.execute()
 }
 
 // SetTimeouts changes the probe timeout and the suspicion timeout of the running protocol; 0 means the default.
-func (m *MembershipDriver) SetTimeouts(timeout, suspect time.Duration) error {
-	return m.node.SetTimeouts(timeout, suspect)
+func (m *MembershipDriver) SetTimeouts(probe, suspicion time.Duration) error {
+	return m.node.SetTimeouts(probe, suspicion)
 }
 
 // IsInService reports whether a member is in service.
@@ -103,16 +104,16 @@
 	return state.InService()
 }
 
-// StartTime returns when a member last started, by its own Unix clock, or 0 if it is unknown.
+// StartTime returns the Unix time at which a member last started, according to the member's own clock, or 0 if it is unknown.
 func (m *MembershipDriver) StartTime(member int) time.Duration {
 	_, incarnation := m.node.Member(member)
 	return time.Duration(incarnation) * time.Second
 }
 
-// Stop ends the protocol and closes the socket.
+// Stop stops the protocol and closes the socket.
 func (m *MembershipDriver) Stop() {
 	m.timer.Stop()
-	_ = m.socket.Close() // it is not used any more
+	_ = m.socket.Close() // the socket is not used any more, so an error has no consequence
 }
 
 func (m *MembershipDriver) received(from netip.AddrPort, b []byte) {
@@ -120,7 +121,7 @@
 	m.execute()
 }
 
-// execute sends what the node has to send, handles its events, and restarts its timer. It is called after every change of the node.
+// execute sends the node's pending datagrams, handles its events and restarts its timer. It is called after every change of the node.
 func (m *MembershipDriver) execute() {
 	m.sendDatagrams()
 	for _, e := range m.node.Events() {
@@ -153,7 +154,7 @@
 	})
 }
 
-// handle passes a message of another gateway to the listener, and logs other events.
+// handle passes messages from other gateways to the listener, and logs all other events.
 func (m *MembershipDriver) handle(e membership.Event) {
 	if e.Kind != membership.ExtensionReceived {
 		m.logEvent(e)
@@ -169,7 +170,7 @@
 	}
 }
 
-// logEvent logs which members go out of service and come back. Suspicions are logged for debugging only, as most are refuted.
+// logEvent logs state changes of members. Suspicions are logged at debug level only, since most of them are refuted.
 func (m *MembershipDriver) logEvent(e membership.Event) {
 	level, msg := slog.LevelInfo, "member changed"
 	switch {
@@ -178,7 +179,7 @@
 	case e.Kind != membership.StateChanged:
 		return
 	case e.OldState.InService() && e.NewState.InService():
-		level, msg = slog.LevelDebug, "member suspected or cleared"
+		level, msg = slog.LevelDebug, "member suspicion changed"
 	case e.NewState == membership.Dead:
 		level = slog.LevelWarn
 	}
@@ -186,8 +187,8 @@
 		"by", e.ReportedBy, "incarnation", e.Incarnation, "in_service", m.node.NumInService())
 }
 
-// Counts returns the number of gateways in service, the local health score, how many datagrams could not be sent, and the counters
-// of the protocol.
+// Counts returns the number of gateways in service, the local health score, the number of datagrams that could not be sent, and the
+// protocol's counters.
 func (m *MembershipDriver) Counts() (inService, health, unsent int, c membership.Counts) {
 	return m.node.NumInService(), m.node.HealthScore(), m.unsent, m.node.Counts()
 }
--- a/internal/transport/datagram/read.go
+++ b/internal/transport/datagram/read.go
@@ -9,8 +9,8 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// readDatagrams is the reading goroutine of a socket: it calls handle on the loop for each datagram, until the socket is closed.
-// Datagrams are truncated to maxBytes, and b is valid until handle returns. name is for the log.
+// readDatagrams is the reader goroutine of a socket: it calls handle on the loop for each datagram until the socket is closed. Datagrams
+// are truncated to maxBytes, and b is valid until handle returns. name identifies the socket in log messages.
 func readDatagrams(loop *eventloop.Loop, log *slog.Logger, name string, socket Socket, maxBytes int,
 	handle func(from netip.AddrPort, b []byte)) {
 	buf := make([]byte, maxBytes)
@@ -19,8 +19,8 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an ICMP error, for a peer that does not listen
-			log.Debug(name+" read", "error", err)
+		if err != nil { // typically an ICMP error, sent for a peer that does not listen
+			log.Debug(name+" read failed", "error", err)
 			continue
 		}
 		sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
--- a/internal/transport/datagram/vrrp.go
+++ b/internal/transport/datagram/vrrp.go
@@ -11,45 +11,45 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// maxVRRPBytes exceeds the size of an advertisement.
+// maxVRRPBytes is larger than any valid advertisement.
 const maxVRRPBytes = 2048
 
 // VRRPDriver drives a virtual router over UDP. Its methods are called on the loop.
 type VRRPDriver struct {
-	loop    *eventloop.Loop
-	log     *slog.Logger
-	router  *vrrp.Router
-	socket  *net.UDPConn
-	peers   []netip.AddrPort
-	timer   *eventloop.Timer
-	onState func(vrrp.State)
+	loop          *eventloop.Loop
+	log           *slog.Logger
+	router        *vrrp.Router
+	socket        *net.UDPConn
+	peers         []netip.AddrPort
+	timer         *eventloop.Timer
+	onStateChange func(vrrp.State)
 }
 
-// NewVRRPDriver opens the socket. onState is called on the loop whenever the state has changed.
+// NewVRRPDriver returns a driver with an open socket. onStateChange is called on the loop whenever the router's state has changed.
 func NewVRRPDriver(loop *eventloop.Loop, log *slog.Logger, router *vrrp.Router, listen netip.AddrPort, peers []netip.AddrPort,
-	onState func(vrrp.State)) (*VRRPDriver, error) {
+	onStateChange func(vrrp.State)) (*VRRPDriver, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("listen for VRRP: %w", err)
 	}
-	return &VRRPDriver{loop: loop, log: log, router: router, socket: socket, peers: peers, onState: onState}, nil
+	return &VRRPDriver{loop: loop, log: log, router: router, socket: socket, peers: peers, onStateChange: onStateChange}, nil
 }
 
-// Start starts the reading goroutine and the protocol.
+// Start starts the reader goroutine and the protocol.
 func (d *VRRPDriver) Start() {
 	go readDatagrams(d.loop, d.log, "vrrp", d.socket, maxVRRPBytes, d.received)
 	d.execute(d.router.Startup())
 }
 
-// Stop ends the protocol, which a master announces, and closes the socket.
+// Stop stops the protocol, which a master announces to its peers, and closes the socket.
 func (d *VRRPDriver) Stop() {
 	d.execute(d.router.Shutdown())
-	_ = d.socket.Close() // it is not used any more
+	_ = d.socket.Close() // the socket is not used any more, so an error has no consequence
 }
 
 func (d *VRRPDriver) received(from netip.AddrPort, b []byte) {
 	if !slices.Contains(d.peers, from) {
-		d.log.Warn("vrrp message discarded", "from", from, "error", "no peer of this router")
+		d.log.Warn("vrrp message discarded", "from", from, "error", "sender is not a peer of this virtual router")
 		return
 	}
 	steps, err := d.router.Received(from.Addr(), b)
@@ -71,8 +71,8 @@
 			d.timer = d.loop.After(step.StartTimer, func() { d.execute(d.router.TimerFired()) })
 		}
 		if step.NewState != nil {
-			d.log.Info("vrrp state", "state", step.NewState.String())
-			d.onState(*step.NewState)
+			d.log.Info("vrrp state changed", "state", step.NewState.String())
+			d.onStateChange(*step.NewState)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 func (d *VRRPDriver) send(advertisement []byte) {
 	for _, peer := range d.peers {
 		if _, err := d.socket.WriteToUDPAddrPort(advertisement, peer); err != nil {
-			d.log.Debug("vrrp send", "to", peer, "error", err)
+			d.log.Debug("vrrp send failed", "to", peer, "error", err)
 		}
 	}
 }
