--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,9 @@
 // Package core owns the state of one gateway: the open requests, their attempts, the engine list and the decision
 // module that schedules requests on engines.
 //
-// It is a state machine: each method takes an event and the current time and returns the actions that the host must
-// execute. It never does I/O, starts no goroutine, reads no clock and knows no wire format. A Core is not safe for
-// concurrent use: the event loop's goroutine makes all calls. Times are durations since the Unix epoch.
+// A Core is a state machine: its methods take an event and the current time and return the actions that the host must
+// execute. It does no I/O, starts no goroutines, reads no clock and knows no wire format. It is not safe for concurrent
+// use: all calls are made on the event loop's goroutine. Times are durations since the Unix epoch.
 package core
 
 import (
@@ -35,28 +35,28 @@
 	invariants   *invariant.Monitor
 	requests     map[ID]*request
 	activeNames  map[string]bool // names of the requests that are pending or have an attempt in flight
-	lastID       ID
-	pending      int // requests without a final reply
-	inFlight     int // attempts that have not ended
+	lastID       ID              // the ID assigned last
+	pending      int             // requests without a final reply
+	inFlight     int             // attempts that have not ended
 	engines      map[policy.EngineID]*Engine
 	classes      map[string]int // class numbers by name
 	shuttingDown bool
-	actions      []Action // collected for the event that is being handled
+	actions      []Action // actions collected so far for the current event
 
 	counts        Counts
 	countsByClass []ClassCounts
 
-	loadReports     *loadreport.Digest // shared with the other gateways; nil = not shared
-	waitingLoggedAt time.Duration      // last debug records of queued requests
+	loadReports   *loadreport.Digest // exchanged with the other gateways; nil = off
+	queueLoggedAt time.Duration      // time of the last debug records of queued requests
 
-	subset            *engineSubset            // nil = every engine is used
+	subset            *engineSubset            // nil = all engines are used
 	inFlightByEngine  map[policy.EngineID]int  // attempts that have not ended
-	gatewaysInService int                      // by the host's last count
-	sentInService     policy.GatewaysInService // what the module was sent last
+	gatewaysInService int                      // as last set by SetGatewaysInService
+	lastInService     policy.GatewaysInService // the last such event that was sent to the module
 }
 
-// New returns a Core for the host's settings. The seed determines every random choice. It returns an error if the
-// decision module does not accept the settings.
+// New returns a Core for the host's settings. The seed determines all random choices. New returns an error if the
+// decision module rejects the settings.
 func New(host settings.Host, seed uint64, log *slog.Logger, invariants *invariant.Monitor) (*Core, error) {
 	module, err := policy.New(host.Module, seed)
 	if err != nil {
@@ -71,7 +71,7 @@
 		countsByClass:     make([]ClassCounts, len(host.Module.Classes)),
 		inFlightByEngine:  map[policy.EngineID]int{},
 		gatewaysInService: host.Module.Gateways,
-		sentInService:     policy.GatewaysInService{Count: host.Module.Gateways},
+		lastInService:     policy.GatewaysInService{Count: host.Module.Gateways},
 	}
 	for i, class := range host.Module.Classes {
 		c.classes[class.Name] = i
@@ -93,35 +93,35 @@
 	return c.host.Module.Classes[class].Idempotency == policy.IdempotentWithKey
 }
 
-// PendingRequests returns how many requests have no final reply yet.
+// PendingRequests returns the number of requests without a final reply.
 func (c *Core) PendingRequests() int { return c.pending }
 
-// AttemptsInFlight returns how many attempts have not ended.
+// AttemptsInFlight returns the number of attempts that have not ended.
 func (c *Core) AttemptsInFlight() int { return c.inFlight }
 
-// TimerFired reports that a Timer with this token expired.
+// TimerFired reports that the timer with this token has expired.
 func (c *Core) TimerFired(now time.Duration, token uint64) []Action {
-	c.logWaitingRequests(now)
+	c.logQueuedRequests(now)
 	return c.dispatch(now, policy.TimerFired{Token: token})
 }
 
-// SetGatewaysInService sets how many gateways are believed to be in service, this one included.
+// SetGatewaysInService sets how many gateways are believed to be in service, including this one.
 func (c *Core) SetGatewaysInService(now time.Duration, gateways int) []Action {
 	c.gatewaysInService = gateways
-	if c.UsesSubset() { // the next count of sharers takes it into account
+	if c.UsesSubset() { // dispatchSharingGateways uses the new number on its next run
 		return nil
 	}
-	c.sentInService = policy.GatewaysInService{Count: gateways}
+	c.lastInService = policy.GatewaysInService{Count: gateways}
 	return c.dispatch(now, policy.GatewaysInService{Count: gateways})
 }
 
-// Shutdown gives every pending request its final reply. Requests that are submitted later are rejected at once.
+// Shutdown gives each pending request its final reply. Requests that are submitted afterwards are rejected at once.
 func (c *Core) Shutdown(now time.Duration) []Action {
 	c.shuttingDown = true
 	return c.dispatch(now, policy.ShuttingDown{})
 }
 
-// dispatch hands the module an event and translates its actions to the host's.
+// dispatch passes an event to the module and converts the module's actions to actions of the host.
 func (c *Core) dispatch(now time.Duration, event policy.Event) []Action {
 	c.actions = nil
 	for _, action := range c.module.Handle(now, event) {
@@ -130,7 +130,7 @@
 	return c.actions
 }
 
-// apply carries out one action of the module.
+// apply executes one action of the module.
 func (c *Core) apply(now time.Duration, action policy.Action) {
 	switch a := action.(type) {
 	case policy.Send:
@@ -144,8 +144,8 @@
 	case policy.SetTimer:
 		c.actions = append(c.actions, StartTimer{After: a.After, Token: a.Token})
 	case policy.Log:
-		c.log.Info("decision module", "says", a.Text)
+		c.log.Info("decision module", "event", a.Text)
 	case policy.Subscribe, policy.Probe, policy.SetResources:
-		// Discovery pushes the engine list without a subscription; engines have no probes and no terms.
+		// Nothing to do: discovery pushes the engine list without a subscription, and engines support neither probes nor terms.
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -12,8 +12,8 @@
 	"frostpier/policy"
 )
 
-// start is the time at which the tests begin.
-const start = time.Duration(1_700_000_000) * time.Second
+// startTime is the time of the first event of each test.
+const startTime = time.Duration(1_700_000_000) * time.Second
 
 // newCore returns the core of a single gateway with two classes, the second of which needs idempotency keys.
 func newCore(t testing.TB) (*Core, *invariant.Monitor) {
@@ -37,13 +37,13 @@
 	return c, invariants
 }
 
-// listedEngine returns an entry of the engine list.
+// listedEngine returns an engine list entry with the given name and health.
 func listedEngine(name string, h policy.Health) ListedEngine {
 	return ListedEngine{Name: name, Addr: name + ":1", Zone: "z", Kind: "m", Health: h, Weight: 1}
 }
 
-// first returns the first action of a type.
-func first[A Action](t testing.TB, actions []Action) A {
+// firstAction returns the first action of type A, and fails the test if there is none.
+func firstAction[A Action](t testing.TB, actions []Action) A {
 	t.Helper()
 	for _, a := range actions {
 		if found, ok := a.(A); ok {
@@ -55,113 +55,113 @@
 	return none
 }
 
-// testQuery is a query with the deadline of its class.
+// testQuery is a query whose remaining time equals the deadline of its class.
 var testQuery = Query{Remaining: 4 * time.Second}
 
-func TestRequestServedOnce(t *testing.T) {
+func TestServedRequestGetsOneReply(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	id, actions := c.Submit(start, testQuery)
-	s := first[StartAttempt](t, actions)
-	if left, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); !ok || left > 4*time.Second {
-		t.Fatalf("may send: %v, %v left", ok, left)
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, actions := c.Submit(startTime, testQuery)
+	s := firstAction[StartAttempt](t, actions)
+	if left, ok := c.MaySend(startTime+time.Millisecond, id, s.Attempt, false); !ok || left > 4*time.Second {
+		t.Fatalf("MaySend: %v, %v left", ok, left)
 	}
-	if r := first[Reply](t, c.AttemptEnded(start+time.Second, id, 0, policy.OK, nil)); r.Verdict != Served {
+	if r := firstAction[Reply](t, c.AttemptEnded(startTime+time.Second, id, 0, policy.OK, nil)); r.Verdict != Served {
 		t.Fatalf("%+v", r)
 	}
-	if actions := c.Cancel(start+time.Second, id); actions != nil {
-		t.Fatalf("a cancellation after the reply: %+v", actions)
+	if actions := c.Cancel(startTime+time.Second, id); actions != nil {
+		t.Fatalf("cancellation after the reply returned actions: %+v", actions)
 	}
 	if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 {
 		t.Fatalf("%d requests pending, %d attempts in flight", c.PendingRequests(), c.AttemptsInFlight())
 	}
 }
 
-// An engine that is listed as draining while its connection is being established gets no new work: the grace period of
-// 2 s starts with the listing, not with the selection of the engine.
+// MaySend must deny an attempt at an engine that starts to drain while the connection is being established: the grace
+// period of 2 s starts when the engine is listed as draining, not when it was selected.
 func TestMaySendDeniesDrainingEngine(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	id, _ := c.Submit(start, testQuery)
-	c.UpdateEngines(start, false, []ListedEngine{listedEngine("a", policy.Draining)})
-	if _, ok := c.MaySend(start+100*time.Millisecond, id, 0, false); ok {
-		t.Fatal("a draining engine gets new work")
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, _ := c.Submit(startTime, testQuery)
+	c.UpdateEngines(startTime, false, []ListedEngine{listedEngine("a", policy.Draining)})
+	if _, ok := c.MaySend(startTime+100*time.Millisecond, id, 0, false); ok {
+		t.Fatal("MaySend allowed an attempt at a draining engine")
 	}
 }
 
-// Nor does an attempt go out when nobody waits for its result any more.
+// MaySend must deny an attempt if the client no longer waits for its result.
 func TestMaySendDeniesAfterDeadlineOrCancel(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	expired, _ := c.Submit(start, testQuery)
-	cancelled, _ := c.Submit(start, testQuery)
-	if _, ok := c.MaySend(start+4*time.Second, expired, 0, false); ok {
-		t.Error("sent after the client's deadline")
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	expired, _ := c.Submit(startTime, testQuery)
+	cancelled, _ := c.Submit(startTime, testQuery)
+	if _, ok := c.MaySend(startTime+4*time.Second, expired, 0, false); ok {
+		t.Error("allowed after the client's deadline")
 	}
-	first[CancelAttempt](t, c.Cancel(start, cancelled))
-	if _, ok := c.MaySend(start, cancelled, 0, false); ok {
-		t.Error("sent for a client that cancelled")
+	firstAction[CancelAttempt](t, c.Cancel(startTime, cancelled))
+	if _, ok := c.MaySend(startTime, cancelled, 0, false); ok {
+		t.Error("allowed after the client cancelled")
 	}
 }
 
-// A started response is stopped when its client closes, although the module never cancels started responses. It stays in
-// flight until the engine confirms.
+// Cancel must cancel an attempt whose response has started, although the module never does. The attempt stays in flight
+// until the engine confirms the cancellation.
 func TestCancelStopsStartedResponse(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	id, _ := c.Submit(start, testQuery)
-	c.MaySend(start, id, 0, false)
-	if wanted, _ := c.ResponseStarted(start, id, 0); !wanted {
-		t.Fatal("not wanted")
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, _ := c.Submit(startTime, testQuery)
+	c.MaySend(startTime, id, 0, false)
+	if wanted, _ := c.ResponseStarted(startTime, id, 0); !wanted {
+		t.Fatal("the response is not wanted before the cancellation")
 	}
-	first[CancelAttempt](t, c.Cancel(start, id))
-	if wanted, _ := c.ResponseStarted(start, id, 0); wanted {
-		t.Fatal("still wanted")
+	firstAction[CancelAttempt](t, c.Cancel(startTime, id))
+	if wanted, _ := c.ResponseStarted(startTime, id, 0); wanted {
+		t.Fatal("the response is still wanted after the cancellation")
 	}
 	if c.AttemptsInFlight() != 1 {
-		t.Fatal("no longer in flight before the engine confirmed")
+		t.Fatal("the attempt is not in flight although the engine has not confirmed")
 	}
-	c.AttemptEnded(start, id, 0, policy.Cancelled, nil)
+	c.AttemptEnded(startTime, id, 0, policy.Cancelled, nil)
 }
 
-// After the first row there is no second attempt: the client would see the rows of both.
+// A request must not be retried after its response has started: the client would receive rows of both attempts.
 func TestNoRetryAfterResponseStarted(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
-	id, _ := c.Submit(start, testQuery)
-	c.MaySend(start, id, 0, false)
-	c.ResponseStarted(start, id, 0)
-	actions := c.AttemptEnded(start, id, 0, policy.Reset, nil)
-	if r := first[Reply](t, actions); r.Verdict != FailedMidResponse || len(actions) != 1 {
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
+	id, _ := c.Submit(startTime, testQuery)
+	c.MaySend(startTime, id, 0, false)
+	c.ResponseStarted(startTime, id, 0)
+	actions := c.AttemptEnded(startTime, id, 0, policy.Reset, nil)
+	if r := firstAction[Reply](t, actions); r.Verdict != FailedMidResponse || len(actions) != 1 {
 		t.Fatalf("%+v", actions)
 	}
 }
 
-func TestCloseRejectsPendingRequests(t *testing.T) {
+func TestShutdownRejectsPendingRequests(t *testing.T) {
 	c, _ := newCore(t)
-	queued, _ := c.Submit(start, testQuery) // as there is no engine
-	if r := first[Reply](t, c.Shutdown(start)); r.ID != queued || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
+	queued, _ := c.Submit(startTime, testQuery) // queued because there is no engine
+	if r := firstAction[Reply](t, c.Shutdown(startTime)); r.ID != queued || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
 		t.Fatalf("%+v", r)
 	}
 }
 
 func TestUpdateEnginesReturnsGoneEngines(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
-	if gone, _ := c.UpdateEngines(start, true, []ListedEngine{listedEngine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
-		t.Fatalf("gone after a full list: %+v", gone)
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
+	if gone, _ := c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
+		t.Fatalf("returned for a full list: %+v", gone)
 	}
 	reused := ListedEngine{Name: "c", Addr: "a:1", Zone: "z", Kind: "m", Health: policy.Ready}
-	if gone, _ := c.UpdateEngines(start, false, []ListedEngine{reused, listedEngine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
-		t.Fatalf("gone after an address was reused: %+v", gone)
+	if gone, _ := c.UpdateEngines(startTime, false, []ListedEngine{reused, listedEngine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
+		t.Fatalf("returned for a reused address: %+v", gone)
 	}
 }
 
-// The state must not grow with every engine that is replaced.
-func TestGoneEnginesAreForgotten(t *testing.T) {
+// The Core must remove the state of gone engines, which would otherwise grow with each replaced engine.
+func TestGoneEnginesAreRemovedAfterRetention(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Gone), listedEngine("b", policy.Ready)})
-	c.UpdateEngines(start+goneRetention+time.Second, false, []ListedEngine{listedEngine("b", policy.Ready)})
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Gone), listedEngine("b", policy.Ready)})
+	c.UpdateEngines(startTime+goneRetention+time.Second, false, []ListedEngine{listedEngine("b", policy.Ready)})
 	if len(c.engines) != 1 {
 		t.Fatalf("%d engines are known", len(c.engines))
 	}
@@ -183,63 +183,65 @@
 	}
 }
 
-// Engines could not tell two active requests of the same name apart, and faulty clients send the name of a pending request
-// with another statement. The name is free again once the first request is replied to and has no attempt in flight.
-func TestNameIsUniqueAmongActiveRequests(t *testing.T) {
+// Submit must fail a query with the name of an active request, since engines cannot distinguish the two. Faulty clients
+// reuse the name of a pending request for another statement. The name may be used again once the first request has its
+// reply and no attempt in flight.
+func TestSubmitFailsDuplicateActiveName(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	named := testQuery
 	named.Name = "9b1f"
-	id, _ := c.Submit(start, named)
-	c.MaySend(start, id, 0, false)
-	_, actions := c.Submit(start, named)
-	if r := first[Reply](t, actions); r.Verdict != Failed || len(actions) != 1 {
-		t.Fatalf("%+v, want a failure and no attempt", actions)
+	id, _ := c.Submit(startTime, named)
+	c.MaySend(startTime, id, 0, false)
+	_, actions := c.Submit(startTime, named)
+	if r := firstAction[Reply](t, actions); r.Verdict != Failed || len(actions) != 1 {
+		t.Fatalf("%+v, want only a failure", actions)
 	}
-	c.Cancel(start, id) // its attempt is still in flight
-	if _, actions = c.Submit(start, named); first[Reply](t, actions).Verdict != Failed {
-		t.Fatal("accepted while an attempt of that name is in flight")
+	c.Cancel(startTime, id) // the attempt is still in flight
+	if _, actions = c.Submit(startTime, named); firstAction[Reply](t, actions).Verdict != Failed {
+		t.Fatal("accepted while an attempt with that name is in flight")
 	}
-	c.AttemptEnded(start, id, 0, policy.Cancelled, nil)
-	if _, actions = c.Submit(start, named); first[StartAttempt](t, actions).Attempt != 0 {
-		t.Fatal("the name is not free again")
+	c.AttemptEnded(startTime, id, 0, policy.Cancelled, nil)
+	if _, actions = c.Submit(startTime, named); firstAction[StartAttempt](t, actions).Attempt != 0 {
+		t.Fatal("the name cannot be used again")
 	}
 }
 
-// A query that its engine seems not to have read is sent again in the same attempt only if the module allows it, and never
-// to a draining engine.
-func TestResendNeedsModulesPermission(t *testing.T) {
+// MaySend must allow a resend within an attempt only if the module allows it, and never to a draining engine. A query is
+// resent if its engine does not seem to have read it.
+func TestMaySendAsksModuleBeforeResend(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	id, _ := c.Submit(start, testQuery)
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, _ := c.Submit(startTime, testQuery)
 	sent := 0
 	for ok := true; ok; sent++ {
-		_, ok = c.MaySend(start+time.Millisecond, id, 0, sent > 0)
+		_, ok = c.MaySend(startTime+time.Millisecond, id, 0, sent > 0)
 	}
-	if sent != 5 { // the settings allow four; the fifth time is denied
-		t.Errorf("denied at send %d", sent)
+	if sent != 5 { // MaxAttempts is 4, so the fifth send is denied
+		t.Errorf("send number %d was denied, want 5", sent)
 	}
-	id, _ = c.Submit(start+time.Second, testQuery)
-	c.MaySend(start+time.Second, id, 0, false)
-	c.UpdateEngines(start+time.Second, false, []ListedEngine{listedEngine("a", policy.Draining)})
-	if _, ok := c.MaySend(start+time.Second, id, 0, true); ok {
-		t.Error("sent again to a draining engine")
+	id, _ = c.Submit(startTime+time.Second, testQuery)
+	c.MaySend(startTime+time.Second, id, 0, false)
+	c.UpdateEngines(startTime+time.Second, false, []ListedEngine{listedEngine("a", policy.Draining)})
+	if _, ok := c.MaySend(startTime+time.Second, id, 0, true); ok {
+		t.Error("resend to a draining engine allowed")
 	}
 }
 
-// A rollout judges a version by the counts of each class: each reply counts once, by the latency objective of its class.
+// CountsByClass must count each reply once, as in time, fast or late by the latency objective of its class. A rollout
+// compares versions of the program by these counts.
 func TestCountsByClass(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	for _, took := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second} {
-		id, _ := c.Submit(start, testQuery)
-		c.MaySend(start, id, 0, false)
-		c.AttemptEnded(start+took, id, 0, policy.OK, nil)
-	}
-	c.Submit(start, Query{Class: 7, Remaining: time.Second}) // of an unknown class: fails, and is counted nowhere
-	id, _ := c.Submit(start, testQuery)
-	c.Cancel(start, id)
-	c.Submit(start, Query{Class: 1, Remaining: time.Millisecond})
+		id, _ := c.Submit(startTime, testQuery)
+		c.MaySend(startTime, id, 0, false)
+		c.AttemptEnded(startTime+took, id, 0, policy.OK, nil)
+	}
+	c.Submit(startTime, Query{Class: 7, Remaining: time.Second}) // unknown class: fails and is not counted
+	id, _ := c.Submit(startTime, testQuery)
+	c.Cancel(startTime, id)
+	c.Submit(startTime, Query{Class: 1, Remaining: time.Millisecond})
 	want := ClassCounts{Requests: 4, InTime: 2, Late: 1, Fast: 1}
 	if got := c.CountsByClass()[0]; got != want {
 		t.Errorf("lookup: %+v, want %+v", got, want)
@@ -249,52 +251,52 @@
 	}
 }
 
-// A retry must not go out after its deduplication window, when engines no longer recognize it as a duplicate, even if it
-// was decided within the window and only its connection came up late. This rule was broken on a simulated day with engine
-// crashes and connections that take up to 1.5 s.
-func TestWindowIsLookedAtAgainAtTheFirstByte(t *testing.T) {
+// MaySend must deny a retry after the deduplication window, when engines no longer recognize it as a duplicate. The retry
+// may have been started within the window, while its connection was established later. In a simulated day with engine
+// crashes and connection times of up to 1.5 s, such retries were sent.
+func TestMaySendRechecksDeduplicationWindow(t *testing.T) {
 	const window = 12 * time.Second
 	for delay, want := range map[time.Duration]bool{0: true, 10 * time.Millisecond: true, time.Second: false} {
 		c, _ := newCore(t)
-		c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
-		id, actions := c.Submit(start, Query{Class: 1, IdempotencyKey: 7, Remaining: 20 * time.Second})
-		s := first[StartAttempt](t, actions)
-		if _, ok := c.MaySend(start, id, s.Attempt, false); !ok {
-			t.Fatal("the first attempt may not go out")
+		c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
+		id, actions := c.Submit(startTime, Query{Class: 1, IdempotencyKey: 7, Remaining: 20 * time.Second})
+		s := firstAction[StartAttempt](t, actions)
+		if _, ok := c.MaySend(startTime, id, s.Attempt, false); !ok {
+			t.Fatal("the first attempt was denied")
 		}
-		at := start + window - 50*time.Millisecond
-		s = first[StartAttempt](t, c.AttemptEnded(at, id, s.Attempt, policy.Reset, nil))
+		at := startTime + window - 50*time.Millisecond
+		s = firstAction[StartAttempt](t, c.AttemptEnded(at, id, s.Attempt, policy.Reset, nil))
 		if _, ok := c.MaySend(at+delay, id, s.Attempt, false); ok != want {
-			t.Errorf("%v after the decision: %t, want %t", delay, ok, want)
+			t.Errorf("%v after the retry was started: allowed %t, want %t", delay, ok, want)
 		}
 	}
 }
 
-// A request that comes after Close is rejected at once.
-func TestWhatComesAfterCloseIsRefused(t *testing.T) {
+// Submit must reject a query after Shutdown at once.
+func TestSubmitRejectsAfterShutdown(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	c.Shutdown(start)
-	_, actions := c.Submit(start, testQuery)
-	if r := first[Reply](t, actions); r.Verdict != Rejected || len(actions) != 1 {
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	c.Shutdown(startTime)
+	_, actions := c.Submit(startTime, testQuery)
+	if r := firstAction[Reply](t, actions); r.Verdict != Rejected || len(actions) != 1 {
 		t.Fatalf("%+v", actions)
 	}
 }
 
-// Addresses are reused: if the list moves the selected engine while a connection to its former address is established, the
-// query must not go there, as another engine may listen there by now.
-func TestAddressIsLookedAtAgainAtTheFirstByte(t *testing.T) {
+// MaySend must deny an attempt if the engine list moves the selected engine while the connection to its former address is
+// being established. Addresses are reused, so another engine may listen there by now.
+func TestMaySendRechecksEngineAddress(t *testing.T) {
 	c, _ := newCore(t)
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
-	id, actions := c.Submit(start, testQuery)
-	s := first[StartAttempt](t, actions)
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	id, actions := c.Submit(startTime, testQuery)
+	s := firstAction[StartAttempt](t, actions)
 	moved := listedEngine("a", policy.Ready)
 	moved.Addr = "elsewhere:1"
-	c.UpdateEngines(start, false, []ListedEngine{moved})
-	if _, ok := c.MaySend(start+time.Millisecond, id, s.Attempt, false); ok {
-		t.Fatal("sent to the former address")
+	c.UpdateEngines(startTime, false, []ListedEngine{moved})
+	if _, ok := c.MaySend(startTime+time.Millisecond, id, s.Attempt, false); ok {
+		t.Fatal("attempt at the former address allowed")
 	}
-	if s = first[StartAttempt](t, c.AttemptEnded(start+time.Millisecond, id, 0, policy.NotSent, nil)); s.Engine.Addr != moved.Addr {
+	if s = firstAction[StartAttempt](t, c.AttemptEnded(startTime+time.Millisecond, id, 0, policy.NotSent, nil)); s.Engine.Addr != moved.Addr {
 		t.Fatalf("%+v", s)
 	}
 }
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// ClassCounts counts the requests and attempts of one class since the start. A rollout judges a version by them.
+// ClassCounts counts the requests and attempts of one class since the start. A rollout compares versions of the program
+// by these counts.
 type ClassCounts struct {
-	Requests uint64 // submitted
-	InTime   uint64 // served within the latency objective
-	Late     uint64 // served after it
-	Rejected uint64 // rejected
-	Failed   uint64 // without a complete response, for any other reason than a rejection
-	Fast     uint64 // of InTime: served within a quarter of the latency objective
-	Retries  uint64 // attempts after a request's first
+	Requests uint64 // requests submitted
+	InTime   uint64 // requests served within the latency objective
+	Late     uint64 // requests served after the latency objective
+	Rejected uint64 // requests rejected
+	Failed   uint64 // requests without a complete response, except rejected ones
+	Fast     uint64 // part of InTime: served within a quarter of the latency objective
+	Retries  uint64 // attempts other than a request's first
 }
 
-// fastFraction divides the latency objective: a reply within that part of it counts as fast. A slower version of the
-// program shows there before its replies are late.
+// fastFraction is the divisor of the latency objective for a fast reply: one within objective/fastFraction. The count of
+// fast replies shows that a version of the program is slower before its replies miss the objective.
 const fastFraction = 4
 
-// Counts counts requests and attempts since the start, for the log. Left are requests that their clients cancelled;
-// Further are attempts after a request's first.
+// Counts counts requests and attempts since the start, for the log. Left counts requests that their clients cancelled,
+// Further attempts other than a request's first.
 type Counts struct {
 	Taken, Served, Refused, Failed, Left, Attempts, Further int
 }
@@ -29,7 +30,7 @@
 // CountsByClass returns the counts of each class since the start. The caller must not change or keep the slice.
 func (c *Core) CountsByClass() []ClassCounts { return c.countsByClass }
 
-// classCounts returns the counts of a request's class. A request of an unknown class is counted nowhere.
+// classCounts returns the counts of a request's class. For an unknown class it returns counts that are discarded.
 func (c *Core) classCounts(r *request) *ClassCounts {
 	if r.class < 0 || r.class >= len(c.countsByClass) {
 		return &ClassCounts{}
@@ -37,7 +38,7 @@
 	return &c.countsByClass[r.class]
 }
 
-// countReply counts a final reply that took so long from the submission.
+// countReply counts a final reply. took is the time since the request was submitted.
 func (c *Core) countReply(r *request, v Verdict, took time.Duration) {
 	class := c.classCounts(r)
 	switch v {
--- a/internal/core/decisionlog.go
+++ b/internal/core/decisionlog.go
@@ -12,17 +12,18 @@
 	"frostpier/policy"
 )
 
-// waitingLogInterval is the minimum time between two sets of debug records of queued requests: several for each second
-// that a person inspects, but few enough that hundreds of gateways on one machine can write them.
-const waitingLogInterval = 100 * time.Millisecond
+// queueLogInterval is the minimum time between two sets of debug records of queued requests. It is short enough to follow
+// a second of the log in detail, and long enough for hundreds of gateways that log on one machine.
+const queueLogInterval = 100 * time.Millisecond
 
-// debugEnabled reports whether decisions are logged: only at debug level, as each record costs an estimate of an engine.
+// debugEnabled reports whether decisions are logged. They are only logged at debug level, since each record requires an
+// estimate of the engine's load.
 func (c *Core) debugEnabled() bool { return c.log.Enabled(context.Background(), slog.LevelDebug) }
 
 func engineLabel(id policy.EngineID) string { return fmt.Sprintf("%x", uint64(id)) }
 
-// logAttemptDecision logs what the module estimated of the engine that it selected. The attribute own includes the
-// attempt itself.
+// logAttemptDecision logs the module's estimate of the engine that it selected for an attempt. The attribute own includes
+// the threads of this attempt.
 func (c *Core) logAttemptDecision(now time.Duration, id ID, n int) {
 	if !c.debugEnabled() {
 		return
@@ -36,7 +37,7 @@
 		"mean", utilization.MeanPeerLoad, "strain", utilization.OverloadRatio)
 }
 
-// ageMS returns the age of a load report in milliseconds, -1 for none.
+// ageMS returns the age of a load report in milliseconds, or -1 if there is none.
 func ageMS(age time.Duration) int64 {
 	if age < 0 {
 		return -1
@@ -44,7 +45,7 @@
 	return age.Milliseconds()
 }
 
-// logAttemptEnd logs how an attempt ended.
+// logAttemptEnd logs the outcome of an attempt.
 func (c *Core) logAttemptEnd(now time.Duration, id ID, n int, outcome policy.Outcome) {
 	if !c.debugEnabled() {
 		return
@@ -62,16 +63,16 @@
 	}
 	c.log.Debug("request answered", "at", now.Milliseconds(), "request", id, "class", r.class, "verdict", v,
 		"attempts", len(r.attempts), "took_ms", (now - r.submittedAt).Milliseconds(),
-		"left_ms", (r.deadline - now).Milliseconds(), "why", r.waitingFor)
+		"left_ms", (r.deadline - now).Milliseconds(), "why", r.queueGuard)
 }
 
-// logWaitingRequests logs, at most once per waitingLogInterval, which guard keeps each queued request from being sent and
-// how many engines each guard excludes for it.
-func (c *Core) logWaitingRequests(now time.Duration) {
-	if !c.debugEnabled() || now-c.waitingLoggedAt < waitingLogInterval {
+// logQueuedRequests logs for each queued request which guard keeps it in the queue and how many engines each guard
+// excludes. It does so at most once per queueLogInterval.
+func (c *Core) logQueuedRequests(now time.Duration) {
+	if !c.debugEnabled() || now-c.queueLoggedAt < queueLogInterval {
 		return
 	}
-	c.waitingLoggedAt = now
+	c.queueLoggedAt = now
 	for id, r := range c.requests {
 		if r.replied || r.inFlight > 0 {
 			continue
@@ -80,14 +81,14 @@
 		if !queued {
 			continue
 		}
-		r.waitingFor = waitReason(by, estimates)
+		r.queueGuard = mainGuard(by, estimates)
 		c.log.Debug("request held", "at", now.Milliseconds(), "request", id, "class", r.class,
-			"held_ms", (now - r.submittedAt).Milliseconds(), "attempts", len(r.attempts), "why", r.waitingFor,
-			"engines", guardCounts(estimates))
+			"held_ms", (now - r.submittedAt).Milliseconds(), "attempts", len(r.attempts), "why", r.queueGuard,
+			"engines", formatGuardCounts(estimates))
 	}
 }
 
-// countGuards counts the engines that each guard excludes. It also returns the guards in a fixed order.
+// countGuards counts the engines that each guard excludes. It also returns the guards, sorted.
 func countGuards(estimates []policy.EngineEstimate) (counts map[policy.Guard]int, guards []policy.Guard) {
 	counts = map[policy.Guard]int{}
 	for _, e := range estimates {
@@ -96,9 +97,9 @@
 	return counts, slices.Sorted(maps.Keys(counts))
 }
 
-// waitReason returns the guard that names why a request is queued: the guard on the request itself, or else the one that
-// excludes most engines.
-func waitReason(by policy.Guard, estimates []policy.EngineEstimate) policy.Guard {
+// mainGuard returns the main reason why a request is queued: the guard on the request itself or, if there is none, the
+// guard that excludes the most engines.
+func mainGuard(by policy.Guard, estimates []policy.EngineEstimate) policy.Guard {
 	counts, guards := countGuards(estimates)
 	if by != policy.GuardQueue || counts[policy.GuardNone] > 0 || len(estimates) == 0 {
 		return by
@@ -112,8 +113,8 @@
 	return reason
 }
 
-// guardCounts formats the engines that each guard excludes, as in "limit:3,ejected:1".
-func guardCounts(estimates []policy.EngineEstimate) string {
+// formatGuardCounts formats the number of engines that each guard excludes, for example "limit:3,ejected:1".
+func formatGuardCounts(estimates []policy.EngineEstimate) string {
 	counts, guards := countGuards(estimates)
 	var parts []string
 	for _, g := range guards {
--- a/internal/core/decisionlog_test.go
+++ b/internal/core/decisionlog_test.go
@@ -12,9 +12,9 @@
 	"frostpier/policy"
 )
 
-// At debug level each attempt is logged with the estimate of its engine, and each queued request with the guard that keeps
-// it from being sent.
-func TestDecisionsAreLogged(t *testing.T) {
+// At debug level, each attempt must be logged with the estimate of its engine, and each queued request with the guard that
+// keeps it in the queue.
+func TestDecisionsLoggedAtDebugLevel(t *testing.T) {
 	output := &bytes.Buffer{}
 	log := slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
@@ -23,19 +23,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.UpdateEngines(start, true, []ListedEngine{listedEngine("a", policy.Ready)})
+	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	for range 12 {
-		c.Submit(start, testQuery)
+		c.Submit(startTime, testQuery)
 	}
-	c.TimerFired(start+200*time.Millisecond, 0)
+	c.TimerFired(startTime+200*time.Millisecond, 0)
 	for _, want := range []string{`msg="attempt decided"`, "own=1", "age_ms=-1", `msg="request held"`, "held_ms=200", "engines="} {
 		if !strings.Contains(output.String(), want) {
-			t.Errorf("no %q in the log", want)
+			t.Errorf("the log does not contain %q", want)
 		}
 	}
 	records := strings.Count(output.String(), "request held")
-	c.TimerFired(start+210*time.Millisecond, 0) // within waitingLogInterval
+	c.TimerFired(startTime+210*time.Millisecond, 0) // within queueLogInterval
 	if later := strings.Count(output.String(), "request held"); records == 0 || later != records {
-		t.Errorf("%d records, then %d", records, later)
+		t.Errorf("%d records, %d after another timer within the interval", records, later)
 	}
 }
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -8,25 +8,25 @@
 	"frostpier/policy"
 )
 
-// Engine is an engine that the engine list names.
+// Engine is an engine in the engine list.
 type Engine struct {
 	ID        policy.EngineID
-	Name      string // name in the list; it survives restarts of the engine
+	Name      string // name in the list, which stays the same when the engine restarts
 	Addr      string
 	Health    policy.Health
-	updatedAt time.Duration     // when a list named it last
-	info      policy.EngineInfo // as listed last, except for the health
+	updatedAt time.Duration     // when a list last contained the engine
+	info      policy.EngineInfo // last list entry; its health may be outdated
 }
 
-// listed returns the engine's current entry in the list.
-func (e *Engine) listed() policy.EngineInfo {
+// currentInfo returns the engine's last list entry with its current health.
+func (e *Engine) currentInfo() policy.EngineInfo {
 	info := e.info
 	info.Health = e.Health
 	return info
 }
 
-// goneRetention is how long a gone engine stays known: longer than any client waits for an attempt there, but bounded,
-// as otherwise the state would grow with every engine that is replaced.
+// goneRetention is how long the Core keeps the state of a gone engine. It is longer than any client waits for an attempt
+// there, but limited, since otherwise the state would grow with each engine that is replaced.
 const goneRetention = 30 * time.Second
 
 // ListedEngine is an entry of the engine list.
@@ -35,19 +35,19 @@
 	Cell                   int
 	Health                 policy.Health
 	Weight                 float64
-	Started                time.Duration // since the Unix epoch; 0 = long ago
+	Started                time.Duration // when the engine started, since the Unix epoch; 0 = long ago
 }
 
-// UpdateEngines applies an engine list: the full one, or only the entries that changed. It returns the engines that are
-// gone or have another address now; connections to their former processes are of no more use.
+// UpdateEngines applies an engine list: the full list, or only the entries that changed. It returns the engines that are
+// gone or have a new address, with their former addresses. The host should close its connections to them.
 func (c *Core) UpdateEngines(now time.Duration, full bool, entries []ListedEngine) (gone []Engine, actions []Action) {
 	list := policy.EngineList{Kind: policy.ListDelta}
 	if full {
 		list.Kind = policy.ListFull
-		gone = c.removeUnlisted(now, entries)
+		gone = c.markUnlistedGone(now, entries)
 	}
 	for _, entry := range entries {
-		e := c.engineNamed(entry.Name)
+		e := c.getOrAddEngine(entry.Name)
 		wentAway := entry.Health == policy.Gone && e.Health != policy.Gone
 		moved := e.Addr != "" && e.Addr != entry.Addr
 		if wentAway || moved {
@@ -56,14 +56,14 @@
 		c.updateEngine(now, e, entry)
 		list.Engines = append(list.Engines, e.info)
 	}
-	c.forgetGoneEngines(now)
+	c.removeGoneEngines(now)
 	actions = c.dispatchList(now, list)
-	c.updateSharedEngines()
+	c.updateReportedEngines()
 	return gone, actions
 }
 
-// removeUnlisted marks the engines that a full list lacks as gone, and returns them.
-func (c *Core) removeUnlisted(now time.Duration, entries []ListedEngine) (gone []Engine) {
+// markUnlistedGone marks the engines that are missing from a full list as gone, and returns them.
+func (c *Core) markUnlistedGone(now time.Duration, entries []ListedEngine) (gone []Engine) {
 	for id, e := range c.engines {
 		named := slices.ContainsFunc(entries, func(entry ListedEngine) bool { return engineID(entry.Name) == id })
 		if !named && e.Health != policy.Gone {
@@ -74,8 +74,8 @@
 	return gone
 }
 
-// engineNamed returns the engine with this name and adds it if it is not known.
-func (c *Core) engineNamed(name string) *Engine {
+// getOrAddEngine returns the engine with this name, and adds an empty one if the name is unknown.
+func (c *Core) getOrAddEngine(name string) *Engine {
 	id := engineID(name)
 	e := c.engines[id]
 	if e == nil {
@@ -85,7 +85,7 @@
 	return e
 }
 
-// updateEngine sets an engine to what the list says of it.
+// updateEngine sets an engine's state to its list entry.
 func (c *Core) updateEngine(now time.Duration, e *Engine, entry ListedEngine) {
 	e.Addr, e.Health, e.updatedAt = entry.Addr, entry.Health, now
 	e.info = policy.EngineInfo{
@@ -94,8 +94,8 @@
 	}
 }
 
-// forgetGoneEngines removes the engines that have been gone for goneRetention.
-func (c *Core) forgetGoneEngines(now time.Duration) {
+// removeGoneEngines removes the engines that have been gone for longer than goneRetention.
+func (c *Core) removeGoneEngines(now time.Duration) {
 	for id, e := range c.engines {
 		if e.Health == policy.Gone && now-e.updatedAt > goneRetention {
 			delete(c.engines, id)
@@ -103,7 +103,7 @@
 	}
 }
 
-// EngineCount returns how many engines are listed and not gone.
+// EngineCount returns the number of listed engines that are not gone.
 func (c *Core) EngineCount() (engines int) {
 	for _, e := range c.engines {
 		if e.Health != policy.Gone {
@@ -113,7 +113,8 @@
 	return engines
 }
 
-// indexOf returns the index of a name. A name that the settings lack gets an index past their end, which matches nothing.
+// indexOf returns the index of a name. If the settings do not contain the name, it returns len(names), which matches
+// nothing.
 func indexOf(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
@@ -121,8 +122,8 @@
 	return len(names)
 }
 
-// engineID derives an engine's ID from its name, so that all gateways agree on it: they order engines and choose home
-// engines by ID.
+// engineID derives an engine's ID from its name. All gateways must compute the same ID, since they sort engines and choose
+// home engines by it.
 func engineID(name string) policy.EngineID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- a/internal/core/loadreports.go
+++ b/internal/core/loadreports.go
@@ -7,23 +7,25 @@
 	"frostpier/policy"
 )
 
-// ReportField is one value of an engine's load report, under the name that the settings give it.
+// ReportField is one value of an engine's load report. The settings define the names.
 type ReportField struct {
 	Name  string
 	Value float64
 }
 
-// inflightField is the load report field that gateways share: how many queries run at the engine.
+// inflightField is the name of the only load report field that gateways exchange: the number of queries that the engine
+// executes.
 const inflightField = "inflight"
 
-// ShareLoadReports has the gateway publish and receive load reports. It must be called before the first event.
+// ShareLoadReports makes the gateway exchange load reports with the other gateways through d. It must be called before the
+// first event.
 func (c *Core) ShareLoadReports(d *loadreport.Digest) { c.loadReports = d }
 
-// EngineNumber returns the number that identifies the engine with this name in load reports.
+// EngineNumber returns the number that identifies the engine with this name in load reports and subsets.
 func EngineNumber(name string) uint64 { return uint64(engineID(name)) }
 
-// updateSharedEngines sets the engines whose load reports are shared: those that are ready and that the gateway uses.
-func (c *Core) updateSharedEngines() {
+// updateReportedEngines sets the engines whose load reports are exchanged: the ready engines that this gateway uses.
+func (c *Core) updateReportedEngines() {
 	if c.loadReports == nil {
 		return
 	}
@@ -36,7 +38,7 @@
 	c.loadReports.SetEngines(numbers)
 }
 
-// recordLoad records the load that a response reported.
+// recordLoad records the load report of a response for the other gateways.
 func (c *Core) recordLoad(now time.Duration, engine policy.EngineID, fields []ReportField) {
 	if c.loadReports == nil {
 		return
@@ -48,8 +50,8 @@
 	}
 }
 
-// ReceiveLoadReports handles a message of another gateway: it hands the module the load reports that are newer than the
-// known ones.
+// ReceiveLoadReports handles a message from another gateway. It passes the load reports that are newer than the known
+// ones to the module.
 func (c *Core) ReceiveLoadReports(now time.Duration, body []byte) []Action {
 	if c.loadReports == nil {
 		return nil
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -10,20 +10,21 @@
 	"frostpier/policy"
 )
 
-// modelRun drives a Core with random events. It executes the actions and checks what must hold in any order of events:
-// one final reply to each request, one attempt in flight at a time, and none to an engine that is not ready or not used.
+// modelRun sends random events to a Core and executes its actions. It checks the properties that hold for any order of
+// events: each request gets one final reply, has at most one attempt in flight, and is only sent to ready engines that the
+// gateway uses.
 type modelRun struct {
 	t          *rapid.T
 	core       *Core
 	invariants *invariant.Monitor
 	now        time.Duration
 	ids        []ID
-	replies    map[ID]int // cancelled requests count as replied
+	replies    map[ID]int // number of final replies; a cancellation counts as one
 	inFlight   map[ID]StartAttempt
 }
 
 func newModelRun(t *rapid.T, c *Core, invariants *invariant.Monitor) *modelRun {
-	return &modelRun{t: t, core: c, invariants: invariants, now: start, replies: map[ID]int{}, inFlight: map[ID]StartAttempt{}}
+	return &modelRun{t: t, core: c, invariants: invariants, now: startTime, replies: map[ID]int{}, inFlight: map[ID]StartAttempt{}}
 }
 
 func (m *modelRun) execute(actions []Action) {
@@ -47,10 +48,10 @@
 	}
 	e := m.core.engines[s.Engine.ID]
 	if e.Health != policy.Ready {
-		m.t.Fatalf("an attempt to an engine that is not ready: %+v", e)
+		m.t.Fatalf("attempt at an engine that is not ready: %+v", e)
 	}
 	if !m.core.inSubset(e) {
-		m.t.Fatalf("an attempt to an engine outside the subset: %+v", e)
+		m.t.Fatalf("attempt at an engine outside the subset: %+v", e)
 	}
 	m.inFlight[s.ID] = s
 }
@@ -59,7 +60,7 @@
 func (m *modelRun) checkIdle(id policy.EngineID) {
 	for _, s := range m.inFlight {
 		if s.Engine.ID == id {
-			m.t.Fatalf("disconnected from %s while an attempt is in flight there", s.Engine.Name)
+			m.t.Fatalf("Disconnect for %s while an attempt is in flight there", s.Engine.Name)
 		}
 	}
 }
@@ -79,7 +80,7 @@
 	m.execute(actions)
 }
 
-// endAttempt ends an attempt in some way.
+// endAttempt ends an attempt with a random outcome, or as not sent if MaySend denies it.
 func (m *modelRun) endAttempt(s StartAttempt) {
 	outcomes := []policy.Outcome{policy.OK, policy.Error, policy.Rejected, policy.Reset}
 	outcome := rapid.SampledFrom(outcomes).Draw(m.t, "outcome")
@@ -90,7 +91,7 @@
 	m.execute(m.core.AttemptEnded(m.now, s.ID, s.Attempt, outcome, nil))
 }
 
-// finish closes the core and checks that each request has one final reply and that nothing is left behind.
+// finish shuts the Core down and checks that each request has one final reply and that no state is left.
 func (m *modelRun) finish() {
 	c := m.core
 	m.execute(c.Shutdown(m.now))
@@ -102,21 +103,21 @@
 			c.AttemptEnded(m.now, id, s.Attempt, policy.Cancelled, nil)
 		}
 	}
-	for what, left := range map[string]int{
+	for name, left := range map[string]int{
 		"pending requests": c.PendingRequests(), "attempts in flight": c.AttemptsInFlight(), "known requests": len(c.requests),
 		"active names": len(c.activeNames), "engines with attempts in flight": len(c.inFlightByEngine),
 	} {
 		if left != 0 {
-			m.t.Fatalf("%d %s are left", left, what)
+			m.t.Fatalf("%d %s are left", left, name)
 		}
 	}
-	if broken := m.invariants.Violations(); broken != 0 {
-		m.t.Fatalf("%d invariants were broken", broken)
+	if violations := m.invariants.Violations(); violations != 0 {
+		m.t.Fatalf("%d invariants were violated", violations)
 	}
 }
 
-// Any legal order of events keeps the invariants, without a subset.
-func TestInvariantsHoldInAnyOrderOfEvents(t *testing.T) {
+// The invariants must hold for any order of events without a subset.
+func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c, invariants := newCore(t)
 		m := newModelRun(rt, c, invariants)
@@ -145,11 +146,11 @@
 		m.updateEngines(false, []ListedEngine{listedEngine(name, health)})
 	case 4:
 		if len(m.ids) > 0 {
-			m.cancel(rapid.SampledFrom(m.ids).Draw(m.t, "leaves"))
+			m.cancel(rapid.SampledFrom(m.ids).Draw(m.t, "cancelled request"))
 		}
 	case 5:
 		if len(m.ids) > 0 {
-			m.endAttemptOf(rapid.SampledFrom(m.ids).Draw(m.t, "ends"))
+			m.endAttemptIfInFlight(rapid.SampledFrom(m.ids).Draw(m.t, "request whose attempt ends"))
 		}
 	}
 }
@@ -161,7 +162,7 @@
 	}
 }
 
-func (m *modelRun) endAttemptOf(id ID) {
+func (m *modelRun) endAttemptIfInFlight(id ID) {
 	if s, inFlight := m.inFlight[id]; inFlight {
 		m.endAttempt(s)
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -12,28 +12,28 @@
 // Verdict is the kind of a final reply.
 type Verdict uint8
 
-// The verdicts.
+// Values of Verdict.
 const (
-	Served            Verdict = iota // an engine's complete response
+	Served            Verdict = iota // an engine returned a complete response
 	Rejected                         // not executed; the client may retry after a delay
-	Failed                           // no result, and none of the response went out
-	FailedMidResponse                // failed after a part of the response went out
+	Failed                           // no result, and no part of a response was sent
+	FailedMidResponse                // failed after a part of the response was sent
 )
 
-// deadlineSlackTicks is how many ticks before the client's deadline a reply still counts as caused by the deadline: the
-// module checks deadlines only every few ticks.
-const deadlineSlackTicks = 10
+// deadlineToleranceTicks is how many ticks before the client's deadline a reply already sets Reply.DeadlineExceeded, since
+// the module checks deadlines only every few ticks.
+const deadlineToleranceTicks = 10
 
 // Query describes a query that a client submits.
 type Query struct {
-	Name              string // name by which engines know the query; empty = none. Unique among active requests.
+	Name              string // identifies the query at engines; empty = none. Must be unique among active requests.
 	Class             int
 	TableGroup        int           // 0 = none
-	IdempotencyKey    uint64        // idempotency key; 0 = none
+	IdempotencyKey    uint64        // 0 = none
 	EstimatedWork     time.Duration // 0 = unknown
 	EstimatedMemoryMB float64       // 0 = unknown
-	Remaining         time.Duration // until the client's deadline
-	IsClientRetry     bool          // the client itself retries an earlier request
+	Remaining         time.Duration // time until the client's deadline
+	IsClientRetry     bool          // the client marked the query as a retry of an earlier one
 }
 
 // request is a request that is pending or has an attempt in flight.
@@ -41,17 +41,17 @@
 	name            string
 	class           int
 	submittedAt     time.Duration
-	deadline        time.Duration // the client's
-	objective       time.Duration // latency objective, measured from submittedAt
+	deadline        time.Duration // the client's deadline
+	objective       time.Duration // latency objective, counted from submittedAt
 	attempts        []*attempt
 	inFlight        int // attempts that have not ended
 	replied         bool
-	responseStarted bool         // a part of the response went out: no further attempt is allowed
-	waitingFor      policy.Guard // the guard that kept it queued when that was last logged
+	responseStarted bool         // a part of the response was sent, so no further attempt is allowed
+	queueGuard      policy.Guard // the reason for queueing in the last debug record
 }
 
-// Submit accepts a query and assigns its ID. It fails a query that has the name of an active request: engines could not
-// tell the two apart, and updates or the end of one would be taken for the other's.
+// Submit accepts a query and assigns an ID to it. A query with the name of an active request fails, since engines could
+// not distinguish the two: progress updates or the end of one would be attributed to the other.
 func (c *Core) Submit(now time.Duration, q Query) (ID, []Action) {
 	c.lastID++
 	id := c.lastID
@@ -62,14 +62,14 @@
 	c.counts.Taken++
 	duplicate := q.Name != "" && c.activeNames[q.Name]
 	if duplicate {
-		return id, c.replyOnly(now, id, Failed, 0)
+		return id, c.replyDirectly(now, id, Failed, 0)
 	}
 	if q.Name != "" {
 		r.name = q.Name
 		c.activeNames[q.Name] = true
 	}
 	if c.shuttingDown || c.overCapacity() {
-		return id, c.replyOnly(now, id, Rejected, c.host.MaxRetryAfter)
+		return id, c.replyDirectly(now, id, Rejected, c.host.MaxRetryAfter)
 	}
 	return id, c.dispatch(now, policy.Arrival{
 		ID: id, Class: q.Class, OrderingKey: q.IdempotencyKey, TableGroup: q.TableGroup, EstimatedWork: q.EstimatedWork,
@@ -77,12 +77,13 @@
 	})
 }
 
-// overCapacity reports whether more requests are pending than the settings allow for one gateway.
+// overCapacity reports whether more requests are pending than the settings allow.
 func (c *Core) overCapacity() bool {
 	return c.host.MaxPending > 0 && c.pending > c.host.MaxPending
 }
 
-// latencyObjective returns the time after which a reply is late. The query's work is known only as an estimate.
+// latencyObjective returns the time after which a reply is late. The part that depends on the query's work is based on an
+// estimate.
 func (c *Core) latencyObjective(q Query) time.Duration {
 	if q.Class < 0 || q.Class >= len(c.countsByClass) {
 		return 0
@@ -92,7 +93,7 @@
 	return class.LatencyObjective + time.Duration(forWork)
 }
 
-// Cancel reports that the client no longer wants a reply. Attempts in flight are stopped.
+// Cancel reports that the client no longer wants a reply. Attempts in flight are cancelled.
 func (c *Core) Cancel(now time.Duration, id ID) []Action {
 	r := c.requests[id]
 	if r == nil || r.replied {
@@ -102,24 +103,25 @@
 	c.pending--
 	c.counts.Left++
 	actions := c.dispatch(now, policy.ClientGone{ID: id})
-	if r.responseStarted { // the module never cancels a started response, but here nobody reads it any more
-		actions = append(actions, r.stopAll(id)...)
+	if r.responseStarted { // the module never cancels an attempt with a started response, but nobody reads this one
+		actions = append(actions, r.cancelAttempts(id)...)
 	}
-	c.forgetIfDone(id, r)
+	c.removeIfDone(id, r)
 	return actions
 }
 
-// stopAll returns a Stop for each attempt in flight.
-func (r *request) stopAll(id ID) (stops []Action) {
+// cancelAttempts returns a CancelAttempt for each attempt in flight.
+func (r *request) cancelAttempts(id ID) (cancels []Action) {
 	for n, a := range r.attempts {
 		if !a.ended {
-			stops = append(stops, CancelAttempt{ID: id, Attempt: n})
+			cancels = append(cancels, CancelAttempt{ID: id, Attempt: n})
 		}
 	}
-	return stops
+	return cancels
 }
 
-// reject gives the final reply to a request that the module rejects.
+// reject gives the final reply to a request that the module rejects. If the module sets no retry delay, the reply has the
+// maximum.
 func (c *Core) reject(now time.Duration, action policy.Reject) {
 	retryAfter := action.RetryAfter
 	if retryAfter == 0 {
@@ -128,17 +130,17 @@
 	c.reply(now, action.ID, Rejected, retryAfter)
 }
 
-// replyOnly gives the final reply to a request that the module does not know, and returns it as the only action.
-func (c *Core) replyOnly(now time.Duration, id ID, v Verdict, retryAfter time.Duration) []Action {
+// replyDirectly gives a request its final reply without an event to the module, and returns the reply as the only action.
+func (c *Core) replyDirectly(now time.Duration, id ID, v Verdict, retryAfter time.Duration) []Action {
 	c.actions = nil
 	c.reply(now, id, v, retryAfter)
 	return c.actions
 }
 
-// reply gives a request its one final reply.
+// reply adds the one final reply to a request to the actions.
 func (c *Core) reply(now time.Duration, id ID, v Verdict, retryAfter time.Duration) {
 	r := c.requests[id]
-	if !c.invariants.Check(r != nil && !r.replied, "a request is answered once", "request", id) {
+	if !c.invariants.Check(r != nil && !r.replied, "a request gets only one final reply", "request", id) {
 		return
 	}
 	r.replied = true
@@ -148,13 +150,13 @@
 	c.actions = append(c.actions, Reply{
 		ID: id, Verdict: v,
 		RetryAfter:       min(retryAfter, c.host.MaxRetryAfter),
-		DeadlineExceeded: r.deadline-now <= deadlineSlackTicks*c.host.Module.Tick,
+		DeadlineExceeded: r.deadline-now <= deadlineToleranceTicks*c.host.Module.Tick,
 	})
-	c.forgetIfDone(id, r)
+	c.removeIfDone(id, r)
 }
 
-// forgetIfDone removes a request that has its reply and no attempt in flight.
-func (c *Core) forgetIfDone(id ID, r *request) {
+// removeIfDone removes a request that has its final reply and no attempt in flight.
+func (c *Core) removeIfDone(id ID, r *request) {
 	if r.replied && r.inFlight == 0 {
 		delete(c.requests, id)
 		delete(c.activeNames, r.name)
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -8,65 +8,65 @@
 )
 
 const (
-	// forgetDelay is how long after the removal of an engine an empty update lets the decision module drop its record. The
-	// module keeps removed engines for a minute and looks for them only when a list comes.
-	forgetDelay = 65 * time.Second
-	// sharersInterval is the time between two counts of the gateways that share the subset's engines. A count compares the
-	// subsets of all gateways: some milliseconds for 800 of them.
-	sharersInterval = 5 * time.Second
+	// moduleCleanupDelay is the time between the removal of an engine from the subset and an empty engine list that makes the
+	// decision module delete its state. The module keeps removed engines for a minute, and deletes them only when it gets a list.
+	moduleCleanupDelay = 65 * time.Second
+	// sharingCountInterval is the time between two counts of the gateways that share the subset's engines. A count compares the
+	// subsets of all gateways, which takes some milliseconds for 800 gateways.
+	sharingCountInterval = 5 * time.Second
 )
 
-// SubsetCounts describes, for the log, the subset of the engines that the gateway uses.
+// SubsetCounts describes the subset of engines that the gateway uses, for the log.
 type SubsetCounts struct {
-	Listed, Subset, Serving int     // engines of the list, of the subset, and of the subset that are ready
+	Listed, Subset, Serving int     // number of engines in the list, in the subset, and in the subset and ready
 	MeanGateways            float64 // mean number of gateways that use an engine of the subset
-	GatewaysSharing         int     // gateways among which the module divides concurrency targets and memory
-	Added, Removed          uint64  // engines, since the start
+	GatewaysSharing         int     // number of gateways among which the module divides concurrency targets and memory
+	Added, Removed          uint64  // number of engines added and removed since the start
 }
 
-// engineSubset is the state of a Core that uses a subset of the engines.
+// engineSubset is the state of the subset of engines that a Core uses.
 type engineSubset struct {
-	chooser    *subset.Chooser
-	sent       map[policy.EngineID]policy.EngineInfo // the last state of each engine that the module was sent
-	isFullList bool                                  // the module was sent the full list
-	lifted     bool                                  // the module is being sent every engine again
-	gateways   []subset.Gateway
-	warmingUp  map[policy.EngineID]bool // as the chooser was told
-	forgetAt   time.Duration            // when to send the module an empty update; 0 = never
-	sharersAt  time.Duration            // earliest time of the next count of sharers
-	added      uint64
-	removed    uint64
-}
-
-// UseSubset restricts the gateway to the engines that the chooser selects; nil lifts the restriction. It may be called
-// while requests are pending and attempts are in flight.
+	chooser          *subset.Chooser
+	sent             map[policy.EngineID]policy.EngineInfo // state of each engine that was last sent to the module
+	coversAll        bool                                  // the subset contains all engines, and the module has all of them
+	lifting          bool                                  // the subset is being lifted: all engines count as part of it
+	gateways         []subset.Gateway
+	warmingUp        map[policy.EngineID]bool // engines that were passed to the chooser as warming up
+	moduleCleanupAt  time.Duration            // when to send the module an empty engine list; 0 = never
+	nextSharingCount time.Duration            // earliest time of the next dispatchSharingGateways
+	added            uint64
+	removed          uint64
+}
+
+// UseSubset restricts the gateway to the engines that the chooser selects. A nil chooser lifts the restriction. UseSubset
+// may be called while requests are pending and attempts are in flight.
 func (c *Core) UseSubset(now time.Duration, chooser *subset.Chooser) []Action {
 	if chooser == nil {
 		return c.liftSubset(now)
 	}
-	if c.subset == nil { // so far the module has every engine
-		c.subset = &engineSubset{isFullList: true}
-		c.recordFullList()
+	if c.subset == nil { // until now the module has all engines
+		c.subset = &engineSubset{coversAll: true}
+		c.markAllSent()
 	}
 	c.subset.chooser = chooser
 	c.updateChooser(now)
 	return c.applySubset(now)
 }
 
-// liftSubset makes every listed engine available to the module again.
+// liftSubset makes all listed engines available to the module again.
 func (c *Core) liftSubset(now time.Duration) []Action {
 	if c.subset == nil {
 		return nil
 	}
-	c.subset.lifted = true
+	c.subset.lifting = true
 	actions := c.dispatchChanges(now)
 	c.subset = nil
-	c.updateSharedEngines()
-	return append(actions, c.dispatchSharers(now)...)
+	c.updateReportedEngines()
+	return append(actions, c.dispatchSharingGateways(now)...)
 }
 
-// ConfigureSubset changes the settings of the subset. Invalid settings change nothing and return a *subset.ConfigError.
-// Without a subset it does nothing.
+// ConfigureSubset changes the settings of the subset. For invalid settings it returns a *subset.ConfigError and changes
+// nothing. Without a subset it does nothing.
 func (c *Core) ConfigureSubset(now time.Duration, config subset.Config) ([]Action, error) {
 	if c.subset == nil {
 		return nil, nil
@@ -77,8 +77,7 @@
 	return c.applySubset(now), nil
 }
 
-// SetGateways sets the zone of each gateway, by number, and which of them are in service. Without a subset it does
-// nothing.
+// SetGateways sets the zone and the state of each gateway, indexed by gateway number. Without a subset it does nothing.
 func (c *Core) SetGateways(now time.Duration, gateways []subset.Gateway) []Action {
 	if c.subset == nil {
 		return nil
@@ -88,8 +87,8 @@
 	return c.applySubset(now)
 }
 
-// TickSubset removes engines whose linger time has ended, and updates the chooser when an engine has warmed up. The host
-// should call it every second.
+// TickSubset removes engines whose linger time has ended from the subset, and updates the chooser when an engine has
+// warmed up. The host should call it every second.
 func (c *Core) TickSubset(now time.Duration) []Action {
 	s := c.subset
 	if s == nil {
@@ -100,11 +99,11 @@
 	}
 	s.chooser.Tick(now)
 	actions := c.applySubset(now)
-	if now >= s.sharersAt {
-		actions = append(actions, c.dispatchSharers(now)...)
+	if now >= s.nextSharingCount {
+		actions = append(actions, c.dispatchSharingGateways(now)...)
 	}
-	if s.forgetAt > 0 && now >= s.forgetAt {
-		s.forgetAt = 0
+	if s.moduleCleanupAt > 0 && now >= s.moduleCleanupAt {
+		s.moduleCleanupAt = 0
 		actions = append(actions, c.dispatch(now, policy.EngineList{Kind: policy.ListDelta})...)
 	}
 	return actions
@@ -135,7 +134,7 @@
 	return e.info.Started > 0 && now-e.info.Started < c.host.Module.Rules.WarmupTime
 }
 
-// anyWarmedUp reports whether an engine that the chooser knows as warming up no longer is.
+// anyWarmedUp reports whether an engine that was passed to the chooser as warming up is warm or unknown by now.
 func (c *Core) anyWarmedUp(now time.Duration) bool {
 	for id := range c.subset.warmingUp {
 		if e := c.engines[id]; e == nil || !c.warmingUp(now, e) {
@@ -145,39 +144,41 @@
 	return false
 }
 
-// applySubset sends the module what changed in the subset.
+// applySubset sends the changes of the subset to the module.
 func (c *Core) applySubset(now time.Duration) []Action {
 	s := c.subset
-	if !s.chooser.Changed() && s.isFullList == s.chooser.All() {
+	if !s.chooser.Changed() && s.coversAll == s.chooser.All() {
 		return nil
 	}
 	actions := c.dispatchChanges(now)
-	c.updateSharedEngines()
-	return append(actions, c.updateIsFullList(now)...)
+	c.updateReportedEngines()
+	return append(actions, c.updateCoversAll(now)...)
 }
 
-// updateIsFullList records whether the subset is the full list. When that changes, so does the number of sharers.
-func (c *Core) updateIsFullList(now time.Duration) []Action {
-	was := c.subset.isFullList
-	c.subset.isFullList = c.subset.chooser.All()
-	if was == c.subset.isFullList {
+// updateCoversAll records whether the subset contains all engines. When that changes, so does the number of sharing
+// gateways.
+func (c *Core) updateCoversAll(now time.Duration) []Action {
+	was := c.subset.coversAll
+	c.subset.coversAll = c.subset.chooser.All()
+	if was == c.subset.coversAll {
 		return nil
 	}
-	return c.dispatchSharers(now)
+	return c.dispatchSharingGateways(now)
 }
 
-// inSubset reports whether the gateway uses an engine.
+// inSubset reports whether the gateway uses an engine: it is in the subset, or there is no subset.
 func (c *Core) inSubset(e *Engine) bool {
-	return c.subset == nil || c.subset.lifted || c.subset.chooser.Contains(uint64(e.ID))
+	return c.subset == nil || c.subset.lifting || c.subset.chooser.Contains(uint64(e.ID))
 }
 
-// overflow reports whether an engine lies beyond the core of the gateway's subset: there it shares the engine with many
-// other gateways.
-func (c *Core) overflow(e *Engine) bool {
+// isOverflow reports whether an engine is outside the core of the gateway's subset. The core is the part that the gateway
+// shares with many gateways of its zone.
+func (c *Core) isOverflow(e *Engine) bool {
 	return c.UsesSubset() && !c.subset.chooser.Core(uint64(e.ID))
 }
 
-// SubsetOverlap returns which share, 0 to 1, of another gateway's subset lies in the own one; 1 without a subset.
+// SubsetOverlap returns the share, 0 to 1, of another gateway's subset that is also in this gateway's subset. Without a
+// subset it returns 1.
 func (c *Core) SubsetOverlap(gateway int) float64 {
 	if c.subset == nil {
 		return 1
@@ -187,10 +188,10 @@
 
 // UsesSubset reports whether the gateway uses fewer than all engines.
 func (c *Core) UsesSubset() bool {
-	return c.subset != nil && !c.subset.lifted && !c.subset.chooser.All()
+	return c.subset != nil && !c.subset.lifting && !c.subset.chooser.All()
 }
 
-// SubsetSize returns how many engines are listed and not gone, and how many of them the gateway uses.
+// SubsetSize returns the number of listed engines that are not gone, and how many of them the gateway uses.
 func (c *Core) SubsetSize() (listed, used int) {
 	for _, e := range c.engines {
 		if e.Health != policy.Gone {
@@ -203,9 +204,9 @@
 	return listed, len(c.subset.chooser.IDs())
 }
 
-// SubsetCounts returns the current counts.
+// SubsetCounts returns the current state of the subset for the log.
 func (c *Core) SubsetCounts() SubsetCounts {
-	counts := SubsetCounts{GatewaysSharing: c.sentInService.Count}
+	counts := SubsetCounts{GatewaysSharing: c.lastInService.Count}
 	counts.Listed, counts.Subset = c.SubsetSize()
 	if c.subset == nil {
 		return counts
--- a/internal/core/subset_bench_test.go
+++ b/internal/core/subset_bench_test.go
@@ -15,18 +15,18 @@
 	"frostpier/policy"
 )
 
-// The fleet of the benchmark's gateway, and its load.
+// Size of the fleet in the benchmarks, and load of the gateway.
 const (
 	benchGateways      = 800
 	benchZones         = 7
-	benchGroups        = 200
-	benchInFlight      = 40                     // attempts at a time
-	benchDuration      = 100 * time.Millisecond // of an attempt
-	benchTimerInterval = 20 * time.Millisecond  // between expiries of the module's timer
+	benchTableGroups   = 200
+	benchInFlight      = 40                     // attempts in flight
+	benchDuration      = 100 * time.Millisecond // duration of an attempt
+	benchTimerInterval = 20 * time.Millisecond  // time between two timer events of the module
 	benchSubset        = 80
 )
 
-// benchCore returns the core of a gateway of a fleet with so many engines, with or without a subset.
+// benchCore returns the Core of a gateway in a fleet with the given number of engines, with or without a subset.
 func benchCore(b *testing.B, engines int, withSubset bool) *Core {
 	b.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -46,12 +46,12 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		c.UseSubset(start, chooser)
+		c.UseSubset(startTime, chooser)
 		var gateways []subset.Gateway
 		for i := range benchGateways {
 			gateways = append(gateways, subset.Gateway{Zone: i % benchZones, InService: true})
 		}
-		c.SetGateways(start, gateways)
+		c.SetGateways(startTime, gateways)
 	}
 	var entries []ListedEngine
 	for i := range engines {
@@ -59,27 +59,28 @@
 		entry.Zone = host.Zones[i%benchZones]
 		entries = append(entries, entry)
 	}
-	c.UpdateEngines(start, true, entries)
+	c.UpdateEngines(startTime, true, entries)
 	return c
 }
 
-// BenchmarkDecision submits a request, sends its attempt and ends another, for list sizes with and without a subset.
+// BenchmarkDecision measures submitting a request, sending its attempt and ending another, by number of engines, with and
+// without a subset.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{10, 80, 300, 1100} {
 		for _, withSubset := range []bool{false, true} {
 			b.Run(fmt.Sprintf("engines=%d/subset=%t", engines, withSubset), func(b *testing.B) {
 				c := benchCore(b, engines, withSubset)
-				load := &benchLoad{core: c, now: start}
+				load := &benchLoad{core: c, now: startTime}
 				for range 4000 {
 					load.step()
 				}
 				b.ResetTimer()
-				began := processorTime(b)
+				cpuBefore := cpuTime(b)
 				for range b.N {
 					load.step()
 				}
-				b.ReportMetric(float64(processorTime(b)-began)/float64(b.N), "cpu-ns/op")
-				b.ReportMetric(float64(load.waiting)/float64(load.submitted), "held/op")
+				b.ReportMetric(float64(cpuTime(b)-cpuBefore)/float64(b.N), "cpu-ns/op")
+				b.ReportMetric(float64(load.queued)/float64(load.submitted), "held/op")
 				_, used := c.SubsetSize()
 				b.ReportMetric(float64(used), "engines")
 			})
@@ -87,22 +88,22 @@
 	}
 }
 
-// benchLoad keeps benchInFlight attempts in flight.
+// benchLoad submits requests at a constant rate, with about benchInFlight attempts in flight.
 type benchLoad struct {
-	core               *Core
-	now, timerFiredAt  time.Duration
-	inFlight           []StartAttempt
-	endsAt             []time.Duration // one for each of inFlight
-	submitted, waiting int
+	core              *Core
+	now, timerFiredAt time.Duration
+	inFlight          []StartAttempt
+	endsAt            []time.Duration // end of each attempt of inFlight
+	submitted, queued int             // number of requests submitted, and of those that were not sent at once
 }
 
-// step submits a request and ends the attempts whose time has come.
+// step submits a request and ends the attempts that have taken benchDuration.
 func (l *benchLoad) step() {
 	l.now += benchDuration / benchInFlight
 	l.submitted++
-	_, actions := l.core.Submit(l.now, Query{Remaining: 4 * time.Second, TableGroup: l.submitted * 7919 % benchGroups, EstimatedWork: benchDuration})
-	if len(starts(actions)) == 0 {
-		l.waiting++
+	_, actions := l.core.Submit(l.now, Query{Remaining: 4 * time.Second, TableGroup: l.submitted * 7919 % benchTableGroups, EstimatedWork: benchDuration})
+	if len(startedAttempts(actions)) == 0 {
+		l.queued++
 	}
 	l.execute(actions)
 	for len(l.endsAt) > 0 && l.endsAt[0] <= l.now {
@@ -117,21 +118,21 @@
 }
 
 func (l *benchLoad) execute(actions []Action) {
-	for _, s := range starts(actions) {
+	for _, s := range startedAttempts(actions) {
 		l.core.MaySend(l.now, s.ID, s.Attempt, false)
 		l.inFlight, l.endsAt = append(l.inFlight, s), append(l.endsAt, l.now+benchDuration)
 	}
 }
 
-// BenchmarkSubsetChange measures the work of a gateway when the fleet changes: another gateway leaves or returns, and an
-// engine drains or returns.
+// BenchmarkSubsetChange measures the CPU time of a gateway for a change of the fleet: another gateway leaves or returns,
+// and an engine starts to drain or becomes ready again.
 func BenchmarkSubsetChange(b *testing.B) {
 	c := benchCore(b, 1100, true)
 	gateways := slices.Clone(c.subset.gateways)
 	health := []policy.Health{policy.Ready, policy.Draining}
-	now := start
+	now := startTime
 	b.ResetTimer()
-	began := processorTime(b)
+	cpuBefore := cpuTime(b)
 	for i := range b.N {
 		now += time.Second
 		gateways = slices.Clone(gateways)
@@ -142,16 +143,17 @@
 		c.UpdateEngines(now, false, []ListedEngine{entry})
 		c.TickSubset(now)
 		for number := range gateways {
-			if i%5 == 0 { // as often as the program does
+			if i%5 == 0 { // subsetdriver compares subsets every 5 s
 				c.SubsetOverlap(number)
 			}
 		}
 	}
-	b.ReportMetric(float64(processorTime(b)-began)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime(b)-cpuBefore)/float64(b.N), "cpu-ns/op")
 }
 
-// processorTime returns the CPU time that this process has used. Unlike wall time it is comparable on a shared machine.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used, which, unlike elapsed time, is comparable between runs on a
+// shared machine.
+func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
--- a/internal/core/subset_changes.go
+++ b/internal/core/subset_changes.go
@@ -8,34 +8,33 @@
 	"frostpier/policy"
 )
 
-// dispatchList sends the module an engine list: unchanged while the subset is the full list, otherwise only the changes
-// that concern the subset.
+// dispatchList passes an engine list to the module. While the subset contains all engines, the list is passed unchanged;
+// otherwise the module only gets the changes to engines of the subset.
 func (c *Core) dispatchList(now time.Duration, list policy.EngineList) []Action {
 	s := c.subset
 	if s == nil {
 		return c.dispatch(now, list)
 	}
 	c.updateChooser(now)
-	s.chooser.Changed() // resets the mark: the change is sent below
-	if s.isFullList && s.chooser.All() {
-		c.recordFullList()
+	s.chooser.Changed() // resets the flag, since the changes are sent below
+	if s.coversAll && s.chooser.All() {
+		c.markAllSent()
 		return c.dispatch(now, list)
 	}
 	actions := c.dispatchChanges(now)
-	return append(actions, c.updateIsFullList(now)...)
+	return append(actions, c.updateCoversAll(now)...)
 }
 
-// recordFullList records that the module has the state of every engine.
-func (c *Core) recordFullList() {
+// markAllSent records that the current state of each engine was sent to the module.
+func (c *Core) markAllSent() {
 	c.subset.sent = make(map[policy.EngineID]policy.EngineInfo, len(c.engines))
 	for id, e := range c.engines {
-		c.subset.sent[id] = e.listed()
+		c.subset.sent[id] = e.currentInfo()
 	}
 }
 
-// dispatchChanges sends the module the engines whose state differs from what it was sent last. Engines outside the subset
-// are never sent to a module that does not know them; those that it knows are sent as draining while an attempt is in
-// flight there, and then as gone.
+// dispatchChanges sends the module each engine whose state differs from the state sent last. An engine outside the subset
+// is only sent if the module already knows it: as draining while an attempt is in flight there, and as gone afterwards.
 func (c *Core) dispatchChanges(now time.Duration) []Action {
 	changed := c.changedEngines()
 	var disconnects []Action
@@ -43,27 +42,27 @@
 		before, known := c.subset.sent[after.ID]
 		c.subset.sent[after.ID] = after
 		e := c.engines[after.ID]
-		c.countChange(e, before, after, known)
+		c.countSubsetChange(e, before, after, known)
 		if after.Health != policy.Gone {
 			continue
 		}
-		c.subset.forgetAt = now + forgetDelay
-		if e.Health != policy.Gone { // the caller of UpdateEngines disconnects from engines that are gone from the list
+		c.subset.moduleCleanupAt = now + moduleCleanupDelay
+		if e.Health != policy.Gone { // UpdateEngines returns engines that are gone from the list, and its caller disconnects from them
 			disconnects = append(disconnects, Disconnect{e.ID})
 		}
 	}
-	c.dropForgotten()
+	c.pruneSentStates()
 	if len(changed) == 0 {
 		return nil
 	}
 	return append(disconnects, c.dispatch(now, policy.EngineList{Kind: policy.ListDelta, Engines: changed})...)
 }
 
-// changedEngines returns the states that the module lacks, in the order of the engines' IDs.
+// changedEngines returns the engine states to send to the module, sorted by engine ID.
 func (c *Core) changedEngines() (changed []policy.EngineInfo) {
 	for id, e := range c.engines {
 		before, known := c.subset.sent[id]
-		after, needed := c.stateFor(e, known)
+		after, needed := c.stateToSend(e, known)
 		if needed && !(known && before == after) {
 			changed = append(changed, after)
 		}
@@ -72,16 +71,16 @@
 	return changed
 }
 
-// stateFor returns the state of an engine that the module should have. known tells whether the module knows the engine;
-// needed is false where it need not.
-func (c *Core) stateFor(e *Engine, known bool) (info policy.EngineInfo, needed bool) {
-	info = e.listed()
+// stateToSend returns the state that the module should have for an engine. known reports whether the module knows the
+// engine. needed is false if the module does not need to know it.
+func (c *Core) stateToSend(e *Engine, known bool) (info policy.EngineInfo, needed bool) {
+	info = e.currentInfo()
 	wanted := c.inSubset(e)
 	switch {
 	case !known && (!wanted || info.Health == policy.Gone):
 		return info, false
 	case wanted:
-		info.Overflow = c.overflow(e)
+		info.Overflow = c.isOverflow(e)
 	case c.inFlightByEngine[e.ID] > 0 && info.Health != policy.Gone:
 		info.Health = policy.Draining
 	default:
@@ -90,8 +89,8 @@
 	return info, true
 }
 
-// countChange counts an engine that was added to the subset or removed from it.
-func (c *Core) countChange(e *Engine, before, after policy.EngineInfo, known bool) {
+// countSubsetChange counts an engine that was added to the subset or removed from it.
+func (c *Core) countSubsetChange(e *Engine, before, after policy.EngineInfo, known bool) {
 	wasReady := known && before.Health == policy.Ready
 	isReady := after.Health == policy.Ready
 	if isReady && !wasReady {
@@ -102,8 +101,8 @@
 	}
 }
 
-// releaseEngine records the end of an attempt at an engine. The last one ends the use of an engine that was removed from
-// the subset.
+// releaseEngine records the end of an attempt at an engine. If the engine is no longer in the subset and has no other
+// attempt in flight, the module is sent that it is gone.
 func (c *Core) releaseEngine(now time.Duration, id policy.EngineID) []Action {
 	if c.inFlightByEngine[id]--; c.inFlightByEngine[id] <= 0 {
 		delete(c.inFlightByEngine, id)
@@ -115,8 +114,8 @@
 	return c.dispatchChanges(now)
 }
 
-// dropForgotten removes the record of engines that are no longer known.
-func (c *Core) dropForgotten() {
+// pruneSentStates removes the sent states of engines that the Core no longer knows.
+func (c *Core) pruneSentStates() {
 	for id := range c.subset.sent {
 		if c.engines[id] == nil {
 			delete(c.subset.sent, id)
--- a/internal/core/subset_helpers_test.go
+++ b/internal/core/subset_helpers_test.go
@@ -18,7 +18,7 @@
 	subsetEngines  = 48
 )
 
-// eventRecorder is a decision module that keeps the events that it is sent.
+// eventRecorder is a decision module that records the events sent to it.
 type eventRecorder struct {
 	*policy.Gateway
 	events []policy.Event
@@ -29,14 +29,14 @@
 	return r.Gateway.Handle(now, event)
 }
 
-// lastSent returns the last state of an engine that the module was sent.
+// lastSent returns the state of an engine that was last sent to the module.
 func (r *eventRecorder) lastSent(id policy.EngineID) (info policy.EngineInfo, known bool) {
 	for _, event := range r.events {
 		list, ok := event.(policy.EngineList)
 		if !ok {
 			continue
 		}
-		if list.Kind == policy.ListFull { // engines that it lacks are gone
+		if list.Kind == policy.ListFull { // engines that are not in it are gone
 			info.Health = policy.Gone
 		}
 		for _, e := range list.Engines {
@@ -48,7 +48,7 @@
 	return info, known
 }
 
-// newRecordedCore returns the core of one gateway of several, and the recorder of what its module is sent.
+// newRecordedCore returns the Core of gateway number 3 in a fleet of subsetGateways, with the recorder of its module's events.
 func newRecordedCore(t testing.TB) (*Core, *eventRecorder, *invariant.Monitor) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -85,7 +85,7 @@
 	return chooser
 }
 
-// allGateways returns the gateways of the fleet, all in one zone; the first inService of them are in service.
+// allGateways returns the gateways of the fleet, all in one zone. The first inService of them are in service.
 func allGateways(inService int) (gateways []subset.Gateway) {
 	for i := range subsetGateways {
 		gateways = append(gateways, subset.Gateway{InService: i < inService})
@@ -95,7 +95,7 @@
 
 func engineNameAt(i int) string { return fmt.Sprintf("e%02d", i) }
 
-// fullList returns an engine list with all engines ready.
+// fullList returns an engine list with subsetEngines engines, all of them ready.
 func fullList() (entries []ListedEngine) {
 	for i := range subsetEngines {
 		entries = append(entries, listedEngine(engineNameAt(i), policy.Ready))
@@ -103,8 +103,8 @@
 	return entries
 }
 
-// starts returns the attempts that the actions start.
-func starts(actions []Action) (started []StartAttempt) {
+// startedAttempts returns the attempts that the actions start.
+func startedAttempts(actions []Action) (started []StartAttempt) {
 	for _, a := range actions {
 		if s, ok := a.(StartAttempt); ok {
 			started = append(started, s)
@@ -113,7 +113,7 @@
 	return started
 }
 
-// engineOutsideAndInside returns a listed engine that the subset lacks, and one that it has.
+// engineOutsideAndInside returns a listed engine outside the subset and one inside it.
 func engineOutsideAndInside(t testing.TB, c *Core) (outside, inside *Engine) {
 	t.Helper()
 	for i := range subsetEngines {
@@ -125,7 +125,7 @@
 		}
 	}
 	if outside == nil || inside == nil {
-		t.Fatalf("the subset has all or none of %d engines", subsetEngines)
+		t.Fatalf("the subset contains all or none of %d engines", subsetEngines)
 	}
 	return outside, inside
 }
--- a/internal/core/subset_model_test.go
+++ b/internal/core/subset_model_test.go
@@ -17,9 +17,9 @@
 	newChooser func(subset.Config) *subset.Chooser
 }
 
-// Any order of changes of the list, the subset, the fleet and the attempts keeps the invariants. Without a subset the
-// module has the state of every engine again.
-func TestInvariantsHoldWithSubsetsInAnyOrderOfEvents(t *testing.T) {
+// The invariants must hold for any order of changes to the engine list, the subset, the fleet and the attempts. After the
+// subset is lifted, the module must have the state of each engine.
+func TestInvariantsHoldForRandomEventsWithSubset(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c, recorded, invariants := newRecordedCore(t)
 		m := subsetModelRun{newModelRun(rt, c, invariants), func(config subset.Config) *subset.Chooser { return newChooser(t, config) }}
@@ -33,10 +33,10 @@
 		for id, e := range c.engines {
 			info, known := recorded.lastSent(id)
 			if !known && e.Health != policy.Gone {
-				rt.Fatalf("without a subset the module does not know %s, which is %v", e.Name, e.Health)
+				rt.Fatalf("after the subset is lifted, the module does not know %s, which is %v", e.Name, e.Health)
 			}
 			if known && info.Health != e.Health {
-				rt.Fatalf("without a subset the module was sent %s as %+v, the list as %v", e.Name, info, e.Health)
+				rt.Fatalf("after the subset is lifted, the module has %s as %+v, the engine list as %v", e.Name, info, e.Health)
 			}
 		}
 	})
@@ -52,27 +52,27 @@
 		m.execute(c.TimerFired(m.now, 1<<63))
 	case 4:
 		entries := m.drawEntries()
-		m.updateEngines(rapid.IntRange(0, 9).Draw(m.t, "whole") == 0, entries)
+		m.updateEngines(rapid.IntRange(0, 9).Draw(m.t, "full list if 0") == 0, entries)
 	case 5:
 		m.changeGateways()
 	case 6:
 		m.execute(c.TickSubset(m.now))
-		if n := c.sharers(); n < 1 || n > subsetGateways {
-			m.t.Fatalf("%d sharers", n)
+		if n := c.sharingGateways(); n < 1 || n > subsetGateways {
+			m.t.Fatalf("%d gateways share the engines", n)
 		}
 	case 7:
 		m.configure()
 	case 8, 9:
-		m.endSome()
+		m.endSomeAttempts()
 	}
 }
 
-// drawEntries draws entries of an engine list.
+// drawEntries returns random entries of an engine list.
 func (m subsetModelRun) drawEntries() (entries []ListedEngine) {
 	engines := rapid.SliceOfNDistinct(rapid.IntRange(0, subsetEngines-1), 0, 12, rapid.ID).Draw(m.t, "engines")
 	for _, i := range engines {
 		entry := listedEngine(engineNameAt(i), policy.Health(rapid.IntRange(0, 2).Draw(m.t, "health")))
-		if rapid.Bool().Draw(m.t, "cold") {
+		if rapid.Bool().Draw(m.t, "warming up") {
 			entry.Started = m.now
 		}
 		entries = append(entries, entry)
@@ -80,18 +80,18 @@
 	return entries
 }
 
-// changeGateways changes which gateways are in service, and makes the zone of one unknown.
+// changeGateways changes which gateways are in service and sets the zone of one of them to unknown.
 func (m subsetModelRun) changeGateways() {
 	gateways := allGateways(rapid.IntRange(1, subsetGateways).Draw(m.t, "in service"))
-	gateways[rapid.IntRange(0, subsetGateways-1).Draw(m.t, "unknown")].Zone = -1
+	gateways[rapid.IntRange(0, subsetGateways-1).Draw(m.t, "unknown zone")].Zone = -1
 	m.execute(m.core.SetGatewaysInService(m.now, rapid.IntRange(1, subsetGateways).Draw(m.t, "count")))
 	m.execute(m.core.SetGateways(m.now, gateways))
 }
 
-// configure changes the subset, or lifts it.
+// configure changes the settings of the subset, replaces it or lifts it.
 func (m subsetModelRun) configure() {
 	config := subsetConfig()
-	config.MinEngines = rapid.IntRange(1, subsetEngines).Draw(m.t, "least")
+	config.MinEngines = rapid.IntRange(1, subsetEngines).Draw(m.t, "MinEngines")
 	switch rapid.IntRange(0, 3).Draw(m.t, "change") {
 	case 0:
 		m.execute(m.core.UseSubset(m.now, nil))
@@ -107,17 +107,17 @@
 	}
 }
 
-// endSome ends some of the attempts in flight.
-func (m subsetModelRun) endSome() {
+// endSomeAttempts ends some of the attempts in flight.
+func (m subsetModelRun) endSomeAttempts() {
 	for _, id := range m.ids {
-		if s, inFlight := m.inFlight[id]; inFlight && rapid.Bool().Draw(m.t, "ends") {
+		if s, inFlight := m.inFlight[id]; inFlight && rapid.Bool().Draw(m.t, "attempt ends") {
 			m.endAttempt(s)
 		}
 	}
 }
 
-// differentialRun gives the same events to a core without a subset and to one whose subset is the full list, and compares
-// their actions.
+// differentialRun sends the same events to a Core without a subset and to one whose subset contains all engines, and
+// compares their actions.
 type differentialRun struct {
 	t                     *rapid.T
 	plain, subsetted      *Core
@@ -127,12 +127,12 @@
 	newChooser            func() *subset.Chooser
 }
 
-// While the subset is the full list, the module is sent the very same events, in the same order, as without a subset.
-func TestFullSubsetChangesNothing(t *testing.T) {
+// While the subset contains all engines, the module must be sent the same events in the same order as without a subset.
+func TestFullSubsetMatchesNoSubset(t *testing.T) {
 	full := subsetConfig()
 	full.MinEngines = subsetEngines
 	rapid.Check(t, func(rt *rapid.T) {
-		d := &differentialRun{t: rt, now: start, newChooser: func() *subset.Chooser { return newChooser(t, full) }}
+		d := &differentialRun{t: rt, now: startTime, newChooser: func() *subset.Chooser { return newChooser(t, full) }}
 		d.plain, d.plainSent, _ = newRecordedCore(t)
 		d.subsetted, d.subsetSent, _ = newRecordedCore(t)
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
@@ -140,16 +140,16 @@
 			d.step()
 		}
 		if !reflect.DeepEqual(d.plainSent.events, d.subsetSent.events) {
-			rt.Fatalf("without a subset the module is sent\n%+v\nwith it\n%+v", d.plainSent.events, d.subsetSent.events)
+			rt.Fatalf("events without a subset:\n%+v\nevents with a full subset:\n%+v", d.plainSent.events, d.subsetSent.events)
 		}
 	})
 }
 
-// both has both cores handle an event, and compares their actions.
-func (d *differentialRun) both(event string, handle func(c *Core) []Action) {
+// handleInBoth sends an event to both Cores and compares their actions.
+func (d *differentialRun) handleInBoth(event string, handle func(c *Core) []Action) {
 	plain, subsetted := handle(d.plain), handle(d.subsetted)
 	if !reflect.DeepEqual(plain, subsetted) {
-		d.t.Fatalf("%s: %+v without a subset, %+v with it", event, plain, subsetted)
+		d.t.Fatalf("%s: actions %+v without a subset, %+v with a full subset", event, plain, subsetted)
 	}
 }
 
@@ -161,12 +161,12 @@
 	case 1, 2:
 		d.submit()
 	case 3:
-		d.both("timer", func(c *Core) []Action { return c.TimerFired(d.now, 1<<63) })
+		d.handleInBoth("timer", func(c *Core) []Action { return c.TimerFired(d.now, 1<<63) })
 	case 4:
 		gateways := rapid.IntRange(1, subsetGateways).Draw(d.t, "gateways")
-		d.both("in service", func(c *Core) []Action { return c.SetGatewaysInService(d.now, gateways) })
+		d.handleInBoth("in service", func(c *Core) []Action { return c.SetGatewaysInService(d.now, gateways) })
 	case 5:
-		d.endSome()
+		d.endSomeAttempts()
 	case 6:
 		d.subsetted.UseSubset(d.now, d.newChooser())
 	case 7:
@@ -178,13 +178,13 @@
 }
 
 func (d *differentialRun) updateEngines() {
-	full := rapid.Bool().Draw(d.t, "whole")
+	full := rapid.Bool().Draw(d.t, "full list")
 	var entries []ListedEngine
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 0, 6, rapid.ID).Draw(d.t, "engines") {
 		health := policy.Health(rapid.IntRange(0, 2).Draw(d.t, "health"))
 		entries = append(entries, listedEngine(engineNameAt(i), health))
 	}
-	d.both("list", func(c *Core) []Action {
+	d.handleInBoth("list", func(c *Core) []Action {
 		_, actions := c.UpdateEngines(d.now, full, entries)
 		return actions
 	})
@@ -192,21 +192,21 @@
 
 func (d *differentialRun) submit() {
 	ids := map[*Core]ID{}
-	d.both("submit", func(c *Core) (actions []Action) {
+	d.handleInBoth("submit", func(c *Core) (actions []Action) {
 		ids[c], actions = c.Submit(d.now, testQuery)
 		return actions
 	})
 	if ids[d.plain] != ids[d.subsetted] {
-		d.t.Fatalf("request %d without a subset, %d with it", ids[d.plain], ids[d.subsetted])
+		d.t.Fatalf("request ID %d without a subset, %d with a full subset", ids[d.plain], ids[d.subsetted])
 	}
 	d.ids = append(d.ids, ids[d.plain])
 }
 
-// endSome ends some of the attempts in flight.
-func (d *differentialRun) endSome() {
+// endSomeAttempts ends some of the attempts in flight.
+func (d *differentialRun) endSomeAttempts() {
 	for _, id := range d.ids {
-		ends := rapid.Bool().Draw(d.t, "ends")
-		d.both("end", func(c *Core) []Action {
+		ends := rapid.Bool().Draw(d.t, "attempt ends")
+		d.handleInBoth("end", func(c *Core) []Action {
 			r := c.requests[id]
 			if r == nil || r.inFlight == 0 || !ends {
 				return nil
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -7,14 +7,15 @@
 	"frostpier/policy"
 )
 
-// An engine that is removed from the subset gets no new attempts. The attempts in flight there end with one reply each;
-// after the last one the module is sent the engine as gone, and its connections are closed.
-func TestEngineRemovedWithAttemptsInFlight(t *testing.T) {
+// An engine that is removed from the subset must get no new attempts. Each request with an attempt in flight there must
+// get one reply. After the last of these attempts, the module must be sent the engine as gone, and its connections must be
+// closed.
+func TestRemovedEngineFinishesAttemptsInFlight(t *testing.T) {
 	c, recorded, invariants := newRecordedCore(t)
-	c.UpdateEngines(start, true, fullList())
+	c.UpdateEngines(startTime, true, fullList())
 	attempts := startAttempts(t, c, 40)
-	c.UseSubset(start, newChooser(t, subsetConfig()))
-	c.SetGateways(start, allGateways(subsetGateways))
+	c.UseSubset(startTime, newChooser(t, subsetConfig()))
+	c.SetGateways(startTime, allGateways(subsetGateways))
 	if n := c.SubsetCounts(); n.Subset >= subsetEngines || n.Subset < 6 {
 		t.Fatalf("%+v", n)
 	}
@@ -23,10 +24,10 @@
 		inside := c.inSubset(c.engines[s.Engine.ID])
 		info, _ := recorded.lastSent(s.Engine.ID)
 		if inside && info.Health != policy.Ready {
-			t.Fatalf("an engine of the subset was sent as %v", info.Health)
+			t.Fatalf("an engine of the subset was sent to the module as %v", info.Health)
 		}
 		if !inside && info.Health != policy.Draining {
-			t.Fatalf("a removed engine was sent as %v while an attempt is in flight", info.Health)
+			t.Fatalf("a removed engine was sent to the module as %v while an attempt is in flight", info.Health)
 		}
 		disconnects := endServed(t, c, s)
 		if inside || c.inFlightByEngine[s.Engine.ID] > 0 {
@@ -34,26 +35,26 @@
 		}
 		removed++
 		if info, _ = recorded.lastSent(s.Engine.ID); info.Health != policy.Gone || disconnects != 1 {
-			t.Errorf("after the last attempt sent as %v, %d disconnects", info.Health, disconnects)
+			t.Errorf("after the last attempt the engine was sent as %v, with %d disconnects", info.Health, disconnects)
 		}
 	}
 	if removed == 0 {
-		t.Fatal("no engine with an attempt in flight was removed")
+		t.Fatal("no engine with attempts in flight was removed")
 	}
 	checkNewAttemptsInSubset(t, c)
 	if invariants.Violations() > 0 {
-		t.Error("an invariant was broken")
+		t.Error("an invariant was violated")
 	}
 }
 
-// startAttempts submits so many requests and sends their attempts.
+// startAttempts submits the given number of requests and sends their attempts.
 func startAttempts(t *testing.T, c *Core, requests int) (attempts []StartAttempt) {
 	t.Helper()
 	for range requests {
-		_, actions := c.Submit(start, testQuery)
-		for _, s := range starts(actions) {
-			if _, ok := c.MaySend(start, s.ID, s.Attempt, false); !ok {
-				t.Fatal("not sent")
+		_, actions := c.Submit(startTime, testQuery)
+		for _, s := range startedAttempts(actions) {
+			if _, ok := c.MaySend(startTime, s.ID, s.Attempt, false); !ok {
+				t.Fatal("MaySend denied an attempt")
 			}
 			attempts = append(attempts, s)
 		}
@@ -61,19 +62,19 @@
 	return attempts
 }
 
-// endServed ends an attempt with a response and checks that its request gets one reply. It returns how many engines are
-// to be disconnected.
+// endServed ends an attempt with a response and checks that its request gets one reply. It returns the number of
+// Disconnect actions.
 func endServed(t *testing.T, c *Core, s StartAttempt) (disconnects int) {
 	t.Helper()
 	replies := 0
-	for _, a := range c.AttemptEnded(start+time.Second, s.ID, s.Attempt, policy.OK, nil) {
+	for _, a := range c.AttemptEnded(startTime+time.Second, s.ID, s.Attempt, policy.OK, nil) {
 		switch a := a.(type) {
 		case Reply:
 			replies++
 		case Disconnect:
 			disconnects++
 		case CancelAttempt:
-			t.Errorf("attempt %+v was stopped", a)
+			t.Errorf("attempt cancelled: %+v", a)
 		}
 	}
 	if replies != 1 {
@@ -82,81 +83,82 @@
 	return disconnects
 }
 
-// checkNewAttemptsInSubset submits requests and checks that their attempts go to engines of the subset.
+// checkNewAttemptsInSubset submits requests and checks that their attempts are sent to engines of the subset.
 func checkNewAttemptsInSubset(t *testing.T, c *Core) {
 	t.Helper()
 	for range 300 {
-		_, actions := c.Submit(start+time.Second, testQuery)
-		for _, s := range starts(actions) {
+		_, actions := c.Submit(startTime+time.Second, testQuery)
+		for _, s := range startedAttempts(actions) {
 			if !c.inSubset(c.engines[s.Engine.ID]) {
-				t.Fatalf("a new attempt to %s, which was removed", s.Engine.Name)
+				t.Fatalf("new attempt at %s, which is not in the subset", s.Engine.Name)
 			}
-			c.AttemptEnded(start+time.Second, s.ID, s.Attempt, policy.NotSent, nil)
+			c.AttemptEnded(startTime+time.Second, s.ID, s.Attempt, policy.NotSent, nil)
 		}
 	}
 }
 
-// What the list says of an engine of the subset takes effect at once, in the module and in MaySend. The module never hears
-// of an engine outside the subset.
-func TestListChangesReachModule(t *testing.T) {
+// A change of the engine list must take effect at once for an engine of the subset, in the module and in MaySend. Engines
+// outside the subset must not be sent to the module.
+func TestEngineListChangesReachModule(t *testing.T) {
 	c, recorded, _ := newRecordedCore(t)
-	c.UseSubset(start, newChooser(t, subsetConfig()))
-	c.SetGateways(start, allGateways(subsetGateways))
-	c.UpdateEngines(start, true, fullList())
+	c.UseSubset(startTime, newChooser(t, subsetConfig()))
+	c.SetGateways(startTime, allGateways(subsetGateways))
+	c.UpdateEngines(startTime, true, fullList())
 	other, own := engineOutsideAndInside(t, c)
 	drains := []ListedEngine{listedEngine(other.Name, policy.Draining), listedEngine(own.Name, policy.Draining)}
-	c.UpdateEngines(start+time.Second, false, drains)
+	c.UpdateEngines(startTime+time.Second, false, drains)
 	if info, known := recorded.lastSent(own.ID); !known || info.Health != policy.Draining {
-		t.Errorf("the module was sent a draining engine as %+v", info)
+		t.Errorf("a draining engine was sent to the module as %+v", info)
 	}
 	if info, known := recorded.lastSent(other.ID); known {
-		t.Errorf("the module was sent an engine outside the subset: %+v", info)
+		t.Errorf("an engine outside the subset was sent to the module: %+v", info)
 	}
-	_, actions := c.Submit(start+time.Second, testQuery)
-	s := first[StartAttempt](t, actions)
-	c.UpdateEngines(start+time.Second, false, []ListedEngine{listedEngine(s.Engine.Name, policy.Draining)})
-	if _, ok := c.MaySend(start+time.Second, s.ID, s.Attempt, false); ok {
-		t.Error("a draining engine gets new work")
+	_, actions := c.Submit(startTime+time.Second, testQuery)
+	s := firstAction[StartAttempt](t, actions)
+	c.UpdateEngines(startTime+time.Second, false, []ListedEngine{listedEngine(s.Engine.Name, policy.Draining)})
+	if _, ok := c.MaySend(startTime+time.Second, s.ID, s.Attempt, false); ok {
+		t.Error("MaySend allowed an attempt at a draining engine")
 	}
-	c.UpdateEngines(start+2*time.Second, true, []ListedEngine{listedEngine(other.Name, policy.Ready)})
+	c.UpdateEngines(startTime+2*time.Second, true, []ListedEngine{listedEngine(other.Name, policy.Ready)})
 	if info, _ := recorded.lastSent(own.ID); info.Health != policy.Gone {
-		t.Errorf("the module was sent an engine that a full list lacks as %+v", info)
+		t.Errorf("an engine that is not in a full list was sent to the module as %+v", info)
 	}
 }
 
-// An engine that is added to the subset while it warms up is sent with its start time, so that slow start applies.
-func TestAddedEngineIsWarmingUp(t *testing.T) {
+// An engine that is added to the subset while it warms up must be sent to the module with its start time, so that slow
+// start applies.
+func TestAddedEngineKeepsStartTime(t *testing.T) {
 	c, recorded, _ := newRecordedCore(t)
-	c.UseSubset(start, newChooser(t, subsetConfig()))
-	c.SetGateways(start, allGateways(subsetGateways))
-	c.UpdateEngines(start, true, fullList())
+	c.UseSubset(startTime, newChooser(t, subsetConfig()))
+	c.SetGateways(startTime, allGateways(subsetGateways))
+	c.UpdateEngines(startTime, true, fullList())
 	other, _ := engineOutsideAndInside(t, c)
 	entry := listedEngine(other.Name, policy.Ready)
-	entry.Started = start + time.Second
-	c.UpdateEngines(start+2*time.Second, false, []ListedEngine{entry})
+	entry.Started = startTime + time.Second
+	c.UpdateEngines(startTime+2*time.Second, false, []ListedEngine{entry})
 	if _, known := recorded.lastSent(other.ID); known {
-		t.Fatal("it is in the subset already")
+		t.Fatal("the engine is already in the subset")
 	}
-	c.SetGateways(start+3*time.Second, allGateways(0)) // alone, this gateway uses every engine
+	c.SetGateways(startTime+3*time.Second, allGateways(0)) // the only gateway in service uses all engines
 	info, known := recorded.lastSent(other.ID)
 	if !known || info.Health != policy.Ready || info.Started != entry.Started {
-		t.Errorf("sent as %+v", info)
+		t.Errorf("the engine was sent to the module as %+v", info)
 	}
-	warmingUp := recorded.Estimate(start+3*time.Second, other.ID)
-	warm := recorded.Estimate(start+3*time.Second, engineID(engineNameAt(0)))
+	warmingUp := recorded.Estimate(startTime+3*time.Second, other.ID)
+	warm := recorded.Estimate(startTime+3*time.Second, engineID(engineNameAt(0)))
 	if warmingUp.Target >= warm.Target {
-		t.Errorf("a target of %g threads at the engine that warms up, %g at a warm one", warmingUp.Target, warm.Target)
+		t.Errorf("target of %g threads for the engine that warms up, %g for a warm one", warmingUp.Target, warm.Target)
 	}
 }
 
-// Concurrency targets are divided by the number of gateways that share the subset's engines. Gateways whose subset is
-// unknown count as using every engine.
-func TestSharersAreCounted(t *testing.T) {
+// The module must be sent the number of gateways that share the subset's engines, by which it divides concurrency targets.
+// Gateways whose subset is unknown must count as using all engines.
+func TestSharingGatewaysAreCounted(t *testing.T) {
 	c, recorded, _ := newRecordedCore(t)
-	c.UpdateEngines(start, true, fullList())
-	c.UseSubset(start, newChooser(t, subsetConfig()))
-	c.SetGateways(start, allGateways(subsetGateways))
-	sharers := func() (count int) {
+	c.UpdateEngines(startTime, true, fullList())
+	c.UseSubset(startTime, newChooser(t, subsetConfig()))
+	c.SetGateways(startTime, allGateways(subsetGateways))
+	lastCount := func() (count int) {
 		for _, event := range recorded.events {
 			if e, ok := event.(policy.GatewaysInService); ok {
 				count = e.Count
@@ -164,58 +166,59 @@
 		}
 		return count
 	}
-	known := sharers()
-	if holders := c.subset.chooser.MeanGateways(); known != int(holders+0.5) || known >= subsetGateways {
-		t.Fatalf("%d sharers, %.2f holders", known, holders)
+	known := lastCount()
+	if mean := c.subset.chooser.MeanGateways(); known != int(mean+0.5) || known >= subsetGateways {
+		t.Fatalf("%d sharing gateways, mean %.2f per engine", known, mean)
 	}
 	gateways := allGateways(subsetGateways)
 	gateways[0].Zone, gateways[1].Zone = -1, -1
-	c.SetGateways(start, gateways)
-	c.TickSubset(start + sharersInterval)
-	if n := sharers(); n <= known {
-		t.Errorf("%d sharers while two gateways may use every engine, %d while none does", n, known)
+	c.SetGateways(startTime, gateways)
+	c.TickSubset(startTime + sharingCountInterval)
+	if n := lastCount(); n <= known {
+		t.Errorf("%d sharing gateways with two unknown zones, %d without", n, known)
 	}
-	c.SetGatewaysInService(start+sharersInterval, 9)
-	c.UseSubset(start+sharersInterval, nil)
-	if n := sharers(); n != 9 {
-		t.Errorf("%d sharers of 9 gateways in service without a subset", n)
+	c.SetGatewaysInService(startTime+sharingCountInterval, 9)
+	c.UseSubset(startTime+sharingCountInterval, nil)
+	if n := lastCount(); n != 9 {
+		t.Errorf("%d sharing gateways without a subset, want the 9 in service", n)
 	}
 }
 
-// The module's state must not grow with every engine that ever was in the subset.
+// The module must delete its state of engines that were removed from the subset, which would otherwise grow with each of
+// them.
 func TestModuleForgetsRemovedEngines(t *testing.T) {
 	c, recorded, _ := newRecordedCore(t)
-	c.UpdateEngines(start, true, fullList())
-	c.UseSubset(start, newChooser(t, subsetConfig()))
-	c.SetGateways(start, allGateways(subsetGateways))
-	for now := start; now < start+2*forgetDelay; now += time.Second {
+	c.UpdateEngines(startTime, true, fullList())
+	c.UseSubset(startTime, newChooser(t, subsetConfig()))
+	c.SetGateways(startTime, allGateways(subsetGateways))
+	for now := startTime; now < startTime+2*moduleCleanupDelay; now += time.Second {
 		c.TickSubset(now)
 	}
 	other, own := engineOutsideAndInside(t, c)
-	if estimate := recorded.Estimate(start+2*forgetDelay, other.ID); estimate.Limit != 0 {
-		t.Errorf("still known: %+v", estimate)
+	if estimate := recorded.Estimate(startTime+2*moduleCleanupDelay, other.ID); estimate.Limit != 0 {
+		t.Errorf("the module still knows a removed engine: %+v", estimate)
 	}
-	if estimate := recorded.Estimate(start+2*forgetDelay, own.ID); estimate.Limit == 0 {
-		t.Errorf("forgotten: %+v", estimate)
+	if estimate := recorded.Estimate(startTime+2*moduleCleanupDelay, own.ID); estimate.Limit == 0 {
+		t.Errorf("the module does not know an engine of the subset: %+v", estimate)
 	}
 }
 
-// The module is sent which engines are overflow, beyond the core of the subset, and that a subset is in use. Neither
-// holds any more once the subset is lifted.
-func TestModuleKnowsOverflowEngines(t *testing.T) {
+// The module must be sent which engines of the subset are overflow engines, outside the core of the subset, and that a
+// subset is in use. After the subset is lifted, neither must hold.
+func TestModuleIsSentOverflowEngines(t *testing.T) {
 	c, recorded, _ := newRecordedCore(t)
 	chooser := newChooser(t, subsetConfig())
-	c.UseSubset(start, chooser)
-	c.UpdateEngines(start, true, fullList())
-	c.SetGateways(start, allGateways(subsetGateways))
+	c.UseSubset(startTime, chooser)
+	c.UpdateEngines(startTime, true, fullList())
+	c.SetGateways(startTime, allGateways(subsetGateways))
 	var draining []ListedEngine
 	for i := range subsetEngines {
 		if chooser.Core(uint64(engineID(engineNameAt(i)))) && len(draining) < 3 {
 			draining = append(draining, listedEngine(engineNameAt(i), policy.Draining))
 		}
 	}
-	c.UpdateEngines(start, false, draining) // overflow engines replace them
-	c.TickSubset(start + sharersInterval)
+	c.UpdateEngines(startTime, false, draining) // overflow engines replace them
+	c.TickSubset(startTime + sharingCountInterval)
 	overflow := 0
 	for id := range c.engines {
 		info, known := recorded.lastSent(id)
@@ -223,22 +226,22 @@
 			continue
 		}
 		if info.Overflow == chooser.Core(uint64(id)) {
-			t.Errorf("engine %x: overflow %v, in the core of the subset %v", id, info.Overflow, chooser.Core(uint64(id)))
+			t.Errorf("engine %x: overflow is %v, in the core of the subset is %v", id, info.Overflow, chooser.Core(uint64(id)))
 		}
 		if info.Overflow {
 			overflow++
 		}
 	}
-	if overflow == 0 || !c.sentInService.Subset {
-		t.Fatalf("%d overflow engines, subset in use: %v", overflow, c.sentInService.Subset)
+	if overflow == 0 || !c.lastInService.Subset {
+		t.Fatalf("%d overflow engines, subset in use: %v", overflow, c.lastInService.Subset)
 	}
-	c.UseSubset(start+2*sharersInterval, nil)
+	c.UseSubset(startTime+2*sharingCountInterval, nil)
 	for id := range c.engines {
 		if info, known := recorded.lastSent(id); !known || info.Overflow {
-			t.Errorf("engine %x after the subset is lifted: %+v", id, info)
+			t.Errorf("engine %x was sent after the subset was lifted as %+v", id, info)
 		}
 	}
-	if c.sentInService.Subset {
-		t.Error("the module still counts a subset after it is lifted")
+	if c.lastInService.Subset {
+		t.Error("the module was not sent that the subset was lifted")
 	}
 }
--- a/internal/core/tablegroup.go
+++ b/internal/core/tablegroup.go
@@ -2,12 +2,12 @@
 
 import "strings"
 
-// maxGroupDigits bounds the digits of a table group's number.
+// maxGroupDigits is the maximum number of digits of a table group's number.
 const maxGroupDigits = 7
 
 // TableGroup returns the number of the table group that a SQL statement reads or writes: the digits after the last
-// underscore of its schema's name, as 17 in sales_17.orders. Strings, comments and the schema staging do not count. It
-// returns 0 for a statement without a table group.
+// underscore of the schema name, for example 17 for sales_17.orders. Strings, comments and the schema staging are
+// ignored. TableGroup returns 0 for a statement without a table group.
 func TableGroup(statement string) int {
 	first, previous := 0, ""
 	for rest := statement; rest != ""; {
@@ -18,7 +18,7 @@
 				return n
 			}
 			if first == 0 {
-				first = n // may be a table alias, so a schema after FROM and the like takes precedence
+				first = n // may be a table alias, so a schema after FROM or another keyword takes precedence
 			}
 		}
 		if word != "" {
@@ -28,7 +28,7 @@
 	return first
 }
 
-// qualifierGroup returns the table group that a word names, if the text after it shows that it is a schema.
+// qualifierGroup returns the table group of a word that is a schema qualifier: rest, the text after it, starts with a dot.
 func qualifierGroup(word, rest string) (group int, ok bool) {
 	isSchema := strings.HasPrefix(rest, ".") && word != "" && !strings.EqualFold(word, "staging")
 	if !isSchema {
@@ -37,13 +37,13 @@
 	return groupNumber(word)
 }
 
-// SchemaGroup returns the number of the table group that a schema belongs to; 0 for none.
+// SchemaGroup returns the number of a schema's table group, or 0 if it has none.
 func SchemaGroup(schema string) int {
 	n, _ := groupNumber(schema)
 	return n
 }
 
-// introducesTable reports whether a table's name follows the keyword.
+// introducesTable reports whether a word is a keyword that a table name follows.
 func introducesTable(word string) bool {
 	switch strings.ToUpper(word) {
 	case "FROM", "JOIN", "INTO", "UPDATE", "TABLE":
@@ -52,8 +52,8 @@
 	return false
 }
 
-// nextToken cuts the first token off a statement. word is empty if that is a string, a comment or a single byte that is
-// no part of a name.
+// nextToken splits a non-empty statement after its first token. word is empty if the token is a string, a comment or a
+// byte that cannot be part of a name.
 func nextToken(s string) (word, rest string) {
 	switch {
 	case s[0] == '\'' || s[0] == '"':
@@ -75,8 +75,8 @@
 	return s[:n], s[max(n, 1):]
 }
 
-// skipQuoted returns what follows the quoted text that s starts with. A doubled quote is part of the text, as is one
-// after a backslash, which is no escape between backquotes.
+// skipQuoted returns the text after the quoted text at the start of s. A doubled quote is part of the quoted text, as is a
+// quote escaped with a backslash. Between backquotes a backslash is not an escape.
 func skipQuoted(s string, quote byte) string {
 	for i := 1; i < len(s); i++ {
 		switch {
@@ -96,7 +96,7 @@
 	return b == '_' || b == '$' || b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b >= 0x80
 }
 
-// groupNumber returns the number after the last underscore of a schema's name.
+// groupNumber returns the number after the last underscore of a schema name.
 func groupNumber(schema string) (n int, ok bool) {
 	i := strings.LastIndexByte(schema, '_')
 	digits := schema[i+1:]
