--- a/internal/control/membership/bench_test.go
+++ b/internal/control/membership/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// connectedNodes returns members 0 and 1 of a fleet of 300, which have had contact with all others.
-func connectedNodes(tb failer) (a, b *Node) {
+// connectedNodes returns members 0 and 1 of a fleet of 300. Both have received a datagram from each of the others.
+func connectedNodes(tb testingT) (a, b *Node) {
 	a, b = newNode(tb, 0, 300), newNode(tb, 1, 300)
 	for i := range 300 {
 		if i > 1 {
@@ -17,16 +17,16 @@
 	return a, b
 }
 
-// pingAndAck has member a ping member b, and handle the ACK: two datagrams encoded and decoded.
+// pingAndAck lets a ping b and handle the ACK, which encodes and decodes two datagrams.
 func pingAndAck(a, b *Node, now time.Duration) {
-	a.reset()
+	a.clearOutput()
 	a.ping(now, 1)
 	b.Receive(now, a.cfg.Peers[0], a.Datagrams()[0].Bytes)
 	a.Receive(now, a.cfg.Peers[1], b.Datagrams()[0].Bytes)
 }
 
-// The steady state allocates nothing: neither a Tick nor a ping with its ACK.
-func TestNothingIsAllocated(t *testing.T) {
+// Checks that neither a Tick nor a ping with its ACK allocates memory in the steady state.
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	a, b := connectedNodes(t)
 	now := epoch + time.Second
 	for range 100 {
@@ -34,14 +34,14 @@
 		pingAndAck(a, b, now)
 	}
 	if k := testing.AllocsPerRun(200, func() { pingAndAck(a, b, now) }); k > 0 {
-		t.Errorf("%v allocations in a ping and its ACK", k)
+		t.Errorf("%v allocations per ping and ACK, want none", k)
 	}
 	if k := testing.AllocsPerRun(200, func() { a.Tick(now) }); k > 0 {
-		t.Errorf("%v allocations in a tick", k)
+		t.Errorf("%v allocations per Tick, want none", k)
 	}
 }
 
-func BenchmarkPingAndAnswer(b *testing.B) {
+func BenchmarkPingAndAck(b *testing.B) {
 	x, y := connectedNodes(b)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/control/membership/broadcast.go
+++ b/internal/control/membership/broadcast.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// broadcastQueue holds the members on which there is an update to gossip, each once, the least retransmitted first. It is a
-// ring with a place for every member.
+// broadcastQueue is a queue of the members whose state is to be gossiped, each at most once. New updates enter at the
+// front, and transmitted ones return to the back. It is a ring buffer with a slot for every member.
 type broadcastQueue struct {
 	ring        []int32
 	head, count int
@@ -29,7 +29,7 @@
 	return int(i)
 }
 
-// queueUpdate queues the state of a member to be gossiped the given number of times.
+// queueUpdate queues the update about a member for the given number of transmissions.
 func (n *Node) queueUpdate(now time.Duration, i int, retransmits int16) {
 	m := &n.members[i]
 	if m.retransmits == 0 {
@@ -40,7 +40,8 @@
 	n.scheduleGossip(now)
 }
 
-// appendQueuedUpdates moves queued updates into a datagram until one does not fit.
+// appendQueuedUpdates appends queued updates to a datagram until one does not fit, and removes those that have been
+// transmitted often enough.
 func (n *Node) appendQueuedUpdates(w *datagramWriter) {
 	for range n.broadcasts.count {
 		i := n.broadcasts.pop()
--- a/internal/control/membership/broadcast_test.go
+++ b/internal/control/membership/broadcast_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// Updates leave the queue from the front, also where its ring wraps around.
+// Checks that updates are popped in order from the front of the queue, including when the ring buffer wraps around.
 func TestBroadcastQueueOrder(t *testing.T) {
 	var q broadcastQueue
 	q.init(3)
-	for range 5 { // rotates through the ring
+	for range 5 { // moves the head through the whole ring
 		q.pushBack(1)
 		q.pushBack(2)
 		q.pushFront(0)
@@ -19,6 +19,6 @@
 		q.pop()
 	}
 	if q.count != 0 {
-		t.Errorf("%d updates left", q.count)
+		t.Errorf("%d updates left in the queue, want none", q.count)
 	}
 }
--- a/internal/control/membership/budget_test.go
+++ b/internal/control/membership/budget_test.go
@@ -5,90 +5,91 @@
 	"time"
 )
 
-// fullDatagram is the lower bound of the length of a datagram that extensions fill.
-const fullDatagram = MaxDatagramSize - 3*listOverhead
+// minFullDatagramSize is the minimum size of a datagram that extensions fill.
+const minFullDatagramSize = MaxDatagramSize - 3*listOverhead
 
-// lengths returns the lengths of the last call's datagrams.
-func (n *Node) lengths() (out []int) {
+// datagramLengths returns the lengths of the datagrams of the last call.
+func (n *Node) datagramLengths() (out []int) {
 	for _, d := range n.Datagrams() {
 		out = append(out, len(d.Bytes))
 	}
 	return out
 }
 
-// Failure detection sends its datagrams whatever the budget, without piggybacked messages while it is empty; an empty
-// budget is refilled.
-func TestEmptyBudgetDoesNotStopDetection(t *testing.T) {
+// Checks that an empty byte budget does not prevent pings, but only piggybacked messages and extension datagrams, and that
+// the budget is refilled over time.
+func TestEmptyBudgetDoesNotBlockProbes(t *testing.T) {
 	n := newNode(t, 0, 20, testExtension{1})
 	now := epoch + time.Second
 	pingLength := func() int {
-		n.reset()
+		n.clearOutput()
 		n.ping(now, 5)
-		return n.lengths()[0]
+		return n.datagramLengths()[0]
 	}
-	if length := pingLength(); length < fullDatagram {
-		t.Fatalf("a ping of %d bytes with a full budget", length)
+	if length := pingLength(); length < minFullDatagramSize {
+		t.Fatalf("a ping with a full budget has %d bytes, want at least %d", length, minFullDatagramSize)
 	}
 	n.queueUpdate(now, 7, n.retransmitLimit)
 	n.budget.spend(int(n.budget.perInterval))
 	if length := pingLength(); length > 40 {
-		t.Errorf("a ping of %d bytes with an empty budget", length)
+		t.Errorf("a ping with an empty budget has %d bytes, want at most 40", length)
 	}
-	n.reset()
+	n.clearOutput()
 	n.nextExtensionsAt = now
 	n.tickExtensions(now)
 	if len(n.Datagrams()) > 0 || n.Counts().Postponed != 1 {
-		t.Errorf("%d datagrams for extensions with an empty budget, %d counted as postponed", len(n.Datagrams()), n.Counts().Postponed)
+		t.Errorf("empty budget: %d extension datagrams sent, want none; %d counted as postponed, want 1", len(n.Datagrams()), n.Counts().Postponed)
 	}
 	now += 2 * n.cfg.Interval
-	if length := pingLength(); length < fullDatagram {
-		t.Errorf("a ping of %d bytes two intervals later", length)
+	if length := pingLength(); length < minFullDatagramSize {
+		t.Errorf("a ping two intervals later has %d bytes, want at least %d", length, minFullDatagramSize)
 	}
 }
 
-// Updates on members and chunks of the full state are sent at a low rate however empty the budget is.
+// Checks that updates and chunks of the full state are still sent, at a low rate, while the byte budget is exhausted.
 func TestEmptyBudgetDoesNotStarveUpdates(t *testing.T) {
 	n := newNode(t, 0, 20)
 	n.syncRequests = append(n.syncRequests, syncRequest{to: 3})
 	gossips, chunks := 0, 0
 	const intervals = 10
-	for now := epoch + time.Second; now < epoch+time.Second+intervals*n.cfg.Interval; now += n.cfg.intervals(gossipShare) {
+	for now := epoch + time.Second; now < epoch+time.Second+intervals*n.cfg.Interval; now += n.cfg.intervals(gossipPeriodIntervals) {
 		n.budget.spend(int(2 * n.budget.perInterval))
 		n.queueUpdate(now, 7, n.retransmitLimit)
 		n.syncRequests = append(n.syncRequests[:0], syncRequest{to: 3})
-		n.reset()
+		n.clearOutput()
 		n.sendUpdates(now)
 		gossips += len(n.Datagrams())
-		n.reset()
+		n.clearOutput()
 		n.sendSyncChunks(now)
 		chunks += len(n.Datagrams())
 	}
-	if lowest := int(intervals/updatePatience) - 1; gossips < lowest || gossips > lowest+2 {
-		t.Errorf("%d datagrams of updates in %d intervals", gossips, intervals)
+	if lowest := int(intervals/maxUpdateDelayIntervals) - 1; gossips < lowest || gossips > lowest+2 {
+		t.Errorf("%d gossip datagrams in %d intervals, want %d to %d", gossips, intervals, lowest, lowest+2)
 	}
-	if lowest := int(intervals/syncChunkPatience) - 1; chunks < lowest || chunks > lowest+2 {
-		t.Errorf("%d chunks in %d intervals", chunks, intervals)
+	if lowest := int(intervals/maxSyncChunkDelayIntervals) - 1; chunks < lowest || chunks > lowest+2 {
+		t.Errorf("%d chunks in %d intervals, want %d to %d", chunks, intervals, lowest, lowest+2)
 	}
 }
 
-// A suspect is sent the update on itself, and no piggybacked messages, which would be lost with it.
+// Checks that a ping of a suspect contains the update about the suspect and no piggybacked messages, since a suspect
+// probably does not receive them.
 func TestSuspectsReceiveNoPiggybackedMessages(t *testing.T) {
 	n := newNode(t, 0, 20, testExtension{1})
 	n.deliverUpdate(t, 5, Suspect, startIncarnation, 1)
 	n.deliver(t, 1, datagramFrom(n, 1, withUpdate(6, Left, startIncarnation, 6)))
-	n.reset()
+	n.clearOutput()
 	n.ping(epoch+time.Second, 5)
 	d := n.firstDatagram(t)
 	if len(d.About) != 1 || d.About[0] != 5 || len(d.Payload) > 0 {
-		t.Errorf("a ping of a suspect names members %v and has %d extensions", d.About, len(d.Payload))
+		t.Errorf("the ping of suspect 5 has updates about %v and %d payloads, want an update about 5 only", d.About, len(d.Payload))
 	}
 }
 
-// The budget is larger where the configuration sends datagrams for extensions often.
-func TestBudgetAllowsForExtensions(t *testing.T) {
+// Checks that a short ExtensionInterval raises the rate of the byte budget, and a usual one does not.
+func TestBudgetGrowsWithExtensionRate(t *testing.T) {
 	usual := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: 300 * time.Millisecond})
 	often := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: minExtensionInterval})
-	if usual.perInterval != bytesPerInterval || often.perInterval < MaxDatagramSize*float64(DefaultInterval/minExtensionInterval)/extensionShare {
-		t.Errorf("%g and %g bytes an interval", usual.perInterval, often.perInterval)
+	if usual.perInterval != bytesPerInterval || often.perInterval < MaxDatagramSize*float64(DefaultInterval/minExtensionInterval)/maxExtensionFraction {
+		t.Errorf("budget with the usual and the shortest extension interval: %g and %g bytes per interval", usual.perInterval, often.perInterval)
 	}
 }
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -1,9 +1,9 @@
-// Package membership keeps, at each gateway, a view of which gateways of the fleet are in service: a SWIM failure
-// detector with gossip, and the Lifeguard extensions.
+// Package membership maintains each gateway's view of which gateways of the fleet are in service. It implements the SWIM
+// failure detector and gossip protocol with the Lifeguard extensions.
 //
-// A Node is a deterministic state machine. It is given the time and the datagrams received, and returns the datagrams
-// to send, the events and the time of the next Tick. It opens no socket, reads no clock and starts no goroutine; every
-// random draw comes from Config.Seed. It is not safe for concurrent use: one goroutine (the event loop of package
+// A Node is a deterministic state machine. Its inputs are the current time and received datagrams; its outputs are
+// datagrams to send, events, and the time of the next Tick. It opens no socket, reads no clock and starts no goroutine;
+// every random draw comes from Config.Seed. It is not safe for concurrent use: one goroutine (the event loop of package
 // datagram, or a simulation) makes all calls.
 //
 // Sources: A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
@@ -13,10 +13,10 @@
 // by confirmations) and IV-C (buddy system: a suspect is notified first). Deviations from the papers are marked
 // "deviation" with their reason; docs/design/membership.md discusses them.
 //
-// Files: node.go (API, state), probe.go (direct and indirect probes), suspicion.go, table.go (state of the members,
-// refutation), broadcast.go (queue of updates), gossip.go (rounds of gossip), extension.go (messages of other
-// subsystems), sync.go (exchange of full state), encode.go and decode.go (datagrams), budget.go (bytes sent),
-// invariants.go.
+// Files: node.go (API, state), timer.go (timers, local health), probe.go (direct and indirect probes), relay.go
+// (indirect probes on behalf of others), suspicion.go, table.go (state of the members, refutation), broadcast.go (queue
+// of updates), gossip.go (rounds of gossip), extension.go (messages of other subsystems), sync.go (exchange of full
+// state), encode.go and decode.go (datagrams), budget.go (bytes sent), invariants.go.
 package membership
 
 import (
@@ -27,106 +27,105 @@
 	"time"
 )
 
-// MaxDatagramSize is the upper bound in bytes of a datagram, extension messages included.
+// MaxDatagramSize is the maximum size of a datagram in bytes, including extension messages.
 const MaxDatagramSize = 256
 
-// MaxMembers is the upper bound of len(Config.Peers), and with it of every table.
+// MaxMembers is the maximum length of Config.Peers, which bounds the size of every table.
 const MaxMembers = 4096
 
-// DefaultInterval is the default of Config.Interval, the protocol period T' of SWIM. A pause of 2 s must not look like a
-// death, and the shortest suspicion lasts suspicionShare times the interval.
+// DefaultInterval is the default of Config.Interval, the protocol period T' of SWIM. With it, the shortest suspicion
+// timeout (suspicionTimeoutIntervals) is long enough that a member which pauses for 2 s is not declared dead.
 const DefaultInterval = 2 * time.Second
 
-// Lower bounds of the intervals that a Config may set.
+// Lower bounds of Config.Interval and Config.ExtensionInterval.
 const (
 	minInterval          = 100 * time.Millisecond
 	minExtensionInterval = 50 * time.Millisecond
 )
 
-// Durations of a probe, as multiples of the interval.
+// Timing of probes, in protocol intervals.
 const (
-	directProbeShare    = 0.2  // until indirect probes are requested
-	probeShare          = 0.5  // until the target is suspected
-	pauseGraceShare     = 0.02 // by which a Tick may be late before all timers are postponed (deviation)
-	unhealthyPauseShare = 0.25 // by which a Tick must be late to raise the local health score
+	probeTimeoutIntervals   = 0.2  // from the direct probe until indirect probes are requested
+	probeDeadlineIntervals  = 0.5  // from the direct probe until the target is suspected
+	pauseGraceIntervals     = 0.02 // delay of a call above which all timers are postponed (deviation)
+	unhealthyPauseIntervals = 0.25 // delay of a call above which the local health score rises
 )
 
-// Durations of a suspicion, as multiples of the interval unless stated otherwise.
+// Timing of suspicions, in protocol intervals unless stated otherwise.
 const (
-	suspicionShare         = 1.75 // shortest suspicion timeout, so that the median detection takes three intervals
-	maxSuspicionFactor     = 2.0  // longest suspicion timeout, without confirmations, as a multiple of the shortest
-	gossipedSuspicionDelay = 1.6  // added by a member that only heard of the suspicion (deviation)
-	suspectPingShare       = 0.15 // between two pings of a suspect before it is declared dead (deviation)
-	minSuspectPingTime     = 1.0  // for which a suspect is pinged at least before it is declared dead (deviation)
+	suspicionTimeoutIntervals       = 1.75 // shortest suspicion timeout; the median detection time is then three intervals
+	maxSuspicionTimeoutFactor       = 2.0  // longest suspicion timeout (no confirmations) as a multiple of the shortest
+	gossipedSuspicionDelayIntervals = 1.6  // additional timeout at members that learned of the suspicion by gossip (deviation)
+	suspectPingPeriodIntervals      = 0.15 // minimum time between two pings of the same suspect (deviation)
+	minVerificationIntervals        = 1.0  // minimum time for which a suspect is pinged before it is declared dead (deviation)
 )
 
-// Counts of probes and suspicions.
+// Limits of probes and suspicions.
 const (
-	indirectProbeFanout  = 3 // members asked for an indirect probe: k of SWIM section 3.1
-	indirectProbeRounds  = 2 // requests for indirect probes, to other members each time (deviation): loss alone must not raise a suspicion
-	maxConfirmations     = 2 // members that suspect beside the first at which the suspicion timeout is shortest: K of Lifeguard
-	suspectPingsPerRound = 8 // pings of all suspects together per suspectPingShare (deviation)
-	minSuspectPings      = 8 // unanswered pings before a member is declared dead (deviation): loss alone must not do it
-	maxHealthScore       = 4 // of the local health score; 0 is healthy (S = 8 of Lifeguard keeps a lone survivor silent for minutes)
+	indirectProbeFanout  = 3 // members that receive a PING_REQ per round: k of SWIM section 3.1
+	indirectProbeRounds  = 2 // rounds of PING_REQs, each to other members, so that packet loss alone raises no suspicion (deviation)
+	maxConfirmations     = 2 // confirmations at which the suspicion timeout is shortest: K of Lifeguard
+	suspectPingsPerRound = 8 // maximum pings of all suspects together per suspectPingPeriodIntervals (deviation)
+	minSuspectPings      = 8 // unanswered pings before a member is declared dead, so that packet loss alone is not enough (deviation)
+	maxHealthScore       = 4 // 0 is healthy; with Lifeguard's S = 8 a lone survivor stayed silent for minutes
 	maxRelayedProbes     = 32
 )
 
-// Gossip and exchange of state.
+// Parameters of gossip and of the exchange of the full state.
 const (
-	gossipShare          = 0.1 // of the interval between two rounds of gossip, while updates are queued
-	startupIntervals     = 5   // after Start in which the state of others is adopted unverified
-	gossipFanout         = 2   // members to which a round of gossip goes
-	retransmitMultiplier = 4   // times log10(N+1), rounded up: retransmits of an update (lambda log n of SWIM section 4.1) ...
-	minRetransmits       = 8   // ... and the lower bound: in a small fleet a few losses would keep a member from learning it (deviation)
-	startRetransmits     = 4   // of a member's own start: members that know no former incarnation need no more
-	startPings           = 3   // sent by Start
-	leavePings           = 6   // gossip datagrams sent by Leave
-	noticesPerRound      = 4   // pings per round to members that must learn of their own state
-	syncChunksPerRound   = 4
-	maxSyncRequests      = 8 // queued
-	maxNotices           = 256
+	gossipPeriodIntervals = 0.1 // protocol intervals between two rounds of gossip, while updates are queued
+	startupIntervals      = 5   // protocol intervals after Start in which the states in a sync are adopted without verification
+	gossipFanout          = 2   // members that receive each round of gossip
+	retransmitMultiplier  = 4   // an update is sent this times log10(N+1) times, rounded up (lambda log n of SWIM section 4.1)
+	minRetransmits        = 8   // lower bound of that: in a small fleet a few lost datagrams could hide the update from a member (deviation)
+	startupRetransmits    = 4   // of the update about this member's own start: enough for members that know no former incarnation
+	startupPings          = 3   // pings sent by Start
+	leaveGossips          = 6   // gossip datagrams sent by Leave
+	noticesPerRound       = 4   // pings per round of gossip that notify members of their own state
+	syncChunksPerRound    = 4   // chunks of the full state sent per round of gossip
+	maxSyncRequests       = 8   // queued requests for the full state
+	maxNotices            = 256 // queued notices
 )
 
 // Config holds the parameters of a Node.
 type Config struct {
-	Self              int              // own member number: the index in Peers
-	Peers             []netip.AddrPort // the address of each gateway of the fleet, the own included, in the same order at each gateway
-	Fleet             string           // name of the fleet: datagrams of another are dropped
-	Seed              uint64           // of all random draws
-	Interval          time.Duration    // protocol period between two probes; 0 = DefaultInterval. The same at each gateway
-	ProbeTimeout      time.Duration    // of a direct probe, after which indirect probes are requested; 0 = a fifth of the interval
+	Self              int              // member number of this gateway: its index in Peers
+	Peers             []netip.AddrPort // addresses of all gateways of the fleet, in the same order at each gateway
+	Fleet             string           // name of the fleet; datagrams of other fleets are dropped
+	Seed              uint64           // seed of all random draws
+	Interval          time.Duration    // protocol period: time between two probes, the same at each gateway; 0 = DefaultInterval
+	ProbeTimeout      time.Duration    // time from a direct probe until indirect probes are requested; 0 = a fifth of the interval
 	SuspicionTimeout  time.Duration    // shortest suspicion timeout; 0 = 1.75 intervals
 	Extensions        []Extension      // subsystems that piggyback messages on the datagrams
-	ExtensionInterval time.Duration    // between two datagrams that carry extensions alone, each to one member; 0 = none
-	// ExtensionWeights returns the weight of each member, by number, as the receiver of a datagram that carries extensions alone. Where
-	// it is nil, or returns nil, or no weight is above 0, all members are equally likely; otherwise a member without a weight
-	// above 0 receives none.
+	ExtensionInterval time.Duration    // period of extension datagrams: GOSSIP datagrams to one member, sent to carry extension messages; 0 = none
+	// ExtensionWeights returns, by member number, the weights with which the receiver of an extension datagram is drawn. If the
+	// function is nil, or returns nil, or no weight is above 0, all members are equally likely. Otherwise members without a
+	// positive weight receive none.
 	ExtensionWeights func() []float64
 }
 
-// Extension is a subsystem that piggybacks small messages on the datagrams. The message of another gateway's Extension
-// arrives as an event of kind ExtensionReceived. A message of a kind without a registered Extension is skipped.
+// Extension is a subsystem that piggybacks small messages on the datagrams. At the receiver such a message becomes an
+// event of kind ExtensionReceived. A message whose kind has no registered Extension is skipped.
 type Extension interface {
 	// Kind identifies the subsystem on the wire; it is above 0.
 	Kind() uint32
-	// Append appends a message of at most room bytes for member to, and returns the extended dst. A message of no bytes is not
-	// sent.
+	// Append appends a message of at most room bytes for member to, and returns the extended dst. An empty message is not sent.
 	Append(now time.Duration, to, room int, dst []byte) []byte
 }
 
-// ConfigError is returned by New and Adjust for an invalid Config.
+// ConfigError is returned by New and SetTimeouts for an invalid Config.
 type ConfigError struct {
-	Field string // of Config, with the index for one of Peers
-	Value any
-	Bound string // that the value violates
+	Field string // the invalid field of Config, with an index for an element of Peers
+	Value any    // the invalid value
+	Bound string // the requirement that the value violates, as it follows "must be"
 }
 
-// Error names the field, the value and the bound.
+// Error returns a message with the field, its value and the violated requirement.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("%s is %v, must be %s", e.Field, e.Value, e.Bound)
 }
 
-// validate sets the defaults and returns a *ConfigError for the first invalid field.
+// validate replaces zero values with defaults and returns a *ConfigError for the first invalid field.
 func (c *Config) validate() error {
 	c.setDefaults()
 	if err := c.validatePeers(); err != nil {
@@ -140,10 +139,10 @@
 		c.Interval = DefaultInterval
 	}
 	if c.ProbeTimeout == 0 {
-		c.ProbeTimeout = c.intervals(directProbeShare)
+		c.ProbeTimeout = c.intervals(probeTimeoutIntervals)
 	}
 	if c.SuspicionTimeout == 0 {
-		c.SuspicionTimeout = c.intervals(suspicionShare)
+		c.SuspicionTimeout = c.intervals(suspicionTimeoutIntervals)
 	}
 }
 
@@ -151,12 +150,12 @@
 	seen := map[netip.AddrPort]bool{}
 	for i, peer := range c.Peers {
 		if !peer.IsValid() || peer.Port() == 0 || seen[peer] {
-			return &ConfigError{fmt.Sprintf("Peers[%d]", i), peer, "an address and port of its own"}
+			return &ConfigError{fmt.Sprintf("Peers[%d]", i), peer, "a valid address with a port, used by no other peer"}
 		}
 		seen[peer] = true
 	}
 	if c.Self < 0 || c.Self >= len(c.Peers) {
-		return &ConfigError{"Self", c.Self, fmt.Sprintf("the own number, an index in the %d Peers", len(c.Peers))}
+		return &ConfigError{"Self", c.Self, fmt.Sprintf("an index into the %d Peers", len(c.Peers))}
 	}
 	if len(c.Peers) > MaxMembers {
 		return &ConfigError{"len(Peers)", len(c.Peers), fmt.Sprintf("at most %d", MaxMembers)}
@@ -169,28 +168,28 @@
 	case c.Interval < minInterval:
 		return &ConfigError{"Interval", c.Interval, fmt.Sprintf("at least %v", minInterval)}
 	case c.ProbeTimeout <= 0 || c.ProbeTimeout >= c.Interval/2:
-		return &ConfigError{"Timeout", c.ProbeTimeout, fmt.Sprintf("above 0 and below half of the interval, %v", c.Interval/2)}
+		return &ConfigError{"Timeout", c.ProbeTimeout, fmt.Sprintf("above 0 and below half of the interval (%v)", c.Interval/2)}
 	case c.ExtensionInterval != 0 && c.ExtensionInterval < minExtensionInterval:
 		return &ConfigError{"ExtensionInterval", c.ExtensionInterval, fmt.Sprintf("0 or at least %v", minExtensionInterval)}
 	case c.SuspicionTimeout < c.Interval/2:
-		return &ConfigError{"Suspect", c.SuspicionTimeout, fmt.Sprintf("at least half of the interval, %v", c.Interval/2)}
+		return &ConfigError{"Suspect", c.SuspicionTimeout, fmt.Sprintf("at least half of the interval (%v)", c.Interval/2)}
 	}
 	return nil
 }
 
-// intervals returns a multiple of the protocol period.
+// intervals converts a number of protocol intervals to a duration.
 func (c *Config) intervals(factor float64) time.Duration {
 	return time.Duration(factor * float64(c.Interval))
 }
 
-// fleetID returns the hash that stands for the fleet's name on the wire (FNV-1a).
+// fleetID returns the FNV-1a hash of the fleet's name, which identifies the fleet on the wire.
 func (c *Config) fleetID() uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(c.Fleet))
 	return h.Sum32()
 }
 
-// retransmitLimit returns how often a member sends an update: enough that with this many members nearly all receive it.
+// retransmitLimit returns how many times a member transmits an update so that nearly all members of the fleet receive it.
 func retransmitLimit(members int) int {
 	return max(minRetransmits, int(math.Ceil(retransmitMultiplier*math.Log10(float64(members+1)))))
 }
--- a/internal/control/membership/decode.go
+++ b/internal/control/membership/decode.go
@@ -9,13 +9,13 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// unmarshalOptions merge into a cleared message, which reuses the memory of its lists.
+// unmarshalOptions has Merge set, so that decoding into a cleared message reuses the capacity of its slices.
 var unmarshalOptions = proto.UnmarshalOptions{Merge: true, DiscardUnknown: true}
 
-// decode decodes a datagram into n.incoming and returns the member number of its sender. If it is invalid, decode counts
-// the reason and reports false.
+// decode decodes a datagram into n.incoming and returns the member number of its sender. If the datagram is invalid, it
+// increments the counter for the reason and returns false.
 func (n *Node) decode(from netip.AddrPort, b []byte) (sender int, ok bool) {
-	sender, known := n.numbers[from]
+	sender, known := n.memberByAddr[from]
 	if !known || sender == n.cfg.Self {
 		n.counts.Strangers++
 		return 0, false
@@ -42,7 +42,8 @@
 	return 0, false
 }
 
-// unmarshalDatagram verifies the checksum, decodes the message, and reports whether its fields are in range.
+// unmarshalDatagram verifies the checksum, decodes the message, and checks the range of its fields. It returns false if
+// any of these fails.
 func unmarshalDatagram(b []byte, d *membershippb.Datagram) bool {
 	resetMessage(d)
 	message, ok := verifyChecksum(b)
@@ -52,7 +53,8 @@
 	return d.Version != 0 && d.Incarnation != 0 && d.Incarnation < maxIncarnation && d.SubjectIncarnation < maxIncarnation
 }
 
-// handleDatagram handles a valid datagram. What a sender says of others is trusted only while it is in service here.
+// handleDatagram handles a valid datagram. Updates about others are applied only if the sender is in service in the local
+// view, or has left.
 func (n *Node) handleDatagram(now time.Duration, from int, d *membershippb.Datagram) {
 	trusted := n.recordContact(now, from, d.Incarnation)
 	if d.Kind == membershippb.Kind_KIND_SYNC {
@@ -64,7 +66,7 @@
 	if trusted || n.members[from].state == Left {
 		n.applyUpdates(now, d)
 	} else {
-		n.applyUpdatesOnSelf(now, d) // what any member says of this one can be refuted
+		n.applyUpdatesAboutSelf(now, d) // safe from any member, since a wrong one is refuted
 	}
 	subject := int(d.Subject) - 1 // noMember if the field is 0
 	if subject >= len(n.members) {
@@ -72,7 +74,7 @@
 		return
 	}
 	n.handleKind(now, from, subject, trusted, d)
-	acknowledged := d.Kind == membershippb.Kind_KIND_PING // the ACK held the notice
+	acknowledged := d.Kind == membershippb.Kind_KIND_PING // with an ACK that contains the notice
 	if !acknowledged && n.needsNotice(from) && (n.members[from].state != Left || n.members[from].staleIncarnation) {
 		n.notify(now, from)
 	}
@@ -85,7 +87,7 @@
 	n.deliverExtensions(from, d)
 }
 
-// handleKind does what a datagram of its kind asks for.
+// handleKind handles the part of a datagram that depends on its kind.
 func (n *Node) handleKind(now time.Duration, from, subject int, trusted bool, d *membershippb.Datagram) {
 	switch d.Kind {
 	case membershippb.Kind_KIND_PING:
@@ -104,11 +106,11 @@
 		n.handleSyncRequest(now, from, int(d.First))
 	case membershippb.Kind_KIND_GOSSIP:
 	default:
-		n.counts.Unknown++ // of a newer program: its updates were applied nevertheless
+		n.counts.Unknown++ // from a newer version; the updates in the datagram were applied all the same
 	}
 }
 
-// applyUpdates applies the updates of a datagram. Lists of unequal length are read as far as all go.
+// applyUpdates applies the updates in a datagram, as many as both About and Word contain. By may be shorter.
 func (n *Node) applyUpdates(now time.Duration, d *membershippb.Datagram) {
 	for k := range min(len(d.About), len(d.Word)) {
 		by := noMember
@@ -124,8 +126,8 @@
 	}
 }
 
-// applyUpdatesOnSelf applies only the updates on this member.
-func (n *Node) applyUpdatesOnSelf(now time.Duration, d *membershippb.Datagram) {
+// applyUpdatesAboutSelf applies only the updates about this member.
+func (n *Node) applyUpdatesAboutSelf(now time.Duration, d *membershippb.Datagram) {
 	for k := range min(len(d.About), len(d.Word)) {
 		s, incarnation, ok := unpackState(d.Word[k])
 		if ok && int64(d.About[k]) == int64(n.cfg.Self) {
--- a/internal/control/membership/decode_test.go
+++ b/internal/control/membership/decode_test.go
@@ -12,7 +12,7 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// An invalid datagram is counted by its reason, and changes nothing.
+// Checks that an invalid datagram changes nothing but the counter for its reason.
 func TestInvalidDatagramsAreDropped(t *testing.T) {
 	death := withUpdate(3, Dead, startIncarnation+9, 1)
 	deathFrom := func(member int, change func(d *membershippb.Datagram)) []byte {
@@ -52,15 +52,15 @@
 			n := newNode(t, 0, 5)
 			n.Receive(epoch+time.Second, c.from, c.b)
 			if s, _ := n.Member(3); s != Alive || c.count(n.Counts()) != 1 || n.Counts().Received != 0 || len(n.Events()) != 0 {
-				t.Errorf("member 3 %v, counts %+v", s, n.Counts())
+				t.Errorf("the datagram had an effect or a wrong count: member 3 is %v, counts %+v", s, n.Counts())
 			}
 		})
 	}
 }
 
-// Guards against a program that rejects what a newer version adds: unknown fields, kinds and states are skipped, and the
-// known rest is applied.
-func TestNewerVersionsAreDecoded(t *testing.T) {
+// Checks that a datagram of a newer version is not rejected: unknown fields, kinds and states are skipped, and the rest
+// is applied.
+func TestUnknownFieldsKindsAndStatesAreSkipped(t *testing.T) {
 	n := newNode(t, 0, 5)
 	inc := startIncarnation + 5
 	b := datagramFrom(n, 1, func(d *membershippb.Datagram) {
@@ -68,27 +68,27 @@
 		withUpdate(2, 7, inc, 1)(d) // a future state
 		withUpdate(400, Dead, inc, 1)(d)
 		withUpdate(3, Left, inc, 1)(d)
-		d.Payload = []*membershippb.Payload{{Kind: 77, Body: []byte("of a subsystem to come")}}
+		d.Payload = []*membershippb.Payload{{Kind: 77, Body: []byte("of a future subsystem")}}
 	})
 	b = b[:len(b)-checksumSize]
 	b = protowire.AppendTag(b, 500, protowire.BytesType) // a future field
-	b = appendChecksum(protowire.AppendString(b, "to come"))
+	b = appendChecksum(protowire.AppendString(b, "future value"))
 	n.deliver(t, 1, b)
 	if s, _ := n.Member(3); s != Left {
-		t.Errorf("member 3 is %v: the known update was not applied", s)
+		t.Errorf("member 3 is %v, want left: the valid update was not applied", s)
 	}
 	if s, _ := n.Member(2); s != Alive {
-		t.Errorf("member 2 is %v after an unknown state", s)
+		t.Errorf("member 2 is %v after an update with an unknown state, want alive", s)
 	}
 	if n.Counts().Unknown != 3 || n.Counts().Received != 1 {
-		t.Errorf("counts %+v", n.Counts())
+		t.Errorf("counts %+v, want 3 Unknown and 1 Received", n.Counts())
 	}
 }
 
-// The first version's datagrams, byte for byte: every later version must decode them.
-func TestFirstVersionIsDecoded(t *testing.T) {
-	// version 1, least 1, fleet "test", from 2, its incarnation, PING, sequence 7, digest 5, member 3 left, reported by
-	// itself, a payload of kind 1, and the sum.
+// Checks that a recorded datagram of version 1 is decoded and handled: every later version must be able to decode it.
+func TestVersion1DatagramIsDecoded(t *testing.T) {
+	// Version 1, least 1, fleet "test", from member 2, its incarnation, PING, sequence 7, digest 5, an update that member 3
+	// left, reported by itself, a payload of kind 1, and the checksum.
 	raw, err := hex.DecodeString("080110011de571d0af20022880a4a7da063001380755050000006201036a058490bad2357201047a" +
 		"050801120178c53e595a63a0")
 	if err != nil {
@@ -97,17 +97,18 @@
 	n := newNode(t, 0, 5)
 	n.deliver(t, 2, raw)
 	if s, inc := n.Member(2); n.Counts().Received != 1 || s != Alive || inc != startIncarnation {
-		t.Errorf("counts %+v, member 2 %v@%d", n.Counts(), s, inc)
+		t.Errorf("the datagram was not handled: counts %+v, member 2 is %v, incarnation %d", n.Counts(), s, inc)
 	}
 	if len(n.Datagrams()) == 0 || n.Datagrams()[0].To != 2 {
-		t.Errorf("no answer: %v", n.Datagrams())
+		t.Errorf("datagrams %v, want an ACK to member 2 first", n.Datagrams())
 	}
 	if s, inc := n.Member(3); s != Left || inc != 1799999744 {
-		t.Errorf("member 3 is %v@%d", s, inc)
+		t.Errorf("member 3 is %v, incarnation %d, want left, incarnation 1799999744", s, inc)
 	}
 }
 
-// Random, truncated and corrupted datagrams from a peer's address fail the checksum, and cause no panic.
+// Checks that random, truncated and corrupted datagrams from a peer's address are rejected by the checksum without a
+// panic.
 func TestCorruptedDatagramsAreDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNode(t, 0, 5)
@@ -122,7 +123,7 @@
 		}
 		n.Receive(epoch+time.Second, n.cfg.Peers[1], b)
 		if s, _ := n.Member(3); s != Alive || n.Counts().Received != 0 {
-			t.Fatalf("member 3 %v, %+v", s, n.Counts())
+			t.Fatalf("the datagram was accepted: member 3 is %v, counts %+v", s, n.Counts())
 		}
 	})
 }
--- a/internal/control/membership/encode.go
+++ b/internal/control/membership/encode.go
@@ -11,7 +11,8 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// ProtocolVersion is the version of the datagrams that this program writes; minReaderVersion is the lowest that can read them.
+// ProtocolVersion is the version of the datagrams that this program sends; minReaderVersion is the lowest version of a
+// program that can decode them.
 const (
 	ProtocolVersion  = 1
 	minReaderVersion = 1
@@ -22,8 +23,8 @@
 	checksumField  = 1000    // field number
 	checksumSize   = 6       // two bytes of tag, four of CRC-32C
 	listOverhead   = 3       // a tag, and a length of at most two bytes
-	stateBits      = 3       // bits of a packed state that hold the State
-	maxIncarnation = 1 << 60 // exclusive: a later one is no time in seconds, and does not fit a packed state
+	stateBits      = 3       // bits of a packed state for the State; the higher bits are the incarnation
+	maxIncarnation = 1 << 60 // exclusive: a higher one cannot be a time in seconds, and does not fit into a packed state
 )
 
 var (
@@ -31,14 +32,14 @@
 	checksumTag = protowire.AppendTag(nil, checksumField, protowire.Fixed32Type)
 )
 
-// appendChecksum appends the checksum field.
+// appendChecksum appends the checksum field to an encoded message.
 func appendChecksum(b []byte) []byte {
 	sum := crc32.Checksum(b, castagnoli)
 	b = append(b, checksumTag...)
 	return binary.LittleEndian.AppendUint32(b, sum)
 }
 
-// verifyChecksum reports whether the checksum is correct, and returns the bytes that it covers.
+// verifyChecksum returns the encoded message without the checksum field, and whether the checksum is correct.
 func verifyChecksum(b []byte) ([]byte, bool) {
 	k := len(b) - checksumSize
 	if k < 0 || string(b[k:k+2]) != string(checksumTag) {
@@ -47,25 +48,25 @@
 	return b[:k], binary.LittleEndian.Uint32(b[k+2:]) == crc32.Checksum(b[:k], castagnoli)
 }
 
-// packState returns the wire form of a state and incarnation.
+// packState returns a state and an incarnation in their wire format.
 func packState(s State, incarnation uint64) uint64 { return incarnation<<stateBits | uint64(s) }
 
-// unpackState splits a packed state; ok is false for an unknown state and for an incarnation out of range.
-func unpackState(word uint64) (s State, incarnation uint64, ok bool) {
-	s = State(word & (1<<stateBits - 1))
-	incarnation = word >> stateBits
+// unpackState splits a packed state. ok is false if the state is unknown or the incarnation is out of range.
+func unpackState(packed uint64) (s State, incarnation uint64, ok bool) {
+	s = State(packed & (1<<stateBits - 1))
+	incarnation = packed >> stateBits
 	ok = s >= Alive && s <= Left && incarnation < maxIncarnation
 	return s, incarnation, ok
 }
 
-// resetMessage clears a message for reuse, and keeps the memory of its lists.
+// resetMessage clears a message for reuse, and keeps the capacity of its slices.
 func resetMessage(d *membershippb.Datagram) {
 	about, words, by, payload := d.About[:0], d.Word[:0], d.By[:0], d.Payload[:0]
 	d.Reset()
 	d.About, d.Word, d.By, d.Payload = about, words, by, payload
 }
 
-// newDatagram returns the outgoing message with the fields that all kinds share.
+// newDatagram clears the outgoing message, sets the fields common to all kinds, and returns it.
 func (n *Node) newDatagram(kind membershippb.Kind, sequence uint32) *membershippb.Datagram {
 	d := &n.outgoing
 	resetMessage(d)
@@ -75,29 +76,29 @@
 	return d
 }
 
-// datagramWriter appends updates and extension messages to a message while there is room.
+// datagramWriter appends updates and extension messages to a message, up to the maximum size.
 type datagramWriter struct {
 	datagram  *membershippb.Datagram
-	remaining int // bytes left
+	remaining int // free space in bytes
 }
 
-// appendUpdate appends the state of member i, and reports whether it fitted.
+// appendUpdate appends the state of member i, and reports whether there was space for it.
 func (w *datagramWriter) appendUpdate(i int, m *member) bool {
-	word, by := packState(m.state, m.incarnation), uint32(m.reportedBy+1)
-	size := protowire.SizeVarint(uint64(i)) + protowire.SizeVarint(word) + protowire.SizeVarint(uint64(by))
+	packed, by := packState(m.state, m.incarnation), uint32(m.reportedBy+1)
+	size := protowire.SizeVarint(uint64(i)) + protowire.SizeVarint(packed) + protowire.SizeVarint(uint64(by))
 	if size > w.remaining {
 		return false
 	}
 	w.remaining -= size
 	d := w.datagram
-	d.About, d.Word, d.By = append(d.About, uint32(i)), append(d.Word, word), append(d.By, by)
+	d.About, d.Word, d.By = append(d.About, uint32(i)), append(d.Word, packed), append(d.By, by)
 	return true
 }
 
-// send sends a datagram to a member, or nothing if to is noMember. It holds, as far as there is room: the fields of its
-// kind; the update on the receiver if that must be notified; the state of the subject; queued updates; extension messages.
-// The byte budget may hold back the last two, and a receiver that is suspected or out of service gets neither, because
-// most of them would be lost.
+// send adds a datagram to the output, unless to is noMember. As far as there is space, the datagram contains the fields
+// of its kind, the update about the receiver if it must be notified, this member's leave, the state of the subject, queued
+// updates, and extension messages. The last two are omitted if the byte budget does not allow them, or if the receiver is
+// suspected or out of service, because most of them would be lost.
 func (n *Node) send(now time.Duration, kind membershippb.Kind, to int, sequence uint32, subject int, subjectIncarnation uint64) {
 	if to == noMember {
 		return
@@ -123,8 +124,8 @@
 	n.enqueueDatagram(to, d)
 }
 
-// piggyback adds queued updates and extension messages to a datagram, as the byte budget allows (SWIM section 4.1). A
-// datagram of gossip always carries updates: its sender has consulted the budget.
+// piggyback adds queued updates and extension messages to a datagram, if the byte budget allows them (SWIM section 4.1).
+// A GOSSIP datagram always contains updates: its callers have already checked the budget.
 func (n *Node) piggyback(now time.Duration, w *datagramWriter, kind membershippb.Kind, to int) {
 	if kind == membershippb.Kind_KIND_GOSSIP || n.budget.allowsUpdates(now) {
 		n.appendQueuedUpdates(w)
@@ -134,7 +135,7 @@
 	}
 }
 
-// enqueueDatagram encodes a message into a buffer of its own, which the next call reuses, and adds it to Datagrams.
+// enqueueDatagram encodes a message into a reusable buffer and adds it to the datagrams to send.
 func (n *Node) enqueueDatagram(to int, d *membershippb.Datagram) {
 	k := len(n.datagrams)
 	if k == len(n.buffers) {
@@ -142,7 +143,7 @@
 	}
 	b, err := proto.MarshalOptions{}.MarshalAppend(n.buffers[k][:0], d)
 	if err != nil {
-		return // does not happen: the message has no string that could be invalid UTF-8
+		return // cannot happen: encoding fails only for strings with invalid UTF-8, and the message has none
 	}
 	b = appendChecksum(b)
 	n.buffers[k] = b
--- a/internal/control/membership/extension.go
+++ b/internal/control/membership/extension.go
@@ -6,7 +6,7 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// tickExtensions sends a datagram that carries extensions alone to a random member, if one is due.
+// tickExtensions sends an extension datagram to a random member, if one is due and the byte budget allows it.
 func (n *Node) tickExtensions(now time.Duration) {
 	if n.nextExtensionsAt == 0 || now < n.nextExtensionsAt {
 		return
@@ -21,8 +21,8 @@
 	}
 }
 
-// randomExtensionReceiver returns a random member in service other than this one, drawn by Config.Weights if any is above
-// 0; noMember if there is none.
+// randomExtensionReceiver returns a random member in service other than this one, drawn with Config.ExtensionWeights if
+// any of them is above 0. It returns noMember if there is none.
 func (n *Node) randomExtensionReceiver() int {
 	var weights []float64
 	if n.cfg.ExtensionWeights != nil {
@@ -59,7 +59,7 @@
 	return sum
 }
 
-// weight returns the weight of a member; 0 if it is out of service or has none.
+// weight returns the weight of a member, or 0 if the member is out of service or has no weight.
 func (n *Node) weight(weights []float64, member int) float64 {
 	if member >= len(weights) || !n.members[member].state.InService() {
 		return 0
@@ -67,10 +67,10 @@
 	return max(0, weights[member])
 }
 
-// payloadOverhead is the size in bytes of a payload beside its body: two tags, two lengths and the kind.
+// payloadOverhead is the encoded size in bytes of a Payload without its body: two tags, two lengths and the kind.
 const payloadOverhead = 10
 
-// appendExtensions offers the room left in a datagram to the extensions, in the order of Config.Extensions.
+// appendExtensions appends messages of the extensions, in the order of Config.Extensions, to the space left in a datagram.
 func (n *Node) appendExtensions(now time.Duration, w *datagramWriter, to int) {
 	for _, extension := range n.cfg.Extensions {
 		room := w.remaining - payloadOverhead
@@ -86,7 +86,7 @@
 	}
 }
 
-// deliverExtensions emits an event for each extension message of a registered kind.
+// deliverExtensions emits an event for each extension message whose kind is registered.
 func (n *Node) deliverExtensions(from int, d *membershippb.Datagram) {
 	for _, payload := range d.Payload {
 		for _, extension := range n.cfg.Extensions {
--- a/internal/control/membership/gossip.go
+++ b/internal/control/membership/gossip.go
@@ -6,14 +6,14 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// scheduleGossip schedules a round of gossip, if none is.
+// scheduleGossip schedules a round of gossip, unless one is already scheduled.
 func (n *Node) scheduleGossip(now time.Duration) {
 	if n.nextGossipAt == 0 {
-		n.nextGossipAt = now + n.cfg.intervals(gossipShare)
+		n.nextGossipAt = now + n.cfg.intervals(gossipPeriodIntervals)
 	}
 }
 
-// tickGossip runs a round of gossip if one is due: queued updates to random members, notices, and chunks of the full state.
+// tickGossip runs a round of gossip if one is due: it sends queued updates, notices, and chunks of the full state.
 func (n *Node) tickGossip(now time.Duration) {
 	if n.nextGossipAt == 0 || now < n.nextGossipAt {
 		return
@@ -27,13 +27,14 @@
 	}
 }
 
-// sendUpdates gossips queued updates to random members, as the budget allows.
+// sendUpdates gossips queued updates to random members. If the byte budget does not allow it, it defers them for at most
+// maxUpdateDelayIntervals.
 func (n *Node) sendUpdates(now time.Duration) {
 	for range gossipFanout {
 		if n.broadcasts.count == 0 {
 			return
 		}
-		if !n.budget.allowsUpdates(now) && now-n.lastUpdatesSentAt < n.cfg.intervals(updatePatience) {
+		if !n.budget.allowsUpdates(now) && now-n.lastUpdatesSentAt < n.cfg.intervals(maxUpdateDelayIntervals) {
 			n.counts.Postponed++
 			return
 		}
@@ -44,12 +45,12 @@
 	}
 }
 
-// sendGossip sends a datagram that only carries updates and extension messages.
+// sendGossip sends a GOSSIP datagram, which contains only updates and extension messages.
 func (n *Node) sendGossip(now time.Duration, to int) {
 	n.send(now, membershippb.Kind_KIND_GOSSIP, to, 0, noMember, 0)
 }
 
-// notify queues a ping that notifies a member of its own state in this view, at most once an interval: if the state is
+// notify queues a ping that notifies a member of its state in the local view, at most once per interval. If the state is
 // wrong, the member refutes it (Lifeguard section IV-C, buddy system).
 func (n *Node) notify(now time.Duration, i int) {
 	m := &n.members[i]
@@ -64,7 +65,7 @@
 	n.scheduleGossip(now)
 }
 
-// sendNotices pings the members that are to be notified; send adds the update on the receiver.
+// sendNotices pings queued members to notify them of their state; send adds the update about the receiver to the ping.
 func (n *Node) sendNotices(now time.Duration) {
 	sent := 0
 	for sent < min(noticesPerRound, len(n.notices)) {
--- a/internal/control/membership/invariants_test.go
+++ b/internal/control/membership/invariants_test.go
@@ -9,8 +9,8 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// Any valid datagrams, also contradictory ones and ones with impossible updates, violate no invariant: no list exceeds its
-// bound, and the own state does not change.
+// Checks that no sequence of valid datagrams violates an invariant, even if they contradict each other or contain
+// impossible updates: every queue stays within its limit, and this member stays alive in its own view.
 func TestContradictoryUpdatesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNode(t, 0, 5)
@@ -38,7 +38,7 @@
 				t.Fatal(err)
 			}
 			if n.NextTick() < now {
-				t.Fatalf("the next Tick was due %v ago", now-n.NextTick())
+				t.Fatalf("NextTick is %v in the past", now-n.NextTick())
 			}
 		}
 	})
--- a/internal/control/membership/membershippb/doc.go
+++ b/internal/control/membership/membershippb/doc.go
@@ -1,2 +1,2 @@
-// Package membershippb holds the generated code of membership.proto, the form of the messages on the wire.
+// Package membershippb contains the code generated from membership.proto, the wire format of the membership protocol.
 package membershippb
--- a/internal/control/membership/probe.go
+++ b/internal/control/membership/probe.go
@@ -8,19 +8,19 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// probe is this member's own probe of a target, direct and indirect (SWIM section 3.1). The zero value is none.
+// probe is this member's probe of a target, direct and indirect (SWIM section 3.1). The zero value is not pending.
 type probe struct {
 	pending        bool
 	target         int
 	sequence       uint32
-	indirectAt     time.Duration // when indirect probes are requested next; 0 = no more
-	indirectRounds int           // rounds of requests for indirect probes so far
-	failAt         time.Duration
-	helpers        []int // members asked for an indirect probe ...
-	nackedBy       []int // ... and those of them that answered with a NACK
+	indirectAt     time.Duration // time of the next round of PING_REQs; 0 = no further round
+	indirectRounds int           // rounds of PING_REQs sent
+	failAt         time.Duration // when the target is suspected if no ACK has arrived
+	relays         []int         // members that were sent a PING_REQ
+	nackedBy       []int         // relays that answered with a NACK
 }
 
-// postpone moves the timers of the probe.
+// postpone delays the timers of the probe.
 func (p *probe) postpone(delay time.Duration) {
 	if p.indirectAt > 0 {
 		p.indirectAt += delay
@@ -28,7 +28,7 @@
 	p.failAt += delay
 }
 
-// nextTickAt returns the earliest timer of the probe; 0 if it is not pending.
+// nextTickAt returns the time of the probe's earliest timer, or 0 if the probe is not pending.
 func (p *probe) nextTickAt() time.Duration {
 	switch {
 	case !p.pending:
@@ -39,7 +39,7 @@
 	return p.failAt
 }
 
-// tickProbe advances the pending probe, and starts the next one in each protocol period.
+// tickProbe advances the pending probe, and starts a new one in each protocol period.
 func (n *Node) tickProbe(now time.Duration) {
 	if n.probe.pending {
 		n.advanceProbe(now)
@@ -51,7 +51,7 @@
 	if now < n.nextProbeAt {
 		return
 	}
-	if n.probe.pending { // the health score slowed it down so much that the next one is due
+	if n.probe.pending { // scaled by the health score, the probe takes longer than the protocol period
 		n.probeFailed(now)
 	}
 	n.nextProbeAt = n.nextProbeTime(now)
@@ -61,28 +61,28 @@
 	n.pingOutOfService(now)
 }
 
-// startProbe sends a direct probe to a target.
+// startProbe starts a probe of a target with a direct ping.
 func (n *Node) startProbe(now time.Duration, target int) {
 	n.counts.Probes++
 	n.probe = probe{
 		pending:    true,
 		target:     target,
 		indirectAt: now + n.scaleByHealth(n.cfg.ProbeTimeout),
-		failAt:     now + n.scaleByHealth(n.cfg.intervals(probeShare)),
-		helpers:    n.probe.helpers[:0],
+		failAt:     now + n.scaleByHealth(n.cfg.intervals(probeDeadlineIntervals)),
+		relays:     n.probe.relays[:0],
 		nackedBy:   n.probe.nackedBy[:0],
 	}
 	n.probe.sequence = n.ping(now, target)
 }
 
-// advanceProbe requests indirect probes, or ends the probe as failed, when that is due.
+// advanceProbe requests indirect probes, or fails the probe, if the timer for it has expired.
 func (n *Node) advanceProbe(now time.Duration) {
 	p := &n.probe
 	if p.indirectAt > 0 && now >= p.indirectAt {
 		p.indirectAt = 0
 		p.indirectRounds++
 		if p.indirectRounds < indirectProbeRounds {
-			p.indirectAt = now + n.scaleByHealth(n.cfg.intervals(probeShare)-n.cfg.ProbeTimeout)/indirectProbeRounds
+			p.indirectAt = now + n.scaleByHealth(n.cfg.intervals(probeDeadlineIntervals)-n.cfg.ProbeTimeout)/indirectProbeRounds
 		}
 		n.requestIndirectProbes(now)
 	}
@@ -91,28 +91,29 @@
 	}
 }
 
-// requestIndirectProbes sends a PING_REQ to random members.
+// requestIndirectProbes sends a PING_REQ to random members, and pings the target again.
 func (n *Node) requestIndirectProbes(now time.Duration) {
 	p := &n.probe
 	for range indirectProbeFanout {
-		helper := n.randomMember(p.target)
-		if helper != noMember && !slices.Contains(p.helpers, helper) {
-			p.helpers = append(p.helpers, helper)
-			n.send(now, membershippb.Kind_KIND_PING_REQ, helper, p.sequence, p.target, 0)
+		relay := n.randomMember(p.target)
+		if relay != noMember && !slices.Contains(p.relays, relay) {
+			p.relays = append(p.relays, relay)
+			n.send(now, membershippb.Kind_KIND_PING_REQ, relay, p.sequence, p.target, 0)
 		}
 	}
-	n.send(now, membershippb.Kind_KIND_PING, p.target, p.sequence, noMember, 0) // again: loss of the first is the likeliest cause
+	n.send(now, membershippb.Kind_KIND_PING, p.target, p.sequence, noMember, 0) // the first ping was most likely lost
 }
 
-// probeSucceeded ends the probe with an ACK.
+// probeSucceeded ends the probe after an ACK.
 func (n *Node) probeSucceeded() {
 	n.probe.pending = false
 	n.adjustHealth(-1)
 }
 
-// probeFailed ends the probe without an ACK, and suspects the target. If no helper sent even a NACK, the fault may be this
-// member's own, and the local health score rises (Lifeguard section IV-A). Deviation: Lifeguard raises it for each missing
-// NACK; where most members died at once, that slowed the others down until they reported nothing for minutes.
+// probeFailed ends the probe without an ACK, and suspects the target. If no relay sent a NACK either, this member itself
+// may be slow or disconnected, so the local health score rises (Lifeguard section IV-A). Deviation: Lifeguard raises the
+// score for each missing NACK; when most members died at once, that slowed the survivors down so much that they reported
+// nothing for minutes.
 func (n *Node) probeFailed(now time.Duration) {
 	p := &n.probe
 	p.pending = false
@@ -125,13 +126,14 @@
 	}
 }
 
-// nextProbeTarget returns the next target in a shuffled round-robin order (SWIM section 4.3); noMember if there is none.
+// nextProbeTarget returns the next target in a shuffled round-robin order (SWIM section 4.3), or noMember if there is
+// none.
 //
-// Deviation: the order is one of offsets between member numbers, shuffled anew for each round with the fleet's name as
-// the seed, and the clock gives the position in it. So each member is probed by exactly one other in every interval,
-// whereas independent orders leave a member unprobed for 4.6 intervals once in a hundred. Clock skew weakens this
-// property and nothing else. Where the target is out of service a random member is probed instead, because its own
-// prober may be among the dead.
+// Deviation: all members use the same order of offsets between member numbers, shuffled again for each round with the
+// fleet's name and the round as the seed, and the clock determines the position in it. Each member is therefore probed
+// by exactly one other member in every interval. With an independent order at each member, the probability that a member
+// is not probed for 4.6 intervals would be 1%. Clock skew between members weakens only this property. If the target is
+// out of service, a random member is probed instead, since the member that should probe that one may be dead.
 func (n *Node) nextProbeTarget(now time.Duration) int {
 	if len(n.others) == 0 {
 		return noMember
@@ -149,7 +151,7 @@
 	return n.randomMember(noMember)
 }
 
-// shuffleProbeOrder sets the order of probe targets in a round, which depends on the fleet and the round alone.
+// shuffleProbeOrder sets the order of probe targets in a round, which depends only on the fleet and the round.
 func (n *Node) shuffleProbeOrder(round uint64) {
 	n.probeRound = round
 	for k := range n.probeOffsets {
@@ -161,8 +163,9 @@
 	})
 }
 
-// nextProbeTime returns the time of the own phase in the next interval: members do not probe in step, and a member that
-// was late returns to its phase. A bad health score skips intervals.
+// nextProbeTime returns the time of this member's next probe: its phase within the next interval, so that the probes of
+// different members are spread over the interval and a late probe does not shift the following ones. It skips one
+// interval for each point of the health score.
 func (n *Node) nextProbeTime(now time.Duration) time.Duration {
 	interval := n.cfg.Interval
 	at := now/interval*interval + n.probePhase
@@ -172,10 +175,10 @@
 	return at + interval*time.Duration(n.healthScore)
 }
 
-// pingOutOfService pings one member per interval that is out of service, in turn, so that the end of a partition is
-// noticed, and a member that returned while nobody received its datagrams.
+// pingOutOfService pings one of the members out of service per interval, in turn. This detects the end of a partition,
+// and members that restarted while their datagrams were lost.
 func (n *Node) pingOutOfService(now time.Duration) {
-	if n.serving == len(n.members) {
+	if n.inService == len(n.members) {
 		return
 	}
 	for range n.members {
@@ -195,7 +198,8 @@
 	return n.sequence
 }
 
-// handleAck handles an ACK: of the sender itself if subject is noMember, else relayed by the sender for the subject.
+// handleAck handles an ACK. If subject is noMember, the ACK is the sender's own; otherwise the sender relayed the ACK of
+// subject.
 func (n *Node) handleAck(now time.Duration, from int, sequence uint32, subject int, incarnation uint64) {
 	target := subject
 	switch subject {
@@ -214,13 +218,13 @@
 	}
 }
 
-// handleNack records the NACK of a helper of the pending probe.
+// handleNack records a NACK sent by a relay of the pending probe.
 func (n *Node) handleNack(from int, sequence uint32) {
 	p := &n.probe
 	if !p.pending || p.sequence != sequence {
 		return
 	}
-	if slices.Contains(p.helpers, from) && !slices.Contains(p.nackedBy, from) {
+	if slices.Contains(p.relays, from) && !slices.Contains(p.nackedBy, from) {
 		p.nackedBy = append(p.nackedBy, from)
 	}
 }
--- a/internal/control/membership/relay.go
+++ b/internal/control/membership/relay.go
@@ -6,15 +6,15 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// relayedProbe is an indirect probe: a probe of the subject on behalf of another member (SWIM section 3.1).
+// relayedProbe is an indirect probe: this member pings the subject on behalf of the origin (SWIM section 3.1).
 type relayedProbe struct {
 	origin, subject             int
 	originSequence, ownSequence uint32
-	nackAt                      time.Duration // when the NACK is sent; 0 = it was
+	nackAt                      time.Duration // when a NACK is due; 0 = already sent
 	expiresAt                   time.Duration
 }
 
-// nextTickAt returns the earliest timer.
+// nextTickAt returns the time of the earliest timer.
 func (r *relayedProbe) nextTickAt() time.Duration {
 	if r.nackAt > 0 {
 		return r.nackAt
@@ -22,7 +22,7 @@
 	return r.expiresAt
 }
 
-// postpone moves the timers, but not that of a NACK that was sent: it would become due again.
+// postpone delays the timers. It must not change nackAt after the NACK was sent, or the NACK would be sent again.
 func (r *relayedProbe) postpone(delay time.Duration) {
 	if r.nackAt > 0 {
 		r.nackAt += delay
@@ -30,10 +30,10 @@
 	r.expiresAt += delay
 }
 
-// relayProbe handles a PING_REQ: it pings the subject on behalf of the origin.
+// relayProbe handles a PING_REQ by pinging the subject on behalf of the origin.
 func (n *Node) relayProbe(now time.Duration, origin int, sequence uint32, subject int) {
 	if len(n.relayedProbes) == maxRelayedProbes {
-		n.removeRelayedProbe(0) // the oldest is the next to expire
+		n.removeRelayedProbe(0) // the oldest, which expires first
 	}
 	nackDelay := n.cfg.ProbeTimeout / 2 // so that the NACK arrives before the probe of the origin fails
 	n.relayedProbes = append(n.relayedProbes, relayedProbe{
@@ -46,7 +46,7 @@
 	})
 }
 
-// relayAck forwards an ACK to the origin of the indirect probe that it answers, if any.
+// relayAck forwards an ACK that answers an indirect probe to the origin of the probe. It ignores other ACKs.
 func (n *Node) relayAck(now time.Duration, from int, sequence uint32) {
 	for k := range n.relayedProbes {
 		r := n.relayedProbes[k]
@@ -58,7 +58,7 @@
 	}
 }
 
-// tickRelayedProbes sends the NACKs that are due, and drops the indirect probes that expired.
+// tickRelayedProbes sends the NACKs that are due, and removes expired indirect probes.
 func (n *Node) tickRelayedProbes(now time.Duration) {
 	for k := 0; k < len(n.relayedProbes); {
 		r := &n.relayedProbes[k]
--- a/internal/control/membership/relay_test.go
+++ b/internal/control/membership/relay_test.go
@@ -9,9 +9,9 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// A relayed probe gets one NACK, also if this process pauses between the NACK and the end of the probe: the timer of a NACK that was
-// sent was set anew by the pause, and the NACK went out again.
-func TestRelayedProbeGetsOneNACK(t *testing.T) {
+// Checks that a relayed probe sends only one NACK, even if the process pauses after it. Postponing the timers after a
+// pause used to restart the timer of a NACK already sent, so that it was sent again.
+func TestRelayedProbeSendsOneNACK(t *testing.T) {
 	const origin, subject, sequence = 1, 3, 9
 	n := newNode(t, 0, 5)
 	n.deliver(t, origin, datagramFrom(n, origin, func(d *membershippb.Datagram) {
@@ -25,15 +25,15 @@
 			now += 10 * time.Second
 		}
 		n.Tick(now)
-		nacks += n.nacksTo(t, origin, sequence)
+		nacks += n.countNACKsTo(t, origin, sequence)
 	}
 	if nacks != 1 || !paused {
-		t.Errorf("%d NACKs, paused after the first: %v", nacks, paused)
+		t.Errorf("%d NACKs, want 1 (paused after the first: %v)", nacks, paused)
 	}
 }
 
-// nacksTo counts the NACKs of a probe among the datagrams of the last call.
-func (n *Node) nacksTo(t failer, origin int, sequence uint32) (count int) {
+// countNACKsTo returns the number of NACKs for a probe of origin in the output of the last call.
+func (n *Node) countNACKsTo(t testingT, origin int, sequence uint32) (count int) {
 	t.Helper()
 	for _, datagram := range n.Datagrams() {
 		d := &membershippb.Datagram{}
--- a/internal/control/membership/suspicion_test.go
+++ b/internal/control/membership/suspicion_test.go
@@ -7,21 +7,22 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// A member whose Tick is late after a pause suspects nobody: the answers may still wait in its socket.
-func TestOwnPauseRaisesNoSuspicion(t *testing.T) {
+// Checks that a member whose Tick is late because of a pause suspects nobody: the answers to its probes may still be in
+// the socket buffer.
+func TestLateTickRaisesNoSuspicion(t *testing.T) {
 	n := newNode(t, 0, 5)
 	now := n.NextTick()
 	n.Tick(now) // sends a probe
 	n.Tick(now + 30*time.Second)
 	if n.Counts().Suspected > 0 || n.Counts().Late != 1 || n.HealthScore() == 0 {
-		t.Fatalf("counts %+v, health %d", n.Counts(), n.HealthScore())
+		t.Fatalf("counts %+v, health score %d, want no suspicion, 1 Late and a raised score", n.Counts(), n.HealthScore())
 	}
 }
 
-// Guards against a suspect declared dead without a ping: a member that had missed a refutation extended the suspicion while
-// its own health score was bad, and declared the suspect dead as soon as the score recovered. Seen once in 100
-// process-hours with pauses.
-func TestRecoveredHealthDeclaresNoUnpingedSuspectDead(t *testing.T) {
+// Checks that a suspect is pinged before it is declared dead, even if the local health score improves suddenly. A member
+// that had missed a refutation extended the suspicion while its health score was bad, and declared the suspect dead without
+// a ping as soon as the score recovered. This occurred once in 100 process-hours with pauses.
+func TestSuspectIsPingedBeforeItIsDeclaredDead(t *testing.T) {
 	n := newNode(t, 0, 5)
 	n.deliverUpdate(t, 3, Suspect, startIncarnation, 1)
 	n.healthScore = maxHealthScore
@@ -33,17 +34,18 @@
 		}
 		n.Tick(now)
 		if now > epoch+16*time.Second {
-			pings += n.datagramsTo(3)
+			pings += n.countDatagramsTo(3)
 		}
 		if s, _ := n.Member(3); s == Dead && pings < 5 {
-			t.Fatalf("declared dead after %v and %d pings", now-epoch, pings)
+			t.Fatalf("declared dead after %v and %d pings, want at least 5 pings", now-epoch, pings)
 		}
 	}
 }
 
-// Guards against updates from beyond a partition that has healed: a member reported dead without a suspicion is pinged for an
-// interval before it is declared dead. Half of 100 processes declared eight of their own partition dead after a split.
-func TestReportedDeathIsVerified(t *testing.T) {
+// Checks that a member which is reported dead without a prior suspicion is pinged for an interval before it is declared
+// dead. Without this, after a partition of 100 processes healed, half of them declared eight members of their own
+// partition dead because of updates from the other side.
+func TestReportedDeathIsVerifiedByPings(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		answers bool
@@ -58,26 +60,26 @@
 			n.deliver(t, 3, datagramFrom(n, 3, nil))
 			n.deliverUpdate(t, 3, Dead, startIncarnation, 1)
 			if s, _ := n.Member(3); s != Suspect {
-				t.Fatalf("member 3 is %v at once", s)
+				t.Fatalf("member 3 is %v right after the report, want suspect", s)
 			}
 			pings := 0
 			for now := epoch + time.Second; now < epoch+4*time.Second; now += 20 * time.Millisecond {
 				n.Tick(now)
-				pings += n.datagramsTo(3)
+				pings += n.countDatagramsTo(3)
 				if pings > 0 && c.answers {
 					n.Receive(now, n.cfg.Peers[3], datagramFrom(n, 3, func(d *membershippb.Datagram) { d.Incarnation++ }))
 				}
 			}
 			if s, _ := n.Member(3); pings == 0 || s != c.want {
-				t.Errorf("%v after %d pings, want %v", s, pings, c.want)
+				t.Errorf("member 3 is %v after %d pings, want %v after at least one", s, pings, c.want)
 			}
 		})
 	}
 }
 
-// However many members are reported dead at once, the rate of the pings that verify it is bounded, each suspect is pinged,
-// and a repeated report declares none of them dead without a ping.
-func TestPingsOfSuspectsAreBounded(t *testing.T) {
+// Checks that when many members are reported dead at once, the total rate of pings to them is bounded, each of them is
+// pinged, and a repeated report does not declare any of them dead without a ping.
+func TestSuspectPingRateIsBounded(t *testing.T) {
 	const peers, gone = 200, 150
 	n := newNode(t, 0, peers)
 	reportAll := func() {
@@ -92,7 +94,7 @@
 	}
 	pinged, pings := map[int]bool{}, 0
 	const span = 10 * time.Second
-	pingInterval := n.cfg.intervals(suspectPingShare)
+	pingInterval := n.cfg.intervals(suspectPingPeriodIntervals)
 	for now := epoch + time.Second; now < epoch+time.Second+span; now = max(now+time.Millisecond, n.NextTick()) {
 		n.Tick(now)
 		for _, d := range n.Datagrams() {
@@ -106,10 +108,10 @@
 		}
 	}
 	limit := int(float64(suspectPingsPerRound)*float64(span)/float64(pingInterval)) + 1
-	if pings > 2*limit { // twice, for other datagrams to suspects in the same Tick
-		t.Errorf("%d pings of suspects in %v, limit %d", pings, span, 2*limit)
+	if pings > 2*limit { // the factor 2 allows for other datagrams to suspects in the same Tick
+		t.Errorf("%d pings of suspects in %v, want at most %d", pings, span, 2*limit)
 	}
 	if len(pinged) < gone {
-		t.Errorf("%d of %d suspects were pinged", len(pinged), gone)
+		t.Errorf("only %d of %d suspects were pinged", len(pinged), gone)
 	}
 }
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// overrides reports whether an update on a member overrides its known state: a later incarnation always does; within one,
-// the states do in their order (SWIM section 4.2).
+// overrides reports whether an update about m overrides its known state: a higher incarnation always does; within an
+// incarnation, a state overrides those before it in the order of the State constants (SWIM section 4.2).
 func (m *member) overrides(s State, incarnation uint64) bool {
 	return incarnation > m.incarnation || incarnation == m.incarnation && s > m.state
 }
 
-// applyUpdate applies a gossiped update on a member.
-func (n *Node) applyUpdate(now time.Duration, about int, s State, incarnation uint64, by int) {
-	if about == n.cfg.Self {
-		n.refute(now, s, incarnation, by)
+// applyUpdate applies a gossiped update about a member.
+func (n *Node) applyUpdate(now time.Duration, subject int, s State, incarnation uint64, reporter int) {
+	if subject == n.cfg.Self {
+		n.refute(now, s, incarnation, reporter)
 		return
 	}
-	m := &n.members[about]
-	if incarnation == 0 { // deviation: a sender that never heard of the member can suspect it, and report nothing else
+	m := &n.members[subject]
+	if incarnation == 0 { // deviation: a reporter that never heard of the subject can only suspect it or report it dead
 		if s != Suspect && s != Dead {
 			return
 		}
@@ -26,19 +26,20 @@
 	}
 	switch {
 	case s == Dead && incarnation >= m.incarnation && (m.state == Alive || m.reportedDead):
-		n.suspectReportedDead(now, about, incarnation, by)
+		n.suspectReportedDead(now, subject, incarnation, reporter)
 	case s == Suspect && m.state == Suspect && incarnation == m.incarnation:
-		if n.confirmSuspicion(about, by) { // gossiped on, because it shortens the timeout elsewhere too
-			n.queueUpdate(now, about, n.retransmitLimit)
+		if n.confirmSuspicion(subject, reporter) { // gossip the confirmation, since it shortens the timeout at other members too
+			n.queueUpdate(now, subject, n.retransmitLimit)
 		}
 	case m.overrides(s, incarnation):
-		n.broadcastState(now, about, s, incarnation, by)
+		n.broadcastState(now, subject, s, incarnation, reporter)
 	}
 }
 
-// refute handles an update on this member. If it says that this member is out of service or suspected, or is about a
-// former incarnation that was later than the present one, a new incarnation overrides it (SWIM section 4.2).
-func (n *Node) refute(now time.Duration, s State, incarnation uint64, by int) {
+// refute handles an update about this member. If the update overrides the local state, because it says that this member
+// is suspected or out of service or because a former incarnation was higher, this member adopts an incarnation that
+// overrides the update, and gossips it (SWIM section 4.2).
+func (n *Node) refute(now time.Duration, s State, incarnation uint64, reporter int) {
 	m := &n.members[n.cfg.Self]
 	if !m.overrides(s, incarnation) {
 		return
@@ -49,11 +50,11 @@
 		n.adjustHealth(1) // Lifeguard section IV-A: a suspected member may itself be slow
 	}
 	n.queueUpdate(now, n.cfg.Self, n.retransmitLimit)
-	n.events = append(n.events, Event{Kind: Refuted, Member: n.cfg.Self, OldState: s, NewState: m.state, Incarnation: m.incarnation, ReportedBy: by})
+	n.events = append(n.events, Event{Kind: Refuted, Member: n.cfg.Self, OldState: s, NewState: m.state, Incarnation: m.incarnation, ReportedBy: reporter})
 }
 
-// recordContact records that a datagram of a member arrived, with the sender's incarnation. It reports whether the member
-// is in service: otherwise its updates on others are not trusted.
+// recordContact records the arrival of a datagram from a member, with the sender's incarnation. It reports whether the
+// sender is trusted: updates about others are accepted only from members in service with a current incarnation.
 func (n *Node) recordContact(now time.Duration, from int, incarnation uint64) bool {
 	m := &n.members[from]
 	m.lastContactAt, m.staleIncarnation = now, incarnation < m.incarnation
@@ -63,53 +64,54 @@
 	return m.state.InService() && !m.staleIncarnation
 }
 
-// needsNotice reports whether a member must be sent the update on itself, so that it can refute it.
+// needsNotice reports whether a member must be sent the update about itself, so that it can refute it.
 func (n *Node) needsNotice(to int) bool {
 	m := &n.members[to]
 	return m.staleIncarnation || m.state != Alive
 }
 
-// setAlive adopts a later incarnation of a member. The update is gossiped unless it is the first contact with the member:
-// at the start of a fleet all members would gossip on all.
-func (n *Node) setAlive(now time.Duration, i int, incarnation uint64, by int) {
+// setAlive adopts a higher incarnation of a member, and gossips the update unless this is the first contact with the
+// member: otherwise, at the start of a fleet, every member would gossip about every other.
+func (n *Node) setAlive(now time.Duration, i int, incarnation uint64, reporter int) {
 	m := &n.members[i]
 	firstContact := m.incarnation == 0 && m.state == Alive
-	n.setState(now, i, Alive, incarnation, by)
+	n.setState(now, i, Alive, incarnation, reporter)
 	if !firstContact {
 		n.queueUpdate(now, i, n.retransmitLimit)
 	}
 }
 
 // broadcastState changes the state of a member and gossips the update.
-func (n *Node) broadcastState(now time.Duration, i int, s State, incarnation uint64, by int) {
-	n.setState(now, i, s, incarnation, by)
+func (n *Node) broadcastState(now time.Duration, i int, s State, incarnation uint64, reporter int) {
+	n.setState(now, i, s, incarnation, reporter)
 	n.queueUpdate(now, i, n.retransmitLimit)
 }
 
-// setState changes the state of a member.
-func (n *Node) setState(now time.Duration, i int, s State, incarnation uint64, by int) {
+// setState changes the state of a member, updates the values derived from it, and emits an event.
+func (n *Node) setState(now time.Duration, i int, s State, incarnation uint64, reporter int) {
 	m := &n.members[i]
 	was := m.state
 	n.digest ^= memberDigest(i, was) ^ memberDigest(i, s)
 	if was.InService() {
-		n.serving--
+		n.inService--
 	}
 	if s.InService() {
-		n.serving++
+		n.inService++
 	}
-	m.state, m.incarnation, m.reportedBy = s, incarnation, int32(by)
+	m.state, m.incarnation, m.reportedBy = s, incarnation, int32(reporter)
 	if was == Suspect {
 		n.endSuspicion(i)
 	}
 	if s == Suspect {
-		n.startSuspicion(now, i, by)
+		n.startSuspicion(now, i, reporter)
 	}
 	if was != s {
-		n.events = append(n.events, Event{Kind: StateChanged, Member: i, OldState: was, NewState: s, Incarnation: incarnation, ReportedBy: by})
+		n.events = append(n.events, Event{Kind: StateChanged, Member: i, OldState: was, NewState: s, Incarnation: incarnation, ReportedBy: reporter})
 	}
 }
 
-// memberDigest returns what a member adds to the digest of a view: 0 while in service, so that views agree from the start.
+// memberDigest returns the contribution of a member's state to the digest of the view: 0 for a member in service, so that
+// the initial views have equal digests.
 func memberDigest(i int, s State) uint32 {
 	if s.InService() {
 		return 0
--- a/internal/control/membership/table_test.go
+++ b/internal/control/membership/table_test.go
@@ -7,8 +7,9 @@
 	"frostpier/internal/control/membership/membershippb"
 )
 
-// The state of a member changes in the order of incarnation and state, and in no other way.
-func TestUpdatesOverride(t *testing.T) {
+// Checks that an update overrides the known state of a member only if its incarnation is higher, or if it is equal and the
+// state comes later in the SWIM order.
+func TestUpdatesOverrideByIncarnationAndState(t *testing.T) {
 	const inc = startIncarnation
 	for _, c := range []struct {
 		known            State
@@ -34,7 +35,7 @@
 		t.Run(fmt.Sprintf("%v@%d then %v@%d", c.known, c.knownIncarnation-inc, c.update, int(c.incarnation)-int(inc)), func(t *testing.T) {
 			n := newNode(t, 0, 5)
 			n.deliverUpdate(t, 3, Suspect, c.knownIncarnation-1, 1)
-			if c.known == Dead { // only a suspect is declared dead by gossip
+			if c.known == Dead { // a gossiped death is accepted only for a suspect
 				n.deliverUpdate(t, 3, Suspect, c.knownIncarnation, 1)
 			}
 			n.deliverUpdate(t, 3, c.known, c.knownIncarnation, 1)
@@ -46,8 +47,9 @@
 	}
 }
 
-// A member refutes a wrong update on itself, also one on a former incarnation with a later clock.
-func TestRefutes(t *testing.T) {
+// Checks that a member refutes a wrong update about itself, including an Alive update with a higher incarnation, from a
+// former process whose clock was ahead.
+func TestMemberRefutesUpdatesAboutItself(t *testing.T) {
 	for _, s := range []State{Suspect, Dead, Left, Alive} {
 		t.Run(s.String(), func(t *testing.T) {
 			n := newNode(t, 0, 5)
@@ -58,15 +60,16 @@
 			n.deliver(t, 1, datagramFrom(n, 1, withUpdate(0, s, refuted, 2)))
 			state, incarnation := n.Member(0)
 			if state != Alive || incarnation != refuted+1 || len(n.Events()) != 1 || n.Events()[0].Kind != Refuted {
-				t.Errorf("update %v@%d: now %v@%d, events %v", s, refuted, state, incarnation, n.Events())
+				t.Errorf("after the update %v, incarnation %d: state %v, incarnation %d, events %v, want a refutation with the next incarnation",
+					s, refuted, state, incarnation, n.Events())
 			}
 		})
 	}
 }
 
-// A member that restarts without stored state while its clock was set back is notified of its former incarnation in the
-// ACK to its first ping.
-func TestFormerIncarnationIsNotified(t *testing.T) {
+// Checks that a member which restarts without stored state and with its clock set back is notified of its former
+// incarnation in the ACK to its first ping.
+func TestRestartedMemberIsNotifiedOfFormerIncarnation(t *testing.T) {
 	n := newNode(t, 0, 5)
 	n.deliver(t, 1, datagramFrom(n, 1, nil))
 	n.deliver(t, 1, datagramFrom(n, 1, func(d *membershippb.Datagram) {
@@ -75,6 +78,6 @@
 	d := n.firstDatagram(t)
 	if d.Kind != membershippb.Kind_KIND_ACK || d.Sequence != 9 || len(d.About) == 0 || d.About[0] != 1 ||
 		d.Word[0] != packState(Alive, startIncarnation) {
-		t.Fatalf("answered %v", d)
+		t.Fatalf("the first datagram is %v, want an ACK with an update about member 1 and its former incarnation", d)
 	}
 }
--- a/internal/control/membership/timer.go
+++ b/internal/control/membership/timer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// scheduleNextTick sets nextTickAt to the earliest timer.
+// scheduleNextTick sets nextTickAt to the time of the earliest timer.
 func (n *Node) scheduleNextTick(now time.Duration) {
 	earliest := n.nextProbeAt
 	consider := func(timer time.Duration) {
@@ -17,20 +17,20 @@
 		consider(n.relayedProbes[i].nextTickAt())
 	}
 	for _, i := range n.suspects {
-		consider(n.suspicionDue(i))
+		consider(n.nextSuspicionTimer(i))
 	}
 	n.nextTickAt = max(earliest, now)
 }
 
-// compensatePause prevents conclusions from a pause of this process: answers that arrived meanwhile may still wait in its
-// socket. It postpones all timers by as much as this call is late, and a little more for reading the socket.
+// compensatePause prevents suspicions caused by a pause of this process: answers that arrived during the pause may still
+// be in the socket buffer. It postpones all timers by the delay of this call plus a grace period for reading the socket.
 func (n *Node) compensatePause(now time.Duration) {
 	late := now - n.nextTickAt
-	grace := n.cfg.intervals(pauseGraceShare)
+	grace := n.cfg.intervals(pauseGraceIntervals)
 	if n.nextTickAt == 0 || late <= grace {
 		return
 	}
-	if late > n.cfg.intervals(unhealthyPauseShare) {
+	if late > n.cfg.intervals(unhealthyPauseIntervals) {
 		n.counts.Late++
 		n.adjustHealth(1)
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-// adjustHealth changes the local health score (Lifeguard section IV-A).
+// adjustHealth adds delta to the local health score, within its bounds (Lifeguard section IV-A).
 func (n *Node) adjustHealth(delta int) {
 	n.healthScore = min(maxHealthScore, max(0, n.healthScore+delta))
 }
--- a/internal/control/membership/types.go
+++ b/internal/control/membership/types.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// State is the state of a member in this member's view.
+// State is the state of a member in the local member's view.
 type State uint8
 
-// The states, in the order in which one overrides another of the same incarnation (SWIM section 4.2).
+// The states. Within an incarnation a later state in this list overrides an earlier one (SWIM section 4.2).
 const (
-	None    State = iota // no state
-	Alive                // in service; at incarnation 0 presumed from the configuration, without any contact yet
-	Suspect              // did not answer; in service until the suspicion times out
-	Dead                 // declared dead
-	Left                 // announced that it leaves
+	None    State = iota // the zero value; no member has it
+	Alive                // in service; incarnation 0 means presumed alive from the configuration, not heard from yet
+	Suspect              // did not answer a probe; in service until the suspicion times out
+	Dead                 // declared dead after a suspicion timed out
+	Left                 // announced a graceful leave
 )
 
-// String returns the name of the state in the log; empty for an unknown one.
+// String returns the name of the state as logged, or an empty string for an unknown state.
 func (s State) String() string {
 	return [...]string{"none", "alive", "suspect", "dead", "left", "", "", ""}[s&7]
 }
@@ -27,56 +27,57 @@
 
 // The kinds of events.
 const (
-	StateChanged      EventKind = iota // the state of a member changed
-	Refuted                            // this member refuted an update on itself
-	ExtensionReceived                  // a message of an Extension arrived
+	StateChanged      EventKind = iota // the state of another member changed, or this member left
+	Refuted                            // this member refuted an update about itself
+	ExtensionReceived                  // a datagram contained a message for an Extension
 )
 
-// Event reports something that the host acts on or logs.
+// Event reports a membership change or a received extension message to the caller.
 type Event struct {
 	Kind               EventKind
-	Member             int    // whose state changed; the sender of an extension message
-	OldState, NewState State  // of Changed: the state before and after. Of Refuted: the state refuted, and the own state
-	Incarnation        uint64 // of Changed and Refuted
-	ReportedBy         int    // the member that reported it, -1 where unknown
-	ExtensionKind      uint32 // of ExtensionReceived: Extension.Kind ...
-	Body               []byte // ... and the message, valid until the next call
+	Member             int    // the member whose state changed, or the sender of an extension message
+	OldState, NewState State  // StateChanged: the states before and after. Refuted: the refuted state and this member's state
+	Incarnation        uint64 // StateChanged and Refuted: the incarnation of Member
+	ReportedBy         int    // the member that reported the event, -1 if unknown
+	ExtensionKind      uint32 // ExtensionReceived: the Extension.Kind of the message
+	Body               []byte // ExtensionReceived: the message, valid until the next call of the Node
 }
 
-// Datagram is a datagram to send.
+// Datagram is an outgoing datagram.
 type Datagram struct {
 	To    int    // member number of the receiver
-	Bytes []byte // valid until the next call
+	Bytes []byte // valid until the next call of the Node
 }
 
-// Counts are totals since New. A datagram that was dropped had no effect at all.
+// Counts holds counters since New. A dropped datagram changes nothing but its counter. The field names are written to
+// the log.
 type Counts struct {
 	Sent, Received           uint64 // datagrams
 	SentBytes, ReceivedBytes uint64
 	Probes, ProbesFailed     uint64
-	Suspected, Refuted       uint64 // members suspected after an own probe; updates on this member that it refuted
-	Late                     uint64 // pauses of this member: a Tick or datagram that came late
-	Syncs                    uint64 // requests for the full state
-	Postponed                uint64 // rounds of gossip, and datagrams for extensions, that the byte budget postponed
-	Strangers                uint64 // dropped: from an address of no peer, or with the member number of another
-	Oversize                 uint64 // dropped: longer than MaxDatagram
-	Malformed                uint64 // dropped: wrong checksum or form
-	OtherFleet               uint64 // dropped: of another fleet
-	TooNew                   uint64 // dropped: this version cannot read it
-	Unknown                  uint64 // unknown kinds, states and member numbers that were skipped
+	Suspected, Refuted       uint64 // suspicions after a failed probe by this member; updates about itself that it refuted
+	Late                     uint64 // calls of Tick or Receive so late that the local health score rose
+	Syncs                    uint64 // requests for the full state sent
+	Postponed                uint64 // rounds of gossip and extension datagrams deferred by the byte budget
+	Strangers                uint64 // dropped: the source address is not a peer's, or does not match the member number
+	Oversize                 uint64 // dropped: longer than MaxDatagramSize
+	Malformed                uint64 // dropped: checksum mismatch, decoding error, or a field out of range
+	OtherFleet               uint64 // dropped: sent by a member of another fleet
+	TooNew                   uint64 // dropped: requires a later protocol version
+	Unknown                  uint64 // unknown kinds, states and member numbers, skipped in otherwise valid datagrams
 }
 
-// noMember stands for a member number where there is no member.
+// noMember is the member number that means "no member".
 const noMember = -1
 
-// member is this member's view of one member, itself included.
+// member is the local view of one member. Each Node has one for every member, itself included.
 type member struct {
 	state            State
 	incarnation      uint64
-	reportedBy       int32         // the member that reported the state first; noMember where unknown
-	retransmits      int16         // left of the update on it; it is in the broadcast queue while above 0
+	reportedBy       int32         // the member that first reported the state; noMember if unknown
+	retransmits      int16         // remaining transmissions of the update about it; it is in the broadcast queue while above 0
 	lastContactAt    time.Duration // when its last datagram arrived
-	lastNoticeAt     time.Duration // when it was last sent a notice
+	lastNoticeAt     time.Duration // when a notice of its own state was last queued
 	staleIncarnation bool          // its last datagram had an incarnation below the known one
 	suspicion
 }
