--- a/internal/control/membership/simulation/detector.go
+++ b/internal/control/membership/simulation/detector.go
@@ -7,8 +7,8 @@
 	"frostpier/internal/control/membership"
 )
 
-// Detector is the failure detector that runs at a member: the membership protocol (membership.Node documents the methods),
-// or a baseline to compare it with.
+// Detector is the failure detector of a simulated member: a membership.Node, which documents the methods, or a baseline to
+// compare it with.
 type Detector interface {
 	Start(now time.Duration)
 	Tick(now time.Duration)
--- a/internal/control/membership/simulation/fleet.go
+++ b/internal/control/membership/simulation/fleet.go
@@ -1,9 +1,9 @@
-// Package simulation runs a fleet of membership nodes on a virtual clock and a virtual network, with faults: tests and the
-// experiment tool simulate minutes of a thousand members within seconds.
+// Package simulation is a discrete-event simulation of a fleet of membership nodes, with a virtual clock, a virtual network
+// and injected faults. It simulates minutes of a thousand members within seconds, for tests and the tool fleettest.
 //
-// The package owns the clock, the network and the faults of a run. It opens no socket and reads no real clock. A Fleet runs
-// on the goroutine of its caller and is not safe for concurrent use; several may run at once. Every random draw comes from
-// Setup.Seed, so a run that fails replays identically.
+// The package opens no socket and reads no real clock. A Fleet runs on its caller's goroutine and is not safe for concurrent
+// use, but several Fleets may run concurrently. Every random draw comes from Setup.Seed, so a failed run can be replayed
+// identically.
 package simulation
 
 import (
@@ -15,65 +15,66 @@
 	"frostpier/internal/control/membership"
 )
 
-// Epoch is the virtual time at which every run starts, since the Unix epoch.
+// Epoch is the virtual time, since the Unix epoch, at which every run starts.
 const Epoch = 1_800_000_000 * time.Second
 
-// The delays of a datagram where Setup has none: those between peers in the site's settings.
+// Default bounds of the network delay: the delays between peers in the site's settings.
 const (
 	minDefaultDelay = 1300 * time.Microsecond
 	maxDefaultDelay = 38 * time.Millisecond
 )
 
-// leaveGrace is the time from a member's Leave until its process ends.
+// leaveGrace is the time from a member's Leave until its process exits.
 const leaveGrace = time.Second
 
 // Setup holds the parameters of a run.
 type Setup struct {
-	Members       int
-	Seed          uint64
-	Interval      time.Duration // protocol period; 0 = the default of membership
-	Loss          float64       // share of the datagrams that are lost
-	Duplication   float64       // share of the datagrams that are duplicated
-	DelayMin      time.Duration // of a datagram; delays are uniform between the two, so datagrams are reordered
-	DelayMax      time.Duration // 0 = default delays
-	StartSpread   time.Duration // after Epoch, within which the members start
+	Members     int
+	Seed        uint64
+	Interval    time.Duration // protocol period; 0 = membership.DefaultInterval
+	Loss        float64       // probability that a datagram is lost
+	Duplication float64       // probability that a datagram is duplicated
+	DelayMin    time.Duration // lower bound of the network delay, which is uniformly distributed; datagrams may be reordered
+	DelayMax    time.Duration // upper bound of the network delay; 0 = the default bounds
+	StartSpread time.Duration // the members start at random times within this time after Epoch
+	// NewDetector returns the failure detector of a member; nil = membership.New.
 	NewDetector   func(cfg membership.Config) (Detector, error)
-	StepsPerCheck int // steps between two checks of a node's invariants; 0 = every step
+	StepsPerCheck int // steps of the fleet between two checks of a node's invariants; 0 = check at every step
 }
 
-// Member is one simulated process.
+// Member is a simulated process.
 type Member struct {
-	Node      Detector
-	Up        bool
-	UpSince   time.Duration // when it last started or resumed
-	ClockSkew time.Duration // of its clock
-	paused    bool
-	buffered  []arrival     // received during a pause
-	timerAt   time.Duration // of its next Tick
-	starts    int           // starts and ends so far, to recognize events of a former process
-	lastNow   time.Duration // of its clock, which never decreases
+	Node       Detector
+	Up         bool
+	UpSince    time.Duration // when it last started or resumed after a pause
+	ClockSkew  time.Duration // of its clock relative to Fleet.Now
+	paused     bool
+	buffered   []bufferedDatagram // datagrams received during a pause
+	timerAt    time.Duration      // virtual time of the next Tick
+	generation int                // number of starts and kills, to ignore events for a former process
+	lastNow    time.Duration      // last reading of its clock, which never decreases
 }
 
-// Fleet is a run.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	Setup
 	Members []Member
 	Now     time.Duration // virtual time since the Unix epoch
-	Steps   int           // calls of the nodes so far
-	// Seen, if set, is called for every event of a member. An error ends the run.
+	Steps   int           // number of calls of all nodes
+	// OnEvent, if set, is called for every event that a member emits, with the number of that member. An error ends the run.
 	OnEvent func(at int, e membership.Event) error
-	// Cut, if set, reports whether datagrams between two members are dropped, in this direction.
+	// Drops, if set, reports whether the network drops the datagrams from one member to another.
 	Drops           func(from, to int) bool
-	Sent, SentBytes []int // datagrams and bytes sent, by member
+	Sent, SentBytes []int // datagrams and bytes sent, by member number
 	addrs           []netip.AddrPort
 	rnd             *rand.Rand
 	queue           eventQueue
-	lastSequence    uint64 // of the events
+	lastSequence    uint64 // of the queued events
 	freeBuffers     [][]byte
-	err             error // that ended the run
+	err             error // first error, which ended the run
 }
 
-// New returns a fleet whose members start within Setup.Spread. An error of Setup.Make is returned by Run.
+// New returns a fleet whose members start within Setup.StartSpread. Errors of Setup.NewDetector are returned by Run.
 func New(s Setup) (*Fleet, error) {
 	if s.NewDetector == nil {
 		s.NewDetector = func(cfg membership.Config) (Detector, error) { return membership.New(cfg) }
@@ -107,55 +108,55 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + i>>16), byte(i >> 8), byte(i)}), 7946)
 }
 
-// Start starts a member without stored state, its clock off by skew.
+// Start starts a member without stored state and with the given clock skew.
 func (f *Fleet) Start(i int, skew time.Duration) {
 	m := &f.Members[i]
-	m.starts++
+	m.generation++
 	node, err := f.NewDetector(membership.Config{Self: i, Peers: f.addrs, Fleet: "virtual", Interval: f.Interval,
-		Seed: f.Seed*1_000_003 + uint64(i)*101 + uint64(m.starts)})
+		Seed: f.Seed*1_000_003 + uint64(i)*101 + uint64(m.generation)})
 	if err != nil {
 		f.err = err
 		return
 	}
-	*m = Member{Node: node, Up: true, UpSince: f.Now, ClockSkew: skew, starts: m.starts}
+	*m = Member{Node: node, Up: true, UpSince: f.Now, ClockSkew: skew, generation: m.generation}
 	f.step(i, node.Start)
 }
 
-// Kill ends a member at once.
+// Kill ends the process of a member without a leave.
 func (f *Fleet) Kill(i int) {
 	m := &f.Members[i]
 	m.Up, m.paused, m.buffered = false, false, nil
-	m.starts++
+	m.generation++
 }
 
-// Leave has a member leave, and ends it a second later.
+// Leave makes a member leave the fleet, and ends its process after leaveGrace.
 func (f *Fleet) Leave(i int) {
 	m := &f.Members[i]
 	f.step(i, func(now time.Duration) { m.Node.Leave(now) })
-	starts := m.starts
+	generation := m.generation
 	f.After(leaveGrace, func() {
-		if m.starts == starts {
+		if m.generation == generation {
 			f.Kill(i)
 		}
 	})
 }
 
-// Pause stops a member for a time. The datagrams that arrive meanwhile wait in its socket.
+// Pause stops a member for the duration d. Its socket buffers the datagrams that arrive meanwhile.
 func (f *Fleet) Pause(i int, d time.Duration) {
 	m := &f.Members[i]
 	if !m.Up || m.paused {
 		return
 	}
 	m.paused = true
-	starts := m.starts
+	generation := m.generation
 	f.After(d, func() {
-		if m.starts == starts {
+		if m.generation == generation {
 			f.resume(i)
 		}
 	})
 }
 
-// resume ends a pause: the member handles what waits in its socket and its timer, in either order.
+// resume ends a pause. The member handles the buffered datagrams and its timer, in a random order.
 func (f *Fleet) resume(i int) {
 	m := &f.Members[i]
 	m.paused, m.UpSince = false, f.Now
@@ -170,7 +171,8 @@
 	f.step(i, m.Node.Tick)
 }
 
-// step makes a call of a member's node, if it is up, and then does what the node wants: checks, events, datagrams, timer.
+// step makes a call of a member's node, if the member is up. Then it checks the invariants, and handles the events,
+// datagrams and timer of the node.
 func (f *Fleet) step(i int, call func(now time.Duration)) {
 	m := &f.Members[i]
 	if !m.Up || f.err != nil {
@@ -181,11 +183,11 @@
 	call(now)
 	f.Steps++
 	if f.StepsPerCheck == 0 || f.Steps%f.StepsPerCheck == 0 {
-		f.fail(i, m.Node.CheckInvariants())
+		f.setErr(i, m.Node.CheckInvariants())
 	}
 	for _, e := range m.Node.Events() {
 		if f.OnEvent != nil && f.err == nil {
-			f.fail(i, f.OnEvent(i, e))
+			f.setErr(i, f.OnEvent(i, e))
 		}
 	}
 	for _, d := range m.Node.Datagrams() {
@@ -196,15 +198,15 @@
 	}
 }
 
-// fail ends the run with an error of a member, if there is one.
-func (f *Fleet) fail(member int, err error) {
+// setErr ends the run with an error of a member, unless err is nil.
+func (f *Fleet) setErr(member int, err error) {
 	if err != nil {
-		f.err = fmt.Errorf("seed %d, %v, member %d: %w", f.Seed, f.Now-Epoch, member, err)
+		f.err = fmt.Errorf("seed %d, time %v, member %d: %w", f.Seed, f.Now-Epoch, member, err)
 	}
 }
 
-// ViewsAgree reports whether in the view of every member that is up exactly those that are up are in service; if not, it
-// describes a difference.
+// ViewsAgree reports whether all views are correct: in the view of each running member, exactly the members that are up
+// are in service. If not, it returns a description of one difference.
 func (f *Fleet) ViewsAgree() (bool, string) {
 	for viewer := range f.Members {
 		if !f.Members[viewer].Up || f.Members[viewer].paused {
@@ -213,7 +215,7 @@
 		for i := range f.Members {
 			s, _ := f.Members[viewer].Node.Member(i)
 			if s.InService() != f.Members[i].Up {
-				return false, fmt.Sprintf("at member %d: member %d is %v, up: %v", viewer, i, s, f.Members[i].Up)
+				return false, fmt.Sprintf("in the view of member %d, member %d is %v (up: %v)", viewer, i, s, f.Members[i].Up)
 			}
 		}
 	}
--- a/internal/control/membership/simulation/golden_test.go
+++ b/internal/control/membership/simulation/golden_test.go
@@ -11,9 +11,9 @@
 	"frostpier/internal/testutil"
 )
 
-const writtenInFull = 40 // datagrams that are written out in full; the others count in the hash
+const fullyRecorded = 40 // number of datagrams written to the golden file; the others are only hashed
 
-// recordedNode records every datagram that a member sends.
+// recordedNode is a Node that passes every datagram it sends to record.
 type recordedNode struct {
 	*membership.Node
 	record func(d membership.Datagram)
@@ -27,8 +27,8 @@
 	return list
 }
 
-// The datagrams of a fleet through kills, a pause, a partition and a leave do not change in any byte.
-func TestDatagramTranscript(t *testing.T) {
+// Checks that the bytes of all datagrams of a fleet with kills, a pause, a partition and a leave match the golden file.
+func TestDatagramsMatchGoldenFile(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
 	hash, count := fnv.New64a(), 0
@@ -39,7 +39,7 @@
 				return nil, err
 			}
 			return &recordedNode{node, func(d membership.Datagram) {
-				if count++; count <= writtenInFull {
+				if count++; count <= fullyRecorded {
 					fmt.Fprintf(&out, "%d to %d: %x\n", cfg.Self, d.To, d.Bytes)
 				}
 				fmt.Fprintf(hash, "%d to %d: %x\n", cfg.Self, d.To, d.Bytes)
@@ -49,12 +49,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := false
-	f.Drops = func(from, to int) bool { return cut && from%2 != to%2 }
+	partitioned := false
+	f.Drops = func(from, to int) bool { return partitioned && from%2 != to%2 }
 	f.After(20*time.Second, func() { f.Kill(3); f.Kill(4) })
 	f.After(25*time.Second, func() { f.Pause(7, 4*time.Second) })
-	f.After(40*time.Second, func() { cut = true })
-	f.After(60*time.Second, func() { cut = false })
+	f.After(40*time.Second, func() { partitioned = true })
+	f.After(60*time.Second, func() { partitioned = false })
 	f.After(70*time.Second, func() { f.Start(3, 0); f.Leave(9) })
 	if err := f.Run(2 * time.Minute); err != nil {
 		t.Fatal(err)
--- a/internal/control/membership/simulation/heartbeat.go
+++ b/internal/control/membership/simulation/heartbeat.go
@@ -9,28 +9,29 @@
 	"frostpier/internal/control/membership"
 )
 
-// HeartbeatDetector is the baseline that the protocol is compared with: a heartbeat failure detector with the same budget of
-// datagrams. Each member sends heartbeats to all others in a shuffled round-robin order, at a constant rate, and declares a
-// member dead after a timeout of some rounds. It has no indirect probes, no suspicion and no gossip.
+// HeartbeatDetector is a heartbeat failure detector, the baseline with which the membership protocol is compared. Each
+// member sends heartbeats to all others in a shuffled round-robin order, at a constant rate (for a fair comparison, the
+// datagram rate of the protocol), and declares a member dead after a timeout of several rounds. It has no indirect probes,
+// no suspicion and no gossip.
 type HeartbeatDetector struct {
 	cfg           membership.Config
 	interval      time.Duration // between two heartbeats
-	timeout       time.Duration // without a heartbeat, after which a member is dead
+	timeout       time.Duration // time without a heartbeat after which a member is declared dead
 	rnd           *rand.Rand
-	others        []int // all member numbers but the own, in the order of this round
+	others        []int // all member numbers except the detector's, in the order of the current round
 	nextReceiver  int   // index in others
 	lastContactAt []time.Duration
 	dead          []bool
-	numbers       map[netip.AddrPort]int // member numbers by address
+	memberByAddr  map[netip.AddrPort]int // member numbers by address
 	nextSendAt    time.Duration
 	sequence      uint64
-	serving       int
+	inService     int
 	datagrams     []membership.Datagram
 	events        []membership.Event
 }
 
-// NewHeartbeatDetector returns a Heartbeat that sends perSecond datagrams a second, and declares a member dead after so many rounds
-// without a heartbeat.
+// NewHeartbeatDetector returns a detector that sends perSecond heartbeats a second, and declares a member dead after the
+// given number of rounds without a heartbeat.
 func NewHeartbeatDetector(cfg membership.Config, perSecond, rounds float64) *HeartbeatDetector {
 	h := &HeartbeatDetector{
 		cfg:           cfg,
@@ -38,12 +39,12 @@
 		rnd:           rand.New(rand.NewPCG(cfg.Seed, 3)),
 		lastContactAt: make([]time.Duration, len(cfg.Peers)),
 		dead:          make([]bool, len(cfg.Peers)),
-		numbers:       map[netip.AddrPort]int{},
-		serving:       len(cfg.Peers),
+		memberByAddr:  map[netip.AddrPort]int{},
+		inService:     len(cfg.Peers),
 	}
 	h.timeout = time.Duration(rounds * float64(h.interval) * float64(len(cfg.Peers)-1))
 	for i, peer := range cfg.Peers {
-		h.numbers[peer] = i
+		h.memberByAddr[peer] = i
 		if i != cfg.Self {
 			h.others = append(h.others, i)
 		}
@@ -59,9 +60,9 @@
 	h.nextSendAt = now + time.Duration(h.rnd.Int64N(int64(h.interval)))
 }
 
-// Tick sends the next heartbeat and declares members dead, if that is due.
+// Tick sends a heartbeat if one is due, and then declares members dead whose timeout has expired.
 func (h *HeartbeatDetector) Tick(now time.Duration) {
-	h.reset()
+	h.clearOutput()
 	if now < h.nextSendAt {
 		return
 	}
@@ -74,10 +75,10 @@
 	}
 }
 
-// reset drops the datagrams and events of the last call.
-func (h *HeartbeatDetector) reset() { h.datagrams, h.events = h.datagrams[:0], h.events[:0] }
+// clearOutput discards the datagrams and events of the last call.
+func (h *HeartbeatDetector) clearOutput() { h.datagrams, h.events = h.datagrams[:0], h.events[:0] }
 
-// sendNext sends a heartbeat to the next member of the round.
+// sendNext sends a heartbeat to the next member in the round.
 func (h *HeartbeatDetector) sendNext() {
 	if h.nextReceiver == 0 {
 		h.rnd.Shuffle(len(h.others), func(a, b int) { h.others[a], h.others[b] = h.others[b], h.others[a] })
@@ -87,23 +88,23 @@
 	h.nextReceiver = (h.nextReceiver + 1) % len(h.others)
 }
 
-// setDead changes the state of a member.
+// setDead marks a member dead or alive, and emits an event.
 func (h *HeartbeatDetector) setDead(i int, dead bool) {
 	was, is := membership.Alive, membership.Dead
 	if dead {
-		h.serving--
+		h.inService--
 	} else {
 		was, is = is, was
-		h.serving++
+		h.inService++
 	}
 	h.dead[i] = dead
 	h.events = append(h.events, membership.Event{Kind: membership.StateChanged, Member: i, OldState: was, NewState: is, ReportedBy: h.cfg.Self})
 }
 
-// Receive handles a heartbeat.
+// Receive handles a heartbeat. The sender becomes alive if it was dead.
 func (h *HeartbeatDetector) Receive(now time.Duration, from netip.AddrPort, _ []byte) {
-	h.reset()
-	i := h.numbers[from]
+	h.clearOutput()
+	i := h.memberByAddr[from]
 	h.lastContactAt[i] = now
 	if h.dead[i] {
 		h.setDead(i, false)
@@ -111,18 +112,18 @@
 }
 
 // Leave does nothing: the baseline has no graceful leave.
-func (h *HeartbeatDetector) Leave(time.Duration) { h.reset() }
+func (h *HeartbeatDetector) Leave(time.Duration) { h.clearOutput() }
 
 // NextTick returns the time of the next heartbeat.
 func (h *HeartbeatDetector) NextTick() time.Duration { return h.nextSendAt }
 
-// Datagrams returns those of the last call.
+// Datagrams returns the datagrams to send after the last call.
 func (h *HeartbeatDetector) Datagrams() []membership.Datagram { return h.datagrams }
 
-// Events returns those of the last call.
+// Events returns the events of the last call.
 func (h *HeartbeatDetector) Events() []membership.Event { return h.events }
 
-// Member returns the state of a member, and 1 for its incarnation.
+// Member returns the state of a member. The incarnation is always 1.
 func (h *HeartbeatDetector) Member(i int) (membership.State, uint64) {
 	if h.dead[i] {
 		return membership.Dead, 1
@@ -131,7 +132,7 @@
 }
 
 // NumInService returns the number of members in service.
-func (h *HeartbeatDetector) NumInService() int { return h.serving }
+func (h *HeartbeatDetector) NumInService() int { return h.inService }
 
-// CheckInvariants returns nil: there are no invariants.
+// CheckInvariants returns nil: the detector has no invariants.
 func (h *HeartbeatDetector) CheckInvariants() error { return nil }
--- a/internal/control/membership/simulation/measure.go
+++ b/internal/control/membership/simulation/measure.go
@@ -8,28 +8,28 @@
 	"frostpier/internal/control/membership"
 )
 
-// Results are the results of a measurement.
+// Results holds the results of a measurement.
 type Results struct {
 	Members            int
 	ProcessHours       float64
-	FalsePositives     int // deaths of a member that was up, each counted once however many members declared it
+	FalsePositives     int // members declared dead while up; MeasurePauses counts a death declared by several members once
 	Kills              int
-	MissedKills        int             // kills that some member had not learned of when the next step began
-	DetectionTimes     []time.Duration // from a kill until the first member declared it, sorted (detection time)
-	DisseminationTimes []time.Duration // from then until the last member learned of it, sorted (dissemination time)
-	DatagramRate       float64         // sent per member and second in the steady state
-	ByteRate           float64         // likewise
+	MissedKills        int             // kills that some member did not detect or learn of before the victim restarted
+	DetectionTimes     []time.Duration // from each kill until the first member declared the death, sorted
+	DisseminationTimes []time.Duration // from then until the last member learned of the death, sorted
+	DatagramRate       float64         // datagrams sent per member and second in the steady state
+	ByteRate           float64         // bytes sent per member and second in the steady state
 }
 
-// Quantile returns the value at a share from 0 to 1 of a sorted list; 0 for an empty list.
-func Quantile(sorted []time.Duration, share float64) time.Duration {
+// Quantile returns the p-quantile, with p from 0 to 1, of a sorted list, or 0 if the list is empty.
+func Quantile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
-// MeasureSteadyState measures what a member sends for a time without faults, from a minute after the start on.
+// MeasureSteadyState measures the traffic per member without faults, for the duration d from a minute after the start.
 func MeasureSteadyState(s Setup, d time.Duration) (Results, error) {
 	const startup = time.Minute
 	f, err := New(s)
@@ -59,8 +59,9 @@
 	return sum
 }
 
-// MeasurePauses simulates pauses of random members for a time, and counts the deaths declared: all of them are false. Each member
-// pauses once per interval on average, for a quarter of longest up to longest.
+// MeasurePauses simulates pauses of random members for the duration d, and counts false positives: no member is killed, so
+// every declared death is false. Each member pauses once per interval on average, for a random time from a quarter of
+// longest up to longest.
 func MeasurePauses(s Setup, d, interval, longest time.Duration) (Results, error) {
 	const startup = 10 * time.Second
 	f, err := New(s)
@@ -68,7 +69,7 @@
 		return Results{}, err
 	}
 	out := Results{Members: s.Members, ProcessHours: float64(s.Members) * d.Hours()}
-	f.OnEvent = f.countFalseDeaths(&out.FalsePositives)
+	f.OnEvent = f.countFalsePositives(&out.FalsePositives)
 	var pause func()
 	pause = func() {
 		f.Pause(f.rnd.IntN(s.Members), time.Duration(float64(longest)*(0.25+0.75*f.rnd.Float64())))
@@ -79,17 +80,17 @@
 	return out, err
 }
 
-// countFalseDeaths returns a function for Seen that counts the deaths of members that are up. Events on the same member
-// within a short time are one death, which many members declare.
-func (f *Fleet) countFalseDeaths(count *int) func(int, membership.Event) error {
-	const sameDeath = 10 * time.Second
+// countFalsePositives returns a function for OnEvent that counts members declared dead while up. Deaths of the same member
+// within sameDeathWindow count once, as they are the same death declared by several members.
+func (f *Fleet) countFalsePositives(count *int) func(int, membership.Event) error {
+	const sameDeathWindow = 10 * time.Second
 	lastDeclared := make([]time.Duration, len(f.Members))
 	return func(_ int, e membership.Event) error {
 		if e.Kind != membership.StateChanged || e.NewState != membership.Dead || !f.Members[e.Member].Up {
 			return nil
 		}
 		last := lastDeclared[e.Member]
-		if last == 0 || f.Now-last > sameDeath {
+		if last == 0 || f.Now-last > sameDeathWindow {
 			*count++
 		}
 		lastDeclared[e.Member] = f.Now
@@ -97,8 +98,8 @@
 	}
 }
 
-// MeasureKills kills random members one after the other, at an interval, and measures when the others learn of it. Each starts
-// again afterwards.
+// MeasureKills kills random members one after the other, and measures when the others detect and learn of each kill. After
+// the interval the victim restarts, and the next kill follows half an interval later.
 func MeasureKills(s Setup, kills int, interval time.Duration) (Results, error) {
 	const startup = 20 * time.Second
 	f, err := New(s)
@@ -106,7 +107,7 @@
 		return Results{}, err
 	}
 	out := Results{Members: s.Members, Kills: kills}
-	k := &killMeasurement{fleet: f, figures: &out, victim: -1}
+	k := &killMeasurement{fleet: f, results: &out, victim: -1}
 	f.OnEvent = k.observe
 	if err := f.Run(startup); err != nil {
 		return out, err
@@ -123,57 +124,57 @@
 	slices.Sort(out.DetectionTimes)
 	slices.Sort(out.DisseminationTimes)
 	if agreed, difference := f.ViewsAgree(); !agreed {
-		return out, fmt.Errorf("seed %d: after the last start %s", s.Seed, difference)
+		return out, fmt.Errorf("seed %d: views differ after the last restart: %s", s.Seed, difference)
 	}
 	return out, nil
 }
 
-// killMeasurement measures one kill after the other.
+// killMeasurement is the state of MeasureKills.
 type killMeasurement struct {
-	fleet       *Fleet
-	figures     *Results
-	victim      int           // of the last kill; -1 before the first
-	learned     int           // members that declared it dead, or learned of it
-	first, last time.Duration // when the first and the last did; 0 = none
+	fleet                           *Fleet
+	results                         *Results
+	victim                          int           // member that was last killed; -1 before the first kill
+	informed                        int           // number of members that declared the victim dead or learned of its death
+	firstDeclaredAt, lastDeclaredAt time.Duration // when the first and the last of them did; 0 = none did yet
 }
 
-// kill kills a random member, at a random time of the protocol period, and runs for the interval.
+// kill kills a random member at a random time within the protocol period, and runs the fleet for the interval.
 func (k *killMeasurement) kill(interval time.Duration) error {
 	f := k.fleet
-	k.victim, k.learned, k.first, k.last = f.rnd.IntN(len(f.Members)), 0, 0, 0
-	killed := f.Now + time.Duration(f.rnd.Int64N(int64(membership.DefaultInterval)))
-	f.After(killed-f.Now, func() { f.Kill(k.victim) })
+	k.victim, k.informed, k.firstDeclaredAt, k.lastDeclaredAt = f.rnd.IntN(len(f.Members)), 0, 0, 0
+	killedAt := f.Now + time.Duration(f.rnd.Int64N(int64(membership.DefaultInterval)))
+	f.After(killedAt-f.Now, func() { f.Kill(k.victim) })
 	if err := f.Run(interval); err != nil {
 		return err
 	}
-	if k.learned < len(f.Members)-1 {
-		k.figures.MissedKills++
+	if k.informed < len(f.Members)-1 {
+		k.results.MissedKills++
 	}
-	if k.first > 0 {
-		k.figures.DetectionTimes = append(k.figures.DetectionTimes, k.first-killed)
-		k.figures.DisseminationTimes = append(k.figures.DisseminationTimes, k.last-k.first)
+	if k.firstDeclaredAt > 0 {
+		k.results.DetectionTimes = append(k.results.DetectionTimes, k.firstDeclaredAt-killedAt)
+		k.results.DisseminationTimes = append(k.results.DisseminationTimes, k.lastDeclaredAt-k.firstDeclaredAt)
 	}
 	return nil
 }
 
-// observe records when members learn of the death. The death of any other member is false.
+// observe records when members declare the victim dead, and counts the deaths of other members as false positives.
 func (k *killMeasurement) observe(_ int, e membership.Event) error {
 	if e.Kind != membership.StateChanged || e.NewState != membership.Dead {
 		return nil
 	}
 	if e.Member != k.victim {
-		k.figures.FalsePositives++
+		k.results.FalsePositives++
 		return nil
 	}
-	if k.first == 0 {
-		k.first = k.fleet.Now
+	if k.firstDeclaredAt == 0 {
+		k.firstDeclaredAt = k.fleet.Now
 	}
-	k.last = k.fleet.Now
-	k.learned++
+	k.lastDeclaredAt = k.fleet.Now
+	k.informed++
 	return nil
 }
 
-// Merge returns the figures of several runs of one size taken together.
+// Merge returns the combined results of runs with the same number of members.
 func (a Results) Merge(b Results) Results {
 	a.ProcessHours += b.ProcessHours
 	a.FalsePositives += b.FalsePositives
--- a/internal/control/membership/simulation/network.go
+++ b/internal/control/membership/simulation/network.go
@@ -6,16 +6,16 @@
 	"frostpier/internal/control/membership"
 )
 
-// socketBuffer is the number of datagrams that wait in the socket of a paused member; more are dropped.
+// socketBuffer is the number of datagrams that the socket of a paused member buffers; further ones are dropped.
 const socketBuffer = 1000
 
-// arrival is a datagram that has arrived at a paused member.
-type arrival struct {
+// bufferedDatagram is a datagram that arrived at a paused member.
+type bufferedDatagram struct {
 	from int
 	b    []byte
 }
 
-// transmit sends a datagram over the network, which may drop, duplicate, delay and reorder it.
+// transmit sends a datagram over the simulated network, which may drop, duplicate, delay and reorder it.
 func (f *Fleet) transmit(from int, d membership.Datagram) {
 	f.Sent[from]++
 	f.SentBytes[from] += len(d.Bytes)
@@ -46,7 +46,7 @@
 	return b[:0]
 }
 
-// receive handles the arrival of a datagram, and frees its buffer.
+// receive handles the arrival of a datagram, and makes its buffer available for reuse.
 func (f *Fleet) receive(e event) {
 	m := &f.Members[e.to]
 	switch {
@@ -54,12 +54,12 @@
 	case !m.paused:
 		f.deliver(e.to, e.from, e.b)
 	case len(m.buffered) < socketBuffer:
-		m.buffered = append(m.buffered, arrival{e.from, append([]byte(nil), e.b...)})
+		m.buffered = append(m.buffered, bufferedDatagram{e.from, append([]byte(nil), e.b...)})
 	}
 	f.freeBuffers = append(f.freeBuffers, e.b)
 }
 
-// deliver has a member's node handle a datagram.
+// deliver passes a datagram to a member's node.
 func (f *Fleet) deliver(to, from int, b []byte) {
 	f.step(to, func(now time.Duration) { f.Members[to].Node.Receive(now, f.addrs[from], b) })
 }
--- a/internal/control/membership/simulation/race_test.go
+++ b/internal/control/membership/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raceDetector is true if the race detector is enabled, under which a run takes ten times as long.
+// raceDetector is true if the race detector is enabled, which makes a run ten times as slow.
 const raceDetector = true
--- a/internal/control/membership/simulation/random.go
+++ b/internal/control/membership/simulation/random.go
@@ -8,30 +8,30 @@
 	"frostpier/internal/control/membership"
 )
 
-// Limits of a random run.
+// Parameters of a random run.
 const (
-	faultPeriod      = 40 * time.Second // in which faults are injected
-	firstFaultAt     = 5 * time.Second
-	maxFaultInterval = 6 * time.Second  // between two faults
-	maxFaultDuration = 12 * time.Second // of a pause, a drop or a partition
-	maxConvergence   = 3 * time.Minute  // from the last fault until all views are correct
-	excusePeriod     = 60 * time.Second // after a fault, in which a false death of the member is no error
-	maxSkew          = time.Hour        // of the clock of a member that restarts
-	maxLoss          = 0.15
-	maxDuplication   = 0.1
+	faultInjectionTime = 40 * time.Second // time from the start in which faults are injected
+	firstFaultAt       = 5 * time.Second
+	maxFaultInterval   = 6 * time.Second  // maximum time between two faults
+	maxFaultDuration   = 12 * time.Second // maximum duration of a pause, of packet loss or of a partition
+	maxConvergenceTime = 3 * time.Minute  // maximum time from the end of the faults until all views are correct
+	faultGracePeriod   = 60 * time.Second // time after a fault in which a false positive of an affected member is allowed
+	maxSkew            = time.Hour        // maximum clock skew of a restarted member, in either direction
+	maxLoss            = 0.15
+	maxDuplication     = 0.1
 )
 
 var (
-	errViewReverted = errors.New("a view reverted to an earlier incarnation or state")
-	errFalseDeath   = errors.New("a member without a recent fault was declared dead")
+	errViewReverted  = errors.New("a view reverted to an earlier incarnation or state")
+	errFalsePositive = errors.New("a running member without a recent fault was declared dead")
 )
 
-// RunRandom simulates a run whose faults are drawn from the seed: members that are killed, that restart with clocks set
-// forward or back, that pause and that leave; datagrams dropped in one direction, all from or to a member, or between
-// partitions. Invariants are checked every so many steps. Then the network heals, and all views must become correct within
-// maxConvergence. It returns the run, and an error if a check failed.
-func RunRandom(seed uint64, members int, every int) (*Fleet, error) {
-	f, err := New(Setup{Members: members, Seed: seed, StepsPerCheck: every, StartSpread: time.Second})
+// RunRandom simulates a run whose faults are drawn from the seed: members are killed, restart with a skewed clock, pause
+// and leave; datagrams are dropped from one member to another, from or to all members, or between partitions. Invariants
+// are checked once per stepsPerCheck steps. After the network has healed, all views must become correct within
+// maxConvergenceTime. It returns the fleet, and an error if a check failed.
+func RunRandom(seed uint64, members int, stepsPerCheck int) (*Fleet, error) {
+	f, err := New(Setup{Members: members, Seed: seed, StepsPerCheck: stepsPerCheck, StartSpread: time.Second})
 	if err != nil {
 		return nil, err
 	}
@@ -39,21 +39,21 @@
 	f.Duplication = maxDuplication * f.rnd.Float64()
 	r := newRandomRun(f)
 	f.Drops = r.drops
-	f.OnEvent = r.check
-	for at := firstFaultAt; at < faultPeriod; at += time.Duration(f.rnd.Int64N(int64(maxFaultInterval))) {
+	f.OnEvent = r.checkEvent
+	for at := firstFaultAt; at < faultInjectionTime; at += time.Duration(f.rnd.Int64N(int64(maxFaultInterval))) {
 		f.After(at, r.injectFault)
 	}
-	if err := f.Run(faultPeriod); err != nil {
+	if err := f.Run(faultInjectionTime); err != nil {
 		return f, err
 	}
 	r.healNetwork()
 	return f, f.converge()
 }
 
-// converge continues the run until all views are correct.
+// converge continues the run until all views are correct, for at most maxConvergenceTime.
 func (f *Fleet) converge() error {
 	const checkInterval = 2 * time.Second
-	for end := f.Now + maxConvergence; ; {
+	for end := f.Now + maxConvergenceTime; ; {
 		if err := f.Run(checkInterval); err != nil {
 			return err
 		}
@@ -62,13 +62,13 @@
 			return nil
 		}
 		if f.Now > end {
-			return fmt.Errorf("seed %d: %v after the last fault %s", f.Seed, maxConvergence, difference)
+			return fmt.Errorf("seed %d: views still differ %v after the last fault: %s", f.Seed, maxConvergenceTime, difference)
 		}
 	}
 }
 
-// report is the last state of a member that another reported in a Changed event.
-type report struct {
+// reportedState is a state of a member that another member reported in a StateChanged event.
+type reportedState struct {
 	state       membership.State
 	incarnation uint64
 }
@@ -80,70 +80,71 @@
 type randomRun struct {
 	fleet                     *Fleet
 	lastFaultAt               []time.Duration // by member
-	partition                 []int           // by member: members of different partitions cannot communicate
+	partition                 []int           // by member; members in different partitions cannot communicate
 	dropInbound, dropOutbound []bool          // by member
 	droppedLinks              map[link]bool
-	reports                   []map[int]report // by viewer and member, of the viewer's present process
-	reportsOf                 []int            // by viewer: Member.starts of the process that reports are of
+	lastReported              []map[int]reportedState // by viewer and member, since the current start of the viewer
+	reportedGeneration        []int                   // by viewer: Member.generation to which lastReported belongs
 }
 
 func newRandomRun(f *Fleet) *randomRun {
 	members := len(f.Members)
 	return &randomRun{
-		fleet:        f,
-		lastFaultAt:  make([]time.Duration, members),
-		partition:    make([]int, members),
-		dropInbound:  make([]bool, members),
-		dropOutbound: make([]bool, members),
-		droppedLinks: map[link]bool{},
-		reports:      make([]map[int]report, members),
-		reportsOf:    make([]int, members),
+		fleet:              f,
+		lastFaultAt:        make([]time.Duration, members),
+		partition:          make([]int, members),
+		dropInbound:        make([]bool, members),
+		dropOutbound:       make([]bool, members),
+		droppedLinks:       map[link]bool{},
+		lastReported:       make([]map[int]reportedState, members),
+		reportedGeneration: make([]int, members),
 	}
 }
 
-// drops reports whether a datagram is dropped by a fault.
+// drops reports whether a fault drops the datagrams from one member to another.
 func (r *randomRun) drops(from, to int) bool {
 	return r.partition[from] != r.partition[to] || r.dropOutbound[from] || r.dropInbound[to] || r.droppedLinks[link{from, to}]
 }
 
-// check returns an error if the view of a member reverts, or declares a member dead without a recent fault of either.
-func (r *randomRun) check(viewer int, e membership.Event) error {
+// checkEvent returns an error if the viewer's view reverts to an earlier state, or if the viewer declares a running member
+// dead although neither of them had a recent fault.
+func (r *randomRun) checkEvent(viewer int, e membership.Event) error {
 	if e.Kind != membership.StateChanged || e.Member == viewer {
 		return nil
 	}
-	if err := r.checkOrder(viewer, e); err != nil {
+	if err := r.checkOverrides(viewer, e); err != nil {
 		return err
 	}
-	if e.NewState == membership.Dead && r.fleet.Members[e.Member].Up && !r.excused(e.Member) && !r.excused(viewer) {
-		return fmt.Errorf("%w: member %d", errFalseDeath, e.Member)
+	if e.NewState == membership.Dead && r.fleet.Members[e.Member].Up && !r.hadRecentFault(e.Member) && !r.hadRecentFault(viewer) {
+		return fmt.Errorf("%w: member %d", errFalsePositive, e.Member)
 	}
 	return nil
 }
 
-// checkOrder returns an error unless each state that a process reports of a member overrides the last one.
-func (r *randomRun) checkOrder(viewer int, e membership.Event) error {
-	starts := r.fleet.Members[viewer].starts
-	if r.reports[viewer] == nil || r.reportsOf[viewer] != starts {
-		r.reports[viewer], r.reportsOf[viewer] = map[int]report{}, starts
+// checkOverrides returns an error unless each state of a member that a process reports overrides the previous one.
+func (r *randomRun) checkOverrides(viewer int, e membership.Event) error {
+	generation := r.fleet.Members[viewer].generation
+	if r.lastReported[viewer] == nil || r.reportedGeneration[viewer] != generation {
+		r.lastReported[viewer], r.reportedGeneration[viewer] = map[int]reportedState{}, generation
 	}
-	was, is := r.reports[viewer][e.Member], report{e.NewState, e.Incarnation}
+	was, is := r.lastReported[viewer][e.Member], reportedState{e.NewState, e.Incarnation}
 	if is.incarnation < was.incarnation || is.incarnation == was.incarnation && is.state <= was.state {
 		return fmt.Errorf("%w: member %d from %v to %v", errViewReverted, e.Member, was, is)
 	}
-	r.reports[viewer][e.Member] = is
+	r.lastReported[viewer][e.Member] = is
 	return nil
 }
 
-// excused reports whether a member had a recent fault, or the run has just started.
-func (r *randomRun) excused(i int) bool {
+// hadRecentFault reports whether a member had a fault recently, or the run has just started.
+func (r *randomRun) hadRecentFault(i int) bool {
 	now := r.fleet.Now
-	return now-r.lastFaultAt[i] <= excusePeriod || now-Epoch <= excusePeriod
+	return now-r.lastFaultAt[i] <= faultGracePeriod || now-Epoch <= faultGracePeriod
 }
 
-// recordFault records that a fault affects a member now.
+// recordFault records the current time as that of the member's last fault.
 func (r *randomRun) recordFault(i int) { r.lastFaultAt[i] = r.fleet.Now }
 
-// injectFault draws a fault and injects it. The order of the random draws is part of the replay.
+// injectFault injects a random fault. A change of the order of its random draws changes the runs of all seeds.
 func (r *randomRun) injectFault() {
 	f, members := r.fleet, len(r.fleet.Members)
 	i, other := f.rnd.IntN(members), f.rnd.IntN(members)
@@ -163,7 +164,7 @@
 	case 6:
 		r.dropAll(r.dropOutbound, i, duration)
 	case 7:
-		r.split(duration)
+		r.partitionFleet(duration)
 	case 8:
 		if f.Members[i].Up && !f.Members[i].paused {
 			f.Leave(i)
@@ -171,7 +172,7 @@
 	}
 }
 
-// restart kills a member if it is up, and starts it after a delay with a clock set forward or back.
+// restart kills a member if it is up, and starts it after a delay with a random clock skew.
 func (r *randomRun) restart(i int, delay time.Duration) {
 	f := r.fleet
 	if f.Members[i].Up {
@@ -185,20 +186,20 @@
 	})
 }
 
-// dropLink drops the datagrams of one direction for a time.
+// dropLink drops the datagrams on a link for the given duration.
 func (r *randomRun) dropLink(l link, duration time.Duration) {
 	r.droppedLinks[l] = true
 	r.fleet.After(duration, func() { delete(r.droppedLinks, l) })
 }
 
-// dropAll drops the datagrams to a member (dropInbound) or from it (dropOutbound) for a time.
+// dropAll drops all datagrams to a member (dropped is dropInbound) or from it (dropOutbound) for the given duration.
 func (r *randomRun) dropAll(dropped []bool, i int, duration time.Duration) {
 	dropped[i] = true
 	r.fleet.After(duration, func() { dropped[i] = false })
 }
 
-// split divides the fleet into two random partitions for a time.
-func (r *randomRun) split(duration time.Duration) {
+// partitionFleet divides the fleet into two random partitions for the given duration.
+func (r *randomRun) partitionFleet(duration time.Duration) {
 	for i := range r.partition {
 		r.partition[i] = r.fleet.rnd.IntN(2)
 		r.recordFault(i)
@@ -206,7 +207,7 @@
 	r.fleet.After(duration, func() { clear(r.partition) })
 }
 
-// healNetwork ends the faults of the network. Members that are down stay down.
+// healNetwork ends all network faults. Members that are down remain down.
 func (r *randomRun) healNetwork() {
 	clear(r.partition)
 	clear(r.dropInbound)
@@ -214,7 +215,8 @@
 	clear(r.droppedLinks)
 }
 
-// RandomFleetSize returns the number of members of a seed's random run: mostly a few, at times a thousand.
+// RandomFleetSize returns the number of members in the random run of a seed: up to 40 for most seeds, 100, 300 or 1000 for
+// some.
 func RandomFleetSize(seed uint64) int {
 	switch {
 	case seed%500 == 499:
--- a/internal/control/membership/simulation/scheduler.go
+++ b/internal/control/membership/simulation/scheduler.go
@@ -9,21 +9,21 @@
 type eventKind uint8
 
 const (
-	eventTimer   eventKind = iota // a member's Tick is due
+	eventTimer   eventKind = iota // a member's timer expires
 	eventArrival                  // a datagram arrives
-	eventCall                     // a function is to be called
+	eventCall                     // a function registered with After is called
 )
 
-// event is something that happens at a virtual time.
+// event is a scheduled event of the simulation.
 type event struct {
-	at       time.Duration
-	sequence uint64 // order of events at the same time
-	kind     eventKind
-	to       int    // member
-	from     int    // of eventArrival: the sender
-	starts   int    // of eventTimer: Member.starts when it was set
-	b        []byte // of eventArrival
-	call     func() // of eventCall
+	at         time.Duration
+	sequence   uint64 // orders events with the same time
+	kind       eventKind
+	to         int    // eventTimer and eventArrival: the member
+	from       int    // eventArrival: the sender
+	generation int    // eventTimer: Member.generation when the timer was set
+	b          []byte // eventArrival: the datagram
+	call       func() // eventCall: the function
 }
 
 // eventQueue is a heap of events, the earliest first. It implements heap.Interface.
@@ -47,12 +47,12 @@
 func (q *eventQueue) Pop() any {
 	k := len(*q) - 1
 	last := (*q)[k]
-	(*q)[k] = event{} // releases its memory
+	(*q)[k] = event{} // lets the garbage collector free the datagram and the function
 	*q = (*q)[:k]
 	return last
 }
 
-// After has a function called when a time has passed since Now.
+// After schedules a call of a function at the virtual time Now plus after.
 func (f *Fleet) After(after time.Duration, call func()) {
 	f.push(event{at: f.Now + after, kind: eventCall, call: call})
 }
@@ -61,7 +61,7 @@
 func (f *Fleet) setTimer(i int, at time.Duration) {
 	m := &f.Members[i]
 	m.timerAt = at
-	f.push(event{at: at, kind: eventTimer, to: i, starts: m.starts})
+	f.push(event{at: at, kind: eventTimer, to: i, generation: m.generation})
 }
 
 func (f *Fleet) push(e event) {
@@ -70,8 +70,7 @@
 	heap.Push(&f.queue, e)
 }
 
-// Run continues the run for a time. It returns the first error of an invariant, of Seen or of Setup.Make, with the seed,
-// the time and the member.
+// Run simulates the duration d. It returns the first error of an invariant check, of OnEvent or of Setup.NewDetector.
 func (f *Fleet) Run(d time.Duration) error {
 	end := f.Now + d
 	for f.err == nil && len(f.queue) > 0 && f.queue[0].at <= end {
@@ -90,13 +89,13 @@
 	return f.err
 }
 
-// fireTimer handles the timer of a member, unless it belongs to a former process or was replaced by another.
+// fireTimer handles the timer of a member, unless it belongs to a former process or was replaced by another timer.
 func (f *Fleet) fireTimer(e event) {
 	m := &f.Members[e.to]
-	if e.starts != m.starts || m.paused || e.at != m.timerAt {
+	if e.generation != m.generation || m.paused || e.at != m.timerAt {
 		return
 	}
-	if next := m.Node.NextTick(); next > f.Now+m.ClockSkew { // the node has postponed it since
+	if next := m.Node.NextTick(); next > f.Now+m.ClockSkew { // the node has postponed its next Tick
 		f.setTimer(e.to, next-m.ClockSkew)
 		return
 	}
