--- a/cmd/frostpier/crossings_test.go
+++ b/cmd/frostpier/crossings_test.go
@@ -156,7 +156,7 @@
 	for range sockets {
 		idle = append(idle, dialRPC(t, n).ping())
 	}
-	waitFor(t, "connections closed for others", func() bool { return strings.Contains(n.log.String(), "others came") })
+	waitFor(t, "connections closed for others", func() bool { return strings.Contains(n.log.String(), "evicted for a new connection") })
 	n.discovery.publish(engineInService("e1", e.addr()))
 	n.config["bulletin"] = n.discovery.ln.Addr().String()
 	n.writeConfig()
--- a/cmd/frostpier/mysql_test.go
+++ b/cmd/frostpier/mysql_test.go
@@ -408,7 +408,7 @@
 			"[vrrp]\nlisten = %q\npeers = [%q]\nid = 7\npriority = %d\ninterval_ms = 100\npreempt = true\naddresses = [\"127.0.0.1\"]\n",
 			addr, e.addr(), sha1Of(sha1Of([]byte("p"))), udp[i], udp[1-i], priority), engineInService("A", "127.0.0.1:1"))
 		if i == 0 {
-			nodes[0].waitLog("mysql front listens")
+			nodes[0].waitLog("mysql listener opened")
 		}
 	}
 	c, p := dialSQL(t, addr, "u", "p")
@@ -418,7 +418,7 @@
 	c.send(0x03, "SELECT 1")
 	c.wantRows()
 	nodes[0].cmd.Process.Signal(syscall.SIGTERM)
-	nodes[1].waitLog("mysql front listens")
+	nodes[1].waitLog("mysql listener opened")
 	waitFor(t, "the other to serve", func() bool {
 		nc, err := net.Dial("tcp", addr)
 		if err == nil {
--- a/internal/transport/frontend/crossings_clients_test.go
+++ b/internal/transport/frontend/client_races_test.go
@@ -12,11 +12,11 @@
 	"frostpier/internal/testutil/nettest"
 )
 
-// docs/design/crossings.md has a row for each of these tests.
+// The tests in this file force races between events of a client and of the gateway; docs/design/crossings.md lists them.
 
-// A request that was sent before its idle connection is closed gets its response, whether it is unread in the socket or the reader
-// has it and waits for the loop. It was once lost with a reset.
-func TestUnreadRequestBeforeClose(t *testing.T) {
+// A request that a client sends just before the gateway closes the idle connection is answered, whether it is still in the socket or was
+// read and is queued for the loop. Such requests were once lost, since the close reset the connection.
+func TestIdleCloseServesPendingRequest(t *testing.T) {
 	for name, closeIdle := range map[string]func(*fixture, *client) bool{
 		"idle":     func(f *fixture, c *client) bool { return c.closeIfIdle("idle") },
 		"stop":     func(f *fixture, _ *client) bool { return f.CloseIdle(0) },
@@ -42,60 +42,59 @@
 						f.waitQueued(1)
 					}
 					if closeIdle(f, c) {
-						t.Error("closed over a request")
+						t.Error("the connection was closed although a request was pending")
 					}
 				})
-				at := e.Accept()
-				at.ReadRequest()
-				io.WriteString(at, succeeded)
+				engineConn := e.Accept()
+				engineConn.ReadRequest()
+				io.WriteString(engineConn, succeeded)
 				expectLine(t, bufio.NewReader(nc), `"id":12,"result"`)
 			})
 		}
 	}
 }
 
-// A request that comes after the half-close is not accepted, and the client can tell: it finds the end of the connection first, and
-// no reset.
-func TestRequestAfterHalfClose(t *testing.T) {
+// A request that arrives after the half-close is not accepted, and the client can detect this: it reads EOF first, not a reset.
+func TestRequestAfterHalfCloseIsNotAccepted(t *testing.T) {
 	f := newFixture(t, 4)
 	nc, c := f.connect()
 	f.loop.Do(func() {
 		if !c.closeIfIdle("idle") {
-			t.Error("an idle connection was not closed")
+			t.Error("the idle connection was not closed")
 		}
 	})
-	expectCleanEnd(t, nc)
+	expectEOF(t, nc)
 	nettest.Send(t, nc, queryLine(7, idempotentClass))
 	nettest.CloseWrite(t, nc)
-	nettest.Eventually(t, "the descriptor", func() (gone bool) {
-		f.loop.Do(func() { gone = len(f.lingering.conns) == 0 && c.conn.IsClosed() })
-		return gone
+	nettest.Eventually(t, "the connection to be closed", func() (closed bool) {
+		f.loop.Do(func() { closed = len(f.lingering.conns) == 0 && c.conn.IsClosed() })
+		return closed
 	})
 	if n := f.counts(); n.Taken != 0 {
-		t.Fatalf("%d requests were accepted after the end", n.Taken)
+		t.Fatalf("%d requests were accepted after the half-close", n.Taken)
 	}
 }
 
-// Queued responses are written before the connection is closed, and unread bytes of the client do not reset it.
-func TestUnsentResponseBeforeClose(t *testing.T) {
+// Shutdown writes queued responses before it closes a connection, and unread bytes from the client do not cause a reset.
+func TestShutdownFlushesQueuedResponse(t *testing.T) {
 	f := newFixture(t, 4)
 	nc, c := f.connectPaused()
 	long := strings.Repeat("y", 8<<20) // more than the buffers of both sockets
 	f.loop.Do(func() {
-		nettest.Send(t, nc, `{"jsonrpc":`) // unread when the connection is closed
+		nettest.Send(t, nc, `{"jsonrpc":`) // still unread when the connection is closed
 		c.conn.SetWriteLimit(2 * len(long))
 		f.loop.SetWriteBudget(2 * int64(len(long)))
 		c.conn.Write([]byte(long))
 		f.Shutdown()
 	})
 	if got, err := io.ReadAll(nc); err != nil || len(got) != len(long) {
-		t.Fatalf("%d bytes, %v, want %d and the end", len(got), err, len(long))
+		t.Fatalf("read %d bytes and error %v, want %d bytes and EOF", len(got), err, len(long))
 	}
 }
 
-// Responses that are queued are written however many connections are closed at a time. The bound on connections that are being closed
-// once closed the oldest at once, over its unwritten response: see TestFleetPlannedStopsLoseNothing in cmd/frostpier.
-func TestUnsentResponsesBeforeManyCloses(t *testing.T) {
+// Queued responses are written even if more connections than the linger limit are closed at a time. The limit once closed the oldest
+// connection immediately, which dropped its unwritten response: see TestFleetPlannedStopsLoseNothing in cmd/frostpier.
+func TestLingerLimitKeepsQueuedResponses(t *testing.T) {
 	f := newFixture(t, 4)
 	f.loop.Do(func() { f.lingering.limit = 1 })
 	const clients = 4
@@ -115,20 +114,20 @@
 	})
 	for _, nc := range conns {
 		if got, err := io.ReadAll(nc); err != nil || len(got) != len(long) {
-			t.Errorf("%d bytes, %v, want %d and the end", len(got), err, len(long))
+			t.Errorf("read %d bytes and error %v, want %d bytes and EOF", len(got), err, len(long))
 		}
 	}
-	nettest.Eventually(t, "the bound", func() (within bool) {
+	nettest.Eventually(t, "the linger limit to be enforced", func() (within bool) {
 		f.loop.Do(func() { within = len(f.lingering.conns) <= f.lingering.limit })
 		return within
 	})
 }
 
-// A request that comes in one read behind the end of the last open one is answered, though that end makes the gateway idle and a stop
-// closes idle connections then. The check for idleness ran in the middle of the read: the connection looked idle, was closed, and the
-// request was taken on a closed connection, where its answer was dropped.
-func TestRequestBehindTheLastOpenOneAtStop(t *testing.T) {
-	f := newFixture(t, 4) // without engines: requests stay queued
+// During a stop, a request that is read together with the abort of the last open query is answered, although the abort makes the gateway
+// idle and idle connections are closed then. When the idle check ran in the middle of the read, it closed the connection, and the response
+// to the request was dropped.
+func TestStopAnswersRequestReadWithLastAbort(t *testing.T) {
+	f := newFixture(t, 4) // without engines, so that requests stay queued
 	nc, c := f.connectPaused()
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
 	f.loop.Do(func() {
@@ -140,11 +139,11 @@
 	})
 	in := bufio.NewReader(nc)
 	expectLine(t, in, `"id":12,"error"`)
-	expectCleanEnd(t, in) // once it is answered, the gateway is idle
+	expectEOF(t, in) // the gateway is idle after the response
 }
 
-// A request that is unread when the last connections of a stop are closed is answered: by then every request is, at once.
-func TestUnreadRequestBeforeShutdown(t *testing.T) {
+// Shutdown answers a request that is still unread: after Dispatcher.Close, each request gets an immediate response.
+func TestShutdownAnswersPendingRequest(t *testing.T) {
 	f := newFixture(t, 4)
 	nc, _ := f.connectPaused()
 	f.loop.Do(func() {
@@ -154,49 +153,49 @@
 	})
 	in := bufio.NewReader(nc)
 	expectLine(t, in, `"id":12,"error"`)
-	expectCleanEnd(t, in)
+	expectEOF(t, in)
 }
 
-// A client that does not close its side holds a descriptor for the linger timeout at most.
-func TestLingerTimeout(t *testing.T) {
+// The connection of a client that does not close its side is closed after the linger timeout, which frees its descriptor.
+func TestLingerTimeoutClosesConnection(t *testing.T) {
 	f := newFixture(t, 4)
 	nc, c := f.connect()
 	f.loop.Do(func() {
 		c.conn.SetLingerTimeout(time.Millisecond)
 		c.closeIfIdle("idle")
 	})
-	expectCleanEnd(t, nc)
-	nettest.Eventually(t, "the descriptor", func() (gone bool) {
-		f.loop.Do(func() { gone = len(f.lingering.conns) == 0 })
-		return gone
+	expectEOF(t, nc)
+	nettest.Eventually(t, "the connection to be closed", func() (closed bool) {
+		f.loop.Do(func() { closed = len(f.lingering.conns) == 0 })
+		return closed
 	})
 }
 
-// After a framing error, an open query still gets its response, and nothing more is read.
-func TestOpenQueryAfterFramingError(t *testing.T) {
+// After a framing error, open queries are still answered, and no more input is read.
+func TestFramingErrorKeepsOpenQuery(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
 	f := newFixture(t, 4, e)
 	nc, c := f.connect()
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
-	at := e.Accept()
-	at.ReadRequest()
+	engineConn := e.Accept()
+	engineConn.ReadRequest()
 	go io.Copy(nc, strings.NewReader(strings.Repeat("x", 1<<20)))
 	nettest.Eventually(t, "the framing error", func() (stopped bool) {
-		f.loop.Do(func() { stopped = c.framingLost })
+		f.loop.Do(func() { stopped = c.readStopped })
 		return stopped
 	})
-	io.WriteString(at, succeeded)
+	io.WriteString(engineConn, succeeded)
 	in := bufio.NewReader(nc)
 	expectLine(t, in, `"result"`)
-	expectCleanEnd(t, in)
+	expectEOF(t, in)
 }
 
-// Nothing is sent for a client that has closed its connection or aborted its query, though that is unread: not the first attempt,
-// not one for which it was queued, and no retry.
-func TestNothingIsSentForAClientThatHasGone(t *testing.T) {
-	for name, leave := range map[string]func(*testing.T, net.Conn){
+// Once a client has closed its connection or aborted its query, nothing is sent to an engine for it, even if the close or abort is still
+// unread in the socket. This holds for the first attempt, for the attempt of a query that was queued, and for a retry.
+func TestNothingIsSentAfterClientCancels(t *testing.T) {
+	for name, disconnect := range map[string]func(*testing.T, net.Conn){
 		"closed": func(t *testing.T, nc net.Conn) {
-			nettest.Send(t, nc, queryLine(12, idempotentClass)[:10]) // unread before the end
+			nettest.Send(t, nc, queryLine(12, idempotentClass)[:10]) // unread bytes before EOF
 			nettest.CloseWrite(t, nc)
 		},
 		"aborted": func(t *testing.T, nc net.Conn) {
@@ -211,7 +210,7 @@
 				nettest.Send(t, nc, queryLine(11, idempotentClass))
 				c.conn.DeliverPending()
 				f.waitQueued(1) // the dial has succeeded
-				leave(t, nc)
+				disconnect(t, nc)
 			})
 			f.expectNothingSent(e.Accept(), e)
 		})
@@ -221,7 +220,7 @@
 			nc, c := f.connectPaused()
 			nettest.Send(t, nc, queryLine(11, idempotentClass))
 			f.loop.Do(func() { c.conn.DeliverPending() })
-			leave(t, nc)
+			disconnect(t, nc)
 			f.listEngines(e)
 			f.expectNothingSent(e.Accept(), e)
 		})
@@ -232,44 +231,45 @@
 		nc, c := f.connectPaused()
 		nettest.Send(t, nc, queryLine(11, idempotentClass))
 		f.loop.Do(func() { c.conn.DeliverPending() })
-		at := e.Accept()
-		at.ReadRequest()
+		engineConn := e.Accept()
+		engineConn.ReadRequest()
 		nettest.CloseWrite(t, nc)
 		f.listEngines(e, other)
-		io.WriteString(at, failed)
-		nettest.Eventually(t, "the request's end", func() bool { return f.counts().Left == 1 })
+		io.WriteString(engineConn, failed)
+		nettest.Eventually(t, "the request to count as cancelled by its client", func() bool { return f.counts().Left == 1 })
 		if n := f.counts(); n.Further != 0 {
-			t.Fatalf("%d retries", n.Further)
+			t.Fatalf("%d retries, want none", n.Further)
 		}
 	})
 }
 
-// expectNothingSent checks that nothing was sent on an engine's connection, and that the request counts as cancelled by its client.
-func (f *fixture) expectNothingSent(at *nettest.EngineConn, e *nettest.Engine) {
+// expectNothingSent checks that nothing was sent on a connection to an engine, and that the request counts as cancelled by its client.
+func (f *fixture) expectNothingSent(engineConn *nettest.EngineConn, e *nettest.Engine) {
 	f.t.Helper()
-	nettest.Eventually(f.t, "the request's end", func() bool { return f.counts().Left == 1 })
+	nettest.Eventually(f.t, "the request to count as cancelled by its client", func() bool { return f.counts().Left == 1 })
 	f.loop.Do(func() {
 		if n := f.dispatcher.Core.AttemptsInFlight(); n != 0 {
-			f.t.Errorf("%d attempts are in flight", n)
+			f.t.Errorf("%d attempts are in flight, want none", n)
 		}
 	})
-	f.closeIdleEngines()
-	at.ExpectClosed()
+	f.closeIdleEngineConns()
+	engineConn.ExpectClosed()
 }
 
-// A client aborts its query while the response is on its way: the attempt ends once, and an aborted query gets no response.
-func TestCancelCrossesResponse(t *testing.T) {
+// If the abort of a query races with the engine's response, the attempt ends exactly once. The client gets the response only if it was
+// handled before the abort.
+func TestAbortRacingResponseEndsAttemptOnce(t *testing.T) {
 	for _, responseFirst := range []bool{false, true} {
 		t.Run(fmt.Sprintf("response first %t", responseFirst), func(t *testing.T) {
 			e := nettest.NewEngine(t, "e")
 			f := newFixture(t, 4, e)
 			nc, c := f.connect()
 			nettest.Send(t, nc, queryLine(11, idempotentClass))
-			at := e.Accept()
-			at.ReadRequest()
+			engineConn := e.Accept()
+			engineConn.ReadRequest()
 			abort := `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}` + "\n"
 			f.loop.Do(func() {
-				nettest.Send(t, at.Conn, succeeded) // received and unread
+				nettest.Send(t, engineConn.Conn, succeeded) // received by the kernel, but not read
 				if !responseFirst {
 					nettest.Send(t, nc, abort)
 					c.conn.DeliverPending()
@@ -280,17 +280,17 @@
 				expectLine(t, in, `"id":11,"result"`)
 				nettest.Send(t, nc, abort)
 			}
-			nettest.Eventually(t, "the attempt's end", func() (over bool) {
-				f.loop.Do(func() { over = f.dispatcher.Core.AttemptsInFlight() == 0 && f.dispatcher.Core.PendingRequests() == 0 })
-				return over
+			nettest.Eventually(t, "the attempt to end", func() (ended bool) {
+				f.loop.Do(func() { ended = f.dispatcher.Core.AttemptsInFlight() == 0 && f.dispatcher.Core.PendingRequests() == 0 })
+				return ended
 			})
 			nettest.Send(t, nc, ping)
-			expectLine(t, in, `"serving"`) // and nothing before it
+			expectLine(t, in, `"serving"`) // without an earlier line
 		})
 	}
 }
 
-// A cancelled attempt is in flight until its engine has confirmed the cancellation; its response may still come first.
+// A cancelled attempt stays in flight until the engine confirms the cancellation or its response arrives.
 func TestCancelledAttemptIsInFlightUntilConfirmed(t *testing.T) {
 	for _, responseFirst := range []bool{false, true} {
 		t.Run(fmt.Sprintf("response first %t", responseFirst), func(t *testing.T) {
@@ -298,59 +298,59 @@
 			f := newFixture(t, 4, e)
 			nc, _ := f.connect()
 			nettest.Send(t, nc, queryLine(11, idempotentClass))
-			at := e.Accept()
-			at.ReadRequest()
+			engineConn := e.Accept()
+			engineConn.ReadRequest()
 			nettest.Send(t, nc, `{"jsonrpc":"2.0","method":"abort","params":{"id":11}}`+"\n")
 			control := e.Accept()
 			if call := control.ReadRequest(); !strings.HasPrefix(call, "DELETE ") {
-				t.Fatalf("%q, want the DELETE", call)
+				t.Fatalf("the engine received %q, want a DELETE request", call)
 			}
 			f.loop.Do(func() {
 				if n := f.dispatcher.Core.AttemptsInFlight(); n != 1 {
-					t.Errorf("%d attempts are in flight before the engine has confirmed", n)
+					t.Errorf("%d attempts are in flight before the engine has confirmed the cancellation, want 1", n)
 				}
 			})
-			if responseFirst { // read before the 204 is written
-				nettest.Send(t, at.Conn, succeeded)
+			if responseFirst { // read before the 204 response is written
+				nettest.Send(t, engineConn.Conn, succeeded)
 			} else {
 				nettest.Send(t, control.Conn, confirmed)
 			}
-			nettest.Eventually(t, "the attempt's end", func() (over bool) {
-				f.loop.Do(func() { over = f.dispatcher.Core.AttemptsInFlight() == 0 })
-				return over
+			nettest.Eventually(t, "the attempt to end", func() (ended bool) {
+				f.loop.Do(func() { ended = f.dispatcher.Core.AttemptsInFlight() == 0 })
+				return ended
 			})
 			in := bufio.NewReader(nc)
 			nettest.Send(t, nc, ping)
-			expectLine(t, in, `"serving"`) // and no response to the aborted query
+			expectLine(t, in, `"serving"`) // without a response to the aborted query
 		})
 	}
 }
 
-// The connection of a client that has closed it is freed, though its end is unread.
-func TestClosedClientFreesItsConnection(t *testing.T) {
+// The close of a client's connection releases the connection and cancels its requests, even if EOF has not been read by the reader.
+func TestClientCloseReleasesConnection(t *testing.T) {
 	f := newFixture(t, 4)
 	nc, _ := f.connectPaused()
-	nettest.Send(t, nc, queryLine(11, idempotentClass)) // stays open: there is no engine
+	nettest.Send(t, nc, queryLine(11, idempotentClass)) // stays open, since there is no engine
 	f.loop.Do(func() {
 		nettest.CloseWrite(t, nc)
 		for c := range f.open {
 			c.conn.DeliverPending()
 		}
 		if len(f.open) != 0 || f.dispatcher.Core.PendingRequests() != 0 {
-			t.Errorf("%d connections, %d requests", len(f.open), f.dispatcher.Core.PendingRequests())
+			t.Errorf("%d connections and %d requests are open, want none", len(f.open), f.dispatcher.Core.PendingRequests())
 		}
 	})
 }
 
-// Clients that never close their side hold few descriptors after the half-close, so that others are accepted.
-func TestLingeringConnectionsAreBounded(t *testing.T) {
+// Half-closed connections whose clients never close their side are limited in number, so that descriptors remain for new clients.
+func TestLingeringConnectionsAreLimited(t *testing.T) {
 	f := newFixture(t, 4)
 	for range 3 * f.lingering.limit {
 		nc, c := f.connect()
-		f.loop.Do(func() { c.closeIfIdle("others came") })
-		expectCleanEnd(t, nc) // and the client does not close its side
+		f.loop.Do(func() { c.closeIfIdle("evicted for a new connection") })
+		expectEOF(t, nc) // the client does not close its side
 		f.loop.Do(func() {
-			descriptors := 0 // closed connections leave the list a moment later
+			descriptors := 0 // closed connections are removed from the list asynchronously
 			for _, conn := range f.lingering.conns {
 				if !conn.IsClosed() {
 					descriptors++
--- a/internal/transport/frontend/crossings_engines_test.go
+++ b/internal/transport/frontend/engine_races_test.go
@@ -14,15 +14,15 @@
 	"frostpier/policy"
 )
 
-// docs/design/crossings.md has a row for each of these tests.
+// The tests in this file force races between events of an engine and of the gateway; docs/design/crossings.md lists them.
 
-// An engine closes an idle connection, or sends unexpected bytes on it, just before a query is written on it: before the connection is
-// chosen, or between that and the first byte. The query is sent on another.
-func TestIdleConnectionClosedBeforeWrite(t *testing.T) {
+// A query is not written to an idle connection that its engine has closed or sent unexpected bytes on, whether this happens before the
+// connection is chosen, or after that and before the first byte is written. The query is sent on a new connection.
+func TestQueryIsNotSentOnUnusableIdleConnection(t *testing.T) {
 	for name, interfere := range map[string]func(*testing.T, *nettest.EngineConn){
-		"closed":             func(t *testing.T, at *nettest.EngineConn) { nettest.CloseWrite(t, at.Conn) },
-		"duplicate response": func(t *testing.T, at *nettest.EngineConn) { nettest.Send(t, at.Conn, succeeded) },
-		"partial response":   func(t *testing.T, at *nettest.EngineConn) { nettest.Send(t, at.Conn, succeeded[:20]) },
+		"closed":             func(t *testing.T, engineConn *nettest.EngineConn) { nettest.CloseWrite(t, engineConn.Conn) },
+		"duplicate response": func(t *testing.T, engineConn *nettest.EngineConn) { nettest.Send(t, engineConn.Conn, succeeded) },
+		"partial response":   func(t *testing.T, engineConn *nettest.EngineConn) { nettest.Send(t, engineConn.Conn, succeeded[:20]) },
 	} {
 		for _, chosen := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, chosen %t", name, chosen), func(t *testing.T) {
@@ -43,21 +43,21 @@
 				})
 				second := e.Accept()
 				if call := second.ReadRequest(); call != "POST /v2/q" {
-					t.Fatalf("%q on the new connection", call)
+					t.Fatalf("request %q on the new connection, want POST /v2/q", call)
 				}
 				io.WriteString(second, succeeded)
 				expectLine(t, in, `"id":12,"result"`)
 				if n, err := first.Reader.R.Read(make([]byte, 1)); n > 0 {
-					t.Fatalf("something was written on the old connection, %v", err)
+					t.Fatalf("%d bytes were written to the old connection (error %v), want none", n, err)
 				}
 			})
 		}
 	}
 }
 
-// A duplicate response that comes milliseconds late is not read as the next query's: a released connection is not written on before
-// its drain delay is over, and not at all if the duplicate comes.
-func TestLateDuplicateResponse(t *testing.T) {
+// A duplicate response that arrives milliseconds late is not taken for the response to the next query: a released connection is not reused
+// before its drain delay has elapsed, and is closed if the duplicate arrives meanwhile.
+func TestDrainDelayDetectsDuplicateResponse(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
 	f := newFixture(t, 4, e)
 	f.loop.Do(func() { f.pool.SetDrainDelay(time.Hour) })
@@ -68,7 +68,7 @@
 		nettest.Send(t, nc, queryLine(12, idempotentClass))
 		c.conn.DeliverPending()
 		if n := f.dispatcher.Core.Counts().Attempts; n != 2 {
-			t.Errorf("%d attempts", n)
+			t.Errorf("%d attempts, want 2", n)
 		}
 	})
 	nettest.Send(t, first.Conn, strings.Replace(succeeded, "a\n", "b\n", 1))
@@ -79,15 +79,15 @@
 	first.ExpectClosed()
 }
 
-// A released connection is checked too before it is handed to a request that waits for it.
-func TestDuplicateResponseBeforeHandover(t *testing.T) {
+// A released connection that is handed to a waiting request is checked for a duplicate response first, and closed if there is one.
+func TestHandoverToWaiterDetectsDuplicateResponse(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
 	f := newFixture(t, 1, e)
 	nc, _ := f.connect()
 	nettest.Send(t, nc, queryLine(11, idempotentClass)+queryLine(12, idempotentClass))
 	first := e.Accept()
 	first.ReadRequest()
-	nettest.Eventually(t, "the second request", func() (waits bool) {
+	nettest.Eventually(t, "the second request to wait for a connection", func() (waits bool) {
 		f.loop.Do(func() { waits = f.pool.Waiting() == 1 })
 		return waits
 	})
@@ -107,18 +107,18 @@
 	first.ExpectClosed()
 }
 
-// Discovery announces that an engine drains while the connection of a retry to it is dialed: nothing is written on it.
-func TestDrainBeforeRetry(t *testing.T) {
+// A retry is not sent to an engine that starts draining while the retry's connection is being dialed.
+func TestRetryIsNotSentToDrainingEngine(t *testing.T) {
 	e, other := nettest.NewEngine(t, "e"), nettest.NewEngine(t, "other")
 	f := newFixture(t, 8, e)
 	nc, _ := f.connect()
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
-	at := e.Accept()
-	at.ReadRequest()
+	engineConn := e.Accept()
+	engineConn.ReadRequest()
 	f.listEngines(e, other)
 	f.loop.Do(func() {
 		queued := f.loop.Queued()
-		nettest.Send(t, at.Conn, failed)
+		nettest.Send(t, engineConn.Conn, failed)
 		f.waitQueued(queued + 1)
 		for f.dispatcher.Core.Counts().Further == 0 {
 			f.loop.RunNext()
@@ -127,53 +127,53 @@
 		f.dispatcher.UpdateEngines(false, []core.ListedEngine{other.Listed(policy.Draining)})
 	})
 	next := other.Accept()
-	nettest.Eventually(t, "the end of the retry", func() (ended bool) {
+	nettest.Eventually(t, "the retry to end", func() (ended bool) {
 		f.loop.Do(func() {
 			c := f.dispatcher.Core
 			ended = c.AttemptsInFlight() == 0 || c.Counts().Attempts > 2
 		})
 		return ended
 	})
-	f.closeIdleEngines() // among them next, which the retry has released
+	f.closeIdleEngineConns() // including next, which the retry has released
 	next.ExpectClosed()
 }
 
-// A query that must not run twice fails when its engine closes the connection just after it was written, since it may have been read.
-// It is not retried.
-func TestNonIdempotentQueryIsSentOnce(t *testing.T) {
+// A non-idempotent query fails if its engine closes the connection just after the query was written. It is not retried, since the engine may
+// have read it.
+func TestNonIdempotentQueryIsNotRetriedAfterConnectionLoss(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
 	f := newFixture(t, 4, e)
 	nc, _ := f.connect()
 	nettest.Send(t, nc, queryLine(11, nonIdempotentClass))
-	at := e.Accept()
-	at.ReadRequest()
-	nettest.CloseWrite(t, at.Conn)
+	engineConn := e.Accept()
+	engineConn.ReadRequest()
+	nettest.CloseWrite(t, engineConn.Conn)
 	poll := e.Accept()
 	if call := poll.ReadRequest(); !strings.HasPrefix(call, "GET ") {
-		t.Fatalf("%q, want a poll", call)
+		t.Fatalf("the engine received %q, want a GET request", call)
 	}
-	nettest.Send(t, poll.Conn, failed) // the engine does not know it
+	nettest.Send(t, poll.Conn, failed) // the engine does not know the query
 	expectLine(t, bufio.NewReader(nc), `"id":11,"error":{"code":-32013`)
 	if n := f.counts(); n.Attempts != 1 || n.Further != 0 || e.Connections() != 0 {
-		t.Fatalf("%+v", n)
+		t.Fatalf("counts are %+v with %d unaccepted connections, want one attempt, no retry and no connection", n, e.Connections())
 	}
 }
 
-// serveQuery sends query 11 of a client, which the engine serves, and returns the engine's connection.
+// serveQuery sends query 11 of a client, has the engine respond to it, and returns the connection to the engine.
 func serveQuery(t *testing.T, e *nettest.Engine, nc net.Conn, in *bufio.Reader) *nettest.EngineConn {
 	t.Helper()
 	nettest.Send(t, nc, queryLine(11, idempotentClass))
-	at := e.Accept()
-	at.ReadRequest()
-	io.WriteString(at, succeeded)
+	engineConn := e.Accept()
+	engineConn.ReadRequest()
+	io.WriteString(engineConn, succeeded)
 	expectLine(t, in, `"id":11,"result"`)
-	return at
+	return engineConn
 }
 
-// closeIdleEngines waits for an idle connection to an engine, and closes all of them.
-func (f *fixture) closeIdleEngines() {
+// closeIdleEngineConns waits until the pool has an idle connection, and closes all its idle connections.
+func (f *fixture) closeIdleEngineConns() {
 	f.t.Helper()
-	nettest.Eventually(f.t, "an idle connection", func() (idle bool) {
+	nettest.Eventually(f.t, "an idle connection to an engine", func() (idle bool) {
 		f.loop.Do(func() { idle = len(f.pool.IdleEngines()) > 0 })
 		return idle
 	})
--- a/internal/transport/frontend/scripted_test.go
+++ b/internal/transport/frontend/fixture_test.go
@@ -21,8 +21,8 @@
 	"frostpier/policy"
 )
 
-// The tests of crossing events hold the loop while a scripted peer acts, so that the rare order of events is forced every time. They
-// never sleep: they wait until the action is seen.
+// The tests of races block the loop while a peer acts, so that a rare order of events occurs in each run. They never sleep, but wait until
+// the effect of the action is observed.
 
 // Responses of engines.
 const (
@@ -31,7 +31,7 @@
 	confirmed = "HTTP/1.1 204 OK\r\n\r\n"
 )
 
-// fixture is a platform listener of a gateway with scripted engines.
+// fixture is a platform listener of a gateway whose engines are controlled by the test.
 type fixture struct {
 	*PlatformListener
 	t          *testing.T
@@ -40,7 +40,7 @@
 	invariants *invariant.Monitor
 }
 
-// The classes of a fixture, by whether a query that may have run can be retried.
+// The query classes of a fixture, which differ in whether a query that may have run can be retried.
 const (
 	idempotentClass    = "safe"
 	nonIdempotentClass = "once"
@@ -72,7 +72,7 @@
 		loop.Do(func() {
 			f.Stop(func() {})
 			if n := invariants.Violations(); n != 0 {
-				t.Errorf("%d invariants broken", n)
+				t.Errorf("%d invariant violations", n)
 			}
 		})
 	})
@@ -80,7 +80,7 @@
 	return f
 }
 
-// listEngines makes the engines the full engine list.
+// listEngines replaces the engine list with the given engines. It does nothing if there are none.
 func (f *fixture) listEngines(engines ...*nettest.Engine) {
 	var listed []core.ListedEngine
 	for _, e := range engines {
@@ -91,13 +91,13 @@
 	}
 }
 
-// queryLine returns the line of a query.
+// queryLine returns the request line of a query.
 func queryLine(id int, class string) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016x","budget":20000,"token":"k%d","blob":"eA=="}}`+"\n",
 		id, class, id, id)
 }
 
-// connect connects a client, and returns when the listener has handled a ping of it.
+// connect connects a client and waits until the listener has answered its ping.
 func (f *fixture) connect() (net.Conn, *client) {
 	f.t.Helper()
 	nc := dialAndSend(f.t, f.PlatformListener, ping)
@@ -105,7 +105,7 @@
 	return nc, f.clientOf(nc)
 }
 
-// clientOf returns the listener's side of a connection, or nil.
+// clientOf returns the listener's client for a connection, or nil if there is none.
 func (f *fixture) clientOf(nc net.Conn) (found *client) {
 	f.loop.Do(func() {
 		for c := range f.open {
@@ -117,22 +117,22 @@
 	return found
 }
 
-// connectPaused connects a client whose reader is paused, as if it were not scheduled: what the client does is only found in the
-// socket.
+// connectPaused connects a client whose reader goroutine on the gateway is paused, as if it were not scheduled: what the client sends can be
+// found only in the socket.
 func (f *fixture) connectPaused() (net.Conn, *client) {
 	f.t.Helper()
 	nc := dialAndSend(f.t, f.PlatformListener, "")
 	var c *client
-	nettest.Eventually(f.t, "the connection", func() bool { c = f.clientOf(nc); return c != nil })
+	nettest.Eventually(f.t, "the connection to be accepted", func() bool { c = f.clientOf(nc); return c != nil })
 	f.loop.Do(c.conn.Pause)
-	io.WriteString(nc, ping) // ends the present read
+	io.WriteString(nc, ping) // completes the current read
 	expectPong(f.t, nc)
 	return nc, c
 }
 
-// waitQueued waits, on the loop, until other goroutines have posted n functions.
+// waitQueued blocks the loop, on which it is called, until n functions are queued.
 func (f *fixture) waitQueued(n int) {
-	nettest.Eventually(f.t, "posted functions", func() bool { return f.loop.Queued() >= n })
+	nettest.Eventually(f.t, fmt.Sprintf("%d functions to be queued for the loop", n), func() bool { return f.loop.Queued() >= n })
 }
 
 func (f *fixture) counts() (n core.Counts) {
@@ -140,19 +140,19 @@
 	return n
 }
 
-// expectLine reads a line, which must contain a text.
+// expectLine reads a line, which must contain text.
 func expectLine(t *testing.T, r *bufio.Reader, text string) {
 	t.Helper()
 	if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, text) {
-		t.Fatalf("%q, %v, want %q", line, err, text)
+		t.Fatalf("read line %q and error %v, want a line with %q", line, err, text)
 	}
 }
 
-// expectCleanEnd reads the end of a connection, which must not be a reset, and nothing before it.
-func expectCleanEnd(t *testing.T, r io.Reader) {
+// expectEOF reads EOF from a connection. A reset or any byte before EOF is an error.
+func expectEOF(t *testing.T, r io.Reader) {
 	t.Helper()
 	if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
-		t.Fatalf("%q, %v, want the end and nothing before it", b, err)
+		t.Fatalf("read %q and error %v, want EOF and no bytes before it", b, err)
 	}
 }
 
@@ -161,6 +161,6 @@
 	t.Helper()
 	loop := eventlooptest.Start(t)
 	p := enginepool.New(loop, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Second, time.Minute, enginepool.Budget{Max: budget, Urgent: 1})
-	p.SetDrainDelay(0) // tests of late bytes on idle connections set it themselves
+	p.SetDrainDelay(0) // tests that need a drain delay set it
 	return loop, p
 }
--- a/internal/transport/frontend/linger.go
+++ b/internal/transport/frontend/linger.go
@@ -6,29 +6,29 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// lingerFraction bounds the connections of a listener that are being closed to one in so many: each holds its descriptor until its
-// peer has closed it too, and peers that do not must not keep others out.
-const lingerFraction = 8
+// lingerLimitDivisor limits the connections of a listener that are being closed to 1/8 of its maximum. Each holds its descriptor until its
+// peer has closed it too, and peers that never do so must not keep new clients out.
+const lingerLimitDivisor = 8
 
-// lingerSet holds the connections of a listener that are being closed gracefully, oldest first. It is used on the loop.
+// lingerSet holds the connections of a listener that are being closed gracefully, oldest first. It is used on the loop only.
 type lingerSet struct {
 	conns   []*eventloop.Conn
 	limit   int
-	open    func() int // returns how many connections of the listener are open
-	onEmpty func()     // called once when there are no open or lingering connections
+	open    func() int // returns the number of open connections of the listener
+	onEmpty func()     // called once when the listener has no connection that is open or being closed
 }
 
 func newLingerSet(maxConns int, open func() int) *lingerSet {
-	return &lingerSet{limit: max(1, maxConns/lingerFraction), open: open}
+	return &lingerSet{limit: max(1, maxConns/lingerLimitDivisor), open: open}
 }
 
-// whenEmpty sets a function that is called once no connection of the listener is open or being closed.
-func (s *lingerSet) whenEmpty(f func()) {
+// setOnEmpty sets a function that is called once, as soon as no connection of the listener is open or being closed.
+func (s *lingerSet) setOnEmpty(f func()) {
 	s.onEmpty = f
 	s.checkEmpty()
 }
 
-// checkEmpty is called whenever a connection was removed.
+// checkEmpty calls the onEmpty function if no connection is left. It is called whenever a connection was removed.
 func (s *lingerSet) checkEmpty() {
 	if f := s.onEmpty; f != nil && s.open() == 0 && len(s.conns) == 0 {
 		s.onEmpty = nil
@@ -36,7 +36,7 @@
 	}
 }
 
-// closeGracefully closes a connection gracefully, and sees to it that not too many are being closed.
+// closeGracefully closes a connection gracefully, and enforces the limit on connections that are being closed.
 func (s *lingerSet) closeGracefully(c *eventloop.Conn) {
 	if !c.IsOpen() {
 		return
@@ -51,12 +51,12 @@
 	s.enforceLimit()
 }
 
-// enforceLimit closes connections at once, the oldest first, while too many are being closed. It passes over those that still have
-// bytes to write: their clients would lose the responses. They are closed as soon as they have written them.
+// enforceLimit closes lingering connections immediately, oldest first, while more than the limit are being closed. It skips those that still
+// have bytes to write, since their clients would lose responses; it is called again when these have been written.
 func (s *lingerSet) enforceLimit() {
 	excess := -s.limit
 	for _, c := range s.conns {
-		if !c.IsClosed() { // closed ones leave the set a moment later
+		if !c.IsClosed() { // closed connections are removed from the set asynchronously
 			excess++
 		}
 	}
--- a/internal/transport/frontend/crossings_listeners_test.go
+++ b/internal/transport/frontend/listener_races_test.go
@@ -13,9 +13,9 @@
 	"frostpier/internal/transport/dispatcher"
 )
 
-// docs/design/crossings.md has a row for each of these tests.
+// The tests in this file force races between the stop of a listener and its clients; docs/design/crossings.md lists them.
 
-// Connections that the kernel has accepted before the listener closes are served: their requests may have been sent already.
+// Connections that the kernel has accepted before the listener is closed are served, since their clients may have sent requests.
 func TestAcceptedConnectionsAreServedAfterStop(t *testing.T) {
 	f := newFixture(t, 4)
 	done := make(chan struct{})
@@ -34,8 +34,8 @@
 	}
 }
 
-// At most one connection is accepted and not handled yet: a crowd of them would use the descriptors that discovery needs.
-func TestAcceptWaitsForTheLoop(t *testing.T) {
+// At most one accepted connection waits to be handled on the loop: more would use the descriptors that the discovery watch needs.
+func TestAtMostOneAcceptedConnectionWaitsForLoop(t *testing.T) {
 	f := newFixture(t, 4)
 	f.loop.Do(func() {
 		for range 8 {
@@ -43,66 +43,66 @@
 		}
 		nettest.Eventually(t, "a connection to be accepted", func() bool { return f.loop.Queued() > 0 })
 		if n := f.loop.Queued(); n > 1 {
-			t.Errorf("%d connections wait for the loop", n)
+			t.Errorf("%d accepted connections wait for the loop, want at most 1", n)
 		}
 	})
 }
 
-// A stop does not close a connection with an incomplete line before its timeout: the rest of the request may be on its way.
-func TestIncompleteLineAtStop(t *testing.T) {
+// CloseIdle keeps a connection with an incomplete line, since the rest of the request may follow before the line timeout.
+func TestCloseIdleKeepsConnectionWithIncompleteLine(t *testing.T) {
 	e := nettest.NewEngine(t, "e")
 	f := newFixture(t, 4, e)
 	nc, _ := f.connect()
 	line := queryLine(11, idempotentClass)
 	nettest.Send(t, nc, line[:30])
-	nettest.Eventually(t, "an incomplete line", func() (some bool) {
-		f.loop.Do(func() { some = f.incompleteBytes > 0 })
-		return some
+	nettest.Eventually(t, "an incomplete line", func() (incomplete bool) {
+		f.loop.Do(func() { incomplete = f.incompleteBytes > 0 })
+		return incomplete
 	})
 	f.loop.Do(func() {
 		if f.CloseIdle(0) {
-			t.Error("closed over an incomplete line")
+			t.Error("the connection was closed although a line was incomplete")
 		}
 	})
 	nettest.Send(t, nc, line[30:])
-	at := e.Accept()
-	at.ReadRequest()
-	io.WriteString(at, succeeded)
+	engineConn := e.Accept()
+	engineConn.ReadRequest()
+	io.WriteString(engineConn, succeeded)
 	expectLine(t, bufio.NewReader(nc), `"id":11,"result"`)
 }
 
-// Bytes of a MySQL client that are unread when idle connections are closed are handled first.
-func TestUnreadMySQLBytesBeforeClose(t *testing.T) {
+// CloseIdle handles unread bytes of a MySQL client first, and closes the connection only if there are none.
+func TestMySQLCloseIdleHandlesUnreadBytes(t *testing.T) {
 	l, nc := connectMySQL(t)
 	l.dispatcher.Loop.Do(func() {
-		nettest.Send(t, nc, "\x20\x00\x00\x01") // the header of a login
+		nettest.Send(t, nc, "\x20\x00\x00\x01") // the header of a login packet
 		if l.CloseIdle(0) || len(l.open) != 1 {
-			t.Error("closed over unread bytes")
+			t.Error("the connection was closed although bytes were unread")
 		}
 		if !l.CloseIdle(0) {
-			t.Error("an idle connection was not closed")
+			t.Error("the idle connection was not closed")
 		}
 		l.StopAccepting()
 	})
 	if _, err := io.Copy(io.Discard, nc); err != nil {
-		t.Fatalf("%v, want the end", err)
+		t.Fatalf("read error %v, want EOF", err)
 	}
 }
 
-// Bytes of a MySQL client that are unread when the last connections of a stop are closed are handled first.
-func TestUnreadMySQLBytesBeforeShutdown(t *testing.T) {
+// Shutdown handles unread bytes of a MySQL client before it closes the connection.
+func TestMySQLShutdownHandlesUnreadBytes(t *testing.T) {
 	l, nc := connectMySQL(t)
 	l.dispatcher.Loop.Do(func() {
-		nettest.Send(t, nc, "\xff\xff\xff\x01") // the header of a login that is too large: it is answered with an error
+		nettest.Send(t, nc, "\xff\xff\xff\x01") // the header of an oversized login packet, which gets an error response
 		l.StopAccepting()
 		l.Shutdown()
 	})
 	if got, err := io.ReadAll(nc); err != nil || !strings.Contains(string(got), "larger than the gateway takes") {
-		t.Fatalf("%q, %v, want the error and the end", got, err)
+		t.Fatalf("read %q and error %v, want the error packet and EOF", got, err)
 	}
 }
 
-// connectMySQL returns a MySQL listener and a client of it that has begun to read its greeting.
+// connectMySQL returns a MySQL listener and a client connection to it, from which the first byte of the greeting was read.
 func connectMySQL(t *testing.T) (*MySQLListener, net.Conn) {
 	t.Helper()
 	loop, p := newPool(t, 1)
@@ -119,14 +119,14 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(nettest.Timeout))
-	if _, err := nc.Read(make([]byte, 1)); err != nil { // the greeting
+	if _, err := nc.Read(make([]byte, 1)); err != nil { // the first byte of the greeting
 		t.Fatal(err)
 	}
 	return l, nc
 }
 
-// Connections that the kernel has accepted before the MySQL listener closes, for a stop or another master, are served here.
-func TestAcceptedMySQLConnectionsAreServedAfterStop(t *testing.T) {
+// Connections that the kernel has accepted before the MySQL listener is closed, because of a stop or of a change of the master, are served.
+func TestAcceptedMySQLConnectionsAreServedAfterStopAccepting(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MaxConns: 8})
@@ -148,7 +148,7 @@
 	})
 	for _, nc := range late {
 		nc.SetDeadline(time.Now().Add(nettest.Timeout))
-		if _, err := nc.Read(make([]byte, 1)); err != nil { // the greeting
+		if _, err := nc.Read(make([]byte, 1)); err != nil { // the first byte of the greeting
 			t.Fatal(err)
 		}
 	}
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	relayBufferBytes    = 256 << 10                // queued for a client before its engine's response is not read on
-	mysqlWriteLimit     = relayBufferBytes + 2<<20 // bytes: with a margin, as the engine is paused only after its present read
+	relayBufferBytes    = 256 << 10                // if more is queued for a client, reading the engine's response is paused
+	mysqlWriteLimit     = relayBufferBytes + 2<<20 // bytes; the margin is for the current read, after which reading is paused
 	defaultLoginTimeout = 10 * time.Second
 	scrambleBytes       = 20
 )
 
 // MySQLConfig configures a MySQLListener.
 type MySQLConfig struct {
-	Listen         string // address
-	MaxConns       int    // connections
-	Accounts       map[string]*mysql.Account
-	EngineUser     string // at the engines
-	EnginePassword string // at the engines
-	EnginePort     string
-	EngineAddrs    map[string]string // MySQL addresses by engine name, for those that EnginePort does not give
+	Listen         string                    // address to listen on
+	MaxConns       int                       // open client connections
+	Accounts       map[string]*mysql.Account // of clients, by user name
+	EngineUser     string                    // for logins at engines
+	EnginePassword string                    // for logins at engines
+	EnginePort     string                    // MySQL port of engines that are not in EngineAddrs
+	EngineAddrs    map[string]string         // MySQL addresses by engine name
 }
 
 // MySQLListener accepts clients that speak MySQL. Its methods are called on the loop.
@@ -41,12 +41,12 @@
 	log          *slog.Logger
 	config       MySQLConfig
 	ln           net.Listener // nil while not listening
-	lastThreadID uint32       // MySQL's number of a connection
+	lastThreadID uint32       // connection ID in MySQL's protocol
 	retryTimer   *eventloop.Timer
 	loginTimeout time.Duration
 }
 
-// NewMySQLListener returns a listener that does not listen yet. pool is for its connections to engines alone.
+// NewMySQLListener returns a listener that is not listening yet. pool is used only for this listener's connections to engines.
 func NewMySQLListener(d *dispatcher.Dispatcher, pool *enginepool.Pool, log *slog.Logger, config MySQLConfig) *MySQLListener {
 	return &MySQLListener{
 		connSet:      newConnSet[*mysqlClient](config.MaxConns),
@@ -58,7 +58,7 @@
 	}
 }
 
-// Listen starts to accept connections. It does nothing if the listener is open.
+// Listen starts accepting connections. It does nothing if the listener is already open.
 func (l *MySQLListener) Listen() error {
 	if l.ln != nil {
 		return nil
@@ -68,12 +68,12 @@
 		return fmt.Errorf("listen for MySQL clients: %w", err)
 	}
 	l.ln = ln
-	l.log.Info("mysql front listens", "listen", ln.Addr().String())
+	l.log.Info("mysql listener opened", "listen", ln.Addr().String())
 	go accept(l.dispatcher.Loop, l.log, ln, l.handleConn, func() {})
 	return nil
 }
 
-// Addr returns the address of the listener, or nil while it is not open.
+// Addr returns the address of the listener, or nil if it is not open.
 func (l *MySQLListener) Addr() net.Addr {
 	if l.ln == nil {
 		return nil
@@ -81,27 +81,27 @@
 	return l.ln.Addr()
 }
 
-// StopAccepting closes the listener and cancels a pending Retry. Open connections stay, and those that the kernel has accepted by
-// now are still handled.
+// StopAccepting closes the listener and cancels a scheduled retry. Open connections are kept, and those that the kernel has already accepted
+// are still handled.
 func (l *MySQLListener) StopAccepting() {
 	l.retryTimer.Stop()
 	if l.ln != nil {
 		stopAccepting(l.ln)
 		l.ln = nil
-		l.log.Info("mysql front listens no more")
+		l.log.Info("mysql listener closed")
 	}
 }
 
-// ScheduleRetry calls try after a delay, unless StopAccepting is called before.
-func (l *MySQLListener) ScheduleRetry(after time.Duration, try func()) {
-	l.retryTimer = l.dispatcher.Loop.After(after, try)
+// ScheduleRetry calls retry after a delay, unless StopAccepting is called before.
+func (l *MySQLListener) ScheduleRetry(delay time.Duration, retry func()) {
+	l.retryTimer = l.dispatcher.Loop.After(delay, retry)
 }
 
 // handleConn handles an accepted connection.
 func (l *MySQLListener) handleConn(nc net.Conn) {
 	if len(l.open) >= l.config.MaxConns {
-		l.log.Warn("too many mysql clients", "open", len(l.open))
-		_ = nc.Close() // the client gets its end either way
+		l.log.Warn("too many mysql clients, closing new connection", "open", len(l.open))
+		_ = nc.Close() // the connection is not used, so an error has no consequence
 		return
 	}
 	l.lastThreadID++
@@ -115,7 +115,7 @@
 	c.loginTimer = l.dispatcher.Loop.After(l.loginTimeout, c.loginTimedOut)
 }
 
-// newScramble returns the random bytes of a greeting. Clients expect none of them to be zero or a dollar sign, so all are letters.
+// newScramble returns the random bytes of a server greeting. They must not contain a zero byte or a dollar sign, so all are letters.
 func newScramble() []byte {
 	b := make([]byte, scrambleBytes)
 	_, _ = rand.Read(b) // never fails
--- a/internal/transport/frontend/mysql_client.go
+++ b/internal/transport/frontend/mysql_client.go
@@ -9,7 +9,7 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// mysqlClient is a connection of a MySQL client, which has one query open at a time. Its methods are called on the loop.
+// mysqlClient is the connection of a MySQL client, which has at most one open query. Its methods are called on the loop.
 type mysqlClient struct {
 	listener   *MySQLListener
 	conn       *eventloop.Conn
@@ -18,19 +18,19 @@
 	id         core.ID     // of the open query
 	attempt    *dispatcher.AttemptDriver
 	loginTimer *eventloop.Timer
-	paused     bool // the engine's response is not read, as the client reads too slowly
+	paused     bool // reading the engine's response is paused, since the client reads too slowly
 	idleSince  time.Duration
 }
 
 var _ dispatcher.Client = (*mysqlClient)(nil)
 
-// Data feeds received bytes to the state machine.
+// Data passes received bytes to the state machine.
 func (c *mysqlClient) Data(b []byte) {
 	c.idleSince = c.listener.dispatcher.Loop.Now()
 	c.execute(c.machine.Received(b))
 }
 
-// Closed cancels the open query of a client that has closed its connection.
+// Closed cancels the open query after the connection was lost.
 func (c *mysqlClient) Closed(error) {
 	c.loginTimer.Stop()
 	delete(c.listener.open, c)
@@ -53,15 +53,16 @@
 	c.cancelQuery()
 }
 
-// shutdownIfIdle is part of closable.
-func (c *mysqlClient) shutdownIfIdle(idle time.Duration) {
-	rested := c.listener.dispatcher.Loop.Now()-c.idleSince >= idle
-	if rested && c.conn.DeliverPending() && !c.machine.IsRunning() {
+// shutdownIfIdle implements closableConn.
+func (c *mysqlClient) shutdownIfIdle(minIdle time.Duration) {
+	idle := c.listener.dispatcher.Loop.Now()-c.idleSince >= minIdle
+	if idle && c.conn.DeliverPending() && !c.machine.IsRunning() {
 		c.close()
 	}
 }
 
-// shutdown is part of closable. Commands that are unread are owed a response, which they get at once by now.
+// shutdown implements closableConn. It handles pending commands first: they must get a response, which the dispatcher gives immediately
+// during shutdown.
 func (c *mysqlClient) shutdown() {
 	c.conn.DeliverPending()
 	if c.conn.IsOpen() {
@@ -71,12 +72,12 @@
 
 func (c *mysqlClient) loginTimedOut() {
 	if !c.machine.LoggedIn() {
-		c.listener.log.Warn("mysql client did not log in")
+		c.listener.log.Warn("mysql client did not log in, closing connection")
 		c.close()
 	}
 }
 
-// execute executes what the state machine returned.
+// execute executes the events that the state machine returned.
 func (c *mysqlClient) execute(events []mysql.Event) {
 	for _, e := range events {
 		switch {
@@ -100,7 +101,7 @@
 	c.listener.dispatcher.Submit(request, c, func(id core.ID) { c.id = id })
 }
 
-// StartAttempt sends the query to an engine.
+// StartAttempt starts an attempt of the query on an engine.
 func (c *mysqlClient) StartAttempt(start core.StartAttempt) dispatcher.Attempt {
 	l := c.listener
 	machine, steps := mysql.NewExchange(c.query, l.config.EngineUser, l.config.EnginePassword)
@@ -108,17 +109,17 @@
 	return c.attempt
 }
 
-// relay queues a part of the response for the client. If the client reads too slowly, the engine's response is not read on.
+// relay queues a part of the response for the client. If the client reads too slowly, reading the engine's response is paused.
 func (c *mysqlClient) relay(b []byte) {
 	c.conn.Write(b)
 	if !c.paused && c.conn.QueuedBytes() > relayBufferBytes && c.attempt != nil {
 		c.paused = true
 		c.attempt.Pause()
-		c.resumeIfDrained() // in case all bytes were written before Pause
+		c.resumeIfDrained() // in case the writer has caught up before Pause
 	}
 }
 
-// resumeIfDrained reads the engine's response on once the client has read half of what may be queued.
+// resumeIfDrained resumes reading the engine's response once at most half of relayBufferBytes is queued for the client.
 func (c *mysqlClient) resumeIfDrained() {
 	if c.paused && c.conn.QueuedBytes() <= relayBufferBytes/2 && c.attempt != nil {
 		c.paused = false
@@ -126,13 +127,14 @@
 	}
 }
 
-// ReadPendingInput handles all bytes that the client has sent by now.
+// ReadPendingInput implements dispatcher.Client.
 func (c *mysqlClient) ReadPendingInput() { c.conn.DeliverPending() }
 
-// PeekInput reports whether bytes of the client wait to be handled, and whether it has closed its connection.
+// PeekInput implements dispatcher.Client.
 func (c *mysqlClient) PeekInput() (pending, closed bool) { return c.conn.Peek() }
 
-// Reply ends the query. Only the end of the connection tells the client of a result that broke off in the middle of a row.
+// Reply writes the last part of the response. If a response failed in the middle of a row, the protocol has no way to report this to the
+// client, so the connection is closed.
 func (c *mysqlClient) Reply(reply core.Reply, result any) {
 	last, _ := result.([]byte)
 	c.query, c.attempt, c.paused = nil, nil, false
@@ -152,15 +154,15 @@
 	c.listener.dispatcher.Loop.After(0, c.queryEnded)
 }
 
-// queryEnded handles the commands that the client has sent during the query whose response is written. Without one the connection is
-// closed, if the listener closes connections together with responses.
+// queryEnded handles the commands that the client sent while the query was open. If there are none and the listener closes connections
+// after responses, the connection is closed.
 func (c *mysqlClient) queryEnded() {
 	if !c.conn.IsOpen() {
 		return
 	}
 	c.idleSince = c.listener.dispatcher.Loop.Now()
 	c.execute(c.machine.QueryEnded())
-	if c.listener.closesAfterResponses {
+	if c.listener.closeAfterResponses {
 		c.shutdownIfIdle(0)
 	}
 }
--- a/internal/transport/frontend/mysql_test.go
+++ b/internal/transport/frontend/mysql_test.go
@@ -10,8 +10,8 @@
 	"frostpier/internal/transport/dispatcher"
 )
 
-// A connection whose client never logs in does not hold its descriptor.
-func TestMySQLClientThatDoesNotLogInIsClosed(t *testing.T) {
+// The connection of a client that does not log in is closed after the login timeout, which frees its descriptor.
+func TestMySQLLoginTimeoutClosesConnection(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	l := NewMySQLListener(dispatcher.New(loop, nil, p, log), p, log, MySQLConfig{Listen: "127.0.0.1:0", MaxConns: 1})
@@ -29,13 +29,13 @@
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	greeting, err := io.ReadAll(nc) // ends with the connection
+	greeting, err := io.ReadAll(nc) // until the connection is closed
 	if err != nil || len(greeting) == 0 || greeting[4] != 10 {
-		t.Fatalf("%q, %v", greeting, err)
+		t.Fatalf("read %q and error %v, want a greeting of protocol version 10 and EOF", greeting, err)
 	}
 	loop.Do(func() {
 		if len(l.open) != 0 {
-			t.Error("the connection still counts")
+			t.Error("the closed connection still counts as open")
 		}
 		l.StopAccepting()
 	})
--- a/internal/transport/frontend/platform.go
+++ b/internal/transport/frontend/platform.go
@@ -1,6 +1,6 @@
-// Package frontend accepts clients: those of the platform, which speak JSON-RPC, and those which speak MySQL. It owns their
-// connections, and bounds how many there are and how much they may leave incomplete. It never chooses an engine: that is done by
-// the core, behind the dispatcher. Each listener accepts on a goroutine of its own; all other code runs on the event loop.
+// Package frontend accepts clients: the platform's clients, which speak JSON-RPC, and MySQL clients. It owns their connections, and limits
+// their number and the memory of incomplete requests. It never chooses an engine; the core does, which is called through the dispatcher.
+// Each listener accepts on a separate goroutine; all other code runs on the event loop.
 package frontend
 
 import (
@@ -16,11 +16,11 @@
 )
 
 const (
-	clientWriteLimit = 4 << 20          // bytes: the responses of all queries that a connection may have open
-	idleTimeout      = 30 * time.Second // clients close their idle connections after 4 s
-	fairLineBytes    = 16 << 10         // a client may leave this much of a line incomplete whatever the others leave
-	// defaultRequestTimeout is for the first request of a connection, and for the rest of a line. A connection without a
-	// request must be closed within 3 s.
+	clientWriteLimit    = 4 << 20          // bytes; enough for the responses to all queries that a connection may have open
+	idleTimeout         = 30 * time.Second // clients close their own idle connections after 4 s
+	guaranteedLineBytes = 16 << 10         // bytes of an incomplete line that each client may send, even if the limit for all is exceeded
+	// defaultRequestTimeout is the timeout for the first request of a connection, and for the rest of an incomplete line. A connection
+	// without a request must be closed within 3 s.
 	defaultRequestTimeout = 2 * time.Second
 )
 
@@ -31,17 +31,16 @@
 	dispatcher *dispatcher.Dispatcher
 	log        *slog.Logger
 	ln         net.Listener
-	onStopped  func() // called when the last connection was accepted
+	onStopped  func() // called after the last accepted connection was handled
 
-	maxConns           int           // including those that are being closed
-	maxIncompleteBytes int           // of incomplete lines, over all connections
-	incompleteBytes    int           // at present
-	requestTimeout     time.Duration // for the first request, and for the rest of a line
+	maxConns           int           // including connections that are being closed
+	maxIncompleteBytes int           // limit of incompleteBytes
+	incompleteBytes    int           // bytes of incomplete lines, over all connections
+	requestTimeout     time.Duration // for the first request, and for the rest of an incomplete line
 	serving            bool          // as reported by ping
 }
 
-// NewPlatformListener returns a listener of at most maxConns connections, which together may leave maxIncompleteBytes of
-// incomplete lines.
+// NewPlatformListener returns a listener of at most maxConns connections, which together may use maxIncompleteBytes for incomplete lines.
 func NewPlatformListener(d *dispatcher.Dispatcher, log *slog.Logger, maxConns, maxIncompleteBytes int) *PlatformListener {
 	return &PlatformListener{
 		connSet:            newConnSet[*client](maxConns),
@@ -54,7 +53,7 @@
 	}
 }
 
-// Serve listens at addr and accepts connections until Stop. It is called once, before Stop.
+// Serve listens on addr and accepts connections until Stop is called. It is called once, before Stop.
 func (l *PlatformListener) Serve(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -69,10 +68,10 @@
 	return nil
 }
 
-// Drain makes ping report that this gateway stops serving. Requests are still accepted.
+// Drain makes ping report that this gateway is no longer serving. Requests are still accepted.
 func (l *PlatformListener) Drain() { l.serving = false }
 
-// Stop stops accepting connections. Those that the kernel has accepted by now are still handled, since their clients may have sent
+// Stop stops accepting connections. Those that the kernel has already accepted are still handled, since their clients may have sent
 // requests; then done is called.
 func (l *PlatformListener) Stop(done func()) {
 	l.onStopped = done
@@ -87,8 +86,8 @@
 func (l *PlatformListener) handleConn(nc net.Conn) {
 	maxOpen := max(1, l.maxConns-l.lingering.limit)
 	if len(l.open) >= maxOpen && !l.evictIdle() {
-		l.log.Warn("too many client connections", "open", len(l.open))
-		_ = nc.Close() // the client gets its end either way
+		l.log.Warn("too many client connections, closing new connection", "open", len(l.open))
+		_ = nc.Close() // the connection is not used, so an error has no consequence
 		return
 	}
 	c := &client{
--- a/internal/transport/frontend/platform_client.go
+++ b/internal/transport/frontend/platform_client.go
@@ -10,31 +10,31 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// errIncompleteLines closes a connection with a long incomplete line when all together are over their limit.
-var errIncompleteLines = errors.New("unfinished lines of all clients fill their memory")
+// errIncompleteLines is the reason for closing a connection with a long incomplete line while all incomplete lines exceed their memory limit.
+var errIncompleteLines = errors.New("incomplete lines of all clients exceed their memory limit")
 
-// client is a connection of the platform's. Its methods are called on the loop.
+// client is the connection of one of the platform's clients. Its methods are called on the loop.
 type client struct {
 	listener *PlatformListener
 	conn     *eventloop.Conn
 	session  *jsonrpc.Session
 	requests map[string]core.ID // open queries by their JSON-RPC ID
 
-	sentRequest bool // has sent something that got a response, or will
-	sentQuery   bool // has sent a query that was accepted
-	framingLost bool // nothing more is read; open queries still get their response
-	responded   bool // has been sent a response since it last sent anything
+	sentRequest bool // the client has sent a request that was or will be answered
+	sentQuery   bool // the client has sent a query
+	readStopped bool // no more input is read; open queries are still answered
+	responded   bool // a response was written since the last input
 
 	idleSince time.Duration
-	idleTimer *eventloop.Timer // until the first request; then while no query is open
+	idleTimer *eventloop.Timer // running until the first request, and then while no query is open
 
-	incompleteBytes int              // received of an incomplete line
-	lineTimer       *eventloop.Timer // for the rest of that line; nil if there is none
+	incompleteBytes int              // bytes received of an incomplete line
+	lineTimer       *eventloop.Timer // timeout for the rest of that line; nil if there is none
 }
 
-// Data parses received bytes and handles the complete lines.
+// Data parses received bytes and handles complete lines.
 func (c *client) Data(b []byte) {
-	if c.framingLost {
+	if c.readStopped {
 		return
 	}
 	c.responded = false
@@ -44,7 +44,7 @@
 	}
 	c.updateLineTimer(bytes.IndexByte(b, '\n') >= 0)
 	overLimit := c.listener.incompleteBytes > c.listener.maxIncompleteBytes
-	if err == nil && overLimit && c.incompleteBytes > fairLineBytes {
+	if err == nil && overLimit && c.incompleteBytes > guaranteedLineBytes {
 		err = errIncompleteLines
 	}
 	if err != nil {
@@ -53,7 +53,7 @@
 	c.restartIdleTimer()
 }
 
-// Closed cancels all open queries of a client that has closed its connection.
+// Closed cancels all open queries after the connection was lost.
 func (c *client) Closed(error) {
 	c.remove()
 	for id, requestID := range c.requests {
@@ -97,7 +97,7 @@
 	c.listener.dispatcher.Submit(query, &request{client: c, call: call}, func(id core.ID) { c.requests[call.ID] = id })
 }
 
-// cancel cancels a query that its client has aborted.
+// cancel cancels an open query that the client has aborted.
 func (c *client) cancel(id string) {
 	requestID, open := c.requests[id]
 	if open {
@@ -107,29 +107,29 @@
 	}
 }
 
-// stopReading stops reading after a framing error. Queries received before it still get their response.
+// stopReading stops reading after a framing error or when a limit is exceeded. Queries received before are still answered.
 func (c *client) stopReading(err error) {
-	c.listener.log.Warn("client connection closed", "error", err)
-	c.framingLost = true
+	c.listener.log.Warn("client input rejected, closing connection after open queries", "error", err)
+	c.readStopped = true
 	c.sentRequest = true
 	c.session.DiscardInput()
 	c.updateLineTimer(false)
 	c.conn.Pause()
 }
 
-// closeIfIdle closes the connection if no query is open, and reports whether it did. Bytes that are unread are handled first, since
-// a request that was sent before the connection is closed is owed a response.
-func (c *client) closeIfIdle(why string) bool {
+// closeIfIdle closes the connection if no query is open, and reports whether it did. It handles pending bytes first, since a request that
+// was sent before the close must be answered.
+func (c *client) closeIfIdle(reason string) bool {
 	if !c.conn.DeliverPending() || len(c.requests) > 0 {
 		return false
 	}
-	c.close(why)
+	c.close(reason)
 	return true
 }
 
-// close closes the connection gracefully: responses that are queued are still written.
-func (c *client) close(why string) {
-	c.listener.log.Debug("client connection ended", "why", why)
+// close closes the connection gracefully: queued responses are still written.
+func (c *client) close(reason string) {
+	c.listener.log.Debug("closing client connection", "why", reason)
 	c.listener.lingering.closeGracefully(c.conn)
 	c.remove()
 }
@@ -143,14 +143,15 @@
 	c.listener.connSet.remove(c)
 }
 
-// shutdownIfIdle is part of closable. A line that has begun may still be completed.
-func (c *client) shutdownIfIdle(idle time.Duration) {
-	if c.incompleteBytes == 0 && c.listener.dispatcher.Loop.Now()-c.idleSince >= idle {
+// shutdownIfIdle implements closableConn. A connection with an incomplete line is kept, since the rest of the line may follow.
+func (c *client) shutdownIfIdle(minIdle time.Duration) {
+	if c.incompleteBytes == 0 && c.listener.dispatcher.Loop.Now()-c.idleSince >= minIdle {
 		c.closeIfIdle("stopped")
 	}
 }
 
-// shutdown is part of closable. Requests that are unread are owed a response, which they get at once by now.
+// shutdown implements closableConn. It handles pending requests first: they must get a response, which the dispatcher gives immediately
+// during shutdown.
 func (c *client) shutdown() {
 	c.conn.DeliverPending()
 	if c.conn.IsOpen() {
--- a/internal/transport/frontend/platform_eviction.go
+++ b/internal/transport/frontend/platform_eviction.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// queryGrace is how long a connection counts as recently used after its last request: the next query may be on its way.
-const queryGrace = 250 * time.Millisecond
+// recentUsePeriod is how long a connection counts as recently used after its last request: the client may already have sent another query.
+const recentUsePeriod = 250 * time.Millisecond
 
-// evictIdle closes an idle connection to make room for a new one, and reports whether there was one.
+// evictIdle closes an idle connection to make room for a new one, and reports whether it found one.
 func (l *PlatformListener) evictIdle() bool {
 	now := l.dispatcher.Loop.Now()
-	for range l.maxConns { // one that turns out to have sent a request stays, and another is closed
+	for range l.maxConns { // a candidate that turns out to have sent a request is kept, and the next one is tried
 		c := l.evictionCandidate(now)
 		if c == nil {
 			return false
 		}
-		if c.closeIfIdle("others came") || !l.open[c] { // or its client has closed it
+		if c.closeIfIdle("evicted for a new connection") || !l.open[c] { // the second holds if the client has closed the connection
 			return true
 		}
 	}
 	return false
 }
 
-// evictionCandidate returns the connection without open requests that has the lowest eviction priority and, among equals, has been
-// idle for longest. It returns nil if all have open requests.
+// evictionCandidate returns the connection without open requests that has the lowest evictionPriority and, among equals, has been idle
+// longest. It returns nil if all connections have open requests.
 func (l *PlatformListener) evictionCandidate(now time.Duration) *client {
 	var candidate *client
 	for c := range l.open {
@@ -32,26 +32,25 @@
 	return candidate
 }
 
-// evictionPriority ranks connections without open queries; the lowest is closed first.
+// evictionPriority ranks connections without open queries: those with the lowest value are evicted first.
 type evictionPriority int
 
 const (
-	quietWithoutQuery evictionPriority = iota // hundreds of them may come at a time
-	quietAfterQuery
-	recentWithoutQuery // got the response it is owed
-	recentAfterQuery   // the client can send its next query on a new connection
-	recentWithoutRequest
+	idleWithoutQuery evictionPriority = iota // hundreds of them may be opened at once
+	idleAfterQuery
+	recentWithoutQuery   // its requests were answered
+	recentAfterQuery     // the client can send its next query on a new connection
+	recentWithoutRequest // new: its first request may be in transit and would be lost
 )
 
-// evictionPriority returns the priority of a connection. The highest is that of a new one, whose first request may be on its way
-// and would be lost.
+// evictionPriority returns the priority of a connection without open queries.
 func (c *client) evictionPriority(now time.Duration) evictionPriority {
-	quiet := now-c.idleSince > queryGrace
+	idle := now-c.idleSince > recentUsePeriod
 	switch {
-	case quiet && !c.sentQuery:
-		return quietWithoutQuery
-	case quiet:
-		return quietAfterQuery
+	case idle && !c.sentQuery:
+		return idleWithoutQuery
+	case idle:
+		return idleAfterQuery
 	case c.sentRequest && !c.sentQuery:
 		return recentWithoutQuery
 	case c.sentQuery:
@@ -60,7 +59,7 @@
 	return recentWithoutRequest
 }
 
-// evictedBefore reports whether c is closed before other to make room for a new connection.
+// evictedBefore reports whether c is evicted before other.
 func (c *client) evictedBefore(other *client, now time.Duration) bool {
 	a, b := c.evictionPriority(now), other.evictionPriority(now)
 	return a < b || a == b && c.idleSince < other.idleSince
--- a/internal/transport/frontend/platform_request.go
+++ b/internal/transport/frontend/platform_request.go
@@ -7,7 +7,7 @@
 	"frostpier/internal/transport/dispatcher"
 )
 
-// Messages of failed queries.
+// Error messages of failed queries, sent to clients.
 const (
 	failedMessage   = "the query failed"
 	deadlineMessage = "no answer in time"
@@ -21,7 +21,7 @@
 
 var _ dispatcher.Client = (*request)(nil)
 
-// StartAttempt sends the query to an engine.
+// StartAttempt starts an attempt of the query on an engine.
 func (r *request) StartAttempt(start core.StartAttempt) dispatcher.Attempt {
 	d := r.client.listener.dispatcher
 	machine, steps := enginehttp.NewQuery(enginehttp.Request{
@@ -34,13 +34,13 @@
 	return dispatcher.StartAttempt(d, d.Pool, start, start.Engine.Addr, machine, steps, func([]byte) {})
 }
 
-// ReadPendingInput handles all bytes that the client has sent by now.
+// ReadPendingInput implements dispatcher.Client.
 func (r *request) ReadPendingInput() { r.client.conn.DeliverPending() }
 
-// PeekInput reports whether bytes of the client wait to be handled, and whether it has closed its connection.
+// PeekInput implements dispatcher.Client.
 func (r *request) PeekInput() (pending, closed bool) { return r.client.conn.Peek() }
 
-// Reply writes the response of the query.
+// Reply writes the response to the query.
 func (r *request) Reply(reply core.Reply, result any) {
 	c := r.client
 	c.session.Done(r.call.ID)
--- a/internal/transport/frontend/platform_test.go
+++ b/internal/transport/frontend/platform_test.go
@@ -40,7 +40,7 @@
 	return l
 }
 
-// dialAndSend connects and sends a text.
+// dialAndSend connects to the listener and sends text.
 func dialAndSend(t *testing.T, l *PlatformListener, text string) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", l.ln.Addr().String())
@@ -59,26 +59,27 @@
 func expectPong(t *testing.T, nc net.Conn) {
 	t.Helper()
 	if line, err := bufio.NewReader(nc).ReadString('\n'); err != nil || !strings.Contains(line, `"serving":true`) {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("read line %q and error %v, want the response to a ping", line, err)
 	}
 }
 
-// expectEnd waits for the end of a connection, before which nothing may come.
-func expectEnd(t *testing.T, what string, nc net.Conn) {
+// expectClosed waits until a connection is closed or reset, without any byte before that. what names the connection in the message of a
+// failure.
+func expectClosed(t *testing.T, what string, nc net.Conn) {
 	t.Helper()
 	if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%s: %d bytes, %v, want the end", what, n, err)
+		t.Errorf("%s: read %d bytes and error %v, want a closed connection", what, n, err)
 	}
 }
 
 const ping = `{"jsonrpc":"2.0","id":1,"method":"ping"}` + "\n"
 
-// Connections are closed soon on which nothing was sent, an incomplete line, or nothing that is owed a response. One that has sent a
-// request stays.
-func TestConnectionsWithoutRequestsAreClosed(t *testing.T) {
+// Connections on which the client sends nothing, only an incomplete line, or only input that needs no response, are closed after the request
+// timeout. A connection on which a request was sent is kept.
+func TestRequestTimeoutClosesConnectionsWithoutRequest(t *testing.T) {
 	l := newPlatformListener(t, 100, 1<<20, 100*time.Millisecond)
-	stays := dialAndSend(t, l, ping)
-	expectPong(t, stays)
+	kept := dialAndSend(t, l, ping)
+	expectPong(t, kept)
 	silent := map[string]net.Conn{
 		"nothing":         dialAndSend(t, l, ""),
 		"incomplete line": dialAndSend(t, l, `{"jsonrpc":"2.0",`),
@@ -87,50 +88,49 @@
 	}
 	later := dialAndSend(t, l, ping+`{"jsonrpc"`)
 	expectPong(t, later)
-	expectEnd(t, "incomplete line after a request", later)
+	expectClosed(t, "incomplete line after a request", later)
 	for what, nc := range silent {
-		expectEnd(t, what, nc)
+		expectClosed(t, what, nc)
 	}
-	io.WriteString(stays, ping)
-	expectPong(t, stays)
+	io.WriteString(kept, ping)
+	expectPong(t, kept)
 	l.dispatcher.Loop.Do(func() {
 		if len(l.open) != 1 || l.incompleteBytes != 0 {
-			t.Errorf("%d connections and %d incomplete bytes remain", len(l.open), l.incompleteBytes)
+			t.Errorf("%d connections and %d incomplete bytes remain, want 1 and 0", len(l.open), l.incompleteBytes)
 		}
 	})
 }
 
-// Each line has the whole timeout, also if its first bytes come together with the end of the line before.
-func TestEachLineHasItsOwnTime(t *testing.T) {
+// Each line has the full timeout, even if its first bytes arrive in the same read as the end of the previous line.
+func TestLineTimeoutRestartsForEachLine(t *testing.T) {
 	l := newPlatformListener(t, 100, 1<<20, time.Hour)
 	half := len(ping) / 2
 	nc := dialAndSend(t, l, ping[:half])
 	var c *client
-	line := func() (wait *eventloop.Timer) {
-		nettest.Eventually(t, "an incomplete line", func() (some bool) {
+	waitIncompleteLine := func() (timer *eventloop.Timer) {
+		nettest.Eventually(t, "an incomplete line", func() (incomplete bool) {
 			l.dispatcher.Loop.Do(func() {
 				for c = range l.open {
-					some, wait = c.incompleteBytes == half, c.lineTimer
+					incomplete, timer = c.incompleteBytes == half, c.lineTimer
 				}
 			})
-			return some
+			return incomplete
 		})
-		return wait
+		return timer
 	}
-	first := line()
+	first := waitIncompleteLine()
 	nettest.Send(t, nc, ping[half:]+ping[:half])
 	expectPong(t, nc)
-	second := line()
+	second := waitIncompleteLine()
 	if first == nil || second == nil || first == second {
-		t.Fatal("the timer of a line was not restarted for the next one")
+		t.Fatal("the line timer was not restarted for the second line")
 	}
-	l.dispatcher.Loop.Do(c.lineTimedOut) // its own timeout has expired
-	expectEnd(t, "incomplete line", nc)
+	l.dispatcher.Loop.Do(c.lineTimedOut) // as if the timeout of the second line had expired
+	expectClosed(t, "incomplete line", nc)
 }
 
-// Connections without queries, which may come by the hundreds, are evicted before those with queries, and these before new ones.
-// On a recorded day new connections were evicted after 3 ms, since they alone had sent no request yet, and one query in twelve was
-// lost with them.
+// Connections that never sent a query, which may be opened by the hundreds, are evicted before those that did, and these before new ones.
+// In a recorded run, new connections were evicted after 3 ms, since only they had sent no request yet, and one in twelve queries was lost.
 func TestEvictionOrder(t *testing.T) {
 	l := newPlatformListener(t, 4, 1<<20, time.Hour)
 	l.dispatcher.Loop.Do(func() {
@@ -146,26 +146,26 @@
 			return c
 		}
 		add(true, true, time.Hour, "1") // has an open query
-		fresh := add(false, false, queryGrace/2)
-		answered := add(true, true, queryGrace/2)
-		pinged := add(true, false, queryGrace/2)
+		fresh := add(false, false, recentUsePeriod/2)
+		answered := add(true, true, recentUsePeriod/2)
+		pinged := add(true, false, recentUsePeriod/2)
 		queried := add(true, true, time.Second)
-		queriedLater := add(true, true, 2*queryGrace)
-		silent := add(false, false, 2*queryGrace)
-		silentLonger := add(false, false, 3*queryGrace)
+		queriedLater := add(true, true, 2*recentUsePeriod)
+		silent := add(false, false, 2*recentUsePeriod)
+		silentLonger := add(false, false, 3*recentUsePeriod)
 		for i, want := range []*client{silentLonger, silent, queried, queriedLater, pinged, answered, fresh} {
 			if !l.evictIdle() || l.open[want] {
-				t.Errorf("another than the expected was evicted as number %d", i+1)
+				t.Errorf("eviction %d closed another connection than expected", i+1)
 			}
 		}
 		if l.evictIdle() || len(l.open) != 1 {
-			t.Error("one with an open query was evicted")
+			t.Error("a connection with an open query was evicted")
 		}
 	})
 }
 
-// A full listener evicts an idle connection for a new one, and a response that is queued on it is still written. 43 responses of a
-// recorded day were lost.
+// A listener with the maximum of connections evicts an idle one to accept a new one, and a response queued on the evicted connection is
+// still written. In a recorded run, 43 responses were lost that way.
 func TestFullListenerEvictsIdleConnections(t *testing.T) {
 	l := newPlatformListener(t, 1, 1<<20, time.Hour)
 	long := strings.Repeat("y", 8<<20) // more than the buffers of both sockets
@@ -180,14 +180,15 @@
 	})
 	expectPong(t, dialAndSend(t, l, ping))
 	if got, err := io.ReadAll(first); err != nil || len(got) != len(long) {
-		t.Fatalf("%d bytes, %v, want %d and the end", len(got), err, len(long))
+		t.Fatalf("read %d bytes and error %v, want %d bytes and EOF", len(got), err, len(long))
 	}
 }
 
-// The memory of incomplete lines is bounded: if all together are over the limit, a connection with a long one is closed.
-func TestIncompleteLinesAreBounded(t *testing.T) {
-	l := newPlatformListener(t, 100, 3*fairLineBytes, time.Hour)
-	long := strings.Repeat("x", 2*fairLineBytes)
+// The memory of incomplete lines is limited: if all together exceed the limit, a connection with a long incomplete line is closed, and one
+// with a short line is kept.
+func TestIncompleteLineMemoryIsLimited(t *testing.T) {
+	l := newPlatformListener(t, 100, 3*guaranteedLineBytes, time.Hour)
+	long := strings.Repeat("x", 2*guaranteedLineBytes)
 	dialAndSend(t, l, long)
 	for {
 		incomplete := 0
@@ -195,8 +196,8 @@
 			break
 		}
 	}
-	expectEnd(t, "long line over the limit", dialAndSend(t, l, long))
-	short := dialAndSend(t, l, ping[:10]) // below its fair share
+	expectClosed(t, "long line over the limit", dialAndSend(t, l, long))
+	short := dialAndSend(t, l, ping[:10]) // below guaranteedLineBytes
 	io.WriteString(short, ping[10:])
 	expectPong(t, short)
 }
--- a/internal/transport/frontend/platform_timeouts.go
+++ b/internal/transport/frontend/platform_timeouts.go
@@ -1,7 +1,7 @@
 package frontend
 
-// restartIdleTimer restarts the idle timeout if no query is open. A connection that has not sent a request yet keeps the timer of
-// its first request.
+// restartIdleTimer restarts the idle timeout if no query is open. It does nothing before the first request, for which the request timeout is
+// running.
 func (c *client) restartIdleTimer() {
 	if !c.sentRequest {
 		return
@@ -12,18 +12,18 @@
 	if len(c.requests) > 0 {
 		return
 	}
-	if c.framingLost {
-		c.close("no more lines can be read")
+	if c.readStopped {
+		c.close("input rejected")
 		return
 	}
-	if c.listener.closesAfterResponses && c.responded { // behind the present read, which may hold further requests
+	if c.listener.closeAfterResponses && c.responded { // deferred, since the current read may contain further requests
 		c.idleTimer = loop.After(0, func() { c.shutdownIfIdle(0) })
 		return
 	}
 	c.idleTimer = loop.After(idleTimeout, func() { c.closeIfIdle("idle") })
 }
 
-// requestTimedOut closes a connection that has not sent a request in time.
+// requestTimedOut closes a connection whose client has not sent a request in time.
 func (c *client) requestTimedOut() {
 	c.conn.DeliverPending()
 	if c.conn.IsOpen() && !c.sentRequest {
@@ -31,8 +31,8 @@
 	}
 }
 
-// updateLineTimer keeps the timer for the rest of an incomplete line. Each line has its own timer: lineEnded reports that the bytes
-// just received completed a line, so that what is incomplete now is another one.
+// updateLineTimer starts or stops the timer for the rest of an incomplete line. Each line has its own timeout: lineEnded is true if the bytes
+// just received completed a line, so that the incomplete line, if any, is a new one.
 func (c *client) updateLineTimer(lineEnded bool) {
 	incomplete := c.session.BufferedBytes()
 	c.listener.incompleteBytes += incomplete - c.incompleteBytes
@@ -50,10 +50,10 @@
 	c.lineTimer = c.listener.dispatcher.Loop.After(c.listener.requestTimeout, c.lineTimedOut)
 }
 
-// lineTimedOut closes a connection whose line was not completed in time, once its queries have their response.
+// lineTimedOut closes a connection whose line was not completed in time. While queries are open, it restarts the timer instead.
 func (c *client) lineTimedOut() {
 	c.lineTimer = nil
-	c.conn.DeliverPending() // may complete the line
+	c.conn.DeliverPending() // the pending bytes may complete the line
 	switch {
 	case !c.conn.IsOpen() || c.incompleteBytes == 0:
 	case len(c.requests) == 0:
