--- a/internal/transport/enginepool/conn.go
+++ b/internal/transport/enginepool/conn.go
@@ -13,13 +13,13 @@
 	// ProtocolState is state of the connection that the attempts' state machines keep from one use to the next.
 	ProtocolState any
 
-	pool       *Pool
-	key        endpointKey
-	stale      bool              // the engine was removed or its address changed: not to be reused
-	handler    eventloop.Handler // of the attempt that uses the connection; nil if there is none
-	releasedAt time.Duration     // on the loop's clock
-	onDrained  func()            // called at the end of a reserved connection's drain delay; nil if it is not reserved
-	timer      *eventloop.Timer  // idle timeout or drain delay
+	pool            *Pool
+	key             endpointKey
+	stale           bool              // the engine was removed or its address changed: not to be reused
+	handler         eventloop.Handler // of the attempt that uses the connection; nil if there is none
+	releasedAt      time.Duration     // on the loop's clock
+	onDrainDelayEnd func()            // called at the end of a reserved connection's drain delay; nil if it is not reserved
+	timer           *eventloop.Timer  // idle timeout or drain delay
 }
 
 // Data passes received bytes to the attempt. A connection that receives bytes while no attempt uses it is closed, even if it is reserved
@@ -90,8 +90,8 @@
 // awaitDrainDelay reserves a released connection until its drain delay has elapsed, and then calls done. If bytes or EOF were received
 // on the connection meanwhile, it is closed and not usable.
 func (c *Conn) awaitDrainDelay(done func(usable bool)) {
-	c.onDrained = func() {
-		c.onDrained = nil
+	c.onDrainDelayEnd = func() {
+		c.onDrainDelayEnd = nil
 		c.timer.Stop()
 		usable := c.isReusable()
 		if !usable {
@@ -105,8 +105,8 @@
 
 // endDrainDelay ends the drain delay of a reserved connection. It does nothing if the connection is not reserved.
 func (c *Conn) endDrainDelay() {
-	if c.onDrained != nil {
-		c.onDrained()
+	if c.onDrainDelayEnd != nil {
+		c.onDrainDelayEnd()
 	}
 }
 
--- a/internal/transport/enginepool/pool.go
+++ b/internal/transport/enginepool/pool.go
@@ -94,8 +94,8 @@
 	p.admitWaiters()
 }
 
-// acquireIdle removes an idle connection from the pool and returns it, or nil if there is none. It chooses the one that was released last
-// among those whose drain delay has elapsed, since it is the least likely to be stale; without such a one, the last released of all.
+// acquireIdle removes an idle connection from the pool and returns it, or nil if there is none. It prefers connections whose drain delay has
+// elapsed, and among them the one that was released last, since it is the least likely to be stale.
 func (p *Pool) acquireIdle(key endpointKey) *Conn {
 	conns := p.idle[key]
 	if len(conns) == 0 {
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -24,7 +24,7 @@
 // MySQLConfig configures a MySQLListener.
 type MySQLConfig struct {
 	Listen         string                    // address to listen on
-	MaxConns       int                       // open client connections
+	MaxConns       int                       // maximum number of open client connections
 	Accounts       map[string]*mysql.Account // of clients, by user name
 	EngineUser     string                    // for logins at engines
 	EnginePassword string                    // for logins at engines
--- a/internal/transport/frontend/platform_client.go
+++ b/internal/transport/frontend/platform_client.go
@@ -21,7 +21,7 @@
 	requests map[string]core.ID // open queries by their JSON-RPC ID
 
 	sentRequest bool // the client has sent a request that was or will be answered
-	sentQuery   bool // the client has sent a query
+	sentQuery   bool // the client has sent a valid query
 	readStopped bool // no more input is read; open queries are still answered
 	responded   bool // a response was written since the last input
 
--- a/internal/transport/frontend/platform_eviction.go
+++ b/internal/transport/frontend/platform_eviction.go
@@ -13,7 +13,7 @@
 		if c == nil {
 			return false
 		}
-		if c.closeIfIdle("evicted for a new connection") || !l.open[c] { // the second holds if the client has closed the connection
+		if c.closeIfIdle("evicted for a new connection") || !l.open[c] { // or the client has closed it
 			return true
 		}
 	}
