--- a/cmd/frostpier/crossings_test.go
+++ b/cmd/frostpier/crossings_test.go
@@ -287,7 +287,7 @@
 	first := startNode(t, "", engineInService("e1", e.addr()))
 	next := &node{t: t, listen: first.listen, log: &logBuffer{}, configPath: first.configPath}
 	next.launch()
-	next.waitLog("waits for the address")
+	next.waitLog("address in use, retrying")
 	first.cmd.Process.Kill()
 	next.waitLog("msg=serving")
 	c := dialRPC(t, next)
@@ -295,7 +295,7 @@
 	c.wantServed(2, "a\tb\tc\n")
 	third := &node{t: t, listen: first.listen, log: &logBuffer{}, configPath: first.configPath}
 	third.launch()
-	third.waitLog("waits for the address")
+	third.waitLog("address in use, retrying")
 	third.cmd.Process.Signal(syscall.SIGTERM)
 	third.waitExit() // a stop before the start is complete is no failure
 }
--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -272,7 +272,7 @@
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "[membership]\nfleet = \"f\"\n[spread]\n", engineInService("e1", e.addr()))
-	n.waitLog("membership stays off")
+	n.waitLog("membership disabled")
 	c := dialRPC(t, n)
 	c.submit(1, "lookup", "x", 3000, "")
 	c.wantServed(1, "a\tb\tc\n")
--- a/internal/program/extensions_test.go
+++ b/internal/program/extensions_test.go
@@ -10,9 +10,9 @@
 	"frostpier/internal/control/rollout"
 )
 
-// With so many engines load reports fill every datagram. They must leave room for the version, as otherwise no gateway
-// would know which versions run in the fleet.
-func TestVersionsAreSentBesideManyLoadReports(t *testing.T) {
+// Load reports must leave room for the version in the datagrams even if there are enough engines to fill each datagram with
+// load reports. Otherwise no gateway would know which versions run in the fleet.
+func TestLoadReportsLeaveRoomForVersions(t *testing.T) {
 	const engines = 200
 	now := 1_800_000_000 * time.Second
 	digest := loadreport.New()
@@ -24,7 +24,8 @@
 	for _, number := range numbers {
 		digest.Record(now, number, 3)
 	}
-	p := &program{loadReports: digest, version: &versionReporter{versions: rollout.NewVersionTracker(2, rollout.VersionID{Program: 1 << 40, Settings: 1 << 41})}}
+	versions := rollout.NewVersionTracker(2, rollout.VersionID{Program: 1 << 40, Settings: 1 << 41})
+	p := &program{loadReports: digest, reporter: &versionReporter{versions: versions}}
 	peers := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), netip.MustParseAddrPort("127.0.0.2:9")}
 	node := func(self int) *membership.Node {
 		n, err := membership.New(membership.Config{Self: self, Peers: peers, Fleet: "f", Seed: 1, Extensions: p.extensions(),
@@ -50,6 +51,6 @@
 		sender.Tick(now)
 	}
 	if received[rollout.ExtensionKind] == 0 || received[loadreport.ExtensionKind] == 0 {
-		t.Errorf("messages received by kind: %v", received)
+		t.Errorf("extension messages received, by kind: %v, want both kinds", received)
 	}
 }
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -16,26 +16,26 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// membershipSetup is what membership is started with: numbers and addresses from the configuration, times from the
-// operator's file.
+// membershipSetup contains the parameters of newMembershipDriver: gateway numbers and addresses from the configuration,
+// times from the operator's file.
 type membershipSetup struct {
 	section           *settings.Membership
 	conf              settings.Config
 	host              settings.Host
 	extensions        []membership.Extension
-	extensionInterval time.Duration    // between two datagrams for extensions alone; 0 = none
-	weights           func() []float64 // of the members as their receivers; nil = equal
+	extensionInterval time.Duration    // time between two datagrams that only carry extension messages; 0 = none are sent
+	weights           func() []float64 // weight of each member as the receiver of such a datagram; nil = equal
 	listener          datagram.MembershipListener
 }
 
-// newMembership returns the driver of the membership protocol. Nothing is sent before its start.
-func newMembership(s membershipSetup, loop *eventloop.Loop, log *slog.Logger, invariants *invariant.Monitor) (*datagram.MembershipDriver, error) {
+// newMembershipDriver returns the driver of the membership protocol. It sends nothing until it is started.
+func newMembershipDriver(s membershipSetup, loop *eventloop.Loop, log *slog.Logger, invariants *invariant.Monitor) (*datagram.MembershipDriver, error) {
 	listen, peers, err := s.conf.PeerAddrs()
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
 	if len(peers) != s.host.Module.Gateways {
-		reason := fmt.Sprintf("%d peers, but the settings tell of %d gateways", len(peers), s.host.Module.Gateways)
+		reason := fmt.Sprintf("%d peers, but the settings are for %d gateways", len(peers), s.host.Module.Gateways)
 		return nil, fmt.Errorf("membership: %w", &settings.KeyError{Source: settings.SourceConfiguration, Key: "peers", Reason: reason})
 	}
 	interval, timeout, suspect := s.section.Times()
@@ -54,15 +54,15 @@
 	return datagram.NewMembershipDriver(loop, log, invariants, node, socket, peers, s.listener), nil
 }
 
-// addMembership adds membership and the subsystems that use its datagrams, if the operator's file has it and the settings
-// permit it.
+// addMembership adds membership and the subsystems that use its datagrams, if the operator's file configures membership and
+// the settings permit it.
 func (p *program) addMembership(s setup) (err error) {
 	section := s.operator.Membership
 	if section == nil {
 		return nil
 	}
 	if !s.host.PeerMessages {
-		p.log.Warn("membership stays off: the settings do not permit messages between gateways", "key", "permissions.peer_messages")
+		p.log.Warn("membership disabled: the settings do not permit messages between gateways", "key", "permissions.peer_messages")
 		return nil
 	}
 	extensionInterval := time.Duration(0)
@@ -71,26 +71,26 @@
 		p.loadReports = loadreport.New()
 		p.dispatcher.Core.ShareLoadReports(p.loadReports)
 	}
-	p.subset = subsetdriver.NewDriver(placeInFleet(s.host), p.loop, p.dispatcher, p.log)
+	p.subset = subsetdriver.NewDriver(fleetLocation(s.host), p.loop, p.dispatcher, p.log)
 	listener := peerMessages{Dispatcher: p.dispatcher, subset: p.subset}
-	if p.version != nil {
-		listener.versions = p.version.versions
+	if p.reporter != nil {
+		listener.versions = p.reporter.versions
 	}
-	p.membership, err = newMembership(membershipSetup{
+	p.membership, err = newMembershipDriver(membershipSetup{
 		section: section, conf: s.conf, host: s.host, extensions: p.extensions(), extensionInterval: extensionInterval,
 		weights: p.subset.ReceiverWeights, listener: listener,
 	}, p.loop, p.log, p.invariants)
 	return err
 }
 
-// extensions returns the subsystems that piggyback messages on membership datagrams. Load reports come last: with some
-// dozens of engines they fill a datagram.
+// extensions returns the subsystems that piggyback messages on membership datagrams, in order of precedence. Load reports
+// are last, since those on a few dozen engines fill a datagram.
 func (p *program) extensions() (extensions []membership.Extension) {
 	if p.subset != nil {
 		extensions = append(extensions, p.subset.Extension())
 	}
-	if p.version != nil {
-		extensions = append(extensions, p.version.versions)
+	if p.reporter != nil {
+		extensions = append(extensions, p.reporter.versions)
 	}
 	if p.loadReports != nil {
 		extensions = append(extensions, p.loadReports)
@@ -98,11 +98,11 @@
 	return extensions
 }
 
-// peerMessages hands the messages of other gateways to the subsystems that they are for. The dispatcher receives what is
-// for the core.
+// peerMessages passes the messages from other gateways to the subsystems that handle them. The embedded dispatcher handles
+// the messages for the core.
 type peerMessages struct {
 	*dispatcher.Dispatcher
-	versions *rollout.VersionTracker // nil where versions are not reported
+	versions *rollout.VersionTracker // nil = versions are not reported
 	subset   *subsetdriver.Driver
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-// ReceiveZones records the zones that another gateway reports. The next update of the subset uses them.
+// ReceiveZones records the zones that another gateway reports. They are used by the next update of the subset.
 func (m peerMessages) ReceiveZones(member int, body []byte) {
 	m.subset.ReceiveZones(member, body)
 }
--- a/internal/program/mysql.go
+++ b/internal/program/mysql.go
@@ -15,12 +15,12 @@
 	"frostpier/internal/transport/frontend"
 )
 
-// masterListenRetryInterval is the pause before another try to listen as master: the former master may still have the
-// address.
+// masterListenRetryInterval is the delay before a new master retries to listen. Until the former master has released the
+// address, listening fails.
 const masterListenRetryInterval = 100 * time.Millisecond
 
-// mysqlConfig returns the configuration of the MySQL frontend. It checks the accounts against the classes of the
-// settings. sockets is the descriptor budget for clients.
+// mysqlConfig returns the configuration of the MySQL frontend, or the error of an invalid account. sockets is the descriptor
+// budget for clients.
 func mysqlConfig(m *settings.MySQL, c *core.Core, sockets int) (frontend.MySQLConfig, error) {
 	config := frontend.MySQLConfig{
 		Listen: m.Listen, MaxConns: sockets * 8 / 9, EngineUser: m.EngineUser, EnginePassword: m.EnginePassword,
@@ -34,13 +34,13 @@
 		hash, err := mysql.ParseHash(a.PasswordHash)
 		switch {
 		case !known:
-			return config, accountError(a.User, "class", a.Class, "no class of the settings", nil)
+			return config, accountError(a.User, "class", a.Class, "not a class of the settings", nil)
 		case err != nil:
 			return config, accountError(a.User, "password_hash", nil, "", err)
 		case a.BudgetMS <= 0:
-			return config, accountError(a.User, "budget_ms", a.BudgetMS, "not above 0", nil)
+			return config, accountError(a.User, "budget_ms", a.BudgetMS, "must be greater than 0", nil)
 		case config.Accounts[a.User] != nil:
-			return config, accountError(a.User, "user", a.User, "used by two accounts", nil)
+			return config, accountError(a.User, "user", a.User, "duplicate user", nil)
 		}
 		config.Accounts[a.User] = &mysql.Account{
 			User: a.User, Hash: hash, Class: class, NeedsReplayKey: c.NeedsIdempotencyKey(class),
@@ -50,7 +50,7 @@
 	return config, nil
 }
 
-// accountError returns the error of a key of an account.
+// accountError returns the error of an invalid key of an account.
 func accountError(user, key string, value any, reason string, err error) error {
 	return &settings.KeyError{
 		Source: settings.SourceOperator, Key: fmt.Sprintf("mysql.account[%q].%s", user, key),
@@ -58,8 +58,8 @@
 	}
 }
 
-// newVRRP returns the virtual router whose master owns the MySQL frontend's listener.
-func newVRRP(v *settings.VRRP, loop *eventloop.Loop, log *slog.Logger, listener *frontend.MySQLListener) (*datagram.VRRPDriver, error) {
+// newVRRPDriver returns the driver of the virtual router. The MySQL frontend listens only while this gateway is its master.
+func newVRRPDriver(v *settings.VRRP, loop *eventloop.Loop, log *slog.Logger, listener *frontend.MySQLListener) (*datagram.VRRPDriver, error) {
 	router, err := vrrp.New(vrrp.Config{
 		VRID: v.ID, Priority: v.Priority, Interval: v.Interval(), Preempt: v.Preempt,
 		Self: v.Listen.Addr(), Addrs: v.Addresses,
@@ -76,10 +76,10 @@
 	})
 }
 
-// listenAsMaster opens the MySQL frontend's listener, and retries until that succeeds.
+// listenAsMaster opens the MySQL frontend's listener, and retries until it succeeds.
 func listenAsMaster(log *slog.Logger, listener *frontend.MySQLListener) {
 	if err := listener.Listen(); err != nil {
-		log.Error("mysql front cannot listen", "error", err)
+		log.Error("cannot open mysql listener, retrying", "error", err)
 		listener.ScheduleRetry(masterListenRetryInterval, func() { listenAsMaster(log, listener) })
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -20,35 +20,35 @@
 )
 
 const (
-	listenTimeout       = 8 * time.Second // a former process that is killed or stopped frees its address sooner
+	listenTimeout       = 8 * time.Second // longer than a former process that is killed or shut down keeps the address
 	listenRetryInterval = 100 * time.Millisecond
 )
 
 // program is a running gateway.
 type program struct {
-	loop          *eventloop.Loop
-	dispatcher    *dispatcher.Dispatcher
-	clients       *frontend.PlatformListener
-	mysql         *frontend.MySQLListener    // nil = off
-	vrrp          *datagram.VRRPDriver       // nil = off
-	membership    *datagram.MembershipDriver // nil = off
-	loadReports   *loadreport.Digest         // nil = off
-	version       *versionReporter           // nil = off
-	subset        *subsetdriver.Driver       // nil = off
-	invariants    *invariant.Monitor
-	log           *slog.Logger
-	engineEvents  *discovery.Stream
-	initialEvents []discovery.Event // of the engine list, from the configuration
-	discovery     *enginewatch.Watch
-	host          settings.Host
-	operator      settings.Operator // in force
-	maxDeadline   time.Duration     // that a shutdown waits for
-	closing       bool              // the connections are being closed
-	exit          func()            // ends the event loop and with it the program
+	loop             *eventloop.Loop
+	dispatcher       *dispatcher.Dispatcher
+	platform         *frontend.PlatformListener
+	mysql            *frontend.MySQLListener    // nil = off
+	vrrp             *datagram.VRRPDriver       // nil = off
+	membership       *datagram.MembershipDriver // nil = off
+	loadReports      *loadreport.Digest         // nil = off
+	reporter         *versionReporter           // nil = off
+	subset           *subsetdriver.Driver       // nil = off
+	invariants       *invariant.Monitor
+	log              *slog.Logger
+	engineEvents     *discovery.Stream
+	initialEvents    []discovery.Event // engine list events from the configuration
+	discovery        *enginewatch.Watch
+	host             settings.Host
+	operator         settings.Operator // as applied last
+	shutdownDeadline time.Duration     // longest deadline that a shutdown waits for
+	closing          bool              // the shutdown is closing all connections
+	exit             func()            // stops the event loop, after which Run returns
 }
 
-// start starts everything that needs no listener. It returns how many engines the configuration's events list.
-func (p *program) start(s setup) (listed int) {
+// start starts all parts except the client listeners. It returns how many engines the configuration lists.
+func (p *program) start(s setup) (engines int) {
 	p.loop.Do(func() {
 		p.loop.StartLagMonitor()
 		if p.membership != nil {
@@ -56,16 +56,16 @@
 			p.subset.Start(p.membership, s.subset)
 		}
 		for _, e := range p.initialEvents {
-			listed = p.dispatcher.UpdateEngines(e.Full, e.Engines)
+			engines = p.dispatcher.UpdateEngines(e.Full, e.Engines)
 		}
 		p.discovery.SetServer(s.conf.Discovery)
 		p.scheduleStats()
 	})
-	return listed
+	return engines
 }
 
-// openListeners opens the listeners for clients. The controller of a rollout hears of the process before it serves, and
-// again once it does. stopped is true if ctx was cancelled first.
+// openListeners opens the listeners for clients. It reports to the controller of a rollout before and after, so that the
+// controller knows of the process before it serves. stopped is true if ctx was cancelled first.
 func (p *program) openListeners(ctx context.Context, listen string) (stopped bool, err error) {
 	p.reportServing(false)
 	if stopped, err := p.listenPlatform(ctx, listen); err != nil || stopped {
@@ -78,24 +78,24 @@
 	return false, nil
 }
 
-// reportServing reports whether the gateway serves, if it reports its version.
+// reportServing reports whether the gateway serves to the controller of a rollout, if there is a versionReporter.
 func (p *program) reportServing(serving bool) {
-	if p.version != nil {
-		p.loop.Do(func() { p.version.setServing(serving) })
+	if p.reporter != nil {
+		p.loop.Do(func() { p.reporter.setServing(serving) })
 	}
 }
 
-// listenPlatform opens the platform's listener, and retries while the former process still has the address. stopped is
-// true if ctx was cancelled first.
+// listenPlatform opens the platform listener, and retries while a former process still uses the address. stopped is true if
+// ctx was cancelled first.
 func (p *program) listenPlatform(ctx context.Context, addr string) (stopped bool, err error) {
 	started := time.Now()
 	for retry := 0; ; retry++ {
-		err := p.clients.Serve(addr)
+		err := p.platform.Serve(addr)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(started) > listenTimeout {
 			return false, err
 		}
 		if retry == 0 {
-			p.log.Warn("waits for the address", "listen", addr)
+			p.log.Warn("address in use, retrying", "listen", addr)
 		}
 		select {
 		case <-ctx.Done():
@@ -105,7 +105,8 @@
 	}
 }
 
-// startMySQL opens the MySQL frontend's listener: at once, or with VRRP when this gateway becomes master.
+// startMySQL opens the MySQL frontend's listener. With VRRP it starts the virtual router instead, which opens the listener
+// when this gateway becomes master.
 func (p *program) startMySQL() (err error) {
 	p.loop.Do(func() {
 		switch {
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -9,7 +9,7 @@
 	"frostpier/internal/settings"
 )
 
-// reloadUntil reloads the configuration and the operator's file with each signal on hup, until ctx is cancelled.
+// reloadUntil reloads the configuration and the operator's file on each signal on hup, until ctx is cancelled.
 func (p *program) reloadUntil(ctx context.Context, hup <-chan os.Signal, conf settings.Config) {
 	for {
 		select {
@@ -22,9 +22,9 @@
 	}
 }
 
-// reloadConfig follows the discovery server of the configuration file as it is now, from the last known event on.
-// Everything else in the file takes effect at the next start. An invalid file changes nothing. old is the configuration
-// of the start.
+// reloadConfig reloads the configuration file. It switches to the discovery server in the file, and continues after the last
+// known event. Other changes take effect at the next start. An invalid file changes nothing. old is the configuration that
+// the gateway was started with.
 func (p *program) reloadConfig(old settings.Config) {
 	conf, err := readConfig()
 	if err == nil && conf.Discovery == "" && old.Discovery != "" {
@@ -35,19 +35,19 @@
 		return
 	}
 	if needsRestart(old, conf) {
-		p.log.Warn("configuration reloaded: listen, limits and settings hold from the next start")
+		p.log.Warn("configuration reloaded: changes of listen, limits and settings take effect after a restart")
 	}
 	events := 0
 	p.loop.Do(func() { events = p.followDiscovery(conf) })
 	p.log.Info("configuration reloaded", "discovery", conf.Discovery, "events", events)
 }
 
-// followDiscovery applies the engine events of a reloaded configuration that are new, follows its discovery server, and
-// returns how many events those were. It runs on the event loop.
+// followDiscovery applies the new engine events of a reloaded configuration and switches to its discovery server. It returns
+// the number of new events. It runs on the event loop.
 func (p *program) followDiscovery(conf settings.Config) (events int) {
 	known, err := p.engineEvents.Restore(conf.Known)
 	if err != nil {
-		p.log.Warn("initial engine events not all used", "error", err)
+		p.log.Warn("invalid engine event in the configuration, relying on the discovery server", "error", err)
 	}
 	for _, e := range known {
 		p.dispatcher.UpdateEngines(e.Full, e.Engines)
@@ -56,20 +56,20 @@
 	return len(known)
 }
 
-// needsRestart reports whether two configurations differ in what takes effect only at a start.
+// needsRestart reports whether two configurations differ in a key that only takes effect at a start.
 func needsRestart(old, conf settings.Config) bool {
 	listenChanged := conf.Listen != old.Listen && os.Getenv(envListen) == ""
 	return listenChanged || conf.Limits != old.Limits || !bytes.Equal(conf.Settings, old.Settings)
 }
 
-// operatorFile is an operator's file as it was read.
+// operatorFile is the parsed content of an operator's file.
 type operatorFile struct {
 	settings settings.Operator
 	hash     uint64
-	subset   *subset.Config // nil = every engine is used
+	subset   *subset.Config // nil = all engines are used
 }
 
-// readOperatorFile reads the operator's file for a reload.
+// readOperatorFile reads and checks the operator's file for a reload.
 func (p *program) readOperatorFile() (f operatorFile, err error) {
 	if f.settings, err = readOperator(); err != nil {
 		return f, err
@@ -81,8 +81,8 @@
 	return f, err
 }
 
-// reloadOperator applies the operator's file as it is now. If some change in it cannot be applied while the program runs,
-// none is before the next start, so that the settings in force are always those of one file.
+// reloadOperator reloads the operator's file. If any of its changes needs a restart, no change is applied before the restart,
+// so that the applied settings are always those of a single version of the file.
 func (p *program) reloadOperator() {
 	file, err := p.readOperatorFile()
 	if err != nil {
@@ -92,21 +92,21 @@
 	p.loop.Do(func() { p.applyOperator(file) })
 }
 
-// applyOperator applies a reloaded operator's file. It runs on the event loop.
+// applyOperator applies a reloaded operator's file, or none of it if a change needs a restart. It runs on the event loop.
 func (p *program) applyOperator(file operatorFile) {
 	live := p.operator.CanApplyLive(file.settings)
-	if p.version != nil {
-		p.version.setReloaded(file.hash, live)
-		defer p.version.sender.Send()
+	if p.reporter != nil {
+		p.reporter.setReloaded(file.hash, live)
+		defer p.reporter.sender.Send()
 	}
 	if !live {
-		p.log.Warn("operator's file reloaded: it holds from the next start")
+		p.log.Warn("operator's file reloaded: its changes take effect after a restart")
 		return
 	}
 	if p.membership != nil && file.settings.Membership != nil {
 		_, timeout, suspect := file.settings.Membership.Times()
 		if err := p.membership.SetTimeouts(timeout, suspect); err != nil {
-			p.log.Error("membership times not changed", "error", err)
+			p.log.Error("invalid membership timeouts, keeping the old ones", "error", err)
 		}
 	}
 	if p.loadReports != nil {
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -1,9 +1,9 @@
-// Package program wires the parts of a gateway together and runs it, from its configuration to its graceful shutdown.
-// cmd/frostpier is the program itself; tests run the same code with faults in it.
+// Package program sets up a gateway from its configuration and runs it until its graceful shutdown. cmd/frostpier calls
+// it; tests run the same code with injected faults.
 //
-// The package owns the process's life: files and environment variables, runtime limits, listeners, reloads and the
-// shutdown. It decides nothing about requests. One goroutine calls Run; everything that shares state with the event loop
-// runs on the loop's goroutine, by Loop.Do or Loop.After.
+// The package handles the lifecycle of the process: files and environment variables, runtime limits, listeners, reloads
+// and the shutdown. It makes no decisions about requests. One goroutine calls Run. All code that shares state with the
+// event loop runs on the loop's goroutine, through Loop.Do or Loop.After.
 package program
 
 import (
@@ -16,15 +16,15 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// Hooks change a gateway for tests, so that they can run a faulty version without building one. The program itself has
-// none.
+// Hooks change a gateway for tests, which can thus run a faulty version of the program without building one. The program
+// itself sets no hooks.
 type Hooks struct {
-	ModifyHost  func(*settings.Host)  // changes the settings before the decision module is made; nil = none
-	LoopStarted func(*eventloop.Loop) // is called once the event loop runs; nil = none
+	ModifyHost  func(*settings.Host)  // changes the settings before the decision module is created; nil = none
+	LoopStarted func(*eventloop.Loop) // is called after the event loop was started; nil = none
 }
 
-// Run serves until ctx is cancelled and every accepted request has its reply. Each signal on hup reloads the
-// configuration and the operator's file. It returns an error if the gateway cannot serve.
+// Run runs a gateway until ctx is cancelled, and then shuts it down gracefully. Each signal on hup reloads the
+// configuration and the operator's file. Run returns an error if the gateway cannot start.
 func Run(ctx context.Context, hup <-chan os.Signal, log *slog.Logger, hooks Hooks) error {
 	s, err := readSetup(hooks)
 	if err != nil {
@@ -42,16 +42,16 @@
 	if hooks.LoopStarted != nil {
 		hooks.LoopStarted(p.loop)
 	}
-	listed := p.start(s)
+	engines := p.start(s)
 	if stopped, err := p.openListeners(ctx, s.conf.Listen); err != nil || stopped {
 		return err
 	}
 	log.Info("serving", "name", s.conf.Name, "listen", s.conf.Listen, "discovery", s.conf.Discovery,
-		"events", len(p.initialEvents), "engines", listed)
+		"events", len(p.initialEvents), "engines", engines)
 	p.reloadUntil(ctx, hup, s.conf)
-	overdue := time.NewTimer(p.maxDeadline + closeGrace + peerCloseGrace + hangGrace)
+	overdue := time.NewTimer(p.shutdownDeadline + closeGrace + peerCloseGrace + hangGrace)
 	go p.loop.Do(p.gracefulShutdown)
-	if waitStopped(loopCtx, overdue.C, log) {
+	if waitForShutdown(loopCtx, overdue.C, log) {
 		log.Info("stopped", "counts", p.dispatcher.Core.Counts(), "invariants", p.invariants.Violations())
 	}
 	return nil
--- a/internal/program/run_test.go
+++ b/internal/program/run_test.go
@@ -17,8 +17,8 @@
 	"frostpier/policy"
 )
 
-// A dial that fails for want of a descriptor looks like an unreachable engine. The budgets of clients and engines, urgent
-// calls included, once exceeded a limit of 256.
+// The socket budgets of clients and engines, including urgent requests, must not exceed the descriptor limit. With a limit
+// of 256 they once did, and a dial that fails without a free descriptor looks like an unreachable engine.
 func TestSocketBudgetsStayBelowLimit(t *testing.T) {
 	for _, sockets := range []int{256, 384, 512, 1024} {
 		for _, withMySQL := range []bool{false, true} {
@@ -28,52 +28,53 @@
 				sum += budget.Max + budget.Urgent
 			}
 			if sum > sockets {
-				t.Errorf("%d descriptors: %+v, %d in all", sockets, b, sum)
+				t.Errorf("limit of %d descriptors: budgets %+v, %d in total", sockets, b, sum)
 			}
 			if b.engines.Max < sockets/6 || b.engines.Urgent < 1 || b.clients.Max < sockets/5 {
-				t.Errorf("%d descriptors: a budget is too small: %+v", sockets, b)
+				t.Errorf("limit of %d descriptors: a budget is too small: %+v", sockets, b)
 			}
 		}
 	}
 }
 
-// The platform kills a process whose shutdown takes longer than its longest deadline, so a shutdown is shorter where
-// deadlines are.
-func TestStopDeadlineIsBounded(t *testing.T) {
+// The deadline of a shutdown must be the longest deadline of a class, limited to 3 s. The platform kills a process whose
+// shutdown takes much longer.
+func TestShutdownDeadlineIsBounded(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{time.Second: time.Second, 20 * time.Second: 3 * time.Second} {
 		host := settings.Host{Module: policy.Settings{Classes: []policy.Class{{Deadline: time.Millisecond}, {Deadline: deadline}}}}
-		if got := stopDeadline(host); got != want {
-			t.Errorf("a deadline of %v counts as %v", deadline, got)
+		if got := shutdownDeadline(host); got != want {
+			t.Errorf("longest class deadline %v: shutdown deadline %v, want %v", deadline, got, want)
 		}
 	}
 }
 
-// A hanging event loop must not keep a shutdown from ending: once the program was killed for it, and its next start found
-// the address in use. It ends and logs the stacks.
-func TestWaitStoppedGivesUpOnHangingLoop(t *testing.T) {
+// waitForShutdown must return and log the stacks when the event loop hangs. Otherwise the process would be killed, and the
+// next process would find the address in use, as has happened.
+func TestWaitForShutdownReturnsWhenLoopHangs(t *testing.T) {
 	output := &bytes.Buffer{}
 	log := slog.New(slog.NewTextHandler(output, nil))
 	overdue := make(chan time.Time, 1)
 	overdue <- time.Time{}
-	if waitStopped(context.Background(), overdue, log) || !strings.Contains(output.String(), "goroutine") {
-		t.Errorf("a loop that hangs: %s", output)
+	if waitForShutdown(context.Background(), overdue, log) || !strings.Contains(output.String(), "goroutine") {
+		t.Errorf("hanging loop: logged %s", output)
 	}
 	output.Reset()
 	done, cancel := context.WithCancel(context.Background())
 	cancel()
-	if !waitStopped(done, nil, log) || output.Len() > 0 {
-		t.Errorf("a loop that has ended: %s", output)
+	if !waitForShutdown(done, nil, log) || output.Len() > 0 {
+		t.Errorf("finished loop: logged %s", output)
 	}
 }
 
-// An invalid membership section stops the start with the reason, as otherwise the gateway would run alone.
+// newMembershipDriver must return an error that names the invalid value. If the program started nevertheless, the gateway
+// would run without its peers.
 func TestInvalidMembershipIsRejected(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for _, test := range []struct {
 		name   string
 		change func(*settings.Config, *settings.Host)
-		key    string // of the configuration; empty = found by the package membership
-		want   string // in the text; empty = valid
+		key    string // invalid key of the configuration; empty = the package membership returns the error
+		want   string // part of the error; empty = no error
 	}{
 		{name: "valid", change: func(*settings.Config, *settings.Host) {}},
 		{name: "peer_listen", change: func(c *settings.Config, _ *settings.Host) { c.PeerListen = "nowhere" }, key: "peer_listen", want: "peer_listen"},
@@ -88,16 +89,16 @@
 			host := settings.Host{Module: policy.Settings{Gateways: 2}}
 			test.change(&conf, &host)
 			s := membershipSetup{section: &settings.Membership{Fleet: "f"}, conf: conf, host: host}
-			m, err := newMembership(s, eventloop.New(time.Now(), 1), log, invariant.New(log))
+			m, err := newMembershipDriver(s, eventloop.New(time.Now(), 1), log, invariant.New(log))
 			if m != nil {
 				m.Stop()
 			}
 			if test.want == "" && err != nil || test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)) {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("error %v, want %q", err, test.want)
 			}
 			var invalid *settings.KeyError
 			if errors.As(err, &invalid) != (test.key != "") || invalid != nil && invalid.Key != test.key {
-				t.Errorf("%v: want key %q", err, test.key)
+				t.Errorf("error %v, want key %q", err, test.key)
 			}
 		})
 	}
--- a/internal/program/setup.go
+++ b/internal/program/setup.go
@@ -22,28 +22,28 @@
 
 // Environment variables.
 const (
-	envConfig   = "GW_CONFIG"          // path of the configuration
-	envListen   = "GW_LISTEN"          // overrides the configuration's listen; empty = not
+	envConfig   = "GW_CONFIG"          // path of the configuration file
+	envListen   = "GW_LISTEN"          // overrides the key listen of the configuration; empty = no override
 	envOperator = "FROSTPIER_OPERATOR" // path of the operator's file; empty = none
 )
 
 // Limits of the Go runtime.
 const (
-	heapLimitTenths = 6   // of the memory limit, in tenths
-	gcPercent       = 400 // the live heap is a few MB, far below the limit, so collecting rarely saves CPU time
+	heapLimitTenths = 6   // soft memory limit of the Go runtime, in tenths of the memory limit
+	gcPercent       = 400 // the live heap is a few MB, far below the limit, and collecting less often saves CPU time
 	minThreads      = 1
 )
 
-// bufferDivisor is the part of the memory limit, one in so many, for incomplete lines of clients, and again for responses
-// that wait to be written.
-const bufferDivisor = 8
+// bufferFraction is the divisor of the memory limit for the buffers of incomplete lines from clients, and also for those of
+// responses that wait to be written.
+const bufferFraction = 8
 
-// setup is what a gateway is started with.
+// setup contains the parsed configuration files of a gateway.
 type setup struct {
 	conf     settings.Config
 	host     settings.Host
 	operator settings.Operator
-	subset   *subset.Config // nil = every engine is used
+	subset   *subset.Config // nil = all engines are used
 }
 
 // readSetup reads the configuration and the operator's file.
@@ -76,7 +76,7 @@
 	return settings.ParseConfig(text)
 }
 
-// readOperator reads the operator's file. Without one every section is off.
+// readOperator reads the operator's file. If the environment names none, all its sections are off.
 func readOperator() (settings.Operator, error) {
 	path := os.Getenv(envOperator)
 	if path == "" {
@@ -92,16 +92,16 @@
 // memoryLimit returns the configuration's memory limit in bytes.
 func memoryLimit(conf settings.Config) int64 { return conf.Limits.MemoryMB << 20 }
 
-// limitRuntime keeps the Go runtime within the configuration's limits.
+// limitRuntime sets the limits of the Go runtime to those of the configuration.
 func limitRuntime(conf settings.Config) {
 	runtime.GOMAXPROCS(max(minThreads, int(conf.Limits.Cores)))
 	debug.SetMemoryLimit(memoryLimit(conf) * heapLimitTenths / 10)
 	debug.SetGCPercent(gcPercent)
 }
 
-// newProgram wires the parts of a gateway together. Nothing runs before its start.
+// newProgram creates the parts of a gateway and connects them. Nothing runs until it is started.
 func newProgram(s setup, log *slog.Logger) (*program, error) {
-	bufferLimit := memoryLimit(s.conf) / bufferDivisor
+	bufferLimit := memoryLimit(s.conf) / bufferFraction
 	loop := eventloop.New(time.Now(), bufferLimit)
 	invariants := invariant.New(log)
 	c, err := core.New(s.host, s.conf.SeedNumber(), log, invariants)
@@ -114,13 +114,13 @@
 	engineEvents := &discovery.Stream{}
 	initialEvents, err := engineEvents.Restore(s.conf.Known)
 	if err != nil {
-		log.Warn("initial engine events not all used", "error", err)
+		log.Warn("invalid engine event in the configuration, relying on the discovery server", "error", err)
 	}
 	p := &program{
 		loop: loop, dispatcher: requests, invariants: invariants, log: log, host: s.host, operator: s.operator,
-		engineEvents: engineEvents, initialEvents: initialEvents, maxDeadline: stopDeadline(s.host),
+		engineEvents: engineEvents, initialEvents: initialEvents, shutdownDeadline: shutdownDeadline(s.host),
 		discovery: enginewatch.New(loop, requests, log, s.conf.Discovery, engineEvents),
-		clients:   frontend.NewPlatformListener(requests, log, sockets.clients.Max, int(bufferLimit)),
+		platform:  frontend.NewPlatformListener(requests, log, sockets.clients.Max, int(bufferLimit)),
 	}
 	if err := p.addOperatorSections(s, sockets); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	return p, nil
 }
 
-// addOperatorSections adds what the operator's file asks for. Membership needs the other sections and comes last.
+// addOperatorSections adds the parts that the operator's file configures. Membership is last, since it uses the others.
 func (p *program) addOperatorSections(s setup, sockets socketBudgets) error {
 	if err := p.addMySQL(s, sockets); err != nil {
 		return err
@@ -139,7 +139,7 @@
 	return p.addMembership(s)
 }
 
-// addMySQL adds the MySQL frontend and its virtual router.
+// addMySQL adds the MySQL frontend and its virtual router, if they are configured.
 func (p *program) addMySQL(s setup, sockets socketBudgets) (err error) {
 	if m := s.operator.MySQL; m != nil {
 		config, err := mysqlConfig(m, p.dispatcher.Core, sockets.mysqlClients.Max)
@@ -151,16 +151,16 @@
 		p.mysql = frontend.NewMySQLListener(p.dispatcher, engines, p.log, config)
 	}
 	if v := s.operator.VRRP; v != nil {
-		p.vrrp, err = newVRRP(v, p.loop, p.log, p.mysql)
+		p.vrrp, err = newVRRPDriver(v, p.loop, p.log, p.mysql)
 	}
 	return err
 }
 
-// addVersionReporter adds the reports to the controller of a rollout.
+// addVersionReporter adds the reports to the controller of a rollout, if they are configured.
 func (p *program) addVersionReporter(s setup) (err error) {
 	if s.operator.Rollout == nil {
 		return nil
 	}
-	p.version, err = newVersionReporter(s, p.loop, p.log, p.dispatcher.Core)
+	p.reporter, err = newVersionReporter(s, p.loop, p.log, p.dispatcher.Core)
 	return err
 }
--- a/internal/program/sockets.go
+++ b/internal/program/sockets.go
@@ -4,27 +4,29 @@
 	"frostpier/internal/transport/enginepool"
 )
 
-// reservedSockets is the part of the descriptor limit for listeners, the discovery watch, files, the runtime, and
-// connections between accept and close.
+// reservedSockets is the number of descriptors for listeners, the discovery watch, files, the Go runtime, and client
+// connections over the limit, which are accepted and closed at once.
 const reservedSockets = 24
 
-// socketBudgets divides the descriptor limit among the listeners and engine pools. The sum stays below the limit, as a
-// dial that fails for want of a descriptor looks like an unreachable engine.
+// socketBudgets contains the shares of the descriptor limit for the listeners and engine pools. Their sum must not exceed the
+// limit, since a dial that fails without a free descriptor looks like an unreachable engine.
 type socketBudgets struct{ clients, engines, mysqlClients, mysqlEngines enginepool.Budget }
 
-// divideSockets divides a descriptor limit.
+// divideSockets divides a descriptor limit into budgets.
 func divideSockets(sockets int, withMySQL bool) socketBudgets {
 	if withMySQL {
 		clients := enginepool.Budget{Max: sockets / 5}
 		engines := engineBudget((sockets - 2*clients.Max - reservedSockets) / 2)
 		return socketBudgets{clients: clients, mysqlClients: clients, engines: engines, mysqlEngines: engines}
 	}
-	// The platform's clients open a third at most, by their own count: some of those they have closed are not closed here yet.
+	// The platform's clients limit themselves to a third of the descriptors, but do not count connections that they have closed
+	// and that this gateway has not.
 	clients := enginepool.Budget{Max: sockets * 2 / 5}
 	return socketBudgets{clients: clients, engines: engineBudget(sockets - clients.Max - reservedSockets)}
 }
 
-// engineBudget reserves a sixth for cancellations, which otherwise would wait behind the very attempts that they cancel.
+// engineBudget returns the budget of an engine pool. A sixth is reserved for cancellations, which would otherwise wait for the
+// attempts that they cancel to release a descriptor.
 func engineBudget(sockets int) enginepool.Budget {
 	sockets = max(2, sockets)
 	urgent := max(1, sockets/6)
--- a/internal/program/stats.go
+++ b/internal/program/stats.go
@@ -7,10 +7,10 @@
 	"frostpier/internal/control/rollout"
 )
 
-// statsInterval is the time between two logs of the counts.
+// statsInterval is the interval at which counts are logged.
 const statsInterval = 10 * time.Second
 
-// scheduleStats logs the counts every statsInterval.
+// scheduleStats starts logging the counts every statsInterval.
 func (p *program) scheduleStats() {
 	p.loop.After(statsInterval, func() {
 		p.logStats()
@@ -26,7 +26,7 @@
 	p.logVersions()
 	p.logSubset()
 	c := p.dispatcher.Core
-	p.log.Info("counts", "total", c.Counts(), "open", c.PendingRequests(), "out", c.AttemptsInFlight(),
+	p.log.Info("request counts", "total", c.Counts(), "open", c.PendingRequests(), "out", c.AttemptsInFlight(),
 		"lag", p.loop.Lag(), "invariants", p.invariants.Violations())
 }
 
@@ -38,14 +38,14 @@
 	p.log.Info("membership counts", "in_service", serving, "health", health, "unsent", unsent, "total", counts)
 }
 
-// logVersions logs which versions the gateways in service run.
+// logVersions logs how many gateways in service run each version of the program.
 func (p *program) logVersions() {
-	if p.version == nil || p.membership == nil {
+	if p.reporter == nil || p.membership == nil {
 		return
 	}
-	counts := p.version.versions.Counts(p.version.number, p.membership.IsInService)
-	own := fmt.Sprintf("%016x/%016x", p.version.own.Program, p.version.own.Settings)
-	p.log.Info("versions", "own", own, "in_service", rollout.FormatVersionCounts(counts), "reports_unsent", p.version.sender.Unsent())
+	counts := p.reporter.versions.Counts(p.reporter.number, p.membership.IsInService)
+	own := fmt.Sprintf("%016x/%016x", p.reporter.ownVersion.Program, p.reporter.ownVersion.Settings)
+	p.log.Info("version counts", "own", own, "in_service", rollout.FormatVersionCounts(counts), "reports_unsent", p.reporter.sender.Unsent())
 }
 
 // logSubset logs the size of the engine subset and how many gateways share it.
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -9,7 +9,7 @@
 	"frostpier/internal/subsetdriver"
 )
 
-// subsetConfig returns the configuration of the section subset; nil for no section.
+// subsetConfig returns the configuration of an operator's section subset, or nil if section is nil.
 func subsetConfig(section *settings.Subset, zones []string) (*subset.Config, error) {
 	if section == nil {
 		return nil, nil
@@ -19,14 +19,14 @@
 		return nil, err
 	}
 	if len(zones) > zonetable.MaxZones {
-		reason := fmt.Sprintf("the settings have %d zones, %d at most", len(zones), zonetable.MaxZones)
+		reason := fmt.Sprintf("the settings have %d zones, at most %d are supported", len(zones), zonetable.MaxZones)
 		return nil, &settings.KeyError{Source: settings.SourceOperator, Key: "subset", Reason: reason}
 	}
 	return &config, nil
 }
 
-// placeInFleet returns where the settings put this gateway in its fleet.
-func placeInFleet(host settings.Host) subsetdriver.Location {
+// fleetLocation returns this gateway's number and zone in its fleet, from the settings.
+func fleetLocation(host settings.Host) subsetdriver.Location {
 	return subsetdriver.Location{
 		Number: host.Module.GatewayIndex, Gateways: host.Module.Gateways,
 		Zones: host.Zones, Zone: host.Module.Zone,
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -17,11 +17,11 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// ownExecutable is the path of the program that this process runs.
+// ownExecutable is the path of this process's executable.
 const ownExecutable = "/proc/self/exe"
 
-// HashFile returns the hash by which reports identify a program or an operator's file: the first 8 bytes of its SHA-256.
-// It returns 0 for an empty path.
+// HashFile returns the hash that identifies an executable or an operator's file in version reports: the first 8 bytes of its
+// SHA-256. It returns 0 for an empty path.
 func HashFile(path string) (uint64, error) {
 	if path == "" {
 		return 0, nil
@@ -30,7 +30,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // an error does not matter after reading
 	h := sha256.New()
 	if _, err := io.Copy(h, file); err != nil {
 		return 0, err
@@ -38,14 +38,14 @@
 	return binary.BigEndian.Uint64(h.Sum(nil)), nil
 }
 
-// versionReporter reports this gateway's version and health to the controller of a rollout. After its creation it is used
-// on the event loop only.
+// versionReporter reports this gateway's version and health to the controller of a rollout. After its creation it is only used
+// on the event loop.
 type versionReporter struct {
-	own            rollout.VersionID
-	versions       *rollout.VersionTracker // of all gateways
+	ownVersion     rollout.VersionID
+	versions       *rollout.VersionTracker // versions that the gateways of the fleet run
 	restartPending bool                    // the operator's file has changes that take effect at the next start
 	started        time.Duration
-	number         int    // of this gateway
+	number         int    // number of this gateway
 	fleet          string // empty without membership
 	serving        bool
 	core           *core.Core
@@ -54,29 +54,29 @@
 	buffer         []byte // reused for each report
 }
 
-// newVersionReporter returns a reporter. Nothing is sent before the event loop runs.
+// newVersionReporter returns a versionReporter, which sends nothing before the event loop runs.
 func newVersionReporter(s setup, loop *eventloop.Loop, log *slog.Logger, c *core.Core) (*versionReporter, error) {
 	v := &versionReporter{started: loop.Now(), number: s.host.Module.GatewayIndex, core: c, log: log}
 	if s.operator.Membership != nil {
 		v.fleet = s.operator.Membership.Fleet
 	}
 	var err error
-	if v.own.Program, err = HashFile(ownExecutable); err != nil {
-		return nil, fmt.Errorf("own program: %w", err)
+	if v.ownVersion.Program, err = HashFile(ownExecutable); err != nil {
+		return nil, fmt.Errorf("hash own executable: %w", err)
 	}
-	if v.own.Settings, err = HashFile(os.Getenv(envOperator)); err != nil {
+	if v.ownVersion.Settings, err = HashFile(os.Getenv(envOperator)); err != nil {
 		return nil, fmt.Errorf("%s: %w", envOperator, err)
 	}
-	v.versions = rollout.NewVersionTracker(max(1, s.host.Module.Gateways), v.own)
+	v.versions = rollout.NewVersionTracker(max(1, s.host.Module.Gateways), v.ownVersion)
 	section := s.operator.Rollout
 	v.sender, err = datagram.NewReporter(loop, section.ReportTo, section.ReportInterval(), v.encodeReport)
 	return v, err
 }
 
-// encodeReport returns the current report; nil if it cannot be encoded.
+// encodeReport returns the encoded current report, or nil if encoding fails.
 func (v *versionReporter) encodeReport() []byte {
 	report := rollout.Report{
-		Gateway: v.number, PID: os.Getpid(), StartedAt: v.started, Program: v.own.Program, Settings: v.own.Settings,
+		Gateway: v.number, PID: os.Getpid(), StartedAt: v.started, Program: v.ownVersion.Program, Settings: v.ownVersion.Settings,
 		Serving: v.serving, RestartPending: v.restartPending, MemoryMB: residentMemoryMB(),
 	}
 	for _, counts := range v.core.CountsByClass() {
@@ -84,28 +84,29 @@
 	}
 	var err error
 	if v.buffer, err = report.Append(v.buffer[:0], v.fleet); err != nil {
-		v.log.Error("report not written", "error", err)
+		v.log.Error("report not sent: encoding failed", "error", err)
 		return nil
 	}
 	return v.buffer
 }
 
-// setServing sets whether the gateway serves, and reports it at once.
+// setServing sets whether the gateway serves, and sends a report at once.
 func (v *versionReporter) setServing(serving bool) {
 	v.serving = serving
 	v.sender.Send()
 }
 
-// setReloaded records the operator's file after a reload: the version has changed if the file was applied.
+// setReloaded records a reload of the operator's file. If the file was applied, its hash becomes part of the own version;
+// otherwise a restart is pending.
 func (v *versionReporter) setReloaded(hash uint64, applied bool) {
 	v.restartPending = !applied
 	if applied {
-		v.own.Settings = hash
-		v.versions.SetOwn(v.own)
+		v.ownVersion.Settings = hash
+		v.versions.SetOwn(v.ownVersion)
 	}
 }
 
-// residentMemoryMB returns the resident memory of this process in MB; 0 if it is unknown.
+// residentMemoryMB returns the resident memory of this process in MB, or 0 if it is unknown.
 func residentMemoryMB() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
