--- a/internal/program/run_test.go
+++ b/internal/program/run_test.go
@@ -79,10 +79,10 @@
 		{name: "valid", change: func(*settings.Config, *settings.Host) {}},
 		{name: "peer_listen", change: func(c *settings.Config, _ *settings.Host) { c.PeerListen = "nowhere" }, key: "peer_listen", want: "peer_listen"},
 		{name: "gateways", change: func(_ *settings.Config, h *settings.Host) { h.Module.Gateways = 3 }, key: "peers", want: "3 gateways"},
-		{name: "number", change: func(_ *settings.Config, h *settings.Host) { h.Module.GatewayIndex = 2 }, want: "own number"},
+		{name: "number", change: func(_ *settings.Config, h *settings.Host) { h.Module.GatewayIndex = 2 }, want: "Self is 2, must be an index into"},
 		{name: "same address twice", change: func(c *settings.Config, _ *settings.Host) {
 			c.Peers = []string{"127.0.0.2:5", "127.0.0.2:5"}
-		}, want: "of its own"},
+		}, want: "Peers[1] is 127.0.0.2:5, must be a valid address with a port, used by no other peer"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			conf := settings.Config{PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.2:5", "127.0.0.3:5"}}
