--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Action is an output of Gateway.Handle, to be executed by the host.
+// Action is an output of Gateway.Handle that the host executes.
 type Action interface{ action() }
 
-// Send starts an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of their sends.
+// Send starts an attempt of a request. A request's attempts are numbered from 0 in the order in which they are sent.
 type Send struct {
 	ID      RequestID
 	Engine  EngineID
 	Timeout time.Duration
 }
 
-// SetResources sets the memory grant and the priority of a request's next sends. The priority also applies to
-// its attempts in flight.
+// SetResources sets the memory grant and the priority for the next attempts of a request. The priority also applies to
+// attempts in flight.
 type SetResources struct {
 	ID       RequestID
-	GrantMB  float64 // 0 = the engine chooses
+	GrantMB  float64 // 0 = chosen by the engine
 	Priority int     // 0 (lowest) to 3
 }
 
-// Reject is a final answer which promises that the request did not run, or that repeating it is harmless.
+// Reject is a final answer that tells the client it is safe to repeat the request: either it did not run, or running it
+// again is harmless.
 type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration // 0 = none
 }
 
-// Fail is a final answer that makes no promise about whether the request ran.
+// Fail is a final answer that leaves open whether the request ran.
 type Fail struct{ ID RequestID }
 
 // Cancel cancels an attempt in flight.
@@ -35,19 +36,19 @@
 	Attempt int
 }
 
-// Probe sends a health check to an engine.
+// Probe sends a health check to an engine. The host reports its result with ProbeEnded.
 type Probe struct{ Engine EngineID }
 
-// SetTimer requests a TimerFired event with the same token.
+// SetTimer requests a TimerFired event with the same token after a delay.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
 }
 
-// Subscribe requests the engine list and its changes.
+// Subscribe requests the engine list and all later changes of it.
 type Subscribe struct{}
 
-// Log is a message for the operators.
+// Log is a log message for operators.
 type Log struct{ Text string }
 
 func (Send) action()         {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,38 +6,39 @@
 )
 
 const (
-	// objectiveMargin is how many expected durations must be left until the latency objective. Requests with less are
-	// likely to end late and would take capacity from those that do not.
+	// objectiveMargin is the time that must remain until a request's latency objective, in multiples of its expected
+	// duration. A request with less is likely to finish late and would take capacity from requests that can finish in
+	// time.
 	objectiveMargin = 1.4
 
-	// maxBacklog is how much work per core of the fleet may be queued before late requests are shed.
+	// maxBacklog is the queued work per ready core above which requests that would miss their objective are shed.
 	maxBacklog = time.Second
 
-	// valuableOvercommit is the factor on concurrency limits for queries whose weight per work exceeds the mean.
-	valuableOvercommit = 1.4
+	// highWeightOvercommit multiplies the concurrency limits for queries whose weight per unit of work is above the mean.
+	highWeightOvercommit = 1.4
 )
 
-// handleArrival queues a request and dispatches the queue.
+// handleArrival queues a new request and dispatches the queue.
 func (g *Gateway) handleArrival(a Arrival) {
 	if g.requests[a.ID] != nil {
 		return
 	}
-	g.countForBudget(&g.acceptedRequests)
+	g.countForRetryBudget(&g.acceptedRequests)
 	if a.Class < 0 || a.Class >= len(g.classes) {
 		g.emit(Fail{a.ID})
 		return
 	}
 	r := g.openRequest(a)
 	if a.Remaining <= g.maxReviewDelay() {
-		// The next review may come after the client's deadline. Client retries arrive with so little time left.
-		g.finishUnserved(r)
+		// The client's deadline may pass before the next review. Client retries often have this little time left.
+		g.rejectOrFail(r)
 		return
 	}
 	g.enqueue(r)
 	g.dispatch()
 }
 
-// openRequest creates the state of a request.
+// openRequest creates the state of a new request and appends it to the queue of its ordering key, if it has one.
 func (g *Gateway) openRequest(a Arrival) *request {
 	c := g.classes[a.Class]
 	r := &request{Arrival: a, class: c, group: g.tableGroup(a.TableGroup), deadline: g.now + a.Remaining}
@@ -54,8 +55,9 @@
 	return r
 }
 
-// handleClientGone finishes a request whose client stopped waiting. Such a request adds nothing to the retry budget:
-// clients that send and cancel requests by the hundred would otherwise enlarge it for everybody else.
+// handleClientGone finishes a request whose client stopped waiting, and takes the request out of the retry budget.
+// Otherwise clients that cancel requests by the hundred would increase the number of retries that other requests may
+// use.
 func (g *Gateway) handleClientGone(event ClientGone) {
 	r := g.requests[event.ID]
 	if r == nil {
@@ -69,16 +71,16 @@
 	g.finishRequest(r)
 }
 
-// handleResponseStarted notes that a request is streaming: it is neither cancelled nor finished by this gateway.
+// handleResponseStarted marks a request as streaming. This gateway neither cancels nor finishes a streaming request.
 func (g *Gateway) handleResponseStarted(event ResponseStarted) {
 	if r := g.requests[event.ID]; r != nil {
 		r.streaming = true
 	}
 }
 
-// finishUnserved is the only place where a request gets its final answer from this gateway: Reject where that promise
-// is true, otherwise Fail.
-func (g *Gateway) finishUnserved(r *request) {
+// rejectOrFail cancels the attempts of a request and gives it a final answer without a response from an engine: Reject
+// if the client may safely repeat the request, otherwise Fail.
+func (g *Gateway) rejectOrFail(r *request) {
 	g.cancelAttempts(r.attempts...)
 	if g.mayReject(r) {
 		g.emit(Reject{r.ID, g.settings.MaxRetryAfter})
@@ -88,8 +90,9 @@
 	g.finishRequest(r)
 }
 
-// shouldShed reports whether a queued request is to be shed: it can no longer end before the client's deadline, or it
-// will miss its latency objective while late answers have no weight or the queue is long. queuedWork is in seconds.
+// shouldShed reports whether to shed a queued request: because it can no longer finish before the client's deadline, or
+// because it will miss its latency objective and either a late answer has no value or the queue is too long. queuedWork
+// is in seconds.
 func (g *Gateway) shouldShed(r *request, queuedWork float64) bool {
 	if !r.queued {
 		return false
@@ -101,40 +104,40 @@
 	return g.willMissObjective(r) && (r.class.LateWeightShare == 0 || overloaded)
 }
 
-// willMissObjective reports whether a request sent now is likely to end after its latency objective.
+// willMissObjective reports whether a request sent now is likely to miss its latency objective.
 func (g *Gateway) willMissObjective(r *request) bool {
 	return g.now+toDuration(objectiveMargin*g.expectedSeconds(r)) > r.objectiveDeadline
 }
 
-// eligible reports whether the request may be sent to the engine now, capacity aside: the guards allow it, the engine
-// is neither ejected nor rejecting, and the request has not been there before. Two loads of one table group are never
-// sent to the same engine, because the second would block there and keep its memory.
+// eligible reports whether the request may be sent to the engine now, without regard to capacity: the guards allow it,
+// the engine is neither ejected nor rejecting, and the request has not been sent to it before. Two data loads of one
+// table group never share an engine, because the second would block there while holding its memory grant.
 func (g *Gateway) eligible(r *request, e *engine) bool {
 	sameLoad := func(a *attempt) bool { return a.request.class.IsDataLoad && a.request.group == r.group }
 	return g.engineAllowed(r, e) && !g.unavailable(e) && !g.alreadyAttempted(r, e) &&
-		g.now >= max(e.rejectingUntil, e.classRates[r.Class].nextSendAt) &&
+		g.now >= max(e.rejectingUntil, e.classRateLimits[r.Class].nextSendAt) &&
 		!(r.class.IsDataLoad && slices.ContainsFunc(e.inFlight, sameLoad))
 }
 
-// alreadyAttempted reports whether the request was sent to the engine before. A faulty engine must not consume all
-// attempts of a request; the check does not apply if there is only one engine.
+// alreadyAttempted reports whether the request was sent to the engine before, so that a faulty engine cannot use up all
+// attempts of a request. With only one engine it always returns false.
 func (g *Gateway) alreadyAttempted(r *request, e *engine) bool {
 	return len(g.engines) > 1 && slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.engine == e })
 }
 
-// hasCapacity reports whether the request's threads and memory grant fit into what the engine has left for this
-// gateway. Until the first load report, an engine without own attempts counts as free: limits are only guesses then,
-// and nothing would be learned without sending.
+// hasCapacity reports whether the request's threads and memory grant fit into this gateway's remaining share of the
+// engine. Before the first load report an engine without own attempts always has capacity, because the limits are only
+// guesses until then and this gateway learns nothing about the engine unless it sends a query.
 func (g *Gateway) hasCapacity(r *request, e *engine) bool {
 	return e.ownThreads == 0 && !g.loadReported ||
 		g.fitsInMemory(r, e) && e.ownThreads+r.class.threads <= g.concurrencyLimit(e, 1+g.overcommitShare(r))
 }
 
-// overcommitShare is the share by which the request may exceed concurrency limits: above 0 if its weight per work
-// exceeds the mean over all requests.
+// overcommitShare returns the share by which the request may exceed concurrency limits: above 0 if its weight per unit
+// of work is above the mean over all requests, otherwise 0.
 func (g *Gateway) overcommitShare(r *request) float64 {
 	if r.class.Weight*g.totalThreadSeconds() > g.expectedWork(r)*g.totalWeight() {
-		return valuableOvercommit - 1
+		return highWeightOvercommit - 1
 	}
 	return 0
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A client retry arrived with less time left than the next review was away, and got no answer in time.
-func TestArrivalWithTooLittleTimeIsRejectedAtOnce(t *testing.T) {
+// Checks that a request whose deadline is before the next review is rejected on arrival. Otherwise it would be queued
+// and get its answer only after its deadline, as happened to client retries.
+func TestArrivalRejectsRequestTooCloseToDeadline(t *testing.T) {
 	g := newTestGateway(t, 1, func(s *Settings) { s.Classes[0].Weight = 0.001 })
 	for range 40 {
 		addInFlight(g, g.engines[0], 1, g.now+time.Second)
@@ -17,28 +18,29 @@
 	}
 }
 
-// Where attempts must not be cancelled, those of clients that are gone ran beside the others at the same priority.
-func TestAbandonedRequestGetsLowestPriority(t *testing.T) {
+// Checks that the attempt of a request whose client is gone gets the lowest priority if attempts must not be cancelled.
+// Otherwise it would compete at equal priority with queries that clients still wait for.
+func TestClientGoneLowersPriorityWithoutCancellation(t *testing.T) {
 	g := newTestGateway(t, 1, func(s *Settings) { s.MayCancel = false })
 	g.Handle(g.now, Arrival{ID: 5, Remaining: 4 * time.Second})
 	actions := g.Handle(g.now, ClientGone{5})
 	if len(actions) == 0 || actions[0] != (SetResources{ID: 5}) {
-		t.Fatalf("actions %v, want the lowest priority", actions)
+		t.Fatalf("actions %v, want SetResources with the lowest priority", actions)
 	}
 }
 
-// Loads of one table group block each other on an engine.
-func TestLoadsOfOneGroupAreNotPlacedTogether(t *testing.T) {
+// Checks that two data loads of one table group are never sent to the same engine, where the second would block.
+func TestEligibleSeparatesDataLoadsOfOneTableGroup(t *testing.T) {
 	g := newTestGateway(t, 2, func(s *Settings) { s.Classes[0].IsDataLoad = true })
 	addInFlight(g, g.engines[0], 1, g.now+time.Second)
 	sameGroup, otherGroup := newTestRequest(g, 1, g.now+time.Second), newTestRequest(g, 2, g.now)
 	if g.accepts(sameGroup, g.engines[0]) {
-		t.Error("a second load of a group is admitted beside the first")
+		t.Error("a second data load of a group is accepted at the engine of the first")
 	}
 	if !g.accepts(sameGroup, g.engines[1]) {
-		t.Error("a second load of a group is not admitted at another engine")
+		t.Error("a second data load of a group is not accepted at another engine")
 	}
 	if !g.accepts(otherGroup, g.engines[0]) {
-		t.Error("a load of another group is not admitted")
+		t.Error("a data load of another group is not accepted")
 	}
 }
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -6,37 +6,40 @@
 	"time"
 )
 
-// Affinity sets are the sets S(AC) of section 2.3 of the paper, one for each table group. How they are seeded and when
-// they grow and shrink is taken from DACA (section 2.2) and from the design notes.
+// Each table group has an affinity set: the engines that are likely to have its data cached. It is the set S(AC) in
+// section 2.3 of the paper cited in selection.go. The rules for its first engine, its growth and its shrinkage come
+// from DACA (section 2.2 of the paper) and from the design notes.
 
 const (
-	// setMemberIdleTimeout is after how long without a send from its group an engine leaves the affinity set (the
-	// design's figure).
+	// setMemberIdleTimeout is the time without a send from the group after which an engine leaves the group's affinity
+	// set. The value comes from the design notes.
 	setMemberIdleTimeout = 20 * time.Second
 
-	// seedTieMargin is the difference of load, in threads per core, up to which the home engine is preferred to the
-	// least-loaded one as a seed. It lets gateways with slightly different views seed a group with the same engine.
+	// seedTieMargin is how much more load, in threads per core, the home engine may have than the least-loaded engine
+	// and still become the first engine of a set. It lets gateways with slightly different load estimates choose the
+	// same one.
 	seedTieMargin = 0.5
 
-	// recentLoadDecay is the time in which the recent load of a group decays to 1/e. Hot groups come and go.
+	// recentLoadDecay is the time constant (decay to 1/e) of the recent load of a group. It is short because groups are
+	// hot for a short time only.
 	recentLoadDecay = 5 * time.Second
 
-	// minOverloadLoad is the fleet's load, in threads per core, below which no group counts as overloaded.
+	// minOverloadLoad is the mean load of the fleet, in threads per core, up to which no group counts as overloaded.
 	minOverloadLoad = 0.3
 
-	// twoHomesMinGateways is the number of gateways from which a group has two home engines.
+	// twoHomesMinGateways is the smallest number of gateways for which a group has two home engines.
 	twoHomesMinGateways = 20
 )
 
-// group is a table group, the paper's affinity cluster.
+// group is the state of a table group, the paper's affinity cluster.
 type group struct {
 	id            int
 	ownThreads    float64 // group #T: threads of own attempts in flight
 	affinitySet   []*engine
-	lastUsed      map[EngineID]time.Duration // last send of the group, by engine of the set
-	setCores      float64                    // cores of the set
+	lastUsed      map[EngineID]time.Duration // time of the group's last send, by engine of the set
+	setCores      float64                    // sum of the cores of the set
 	overloaded    bool                       // result of the latest overload test
-	recentThreads decayingSum                // threads sent recently
+	recentThreads decayingSum                // threads of recent sends
 }
 
 // tableGroup returns the state of a table group and creates it if necessary.
@@ -48,8 +51,8 @@
 	return g.groups[id]
 }
 
-// affinitySet returns the affinity set of a group, after removing engines that are not ready or that the group has not
-// used for setMemberIdleTimeout. An empty set gets a seed.
+// affinitySet returns the affinity set of a group. It first removes the engines that are not ready or that the group
+// has not used for setMemberIdleTimeout, and adds a first engine if the set is empty.
 func (g *Gateway) affinitySet(gr *group) []*engine {
 	for i := len(gr.affinitySet) - 1; i >= 0; i-- {
 		e := gr.affinitySet[i]
@@ -58,16 +61,16 @@
 		}
 	}
 	if len(gr.affinitySet) == 0 {
-		if seed := g.seed(gr); seed != nil {
+		if seed := g.seedEngine(gr); seed != nil {
 			g.addToSet(gr, seed)
 		}
 	}
 	return gr.affinitySet
 }
 
-// seed selects the first engine of a group's affinity set: the least-loaded one (design notes), or the home engine if
-// that is about as lightly loaded. It returns nil if no engine is available.
-func (g *Gateway) seed(gr *group) *engine {
+// seedEngine selects the first engine of a group's affinity set: the home engine if its load is close to that of the
+// least-loaded engine, otherwise the least-loaded engine (design notes). It returns nil if no engine is available.
+func (g *Gateway) seedEngine(gr *group) *engine {
 	free := filter(g.readyEngines, func(e *engine) bool { return !g.unavailable(e) && !g.exclusivelyOwned(e, gr) })
 	free = g.preferOwnZone(free)
 	seed := minBy(g.sampleTwo(free), g.totalLoadPerCore)
@@ -78,8 +81,8 @@
 	return seed
 }
 
-// expandSet is step 4 of the algorithm, node expansion: the least-loaded engine outside the affinity set of an
-// overloaded group joins it.
+// expandSet is step 4 of the algorithm, node expansion: it adds the least-loaded other engine to the affinity set of an
+// overloaded group.
 func (g *Gateway) expandSet(gr *group) {
 	g.setOverloaded(gr, g.groupOverloaded(gr))
 	if !gr.overloaded {
@@ -94,19 +97,20 @@
 	}
 }
 
-// groupOverloaded is the test for the AC overload of section 2.2: the load of the group per core of its affinity set
-// exceeds the mean load per core of the fleet. Departure: the group's load is measured by its share of what this
-// gateway sent recently, because the few queries that one gateway of many has in flight say nothing about a group.
+// groupOverloaded is the AC overload test of section 2.2: it reports whether the load of the group per core of its
+// affinity set exceeds the mean load per core of the fleet. Departure from the paper: a group's load is its share of
+// the threads that this gateway sent recently, because one gateway of many has too few queries in flight to measure a
+// group.
 func (g *Gateway) groupOverloaded(gr *group) bool {
 	load := (g.meanPeerLoad*g.readyCores + g.ownThreads) / max(1, g.readyCores)
 	if load <= minOverloadLoad {
-		return false // without reading the recent loads: a read decays them, and marks the group as recently used
+		return false // before valueAt is called, which updates the group's time of last use
 	}
 	groupThreads, allThreads := gr.recentThreads.valueAt(g.now), g.recentThreads.valueAt(g.now)
 	return groupThreads*g.readyCores > allThreads*gr.setCores
 }
 
-// setOverloaded records the result of the overload test for the group and its engines.
+// setOverloaded records the result of the overload test in the group and in the engines of its affinity set.
 func (g *Gateway) setOverloaded(gr *group, overloaded bool) {
 	for _, e := range gr.affinitySet {
 		switch {
@@ -119,8 +123,8 @@
 	gr.overloaded = overloaded
 }
 
-// exclusivelyOwned reports whether an overloaded group other than gr has the engine in its affinity set. Section 2.2
-// prohibits allocating such an engine to other groups.
+// exclusivelyOwned reports whether an overloaded group other than gr has the engine in its affinity set. Section 2.2 of
+// the paper forbids other groups to use such an engine.
 func (g *Gateway) exclusivelyOwned(e *engine, gr *group) bool {
 	return e.overloadedGroups > 1 ||
 		e.overloadedGroups == 1 && !(gr.overloaded && slices.Contains(gr.affinitySet, e))
@@ -144,8 +148,9 @@
 	}
 }
 
-// homeEngine is the engine with which all gateways of the same list and the same home number seed a group, so that few
-// engines keep its data cached. It is nil if no engine is ready.
+// homeEngine returns the home engine of a group, which is the same on all gateways that have the same engine list and
+// home number. Gateways prefer it as the first engine of the group's affinity set, so that only a few engines need to
+// cache the group's data. It returns nil if no engine is ready.
 func (g *Gateway) homeEngine(gr *group) *engine {
 	if g.homeByGroup == nil {
 		ids := slices.Sorted(maps.Keys(g.groups))
@@ -155,9 +160,10 @@
 	return g.homeByGroup[gr.id]
 }
 
-// homesPerGroup is how many home engines a group has over all gateways. Two keep many gateways from overloading one
-// engine when a group becomes hot. A few gateways would only read the group's data twice, and gateways that use
-// different subsets of the engines have different homes anyway.
+// homesPerGroup returns the number of home engines that a group has across all gateways. With many gateways it is two,
+// so that a group that becomes hot does not overload a single engine. It is one for a small number of gateways, where a
+// second engine would only read the group's data again, and for gateways with different subsets of the engines, whose
+// home engines differ anyway.
 func (g *Gateway) homesPerGroup() int {
 	if g.settings.Gateways < twoHomesMinGateways || g.usesSubset {
 		return 1
@@ -165,8 +171,8 @@
 	return 2
 }
 
-// homeCandidates are the ready engines that may be home engines: those that are not overflow engines, or all if there
-// are no others, in the preferred zone if possible.
+// homeCandidates returns the ready engines that may be home engines: all except overflow engines, or all ready engines
+// if there are no others; and of these the ones in the preferred zone if there are any.
 func (g *Gateway) homeCandidates() []*engine {
 	if shared := filter(g.readyEngines, func(e *engine) bool { return !e.Overflow }); len(shared) > 0 {
 		return g.preferOwnZone(shared)
@@ -174,8 +180,8 @@
 	return g.preferOwnZone(g.readyEngines)
 }
 
-// assignHomes gives each group the engine of the highest hash with it (rendezvous hashing), among the engines that have
-// less than an even share of the groups. Each homeNumber gives another assignment.
+// assignHomes assigns a home engine to each group by rendezvous hashing, but assigns no engine more than an even share
+// of the groups. Different values of homeNumber give different assignments.
 func assignHomes(groups []int, engines []*engine, homeNumber int) map[int]*engine {
 	homes, assigned := map[int]*engine{}, map[EngineID]int{}
 	evenShare := (len(groups) + len(engines) - 1) / max(1, len(engines))
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// A group is seeded with its home engine, the same at every gateway, unless another engine is clearly less loaded.
-func TestSeedIsLeastLoadedAndEqualOnAllGateways(t *testing.T) {
+// Checks that the first engine of an affinity set is the group's home engine, which is the same on all gateways, unless
+// another engine has a clearly lower load.
+func TestSeedEngineIsSameOnAllGatewaysUnlessLoaded(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	other := newTestGateway(t, 3, nil)
-	seeded := map[EngineID]int{}
+	groupsByEngine := map[EngineID]int{}
 	for id := range 6 {
 		g.tableGroup(id)
 		other.tableGroup(5 - id)
 	}
 	for id := range 6 {
 		e := g.affinitySet(g.tableGroup(id))[0]
-		if seeded[e.ID]++; other.affinitySet(other.tableGroup(id))[0].ID != e.ID {
-			t.Fatalf("two gateways seed group %d with different engines", id)
+		if groupsByEngine[e.ID]++; other.affinitySet(other.tableGroup(id))[0].ID != e.ID {
+			t.Fatalf("two gateways start the affinity set of group %d with different engines", id)
 		}
 	}
-	if len(seeded) != 3 || seeded[1] != 2 || seeded[2] != 2 {
-		t.Fatalf("groups by engine %v, want two at each", seeded)
+	if len(groupsByEngine) != 3 || groupsByEngine[1] != 2 || groupsByEngine[2] != 2 {
+		t.Fatalf("groups by engine: %v, want two for each", groupsByEngine)
 	}
 	for range 6 {
 		addInFlight(g, g.engines[0], 9, g.now)
@@ -29,19 +30,19 @@
 	}
 	markUsed(g, g.engines[2])
 	if e := g.affinitySet(g.tableGroup(6))[0]; e != g.engines[2] {
-		t.Fatal("seed is not the least-loaded engine")
+		t.Fatal("the first engine is not the least-loaded one")
 	}
 }
 
-// Node expansion: the affinity set of an overloaded group gets the least-loaded other engine.
-func TestAffinitySetExpandsWhileGroupIsOverloaded(t *testing.T) {
+// Checks node expansion: the least-loaded other engine is added to the affinity set of an overloaded group.
+func TestExpandSetAddsLeastLoadedEngineToOverloadedGroup(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	gr := g.tableGroup(1)
 	g.addToSet(gr, g.engines[0])
 	addInFlight(g, g.engines[0], 1, g.now)
 	g.expandSet(gr)
 	if len(gr.affinitySet) != 1 {
-		t.Fatal("the set expanded although the fleet is not loaded")
+		t.Fatal("the set was expanded although the fleet is not loaded")
 	}
 	for range 5 {
 		addInFlight(g, g.engines[0], 1, g.now)
@@ -50,11 +51,11 @@
 	addInFlight(g, g.engines[1], 2, g.now)
 	g.expandSet(gr)
 	if len(gr.affinitySet) != 2 || gr.affinitySet[1] != g.engines[2] {
-		t.Fatal("the least-loaded other engine did not join the set")
+		t.Fatal("the least-loaded other engine was not added to the set")
 	}
 }
 
-// No other group uses the engines of an overloaded group.
+// Checks that no other group uses the engines in the affinity set of an overloaded group.
 func TestOverloadedGroupOwnsItsEnginesExclusively(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	hot := g.tableGroup(1)
@@ -72,8 +73,8 @@
 	}
 }
 
-// An engine that its group did not use for 20 s leaves the affinity set.
-func TestIdleAffinityEngineIsRemoved(t *testing.T) {
+// Checks that an engine that the group has not used for 20 s is removed from the affinity set.
+func TestAffinitySetRemovesIdleEngine(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	gr := g.tableGroup(1)
 	g.addToSet(gr, g.engines[0])
@@ -85,8 +86,8 @@
 	}
 }
 
-// A few gateways share one home engine per group, many have two.
-func TestHomesPerGroup(t *testing.T) {
+// Checks that a group has one home engine with fewer than 20 gateways and two from 20 gateways on.
+func TestHomesPerGroupByGatewayCount(t *testing.T) {
 	for gateways, want := range map[int]int{1: 1, 3: 1, 19: 1, 20: 2, 300: 2} {
 		homes := map[EngineID]bool{}
 		for number := range min(gateways, 4) {
@@ -99,13 +100,13 @@
 	}
 }
 
-// With subsets a group has one home engine whatever the gateway's number, and it is no overflow engine while there are
-// others.
-func TestHomeEngineWithinASubset(t *testing.T) {
+// Checks that a group has the same home engine on all gateways that share a subset of the engines, and that this is an
+// overflow engine only if there is no other engine.
+func TestHomeEngineInSubsetAvoidsOverflowEngines(t *testing.T) {
 	homes := map[EngineID]bool{}
 	for number := range 4 {
 		g := newTestGateway(t, 12, func(s *Settings) { s.Gateways, s.GatewayIndex = 300, number })
-		g.homeEngine(g.tableGroup(7)) // computed for the complete fleet first
+		g.homeEngine(g.tableGroup(7)) // caches the home engine for the complete fleet
 		g.Handle(g.now, GatewaysInService{Count: 50, Subset: true})
 		home := g.homeEngine(g.tableGroup(7))
 		homes[home.ID] = true
@@ -124,6 +125,6 @@
 	only.Overflow = true
 	g.Handle(g.now, EngineList{Kind: ListDelta, Engines: []EngineInfo{only}})
 	if g.homeEngine(g.tableGroup(7)) == nil {
-		t.Error("no home engine where every engine is an overflow engine")
+		t.Error("no home engine although an overflow engine is ready")
 	}
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// killMultiple is after how many expected durations an attempt is assumed to run a bad query plan and is cancelled,
-	// if a retry can still help.
-	killMultiple = 4.0
+	// runawayMultiple is the running time, in multiples of the expected duration, above which an attempt probably has a
+	// bad query plan and is cancelled if a retry can still succeed.
+	runawayMultiple = 4.0
 
-	// minKillTime is the least such time: durations of short queries scatter more.
-	minKillTime = 800 * time.Millisecond
+	// minRunawayTime is the lower bound of that time, because durations of short queries vary more.
+	minRunawayTime = 800 * time.Millisecond
 
-	// memoryGrantDeviations is how many standard deviations of the logarithm a memory grant lies above the mean need.
-	// Six of seven needs are covered if they are normally distributed.
+	// memoryGrantDeviations is the number of standard deviations, on a logarithmic scale, by which a memory grant
+	// exceeds the mean memory use. If that logarithm is normally distributed, the grant suffices for six of seven
+	// queries.
 	memoryGrantDeviations = 1.05
 )
 
 // Priorities of SetResources, from lowest to highest.
 const (
-	priorityLate = iota // past the latency objective, or without a client
+	priorityLate = iota // past the latency objective, or abandoned by the client
 	priorityNormal
-	priorityLoad     // loads, which block other queries of their table group
-	priorityValuable // weight per work above the mean: short queries, mostly
+	priorityDataLoad   // data loads, which block other queries of their table group
+	priorityHighWeight // weight per unit of work above the mean: mostly short queries
 )
 
-// send is the only place from which an attempt is sent. It checks all guards once more, whatever selected the engine.
+// send sends a request to an engine. All attempts are sent from here, so it checks all guards again; if one forbids the
+// send, it puts the request back into the queue.
 func (g *Gateway) send(r *request, e *engine) {
 	if !g.engineAllowed(r, e) || !g.requestAllowed(r) {
 		g.enqueue(r)
@@ -41,7 +43,7 @@
 		grantMB: terms.GrantMB, expectedSeconds: g.expectedSeconds(r)}
 	g.emit(Send{ID: r.ID, Engine: e.ID, Timeout: r.deadline - g.now})
 	g.recordSend(a)
-	g.delayNextOfClass(a)
+	g.delayNextSendOfClass(a)
 	if g.warmingUp(e) {
 		e.warmupWork.add(g.now, g.warmupCharge(r))
 	}
@@ -51,8 +53,8 @@
 	}
 }
 
-// memoryGrant is the memory in MB to request for a query: its estimate, corrected by what queries of its class were
-// measured to use. 0 leaves the choice to the engine.
+// memoryGrant returns the memory in MB to request for a query: its estimate, corrected by the measured memory use of
+// its class. 0 leaves the choice to the engine.
 func (g *Gateway) memoryGrant(r *request, e *engine) float64 {
 	if !g.settings.HonorsGrants || r.EstimatedMemoryMB <= 0 {
 		return 0
@@ -65,28 +67,28 @@
 	return mb
 }
 
-// priority is the priority at which the request is sent.
+// priority returns the priority at which to send the request.
 func (g *Gateway) priority(r *request) int {
 	switch {
 	case g.now > r.objectiveDeadline:
 		return priorityLate
 	case g.overcommitShare(r) > 0:
-		return priorityValuable
+		return priorityHighWeight
 	case r.class.IsDataLoad:
-		return priorityLoad
+		return priorityDataLoad
 	}
 	return priorityNormal
 }
 
-// lowerPriority gives the attempts in flight of a request the lowest priority: it missed its objective, or its client
-// is gone.
+// lowerPriority sets the lowest priority for the attempts in flight of a request that missed its objective or whose
+// client is gone.
 func (g *Gateway) lowerPriority(r *request) {
 	if g.settings.HonorsPriority && r.inFlight > 0 {
 		g.emit(SetResources{ID: r.ID, GrantMB: r.attempts[len(r.attempts)-1].grantMB, Priority: priorityLate})
 	}
 }
 
-// handleAttemptEnded records an outcome, updates the estimates, and finishes or retries the request.
+// handleAttemptEnded records the outcome of an attempt and finishes or retries its request.
 func (g *Gateway) handleAttemptEnded(event AttemptEnded) {
 	a := g.findAttempt(event.ID, event.Attempt)
 	if a == nil || a.ended {
@@ -107,7 +109,8 @@
 	g.dispatch()
 }
 
-// recordOutcome updates window, estimates, health and rates by the outcome of an attempt.
+// recordOutcome updates the concurrency window, the estimates, the engine's health and its rate limits with the outcome
+// of an attempt.
 func (g *Gateway) recordOutcome(a *attempt, event AttemptEnded) {
 	e := a.engine
 	g.applyReport(e, event.Report)
@@ -137,8 +140,8 @@
 	}
 }
 
-// handleResponseOverdue cancels an attempt whose response the engine withholds, if a retry can still help. That helps
-// where an engine loses some of its responses; where it only paused, the work done so far is lost.
+// handleResponseOverdue cancels an attempt whose response is overdue, if a retry can still succeed. This helps if the
+// engine lost the response. If the engine only paused, the work done so far is lost.
 func (g *Gateway) handleResponseOverdue(event ResponseOverdue) {
 	a := g.findAttempt(event.ID, event.Attempt)
 	if a != nil && !a.request.done && g.retryAllowed(a.request) {
@@ -146,8 +149,9 @@
 	}
 }
 
-// reviewAttempts checks the attempts in flight of a request. Past the latency objective their priority is lowered. An
-// attempt far beyond its expected duration probably runs a bad query plan and is cancelled, if a retry can still help.
+// reviewAttempts checks the attempts in flight of a request. It lowers their priority once the request has missed its
+// latency objective, and cancels an attempt that exceeds its expected duration by far, which probably has a bad query
+// plan, if a retry can still succeed.
 func (g *Gateway) reviewAttempts(r *request) {
 	for _, a := range r.attempts {
 		if a.ended || a.cancelled {
@@ -158,15 +162,15 @@
 			g.lowerPriority(r)
 		}
 		elapsed := (g.now - a.sentAt).Seconds()
-		if elapsed > max(killMultiple*a.expectedSeconds, minKillTime.Seconds()) && g.retryAllowed(r) {
+		if elapsed > max(runawayMultiple*a.expectedSeconds, minRunawayTime.Seconds()) && g.retryAllowed(r) {
 			g.cancelAttempts(a)
 		}
 	}
 }
 
-// cancelAttempts cancels attempts where that is permitted. If the engine has not responded at all for over
-// minResponseTimeout, the attempt also counts as a failure to reach it: one of hundreds of gateways has a single
-// attempt at a time at an engine that is cut off, and would never learn of it otherwise.
+// cancelAttempts cancels attempts as far as the settings permit. If the engine has sent no response since the attempt
+// started, more than minResponseTimeout ago, the attempt also counts as a failure to reach the engine. One of hundreds
+// of gateways has a single attempt at a time at an engine and could not detect a network partition otherwise.
 func (g *Gateway) cancelAttempts(attempts ...*attempt) {
 	for _, a := range attempts {
 		if !g.settings.MayCancel || a.ended || a.cancelled || a.request.streaming {
--- a/policy/collections.go
+++ b/policy/collections.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// deadlineList is a sorted list of deadlines: the paper's priority list of one engine.
+// deadlineList is a sorted list of deadlines: the paper's priority list of an engine.
 type deadlineList []time.Duration
 
 func (l *deadlineList) add(deadline time.Duration) {
@@ -26,7 +26,7 @@
 	return i
 }
 
-// slidingSum is a sum of amounts over a sliding span of time.
+// slidingSum is the sum of amounts within a sliding time window.
 type slidingSum struct {
 	times   []time.Duration
 	amounts []float64
@@ -39,7 +39,7 @@
 	s.sum += amount
 }
 
-// subtractAt lowers the amount that was added at the given time, if that is still within the span.
+// subtractAt lowers an amount that was added at the given time, if it is still stored.
 func (s *slidingSum) subtractAt(at time.Duration, amount float64) {
 	if i, found := slices.BinarySearch(s.times, at); found {
 		s.amounts[i] -= amount
@@ -47,7 +47,7 @@
 	}
 }
 
-// total drops the amounts older than span and returns the sum of the others.
+// total drops the amounts that are older than span and returns the sum of the rest.
 func (s *slidingSum) total(now, span time.Duration) float64 {
 	expired := 0
 	for expired < len(s.times) && s.times[expired] < now-span {
@@ -59,12 +59,12 @@
 		s.amounts = slices.Delete(s.amounts, 0, expired)
 	}
 	if len(s.times) == 0 {
-		s.sum = 0 // removes the rounding error of the subtractions
+		s.sum = 0 // clears rounding errors
 	}
 	return s.sum
 }
 
-// decayingSum is a sum whose parts decay exponentially, to 1/e within recentLoadDecay.
+// decayingSum is a sum of amounts that decay exponentially with the time constant recentLoadDecay.
 type decayingSum struct {
 	sum       float64
 	updatedAt time.Duration
@@ -85,13 +85,13 @@
 	return slices.DeleteFunc(list, func(other T) bool { return other == element })
 }
 
-// filter returns the elements that keep accepts, in order.
+// filter returns the elements for which keep returns true, in order.
 func filter[T any](list []T, keep func(T) bool) []T {
 	var kept []T
 	for i, element := range list {
 		if keep(element) {
 			if kept == nil {
-				kept = make([]T, 0, len(list)-i) // growing it step by step took a sixth of a decision's time
+				kept = make([]T, 0, len(list)-i) // growing it by append took a sixth of the time of a decision
 			}
 			kept = append(kept, element)
 		}
@@ -107,13 +107,13 @@
 	return total
 }
 
-// minBy returns the engine of the smallest value, the first of several, or nil if there are no engines.
+// minBy returns the engine with the smallest value, the first of several equal ones, or nil if there are no engines.
 func minBy(engines []*engine, value func(*engine) float64) *engine {
 	return leastLoaded(engines, func(a, b *engine) bool { return value(a) < value(b) })
 }
 
-// leastLoaded returns the first engine such that no later one is less loaded, or nil if there are no engines. less
-// need not be a strict order: it may decide ties by chance, so it is called exactly once per engine after the first.
+// leastLoaded returns the least-loaded engine according to less, or nil if there are no engines. It calls less exactly
+// once for each engine after the first, because less may draw a random number to break a tie.
 func leastLoaded(engines []*engine, less func(a, b *engine) bool) *engine {
 	var best *engine
 	for _, e := range engines {
@@ -124,10 +124,10 @@
 	return best
 }
 
-// toDuration converts seconds to a time.Duration.
+// toDuration converts a number of seconds to a time.Duration.
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// hashPair hashes a table group and an engine into one number, which is the same at every gateway.
+// hashPair returns a hash of a table group and an engine that is the same on every gateway.
 func hashPair(group int, e EngineID) uint64 {
 	x := uint64(group+1)*0x9e3779b97f4a7c15 ^ uint64(e)*0xbf58476d1ce4e5b9
 	x = (x ^ x>>31) * 0x94d049bb133111eb
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// No fixed target suits all sites: it follows the reported utilization of cores and disks, within its bounds.
+// Checks that the concurrency target follows the reported utilization within its bounds, because no fixed target suits
+// all sites.
 func TestConcurrencyTargetFollowsUtilizationReports(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
 	e := g.engines[0]
@@ -29,16 +30,17 @@
 	high := g.concurrencyTarget(e)
 	withinBounds := low >= minTargetFactor*start*0.99 && high <= maxTargetFactor*start*1.01
 	if low >= start || high <= start || !withinBounds {
-		t.Fatalf("target %v at first, %v after high and %v after low utilization", start, low, high)
+		t.Fatalf("target %v initially, %v after high and %v after low utilization", start, low, high)
 	}
 	before := g.concurrencyTarget(e)
 	g.applyReport(e, LoadReport{})
 	if g.concurrencyTarget(e) != before {
-		t.Fatal("a missing report changed the target")
+		t.Fatal("an empty report changed the target")
 	}
 }
 
-// The limit is an even share among the gateways in service, whose number is between 1 and the configured one.
+// Checks that the concurrency limit is an even share among the gateways in service, and that their number is bounded by
+// 1 and the configured number.
 func TestConcurrencyLimitFollowsGatewaysInService(t *testing.T) {
 	g := newTestGateway(t, 1, func(s *Settings) { s.Gateways = 10 })
 	e := g.engines[0]
@@ -53,9 +55,10 @@
 	}
 }
 
-// A gateway that sends one query in a hundred saw no limit, as its share of an engine was below one query. The load
-// that some engines report limits the others too.
-func TestLoadReportedBySomeEnginesLimitsAll(t *testing.T) {
+// Checks that the concurrency limit of an engine without a report depends on the load reported by other engines. It
+// guards against overload by one gateway of many: its even share of an engine is less than one query, so it had no
+// effective limit.
+func TestConcurrencyLimitUsesFleetMeanWithoutEngineReport(t *testing.T) {
 	g := newTestGateway(t, 6, func(s *Settings) { s.Gateways = 200 })
 	addInFlight(g, g.engines[0], 1, g.now+time.Second)
 	report := func(queries float64) {
@@ -64,27 +67,28 @@
 			g.applyReport(g.engines[0], LoadReport{Present: true, Values: map[Metric]float64{RunningQueries: queries}})
 		}
 	}
-	costly := func() *request {
+	costlyRequest := func() *request {
 		r := newTestRequest(g, 1, g.now+time.Second)
-		r.EstimatedWork = 10 * time.Second // low weight per work
+		r.EstimatedWork = 10 * time.Second // low weight per unit of work
 		return r
 	}
 	report(2)
-	if !g.hasCapacity(costly(), g.engines[5]) {
-		t.Fatal("no capacity in a fleet that is nearly idle")
+	if !g.hasCapacity(costlyRequest(), g.engines[5]) {
+		t.Fatal("no capacity although the fleet is nearly idle")
 	}
 	report(20)
-	if g.hasCapacity(costly(), g.engines[5]) {
-		t.Fatal("capacity at an engine without a report while the reported load is five threads per core")
+	if g.hasCapacity(costlyRequest(), g.engines[5]) {
+		t.Fatal("capacity at an engine without a report although the reported load is five threads per core")
 	}
 	g.releaseAttempt(g.engines[0].inFlight[0])
-	if g.selectEngine(costly()) == nil {
-		t.Fatal("a gateway with nothing in flight may not send")
+	if g.selectEngine(costlyRequest()) == nil {
+		t.Fatal("no engine selected although the gateway has nothing in flight")
 	}
 }
 
-// With more threads per engine, grants exceeded the engines' memory and queries spilled to disk.
-func TestGrantedMemoryLimitsAdmission(t *testing.T) {
+// Checks that a query is sent only if its memory grant fits beside the own grants at the engine. Without this check,
+// grants exceeded the engines' memory and queries spilled to disk.
+func TestHasCapacityChecksMemoryGrants(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
 	e := g.engines[0]
 	addInFlight(g, e, 1, g.now+time.Second)
@@ -92,25 +96,26 @@
 	r := newTestRequest(g, 1, g.now+time.Second)
 	r.EstimatedMemoryMB = 0.2 * e.memoryMB
 	if g.hasCapacity(r, e) {
-		t.Fatal("a grant that does not fit is admitted")
+		t.Fatal("there is capacity for a grant that does not fit")
 	}
 	e.grantedMB = 0
 	if !g.hasCapacity(r, e) {
-		t.Fatal("a grant that fits is not admitted")
+		t.Fatal("there is no capacity for a grant that fits")
 	}
 }
 
-// Queries spilled to disk, as a gateway with one query at an engine saw nothing else of what fills its memory.
-func TestPeerMemoryLimitsAdmission(t *testing.T) {
+// Checks that the estimated grants of peer threads count against the memory of an engine. Without this, queries spilled
+// to disk, because a gateway with a single query at an engine did not know how much memory its peers used there.
+func TestFitsInMemoryCountsPeerThreads(t *testing.T) {
 	g := newTestGateway(t, 1, func(s *Settings) { s.Gateways = 100 })
 	e, r := g.engines[0], newTestRequest(g, 1, g.now+time.Second)
 	r.EstimatedMemoryMB, g.grantPerThread = 0.1*e.memoryMB, 0.2*e.memoryMB
 	g.recordPeerThreads(e, 2)
 	if !g.fitsInMemory(r, e) {
-		t.Fatal("a grant that fits beside two peer threads is not admitted")
+		t.Fatal("a grant does not fit although two peer threads leave enough memory")
 	}
 	g.recordPeerThreads(e, 4.9)
 	if g.fitsInMemory(r, e) {
-		t.Fatal("a grant is admitted beside peers that fill the memory")
+		t.Fatal("a grant fits although peer threads use the memory")
 	}
 }
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -10,12 +10,12 @@
 
 const (
 	benchAnswerTime  = 100 * time.Millisecond
-	benchInterval    = 615 * time.Microsecond // between two statements: 1,625 a second
+	benchInterval    = 615 * time.Microsecond // between two requests: about 1,625 per second
 	benchTableGroups = 200
-	benchWarmUp      = 5000 // statements, in which the module learns what answers take
+	benchWarmUp      = 5000 // requests before the measurement, in which the module learns durations
 )
 
-// benchHost drives a Gateway on a virtual clock; every answer takes the same time.
+// benchHost drives a Gateway on a virtual clock. All answers take the same time.
 type benchHost struct {
 	gateway *policy.Gateway
 	now     time.Duration
@@ -57,8 +57,8 @@
 	}
 }
 
-// statement fires the timers and ends the attempts that are due, and lets a statement arrive.
-func (h *benchHost) statement(number int) {
+// submit advances the clock, fires the timers and ends the attempts that are due, and passes a new request.
+func (h *benchHost) submit(number int) {
 	h.now += benchInterval
 	for token, at := range h.timers {
 		if at <= h.now {
@@ -75,18 +75,18 @@
 		Remaining: 5 * time.Second})
 }
 
-// BenchmarkDecision is a statement's arrival, the choice of its engine and its end, at 1,625 statements a second.
+// BenchmarkDecision measures the handling of a request from its arrival to its end, at 1,625 requests per second.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{10, 80, 300, 1100} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			host := newBenchHost(b, engines)
 			for number := range benchWarmUp {
-				host.statement(number + 1)
+				host.submit(number + 1)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for number := range b.N {
-				host.statement(benchWarmUp + number + 1)
+				host.submit(benchWarmUp + number + 1)
 			}
 		})
 	}
--- a/policy/engines.go
+++ b/policy/engines.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// stateExpiry is how long engines that left and table groups without traffic are remembered. It exceeds the time that
-// any client waits and the time after which an unused engine leaves an affinity set.
+// stateExpiry is how long the state of engines that left the fleet and of table groups without traffic is kept. It
+// exceeds all client deadlines and setMemberIdleTimeout.
 const stateExpiry = time.Minute
 
-// engine is the state that this gateway keeps of an engine.
+// engine is the state that this gateway keeps for an engine.
 type engine struct {
 	EngineInfo
-	listedAt        time.Duration // last mention in the engine list
+	listedAt        time.Duration // time of the latest engine list that contained it
 	cores, memoryMB float64
-	used            bool // this gateway has sent to it
+	used            bool // this gateway has sent a query to it
 
 	// Own load.
-	inFlight         []*attempt   // own attempts, in order of their sends
-	deadlines        deadlineList // of their requests
-	ownThreads       float64      // #T of the paper: threads of own attempts in flight
-	grantedMB        float64      // memory granted to them
-	smoothedInFlight float64      // len(inFlight), smoothed over the age of a report
-	overloadedGroups int          // overloaded groups that have the engine in their affinity set
+	inFlight         []*attempt   // own attempts, in the order in which they were sent
+	deadlines        deadlineList // objective deadlines of their requests
+	ownThreads       float64      // #T in the paper: threads of own attempts in flight
+	grantedMB        float64      // sum of their memory grants
+	smoothedInFlight float64      // len(inFlight), smoothed over about the age of a report
+	overloadedGroups int          // number of overloaded groups with the engine in their affinity set
 
 	// Load of the peers, from load reports.
-	reportedPeerThreads float64 // threads of other gateways, at reportedAt
+	reportedPeerThreads float64 // threads of other gateways at the time reportedAt
 	reportedAt          time.Duration
 	cachedPeerThreads   float64       // result of Gateway.peerThreads
-	peerThreadsCachedAt time.Duration // the time it was computed for; -1 = invalid
+	peerThreadsCachedAt time.Duration // the time for which it was computed; -1 = invalid
 
 	// Concurrency target.
-	targetFactor float64 // multiplies the target; adjusted by load reports
+	targetFactor float64 // multiplier of the target, adjusted by load reports
 	nextAdjustAt time.Duration
 
 	// Outlier detection.
 	failureScore      float64 // 0 = only successes, 1 = only failures
 	ejected           bool
 	ejectedUntil      time.Duration
-	ejectionTime      time.Duration // of the latest ejection
+	ejectionTime      time.Duration // duration of the latest ejection
 	halfOpenSince     time.Duration
-	halfOpenRemaining int // successes needed to leave the half-open state; 0 = not half-open
+	halfOpenRemaining int // successes left until the half-open state ends; 0 = not half-open
 	lastResponseAt    time.Duration
 	probeInFlight     bool
 	nextProbeAt       time.Duration
 
 	// Rejections and slow start.
-	rejectingUntil   time.Duration // no sends before this
-	rejectionBackoff time.Duration // the latest backoff
-	classRates       []rateLimit   // by class
-	warmupWork       slidingSum    // seconds of work sent while the engine is warming up
+	rejectingUntil   time.Duration // time until which nothing is sent
+	rejectionBackoff time.Duration // duration of the latest backoff
+	classRateLimits  []rateLimit   // indexed by class
+	warmupWork       slidingSum    // work in seconds sent while the engine is warming up
 }
 
-// rateLimit is the adaptive rate at which an engine that has capacity admits one class.
+// rateLimit is the adaptive rate limit of one class at an engine that rejects the class although it has capacity.
 type rateLimit struct {
 	perSecond   float64       // queries per second; 0 = no limit
-	decreasedAt time.Duration // the last decrease
+	decreasedAt time.Duration // time of the latest decrease
 	nextSendAt  time.Duration
 }
 
 func engineCores(e *engine) float64 { return e.cores }
 
-// handleEngineList applies the engine list or a change of it and dispatches the queue.
+// handleEngineList applies a complete engine list or a change of it, and dispatches the queue.
 func (g *Gateway) handleEngineList(list EngineList) {
 	if list.Kind == ListFailed {
 		g.emit(Subscribe{})
@@ -81,7 +81,7 @@
 	g.dispatch()
 }
 
-// applyEngineInfo adds an engine or updates it. If the engine has restarted, its health and load are reset.
+// applyEngineInfo adds or updates an engine. If the engine has restarted, its health and load are reset.
 func (g *Gateway) applyEngineInfo(info EngineInfo) {
 	e := g.engineByID[info.ID]
 	if e == nil {
@@ -98,7 +98,7 @@
 }
 
 func (g *Gateway) addEngine(id EngineID) *engine {
-	e := &engine{targetFactor: 1, classRates: make([]rateLimit, len(g.classes))}
+	e := &engine{targetFactor: 1, classRateLimits: make([]rateLimit, len(g.classes))}
 	e.ID = id
 	g.engineByID[id] = e
 	g.engines = append(g.engines, e)
@@ -106,14 +106,14 @@
 	return e
 }
 
-// resetEngine forgets what was learned before an engine's restart.
+// resetEngine discards the health, the load and the rate limits recorded before an engine's restart.
 func (g *Gateway) resetEngine(e *engine) {
 	e.failureScore, e.ejected, e.halfOpenRemaining, e.ejectionTime, e.probeInFlight = 0, false, 0, 0, false
 	e.reportedPeerThreads, e.reportedAt = 0, g.now
-	clear(e.classRates)
+	clear(e.classRateLimits)
 }
 
-// updateFleet recomputes what depends on the set of ready engines.
+// updateFleet recomputes the state derived from the set of ready engines.
 func (g *Gateway) updateFleet() {
 	g.readyEngines = filter(g.engines, g.engineReady)
 	g.readyCores, g.homeByGroup = sumOf(g.readyEngines, engineCores), nil
@@ -124,7 +124,8 @@
 	g.usedCores = sumOf(filter(g.readyEngines, func(e *engine) bool { return e.used }), engineCores)
 }
 
-// expireState drops engines that left, groups without traffic and unused keys, so that the state stays bounded.
+// expireState removes engines that left the fleet, groups without traffic and unused ordering keys, so that the size of
+// the state stays bounded.
 func (g *Gateway) expireState() {
 	g.engines = slices.DeleteFunc(g.engines, g.expireEngine)
 	for id, gr := range g.groups {
@@ -142,7 +143,8 @@
 	}
 }
 
-// expireEngine removes an engine that left long ago from the index and all affinity sets, and reports whether it did.
+// expireEngine reports whether an engine left the fleet long enough ago to be forgotten. If so, it removes the engine
+// from the index and from all affinity sets.
 func (g *Gateway) expireEngine(e *engine) bool {
 	lastSeen := max(e.listedAt, e.lastResponseAt)
 	if e.Health != Gone || len(e.inFlight) > 0 || g.now-lastSeen <= stateExpiry {
--- a/policy/engines_test.go
+++ b/policy/engines_test.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// A gateway runs for months: with ever new engines, groups and keys its state levels off.
-func TestStateStaysBounded(t *testing.T) {
+// Checks that the state does not grow without bound while engines, table groups and ordering keys are replaced, because
+// a gateway runs for months.
+func TestExpireStateBoundsMemory(t *testing.T) {
 	t.Parallel()
-	for _, budgeted := range []bool{true, false} {
-		t.Run(fmt.Sprintf("retry budget=%v", budgeted), func(t *testing.T) {
-			g := newTestGateway(t, 2, func(s *Settings) { s.Rules.RetryBudget = budgeted })
+	for _, retryBudget := range []bool{true, false} {
+		t.Run(fmt.Sprintf("retry budget=%v", retryBudget), func(t *testing.T) {
+			g := newTestGateway(t, 2, func(s *Settings) { s.Rules.RetryBudget = retryBudget })
 			id := RequestID(0)
-			for day := range 400 {
-				e := EngineInfo{ID: EngineID(1000 + day), Zone: 1}
+			for round := range 400 {
+				e := EngineInfo{ID: EngineID(1000 + round), Zone: 1}
 				g.Handle(g.now+time.Minute, EngineList{Kind: ListDelta, Engines: []EngineInfo{e}})
 				for i := range 20 {
 					id++
-					a := Arrival{ID: id, Class: i % 2, OrderingKey: uint64(id), TableGroup: day, EstimatedWork: time.Millisecond,
+					a := Arrival{ID: id, Class: i % 2, OrderingKey: uint64(id), TableGroup: round, EstimatedWork: time.Millisecond,
 						Remaining: 4 * time.Second}
 					for _, action := range g.Handle(g.now+100*time.Millisecond, a) {
 						if s, ok := action.(Send); ok {
@@ -35,15 +36,16 @@
 				counted := len(g.acceptedRequests.times) + len(g.retries.times)
 				if n := len(g.engines) + len(g.groups) + len(g.keyQueues) + len(g.requests) + counted; n > 150 {
 					t.Fatalf("round %d: %d engines, %d groups, %d keys, %d requests, %d counted for the retry budget",
-						day, len(g.engines), len(g.groups), len(g.keyQueues), len(g.requests), counted)
+						round, len(g.engines), len(g.groups), len(g.keyQueues), len(g.requests), counted)
 				}
 			}
 		})
 	}
 }
 
-// Where engines are replaced all day, affinity sets kept those that had left for good.
-func TestGoneEnginesLeaveAffinitySets(t *testing.T) {
+// Checks that engines that left the fleet are removed from affinity sets. Otherwise the sets would grow where engines
+// are replaced all the time.
+func TestExpiredEnginesLeaveAffinitySets(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	gr, e := g.tableGroup(1), g.engines[0]
 	g.addToSet(gr, e)
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Estimates of memory are wrong by class; the grant follows the memory that answers report.
+// Checks that the memory grant follows the memory use reported with answers, because the estimates of a class can be
+// wrong by a constant factor.
 func TestMemoryGrantFollowsMeasuredUse(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
 	r := newTestRequest(g, 1, g.now+time.Second)
@@ -15,13 +16,14 @@
 		g.updateEstimates(a, AttemptEnded{Duration: time.Second, Work: time.Second, UsedMB: 300})
 	}
 	if mb := g.memoryGrant(r, g.engines[0]); mb < 300 {
-		t.Fatalf("grant of %v MB, want at least the 300 MB that each query used", mb)
+		t.Fatalf("grant of %v MB, want at least the 300 MB used by each query", mb)
 	}
 }
 
-// After an overload the expected duration was so long that every request was shed on arrival, and no answer came to
-// correct it. This holds with and without estimates of work.
-func TestOverloadDoesNotStopAdmissionForGood(t *testing.T) {
+// Checks that long durations during an overload do not raise the expected duration so far that every new request is
+// shed. Without a bound, there would be no more answers to correct the estimate. This concerns queries with and without
+// a work estimate.
+func TestExpectedDurationStaysBoundedAfterOverload(t *testing.T) {
 	for _, work := range []time.Duration{0, 100 * time.Millisecond} {
 		t.Run("work="+work.String(), func(t *testing.T) {
 			g := newTestGateway(t, 1, nil)
@@ -33,14 +35,15 @@
 			}
 			r.objectiveDeadline = g.now + g.classes[0].LatencyObjective
 			if g.willMissObjective(r) {
-				t.Fatal("a query that has just arrived is expected to miss its objective")
+				t.Fatal("a new request is expected to miss its objective")
 			}
 		})
 	}
 }
 
-// The mean threads of a query are weighted by the classes' durations, before the first answer as well as after many.
-func TestThreadsPerQueryIsWeightedFromTheStart(t *testing.T) {
+// Checks that the mean number of threads of a query weights the classes by duration, both before the first answer and
+// after many answers.
+func TestThreadsPerQueryWeightsClassesByDuration(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[:2]
 	s.Classes[1].Threads, s.Classes[1].LatencyObjective = 4, 3*time.Second
@@ -53,7 +56,7 @@
 		t.Errorf("%.2f threads per query, want %.2f", g.threadsPerQuery, want)
 	}
 	r := &request{class: g.classes[0], Arrival: Arrival{EstimatedWork: 250 * time.Millisecond}}
-	for range 200 { // only queries of the first class, of one thread
+	for range 200 { // only queries of the first class, with one thread
 		a := &attempt{request: r, expectedSeconds: 1, threads: 1}
 		g.updateEstimates(a, AttemptEnded{Duration: 250 * time.Millisecond})
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// RequestID identifies a request. The host never reuses one.
+// RequestID identifies a request. The host never reuses an ID.
 type RequestID uint64
 
-// EngineID identifies an engine. It survives restarts of the engine's process.
+// EngineID identifies an engine. It stays the same when the engine's process restarts.
 type EngineID uint64
 
 // Event is an input of Gateway.Handle.
 type Event interface{ event() }
 
-// ListKind states how an EngineList is to be read.
+// ListKind is the kind of an EngineList.
 type ListKind uint8
 
 // Values of ListKind.
 const (
 	ListFull   ListKind = iota // complete and current
 	ListCached                 // complete, possibly stale
-	ListDelta                  // only the engines that changed
-	ListFailed                 // the list could not be fetched; the previous one stays valid
+	ListDelta                  // contains only the engines that changed
+	ListFailed                 // the list could not be fetched; the previous list remains valid
 )
 
 // Health is the state of an engine according to the engine list.
@@ -28,7 +28,7 @@
 // Values of Health.
 const (
 	Ready    Health = iota // accepts queries
-	Draining               // completes its queries and accepts no new ones
+	Draining               // completes its running queries and accepts no new ones
 	Gone                   // has left the fleet
 )
 
@@ -36,78 +36,79 @@
 type EngineInfo struct {
 	ID          EngineID
 	Zone        int
-	MachineType int // index into Settings.Kinds
+	MachineType int // index into Settings.MachineTypes
 	Cell        int
 	Health      Health
 	Scale       float64       // size relative to other engines; 1 if unknown
-	Started     time.Duration // last start of the engine on the host's clock; 0 = long ago
+	Started     time.Duration // latest start of the engine on the host's clock; 0 = long ago
 
-	// Overflow marks an engine that the host uses in addition to the subset it shares with most of its peers. No table
-	// group has its home engine there, because few peers would help to keep the group's data cached.
+	// Overflow marks an engine that the host uses in addition to the subset that it shares with its peers. An overflow
+	// engine is no home engine if others are ready, because few peers would use it and keep a group's data cached
+	// there.
 	Overflow bool
 }
 
-// EngineList carries the engine list or a change of it.
+// EngineList carries the complete engine list or a change of it.
 type EngineList struct {
 	Kind    ListKind
 	Engines []EngineInfo
 }
 
-// Arrival is a client's request, accepted by this gateway.
+// Arrival reports a new request from a client.
 type Arrival struct {
 	ID                RequestID
 	Class             int    // index into Settings.Classes
-	OrderingKey       uint64 // orders requests of ordered classes; 0 = none
+	OrderingKey       uint64 // requests of an ordered class with equal keys run in order; 0 = none
 	TableGroup        int
-	EstimatedWork     time.Duration // thread time over all threads; 0 = no estimate
+	EstimatedWork     time.Duration // thread time, summed over all threads; 0 = no estimate
 	EstimatedMemoryMB float64       // 0 = no estimate
-	Remaining         time.Duration // until the client stops waiting for this request
+	Remaining         time.Duration // time until the client stops waiting for this request
 	IsClientRetry     bool
 }
 
 // ClientGone reports that the client no longer waits for a request.
 type ClientGone struct{ ID RequestID }
 
-// ResponseStarted reports that the response of an attempt has begun to stream to the client.
+// ResponseStarted reports that the host has started to stream the response of an attempt to the client.
 type ResponseStarted struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is the result of an attempt or of a probe.
 type Outcome uint8
 
 // Values of Outcome.
 const (
-	OK           Outcome = iota
-	Error                // the engine answered with an error
-	Rejected             // the engine rejected the query without running it
-	Timeout              // no response within the timeout
-	NoConnection         // the query never reached the engine
-	Reset                // the connection broke before the response
-	Cancelled            // cancelled by this gateway
-	NotSent              // the host never sent it
+	OK           Outcome = iota // success
+	Error                       // the engine answered with an error
+	Rejected                    // the engine rejected the query without running it
+	Timeout                     // no response within the timeout
+	NoConnection                // the query never reached the engine
+	Reset                       // the connection closed before the response
+	Cancelled                   // cancelled by this gateway
+	NotSent                     // the host did not send it
 )
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == NoConnection || o == NotSent }
 
-// LoadReport is the load report of an engine.
+// LoadReport is the load report of an engine. Without Present there was none.
 type LoadReport struct {
 	Present bool
 	Values  map[Metric]float64
 }
 
-// AttemptEnded reports the outcome of an attempt. The host sends exactly one for each Send.
+// AttemptEnded reports the outcome of an attempt. The host passes exactly one for each Send.
 type AttemptEnded struct {
 	ID       RequestID
 	Attempt  int
 	Engine   EngineID
 	Outcome  Outcome
 	Duration time.Duration
-	Terminal bool          // the client has its final answer
-	Work     time.Duration // thread time that the query needed; 0 = unknown
-	UsedMB   float64       // memory that it needed; 0 = unknown
+	Terminal bool          // the client has received its final answer
+	Work     time.Duration // thread time that the query used; 0 = unknown
+	UsedMB   float64       // memory that the query used; 0 = unknown
 	Report   LoadReport
 }
 
@@ -119,14 +120,14 @@
 	Report   LoadReport
 }
 
-// Progress reports the share of its work, 0 to 1, that a running attempt has done.
+// Progress reports the completed share, 0 to 1, of a running attempt's work.
 type Progress struct {
 	ID      RequestID
 	Attempt int
 	Done    float64
 }
 
-// ResponseOverdue reports that an engine withholds the response of a running attempt.
+// ResponseOverdue reports that a running attempt should have received its response by now.
 type ResponseOverdue struct {
 	ID      RequestID
 	Attempt int
@@ -135,25 +136,25 @@
 // TimerFired reports that a timer set with SetTimer has fired.
 type TimerFired struct{ Token uint64 }
 
-// GatewaysInService reports how many gateways are believed to be in service, including this one. The even shares of
-// concurrency, memory and the window follow it. The warm-up budget and the retry budget do not, because the views of
-// different gateways may differ; see docs/design/membership.md.
+// GatewaysInService reports the estimated number of gateways in service, including this one. It determines this
+// gateway's even share of concurrency, memory and the window. The warm-up budget and the retry budget do not depend on
+// it, because gateways may disagree about the number; see docs/design/membership.md.
 type GatewaysInService struct {
 	Count  int
-	Subset bool // the engine list is a subset of the fleet, shared by Count gateways
+	Subset bool // the engine list is a subset of the fleet that Count gateways share
 }
 
-// PeerReport is a load report that a peer received.
+// PeerReport is a load report of an engine that a peer received.
 type PeerReport struct {
 	Engine         EngineID
-	RunningQueries float64       // running queries, over all gateways
+	RunningQueries float64       // of all gateways
 	ReportedAt     time.Duration // when the peer received it, on this host's clock
 }
 
-// PeerReports carries load reports forwarded by other gateways.
+// PeerReports carries load reports that peers forwarded.
 type PeerReports struct{ Reports []PeerReport }
 
-// ShuttingDown reports that the host shuts down. Every open request that is not streaming gets its final answer.
+// ShuttingDown reports that the host shuts down. Each open request that is not streaming then gets its final answer.
 type ShuttingDown struct{}
 
 func (EngineList) event()        {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"frostpier/policy"
 )
 
-// A host passes an engine list, a request and the outcome of its attempt to a Gateway, and prints the actions.
+// The example passes an engine list, a request and the outcome of its attempt to a Gateway and prints the actions.
 func ExampleGateway() {
 	gateway, err := policy.New(policy.Settings{
 		Classes: []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second,
--- a/policy/explain.go
+++ b/policy/explain.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Guard names what keeps a request from being sent, for the operators' records. The values are part of those records
-// and keep their spelling.
+// Guard names the condition that blocks the sending of a request. The values appear in operators' logs, so their
+// spelling must not change.
 type Guard string
 
-// Values of Guard: first those that concern an engine, then those that concern the request.
+// Values of Guard. The values up to GuardMemory concern an engine, the later ones a request.
 const (
-	GuardNone        Guard = "none"   // nothing does
-	GuardPlacement   Guard = "place"  // the class may not be sent there
-	GuardWarmup      Guard = "cold"   // the warm-up budget, or another gateway's turn
-	GuardHealth      Guard = "shut"   // ejected, or half-open and busy
-	GuardAttempted   Guard = "tried"  // the request was sent there before
-	GuardRejected    Guard = "full"   // the engine rejected a query and gets none for a backoff
-	GuardRate        Guard = "rate"   // the class is rate-limited there
-	GuardDataLoad    Guard = "load"   // a load of the same table group runs there
-	GuardConcurrency Guard = "limit"  // this gateway's concurrency limit there
-	GuardMemory      Guard = "memory" // the memory grants there
+	GuardNone        Guard = "none"   // nothing blocks the request
+	GuardPlacement   Guard = "place"  // the class must not run on the engine
+	GuardWarmup      Guard = "cold"   // warm-up budget of the engine, or another gateway's turn to use it
+	GuardHealth      Guard = "shut"   // the engine is ejected, or half-open and busy
+	GuardAttempted   Guard = "tried"  // the request was sent to the engine before
+	GuardRejected    Guard = "full"   // backoff after the engine rejected a query
+	GuardRate        Guard = "rate"   // rate limit of the class at the engine
+	GuardDataLoad    Guard = "load"   // the engine runs a data load of the same table group
+	GuardConcurrency Guard = "limit"  // this gateway's concurrency limit at the engine
+	GuardMemory      Guard = "memory" // the memory grant does not fit
 	GuardWindow      Guard = "window" // this gateway's concurrency window
 	GuardRetryBudget Guard = "ration" // the retry budget
-	GuardRequest     Guard = "rules"  // another rule on the request itself
-	GuardQueue       Guard = "line"   // other requests of its class come first
+	GuardRequest     Guard = "rules"  // another rule about the request
+	GuardQueue       Guard = "line"   // no guard blocks the request itself; it waits for its turn or for an engine
 )
 
-// EngineEstimate is what a gateway estimates about an engine.
+// EngineEstimate is a gateway's estimate of the load and the limits of an engine.
 type EngineEstimate struct {
 	Engine      EngineID
-	OwnThreads  float64       // threads of this gateway's attempts in flight there
-	PeerThreads float64       // estimated threads of other gateways there
-	Limit       float64       // threads that this gateway may have there
-	Target      float64       // threads that all gateways together should have there
+	OwnThreads  float64       // threads of this gateway's attempts in flight
+	PeerThreads float64       // estimated threads of other gateways
+	Limit       float64       // threads that this gateway may use
+	Target      float64       // threads that all gateways together should use
 	ReportAge   time.Duration // age of the latest load report; -1 = none
-	Guard       Guard         // what keeps the request from being sent there; only set by Explain
+	Guard       Guard         // condition that blocks the request; set only by Explain
 }
 
-// Utilization is the load of a gateway and of the fleet.
+// Utilization is the load of a gateway and the estimated load of the fleet.
 type Utilization struct {
 	Threads       float64 // threads of this gateway's attempts in flight
-	Window        float64 // threads that it may have in flight
+	Window        float64 // threads that this gateway may have in flight
 	MeanPeerLoad  float64 // estimated threads of other gateways per core, over the fleet
-	OverloadRatio float64 // the fleet's load over the load from which the window decreases
+	OverloadRatio float64 // ratio of the fleet's load to the load above which the window decreases
 }
 
-// Utilization reports the load of this gateway and the estimated load of the fleet.
+// Utilization returns the load of this gateway and the estimated load of the fleet.
 func (g *Gateway) Utilization() Utilization {
 	return Utilization{
 		Threads:       g.ownThreads,
@@ -53,8 +53,8 @@
 	}
 }
 
-// Explain reports whether a request is queued, which guard keeps it in the queue, and what is estimated about each
-// ready engine. For a request that is not queued it returns false, GuardNone and nil. It has no influence on decisions.
+// Explain reports whether a request is queued, which guard keeps it in the queue, and the estimate of each ready
+// engine. For a request that is not queued it returns false, GuardNone and nil. It does not influence decisions.
 func (g *Gateway) Explain(now time.Duration, id RequestID) (queued bool, guard Guard, engines []EngineEstimate) {
 	r := g.requests[id]
 	if r == nil || !r.queued {
@@ -70,7 +70,7 @@
 	return true, guard, engines
 }
 
-// Estimate reports what is estimated about an engine. For an unknown engine only Engine and ReportAge (-1) are set.
+// Estimate returns the estimate of an engine. For an unknown engine only Engine and ReportAge (-1) are set.
 func (g *Gateway) Estimate(now time.Duration, id EngineID) EngineEstimate {
 	e := g.engineByID[id]
 	if e == nil {
@@ -91,7 +91,7 @@
 	return estimate
 }
 
-// requestGuard is the first guard that keeps a request in the queue, whatever the engine.
+// requestGuard returns the first guard that blocks a request independently of the engine, or GuardQueue.
 func (g *Gateway) requestGuard(r *request) Guard {
 	switch {
 	case !g.withinWindow(r):
@@ -104,7 +104,7 @@
 	return GuardQueue
 }
 
-// engineGuard is the first guard that keeps a request from an engine.
+// engineGuard returns the first guard that forbids sending a request to an engine, or GuardNone.
 func (g *Gateway) engineGuard(r *request, e *engine) Guard {
 	switch {
 	case !g.placementAllowed(r, e) || !g.withinDedupScope(r, e):
@@ -117,7 +117,7 @@
 		return GuardAttempted
 	case g.now < e.rejectingUntil:
 		return GuardRejected
-	case g.now < e.classRates[r.Class].nextSendAt:
+	case g.now < e.classRateLimits[r.Class].nextSendAt:
 		return GuardRate
 	case !g.eligible(r, e):
 		return GuardDataLoad
--- a/policy/explain_test.go
+++ b/policy/explain_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// addQueuedRequest puts a request with the ID 1 into the queue.
+// addQueuedRequest adds a request with the ID 1 to the queue.
 func addQueuedRequest(g *Gateway) *request {
 	r := newTestRequest(g, 1, g.now+time.Second)
 	r.Arrival = Arrival{ID: 1, EstimatedWork: 100 * time.Millisecond, Remaining: 4 * time.Second}
@@ -14,12 +14,13 @@
 	return r
 }
 
-// Each guard that keeps a request from an engine is named, and asking has no influence on decisions.
-func TestExplainNamesTheBlockingGuard(t *testing.T) {
+// Checks that Explain names the guard that forbids sending a request to an engine, and that it does not change the
+// state.
+func TestExplainReportsEngineGuard(t *testing.T) {
 	for want, change := range map[Guard]func(g *Gateway, e *engine){
 		GuardHealth:      func(_ *Gateway, e *engine) { e.ejected = true },
 		GuardRejected:    func(g *Gateway, e *engine) { e.rejectingUntil = g.now + time.Second },
-		GuardRate:        func(g *Gateway, e *engine) { e.classRates[0].nextSendAt = g.now + time.Second },
+		GuardRate:        func(g *Gateway, e *engine) { e.classRateLimits[0].nextSendAt = g.now + time.Second },
 		GuardConcurrency: func(g *Gateway, e *engine) { g.loadReported, g.ownThreads, e.ownThreads = true, 100, 100 },
 		GuardMemory: func(g *Gateway, e *engine) {
 			g.loadReported, g.ownThreads, e.ownThreads, e.grantedMB = true, 0.5, 0.5, 1e9
@@ -37,21 +38,21 @@
 				t.Errorf("queued %v, engines %+v", queued, engines)
 			}
 			if len(g.actions) != before || !r.queued {
-				t.Error("Explain has influenced the Gateway")
+				t.Error("Explain changed the state of the Gateway")
 			}
 		})
 	}
 	g := newTestGateway(t, 1, nil)
 	if queued, _, engines := g.Explain(g.now, 99); queued || engines != nil {
-		t.Error("an unknown request is queued")
+		t.Error("Explain reports an unknown request as queued")
 	}
 	if estimate := g.Estimate(g.now, 12345); estimate.ReportAge != -1 {
-		t.Errorf("%+v for an unknown engine", estimate)
+		t.Errorf("estimate %+v of an unknown engine, want a report age of -1", estimate)
 	}
 }
 
-// A request that exceeds the concurrency window is kept in the queue by that guard.
-func TestExplainNamesTheConcurrencyWindow(t *testing.T) {
+// Checks that Explain names the concurrency window as the guard of a request that exceeds it.
+func TestExplainReportsConcurrencyWindow(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	addQueuedRequest(g)
 	g.ownThreads, g.windowPerCore = 500, 0.1
--- a/policy/fleetviews_test.go
+++ b/policy/fleetviews_test.go
@@ -9,12 +9,12 @@
 	_ "frostpier/internal/testutil/fixedseed"
 )
 
-// The gateways' views of the fleet are arbitrary, contradict each other, and change at any moment (partitions, false
-// failure detections, late reports, absurd counts). Together they still keep the warm-up budget, and each keeps its
-// retry budget.
-func TestRulesHoldUnderInconsistentFleetViews(t *testing.T) {
+// Checks with random inputs that the gateways together stay within the warm-up budget, and each of them within its
+// retry budget, although their views of the number of gateways in service are inconsistent and change at any time.
+// Partitions, false failure detections and late or invalid counts cause such views.
+func TestBudgetsHoldUnderInconsistentFleetViews(t *testing.T) {
 	t.Parallel()
-	used := 0.0 // share of the warm-up budget, over all runs; without sends the test would prove nothing
+	used := 0.0 // maximum share of the warm-up budget used in any run, to check that there were sends
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
 		s.Classes = s.Classes[:1]
@@ -22,7 +22,7 @@
 		start := time.Hour
 		warming := EngineInfo{ID: 77, Started: start}
 		all := make([]*viewedGateway, s.Gateways)
-		begin := func(i int, now time.Duration) *viewedGateway {
+		startGateway := func(i int, now time.Duration) *viewedGateway {
 			own := s
 			own.GatewayIndex = i
 			g, err := New(own, uint64(i))
@@ -34,19 +34,19 @@
 			return v
 		}
 		for i := range all {
-			all[i] = begin(i, start)
+			all[i] = startGateway(i, start)
 		}
 		rules, sends := s.Rules, []warmupSend{}
 		budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * s.MachineTypes[0].Cores *
 			rules.WarmupBudgetSpan.Seconds()
 		views := rapid.SliceOfN(rapid.SampledFrom([]int{-5, 0, 1, 1, 2, 3, 12, 1 << 40}), 16, 16).Draw(t, "views")
-		failing := rapid.IntRange(1, 6).Draw(t, "failing") // of ten attempts
+		failing := rapid.IntRange(1, 6).Draw(t, "failing") // failing attempts out of ten
 		step := 0
 		for now := start; now < start+6*time.Second; now += 40 * time.Millisecond {
 			for i, v := range all {
 				step++
 				if step%97 == 0 {
-					v = begin(i, now)
+					v = startGateway(i, now)
 					all[i] = v
 				}
 				if step%5 == 0 {
@@ -70,7 +70,7 @@
 				accepted := countWithin(v.accepted, now, rules.RetryBudgetSpan)
 				budget := rules.MinRetries + rules.RetryShare*float64(accepted)
 				if float64(retries) > budget {
-					t.Fatalf("at %v gateway %d made %d retries, want at most %.1f", now-start, i, retries, budget)
+					t.Fatalf("at %v: gateway %d sent %d retries, want at most %.1f", now-start, i, retries, budget)
 				}
 			}
 			sum := 0.0
@@ -80,17 +80,18 @@
 				}
 			}
 			if sum > budget {
-				t.Fatalf("at %v %.2f s of work sent to a warming engine within a span, want at most %.2f", now-start, sum, budget)
+				t.Fatalf("at %v: %.2f s of work sent to an engine in warm-up within a span, want at most %.2f",
+					now-start, sum, budget)
 			}
 			used = max(used, sum/budget)
 		}
 	})
 	if used < 0.1 {
-		t.Errorf("at most %.2f of the warm-up budget was used, want at least 0.1", used)
+		t.Errorf("only %.2f of the warm-up budget was used, want at least 0.1", used)
 	}
 }
 
-// viewedGateway is a gateway with what it accepted and sent.
+// viewedGateway is a gateway with its accepted requests, attempts and timers.
 type viewedGateway struct {
 	gateway  *Gateway
 	next     RequestID
@@ -102,7 +103,7 @@
 	timers   []pendingTimer
 }
 
-// sentAttempt is an attempt that ends at a given time.
+// sentAttempt is an attempt and the time at which it ends.
 type sentAttempt struct {
 	id      RequestID
 	attempt int
@@ -111,13 +112,13 @@
 	endsAt  time.Duration
 }
 
-// pendingTimer is a timer that has not fired.
+// pendingTimer is a timer that has not fired yet.
 type pendingTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-// apply records sends and timers.
+// apply records the attempts and timers among the actions.
 func (v *viewedGateway) apply(now time.Duration, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -134,7 +135,7 @@
 	}
 }
 
-// endAttempts fires the timers and ends the attempts that are due; failing of ten attempts fail.
+// endAttempts fires the timers and ends the attempts that are due. Of ten attempts, failing ones end with an error.
 func (v *viewedGateway) endAttempts(now time.Duration, step, failing int) {
 	for k := 0; k < len(v.timers); {
 		if tm := v.timers[k]; tm.at <= now {
@@ -160,7 +161,7 @@
 	}
 }
 
-// countWithin is how many of the times lie within the span before now.
+// countWithin returns how many of the times lie within the span before now.
 func countWithin(times []time.Duration, now, span time.Duration) (n int) {
 	for _, at := range times {
 		if at > now-span {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -1,29 +1,30 @@
-// Package policy makes the decisions of an admission controller (a gateway) for queries on a pool of engines.
+// Package policy implements the decisions of a gateway: admission, scheduling, load balancing and retries of queries on
+// a pool of engines.
 //
-// # What it owns
+// # Scope
 //
-// The module decides which requests are admitted, in which order they are dispatched, which engine each attempt goes
-// to, with how much memory and at which priority, when an attempt is cancelled or retried, which engines are ejected,
-// and when a request is rejected. It keeps the state that these decisions need: open requests, attempts in flight, the
-// engine list, affinity sets, and running estimates of durations and memory.
+// The module decides which requests are admitted and in which order they are dispatched; the engine, memory grant and
+// priority of each attempt; when an attempt is cancelled or retried; when a request is rejected; and which engines are
+// ejected. It keeps the state that these decisions need: open requests, attempts in flight, the engine list, affinity
+// sets, and running estimates of durations and memory use.
 //
-// # What it never does
+// # Determinism
 //
-// It performs no input or output, reads no clock, starts no goroutine and holds no lock. Time enters only as the
-// argument of Handle, randomness only from the seed given to New: the same seed and the same events give the same
+// The module performs no I/O, reads no clock, starts no goroutine and holds no lock. Time comes only from the arguments
+// of its methods, randomness only from the seed passed to New: the same seed and the same events produce the same
 // actions.
 //
-// # Who calls it
+// # Usage
 //
 // A host (the gateway program's core or the simulator's adapter) creates one Gateway with New, passes every Event to
-// Handle together with the reading of a monotonic clock, and executes the returned actions in order. A Gateway is not
-// safe for concurrent use: all calls on it come from one goroutine, or are otherwise serialized by the host. Gateways
-// share no state, so different ones may run in parallel.
+// Handle together with the time of a monotonic clock, and executes the returned actions in order. A Gateway is not safe
+// for concurrent use: the host must serialize all calls on it. Gateways share no state, so different ones may run in
+// parallel.
 //
-// # Names used throughout
+// # Conventions
 //
-// In the code r is a request, a an attempt, e an engine, c a class of queries, and gr a table group. "Own" refers to
-// this gateway, "peer" to the other gateways of the fleet.
+// In the code, r is a request, a an attempt, e an engine, c a class of queries, and gr a table group. "Own" refers to
+// this gateway, "peer" to another gateway of the fleet.
 package policy
 
 import (
@@ -34,62 +35,62 @@
 )
 
 const (
-	// reviewTimerToken marks the only timer that the module sets.
+	// reviewTimerToken identifies the review timer, the only timer that the module sets.
 	reviewTimerToken = 1 << 63
 
-	// reviewTicks is the number of ticks between two reviews of the open requests.
+	// reviewTicks is the interval between two reviews of the open requests, in ticks.
 	reviewTicks = 4
 )
 
-// Gateway makes the decisions of one gateway. Create it with New. It is not safe for concurrent use.
+// Gateway makes the decisions for one gateway. Use New to create one. It is not safe for concurrent use.
 type Gateway struct {
 	settings Settings
 	random   *rand.Rand
 
 	now             time.Duration // time of the current event
-	actions         []Action      // collected while the current event is handled
-	hasStarted      bool          // the first event has arrived
-	startedAt       time.Duration // when it arrived
+	actions         []Action      // actions of the current Handle call
+	hasStarted      bool          // the first event was handled
+	startedAt       time.Duration // time of the first event
 	reviewScheduled bool          // a review timer is pending
 
 	// Requests and classes.
 	classes      []*class
 	requests     map[RequestID]*request
-	openRequests []*request // without a final answer, in order of arrival
-	queue        []*request // waiting for dispatch, in queue order
+	openRequests []*request // requests without a final answer, in order of arrival
+	queue        []*request // requests waiting for dispatch, in queue order
 	keyQueues    map[uint64]*keyQueue
 
 	// Engines and table groups.
 	engines           []*engine // sorted by ID
-	readyEngines      []*engine // the engines whose listed health is Ready
+	readyEngines      []*engine // engines listed with the health Ready
 	engineByID        map[EngineID]*engine
-	readyCores        float64 // cores of the ready engines
-	usedCores         float64 // cores of the engines to which this gateway has sent
+	readyCores        float64 // sum of the cores of the ready engines
+	usedCores         float64 // sum of the cores of the ready engines that this gateway has used
 	groups            map[int]*group
-	homeByGroup       map[int]*engine // nil when it must be recomputed
+	homeByGroup       map[int]*engine // cache of home engines; nil = must be recomputed
 	usesSubset        bool            // the engine list is a subset of the fleet
 	gatewaysInService float64
 
 	// Load.
-	ownThreads      float64     // threads of this gateway's attempts in flight, over all engines
-	recentThreads   decayingSum // threads sent recently, over all groups
-	threadsPerQuery float64     // mean threads of a running query
-	grantPerThread  float64     // MB, mean memory grant per thread of a running query
-	loadReported    bool        // at least one load report has arrived
-	meanPeerLoad    float64     // peer threads per core, mean over the fleet's latest reports
+	ownThreads      float64     // threads of this gateway's attempts in flight
+	recentThreads   decayingSum // threads of recent sends, over all groups
+	threadsPerQuery float64     // mean number of threads of a running query
+	grantPerThread  float64     // mean memory grant per thread of a running query, in MB
+	loadReported    bool        // at least one load report was received
+	meanPeerLoad    float64     // peer threads per core: mean over the latest reports of the fleet
 	meanPeerLoadAt  time.Duration
-	unseenPeerShare float64 // 0 for a single gateway, towards 1 for one of many: how much it does not see itself
+	loadUncertainty float64 // 0 = knows the fleet's whole load (a single gateway); close to 1 = knows almost nothing of it
 
 	// Concurrency window.
-	windowPerCore  float64 // threads that may be in flight for each available core
-	availableCores float64 // cores of engines in use, reduced by slow start
+	windowPerCore  float64 // threads that may be in flight per available core
+	availableCores float64 // sum of the cores of available engines, reduced by slow start
 
 	// Retry budget.
 	acceptedRequests slidingSum
 	retries          slidingSum
 }
 
-// New creates a Gateway. It returns a *SettingError if a setting is out of bounds. All randomness comes from seed.
+// New returns a new Gateway, or a *SettingError if a setting is out of bounds. The seed determines all random choices.
 func New(settings Settings, seed uint64) (*Gateway, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -103,7 +104,7 @@
 		groups:            map[int]*group{},
 		gatewaysInService: float64(settings.Gateways),
 		threadsPerQuery:   1,
-		unseenPeerShare:   1 - 1/math.Sqrt(float64(settings.Gateways)),
+		loadUncertainty:   1 - 1/math.Sqrt(float64(settings.Gateways)),
 	}
 	for _, c := range settings.Classes {
 		g.classes = append(g.classes, newClass(c))
@@ -112,8 +113,8 @@
 	return g, nil
 }
 
-// Handle processes one event and returns the actions that the host must execute, in order. now is the host's monotonic
-// clock; it must not run backwards. Events for unknown requests or engines are ignored.
+// Handle processes an event and returns the actions that the host must execute, in order. now is the time of the host's
+// monotonic clock. Events about unknown requests or engines are ignored.
 func (g *Gateway) Handle(now time.Duration, event Event) []Action {
 	g.now, g.actions = now, nil
 	g.start()
@@ -122,17 +123,17 @@
 	return g.actions
 }
 
-// ReserveResend reports whether an attempt may be sent once more to the same engine. The host asks when the connection
-// broke before a response and the engine does not know the query, so that it probably never read it. If the answer is
-// yes, the resend is counted against the retry budget.
+// ReserveResend reports whether an attempt may be sent again to the same engine. If so, it charges the resend to the
+// retry budget. The host calls it when the connection closed before a response and the engine does not know the query,
+// which means that the engine probably never read it.
 func (g *Gateway) ReserveResend(now time.Duration, id RequestID, attempt int) bool {
 	g.now = max(now, g.now)
 	a := g.findAttempt(id, attempt)
 	return a != nil && g.allowResend(a)
 }
 
-// AttemptAllowed reports whether an attempt may still be sent. The host asks just before the first byte leaves,
-// because a dial or a wait for a connection may have outlasted the deduplication window of the class.
+// AttemptAllowed reports whether an attempt may still be sent. The host calls it just before it writes the first byte,
+// because the deduplication window of the class may have ended while the host waited for a connection.
 func (g *Gateway) AttemptAllowed(now time.Duration, id RequestID, attempt int) bool {
 	g.now = max(now, g.now)
 	a := g.findAttempt(id, attempt)
@@ -143,7 +144,7 @@
 	return r.firstPossibleRun == a || g.safeToRepeat(r) && g.withinDedupWindow(r)
 }
 
-// start runs once, on the first event.
+// start initializes the Gateway on the first event.
 func (g *Gateway) start() {
 	if g.hasStarted {
 		return
@@ -172,7 +173,7 @@
 	case ProbeEnded:
 		g.handleProbeEnded(e)
 	case GatewaysInService:
-		g.handleInService(e)
+		g.handleGatewaysInService(e)
 	case PeerReports:
 		g.handlePeerReports(e)
 	case ShuttingDown:
@@ -184,7 +185,7 @@
 	}
 }
 
-// scheduleReview sets the review timer if none is pending and there is something to review.
+// scheduleReview sets the review timer, unless it is set already or no request is open.
 func (g *Gateway) scheduleReview() {
 	if g.reviewScheduled || len(g.openRequests) == 0 {
 		return
@@ -193,11 +194,11 @@
 	g.emit(SetTimer{After: reviewTicks * g.settings.Tick, Token: reviewTimerToken})
 }
 
-// maxReviewDelay is the longest time until the open requests are reviewed again.
+// maxReviewDelay returns the maximum time until the next review, including the inaccuracy of the host's timers.
 func (g *Gateway) maxReviewDelay() time.Duration { return (reviewTicks + 1) * g.settings.Tick }
 
-// review checks engine health, finishes requests that are out of time, cancels attempts that run too long, and
-// dispatches the queue.
+// review runs periodically. It checks the health of the engines, finishes requests that have run out of time, cancels
+// attempts that run too long, and dispatches the queue.
 func (g *Gateway) review() {
 	g.reviewScheduled = false
 	for _, e := range g.engines {
@@ -211,7 +212,7 @@
 			continue
 		}
 		if r.deadline-g.now <= g.maxReviewDelay() || g.shouldShed(r, queuedWork) {
-			g.finishUnserved(r)
+			g.rejectOrFail(r)
 		} else {
 			g.reviewAttempts(r)
 		}
@@ -219,23 +220,24 @@
 	g.dispatch()
 }
 
-// handleInService applies the number of gateways in service. It changes shares of concurrency, memory and the window,
-// but neither the warm-up budget nor the retry budget, because the gateways' views of this number may differ.
-func (g *Gateway) handleInService(event GatewaysInService) {
+// handleGatewaysInService applies the number of gateways in service. It affects this gateway's shares of concurrency,
+// memory and the window, but not the warm-up budget and the retry budget, because gateways may disagree about the
+// number.
+func (g *Gateway) handleGatewaysInService(event GatewaysInService) {
 	g.gatewaysInService = float64(min(max(1, event.Count), g.settings.Gateways))
 	if event.Subset != g.usesSubset {
 		g.usesSubset, g.homeByGroup = event.Subset, nil
 	}
 }
 
-// handleShuttingDown finishes all open requests except those whose response is already streaming to the client.
+// handleShuttingDown gives all open requests a final answer, except those that are already streaming a response.
 func (g *Gateway) handleShuttingDown() {
 	for _, r := range slices.Clone(g.openRequests) {
 		if !r.streaming {
-			g.finishUnserved(r)
+			g.rejectOrFail(r)
 		}
 	}
 }
 
-// emit appends an action to those that the current Handle call returns.
+// emit appends an action to the result of the current Handle call.
 func (g *Gateway) emit(action Action) { g.actions = append(g.actions, action) }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -17,29 +17,30 @@
 	goldenEngines = 12
 )
 
-// goldenSettings are settings that differ in what the decisions depend on.
+// goldenSettings returns settings that cover different paths of the decisions. The golden file contains the keys.
 func goldenSettings() map[string]Settings {
 	base := testSettings()
 	base.Classes = append([]Class{}, base.Classes...)
-	load, waits := base.Classes[0], base.Classes[0]
-	load.Idempotency, load.IsDataLoad, load.Threads = IdempotentWithKey, true, 2
-	waits.WaitsForDataLoads, waits.Threads = true, 3
-	base.Classes = append(base.Classes, load, waits)
+	dataLoad, waiting := base.Classes[0], base.Classes[0]
+	dataLoad.Idempotency, dataLoad.IsDataLoad, dataLoad.Threads = IdempotentWithKey, true, 2
+	waiting.WaitsForDataLoads, waiting.Threads = true, 3
+	base.Classes = append(base.Classes, dataLoad, waiting)
 
-	fleet, lone, bare, priced, asking := base, base, base, base, base
+	fleet, single, minimal, zoneCost, polling := base, base, base, base, base
 	fleet.Gateways, fleet.GatewayIndex = 120, 7
-	lone.Gateways, lone.QueuesForMemory = 1, true
-	bare.Metrics, bare.MayProbe, bare.MayCancel, bare.HonorsGrants, bare.HonorsPriority = nil, false, false, false, false
-	bare.Rules.RetryBudget, bare.MaxAttempts, bare.WorkInResponses = false, 3, false
-	priced.CrossZoneCost, priced.Gateways, priced.Zone = 0.2, 9, 1
-	asking.PollEngineList, asking.MaxRetryAfter, asking.Gateways = true, 0, 40
+	single.Gateways, single.QueuesForMemory = 1, true
+	minimal.Metrics, minimal.MayProbe, minimal.MayCancel = nil, false, false
+	minimal.HonorsGrants, minimal.HonorsPriority = false, false
+	minimal.Rules.RetryBudget, minimal.MaxAttempts, minimal.WorkInResponses = false, 3, false
+	zoneCost.CrossZoneCost, zoneCost.Gateways, zoneCost.Zone = 0.2, 9, 1
+	polling.PollEngineList, polling.MaxRetryAfter, polling.Gateways = true, 0, 40
 	return map[string]Settings{
-		"base": base, "fleet": fleet, "lone": lone, "bare": bare, "priced": priced, "asking": asking,
+		"base": base, "fleet": fleet, "lone": single, "bare": minimal, "priced": zoneCost, "asking": polling,
 	}
 }
 
-// recorder passes a seeded stream of events to a Gateway and records every action, in a form that does not depend on
-// the names in the code: the words in its records must not change, or the golden file would.
+// recorder passes a random stream of events to a Gateway and records every action. The words in its records must not
+// change, because the golden file contains their hash.
 type recorder struct {
 	g       *Gateway
 	s       Settings
@@ -170,7 +171,7 @@
 		Report: r.report()})
 }
 
-// step advances the time, fires the timers that are due and passes one event.
+// step advances the clock, fires the timers that are due and passes one random event.
 func (r *recorder) step() {
 	r.now += time.Duration(r.rnd.IntN(20)) * time.Millisecond
 	r.fireTimers()
@@ -200,7 +201,7 @@
 	}
 }
 
-// fireTimers passes the timers that are due.
+// fireTimers fires the timers that are due.
 func (r *recorder) fireTimers() {
 	for i := 0; i < len(r.timers); i++ {
 		if t := r.timers[i]; t.at <= r.now {
@@ -211,7 +212,7 @@
 	}
 }
 
-// duringAttempt passes an event of an attempt in flight; step has drawn its kind.
+// duringAttempt passes an event of an attempt in flight. kind is the random number that step has drawn.
 func (r *recorder) duringAttempt(kind int, s recordedSend) {
 	switch {
 	case kind < 80:
@@ -238,7 +239,7 @@
 	r.handle(ProbeEnded{id, outcome, 5 * time.Millisecond, r.report()})
 }
 
-// recordEstimates writes down what the operators' records say of the decisions.
+// recordEstimates records the estimates and guards that operators' logs contain.
 func (r *recorder) recordEstimates() {
 	u := r.g.Utilization()
 	r.write("filled %g %g %g %g", u.Threads, u.Window, u.MeanPeerLoad, u.OverloadRatio)
@@ -273,8 +274,9 @@
 	return sum.Sum64(), r.actions
 }
 
-// The decisions on seeded streams of events equal the recorded ones: changes of the code's structure must not alter them.
-func TestDecisionsAreUnchanged(t *testing.T) {
+// Checks that the decisions for random streams of events equal the recorded ones. It guards against changes of behavior
+// by refactoring.
+func TestDecisionsMatchGoldenFile(t *testing.T) {
 	t.Parallel()
 	var lines bytes.Buffer
 	all := goldenSettings()
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// reportDecay is the time in which the weight of an engine's latest report decays to 1/e.
+	// reportDecay is the time constant (decay to 1/e) of the weight of an engine's latest report.
 	reportDecay = 3 * time.Second
 
-	// maxReportAge is the age up to which a report counts for the mean load over the engines.
+	// maxReportAge is the age up to which a report is included in the mean load over the engines.
 	maxReportAge = 2 * reportDecay
 
-	// meanLoadDecay is the time in which the weight of the earlier reports in the fleet's mean load decays to 1/e.
+	// meanLoadDecay is the time constant (decay to 1/e) of the weight of earlier reports in the fleet's mean load.
 	meanLoadDecay = time.Second
 
-	// inFlightSmoothing is the weight of the present number of own attempts in its smoothed value. A report describes
-	// the past, so it has to be compared with the own attempts of about that time.
+	// inFlightSmoothing is the weight of the current number of own attempts in its smoothed value. Reports are delayed,
+	// so they must be compared with the number of own attempts at about the time to which they refer.
 	inFlightSmoothing = 0.2
 
-	// fullUtilization is the utilization of cores that corresponds to an engine at its target.
-	fullUtilization = 0.9
+	// targetUtilization is the core utilization of an engine that runs its target number of threads.
+	targetUtilization = 0.9
 )
 
-// metricValue returns the value of a metric, and whether the report contains it and it is plausible.
+// metricValue returns the value of a metric and whether the report contains a valid value for it.
 func metricValue(report LoadReport, metric Metric) (float64, bool) {
 	value, ok := report.Values[metric]
 	return value, ok && report.Present && value >= 0 && !math.IsInf(value, 0)
 }
 
-// applyReport updates the estimated peer load of an engine, and its target, by a load report. Peer load is the number
-// of running queries less the own ones. Without that metric it is derived from the utilization of cores, which says
-// least when all of them are busy.
+// applyReport updates the estimated peer load and the target of an engine with a load report. The peer load is the
+// number of running queries minus own queries. If the report lacks that number, the peer load is derived from the core
+// utilization, which is inaccurate when all cores are busy.
 func (g *Gateway) applyReport(e *engine, report LoadReport) {
 	e.smoothedInFlight += inFlightSmoothing * (float64(len(e.inFlight)) - e.smoothedInFlight)
 	queries, queriesKnown := metricValue(report, RunningQueries)
@@ -40,14 +40,14 @@
 	case queriesKnown:
 		g.recordPeerThreads(e, max(0, queries-e.smoothedInFlight)*g.threadsPerQuery)
 	case utilizationKnown && g.settings.Gateways > 1:
-		threads := g.concurrencyTarget(e) * utilization / fullUtilization
+		threads := g.concurrencyTarget(e) * utilization / targetUtilization
 		g.recordPeerThreads(e, max(0, threads-e.smoothedInFlight*g.threadsPerQuery))
 	}
 	g.adjustTarget(e, report)
 }
 
-// handlePeerReports applies load reports that peers forwarded, where they are about known engines and newer than what
-// this gateway has, and dispatches the queue.
+// handlePeerReports applies load reports that peers forwarded and dispatches the queue. It ignores reports about
+// unknown engines, reports older than the latest known one, and reports with a time in the future.
 func (g *Gateway) handlePeerReports(event PeerReports) {
 	for _, report := range event.Reports {
 		e := g.engineByID[report.Engine]
@@ -61,8 +61,8 @@
 	g.dispatch()
 }
 
-// updateMeanOverEngines recomputes the mean peer load over the engines, if most have a recent report. The mean over
-// reports is biased: overloaded engines answer seldom and so report seldom.
+// updateMeanOverEngines recomputes the mean peer load as a mean over engines, if most engines have a recent report. A
+// mean over reports is biased, because engines report with their answers and overloaded engines answer less often.
 func (g *Gateway) updateMeanOverEngines() {
 	recent := filter(g.readyEngines, func(e *engine) bool {
 		return e.reportedAt > 0 && g.now-e.reportedAt < maxReportAge
@@ -74,7 +74,7 @@
 	g.meanPeerLoad = threads / sumOf(recent, engineCores)
 }
 
-// recordPeerThreads records a new estimate of the peer threads at an engine, for the engine and for the fleet's mean.
+// recordPeerThreads records a new estimate of the peer threads at an engine and updates the mean over the fleet.
 func (g *Gateway) recordPeerThreads(e *engine, threads float64) {
 	weight := 1 - math.Exp(-float64(g.now-g.meanPeerLoadAt)/float64(meanLoadDecay))
 	g.meanPeerLoad += weight * (threads/e.cores/g.warmupFactor(e) - g.meanPeerLoad)
@@ -82,13 +82,13 @@
 	g.setPeerThreads(e, threads)
 }
 
-// setPeerThreads records a new estimate of the peer threads at an engine and invalidates the cached one.
+// setPeerThreads records a new estimate of the peer threads at an engine and invalidates the cached value.
 func (g *Gateway) setPeerThreads(e *engine, threads float64) {
 	e.reportedPeerThreads, e.peerThreadsCachedAt, e.reportedAt = threads, -1, g.now
 }
 
-// peerThreads is the estimated number of threads of other gateways at an engine: a mean of its latest report and of the
-// fleet's mean load, in which the report has the less weight the older it is.
+// peerThreads returns the estimated number of threads of other gateways at an engine. It combines the engine's latest
+// report with the mean load of the fleet; the older the report, the lower its weight.
 func (g *Gateway) peerThreads(e *engine) float64 {
 	if e.peerThreadsCachedAt != g.now {
 		weight := 0.0
@@ -102,7 +102,8 @@
 	return e.cachedPeerThreads
 }
 
-// totalLoadPerCore is the load of an engine by all gateways, in threads per core: the design's shared count.
+// totalLoadPerCore returns the load of an engine from all gateways in threads per core (the shared count of the design
+// notes).
 func (g *Gateway) totalLoadPerCore(e *engine) float64 {
 	return (g.peerThreads(e) + e.ownThreads) / e.cores
 }
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// The overload test uses the own #T until a load report arrives, and then the reported count.
-func TestReportReplacesOwnCountInOverloadTest(t *testing.T) {
+// Checks that the load of an engine is the own #T until a load report arrives, and is then derived from the reported
+// number of queries.
+func TestTotalLoadUsesReportedQueries(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
 	e := g.engines[0]
 	addInFlight(g, e, 1, g.now)
 	if g.totalLoadPerCore(e) != 0.25 {
-		t.Fatal("without a report the load is not the own #T")
+		t.Fatal("the load without a report is not the own #T")
 	}
 	e.smoothedInFlight = 1
 	g.applyReport(e, LoadReport{Present: true, Values: map[Metric]float64{RunningQueries: 8}})
@@ -20,9 +21,10 @@
 	}
 }
 
-// A gateway with nothing in flight ignored capacity at once and sent to its group's home engine, although reports told
-// that it was full and others were not. 100 gateways did so, and one engine had 58 threads while another had 0.7.
-func TestIdleGatewayAvoidsALoadedHomeEngine(t *testing.T) {
+// Checks that a gateway with nothing in flight avoids an overloaded home engine while other engines have capacity. Such
+// a gateway used to ignore capacity: 100 of them selected the home engine at once, which had 58 threads while another
+// engine had 0.7.
+func TestSelectEngineAvoidsLoadedHomeEngineWhenIdle(t *testing.T) {
 	g := newTestGateway(t, 6, func(s *Settings) { s.Gateways = 100 })
 	r := newTestRequest(g, 1, g.now+time.Second)
 	home := g.affinitySet(r.group)[0]
@@ -39,19 +41,20 @@
 	}
 	for range 50 {
 		if e := g.selectEngine(r); e == nil || e == home {
-			t.Fatalf("selected %v, want neither none nor the loaded home engine", e)
+			t.Fatalf("selected %v, want an engine other than the overloaded home engine", e)
 		}
 	}
-	for _, e := range g.engines { // with all of them loaded it still sends, or it would learn nothing
+	for _, e := range g.engines { // a gateway with nothing in flight sends even if all engines are overloaded
 		g.handlePeerReports(PeerReports{[]PeerReport{{e.ID, 60, g.now - 100*time.Millisecond}}})
 	}
 	if g.selectEngine(r) == nil {
-		t.Fatal("no engine selected though nothing is in flight")
+		t.Fatal("no engine selected although nothing is in flight")
 	}
 }
 
-// Overloaded engines answer seldom, so a mean over answers is biased. With reports from peers each engine counts once.
-func TestMeanPeerLoadIsOverEngines(t *testing.T) {
+// Checks that reports from peers make the mean peer load a mean over engines. A mean over answers is biased, because
+// overloaded engines answer less often.
+func TestMeanPeerLoadCountsEachEngineOnce(t *testing.T) {
 	g := newTestGateway(t, 4, func(s *Settings) { s.Gateways = 100 })
 	g.now += time.Minute
 	for i, e := range g.engines {
@@ -63,12 +66,13 @@
 	}
 	g.handlePeerReports(PeerReports{[]PeerReport{{g.engines[0].ID, 40, g.now - 10*time.Millisecond}}})
 	if want := 80 / g.readyCores; g.meanPeerLoad < want*0.9 || g.meanPeerLoad > want*1.1 {
-		t.Errorf("mean of %.2f threads per core, want %.2f", g.meanPeerLoad, want)
+		t.Errorf("mean peer load of %.2f threads per core, want %.2f", g.meanPeerLoad, want)
 	}
 }
 
-// Reports of peers that are older than the own one, from the future, or about unknown engines change nothing.
-func TestOlderOrUnknownPeerReportsAreIgnored(t *testing.T) {
+// Checks that reports of peers are ignored if they are older than the latest known report, have a time in the future,
+// or are about unknown engines.
+func TestPeerReportsIgnoreStaleAndUnknown(t *testing.T) {
 	g := newTestGateway(t, 2, func(s *Settings) { s.Gateways = 100 })
 	g.now += time.Minute
 	e := g.engines[0]
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// Outlier detection. An engine is ejected by failures (as Envoy's consecutive failures, with a decaying score) or by
-// silence. An ejected engine is probed, or after its ejection time becomes half-open: one query at a time until it has
-// succeeded halfOpenSuccesses times.
+// Outlier detection. An engine is ejected for failed attempts (like Envoy's consecutive failures, but with a decaying
+// score) or because it does not respond. If probes are permitted, an ejected engine is probed until a probe succeeds.
+// Then, or without probes after its ejection time, it becomes half-open: it gets one query at a time until
+// halfOpenSuccesses queries have succeeded.
 const (
-	// failureStep is the weight of one outcome in an engine's failure score.
+	// failureStep is the weight of one outcome in the failure score of an engine.
 	failureStep = 0.2
 
 	// unreachableStep is the weight of an attempt that did not reach its engine.
 	unreachableStep = 2 * failureStep
 
-	// ejectionThreshold is the failure score that ejects: two attempts in a row that did not reach the engine, or four
-	// other failures.
+	// ejectionThreshold is the failure score at which an engine is ejected. Two consecutive attempts that did not reach
+	// the engine, or four consecutive other failures, exceed it.
 	ejectionThreshold = 0.5
 
-	// baseEjectionTime is the duration of the first ejection. It doubles with each further one, up to maxEjectionTime.
+	// baseEjectionTime is the duration of the first ejection. It doubles with each further ejection up to maxEjectionTime.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 8 * time.Second
 
-	// halfOpenSuccesses is how many answers in a row end the half-open state.
+	// halfOpenSuccesses is the number of consecutive successes that end the half-open state.
 	halfOpenSuccesses = 3
 
-	// panicThreshold is the share of ready engines ejected above which ejections are ignored.
+	// panicThreshold is the share of ejected engines among the ready ones above which ejections are ignored.
 	panicThreshold = 0.5
 
-	// responseTimeoutMultiple is after how many times the 99th percentile of its duration an attempt without any
-	// response from its engine counts as evidence of a hang, and minResponseTimeout the least such time.
+	// responseTimeoutMultiple times the 99th percentile of its duration is the response timeout of an attempt. An
+	// attempt that has waited longer without any response from its engine indicates that the engine hangs.
+	// minResponseTimeout is the lower bound of the response timeout.
 	responseTimeoutMultiple = 1.5
 	minResponseTimeout      = time.Second
 
-	// silenceEjectionScore is the sum of such evidence, in response timeouts over all attempts, that ejects.
-	silenceEjectionScore = 3.0
+	// hangEjectionScore is the value of Gateway.hangScore at which an engine is ejected.
+	hangEjectionScore = 3.0
 
-	// probeThreshold is the share of the response timeout after which a silent engine is probed.
+	// probeThreshold is the share of the response timeout after which an engine without a response is probed.
 	probeThreshold = 0.4
 
-	// probeInterval is the least time between two such probes of an engine.
+	// probeInterval is the minimum time between two such probes of an engine.
 	probeInterval = time.Second
 )
 
-// recordSuccess lowers the failure score of an engine and counts a success in the half-open state.
+// recordSuccess lowers the failure score of an engine. In the half-open state it also counts the success.
 func (g *Gateway) recordSuccess(e *engine) {
 	e.failureScore *= 1 - failureStep
 	if e.halfOpenRemaining == 0 {
@@ -53,13 +55,13 @@
 	e.halfOpenRemaining--
 	if e.halfOpenRemaining == 0 {
 		e.ejectionTime = 0
-		g.emit(Log{fmt.Sprintf("engine %x is trusted again", uint64(e.ID))})
+		g.emit(Log{fmt.Sprintf("engine %x recovered and is no longer half-open", uint64(e.ID))})
 	}
 }
 
-// recordFailure raises the failure score of an engine and ejects it at the threshold, or at once if it is half-open. A
-// few failures among successes do not eject: while other engines are full, an engine that fails some of its queries is
-// better than none.
+// recordFailure raises the failure score of an engine and ejects the engine at the threshold, or immediately if it is
+// half-open. Occasional failures do not eject an engine: while the other engines are full, one that fails some of its
+// queries is still useful.
 func (g *Gateway) recordFailure(e *engine, step float64) {
 	e.failureScore += step * (1 - e.failureScore)
 	if e.failureScore >= ejectionThreshold || e.halfOpenRemaining > 0 {
@@ -67,9 +69,9 @@
 	}
 }
 
-// recordConfirmedErrors is called when a request has succeeded. The errors of its earlier attempts then count against
-// their engines. Until another engine has served the query, an error may be the query's own fault; otherwise clients
-// with invalid queries would get one engine after another ejected.
+// recordConfirmedErrors counts the errors of earlier attempts against their engines once a request has succeeded.
+// Before that, an error may be caused by the query itself. If such errors counted, clients with invalid queries would
+// cause the ejection of one engine after another.
 func (g *Gateway) recordConfirmedErrors(r *request) {
 	for _, a := range r.attempts {
 		if a.unconfirmedError {
@@ -79,22 +81,22 @@
 	}
 }
 
-// eject takes an engine out of service. If probes are permitted, the first is sent at the next review; otherwise the
-// engine becomes half-open after its ejection time.
+// eject ejects an engine. If probes are permitted, the engine is probed once the previous ejection time has passed, for
+// the first ejection at the next review. Otherwise it becomes half-open after its ejection time.
 func (g *Gateway) eject(e *engine) {
 	if e.ejected {
 		return
 	}
 	e.ejected = true
-	e.ejectedUntil = g.now + e.ejectionTime // the previous time, 0 at first: the first probe is not delayed
+	e.ejectedUntil = g.now + e.ejectionTime // previous ejection time, 0 for the first ejection
 	e.ejectionTime = min(max(baseEjectionTime, 2*e.ejectionTime), maxEjectionTime)
 	if !g.settings.MayProbe {
 		e.ejectedUntil = g.now + e.ejectionTime
 	}
-	g.emit(Log{fmt.Sprintf("engine %x is shut out for %v", uint64(e.ID), e.ejectedUntil-g.now)})
+	g.emit(Log{fmt.Sprintf("engine %x ejected, next probe or trial in %v", uint64(e.ID), e.ejectedUntil-g.now)})
 }
 
-// ejectAndCancel ejects an engine that does not respond and cancels the attempts there that can be retried elsewhere.
+// ejectAndCancel ejects an engine that does not respond and cancels its attempts that can be retried on another engine.
 func (g *Gateway) ejectAndCancel(e *engine) {
 	g.eject(e)
 	for _, a := range e.inFlight {
@@ -104,23 +106,23 @@
 	}
 }
 
-// enterHalfOpen ends an ejection on trial. Attempts from before are ignored from now on, for one long query among them
-// would keep the engine ejected for as long as it runs.
+// enterHalfOpen moves an ejected engine to the half-open state. Hang detection ignores attempts sent before this,
+// because one long query among them would get the engine ejected again for as long as it runs.
 func (g *Gateway) enterHalfOpen(e *engine) {
 	e.ejected, e.halfOpenRemaining, e.failureScore, e.halfOpenSince = false, halfOpenSuccesses, 0, g.now
 }
 
-// checkHealth ends an ejection whose time is over, and probes or ejects an engine that does not respond.
+// checkHealth checks whether an ejection is over, and probes or ejects an engine that does not respond.
 func (g *Gateway) checkHealth(e *engine) {
 	g.checkEjection(e)
-	score, suspect := g.silenceScore(e)
-	if e.ejected || !suspect {
+	score, probeDue := g.hangScore(e)
+	if e.ejected || !probeDue {
 		return
 	}
 	if g.settings.MayProbe && !e.probeInFlight && g.now >= e.nextProbeAt {
 		g.sendProbe(e)
 	}
-	if score >= silenceEjectionScore {
+	if score >= hangEjectionScore {
 		g.ejectAndCancel(e)
 	}
 }
@@ -142,8 +144,7 @@
 	g.emit(Probe{e.ID})
 }
 
-// handleProbeEnded ejects an engine whose probe failed. If the probe of an ejected engine succeeded, the engine becomes
-// half-open.
+// handleProbeEnded ejects an engine whose probe failed. An ejected engine whose probe succeeded becomes half-open.
 func (g *Gateway) handleProbeEnded(event ProbeEnded) {
 	e := g.engineByID[event.Engine]
 	if e == nil || !e.probeInFlight {
@@ -161,12 +162,14 @@
 	}
 }
 
-// silenceScore measures how long the attempts at an engine have been waiting since its last response. The score is the
-// sum, over the attempts that exceed their response timeout, of waiting time over that timeout; suspect reports whether
-// one of them exceeds probeThreshold. The sum keeps a gateway with one attempt there from taking a long query for a
-// hang at once; hundreds of gateways that do so would move the load to the other engines. The price is that a query at
-// an engine that does hang is cancelled later.
-func (g *Gateway) silenceScore(e *engine) (score float64, suspect bool) {
+// hangScore estimates from the attempts in flight whether an engine hangs. An attempt's ratio is the time since the
+// later of its start and the engine's last response, divided by its response timeout. The score is the sum of the
+// ratios above 1. probeDue reports whether any ratio exceeds probeThreshold.
+//
+// One attempt alone reaches hangEjectionScore only after several response timeouts, so a gateway with one long query at
+// an engine does not eject it at once. If hundreds of gateways did, their load would move to the other engines. As a
+// consequence, queries at an engine that does hang are cancelled later.
+func (g *Gateway) hangScore(e *engine) (score float64, probeDue bool) {
 	for _, a := range e.inFlight {
 		if a.sentAt < e.halfOpenSince {
 			continue
@@ -176,20 +179,19 @@
 		if ratio > 1 {
 			score += ratio
 		}
-		suspect = suspect || ratio > probeThreshold
+		probeDue = probeDue || ratio > probeThreshold
 	}
-	return score, suspect
+	return score, probeDue
 }
 
-// responseTimeout is the number of seconds after which an attempt without any response from its engine is taken for
-// evidence of a hang.
+// responseTimeout returns the response timeout of an attempt in seconds.
 func responseTimeout(a *attempt) float64 {
 	return max(minResponseTimeout.Seconds(), responseTimeoutMultiple*a.request.class.tailRatio*a.expectedSeconds)
 }
 
-// unavailable reports whether an engine must not be used for its health: it is ejected, or half-open and busy with its
-// one query. Above the panic threshold ejections are ignored, as a fault of the network or of this gateway is more
-// likely than one of most engines.
+// unavailable reports whether an engine must not be used because of its health: it is ejected, or it is half-open and
+// has a query in flight. Above the panic threshold it always returns false, because then a fault of the network or of
+// this gateway is more likely than faults of most engines.
 func (g *Gateway) unavailable(e *engine) bool {
 	if !e.ejected && (e.halfOpenRemaining == 0 || !busySinceHalfOpen(e)) {
 		return false
@@ -198,7 +200,7 @@
 	return float64(len(ejected)) <= panicThreshold*float64(len(g.readyEngines))
 }
 
-// busySinceHalfOpen reports whether an attempt sent since the engine became half-open is in flight.
+// busySinceHalfOpen reports whether an attempt is in flight that was sent after the engine became half-open.
 func busySinceHalfOpen(e *engine) bool {
 	last := len(e.inFlight) - 1
 	return last >= 0 && e.inFlight[last].sentAt >= e.halfOpenSince
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// One attempt in six was reset at random on most engines, and every engine was ejected for it.
+// Checks that an engine is not ejected if one attempt in six fails. This happened to all engines when random connection
+// resets affected most of them.
 func TestOccasionalFailuresDoNotEject(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	e := g.engines[0]
@@ -22,7 +23,7 @@
 	}
 }
 
-// An engine that cannot be reached is ejected after two attempts, one that fails all its queries after four.
+// Checks that an unreachable engine is ejected after two attempts, and an engine that fails all queries after four.
 func TestUnreachableAndFailingEnginesAreEjected(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	unreachable, failing := g.engines[0], g.engines[1]
@@ -32,12 +33,12 @@
 		g.recordFailure(failing, failureStep)
 	}
 	if !unreachable.ejected || !failing.ejected {
-		t.Fatal("an engine with failures only is not ejected")
+		t.Fatal("an engine without a success is not ejected")
 	}
 }
 
-// Queries that no engine can execute ended with errors and got one engine after another ejected. An error counts
-// against its engine only once another engine has served the query.
+// Checks that an error counts against its engine only after another engine has served the query. Otherwise queries that
+// no engine can execute would cause the ejection of one engine after another.
 func TestErrorsCountOnlyAfterAnotherEngineSucceeds(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	faulty, healthy := g.engines[0], g.engines[1]
@@ -48,7 +49,7 @@
 		g.recordOutcome(a, AttemptEnded{Outcome: Error})
 	}
 	if faulty.ejected || faulty.failureScore > 0 {
-		t.Fatal("an error of a query that no engine served counts against its engine")
+		t.Fatal("an error counts against its engine although no engine served the query")
 	}
 	for i := range RequestID(4) {
 		a := addInFlight(g, faulty, 1, g.now+time.Second)
@@ -61,15 +62,16 @@
 		g.recordOutcome(retry, AttemptEnded{Outcome: OK, Duration: time.Second})
 	}
 	if !faulty.ejected || healthy.ejected {
-		t.Fatal("an engine that fails what another engine serves is not ejected, or the other one is")
+		t.Fatal("want the engine ejected whose errors were confirmed, and not the other one")
 	}
 }
 
-// An engine that fails most queries of a class that must not run twice is ejected, while the other engines serve the
-// same class. An error counts only once another engine has served the query, which never happens for such a class; and
-// since the engine fails at once, it looks empty and draws more than its part: 162 of 1,681 queries failed on a day
-// where one of ten engines failed 60% of them in 4 ms (docs/findings/unsafe-errors.md).
-func TestErrorsOfUnsafeQueriesEjectTheirEngine(t *testing.T) {
+// Checks that an engine is ejected if it fails most queries of a class that is not idempotent while the other engines
+// serve that class. This fails for a known fault: an error counts only once another engine has served the query, but
+// such queries are never retried. As the engine fails quickly, it also appears idle and attracts more queries: 162 of
+// 1,681 queries failed in a run where one of ten engines failed 60% of its queries within 4 ms
+// (docs/findings/unsafe-errors.md).
+func TestErrorsOfNonIdempotentQueriesEjectEngine(t *testing.T) {
 	const unsafeClass, queries = 2, 60
 	g := newTestGateway(t, 4, nil)
 	faulty := g.engines[0]
@@ -94,11 +96,11 @@
 			return
 		}
 	}
-	t.Errorf("not ejected after %d queries, 60%% of them failed, none at the other engines", queries)
+	t.Errorf("not ejected after %d queries, of which 60%% failed, while the other engines had no errors", queries)
 }
 
-// Queries of such a class that no engine can execute eject none: they fail everywhere alike.
-func TestUnsafeQueriesThatFailEverywhereEjectNoEngine(t *testing.T) {
+// Checks that no engine is ejected if queries of a class that is not idempotent fail at the same rate on all engines.
+func TestNonIdempotentErrorsOnAllEnginesEjectNone(t *testing.T) {
 	const unsafeClass, queries = 2, 60
 	g := newTestGateway(t, 4, nil)
 	lastID := RequestID(0)
@@ -120,15 +122,15 @@
 	}
 }
 
-// A long query was taken for a hang of its engine. The response timeout follows the 99th percentile of its class, and
-// one attempt beyond it is not enough.
-func TestOneLongQueryDoesNotEject(t *testing.T) {
+// Checks that one long query does not get its engine ejected as hanging: the response timeout depends on the 99th
+// percentile of the class, and a single attempt beyond it is not enough.
+func TestOneSlowAttemptDoesNotEject(t *testing.T) {
 	g := newTestGateway(t, 2, func(s *Settings) { s.MayProbe = false })
 	e := g.engines[0]
 	addInFlight(g, e, 1, g.now+time.Second)
 	g.now += 4500 * time.Millisecond
 	if g.checkHealth(e); e.ejected {
-		t.Fatal("ejected after four expected durations of silence")
+		t.Fatal("ejected after four expected durations without a response")
 	}
 	g.now += 3 * time.Second
 	if g.checkHealth(e); e.ejected {
@@ -141,9 +143,9 @@
 	}
 }
 
-// A gateway with little traffic takes seconds to detect a hanging engine. Where probes are permitted, one is sent well
-// before that, and the engine is ejected if it fails.
-func TestSilentEngineIsProbedBeforeEjection(t *testing.T) {
+// Checks that an engine without a response is probed well before its ejection, and is ejected if the probe fails.
+// Without probes, a gateway with little traffic takes seconds to detect a hanging engine.
+func TestUnresponsiveEngineIsProbedBeforeEjection(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	e := g.engines[0]
 	addInFlight(g, e, 1, g.now+time.Second)
@@ -154,10 +156,10 @@
 	}
 	g.checkHealth(e)
 	if len(g.actions) != 1 {
-		t.Fatal("a second probe was sent while the first is in flight")
+		t.Fatal("a second probe was sent while the first was in flight")
 	}
 	if g.handleProbeEnded(ProbeEnded{Engine: e.ID, Outcome: OK}); e.ejected || e.halfOpenRemaining > 0 {
-		t.Fatal("an engine that answered its probe is ejected or half-open")
+		t.Fatal("an engine with a successful probe is ejected or half-open")
 	}
 	g.now += time.Second
 	g.checkHealth(e)
@@ -166,10 +168,11 @@
 	}
 }
 
-// A zone was cut off while its engines held one attempt of each of 80 gateways. Each attempt was cancelled at its
-// request's deadline, which taught nothing, and one gateway sent seven queries in 15 s to an engine that never
-// responded. A cancellation after a second of silence counts as a failure to reach the engine.
-func TestCancelAtASilentEngineCountsAsUnreachable(t *testing.T) {
+// Checks that the cancellation of an attempt counts as a failure to reach the engine if the engine has not responded
+// for more than a second. Without this, gateways did not detect a partitioned zone: each of 80 gateways had one attempt
+// at an engine, cancelled it at the deadline, and kept using the engine. One gateway sent seven queries in 15 s to an
+// engine that never responded.
+func TestCancelAtUnresponsiveEngineCountsAsFailure(t *testing.T) {
 	for _, responsive := range []bool{false, true} {
 		t.Run(fmt.Sprintf("responsive=%v", responsive), func(t *testing.T) {
 			g := newTestGateway(t, 2, func(s *Settings) { s.MayProbe = false })
@@ -183,9 +186,9 @@
 				if first == nil {
 					first = r.attempts[0].engine
 				} else if r.attempts[0].engine != first && !responsive {
-					t.Fatal("the second query was sent to another engine before any evidence")
+					t.Fatal("the second query was sent to another engine before the first was ejected")
 				}
-				if responsive { // another query was answered there meanwhile
+				if responsive { // the engine answered another query meanwhile
 					first.lastResponseAt = g.now + 300*time.Millisecond
 				}
 				g.Handle(g.now+1500*time.Millisecond, TimerFired{Token: reviewTimerToken})
@@ -195,14 +198,15 @@
 				g.Handle(g.now+time.Second, AttemptEnded{ID: id, Engine: first.ID, Outcome: Cancelled})
 			}
 			if first.ejected == responsive {
-				t.Fatalf("engine responsive: %v, ejected: %v", responsive, first.ejected)
+				t.Fatalf("responsive: %v, ejected: %v", responsive, first.ejected)
 			}
 		})
 	}
 }
 
-// A half-open engine was ejected again at once, for 15 s, for an attempt that it still had from before its ejection.
-func TestAttemptsFromBeforeHalfOpenDoNotEjectAgain(t *testing.T) {
+// Checks that attempts sent before the half-open state do not affect a half-open engine. Such an attempt got the engine
+// ejected again immediately, for 15 s.
+func TestHalfOpenIgnoresEarlierAttempts(t *testing.T) {
 	g := newTestGateway(t, 2, func(s *Settings) { s.MayProbe = false })
 	e := g.engines[0]
 	addInFlight(g, e, 1, g.now+time.Second)
@@ -214,14 +218,14 @@
 	}
 	g.now += 100 * time.Millisecond
 	if g.checkHealth(e); e.ejected {
-		t.Fatal("ejected again for an attempt from before")
+		t.Fatal("ejected again for an attempt sent before its ejection")
 	}
 	if g.unavailable(e) {
-		t.Fatal("an attempt from before counts as the one query of the half-open state")
+		t.Fatal("unavailable because of an attempt sent before its ejection")
 	}
 }
 
-// A half-open engine gets one query at a time until it has answered halfOpenSuccesses of them.
+// Checks that a half-open engine gets one query at a time until halfOpenSuccesses queries have succeeded.
 func TestHalfOpenEngineGetsOneQueryAtATime(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	e := g.engines[0]
@@ -235,19 +239,19 @@
 		g.recordSuccess(e)
 	}
 	if e.halfOpenRemaining != 0 || g.unavailable(e) {
-		t.Fatal("still half-open after its successes")
+		t.Fatal("still half-open after halfOpenSuccesses successes")
 	}
 }
 
-// Once most of the fleet is ejected, ejections are ignored.
+// Checks that ejections are ignored while most engines are ejected.
 func TestPanicThresholdIgnoresEjections(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	g.eject(g.engines[0])
 	if !g.unavailable(g.engines[0]) {
-		t.Fatal("an ejected engine is available though only one of three is ejected")
+		t.Fatal("an ejected engine is available although only one of three is ejected")
 	}
 	g.eject(g.engines[1])
 	if g.unavailable(g.engines[0]) || g.unavailable(g.engines[1]) {
-		t.Fatal("ejections are not ignored though two engines of three are ejected")
+		t.Fatal("ejections are not ignored although two of three engines are ejected")
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// maxBlockedPerClass is how many requests of a class are tried per dispatch when none of them finds an engine.
+	// maxBlockedPerClass is the number of failed engine selections per class after which a dispatch skips the class.
 	maxBlockedPerClass = 4
 
-	// lateQueuePenalty is added to the queue rank of a request that will miss its latency objective. It exceeds any
-	// difference of ranks by weight, so such requests come after all others.
+	// lateQueuePenalty is added to the queue rank of a request that will miss its latency objective. It exceeds all
+	// differences between the ranks of other requests, so late requests are dispatched last.
 	lateQueuePenalty = 100
 
-	// minRankedWeight and minRankedWork (seconds) keep the queue rank finite.
+	// minRankedWeight and minRankedWork (in seconds) keep the queue rank finite.
 	minRankedWeight = 1e-6
 	minRankedWork   = 1e-3
 )
 
-// enqueue inserts a request into the queue.
+// enqueue inserts a request into the queue, in queue order.
 func (g *Gateway) enqueue(r *request) {
 	r.queued = true
 	i, _ := slices.BinarySearchFunc(g.queue, r, g.compareQueueOrder)
 	g.queue = slices.Insert(g.queue, i, r)
 }
 
-// compareQueueOrder orders the queue: first the requests that can still meet their objective, then those of the higher
-// weight per work, compared in steps of a factor of two, then those of the earlier objective deadline.
+// compareQueueOrder defines the queue order: requests that can still meet their latency objective come first, then
+// requests with the higher weight per unit of work (rounded to powers of two), then those with the earlier objective
+// deadline.
 func (g *Gateway) compareQueueOrder(a, b *request) int {
 	byRank := cmp.Compare(g.queueRank(a), g.queueRank(b))
 	return cmp.Or(byRank, cmp.Compare(a.objectiveDeadline, b.objectiveDeadline), cmp.Compare(a.ID, b.ID))
 }
 
-// queueRank is the leading key of the queue order; requests of the lower rank are dispatched first.
+// queueRank returns the first sort key of the queue order. Requests with a lower rank are dispatched first.
 func (g *Gateway) queueRank(r *request) float64 {
 	rank := -math.Floor(math.Log2((r.class.Weight + minRankedWeight) / max(minRankedWork, g.expectedWork(r))))
 	if g.willMissObjective(r) {
@@ -42,7 +43,8 @@
 	return rank
 }
 
-// dispatch sends queued requests in queue order, as far as the window, the guards and the engines' capacity permit.
+// dispatch sends queued requests in queue order, as far as the window, the guards and the capacity of the engines
+// permit.
 func (g *Gateway) dispatch() {
 	if len(g.queue) == 0 {
 		return
@@ -61,9 +63,8 @@
 	}
 }
 
-// engineForQueued selects an engine for a queued request, or returns nil. blocked counts by class the requests for
-// which selection failed; once a class reaches maxBlockedPerClass its other requests are skipped, to bound the cost of
-// a dispatch.
+// engineForQueued selects an engine for a queued request, or returns nil. blocked counts the failed selections of each
+// class. Once a class reaches maxBlockedPerClass, its other requests are skipped to bound the cost of a dispatch.
 func (g *Gateway) engineForQueued(r *request, blocked []int) *engine {
 	if blocked[r.Class] >= maxBlockedPerClass || !g.withinWindow(r) || !g.requestAllowed(r) {
 		return nil
--- a/policy/rejections.go
+++ b/policy/rejections.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Reactions to engines that reject queries.
+// Backoff after rejections by an engine that is probably full.
 const (
-	// baseRejectionBackoff is how long an engine that rejected a query for lack of capacity gets no more. It doubles
-	// with each further rejection up to maxRejectionBackoff, which is as long as a load report counts.
+	// baseRejectionBackoff is the time for which nothing is sent to an engine that rejected a query for lack of
+	// capacity. It doubles with each further rejection up to maxRejectionBackoff, which equals the decay time of a load
+	// report.
 	baseRejectionBackoff = 100 * time.Millisecond
 	maxRejectionBackoff  = 3 * time.Second
 
-	// rejectedLoadFactor is the load, in multiples of its target, that an engine is assumed to have if it rejects.
+	// rejectedLoadFactor is the load that is assumed for an engine that rejects for lack of capacity, in multiples of
+	// its target.
 	rejectedLoadFactor = 2.0
 )
 
 // Adaptive rate limit of one class at an engine that rejects the class although it has capacity. It increases and
-// decreases multiplicatively; with these factors it settles where about seven of eight queries are admitted.
+// decreases multiplicatively. With these factors, the engine admits about seven of eight queries in equilibrium.
 const (
-	initialRate  = 16.0  // queries per second, before the first decrease
-	minRate      = 1.0   // queries per second; above 0, so that the end of the rejections is noticed
-	maxRate      = 100.0 // queries per second above which the limit is removed
+	initialRate  = 16.0  // queries per second before the first decrease
+	minRate      = 1.0   // queries per second; above 0 to detect when the engine stops rejecting
+	maxRate      = 100.0 // queries per second; above it the limit is removed
 	rateIncrease = 1.1   // factor after an admitted query
 	rateDecrease = 0.5   // factor after a rejected query
 
-	// rateLimitExpiry is after how long without a rejection the limit is removed.
+	// rateLimitExpiry is the time without a decrease after which the limit is removed.
 	rateLimitExpiry = 10 * time.Second
 )
 
-// recordRejection reacts to an engine that rejected an attempt. An engine that is probably full gets nothing for a
-// backoff. An engine that has capacity limits only this class, which is then sent at an adaptive rate: a backoff for
-// all classes would use up the retry budget with the attempts that the engine rejects.
+// recordRejection handles the rejection of an attempt. If the engine is probably full, nothing is sent to it for a
+// backoff time. If it has capacity, it limits only this class, so only the rate of this class is reduced there. Backing
+// off for all classes would use up the retry budget on the attempts that the engine rejects.
 func (g *Gateway) recordRejection(a *attempt) {
 	e := a.engine
 	if !g.loadReported || g.peerThreads(e)+e.ownThreads >= rejectedLoadFactor*g.concurrencyTarget(e) {
@@ -37,22 +39,23 @@
 		g.setPeerThreads(e, rejectedLoadFactor*g.concurrencyTarget(e))
 		return
 	}
-	e.classRates[a.request.Class].decrease(g.now, a.sentAt)
+	e.classRateLimits[a.request.Class].decrease(g.now, a.sentAt)
 }
 
-// recordAdmission reacts to an engine that admitted an attempt.
+// recordAdmission raises the rate limit of a class at an engine that admitted an attempt.
 func (g *Gateway) recordAdmission(a *attempt) {
-	a.engine.classRates[a.request.Class].increase(g.now, a.sentAt)
+	a.engine.classRateLimits[a.request.Class].increase(g.now, a.sentAt)
 }
 
-// delayNextOfClass delays the next attempt of the same class at the engine, if the class is limited there.
-func (g *Gateway) delayNextOfClass(a *attempt) {
-	if limit := &a.engine.classRates[a.request.Class]; limit.perSecond > 0 {
+// delayNextSendOfClass sets the earliest time of the next attempt of the same class at the engine, if the class is
+// rate-limited there.
+func (g *Gateway) delayNextSendOfClass(a *attempt) {
+	if limit := &a.engine.classRateLimits[a.request.Class]; limit.perSecond > 0 {
 		limit.nextSendAt = g.now + toDuration(1/limit.perSecond)
 	}
 }
 
-// decrease lowers the rate after the rejection of an attempt, unless the attempt was sent before the last decrease.
+// decrease lowers the rate after a rejected attempt, unless the attempt was sent before the latest decrease.
 func (l *rateLimit) decrease(now, sentAt time.Duration) {
 	if sentAt < l.decreasedAt {
 		return
@@ -64,8 +67,8 @@
 	l.nextSendAt = now + toDuration(1/l.perSecond)
 }
 
-// increase raises the rate after the admission of an attempt, unless the attempt was sent before the last decrease. It
-// removes a limit that is high or old enough.
+// increase raises the rate after an admitted attempt, unless the attempt was sent before the latest decrease. It
+// removes the limit above maxRate or after rateLimitExpiry without a decrease.
 func (l *rateLimit) increase(now, sentAt time.Duration) {
 	if sentAt >= l.decreasedAt {
 		l.perSecond *= rateIncrease
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// request is a request that has no final answer yet, or still has attempts in flight.
+// request is the state of a request that has no final answer yet or still has attempts in flight.
 type request struct {
 	Arrival
 	class             *class
 	group             *group
-	deadline          time.Duration // the client stops waiting
-	objectiveDeadline time.Duration // end of the latency objective; the deadline of the paper's algorithm
+	deadline          time.Duration // time at which the client stops waiting
+	objectiveDeadline time.Duration // end of the latency objective: the deadline in the paper's algorithm
 	attempts          []*attempt
-	resends           int      // attempts that were sent a second time
-	inFlight          int      // attempts in flight
-	firstPossibleRun  *attempt // the first attempt that may have run; nil = none
-	done              bool     // it has its final answer, or nobody waits for it
+	resends           int      // number of attempts that were sent a second time
+	inFlight          int      // number of attempts in flight
+	firstPossibleRun  *attempt // first attempt that may have run; nil = none
+	done              bool     // it has its final answer, or its client is gone
 	queued            bool     // it is in Gateway.queue
-	streaming         bool     // its response has begun to stream to the client
+	streaming         bool     // its response is being streamed to the client
 }
 
-// attempt is one send of a request to an engine.
+// attempt is the state of one attempt to run a request on an engine.
 type attempt struct {
 	request          *request
 	number           int // index within the request's attempts
@@ -29,15 +29,15 @@
 	expectedSeconds  float64
 	ended            bool
 	cancelled        bool
-	unconfirmedError bool // it ended with an error of which it is not known whether the engine caused it
-	deprioritized    bool // its priority was lowered after the latency objective
+	unconfirmedError bool // it ended with an error that may have been caused by the query
+	deprioritized    bool // its priority was lowered because it missed the latency objective
 }
 
-// keyQueue holds the requests of one key of an ordered class, in order of arrival.
+// keyQueue holds the requests with the same ordering key, in order of arrival.
 type keyQueue struct {
 	requests    []*request
 	pausedUntil time.Duration
-	pausedFor   *request // the request that may be sent during the pause, as it caused it
+	pausedBy    *request // the request that caused the pause and may be sent during it
 }
 
 // findAttempt returns an attempt of a known request, or nil.
@@ -49,10 +49,10 @@
 	return r.attempts[number]
 }
 
-// recordSend adds an attempt to the counters of its request, engine and group: step 6 of the paper's algorithm.
+// recordSend adds an attempt to the state of its request, engine and group. It is step 6 of the paper's algorithm.
 func (g *Gateway) recordSend(a *attempt) {
 	if a.number > 0 {
-		g.countForBudget(&g.retries)
+		g.countForRetryBudget(&g.retries)
 	}
 	if g.grantPerThread == 0 {
 		g.grantPerThread = a.grantMB / a.threads
@@ -78,7 +78,7 @@
 func (g *Gateway) recordEngineSend(a *attempt) {
 	e := a.engine
 	if len(e.inFlight) == 0 {
-		e.lastResponseAt = g.now // an idle engine has nothing to respond to, so its silence starts now
+		e.lastResponseAt = g.now // hang detection starts now: an idle engine has nothing to respond to
 	}
 	if !e.used {
 		e.used = true
@@ -90,8 +90,8 @@
 	e.deadlines.add(a.request.objectiveDeadline)
 }
 
-// releaseAttempt removes an attempt that ended from the counters that recordSend increased. The sums are kept from
-// falling below zero by rounding errors.
+// releaseAttempt reverts recordSend for an attempt that ended. The sums are bounded by 0 because rounding errors could
+// make them negative.
 func (g *Gateway) releaseAttempt(a *attempt) {
 	r, e := a.request, a.engine
 	a.ended = true
@@ -104,8 +104,8 @@
 	r.group.ownThreads = max(0, r.group.ownThreads-a.threads)
 }
 
-// finishRequest marks a request as done. While attempts are in flight it stays known, and keeps its place in the queue
-// of its key; finishRequest is called again when the last of them ends.
+// finishRequest marks a request as done. It deletes the request's state, and its entry in the queue of its ordering
+// key, only when no attempts are in flight. Otherwise it is called again when the last attempt ends.
 func (g *Gateway) finishRequest(r *request) {
 	if !r.done {
 		r.done = true
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// send checks the guards whatever selected the engine.
+// Checks that Gateway.send sends nothing if any guard forbids it, regardless of how the engine was selected.
 func TestSendChecksEveryGuard(t *testing.T) {
 	for name, breakRule := range map[string]func(*Gateway, *request, *engine){
 		"rule 1: done":              func(g *Gateway, r *request, e *engine) { r.done = true },
@@ -47,7 +47,7 @@
 	}
 }
 
-// Random but legal sequences of events keep the seven rules.
+// Checks that the seven operators' rules hold under random valid sequences of events.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 24; seed++ {
@@ -78,14 +78,14 @@
 			}
 			g := c.gateway
 			if c.sends < 200 || len(g.requests) > 0 || len(g.openRequests) > 0 || len(g.queue) > 0 {
-				t.Fatalf("%d sends, want 200 or more; %d requests known at the end, want 0", c.sends, len(g.requests))
+				t.Fatalf("%d sends, want at least 200; %d requests left at the end, want 0", c.sends, len(g.requests))
 			}
 		})
 	}
 }
 
-// The same seed and events give the same actions, whatever the iteration order of maps.
-func TestSameSeedAndEventsGiveSameActions(t *testing.T) {
+// Checks that the same seed and events produce the same actions, independently of the iteration order of maps.
+func TestHandleIsDeterministic(t *testing.T) {
 	t.Parallel()
 	run := func() string {
 		c := newRulesChecker(t, testSettings(), 7)
@@ -107,7 +107,7 @@
 	first := run()
 	for range 3 {
 		if run() != first {
-			t.Fatal("two runs of the same events differ")
+			t.Fatal("two runs with the same seed and events differ")
 		}
 	}
 }
--- a/policy/ruleschecker_test.go
+++ b/policy/ruleschecker_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// rulesChecker drives a Gateway with legal events and checks the seven rules on its actions. It models no engine and
-// measures nothing.
+// rulesChecker passes random valid events to a Gateway and checks its actions against the seven operators' rules. It
+// does not model the behavior of engines.
 type rulesChecker struct {
 	t           *testing.T
 	settings    Settings
@@ -30,25 +30,25 @@
 	finals      int
 }
 
-// warmupSend is a send to a warming engine.
+// warmupSend is a send to an engine in its warm-up.
 type warmupSend struct {
 	at   time.Duration
 	work float64
 }
 
-// listedEngine is an engine as it was last listed.
+// listedEngine is the latest entry of an engine in the engine list.
 type listedEngine struct {
 	info             EngineInfo
-	unavailableSince time.Duration // when it was listed as draining or gone; 0 = ready
+	unavailableSince time.Duration // time at which it was listed as draining or gone; 0 = ready
 }
 
-// testTimer is a timer that the Gateway set.
+// testTimer is a timer set by the Gateway.
 type testTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-// pendingOutcome is an outcome to be delivered later. For a probe, attempt is -1 and request nil.
+// pendingOutcome is an outcome to deliver later. For a probe, attempt is -1 and request is nil.
 type pendingOutcome struct {
 	at      time.Duration
 	request *trackedRequest
@@ -58,7 +58,7 @@
 	outcome Outcome
 }
 
-// trackedRequest is a request with all its attempts.
+// trackedRequest is a request with all its attempts. The slices are indexed by attempt.
 type trackedRequest struct {
 	arrival  Arrival
 	deadline time.Duration
@@ -69,7 +69,7 @@
 	outcomes []Outcome
 }
 
-// inFlight is how many attempts have not ended.
+// inFlight returns the number of attempts that have not ended.
 func (tracked *trackedRequest) inFlight() int {
 	n := 0
 	for _, ended := range tracked.ended {
@@ -130,7 +130,7 @@
 	return tracked
 }
 
-// apply executes an action and checks it.
+// apply checks an action and executes it.
 func (c *rulesChecker) apply(act Action) {
 	switch a := act.(type) {
 	case SetTimer:
@@ -153,7 +153,7 @@
 	}
 }
 
-// cancel lets an attempt end as cancelled.
+// cancel makes a pending attempt end as cancelled.
 func (c *rulesChecker) cancel(a Cancel) {
 	for i := range c.pending {
 		p := &c.pending[i]
@@ -163,7 +163,7 @@
 	}
 }
 
-// checkReject checks rule 2: what may have run is rejected only where a repetition is harmless.
+// checkReject checks rule 2: a request that may have run is rejected only if repeating it is harmless.
 func (c *rulesChecker) checkReject(tracked *trackedRequest) {
 	class := c.settings.Classes[tracked.arrival.Class]
 	harmful := class.Idempotency == NotIdempotent ||
@@ -171,27 +171,27 @@
 	for i, outcome := range tracked.outcomes {
 		mayHaveRun := !tracked.ended[i] || !outcome.NeverRan()
 		if mayHaveRun && harmful {
-			c.fail("rule 2: request %d rejected though it may have run", tracked.arrival.ID)
+			c.fail("rule 2: request %d rejected although it may have run", tracked.arrival.ID)
 		}
 	}
 }
 
-// recordFinal checks that a request gets one final answer only.
+// recordFinal records a final answer and checks rule 1: a request gets only one.
 func (c *rulesChecker) recordFinal(id RequestID) *trackedRequest {
 	tracked := c.requests[id]
 	if tracked == nil || tracked.done {
-		c.fail("rule 1: second final answer of request %d", id)
+		c.fail("rule 1: second final answer to request %d", id)
 	}
 	tracked.done = true
 	c.finals++
 	return tracked
 }
 
-// recordSend checks a send against the rules and draws its outcome.
+// recordSend checks a send against the rules and chooses a random outcome.
 func (c *rulesChecker) recordSend(a Send) {
 	tracked, listed := c.requests[a.ID], c.engines[a.Engine]
 	if tracked == nil || tracked.done {
-		c.fail("rule 1: send for request %d, which is done", a.ID)
+		c.fail("rule 1: request %d sent although it is done", a.ID)
 	}
 	if listed == nil {
 		c.fail("send to an engine that was never listed")
@@ -204,10 +204,10 @@
 		c.fail("rule 3: send to an engine that is draining or gone")
 	}
 	if class.RestrictZones && !slices.Contains(class.Zones, listed.info.Zone) {
-		c.fail("rule 6: class sent to zone %d, which it must not use", listed.info.Zone)
+		c.fail("rule 6: request sent to zone %d, which its class must not use", listed.info.Zone)
 	}
 	if class.RestrictMachineTypes && !slices.Contains(class.MachineTypes, listed.info.MachineType) {
-		c.fail("rule 6: class sent to kind %d, which it must not use", listed.info.MachineType)
+		c.fail("rule 6: request sent to machine type %d, which its class must not use", listed.info.MachineType)
 	}
 	if !c.settings.MayHedge && tracked.inFlight() > 0 {
 		c.fail("rule 2: two attempts in flight")
@@ -239,31 +239,32 @@
 	return []Outcome{Error, Rejected, Timeout, NoConnection, Reset, NotSent}[c.random.Intn(6)]
 }
 
-// checkRepeat checks rule 2: what may have run is repeated only where that is harmless.
+// checkRepeat checks rule 2: a request that may have run is sent again only if that is harmless.
 func (c *rulesChecker) checkRepeat(tracked *trackedRequest, listed *listedEngine, class Class) {
 	for i := range tracked.sentAt {
 		if tracked.ended[i] && tracked.outcomes[i].NeverRan() {
 			continue
 		}
 		if class.Idempotency == NotIdempotent {
-			c.fail("rule 2: request that is not idempotent sent again")
+			c.fail("rule 2: non-idempotent request sent again")
 		}
 		if class.Idempotency != IdempotentWithKey {
 			continue
 		}
 		first := c.engines[tracked.engines[i]].info
 		if c.now-tracked.sentAt[i] > class.DedupWindow {
-			c.fail("rule 2: keyed request sent again after its deduplication window")
+			c.fail("rule 2: request with a key sent again after its deduplication window")
 		}
 		otherCell := class.DedupScope == DedupCell && first.Cell != listed.info.Cell
 		otherZone := class.DedupScope == DedupZone && first.Zone != listed.info.Zone
 		if otherCell || otherZone {
-			c.fail("rule 2: keyed request sent out of its deduplication scope")
+			c.fail("rule 2: request with a key sent again outside its deduplication scope")
 		}
 	}
 }
 
-// checkKeyOrder checks rule 5: requests of a key run one at a time, in order, with a pause after doubtful outcomes.
+// checkKeyOrder checks rule 5: requests with the same ordering key run one at a time, in order, with a pause after an
+// attempt that may still be running.
 func (c *rulesChecker) checkKeyOrder(tracked *trackedRequest, class Class) {
 	if !class.Ordered || tracked.arrival.OrderingKey == 0 {
 		return
@@ -276,18 +277,19 @@
 			continue
 		}
 		if !earlier.done || earlier.inFlight() > 0 {
-			c.fail("rule 5: request %d sent before %d of its key was done", tracked.arrival.ID, earlier.arrival.ID)
+			c.fail("rule 5: request %d sent before request %d with the same key was done",
+				tracked.arrival.ID, earlier.arrival.ID)
 		}
 		for i, outcome := range earlier.outcomes {
 			mayStillRun := outcome == Timeout || outcome == Reset || outcome == Cancelled
 			if mayStillRun && c.now < earlier.sentAt[i]+c.settings.Rules.OrderedKeyPause {
-				c.fail("rule 5: key did not pause")
+				c.fail("rule 5: request sent during the pause of its key")
 			}
 		}
 	}
 }
 
-// checkRetryBudget checks rule 7.
+// checkRetryBudget checks rule 7: retries stay within the retry budget.
 func (c *rulesChecker) checkRetryBudget() {
 	if !c.settings.Rules.RetryBudget {
 		return
@@ -305,11 +307,12 @@
 	}
 	c.retries = append(c.retries, c.now)
 	if float64(retries) > c.settings.Rules.MinRetries+c.settings.Rules.RetryShare*float64(accepted) {
-		c.fail("rule 7: %d retries with %d requests accepted", retries, accepted)
+		c.fail("rule 7: %d retries for %d accepted requests", retries, accepted)
 	}
 }
 
-// checkWarmupBudget checks rule 4, for this gateway's even share.
+// checkWarmupBudget checks rule 4: sends to an engine in its warm-up stay within this gateway's even share of the
+// budget.
 func (c *rulesChecker) checkWarmupBudget(tracked *trackedRequest, listed *listedEngine) {
 	rules := c.settings.Rules
 	if listed.info.Started == 0 || c.now-listed.info.Started >= rules.WarmupTime {
@@ -317,7 +320,7 @@
 	}
 	work := tracked.arrival.EstimatedWork.Seconds()
 	if c.now-c.gateway.startedAt < rules.WarmupBudgetSpan && listed.info.Started < c.gateway.startedAt {
-		c.fail("rule 4: a gateway that has just started sends to a warming engine")
+		c.fail("rule 4: gateway that has just started sent to an engine in its warm-up")
 	}
 	id := listed.info.ID
 	c.warmupSends[id] = append(c.warmupSends[id], warmupSend{c.now, work})
@@ -331,11 +334,11 @@
 	budget := rules.WarmupBudgetMultiple * rules.InitialCapacityShare * cores * rules.WarmupBudgetSpan.Seconds()
 	limit := budget / float64(c.settings.Gateways)
 	if sum > limit {
-		c.fail("rule 4: %.2f s of work sent to a warming engine, want at most %.2f", sum, limit)
+		c.fail("rule 4: %.2f s of work sent to an engine in its warm-up, want at most %.2f", sum, limit)
 	}
 }
 
-// step advances the time and delivers what is due.
+// step advances the clock, fires the timers and delivers the outcomes that are due, and checks rule 1 for late answers.
 func (c *rulesChecker) step(d time.Duration) {
 	c.now += d
 	for _, tm := range c.removeDueTimers() {
@@ -353,7 +356,7 @@
 	}
 	for _, tracked := range c.inOrder {
 		if !tracked.done && c.now > tracked.deadline+c.settings.Rules.ResponseSlack {
-			c.fail("rule 1: request %d has no final answer in time", tracked.arrival.ID)
+			c.fail("rule 1: request %d got no final answer in time", tracked.arrival.ID)
 		}
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// paperExampleGateway is the situation of the paper's two examples, and their request t3.
+// paperExampleGateway returns a Gateway in the initial state of the paper's two examples, and their request t3.
 func paperExampleGateway(t *testing.T) (*Gateway, *request) {
 	g := newTestGateway(t, 2, nil)
 	n1, n2 := g.engines[0], g.engines[1]
@@ -16,7 +16,8 @@
 	return g, newTestRequest(g, 1, g.now+3*time.Second) // t3, priority 70
 }
 
-// Example 1 of the paper: DACA would send t3 to its affinity engine N1 behind t1, although at N2 it would come first.
+// Checks the ranks in example 1 of the paper: t3 would be second after t1 at its affinity engine N1, where DACA sends
+// it, but first at N2.
 func TestPaperExample1RankCountsEarlierDeadlines(t *testing.T) {
 	g, t3 := paperExampleGateway(t)
 	rank1 := g.engines[0].deadlines.countBefore(t3.objectiveDeadline)
@@ -26,24 +27,26 @@
 	}
 }
 
-// Example 2 of the paper: with w1 and w2 of 1, t3 is sent to N2; with w1 of 2, to its affinity engine N1.
+// Checks the windows in example 2 of the paper: t3 is sent to N2 if w1 and w2 are 1, and to its affinity engine N1 if
+// w1 is 2.
 func TestPaperExample2Windows(t *testing.T) {
 	g, t3 := paperExampleGateway(t)
-	one := 1 / (g.concurrencyLimit(g.engines[0], 1) / g.threadsPerQuery) // the share at which a window is 1
+	one := 1 / (g.concurrencyLimit(g.engines[0], 1) / g.threadsPerQuery) // share for a window of 1
 	n1, n2 := g.engines[:1], g.engines[1:]
 	if e := g.lowestRank(t3, n1, one); e != nil {
-		t.Fatal("w1 = 1 lets rank 1 pass")
+		t.Fatal("rank 1 is within w1 = 1")
 	}
 	if e := g.lowestRank(t3, n2, one); e != n2[0] {
-		t.Fatal("w2 = 1 does not let rank 0 pass")
+		t.Fatal("rank 0 is not within w2 = 1")
 	}
 	if e := g.lowestRank(t3, n1, 2*one); e != n1[0] {
-		t.Fatal("w1 = 2 does not let rank 1 pass")
+		t.Fatal("rank 1 is not within w1 = 2")
 	}
 }
 
-// Step 2a precedes step 2b: under w1 an affinity engine is selected although another engine is emptier.
-func TestAffinityEngineComesBeforeAnEmptierOutsider(t *testing.T) {
+// Checks that step 2a precedes step 2b: an engine of the affinity set is selected while its rank is below w1, although
+// another engine has a lower load.
+func TestSelectEnginePrefersAffinitySetWithinW1(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	g.addToSet(g.tableGroup(1), g.engines[1])
 	addInFlight(g, g.engines[1], 1, g.now+time.Second)
@@ -53,8 +56,8 @@
 	}
 }
 
-// Step 2b: once the rank at the affinity engine reaches w1, an engine outside the set is selected.
-func TestOutsiderIsChosenBeyondW1(t *testing.T) {
+// Checks step 2b: an engine outside the affinity set is selected once the rank at the affinity engine reaches w1.
+func TestSelectEngineLeavesAffinitySetBeyondW1(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	g.addToSet(g.tableGroup(1), g.engines[0])
 	g.addToSet(g.tableGroup(2), g.engines[1])
@@ -64,27 +67,27 @@
 	markUsed(g, g.engines[1])
 	r := newTestRequest(g, 1, g.now+3*time.Second)
 	if e := g.selectEngine(r); e != g.engines[0] {
-		t.Fatal("the affinity engine is not selected under w1")
+		t.Fatal("the affinity engine is not selected although its rank is below w1")
 	}
 	addInFlight(g, g.engines[0], 1, g.now+time.Second)
 	addInFlight(g, g.engines[0], 1, g.now+time.Second)
 	if e := g.selectEngine(r); e != g.engines[1] {
-		t.Fatal("the engine under w2 is not selected beyond w1")
+		t.Fatal("the other engine is not selected although the rank at the affinity engine has reached w1")
 	}
 }
 
-// Engines of equal rank are compared by #T.
-func TestRankTiesGoToLeastOwnThreads(t *testing.T) {
+// Checks that the engine with the lowest #T is selected among engines of equal rank.
+func TestLowestRankBreaksTiesByOwnThreads(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	addInFlight(g, g.engines[0], 1, g.now+9*time.Second)
 	markUsed(g, g.engines[1])
 	if e := g.lowestRank(newTestRequest(g, 1, g.now+time.Second), g.engines, 1); e != g.engines[1] {
-		t.Fatal("the tie is not decided by #T")
+		t.Fatal("the engine with the lower #T is not selected")
 	}
 }
 
-// Step 3: if no rank is below its window, the affinity engine of least #T is selected.
-func TestFallbackIsAffinityEngineWithLeastOwnThreads(t *testing.T) {
+// Checks step 3: if no rank is below its window, the engine with the lowest #T in the affinity set is selected.
+func TestSelectEngineFallsBackToLeastLoadedAffinityEngine(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	gr := g.tableGroup(1)
 	g.addToSet(gr, g.engines[0])
@@ -95,31 +98,32 @@
 		}
 	}
 	r := newTestRequest(g, 1, g.now+3*time.Second)
-	valuable := Class{Weight: 100, LatencyObjective: time.Second} // may exceed the concurrency limit
-	r.class = &class{Class: valuable, threads: 1, workCorrection: 1, slowdown: 1}
+	highWeight := Class{Weight: 100, LatencyObjective: time.Second} // may exceed the concurrency limit
+	r.class = &class{Class: highWeight, threads: 1, workCorrection: 1, slowdown: 1}
 	if e := g.selectEngine(r); e != g.engines[1] {
-		t.Fatalf("selected %v, want the affinity engine of least #T", e)
+		t.Fatalf("selected %v, want the affinity engine with the lowest #T", e)
 	}
 }
 
-// An engine without own attempts so far counts as average.
+// Checks that an engine that this gateway has not used yet counts with the mean load.
 func TestUnusedEngineCountsAsMeanLoad(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	addInFlight(g, g.engines[0], 1, g.now)
 	addInFlight(g, g.engines[0], 1, g.now)
 	markUsed(g, g.engines[1])
 	if got := g.ownLoadPerCore(g.engines[2]); got != 0.25 {
-		t.Fatalf("an unused engine counts as %v threads per core, want the mean 0.25", got)
+		t.Fatalf("an unused engine counts with %v threads per core, want the mean of 0.25", got)
 	}
 }
 
-// Where traffic between zones has a price, the own zone comes first in each step of the selection and in seeds.
+// Checks that engines in the own zone are preferred if traffic between zones has a cost, both for the first engine of
+// an affinity set and in each step of the selection.
 func TestOwnZoneIsPreferredWhenCrossZoneTrafficCosts(t *testing.T) {
 	g := newTestGateway(t, 4, func(s *Settings) { s.CrossZoneCost, s.Zone = 0.04, 1 })
 	g.engines[0].Zone, g.engines[1].Zone = 0, 0
 	gr := g.tableGroup(0) // its home engine would be engine 1, in the other zone
 	if e := g.affinitySet(gr)[0]; e.Zone != 1 {
-		t.Fatal("seeded in the other zone")
+		t.Fatal("the first engine of the set is in the other zone")
 	}
 	mixed := g.tableGroup(8)
 	g.addToSet(mixed, g.engines[0])
@@ -127,16 +131,16 @@
 	addInFlight(g, g.engines[2], 8, g.now)
 	markUsed(g, g.engines[0])
 	if e := g.selectEngine(newTestRequest(g, 8, g.now+time.Second)); e != g.engines[2] {
-		t.Fatal("an affinity engine of the other zone precedes one of the own zone under w1")
+		t.Fatal("the affinity engine in the own zone is not preferred")
 	}
 	g.settings.CrossZoneCost = 0
 	if e := g.selectEngine(newTestRequest(g, 8, g.now+time.Second)); e != g.engines[0] {
-		t.Fatal("the zone matters although traffic between zones is free")
+		t.Fatal("the own zone is preferred although traffic between zones is free")
 	}
 }
 
-// Gateways with equal estimates do not all select the same engine.
-func TestEqualEstimatesDoNotHerd(t *testing.T) {
+// Checks that gateways with equal load estimates do not all select the same engine (no herding).
+func TestEqualEstimatesSpreadAcrossEngines(t *testing.T) {
 	const gateways, engines = 200, 20
 	selected := map[EngineID]int{}
 	for number := range gateways {
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A setting that is out of bounds is named, with its value, in an error that callers can detect by its type.
-func TestNewReportsTheSettingOutOfBounds(t *testing.T) {
+// Checks that New returns a *SettingError that names the setting that is out of bounds.
+func TestNewReportsInvalidSetting(t *testing.T) {
 	for key, change := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
 		"Gateways":                    func(s *Settings) { s.Gateways = 0 },
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -18,7 +18,7 @@
 	maxLineColumns = 120
 )
 
-// sourceFiles are the package's files, tests aside.
+// sourceFiles returns the names of the package's files without tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -32,8 +32,8 @@
 	return files
 }
 
-// The source files are what new engineers read first: their size is part of the interface.
-func TestSourceFilesStaySmall(t *testing.T) {
+// Checks that the lines and the length of source files stay within limits, to keep the decision logic readable.
+func TestSourceFileSizeLimits(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		t.Run(name, func(t *testing.T) {
 			file, err := os.Open(name)
@@ -55,8 +55,8 @@
 	}
 }
 
-// The deploy file names exactly the source files of the package as those that hold the decision logic.
-func TestDeployFileNamesTheSourceFiles(t *testing.T) {
+// Checks that the deploy file lists exactly the source files of this package as the decision logic.
+func TestDeployFileListsSourceFiles(t *testing.T) {
 	var deploy struct{ Policy []string }
 	if _, err := toml.DecodeFile(deployFile, &deploy); err != nil {
 		t.Fatal(err)
@@ -67,6 +67,6 @@
 	}
 	slices.Sort(deploy.Policy)
 	if !slices.Equal(deploy.Policy, want) {
-		t.Errorf("policy names %q, want %q", deploy.Policy, want)
+		t.Errorf("policy is %q, want %q", deploy.Policy, want)
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,19 +1,19 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
-// Slow start of engines that have just started (rule 4): the work sent to a warming engine within a span of time is
-// limited to a budget, which all gateways keep together without talking to each other.
+// Slow start (rule 4): the work that all gateways together send to an engine during its warm-up is limited to a budget
+// per time span. The gateways stay within it without coordination.
 const (
-	// warmupBudgetMargin is the share of the budget that is used, as engine speeds and actual work scatter.
+	// warmupBudgetMargin is the share of the budget that is used. The rest is a reserve, because engine speeds and the
+	// actual work of queries vary.
 	warmupBudgetMargin = 0.65
 
-	// warmupWorkFactor multiplies the expected work charged to the budget, for the same reason.
+	// warmupWorkFactor multiplies the expected work that is charged to the budget, for the same reason.
 	warmupWorkFactor = 1.25
 
-	// warmupQueryFactor is the size of the query for which turns are sized, in mean works of its class.
+	// warmupQueryFactor is the work of a query that must fit into a gateway's share of a turn, in multiples of the mean
+	// work of its class.
 	warmupQueryFactor = 1.2
 )
 
@@ -22,7 +22,8 @@
 	return e.Started > 0 && g.now-e.Started < g.settings.Rules.WarmupTime
 }
 
-// warmupFactor is the share of its capacity that an engine is assumed to have: it increases linearly during warm-up.
+// warmupFactor returns the share of its capacity that an engine is assumed to have. It increases linearly during
+// warm-up.
 func (g *Gateway) warmupFactor(e *engine) float64 {
 	if !g.warmingUp(e) {
 		return 1
@@ -31,13 +32,14 @@
 	return initial + (1-initial)*float64(g.now-e.Started)/float64(g.settings.Rules.WarmupTime)
 }
 
-// withinWarmupBudget reports whether a request stays within this gateway's part of the warm-up budget of an engine; for
-// an engine that is not warming up it always does.
+// withinWarmupBudget reports whether a request fits into this gateway's share of the warm-up budget of an engine. If
+// the engine is not warming up, it always returns true.
 //
-// An even share of the budget is less than one query if there are many gateways. So the gateways take turns: in each
-// span only some of them may send, selected by gateway number, span and engine, which all gateways know. The turns of
-// two consecutive spans together stay within the budget, since a sliding span can overlap both. A gateway that has just
-// started does not know what it sent before its restart, so it sends nothing for one span.
+// With many gateways, an even share of the budget is less than one query. Therefore the gateways take turns: in each
+// time span only some of them may send to the engine. The gateway index, the number of the span and the engine ID,
+// which are the same on all gateways, determine whose turn it is. Two consecutive turns together stay within the
+// budget, because a sliding span can overlap both. A gateway that has just started does not know what it sent before
+// its restart, so it sends nothing for one span.
 func (g *Gateway) withinWarmupBudget(r *request, e *engine) bool {
 	rules := g.settings.Rules
 	if !g.warmingUp(e) || rules.WarmupBudgetMultiple <= 0 || rules.WarmupBudgetSpan <= 0 {
@@ -56,29 +58,31 @@
 	return e.warmupWork.total(g.now, rules.WarmupBudgetSpan+g.settings.Tick)+g.warmupCharge(r) <= share
 }
 
-// warmupBudget is the work in seconds that all gateways together may send to a warming engine within a span.
+// warmupBudget returns the work in seconds that all gateways together may send to an engine within a span of its
+// warm-up.
 func (g *Gateway) warmupBudget(e *engine) float64 {
 	rules := g.settings.Rules
 	return warmupBudgetMargin * rules.InitialCapacityShare * e.cores *
 		rules.WarmupBudgetMultiple * rules.WarmupBudgetSpan.Seconds()
 }
 
-// gatewaysPerTurn is how many gateways share the budget of a turn, so that each share admits a query. Each turn is
-// sized for another class, so that all classes get a chance.
+// gatewaysPerTurn returns the number of gateways that share the budget of a turn. It is chosen so that each share
+// admits a query of one class; the class changes with each turn, so that queries of all classes can be sent.
 func (g *Gateway) gatewaysPerTurn(budget float64, turn int) float64 {
 	sizedFor := g.classes[turn%len(g.classes)]
 	queryWork := max(minWorkSeconds, warmupQueryFactor*warmupWorkFactor*sizedFor.meanWork)
 	return min(float64(g.settings.Gateways), max(1, math.Floor(budget/2/queryWork)))
 }
 
-// hasWarmupTurn reports whether it is this gateway's turn. The low bits of the engine's ID vary the turns by engine.
+// hasWarmupTurn reports whether it is this gateway's turn to send to an engine. The order of the gateways differs
+// between engines by the low bits of the engine ID.
 func (g *Gateway) hasWarmupTurn(e *engine, turn int, gatewaysPerTurn float64) bool {
 	rounds := int(math.Ceil(float64(g.settings.Gateways) / gatewaysPerTurn))
 	return (turn/len(g.classes)+g.settings.GatewayIndex+int(e.ID&0xffff))%rounds == 0
 }
 
-// warmupCharge is the work in seconds that a request is charged against the budget: its expected work, but at least
-// half of its class's mean, as a warming engine has to read more than usual.
+// warmupCharge returns the work in seconds that is charged to the budget for a request: its expected work, but at least
+// half the mean work of its class, because an engine with cold caches has to read more than usual.
 func (g *Gateway) warmupCharge(r *request) float64 {
 	return warmupWorkFactor * max(g.expectedWork(r), r.class.meanWork/2)
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Rule 4 binds all gateways together: however busy they are, and although some restart, they stay within the warm-up
-// budget of an engine in any span. They also make use of it.
-func TestWarmupBudgetHoldsOverAllGateways(t *testing.T) {
+// Checks rule 4: all gateways together stay within the warm-up budget of an engine in any time span, at any load and
+// while some of them restart, and they use at least a fifth of it.
+func TestWarmupBudgetHoldsAcrossGateways(t *testing.T) {
 	for _, gateways := range []int{1, 2, 3, 7, 40, 243} {
 		t.Run(fmt.Sprintf("gateways=%d", gateways), func(t *testing.T) {
 			s := testSettings()
@@ -54,14 +54,14 @@
 					}
 				}
 				if sum > budget {
-					t.Fatalf("%.2f s of work sent within a span, want at most %.2f", sum, budget)
+					t.Fatalf("%.2f s of work sent to an engine in its warm-up within a span, want at most %.2f", sum, budget)
 				}
 			}
 			for _, c := range sent {
 				total += c.work
 			}
 			if share := total / budget / float64(rules.WarmupTime/rules.WarmupBudgetSpan); share < 0.2 {
-				t.Fatalf("%.2f of the budget used, want at least 0.2", share)
+				t.Fatalf("%.2f of the warm-up budget used, want at least 0.2", share)
 			}
 		})
 	}
--- a/policy/window_test.go
+++ b/policy/window_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Load reports arrived seconds late, and load increased until 95% of the attempts were rejected. Outcomes adjust the
-// window, but only under overload, and not for a gateway that sees the whole load itself.
+// Checks that rejections decrease the window under overload, but neither while the fleet is idle nor on a single
+// gateway, which knows the whole load itself. Without the window, when load reports arrived seconds late, load
+// increased until 95% of the attempts were rejected.
 func TestWindowDecreasesOnlyUnderOverload(t *testing.T) {
 	g := newTestGateway(t, 4, func(s *Settings) { s.Gateways = 100 })
 	a := addInFlight(g, g.engines[0], 1, g.now+time.Second)
 	first := g.windowPerCore
 	g.loadReported, g.meanPeerLoad = true, 0.1
 	if g.adjustWindow(a, AttemptEnded{Outcome: Rejected}); g.windowPerCore != first {
-		t.Fatal("the window decreased while the fleet was idle")
+		t.Fatal("the window decreased although the fleet is idle")
 	}
 	g.meanPeerLoad = 3
 	if g.adjustWindow(a, AttemptEnded{Outcome: Rejected}); g.windowPerCore >= first {
@@ -22,7 +23,7 @@
 	decreased := g.windowPerCore
 	g.meanPeerLoad, g.ownThreads = 0.1, g.windowPerCore*g.availableCores
 	if g.adjustWindow(a, AttemptEnded{Outcome: OK}); g.windowPerCore <= decreased {
-		t.Fatal("the window did not increase while it is in use and the fleet has capacity")
+		t.Fatal("the window did not increase although it is in use and the fleet has capacity")
 	}
 	single := newTestGateway(t, 4, nil)
 	before := single.windowPerCore
@@ -33,18 +34,19 @@
 	}
 }
 
-// Short queries waited until their deadline behind one long query, although the fleet had capacity.
-func TestWindowExpandsWhileTheFleetHasCapacity(t *testing.T) {
+// Checks that the window is expanded while the fleet has capacity. Otherwise short queries would wait for one long
+// query until their deadline.
+func TestWindowExpandsWhileFleetHasCapacity(t *testing.T) {
 	g := newTestGateway(t, 4, func(s *Settings) { s.Gateways = 100 })
 	g.ownThreads, g.loadReported = 1.2*g.windowPerCore*g.availableCores, true
 	r := newTestRequest(g, 1, g.now+time.Second)
-	r.EstimatedWork = 10 * time.Second // low weight per work
+	r.EstimatedWork = 10 * time.Second // low weight per unit of work
 	if g.meanPeerLoad = 3; g.withinWindow(r) {
-		t.Fatal("sends beyond its window under overload")
+		t.Fatal("the gateway may send beyond its window under overload")
 	}
 	g.meanPeerLoad = 0
 	g.ownThreads = 1.2 * g.windowPerCore * g.availableCores
 	if !g.withinWindow(r) {
-		t.Fatal("does not send beyond its window while the fleet is idle")
+		t.Fatal("the gateway may not send beyond its window while the fleet is idle")
 	}
 }
