--- a/internal/program/mysql.go
+++ b/internal/program/mysql.go
@@ -31,7 +31,7 @@
 	}
 	for _, a := range m.Accounts {
 		class, known := c.Class(a.Class)
-		hash, err := mysql.ParseHash(a.PasswordHash)
+		hash, err := mysql.ParsePasswordHash(a.PasswordHash)
 		switch {
 		case !known:
 			return config, accountError(a.User, "class", a.Class, "not a class of the settings", nil)
@@ -43,7 +43,7 @@
 			return config, accountError(a.User, "user", a.User, "duplicate user", nil)
 		}
 		config.Accounts[a.User] = &mysql.Account{
-			User: a.User, Hash: hash, Class: class, NeedsReplayKey: c.NeedsIdempotencyKey(class),
+			User: a.User, PasswordHash: hash, Class: class, NeedsIdempotencyKey: c.NeedsIdempotencyKey(class),
 			Budget: time.Duration(a.BudgetMS) * time.Millisecond,
 		}
 	}
@@ -62,7 +62,7 @@
 func newVRRPDriver(v *settings.VRRP, loop *eventloop.Loop, log *slog.Logger, listener *frontend.MySQLListener) (*datagram.VRRPDriver, error) {
 	router, err := vrrp.New(vrrp.Config{
 		VRID: v.ID, Priority: v.Priority, Interval: v.Interval(), Preempt: v.Preempt,
-		Self: v.Listen.Addr(), Addrs: v.Addresses,
+		PrimaryAddr: v.Listen.Addr(), VirtualAddrs: v.Addresses,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/protocol/enginehttp/golden_test.go
+++ b/internal/protocol/enginehttp/golden_test.go
@@ -16,7 +16,7 @@
 	play func(q *Query, record func(event string, steps []attempt.Step))
 }
 
-var goldenRequest = Request{Host: "e:1", ID: "9b1f03aa5c7e2d41", Class: "lookup", Key: "5c0f", Statement: []byte("SELECT 1")}
+var goldenRequest = Request{Host: "e:1", ID: "9b1f03aa5c7e2d41", Class: "lookup", IdempotencyKey: "5c0f", Statement: []byte("SELECT 1")}
 
 var goldenConversations = []conversation{
 	{"served at once", func(q *Query, record func(string, []attempt.Step)) {
--- a/internal/protocol/enginehttp/query.go
+++ b/internal/protocol/enginehttp/query.go
@@ -43,7 +43,7 @@
 // Request is a query as it is sent to the engine. No field is changed on the way.
 type Request struct {
 	Host, ID, Class string
-	Key             string // idempotency key; empty for none
+	IdempotencyKey  string // idempotency key; empty for none
 	Statement       []byte
 }
 
--- a/internal/protocol/enginehttp/requests.go
+++ b/internal/protocol/enginehttp/requests.go
@@ -73,8 +73,8 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST /v2/q HTTP/1.1\r\nHost: %s\r\nX-Hop-Id: %s\r\nX-Sort: %s\r\nX-Budget: %d\r\n",
 		q.req.Host, q.req.ID, q.req.Class, max(1, budget.Milliseconds()))
-	if q.req.Key != "" {
-		fmt.Fprintf(&b, "X-Replay-Key: %s\r\n", q.req.Key)
+	if q.req.IdempotencyKey != "" {
+		fmt.Fprintf(&b, "X-Replay-Key: %s\r\n", q.req.IdempotencyKey)
 	}
 	fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n", len(q.req.Statement))
 	return append([]byte(b.String()), q.req.Statement...)
--- a/internal/protocol/jsonrpc/jsonrpc_test.go
+++ b/internal/protocol/jsonrpc/jsonrpc_test.go
@@ -91,7 +91,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := NewSession(classes{})
 			events, _ := s.Feed([]byte(validCall + second))
-			if len(events) != 2 || !bytes.Contains(events[1].Reply, []byte(`"id":null,"error"`)) || s.Open() != 1 {
+			if len(events) != 2 || !bytes.Contains(events[1].Reply, []byte(`"id":null,"error"`)) || s.OpenCalls() != 1 {
 				t.Errorf("%s: %+v", second, events)
 			}
 		})
--- a/internal/protocol/jsonrpc/session.go
+++ b/internal/protocol/jsonrpc/session.go
@@ -70,8 +70,8 @@
 	return &Session{classes: classes, openRIDs: map[string]string{}}
 }
 
-// Open returns how many calls are open.
-func (s *Session) Open() int { return len(s.openRIDs) }
+// OpenCalls returns how many calls are open.
+func (s *Session) OpenCalls() int { return len(s.openRIDs) }
 
 // BufferedBytes returns how many bytes of an incomplete line have been received.
 func (s *Session) BufferedBytes() int { return len(s.buf) }
@@ -79,8 +79,8 @@
 // DiscardInput discards an incomplete line, after which Feed must not be called any more. Open calls stay open.
 func (s *Session) DiscardInput() { s.buf, s.scanned = nil, 0 }
 
-// Done removes an open call that has its response, or needs none.
-func (s *Session) Done(id string) { delete(s.openRIDs, id) }
+// EndCall removes an open call that has its response, or needs none.
+func (s *Session) EndCall(id string) { delete(s.openRIDs, id) }
 
 // Feed parses further bytes and returns the events of the lines that they complete. The only error is ErrLineTooLong, with which
 // the events of the lines before it are returned.
--- a/internal/protocol/mysql/auth.go
+++ b/internal/protocol/mysql/auth.go
@@ -12,20 +12,20 @@
 // ErrPasswordHash is wrapped by ParseHash's error for text that is not a password hash.
 var ErrPasswordHash = errors.New("password hash is not a star and 40 hexadecimal digits")
 
-// Hash is the verifier of mysql_native_password: SHA-1 of the SHA-1 of the password (MySQL documentation, "Native
+// PasswordHash is the verifier of mysql_native_password: SHA-1 of the SHA-1 of the password (MySQL documentation, "Native
 // Password Authentication").
-type Hash [sha1.Size]byte
+type PasswordHash [sha1.Size]byte
 
-// HashOf hashes a password.
-func HashOf(password string) Hash {
+// HashPassword hashes a password.
+func HashPassword(password string) PasswordHash {
 	first := sha1.Sum([]byte(password))
 	return sha1.Sum(first[:])
 }
 
-// ParseHash reads a hash as MySQL prints it: a star and 40 hexadecimal digits. The star may be missing. The error
+// ParsePasswordHash reads a hash as MySQL prints it: a star and 40 hexadecimal digits. The star may be missing. The error
 // wraps ErrPasswordHash and gives the length only, since the text may be a password.
-func ParseHash(text string) (Hash, error) {
-	var h Hash
+func ParsePasswordHash(text string) (PasswordHash, error) {
+	var h PasswordHash
 	raw, err := hex.DecodeString(strings.TrimPrefix(text, "*"))
 	if err != nil || len(raw) != len(h) {
 		return h, fmt.Errorf("%w: it has %d characters", ErrPasswordHash, len(text))
@@ -36,7 +36,7 @@
 
 // verify reports whether a client's auth response proves that it knows the password. The response is
 // SHA1(password) XOR SHA1(scramble + SHA1(SHA1(password))), so the hash suffices to recover SHA1(password).
-func (h Hash) verify(scramble, response []byte) bool {
+func (h PasswordHash) verify(scramble, response []byte) bool {
 	if len(response) != len(h) {
 		return false
 	}
--- a/internal/protocol/mysql/exchange.go
+++ b/internal/protocol/mysql/exchange.go
@@ -32,7 +32,7 @@
 // Exchange carries one attempt of a call to an engine. The query travels on the primary channel; a second connection,
 // the control channel, is opened only to send KILL QUERY.
 type Exchange struct {
-	call            *Call
+	call            *Query
 	credentials     credentials
 	phase           phase
 	sessions        [channelCount]*session
@@ -49,7 +49,7 @@
 }
 
 // NewExchange returns an exchange for one attempt of call, logging in with the engine's account, and its first steps.
-func NewExchange(call *Call, user, password string) (*Exchange, []attempt.Step) {
+func NewExchange(call *Query, user, password string) (*Exchange, []attempt.Step) {
 	x := &Exchange{call: call, credentials: credentials{user, password}}
 	x.emit(attempt.Open{Channel: attempt.Primary})
 	return x, x.flush()
--- a/internal/protocol/mysql/exchange_setup.go
+++ b/internal/protocol/mysql/exchange_setup.go
@@ -73,8 +73,8 @@
 	if x.call.Schema != "" && x.call.Schema != s.schema {
 		x.queue(expectOK, commandPacket(comInitDB, []byte(x.call.Schema)))
 	}
-	if x.call.ReplayKey != "" {
-		x.queue(expectOK, commandPacket(comQuery, []byte("SET @replay_key="+x.call.ReplayKey)))
+	if x.call.IdempotencyKey != "" {
+		x.queue(expectOK, commandPacket(comQuery, []byte("SET @replay_key="+x.call.IdempotencyKey)))
 	}
 	execution := x.call.Execution
 	if execution == nil {
--- a/internal/protocol/mysql/front.go
+++ b/internal/protocol/mysql/front.go
@@ -7,26 +7,26 @@
 
 // Account is a login of the front and the properties of the queries that it sends.
 type Account struct {
-	User           string
-	Hash           Hash
-	Class          int           // index of the query class
-	Budget         time.Duration // for a whole query, retries included
-	NeedsReplayKey bool          // its queries need a replay key
+	User                string
+	PasswordHash        PasswordHash
+	Class               int           // index of the query class
+	Budget              time.Duration // for a whole query, retries included
+	NeedsIdempotencyKey bool          // its queries need a replay key
 }
 
-// Call is a query that a client requests.
-type Call struct {
-	Account   *Account
-	Schema    string     // the client's current schema; may be empty
-	Text      string     // of the statement, prepared or not
-	ReplayKey string     // the replay key as the client wrote it, a quoted SQL literal; may be empty
-	Execution *Execution // nil for a query of the text protocol
+// Query is a query that a client requests.
+type Query struct {
+	Account        *Account
+	Schema         string     // the client's current schema; may be empty
+	Text           string     // of the statement, prepared or not
+	IdempotencyKey string     // the replay key as the client wrote it, a quoted SQL literal; may be empty
+	Execution      *Execution // nil for a query of the text protocol
 }
 
 // Event is what the front's driver is to do next; exactly one field is set.
 type Event struct {
 	Write []byte // bytes for the client
-	Call  *Call  // a query to run; the driver writes its result and then calls Done
+	Query *Query // a query to run; the driver writes its result and then calls Done
 	Close bool   // close the client's connection after what was written
 }
 
@@ -41,8 +41,8 @@
 	stageClosed
 )
 
-// Front is the server side of one client connection. It answers most commands itself and hands queries to its driver.
-type Front struct {
+// ServerConn is the server side of one client connection. It answers most commands itself and hands queries to its driver.
+type ServerConn struct {
 	accounts        map[string]*Account
 	scramble        []byte
 	stage           stage
@@ -56,11 +56,11 @@
 	events          []Event
 }
 
-// NewFront returns the front of a new connection and the handshake packet that greets its client. accounts is keyed by
+// NewServerConn returns the front of a new connection and the handshake packet that greets its client. accounts is keyed by
 // user, connectionID is the thread id that the handshake carries, and scramble must be 20 random bytes without a zero
 // byte.
-func NewFront(accounts map[string]*Account, connectionID uint32, scramble []byte) (*Front, []byte) {
-	f := &Front{
+func NewServerConn(accounts map[string]*Account, connectionID uint32, scramble []byte) (*ServerConn, []byte) {
+	f := &ServerConn{
 		accounts:   accounts,
 		scramble:   scramble,
 		packets:    framer{maxPayload: maxCommandSize},
@@ -70,24 +70,24 @@
 }
 
 // LoggedIn reports whether the client's login was accepted.
-func (f *Front) LoggedIn() bool { return f.account != nil }
+func (f *ServerConn) LoggedIn() bool { return f.account != nil }
 
-// IsRunning reports whether a query runs, or has ended and QueryEnded was not called: further commands may wait.
-func (f *Front) IsRunning() bool { return f.stage == stageRunning }
+// QueryRunning reports whether a query runs, or has ended and QueryEnded was not called: further commands may wait.
+func (f *ServerConn) QueryRunning() bool { return f.stage == stageRunning }
 
-func (f *Front) write(b []byte) { f.events = append(f.events, Event{Write: b}) }
+func (f *ServerConn) write(b []byte) { f.events = append(f.events, Event{Write: b}) }
 
-func (f *Front) sendError(sequenceID byte, code int, message string) {
+func (f *ServerConn) sendError(sequenceID byte, code int, message string) {
 	f.write(errPacket(sequenceID, code, message))
 }
 
-func (f *Front) closeConnection() {
+func (f *ServerConn) closeConnection() {
 	f.stage = stageClosed
 	f.events = append(f.events, Event{Close: true})
 }
 
 // Received handles bytes that the client sent. Commands that arrive while a query runs are buffered until Done.
-func (f *Front) Received(b []byte) []Event {
+func (f *ServerConn) Received(b []byte) []Event {
 	if f.stage == stageClosed {
 		return nil
 	}
@@ -100,7 +100,7 @@
 }
 
 // QueryEnded ends the running query: its result was written to the end, and the commands received meanwhile are handled.
-func (f *Front) QueryEnded() []Event {
+func (f *ServerConn) QueryEnded() []Event {
 	if f.stage == stageRunning {
 		f.stage = stageReady
 	}
@@ -108,7 +108,7 @@
 }
 
 // process handles complete packets until one starts a query, and returns the events emitted.
-func (f *Front) process() []Event {
+func (f *ServerConn) process() []Event {
 	for f.stage != stageClosed && f.stage != stageRunning {
 		p, ok, err := f.packets.nextPacket()
 		if err != nil {
@@ -126,7 +126,7 @@
 	return events
 }
 
-func (f *Front) handlePacket(p packet) {
+func (f *ServerConn) handlePacket(p packet) {
 	switch f.stage {
 	case stageHandshake:
 		f.handleHandshakeResponse(p)
@@ -139,7 +139,7 @@
 
 // errorSequenceID is the sequence id of the response to a packet that cannot be read: 1 for a command, which has 0, and
 // 2 for a handshake response, which has 1.
-func (f *Front) errorSequenceID() byte {
+func (f *ServerConn) errorSequenceID() byte {
 	if f.stage == stageReady {
 		return 1
 	}
@@ -148,17 +148,17 @@
 
 // startQuery hands a query to the driver. A query of an account that needs a replay key is rejected without one; a key
 // serves one query.
-func (f *Front) startQuery(call *Call) {
+func (f *ServerConn) startQuery(call *Query) {
 	call.Account, call.Schema = f.account, f.schema
-	if f.account.NeedsReplayKey {
+	if f.account.NeedsIdempotencyKey {
 		if f.replayKey == "" {
 			f.sendError(1, erUnknownError, "nothing ran: this account's loads need SET @replay_key='...' before each")
 			return
 		}
-		call.ReplayKey, f.replayKey = f.replayKey, ""
+		call.IdempotencyKey, f.replayKey = f.replayKey, ""
 	}
 	f.stage = stageRunning
-	f.events = append(f.events, Event{Call: call})
+	f.events = append(f.events, Event{Query: call})
 }
 
 // RejectedPacket is the ERR packet for a query that was rejected because of load; its message gives the time after which to retry.
--- a/internal/protocol/mysql/front_commands.go
+++ b/internal/protocol/mysql/front_commands.go
@@ -7,7 +7,7 @@
 	unknownStatementMessage     = "unknown prepared statement"
 )
 
-func (f *Front) handleCommand(p packet) {
+func (f *ServerConn) handleCommand(p packet) {
 	if len(p.payload) == 0 || p.sequenceID != 0 {
 		f.sendError(p.sequenceID+1, erMalformedPacket, "malformed command")
 		return
@@ -37,13 +37,13 @@
 	}
 }
 
-func (f *Front) useSchema(schema string) {
+func (f *ServerConn) useSchema(schema string) {
 	f.schema = schema
 	f.write(okPacket(1))
 }
 
 // handleQuery handles COM_QUERY: statements about the session are answered here, all others run on an engine.
-func (f *Front) handleQuery(text string) {
+func (f *ServerConn) handleQuery(text string) {
 	statement := stripLeadingComments(text)
 	if match := setReplayKey.FindStringSubmatch(statement); match != nil {
 		f.replayKey = match[1]
@@ -60,13 +60,13 @@
 	case unsupportedStatement.MatchString(statement):
 		f.sendError(1, erNotSupportedYet, unsupportedStatementMessage)
 	default:
-		f.startQuery(&Call{Text: text})
+		f.startQuery(&Query{Text: text})
 	}
 }
 
 // handlePrepare handles COM_STMT_PREPARE. The statement is kept here; an engine prepares it only when it first executes
 // it.
-func (f *Front) handlePrepare(text string) {
+func (f *ServerConn) handlePrepare(text string) {
 	if unsupportedStatement.MatchString(stripLeadingComments(text)) {
 		f.sendError(1, erNotSupportedYet, unsupportedStatementMessage)
 		return
@@ -109,7 +109,7 @@
 var paramDefinition = append([]byte("\x03def\x00\x00\x00\x01?\x00\x0c\x3f\x00"), 0, 0, 0, 0, 0xfd, 0x80, 0, 0, 0, 0)
 
 // handleExecute handles COM_STMT_EXECUTE. Long data serves one execute.
-func (f *Front) handleExecute(arguments *payloadReader) {
+func (f *ServerConn) handleExecute(arguments *payloadReader) {
 	s := f.statements[arguments.uint32()]
 	if s == nil {
 		f.sendError(1, erUnknownStatement, unknownStatementMessage)
@@ -121,11 +121,11 @@
 		return
 	}
 	s.clearLongData()
-	f.startQuery(&Call{Text: s.text, Execution: execution})
+	f.startQuery(&Query{Text: s.text, Execution: execution})
 }
 
 // handleLongData handles COM_STMT_SEND_LONG_DATA. It has no response, so data that cannot be kept is dropped.
-func (f *Front) handleLongData(arguments *payloadReader) {
+func (f *ServerConn) handleLongData(arguments *payloadReader) {
 	s := f.statements[arguments.uint32()]
 	param := arguments.uint16()
 	if s == nil || arguments.malformed {
@@ -134,7 +134,7 @@
 	s.appendLongData(param, arguments.remaining)
 }
 
-func (f *Front) handleReset(arguments *payloadReader) {
+func (f *ServerConn) handleReset(arguments *payloadReader) {
 	s := f.statements[arguments.uint32()]
 	if s == nil {
 		f.sendError(1, erUnknownStatement, unknownStatementMessage)
--- a/internal/protocol/mysql/front_login.go
+++ b/internal/protocol/mysql/front_login.go
@@ -58,7 +58,7 @@
 }
 
 // handleHandshakeResponse authenticates the client, or requests a switch to mysql_native_password first.
-func (f *Front) handleHandshakeResponse(p packet) {
+func (f *ServerConn) handleHandshakeResponse(p packet) {
 	response, ok := parseHandshakeResponse(p.payload)
 	if !ok {
 		f.sendError(p.sequenceID+1, erMalformedPacket, "malformed login")
@@ -82,9 +82,9 @@
 	return frame(sequenceID, append(b, 0))
 }
 
-func (f *Front) authenticate(sequenceID byte, auth []byte) {
+func (f *ServerConn) authenticate(sequenceID byte, auth []byte) {
 	account := f.accounts[f.user]
-	if account == nil || !account.Hash.verify(f.scramble, auth) {
+	if account == nil || !account.PasswordHash.verify(f.scramble, auth) {
 		f.sendError(sequenceID, erAccessDenied, fmt.Sprintf("Access denied for user '%.32s'", f.user))
 		f.closeConnection()
 		return
--- a/internal/protocol/mysql/golden_test.go
+++ b/internal/protocol/mysql/golden_test.go
@@ -37,20 +37,20 @@
 func TestFrontTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
-	f, greeting := NewFront(map[string]*Account{"u": {User: "u", Hash: HashOf("p"), Budget: time.Second}}, 1, scramble)
+	f, greeting := NewServerConn(map[string]*Account{"u": {User: "u", PasswordHash: HashPassword("p"), Budget: time.Second}}, 1, scramble)
 	fmt.Fprintf(&out, "greeting %q\n", greeting)
 	for _, in := range slices.Concat([][]byte{loginBytes(t)}, goldenCommands()) {
 		fmt.Fprintf(&out, "in %q\n", in)
 		events := f.Received(in)
 		for _, e := range slices.Clone(events) {
-			if e.Call != nil {
+			if e.Query != nil {
 				events = append(events, f.QueryEnded()...)
 			}
 		}
 		for _, e := range events {
 			fmt.Fprintf(&out, "  write %q close %v\n", e.Write, e.Close)
-			if c := e.Call; c != nil {
-				fmt.Fprintf(&out, "  call schema %q text %q key %q\n", c.Schema, c.Text, c.ReplayKey)
+			if c := e.Query; c != nil {
+				fmt.Fprintf(&out, "  call schema %q text %q key %q\n", c.Schema, c.Text, c.IdempotencyKey)
 				if c.Execution != nil {
 					fmt.Fprintf(&out, "  execute %q\n", slices.Concat(c.Execution.longDataPackets(5), c.Execution.executePacket(5)))
 				}
@@ -68,13 +68,13 @@
 	t.Parallel()
 	var out strings.Builder
 	note := func(event string, steps []attempt.Step) { out.WriteString(transcript.Steps(event, steps)) }
-	_, greeting := NewFront(nil, 1, scramble)
+	_, greeting := NewServerConn(nil, 1, scramble)
 	permission := func(bool) (time.Duration, bool) { return time.Second, true }
 	prepared := &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}, paramValues: []byte("\x01x")}
 	preparedAnswer := slices.Concat(frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}), frame(2, []byte(definition)), eofPacket(3))
 	for _, execute := range []*Execution{nil, prepared} {
 		var memory [2]any
-		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", ReplayKey: "'k'", Execution: execute}
+		call := &Query{Account: &Account{}, Text: "SELECT ?", Schema: "s", IdempotencyKey: "'k'", Execution: execute}
 		x, steps := NewExchange(call, "u", "p")
 		note("new", steps)
 		note("opened", x.Connected(attempt.Primary, &memory[0], permission))
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -18,9 +18,9 @@
 var scramble = []byte("abcdefghijklmnopqrst")
 
 // newFront returns the front of a new connection with the account u, password p.
-func newFront(t testing.TB) *Front {
+func newFront(t testing.TB) *ServerConn {
 	t.Helper()
-	f, greeting := NewFront(map[string]*Account{"u": {User: "u", Hash: HashOf("p"), Budget: time.Second}}, 1, scramble)
+	f, greeting := NewServerConn(map[string]*Account{"u": {User: "u", PasswordHash: HashPassword("p"), Budget: time.Second}}, 1, scramble)
 	if n := payloadLength(greeting); n != len(greeting)-headerSize {
 		t.Fatalf("handshake of %d bytes has length %d in its header", len(greeting)-headerSize, n)
 	}
@@ -30,7 +30,7 @@
 // loginBytes returns a client's handshake response. It is built by the package's own side towards engines.
 func loginBytes(t testing.TB) []byte {
 	t.Helper()
-	_, greeting := NewFront(nil, 1, scramble)
+	_, greeting := NewServerConn(nil, 1, scramble)
 	s := newSession()
 	out, err := s.handleLogin(packet{payload: greeting[headerSize:]}, credentials{"u", "p"})
 	if err != nil {
@@ -45,11 +45,11 @@
 		commandPacket(comStmtExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0, 1, 'x'}), commandPacket(comQuery, []byte("SELECT 1")))
 	rapid.Check(t, func(rt *rapid.T) {
 		f, rest := newFront(t), input
-		var calls []*Call
+		var calls []*Query
 		collect := func(events []Event) {
 			for _, e := range events {
-				if e.Call != nil {
-					calls = append(calls, e.Call)
+				if e.Query != nil {
+					calls = append(calls, e.Query)
 				}
 			}
 		}
@@ -133,14 +133,14 @@
 	const digits = "2470C0C06DEE42FD1618BB99005ADCA2EC9D1E19" // of "password"
 	for name, text := range map[string]string{"with star": "*" + digits, "without star": digits} {
 		t.Run(name, func(t *testing.T) {
-			if got, err := ParseHash(text); err != nil || got != HashOf("password") {
+			if got, err := ParsePasswordHash(text); err != nil || got != HashPassword("password") {
 				t.Errorf("%x, %v", got, err)
 			}
 		})
 	}
 	for name, text := range map[string]string{"empty": "", "short": "*" + digits[2:], "no digits": "*" + strings.Repeat("x", len(digits))} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := ParseHash(text); !errors.Is(err, ErrPasswordHash) {
+			if _, err := ParsePasswordHash(text); !errors.Is(err, ErrPasswordHash) {
 				t.Errorf("error %v, want ErrPasswordHash", err)
 			}
 		})
@@ -227,7 +227,7 @@
 
 // Whatever the events and their order, an exchange ends at most once and sends the query at most once.
 func TestExchangeGarbage(t *testing.T) {
-	_, greeting := NewFront(nil, 1, scramble)
+	_, greeting := NewServerConn(nil, 1, scramble)
 	parts := rapid.SampledFrom([][]byte{
 		greeting,
 		okPacket(2),
@@ -241,7 +241,7 @@
 		frame(2, []byte(definition)),
 	})
 	rapid.Check(t, func(rt *rapid.T) {
-		call := &Call{Account: &Account{}, Text: "SELECT ?", Schema: "s", ReplayKey: "'k'"}
+		call := &Query{Account: &Account{}, Text: "SELECT ?", Schema: "s", IdempotencyKey: "'k'"}
 		if rapid.Bool().Draw(rt, "prepared") {
 			call.Execution = &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}}
 		}
@@ -290,7 +290,7 @@
 // A late KILL QUERY would end the next query on the same connection, so a connection whose query was killed is never
 // released, even after its result was read to the end.
 func TestKilledConnectionIsNotReused(t *testing.T) {
-	x, _ := NewExchange(&Call{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
+	x, _ := NewExchange(&Query{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
 	var memory any = idleSession()
 	x.Connected(attempt.Primary, &memory, permitted)
 	x.Cancel(policy.Cancelled)
@@ -311,7 +311,7 @@
 		return slices.ContainsFunc(steps, func(s attempt.Step) bool { _, end := s.(attempt.End); return end })
 	}
 	queryInFlight := func() (x *Exchange, control any) {
-		x, _ = NewExchange(&Call{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
+		x, _ = NewExchange(&Query{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
 		var primary any = idleSession()
 		x.Connected(attempt.Primary, &primary, permitted)
 		return x, idleSession()
--- a/internal/protocol/vrrp/config.go
+++ b/internal/protocol/vrrp/config.go
@@ -8,12 +8,12 @@
 
 // Config configures a virtual router on one of its routers. All but Priority and Self are the same on all of them.
 type Config struct {
-	VRID     uint8         // 1 to 255
-	Priority uint8         // 255 for the owner of the addresses, else 1 to 254
-	Interval time.Duration // between advertisements, 10 ms to 40.95 s
-	Preempt  bool          // take over from a master of lower priority
-	Self     netip.Addr    // primary IPv4 address; of two routers of equal priority the higher address wins
-	Addrs    []netip.Addr  // IPv4 addresses of the virtual router, 1 to 255
+	VRID         uint8         // 1 to 255
+	Priority     uint8         // 255 for the owner of the addresses, else 1 to 254
+	Interval     time.Duration // between advertisements, 10 ms to 40.95 s
+	Preempt      bool          // take over from a master of lower priority
+	PrimaryAddr  netip.Addr    // primary IPv4 address; of two routers of equal priority the higher address wins
+	VirtualAddrs []netip.Addr  // IPv4 addresses of the virtual router, 1 to 255
 }
 
 // ConfigError reports a field of a Config that is out of bounds.
@@ -38,12 +38,12 @@
 		return c.invalid("priority", c.Priority, "1 to 255")
 	case c.Interval < intervalUnit || c.Interval > maxInterval:
 		return c.invalid("interval", c.Interval, fmt.Sprintf("%v to %v", intervalUnit, maxInterval))
-	case len(c.Addrs) == 0 || len(c.Addrs) > maxAddresses:
-		return c.invalid("number of addresses", len(c.Addrs), fmt.Sprintf("1 to %d", maxAddresses))
-	case !c.Self.Is4():
-		return c.invalid("own address", c.Self, "an IPv4 address")
+	case len(c.VirtualAddrs) == 0 || len(c.VirtualAddrs) > maxAddresses:
+		return c.invalid("number of addresses", len(c.VirtualAddrs), fmt.Sprintf("1 to %d", maxAddresses))
+	case !c.PrimaryAddr.Is4():
+		return c.invalid("own address", c.PrimaryAddr, "an IPv4 address")
 	}
-	for _, addr := range c.Addrs {
+	for _, addr := range c.VirtualAddrs {
 		if !addr.Is4() {
 			return c.invalid("address", addr, "an IPv4 address")
 		}
--- a/internal/protocol/vrrp/router.go
+++ b/internal/protocol/vrrp/router.go
@@ -61,7 +61,7 @@
 }
 
 func (r *Router) advertise(priority uint8) Step {
-	a := advertisement{vrid: r.config.VRID, priority: priority, interval: r.config.Interval, addrs: r.config.Addrs}
+	a := advertisement{vrid: r.config.VRID, priority: priority, interval: r.config.Interval, addrs: r.config.VirtualAddrs}
 	return Step{Send: a.encode()}
 }
 
@@ -175,5 +175,5 @@
 	if priority != r.config.Priority {
 		return priority > r.config.Priority
 	}
-	return from.Compare(r.config.Self) > 0
+	return from.Compare(r.config.PrimaryAddr) > 0
 }
--- a/internal/protocol/vrrp/vrrp_test.go
+++ b/internal/protocol/vrrp/vrrp_test.go
@@ -18,8 +18,8 @@
 // router returns a router with a lower address than its peer.
 func router(t *testing.T, priority uint8, preempt bool) *Router {
 	t.Helper()
-	r, err := New(Config{VRID: 7, Priority: priority, Interval: time.Second, Preempt: preempt, Self: low,
-		Addrs: []netip.Addr{netip.MustParseAddr("127.0.0.9")}})
+	r, err := New(Config{VRID: 7, Priority: priority, Interval: time.Second, Preempt: preempt, PrimaryAddr: low,
+		VirtualAddrs: []netip.Addr{netip.MustParseAddr("127.0.0.9")}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,12 +185,12 @@
 		"VRID":                func(c *Config) { c.VRID = 0 },
 		"priority":            func(c *Config) { c.Priority = 0 },
 		"interval":            func(c *Config) { c.Interval = maxInterval + 1 },
-		"number of addresses": func(c *Config) { c.Addrs = nil },
-		"own address":         func(c *Config) { c.Self = ipv6 },
-		"address":             func(c *Config) { c.Addrs = []netip.Addr{low, ipv6} },
+		"number of addresses": func(c *Config) { c.VirtualAddrs = nil },
+		"own address":         func(c *Config) { c.PrimaryAddr = ipv6 },
+		"address":             func(c *Config) { c.VirtualAddrs = []netip.Addr{low, ipv6} },
 	} {
 		t.Run(field, func(t *testing.T) {
-			config := Config{VRID: 7, Priority: 100, Interval: time.Second, Self: low, Addrs: []netip.Addr{low}}
+			config := Config{VRID: 7, Priority: 100, Interval: time.Second, PrimaryAddr: low, VirtualAddrs: []netip.Addr{low}}
 			change(&config)
 			_, err := New(config)
 			var invalid *ConfigError
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -106,7 +106,7 @@
 	}
 	l.lastThreadID++
 	c := &mysqlClient{listener: l, idleSince: l.dispatcher.Loop.Now()}
-	machine, greeting := mysql.NewFront(l.config.Accounts, l.lastThreadID, newScramble())
+	machine, greeting := mysql.NewServerConn(l.config.Accounts, l.lastThreadID, newScramble())
 	c.machine = machine
 	l.open[c] = true
 	c.conn = eventloop.NewConn(l.dispatcher.Loop, nc, c, mysqlWriteLimit)
--- a/internal/transport/frontend/mysql_client.go
+++ b/internal/transport/frontend/mysql_client.go
@@ -13,9 +13,9 @@
 type mysqlClient struct {
 	listener   *MySQLListener
 	conn       *eventloop.Conn
-	machine    *mysql.Front
-	query      *mysql.Call // the open query, or nil
-	id         core.ID     // of the open query
+	machine    *mysql.ServerConn
+	query      *mysql.Query // the open query, or nil
+	id         core.ID      // of the open query
 	attempt    *dispatcher.AttemptDriver
 	loginTimer *eventloop.Timer
 	paused     bool // reading the engine's response is paused, since the client reads too slowly
@@ -56,7 +56,7 @@
 // shutdownIfIdle implements closableConn.
 func (c *mysqlClient) shutdownIfIdle(minIdle time.Duration) {
 	idle := c.listener.dispatcher.Loop.Now()-c.idleSince >= minIdle
-	if idle && c.conn.DeliverPending() && !c.machine.IsRunning() {
+	if idle && c.conn.DeliverPending() && !c.machine.QueryRunning() {
 		c.close()
 	}
 }
@@ -83,15 +83,15 @@
 		switch {
 		case e.Write != nil:
 			c.conn.Write(e.Write)
-		case e.Call != nil:
-			c.submit(e.Call)
+		case e.Query != nil:
+			c.submit(e.Query)
 		case e.Close:
 			c.close()
 		}
 	}
 }
 
-func (c *mysqlClient) submit(query *mysql.Call) {
+func (c *mysqlClient) submit(query *mysql.Query) {
 	group := core.TableGroup(query.Text)
 	if group == 0 {
 		group = core.SchemaGroup(query.Schema)
--- a/internal/transport/frontend/platform_client.go
+++ b/internal/transport/frontend/platform_client.go
@@ -101,7 +101,7 @@
 func (c *client) cancel(id string) {
 	requestID, open := c.requests[id]
 	if open {
-		c.session.Done(id)
+		c.session.EndCall(id)
 		delete(c.requests, id)
 		c.listener.dispatcher.Cancel(requestID)
 	}
--- a/internal/transport/frontend/platform_request.go
+++ b/internal/transport/frontend/platform_request.go
@@ -25,11 +25,11 @@
 func (r *request) StartAttempt(start core.StartAttempt) dispatcher.Attempt {
 	d := r.client.listener.dispatcher
 	machine, steps := enginehttp.NewQuery(enginehttp.Request{
-		Host:      start.Engine.Addr,
-		ID:        r.call.RID,
-		Class:     d.Core.ClassName(r.call.Class),
-		Key:       r.call.Token,
-		Statement: r.call.Statement,
+		Host:           start.Engine.Addr,
+		ID:             r.call.RID,
+		Class:          d.Core.ClassName(r.call.Class),
+		IdempotencyKey: r.call.Token,
+		Statement:      r.call.Statement,
 	})
 	return dispatcher.StartAttempt(d, d.Pool, start, start.Engine.Addr, machine, steps, func([]byte) {})
 }
@@ -43,7 +43,7 @@
 // Reply writes the response to the query.
 func (r *request) Reply(reply core.Reply, result any) {
 	c := r.client
-	c.session.Done(r.call.ID)
+	c.session.EndCall(r.call.ID)
 	delete(c.requests, r.call.ID)
 	switch reply.Verdict {
 	case core.Served:
