--- a/internal/control/rollout/codec.go
+++ b/internal/control/rollout/codec.go
@@ -10,10 +10,10 @@
 	"frostpier/internal/control/rollout/rolloutpb"
 )
 
-// MaxReportBytes is the maximum length of a report in bytes: reports of hundreds of gateways fit into a socket's buffer.
+// MaxReportBytes is the maximum length of an encoded report. It lets a socket's receive buffer hold reports of hundreds of gateways.
 const MaxReportBytes = 1400
 
-// Bounds of the values of a report. Reports with greater ones are invalid.
+// Upper bounds of the values in a report. A report that exceeds one is invalid.
 const (
 	maxReportClasses = 64
 	maxReportPID     = 1 << 30
@@ -24,14 +24,14 @@
 const kilobytesPerMB = 1024
 
 var (
-	// ErrInvalidReport says that a report cannot be read, or is too long to be sent.
-	ErrInvalidReport = errors.New("report")
+	// ErrInvalidReport means that a report cannot be decoded, or is too long to be sent.
+	ErrInvalidReport = errors.New("invalid rollout report")
 
-	// ErrOtherFleet says that a report is of a gateway of another fleet. It is an ErrInvalidReport.
-	ErrOtherFleet = fmt.Errorf("%w: of another fleet", ErrInvalidReport)
+	// ErrOtherFleet means that a report comes from a gateway of another fleet. It wraps ErrInvalidReport.
+	ErrOtherFleet = fmt.Errorf("%w: from a gateway of another fleet", ErrInvalidReport)
 )
 
-// Append appends the report's encoding to dst. It fails with ErrInvalidReport where that is longer than MostReport.
+// Append appends the encoded report to dst. It fails with ErrInvalidReport if the encoding is longer than MaxReportBytes.
 func (r Report) Append(dst []byte, fleet string) ([]byte, error) {
 	message := &rolloutpb.Report{
 		Fleet:     fleet,
@@ -52,16 +52,16 @@
 		return dst, fmt.Errorf("%w: %w", ErrInvalidReport, err)
 	}
 	if length := len(out) - len(dst); length > MaxReportBytes {
-		return dst, fmt.Errorf("%w: %d bytes", ErrInvalidReport, length)
+		return dst, fmt.Errorf("%w: %d bytes, at most %d allowed", ErrInvalidReport, length, MaxReportBytes)
 	}
 	return out, nil
 }
 
-// ParseReport decodes a report of a gateway of the fleet. Fields that a newer program adds are skipped. It fails with
-// ErrOtherFleet for a gateway of another fleet, and else with ErrInvalidReport.
+// ParseReport decodes the report of a gateway in a fleet with the given numbers of gateways and classes. Unknown fields of newer
+// programs are skipped. It fails with ErrOtherFleet for a gateway of another fleet, and with ErrInvalidReport for any other reason.
 func ParseReport(b []byte, fleet string, gateways, classes int) (Report, error) {
 	if len(b) > MaxReportBytes {
-		return Report{}, fmt.Errorf("%w: %d bytes", ErrInvalidReport, len(b))
+		return Report{}, fmt.Errorf("%w: %d bytes, at most %d allowed", ErrInvalidReport, len(b), MaxReportBytes)
 	}
 	var message rolloutpb.Report
 	if err := proto.Unmarshal(b, &message); err != nil {
@@ -71,7 +71,7 @@
 		return Report{}, ErrOtherFleet
 	}
 	if !validReport(&message, gateways, classes) {
-		return Report{}, fmt.Errorf("%w: gateway %d, process %d, %d classes",
+		return Report{}, fmt.Errorf("%w: value out of range: gateway %d, pid %d, %d classes",
 			ErrInvalidReport, message.Gateway, message.Pid, len(message.Classes))
 	}
 	r := Report{
@@ -90,7 +90,8 @@
 	return r, nil
 }
 
-// validReport reports whether a message is of one of so many gateways, has so many classes and values within bounds.
+// validReport reports whether a message has a gateway number below gateways, exactly the given number of classes, and values
+// within bounds.
 func validReport(message *rolloutpb.Report, gateways, classes int) bool {
 	switch {
 	case int(message.Gateway) >= gateways:
--- a/internal/control/rollout/codec_test.go
+++ b/internal/control/rollout/codec_test.go
@@ -29,12 +29,12 @@
 	return b
 }
 
-// A report is decoded as it was encoded, also with a field of a later version.
+// TestReportRoundTrip checks that ParseReport returns the encoded report, also if the encoding has an unknown field.
 func TestReportRoundTrip(t *testing.T) {
 	b := encodedReport(t)
 	extended := protowire.AppendTag(slices.Clone(b), 900, protowire.BytesType)
 	extended = protowire.AppendBytes(extended, []byte("of a later version"))
-	for name, text := range map[string][]byte{"as encoded": b, "with a later field": extended} {
+	for name, text := range map[string][]byte{"as encoded": b, "with an unknown field": extended} {
 		t.Run(name, func(t *testing.T) {
 			r, err := ParseReport(text, "f", 8, 3)
 			if err != nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Reports of another fleet, with values out of bounds, or that are too long are errors.
-func TestInvalidReport(t *testing.T) {
+// TestParseReportRejectsInvalidReports checks the errors for another fleet, values out of bounds and excessive length.
+func TestParseReportRejectsInvalidReports(t *testing.T) {
 	b := encodedReport(t)
 	cases := []struct {
 		name              string
@@ -72,8 +72,8 @@
 	}
 }
 
-// A damaged report is an error, or is read as values within bounds.
-func TestDamagedReport(t *testing.T) {
+// TestParseReportOfDamagedData checks that a truncated or modified report is rejected, or decoded to values within bounds.
+func TestParseReportOfDamagedData(t *testing.T) {
 	b := encodedReport(t)
 	rapid.Check(t, func(t *rapid.T) {
 		text := slices.Clone(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")])
@@ -88,15 +88,16 @@
 	})
 }
 
-// Messages as the first version encoded them. A later program has to decode them, so that old gateways report to a new
-// controller and run beside new ones.
+// Messages as encoded by the first version. Later versions have to decode them, as old gateways report to a new controller and
+// exchange versions with new gateways.
 const (
 	firstReport = "0a0166100718e7242080a0f1c2b134290000000000000080310300000000000000" +
 		"380148808c01520e08011002180320042805300638075200520708808080808020"
 	firstVersion = "0d000100001500020000"
 )
 
-func TestMessagesOfFirstVersionAreDecoded(t *testing.T) {
+// TestDecodeMessagesOfFirstVersion checks that messages encoded by the first version are decoded.
+func TestDecodeMessagesOfFirstVersion(t *testing.T) {
 	b, err := hex.DecodeString(firstReport)
 	if err != nil {
 		t.Fatal(err)
@@ -114,31 +115,32 @@
 	}
 }
 
-// The version is sent to every member at intervals, and again after a change. Malformed messages change nothing.
-func TestMixExchange(t *testing.T) {
+// TestVersionTrackerExchange checks that a version is sent to each member once per resendInterval and again after a change, and that
+// malformed messages are ignored.
+func TestVersionTrackerExchange(t *testing.T) {
 	a, b := NewVersionTracker(3, VersionID{1 << 40, 2 << 40}), NewVersionTracker(3, VersionID{3 << 40, 2 << 40})
 	now := 100 * time.Second
 	body := a.Append(now, 1, 50, nil)
 	if len(body) == 0 || len(a.Append(now+time.Second, 1, 50, nil)) > 0 || len(a.Append(now, 2, 3, nil)) > 0 {
-		t.Fatal("sent twice at once, or without room")
+		t.Fatal("not sent, sent again within resendInterval, or sent without enough room")
 	}
 	if len(a.Append(now+resendInterval, 1, 50, nil)) == 0 {
-		t.Error("not sent again")
+		t.Error("not sent again after resendInterval")
 	}
 	if !b.Receive(0, body) || b.Receive(0, []byte{0xff}) || b.Receive(9, body) || b.Receive(-1, body) {
-		t.Error("the wrong messages were accepted")
+		t.Error("a valid message was rejected, or an invalid one accepted")
 	}
 	counts := b.Counts(1, func(int) bool { return true })
 	if len(counts) != 2 || counts[0].Members != 1 || FormatVersionCounts(counts) == "" {
 		t.Errorf("%+v", counts)
 	}
 	if got := b.Counts(1, func(i int) bool { return i != 0 }); len(got) != 1 {
-		t.Errorf("one out of service counts: %+v", got)
+		t.Errorf("a member out of service is counted: %+v", got)
 	}
-	a.SetOwn(VersionID{5 << 40, 2 << 40})
+	a.SetLocal(VersionID{5 << 40, 2 << 40})
 	if body := a.Append(now+resendInterval, 1, 50, nil); len(body) == 0 {
-		t.Error("a new version was not sent")
+		t.Error("the changed version was not sent")
 	} else if b.Receive(0, body); b.Counts(1, func(int) bool { return true })[0].ID == (VersionID{}) {
-		t.Error("lost")
+		t.Error("the most frequent version is unknown")
 	}
 }
--- a/internal/control/rollout/comparison.go
+++ b/internal/control/rollout/comparison.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	mixtureScale         = 0.1  // difference of shares for which the sequence of intervals is tightest
-	oldDeviations        = 2.0  // standard deviations of the old share that are added to the allowed one
-	maxDispersion        = 25.0 // cap of the dispersion
-	minDispersionSources = 3    // old gateways with enough answers, from which their dispersion is estimated
-	minDispersionAnswers = 5    // answers of such a gateway
+	mixtureScale          = 0.1  // difference of shares at which the confidence sequence is tightest
+	oldShareDeviations    = 2.0  // standard errors of the old share that are added to the allowed share
+	maxDispersion         = 25.0 // upper limit of the estimated dispersion
+	minDispersionGateways = 3    // old gateways with minDispersionAnswers that are needed to estimate the dispersion
+	minDispersionAnswers  = 5    // answers from which a gateway counts for the dispersion
 )
 
-// metric is a proportion by which old and new gateways are compared.
+// metric is a proportion on which new gateways are compared with old ones.
 type metric struct {
 	name  string
 	count func(Counts) proportion
 }
 
-// notInTime is the place in metrics of the one that decides whether a stage goes on.
-const notInTime = 0
+// notInTimeMetric is the index in metrics of the metric that decides whether a stage may complete.
+const notInTimeMetric = 0
 
-// metrics returns what is compared class by class. The first counts rejections, failures and late answers together; the
-// others show sooner which of them it is.
+// metrics returns the metrics that are compared for each class. The first combines rejections, failures and late answers; the
+// others detect a regression in one of them sooner, or before answers are late.
 func metrics() []metric {
 	return []metric{
 		{"not served in time", func(c Counts) proportion { return proportion{c.answers() - c.InTime, c.answers()} }},
-		{"refused", func(c Counts) proportion { return proportion{c.Rejected, c.answers()} }},
+		{"rejected", func(c Counts) proportion { return proportion{c.Rejected, c.answers()} }},
 		{"failed", func(c Counts) proportion { return proportion{c.Failed, c.answers()} }},
-		{"slower than a quarter of the aim", func(c Counts) proportion {
+		{"slower than a quarter of the latency objective", func(c Counts) proportion {
 			return proportion{saturatingSub(c.answers(), c.Fast), c.answers()}
 		}},
-		{"further attempts", func(c Counts) proportion { return proportion{min(c.Retries, c.Requests), c.Requests} }},
+		{"retries", func(c Counts) proportion { return proportion{min(c.Retries, c.Requests), c.Requests} }},
 	}
 }
 
-// proportion is a number of events out of a total.
+// proportion is a count of events out of a total.
 type proportion struct{ count, total uint64 }
 
 func (p proportion) share() float64 { return float64(p.count) / max(1, float64(p.total)) }
 
-// smooth returns a share that is never 0 or 1: that none of a few was an event does not mean that there are none.
-func (p proportion) smooth() float64 { return (float64(p.count) + 0.5) / (float64(p.total) + 1) }
+// smoothedShare returns the share with a correction for small samples, so that it is never exactly 0 or 1.
+func (p proportion) smoothedShare() float64 { return (float64(p.count) + 0.5) / (float64(p.total) + 1) }
 
 func (p *proportion) add(o proportion) {
 	p.count += o.count
 	p.total += o.total
 }
 
-// classRange is the classes [from, to).
+// classRange is the half-open range [from, to) of class indices.
 type classRange struct{ from, to int }
 
-// allClasses stands for the classes of all clients together.
+// allClasses stands for the sum of all classes of clients' queries.
 const allClasses = -1
 
-// classesOf returns the classes that a comparison counts: one class, or for allClasses those of clients.
+// classesOf returns the range of classes to compare: the given class, or all classes of clients for allClasses.
 func classesOf(class, clientClasses int) classRange {
 	if class == allClasses {
 		return classRange{0, clientClasses}
@@ -65,7 +65,7 @@
 	return classRange{class, class + 1}
 }
 
-// count returns a metric of one gateway over the classes.
+// count returns the metric of one gateway, summed over the classes in the range.
 func (r classRange) count(s Sample, m metric) (total proportion) {
 	for class, counts := range s.Classes {
 		if class >= r.from && class < r.to {
@@ -75,12 +75,13 @@
 	return total
 }
 
-// comparison is a metric of the new gateways and of the old ones.
+// comparison holds one metric of the new and the old gateways.
 type comparison struct {
 	new, old   proportion
-	dispersion float64 // variance of the old gateways' counts over that of chance alone, at least 1
+	dispersion float64 // variance between old gateways relative to the binomial variance; at least 1
 }
 
+// compare sums a metric over the new and over the old gateways, and estimates the dispersion of the old ones.
 func compare(newSamples, oldSamples []Sample, classes classRange, m metric) comparison {
 	c := comparison{dispersion: 1}
 	for _, s := range newSamples {
@@ -95,35 +96,34 @@
 	return c
 }
 
-// estimateDispersion sets the dispersion of the old gateways to Pearson's statistic over its degrees of freedom (McCullagh and
-// Nelder): gateways see different traffic and engines, so that a new gateway may differ from the old ones as much as these
-// differ from each other.
+// estimateDispersion sets the dispersion to the old gateways' Pearson chi-squared statistic divided by its degrees of freedom
+// (McCullagh and Nelder). Gateways see different traffic and engines, so a new gateway may differ from the old ones as much as
+// the old ones differ from each other.
 func (c *comparison) estimateDispersion(gateways []proportion) {
-	chiSquared, sources := 0.0, 0
-	p := c.old.smooth()
+	chiSquared, included := 0.0, 0
+	p := c.old.smoothedShare()
 	for _, old := range gateways {
 		if old.total >= minDispersionAnswers {
 			d := float64(old.count) - p*float64(old.total)
 			chiSquared += d * d / (float64(old.total) * p * (1 - p))
-			sources++
+			included++
 		}
 	}
-	if sources >= minDispersionSources {
-		c.dispersion = min(maxDispersion, max(1, chiSquared/float64(sources-1)))
+	if included >= minDispersionGateways {
+		c.dispersion = min(maxDispersion, max(1, chiSquared/float64(included-1)))
 	}
 }
 
-// exceeds reports whether the new share is above the old one by more than margin. It is a mixture sequential probability ratio
-// test (Robbins; Johari et al.): the likelihood of shares spread evenly above the allowed one, over that of the allowed one.
-// By Ville's inequality it ever passes 1/alpha with no more than the probability alpha where the share is allowed, however
-// often it is evaluated. Counts are divided by their dispersion, and the allowed share is taken from the upper end of what
-// the old share may be.
+// exceeds reports whether the new share is above the old one by more than margin, at significance level alpha. It is a mixture
+// sequential probability ratio test (Robbins; Johari et al.) of the allowed share against a uniform mixture of all shares above
+// it. By Ville's inequality the probability of a false positive is at most alpha, however often the test is evaluated. Counts
+// are divided by their dispersion, and the allowed share includes the uncertainty of the old share.
 func (c comparison) exceeds(margin, alpha float64) bool {
 	if c.new.total == 0 || c.old.total == 0 || c.new.share() <= c.old.share()+margin {
 		return false
 	}
-	// Below the allowed share the likelihood falls towards each share of the mixture, so that the ratio is under 1. It is not computed
-	// there: the tail would be mere rounding, whose logarithm passes for evidence.
+	// At or below the allowed share the likelihood ratio is always under 1. It is not computed there: the tail probability would
+	// consist of rounding error, and its logarithm could look like significant evidence.
 	allowed := c.allowedShare(margin)
 	if allowed >= 1 || c.new.share() <= allowed {
 		return false
@@ -138,10 +138,10 @@
 	return ratio > -math.Log(alpha)
 }
 
-// allowedShare returns the share that new gateways may have: margin above the upper end of what the old share may be.
+// allowedShare returns the share that new gateways may have: the upper confidence limit of the old share, plus margin.
 func (c comparison) allowedShare(margin float64) float64 {
-	old := c.old.smooth()
-	return old + margin + oldDeviations*math.Sqrt(c.dispersion*old*(1-old)/float64(c.old.total))
+	old := c.old.smoothedShare()
+	return old + margin + oldShareDeviations*math.Sqrt(c.dispersion*old*(1-old)/float64(c.old.total))
 }
 
 // logBeta returns the logarithm of the beta function.
@@ -152,14 +152,14 @@
 	return x + y - z
 }
 
-// variance returns that of the difference of the two shares.
+// variance returns the variance of the difference between the two shares.
 func (c comparison) variance() float64 {
 	p := (float64(c.new.count+c.old.count) + 0.5) / (float64(c.new.total+c.old.total) + 1)
 	return c.dispersion * p * (1 - p) * (1/max(1, float64(c.new.total)) + 1/max(1, float64(c.old.total)))
 }
 
-// upperBound returns the upper bound of the difference of the shares: that of a confidence sequence, whose intervals hold
-// together at all times with the probability 1-alpha.
+// upperBound returns the upper bound of the difference between the shares from a confidence sequence: all its intervals contain
+// the true difference at once with probability 1-alpha, however often it is evaluated.
 func (c comparison) upperBound(alpha float64) float64 {
 	if c.new.total == 0 || c.old.total == 0 {
 		return 1
@@ -169,11 +169,12 @@
 	return c.new.share() - c.old.share() + math.Sqrt(2*v*w/(mixtureScale*mixtureScale)*(math.Log(1/alpha)+0.5*math.Log(w/v)))
 }
 
+// describe formats the comparison for a verdict's reason.
 func (c comparison) describe(class, metric string) string {
 	return formatComparison(metric, class, c.new.share(), c.old.share(), c.new.total)
 }
 
-// formatComparison formats a metric of new and old gateways as text; total is that of the new ones.
-func formatComparison(metric, class string, now, old float64, total uint64) string {
-	return fmt.Sprintf("%s: %s %.3f, old gateways %.3f (%d of new ones)", class, metric, now, old, total)
+// formatComparison formats the values of a metric for new and old gateways; newTotal is the sample size of the new ones.
+func formatComparison(metric, class string, newValue, oldValue float64, newTotal uint64) string {
+	return fmt.Sprintf("%s: %s: new gateways %.3f (sample size %d), old gateways %.3f", class, metric, newValue, newTotal, oldValue)
 }
--- a/internal/control/rollout/counts.go
+++ b/internal/control/rollout/counts.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// Counts are a class's totals at one gateway, of answers unless said otherwise.
+// Counts are the totals of one query class at one gateway since its process started.
 type Counts struct {
-	Requests uint64 `json:"t"` // requests accepted
-	InTime   uint64 `json:"i"` // served within the latency objective
-	Late     uint64 `json:"l"` // served after it
-	Rejected uint64 `json:"r"` // rejected
-	Failed   uint64 `json:"f"`
-	Fast     uint64 `json:"q"` // served within a quarter of the latency objective
-	Retries  uint64 `json:"a"` // retries: attempts beyond a request's first
+	Requests uint64 `json:"t"` // requests received
+	InTime   uint64 `json:"i"` // answers within the latency objective
+	Late     uint64 `json:"l"` // answers after the latency objective
+	Rejected uint64 `json:"r"` // rejected requests
+	Failed   uint64 `json:"f"` // requests that failed for any other reason
+	Fast     uint64 `json:"q"` // answers within a quarter of the latency objective
+	Retries  uint64 `json:"a"` // attempts after a request's first
 }
 
+// answers returns the number of requests with a final result, rejections and failures included.
 func (c Counts) answers() uint64 { return c.InTime + c.Late + c.Rejected + c.Failed }
 
-// subtract returns what was added since an earlier report. Where a total has fallen, the process restarted and all of it is
-// new.
+// subtract returns the increase since an earlier report. A total that has decreased shows that the process restarted; then all of
+// c is new and is returned unchanged.
 func (c Counts) subtract(earlier Counts) Counts {
 	restarted := c.Requests < earlier.Requests || c.InTime < earlier.InTime || c.Late < earlier.Late ||
 		c.Rejected < earlier.Rejected || c.Failed < earlier.Failed
@@ -46,8 +47,8 @@
 	}
 }
 
-// withoutChecks subtracts the controller's checks from a class: otherwise gateways that serve many of them would look
-// better, or worse, than those that serve none.
+// withoutChecks subtracts the controller's synthetic checks from the counts of a class. Not every gateway is checked, so their
+// results would bias the comparison of clients' queries.
 func (c Counts) withoutChecks(results CheckResults) Counts {
 	checks := results.asCounts()
 	refused := min(c.Rejected, checks.Failed)
@@ -62,10 +63,10 @@
 	}
 }
 
-// saturatingSub returns a-b, 0 where b is greater.
+// saturatingSub returns a-b, or 0 if b is greater.
 func saturatingSub(a, b uint64) uint64 { return a - min(a, b) }
 
-// subtractCounts subtracts an earlier report class by class.
+// subtractCounts subtracts the counts of an earlier report, class by class.
 func subtractCounts(counts, earlier []Counts) []Counts {
 	out := slices.Clone(counts)
 	for class := range min(len(counts), len(earlier)) {
@@ -74,7 +75,7 @@
 	return out
 }
 
-// addCounts adds class by class. The result shares no memory with its arguments.
+// addCounts returns the sum for each class, as a new slice.
 func addCounts(a, b []Counts) []Counts {
 	if len(a) < len(b) {
 		a, b = b, a
@@ -86,18 +87,18 @@
 	return out
 }
 
-// Sample is what one gateway did while a stage was watched.
+// Sample holds the counts of one gateway since the watch of the current stage began.
 type Sample struct {
-	New      bool // it was started on the new version
-	Classes  []Counts
+	New      bool     // the gateway was started on the new version
+	Classes  []Counts // by class
 	MemoryMB float64
 	Checks   CheckResults
 }
 
-// CheckResults are the results of the controller's checks at a gateway.
+// CheckResults counts the results of the controller's synthetic checks at a gateway.
 type CheckResults struct {
-	Correct, Incorrect, Unserved int
-	InTime, Fast                 int // of those with a result: within the class's latency objective, and a quarter of it
+	Correct, Incorrect, Unserved int // Unserved: rejected, failed or timed out
+	InTime, Fast                 int // checks with a result within the class's latency objective, and within a quarter of it
 }
 
 func (c CheckResults) add(o CheckResults) CheckResults {
@@ -120,7 +121,7 @@
 	}
 }
 
-// asCounts returns the checks as a class of their own, which has the same queries at old and new gateways.
+// asCounts returns the results as the counts of a separate class. Its queries are the same at old and new gateways.
 func (c CheckResults) asCounts() Counts {
 	served := c.Correct + c.Incorrect
 	return Counts{
--- a/internal/control/rollout/golden_test.go
+++ b/internal/control/rollout/golden_test.go
@@ -10,8 +10,8 @@
 	"frostpier/internal/testutil"
 )
 
-// Reports and versions are, byte for byte, what they were before the code was rearranged.
-func TestReportTranscript(t *testing.T) {
+// TestMessageEncodingMatchesGolden checks that the encoding of reports and versions does not change.
+func TestMessageEncodingMatchesGolden(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
 	report, err := testReport().Append(nil, "f")
@@ -20,21 +20,24 @@
 	other.Serving, other.RestartPending, other.Gateway = false, true, 0
 	report, err = other.Append(nil, "fleet of the north")
 	fmt.Fprintf(&out, "report %x, error %v\n", report, err != nil)
-	mix := NewVersionTracker(3, VersionID{1 << 40, 2 << 40})
-	fmt.Fprintf(&out, "version %x\n", mix.Append(100*time.Second, 1, 50, nil))
-	mix.SetOwn(VersionID{5, 6})
-	fmt.Fprintf(&out, "version %x\n", mix.Append(101*time.Second, 2, 50, nil))
+	tracker := NewVersionTracker(3, VersionID{1 << 40, 2 << 40})
+	fmt.Fprintf(&out, "version %x\n", tracker.Append(100*time.Second, 1, 50, nil))
+	tracker.SetLocal(VersionID{5, 6})
+	fmt.Fprintf(&out, "version %x\n", tracker.Append(101*time.Second, 2, 50, nil))
 	testutil.Golden(t, "messages.golden", []byte(out.String()))
 }
 
-// A state is stored, and a verdict printed, under the keys that earlier versions used; a plan has their keys.
-func TestStoredKeys(t *testing.T) {
+// TestKeysMatchGolden checks that the JSON and TOML keys of stored states, verdicts, version IDs and plans do not change.
+func TestKeysMatchGolden(t *testing.T) {
 	t.Parallel()
 	keys := testutil.FieldKeys("json", "state", State{}) + testutil.FieldKeys("json", "opinion", Verdict{}) +
 		testutil.FieldKeys("json", "id", VersionID{}) + testutil.FieldKeys("toml", "plan", Plan{}) + testutil.FieldKeys("json", "plan json", Plan{})
 	testutil.Golden(t, "keys.golden", []byte(keys))
 	state := State{Phase: Holding, ResumePhase: Watching, Stage: 2, Since: 5 * time.Second, Reason: "r", Crashes: [2]int{1, 2},
-		Gateways: []GatewayState{{TargetVersion: NewVersion, Step: Starting, StartedVersion: NewVersion, Since: time.Second, PID: 7}, {TargetVersion: OldVersion, Step: Steady}}}
+		Gateways: []GatewayState{
+			{TargetVersion: NewVersion, Step: Starting, StartedVersion: NewVersion, Since: time.Second, PID: 7},
+			{TargetVersion: OldVersion, Step: Steady},
+		}}
 	text, err := json.MarshalIndent([]any{state, Verdict{Worse: true, Conclusive: true, Reason: "w"}, VersionID{1, 2}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/rollout/judge.go
+++ b/internal/control/rollout/judge.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	minIncorrectResults  = 2   // of checks that stop a stage, if old gateways have none
-	incorrectResultRatio = 5.0 // of new gateways' share to old ones', from which incorrect results stop a stage
+	minIncorrectResults  = 2   // incorrect check results that roll a stage back if old gateways have none
+	incorrectResultRatio = 5.0 // ratio of the new gateways' share of incorrect results to the old ones' above which a stage is rolled back
 )
 
-// Verdict is the result of evaluating a stage.
+// Verdict is the result of evaluating a stage. The verdict is inconclusive if neither Worse nor Conclusive is set.
 type Verdict struct {
-	Worse      bool   `json:"Worse"`  // it does worse
-	Conclusive bool   `json:"Enough"` // it is known that it does not
-	Reason     string `json:"Why"`    // what is worse, or what is not known yet
+	Worse      bool   `json:"Worse"`  // the new version has regressed
+	Conclusive bool   `json:"Enough"` // enough data shows that it has not
+	Reason     string `json:"Why"`    // the regression, or why there is no conclusion yet
 }
 
-// Evaluate compares the new gateways of a stage with the old ones over the same time. The first clientClasses of the classes
-// are those of clients. The probability of a false alarm is divided by stages, classes and metrics (Bonferroni's correction).
+// Evaluate compares the new gateways of a stage with the old ones over the same time. The first clientClasses of the classes hold
+// clients' queries; a class of checks may follow. The false alarm probability is divided by the number of stages, classes and
+// metrics (Bonferroni correction).
 func (j Judge) Evaluate(samples []Sample, classNames []string, clientClasses, stages int) Verdict {
 	newSamples, oldSamples := splitByVersion(samples)
 	if len(newSamples) == 0 || len(oldSamples) == 0 {
-		return Verdict{Reason: "there is nobody to compare with"}
+		return Verdict{Reason: "no reports of both new and old gateways to compare"}
 	}
-	if why := j.corruptedResults(newSamples, oldSamples); why != "" {
-		return Verdict{Worse: true, Reason: why}
+	if reason := j.incorrectResultsReason(newSamples, oldSamples); reason != "" {
+		return Verdict{Worse: true, Reason: reason}
 	}
-	if why := j.excessMemory(newSamples, oldSamples); why != "" {
-		return Verdict{Worse: true, Reason: why}
+	if reason := j.excessMemoryReason(newSamples, oldSamples); reason != "" {
+		return Verdict{Worse: true, Reason: reason}
 	}
 	all := metrics()
 	alpha := j.FalseAlarmProbability / float64(stages*len(all)*(len(classNames)+1))
-	unknown := ""
+	inconclusive := ""
 	for class := allClasses; class < len(classNames); class++ {
 		name := className(classNames, class)
 		for k, m := range all {
@@ -41,29 +42,30 @@
 			if c.exceeds(j.AllowedRegression, alpha) {
 				return Verdict{Worse: true, Reason: c.describe(name, m.name)}
 			}
-			if k == notInTime && unknown == "" {
-				unknown = j.inconclusive(c, class, name, m.name)
+			if k == notInTimeMetric && inconclusive == "" {
+				inconclusive = j.inconclusiveReason(c, class, name, m.name)
 			}
 		}
 	}
-	if unknown == "" && correctChecks(newSamples) < j.MinChecks {
-		unknown = "too few results of known queries so far"
+	if inconclusive == "" && correctChecks(newSamples) < j.MinChecks {
+		inconclusive = "too few correct check results so far"
 	}
-	return Verdict{Conclusive: unknown == "", Reason: unknown}
+	return Verdict{Conclusive: inconclusive == "", Reason: inconclusive}
 }
 
-// inconclusive says why too little is known about a class to go on; it is empty if enough is known.
-func (j Judge) inconclusive(c comparison, class int, className, metricName string) string {
-	together := class == allClasses
+// inconclusiveReason describes why the data of a class is not sufficient to complete the stage; it is empty if it is.
+func (j Judge) inconclusiveReason(c comparison, class int, className, metricName string) string {
+	isTotal := class == allClasses
 	switch {
-	case c.new.total < uint64(j.MinAnswers) && (together || c.old.total > 0):
+	case c.new.total < uint64(j.MinAnswers) && (isTotal || c.old.total > 0):
 		return "too few answers: " + c.describe(className, metricName)
-	case together && c.upperBound(j.FalseAlarmProbability) > j.NonInferiorityMargin:
-		return "it may still be worse: " + c.describe(className, metricName)
+	case isTotal && c.upperBound(j.FalseAlarmProbability) > j.NonInferiorityMargin:
+		return "regression not ruled out yet: " + c.describe(className, metricName)
 	}
 	return ""
 }
 
+// className returns the name of a class for a verdict's reason.
 func className(classNames []string, class int) string {
 	if class == allClasses {
 		return "all classes"
@@ -71,6 +73,7 @@
 	return classNames[class]
 }
 
+// correctChecks returns the number of correct check results.
 func correctChecks(samples []Sample) (correct int) {
 	for _, s := range samples {
 		correct += s.Checks.Correct
@@ -90,20 +93,20 @@
 	return newSamples, oldSamples
 }
 
-// Summary describes how old and new gateways compare over all classes of clients, for the history.
+// Summary formats every metric of new and old gateways, summed over all classes of clients, for the change's history.
 func (j Judge) Summary(samples []Sample, clientClasses int) string {
 	newSamples, oldSamples := splitByVersion(samples)
 	var parts []string
 	for _, m := range metrics() {
 		c := compare(newSamples, oldSamples, classesOf(allClasses, clientClasses), m)
-		parts = append(parts, fmt.Sprintf("%s %.3f of %d (old %.3f of %d)", m.name, c.new.share(), c.new.total, c.old.share(), c.old.total))
+		parts = append(parts, fmt.Sprintf("%s: new %.3f of %d, old %.3f of %d", m.name, c.new.share(), c.new.total, c.old.share(), c.old.total))
 	}
-	return strings.Join(parts, ", ")
+	return strings.Join(parts, "; ")
 }
 
-// corruptedResults describes incorrect results of checks that chance does not explain, because the old gateways have none or
-// far fewer. It is empty if there are none.
-func (j Judge) corruptedResults(newSamples, oldSamples []Sample) string {
+// incorrectResultsReason describes the incorrect check results of new gateways if the old gateways have none or a far smaller
+// share. It is empty otherwise.
+func (j Judge) incorrectResultsReason(newSamples, oldSamples []Sample) string {
 	incorrect, total := incorrectChecks(newSamples)
 	oldIncorrect, oldTotal := incorrectChecks(oldSamples)
 	if incorrect < minIncorrectResults {
@@ -115,9 +118,10 @@
 	if oldIncorrect > 0 && !ratioExceeded {
 		return ""
 	}
-	return formatComparison("wrong results of known queries", "all classes", share, oldShare, uint64(total))
+	return formatComparison("incorrect check results", "all classes", share, oldShare, uint64(total))
 }
 
+// incorrectChecks returns the numbers of incorrect and of all check results.
 func incorrectChecks(samples []Sample) (incorrect, total int) {
 	for _, s := range samples {
 		incorrect += s.Checks.Incorrect
@@ -126,9 +130,9 @@
 	return incorrect, total
 }
 
-// excessMemory describes the first new gateway whose memory is too far above the median old one's. It is empty if there is
-// none.
-func (j Judge) excessMemory(newSamples, oldSamples []Sample) string {
+// excessMemoryReason describes the first new gateway whose memory exceeds the allowed multiple of the old gateways' median. It is
+// empty if there is none.
+func (j Judge) excessMemoryReason(newSamples, oldSamples []Sample) string {
 	var oldMB []float64
 	for _, s := range oldSamples {
 		if s.MemoryMB > 0 {
@@ -142,7 +146,7 @@
 	median := oldMB[len(oldMB)/2]
 	for _, s := range newSamples {
 		if s.MemoryMB > j.MemoryFactor*median+j.ExtraMemoryMB {
-			return formatComparison("memory in MB", "a gateway", s.MemoryMB, median, 1)
+			return formatComparison("resident memory in MB", "one gateway", s.MemoryMB, median, 1)
 		}
 	}
 	return ""
--- a/internal/control/rollout/machine_test.go
+++ b/internal/control/rollout/machine_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Every kind of bad change is rolled back in its first stage.
+// TestBadChangeIsRolledBackInFirstStage checks that a change with any kind of simulated bug is rolled back in its first stage.
 func TestBadChangeIsRolledBackInFirstStage(t *testing.T) {
 	t.Parallel()
 	bugs := []string{"crash at start", "hang at start", "crash after 5 s", "slow", "rejects a class", "corrupts results", "leaks"}
@@ -24,9 +24,9 @@
 					rolledBack++
 					longest = max(longest, sim.now-simEpoch)
 				}
-				harmed += sim.harmed / sim.answers / seeds
+				harmed += sim.harmedAnswers / sim.answers / seeds
 			}
-			t.Logf("%d of %d rolled back in the first stage, the last after %v, %.4f of all answers harmed", rolledBack, seeds, longest, harmed)
+			t.Logf("%d of %d rolled back in the first stage, the slowest after %v; share of affected answers %.4f", rolledBack, seeds, longest, harmed)
 			if rolledBack < seeds {
 				t.Errorf("%d of %d rolled back in the first stage", rolledBack, seeds)
 			}
@@ -34,15 +34,17 @@
 	}
 }
 
-// Only the checks that a gateway's counts hold are taken out of them: not those before the first report of a watch, and not those since
-// the last report. Clients' queries were taken out in their place, those in time first, and a good change was taken back after the
-// controller had been resumed in an outage of the reports: "slower than a quarter of the aim 0.588, old gateways 0.254".
-func TestOnlyCountedChecksAreSubtracted(t *testing.T) {
+// TestSamplesSubtractOnlyReportedChecks checks that Samples subtracts from a gateway's counts only the checks that they contain, not
+// those before the first report of the watch or after the last one.
+//
+// It guards against a false rollback after the controller had been resumed in a report outage: clients' fast queries were subtracted
+// in place of checks, so that a share of 0.588 of the new gateways' answers counted as slow, against 0.254 of the old ones'.
+func TestSamplesSubtractOnlyReportedChecks(t *testing.T) {
 	sim := newSimulation(t, 6, 1, "")
 	for sim.machine.State().Phase != Watching {
 		sim.run(simTick)
 	}
-	sim.resume() // nothing is known of any gateway
+	sim.resume() // the resumed machine has no report of any gateway
 	const gateway, class = 0, 0
 	check := func(n int) {
 		sim.machine.RecordChecks(gateway, class, CheckResults{Correct: n, InTime: n, Fast: n})
@@ -59,39 +61,40 @@
 	check(50) // not reported yet
 	samples := sim.machine.Samples(sim.now)
 	if len(samples) != 1 {
-		t.Fatalf("%d samples", len(samples))
+		t.Fatalf("%d samples, want 1", len(samples))
 	}
 	if got, want := samples[0].Classes[class], (Counts{Requests: 20, InTime: 20, Fast: 20}); got != want {
-		t.Errorf("%+v of clients, want %+v", got, want)
+		t.Errorf("clients' counts %+v, want %+v", got, want)
 	}
 }
 
-// Good changes complete, but for a false alarm in twenty.
+// TestGoodChangeCompletes checks that changes without a bug complete, except for at most one false alarm in 20.
 func TestGoodChangeCompletes(t *testing.T) {
 	t.Parallel()
-	alarms := 0
+	falseAlarms := 0
 	const seeds = 40
 	for seed := range uint64(seeds) {
 		sim := newSimulation(t, 30, seed, "")
 		if sim.run(40*time.Minute) != Done || !sim.allOn(NewVersion) {
 			t.Logf("seed %d: %s: %s", seed, sim.machine.State().Phase, sim.machine.State().Reason)
-			alarms++
+			falseAlarms++
 		}
-		if sim.maxDown > 1 {
-			t.Errorf("seed %d: %d gateways down at once", seed, sim.maxDown)
+		if sim.maxUnavailable > 1 {
+			t.Errorf("seed %d: %d gateways out of service at once", seed, sim.maxUnavailable)
 		}
 	}
-	if alarms > seeds/20 {
-		t.Errorf("%d of %d good changes did not complete", alarms, seeds)
+	if falseAlarms > seeds/20 {
+		t.Errorf("%d of %d good changes did not complete", falseAlarms, seeds)
 	}
 }
 
-// An outage of engines in mid-stage affects old and new gateways alike and does not roll the change back.
+// TestEngineOutageDoesNotRollBack checks that an engine outage during a watch, which affects old and new gateways alike, does not roll
+// the change back.
 func TestEngineOutageDoesNotRollBack(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		sim := newSimulation(t, 30, seed, "")
-		sim.outage = func(at time.Duration) float64 {
+		sim.engineOutage = func(at time.Duration) float64 {
 			if s := at - simEpoch; s > 10*time.Second && s < 25*time.Second {
 				return 0.5
 			}
@@ -103,12 +106,12 @@
 	}
 }
 
-// A single crash in the stage, of a new or an old gateway, does not roll the change back.
+// TestSingleCrashDoesNotRollBack checks that a single crash of a new or an old gateway during a stage does not roll the change back.
 func TestSingleCrashDoesNotRollBack(t *testing.T) {
-	for name, place := range map[string]int{"of a new gateway": 0, "of an old gateway": 20} {
+	for name, position := range map[string]int{"of a new gateway": 0, "of an old gateway": 20} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, 30, 4, "")
-			crashing := sim.machine.order[place]
+			crashing := sim.machine.changeOrder[position]
 			sim.gateways[crashing].crashAt = simEpoch + 12*time.Second
 			if phase := sim.run(40 * time.Minute); phase != Done {
 				t.Errorf("%s: %s\n%s", phase, sim.machine.State().Reason, strings.Join(sim.notes, "\n"))
@@ -117,8 +120,8 @@
 	}
 }
 
-// A controller that is paused, or partitioned from a third of the gateways for a while, does not roll back; one that does not
-// hear from the new gateway alone does.
+// TestControllerPauseAndPartition checks that a suspended controller, or a temporary partition from a third of the gateways, does not
+// cause a rollback, and that missing reports of the new gateway alone do.
 func TestControllerPauseAndPartition(t *testing.T) {
 	t.Run("pause", func(t *testing.T) {
 		sim := newSimulation(t, 30, 6, "")
@@ -130,7 +133,7 @@
 	})
 	t.Run("partition of a third and the new gateway", func(t *testing.T) {
 		sim := newSimulation(t, 30, 6, "")
-		first := sim.machine.order[0]
+		first := sim.machine.changeOrder[0]
 		sim.partitioned = func(i int, at time.Duration) bool {
 			s := at - simEpoch
 			return s > 10*time.Second && s < 40*time.Second && (i == first || i%3 == 0)
@@ -141,40 +144,40 @@
 	})
 	t.Run("partition of the new gateway alone", func(t *testing.T) {
 		sim := newSimulation(t, 30, 6, "")
-		first := sim.machine.order[0]
+		first := sim.machine.changeOrder[0]
 		sim.partitioned = func(i int, at time.Duration) bool {
 			return at-simEpoch > 10*time.Second && at-simEpoch < 100*time.Second && i == first
 		}
 		if phase := sim.run(40 * time.Minute); phase != RolledBack || sim.gateways[first].starts[OldVersion] != 1 {
-			t.Errorf("%s, started %v", phase, sim.gateways[first].starts)
+			t.Errorf("%s, starts by version %v", phase, sim.gateways[first].starts)
 		}
 	})
 }
 
-// A new gateway that is partitioned before its first report is waited for while old ones are silent too. One that is silent
-// alone, or stays silent when the others report again, has failed to start.
+// TestPartitionDuringStart checks that the controller waits for a new gateway that is partitioned before its first report as long as
+// old gateways are silent too. If it alone is silent, or stays silent when the others report again, its start has failed.
 func TestPartitionDuringStart(t *testing.T) {
-	const healsAfter = 70 * time.Second
+	const partitionEnd = 70 * time.Second
 	cases := []struct {
 		name, bug string
 		alone     bool
 		phase     Phase
 	}{
-		{"with a third of the old ones", "", false, Done},
+		{"with a third of the old gateways", "", false, Done},
 		{"alone", "", true, RolledBack},
-		{"with a third of the old ones, and it does not start", "hang at start", false, RolledBack},
+		{"with a third of the old gateways, hanging at its start", "hang at start", false, RolledBack},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			sim := newSimulation(t, 30, 6, c.bug)
-			first := sim.machine.order[0]
+			first := sim.machine.changeOrder[0]
 			sim.partitioned = func(i int, at time.Duration) bool {
 				started := sim.gateways[first].starts[NewVersion] > 0
-				return started && at-simEpoch < healsAfter && (i == first || i%3 == 0 && !c.alone)
+				return started && at-simEpoch < partitionEnd && (i == first || i%3 == 0 && !c.alone)
 			}
-			sim.run(healsAfter - 10*time.Second)
+			sim.run(partitionEnd - 10*time.Second)
 			if phase := sim.machine.State().Phase; !c.alone && phase != Changing {
-				t.Errorf("%s before the partition heals: %s", phase, sim.machine.State().Reason)
+				t.Errorf("%s before the partition ends: %s", phase, sim.machine.State().Reason)
 			}
 			if phase := sim.run(40 * time.Minute); phase != c.phase {
 				t.Errorf("%s: %s\n%s", phase, sim.machine.State().Reason, strings.Join(sim.notes, "\n"))
@@ -183,7 +186,7 @@
 	}
 }
 
-// With too little traffic the watch is inconclusive, and the plan decides.
+// TestInconclusiveWatch checks that a watch with too little traffic holds the change or rolls it back, according to the plan.
 func TestInconclusiveWatch(t *testing.T) {
 	for onInconclusive, want := range map[string]Phase{HoldInconclusive: Holding, RollBackInconclusive: RolledBack} {
 		t.Run(onInconclusive, func(t *testing.T) {
@@ -202,15 +205,15 @@
 				t.Fatal(err)
 			}
 			if phase := sim.run(40 * time.Minute); phase != Done {
-				t.Errorf("resumed: %s", phase)
+				t.Errorf("after resume: %s", phase)
 			}
 		})
 	}
 }
 
-// A controller that is killed before or after any action and started again neither skips nor repeats a step: each gateway is
-// started once on the new version, and never while its process runs.
-func TestControllerKilledAtEachAction(t *testing.T) {
+// TestResumeAfterKillAtEachAction checks that a controller that is killed before or after any action, and resumes, neither skips nor
+// repeats a step: each gateway is started once on the new version, and never while its process runs.
+func TestResumeAfterKillAtEachAction(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		for action := range 13 {
 			t.Run(fmt.Sprintf("action %d, before %v", action, before), func(t *testing.T) {
@@ -224,11 +227,11 @@
 				}
 				for i, g := range sim.gateways {
 					if g.starts[NewVersion] != 1 || g.starts[OldVersion] > 0 {
-						t.Errorf("gateway %d started %v", i, g.starts)
+						t.Errorf("gateway %d: starts by version %v, want one on the new version", i, g.starts)
 					}
 				}
-				if sim.maxDown > 1 {
-					t.Errorf("%d gateways down at once", sim.maxDown)
+				if sim.maxUnavailable > 1 {
+					t.Errorf("%d gateways out of service at once", sim.maxUnavailable)
 				}
 			})
 		}
@@ -244,7 +247,7 @@
 	}
 }
 
-// An operator's commands take effect, and fail with the phase in which they are not possible.
+// TestPauseResumeAbort checks the operator's commands, and that they fail with a PhaseError in phases that do not allow them.
 func TestPauseResumeAbort(t *testing.T) {
 	sim := newSimulation(t, 30, 5, "")
 	sim.run(10 * time.Second)
@@ -252,10 +255,10 @@
 		t.Fatal(err)
 	}
 	if phase := sim.run(5 * time.Minute); phase != Holding {
-		t.Fatalf("paused: %s", phase)
+		t.Fatalf("after pause: %s", phase)
 	}
 	if err := sim.machine.Pause(sim.now); !isPhaseError(err, Holding) {
-		t.Errorf("paused twice: %v", err)
+		t.Errorf("second pause: %v", err)
 	}
 	if err := sim.machine.Resume(sim.now); err != nil {
 		t.Fatal(err)
@@ -265,17 +268,17 @@
 		t.Fatal(err)
 	}
 	if phase := sim.run(5 * time.Minute); phase != RolledBack || !sim.allOn(OldVersion) {
-		t.Errorf("aborted: %s", phase)
+		t.Errorf("after abort: %s", phase)
 	}
 	if err := sim.machine.Abort(sim.now); !isPhaseError(err, RolledBack) {
-		t.Errorf("aborted after the end: %v", err)
+		t.Errorf("abort after the end: %v", err)
 	}
 	if err := sim.machine.Resume(sim.now); !isPhaseError(err, RolledBack) {
-		t.Errorf("resumed after the end: %v", err)
+		t.Errorf("resume after the end: %v", err)
 	}
 }
 
-// isPhaseError reports whether an error is a PhaseError of the phase.
+// isPhaseError reports whether err is a PhaseError with the phase.
 func isPhaseError(err error, phase Phase) bool {
 	var wrongPhase *PhaseError
 	return errors.As(err, &wrongPhase) && wrongPhase.Phase == phase
--- a/internal/control/rollout/mixed_test.go
+++ b/internal/control/rollout/mixedfleet_test.go
@@ -9,19 +9,19 @@
 	"frostpier/internal/control/membership/simulation"
 )
 
-// mixedFleet is a fleet of which the members with an odd number send versions. The others run an earlier program, which does
-// not know them.
+// mixedFleet simulates a fleet in which members with an odd number run a VersionTracker. The others run an earlier program without
+// that extension.
 type mixedFleet struct {
-	t       *testing.T
-	members *simulation.Fleet
-	mixes   map[int]*VersionTracker
-	digests map[int]*loadreport.Digest
-	deaths  int // members that were declared dead while they ran
+	t           *testing.T
+	members     *simulation.Fleet
+	trackers    map[int]*VersionTracker
+	digests     map[int]*loadreport.Digest
+	falseDeaths int // members that were declared dead while they ran
 }
 
 func newMixedFleet(t *testing.T, members int) *mixedFleet {
 	t.Helper()
-	f := &mixedFleet{t: t, mixes: map[int]*VersionTracker{}, digests: map[int]*loadreport.Digest{}}
+	f := &mixedFleet{t: t, trackers: map[int]*VersionTracker{}, digests: map[int]*loadreport.Digest{}}
 	var err error
 	f.members, err = simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, StepsPerCheck: 10,
 		NewDetector: func(cfg membership.Config) (simulation.Detector, error) {
@@ -30,8 +30,8 @@
 			f.digests[cfg.Self], cfg.ExtensionInterval = d, 300*time.Millisecond
 			cfg.Extensions = append(cfg.Extensions, d)
 			if cfg.Self%2 == 1 {
-				f.mixes[cfg.Self] = NewVersionTracker(members, VersionID{uint64(7+cfg.Self%3) << 32, 1 << 32})
-				cfg.Extensions = append(cfg.Extensions, f.mixes[cfg.Self])
+				f.trackers[cfg.Self] = NewVersionTracker(members, VersionID{uint64(7+cfg.Self%3) << 32, 1 << 32})
+				cfg.Extensions = append(cfg.Extensions, f.trackers[cfg.Self])
 			}
 			return membership.New(cfg)
 		}})
@@ -42,17 +42,17 @@
 	return f
 }
 
-// handleEvent passes extensions on to the member that received them, and counts false deaths.
+// handleEvent delivers extension messages to the receiving member's extensions, and counts members falsely declared dead.
 func (f *mixedFleet) handleEvent(at int, e membership.Event) error {
 	switch {
 	case e.Kind == membership.ExtensionReceived && e.ExtensionKind == loadreport.ExtensionKind:
 		f.digests[at].Receive(f.members.Now, e.Body)
-	case e.Kind == membership.ExtensionReceived && e.ExtensionKind == ExtensionKind && f.mixes[at] == nil:
-		f.t.Errorf("member %d got what it has no extension for", at)
+	case e.Kind == membership.ExtensionReceived && e.ExtensionKind == ExtensionKind && f.trackers[at] == nil:
+		f.t.Errorf("member %d received a message of an extension that it does not have", at)
 	case e.Kind == membership.ExtensionReceived && e.ExtensionKind == ExtensionKind:
-		f.mixes[at].Receive(e.Member, e.Body)
+		f.trackers[at].Receive(e.Member, e.Body)
 	case e.Kind == membership.StateChanged && e.NewState == membership.Dead && f.members.Members[e.Member].Up:
-		f.deaths++
+		f.falseDeaths++
 	}
 	return nil
 }
@@ -64,35 +64,35 @@
 	}
 }
 
-// In a fleet of which half sends versions and half does not know them, load reports of both arrive, the crash of a member is
-// detected by all, no other is declared dead, and each new member learns the versions of all new ones.
-func TestMixAlongsideMembersWithoutIt(t *testing.T) {
+// TestVersionTrackerInMixedFleet checks a fleet in which only half of the members run a VersionTracker: load reports of both halves
+// reach all members, all detect a member's crash and no false one, and each tracker learns the versions of its half.
+func TestVersionTrackerInMixedFleet(t *testing.T) {
 	const members = 20
 	f := newMixedFleet(t, members)
 	f.run(10 * time.Second)
-	f.digests[0].Record(f.members.Now, 1, 5) // an old member measures one engine, and a new one another
+	f.digests[0].Record(f.members.Now, 1, 5) // member 0 without a tracker and member 1 with one report on different engines
 	f.digests[1].Record(f.members.Now, 2, 6)
 	f.run(3 * time.Second)
 	for i, d := range f.digests {
 		if a, ok := d.Latest(f.members.Now, 1); !ok || a.Load != 5 {
-			t.Errorf("member %d does not know what an old one reported: %+v", i, a)
+			t.Errorf("member %d lacks the load report of a member without a tracker: %+v", i, a)
 		}
 		if b, ok := d.Latest(f.members.Now, 2); !ok || b.Load != 6 {
-			t.Errorf("member %d does not know what a new one reported: %+v", i, b)
+			t.Errorf("member %d lacks the load report of a member with a tracker: %+v", i, b)
 		}
 	}
 	f.members.Kill(4)
 	f.run(90 * time.Second)
-	if ok, why := f.members.ViewsAgree(); !ok || f.deaths > 0 {
-		t.Errorf("%s; %d false deaths", why, f.deaths)
+	if ok, why := f.members.ViewsAgree(); !ok || f.falseDeaths > 0 {
+		t.Errorf("%s; %d members falsely declared dead", why, f.falseDeaths)
 	}
-	for i, m := range f.mixes {
+	for i, m := range f.trackers {
 		versions := 0
 		for _, c := range m.Counts(i, func(int) bool { return true }) {
 			versions += c.Members
 		}
 		if versions != members/2 {
-			t.Errorf("member %d knows the versions of %d, %d send theirs", i, versions, members/2)
+			t.Errorf("member %d knows the versions of %d members, want %d", i, versions, members/2)
 		}
 	}
 }
--- a/internal/control/rollout/observation.go
+++ b/internal/control/rollout/observation.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// observation is what is known of a gateway and not stored.
+// observation is the part of a gateway's known state that is not stored.
 type observation struct {
-	pid         int // of its process; 0 = there is none
-	report      Report
-	reportedAt  time.Duration  // when the report arrived; 0 = none yet
-	baseline    []Counts       // of the process that ran when the watch began
-	baselinePID int            // the process that the baseline belongs to; 0 = no report during the watch yet
-	endedCounts []Counts       // of processes that ended during the watch
-	checks      []CheckResults // by class, of the watch
-	reloadable  bool           // it can read new settings while it runs
-	recovered   bool           // its step comes from a stored state: the action may not have been carried out
-	waitNoted   bool           // it was noted that the gateway is waited for, as the path of the reports is suspect
+	pid                int // of its process; 0 = no process, unknownPID = not looked for yet
+	report             Report
+	reportedAt         time.Duration  // when report arrived; 0 = no report yet
+	baseline           []Counts       // counts of the current process to subtract: those of before the watch
+	baselinePID        int            // process to which baseline belongs; 0 = no report in this watch yet
+	endedProcessCounts []Counts       // counts of processes that have ended during the watch
+	checks             []CheckResults // by class: all check results of the watch
+	reloadable         bool           // the process can read new settings without a restart
+	recovered          bool           // the step was restored by Resume: its action may not have been carried out
+	extensionNoted     bool           // the longer wait for its report was already noted; see extendReportWait
 
-	// Checks that the report's counts hold, and those that the baseline's held already: others must not be subtracted from them.
+	// Check results by class at the time of the last report and of the baseline. Only the difference is contained in the counts
+	// of the watch and may be subtracted from them.
 	reportedChecks, baselineChecks []CheckResults
 }
 
-// unknownPID stands for a process that has not been looked for yet.
+// unknownPID means that the gateway's process has not been looked for yet.
 const unknownPID = -1
 
-// ReceiveReport records a gateway's report. Reports of processes that have ended are ignored.
+// ReceiveReport records a gateway's report. Reports of earlier processes of the gateway are ignored.
 func (m *Machine) ReceiveReport(now time.Duration, r Report) {
 	if r.Gateway < 0 || r.Gateway >= len(m.observed) {
 		return
 	}
 	observed := &m.observed[r.Gateway]
 	if observed.reportedAt > 0 && r.StartedAt < observed.report.StartedAt {
-		return // of an earlier process, reordered by the network
+		return // sent by an earlier process and delayed by the network
 	}
 	restarted := observed.baselinePID != 0 && observed.report.PID == observed.baselinePID && r.PID != observed.baselinePID
 	if restarted {
 		counts := subtractCounts(observed.report.Classes, observed.baseline)
-		observed.endedCounts = addCounts(observed.endedCounts, counts)
+		observed.endedProcessCounts = addCounts(observed.endedProcessCounts, counts)
 		observed.baseline, observed.baselinePID = nil, r.PID
 	}
-	if observed.baselinePID == 0 && m.state.Phase == Watching { // its first report of the watch
+	if observed.baselinePID == 0 && m.state.Phase == Watching { // the first report in this watch
 		observed.baseline, observed.baselinePID = r.Classes, r.PID
 		observed.baselineChecks = slices.Clone(observed.checks)
 	}
@@ -48,14 +49,14 @@
 	observed.reportedChecks = slices.Clone(observed.checks)
 }
 
-// ObserveProcess records what a search for a gateway's process found: its id, 0 for none, and whether it can read new
-// settings while it runs.
+// ObserveProcess records the gateway's current process: its pid, 0 if there is none, and whether it can read new settings without
+// a restart.
 func (m *Machine) ObserveProcess(gateway, pid int, reloadable bool) {
 	m.observed[gateway].pid = pid
 	m.observed[gateway].reloadable = reloadable
 }
 
-// RecordChecks adds results of a class's checks at a gateway. Outside of a watch they are ignored.
+// RecordChecks adds check results of a class at a gateway. Results outside of a watch are ignored.
 func (m *Machine) RecordChecks(gateway, class int, results CheckResults) {
 	observed := &m.observed[gateway]
 	if m.state.Phase != Watching || class < 0 || class >= len(observed.checks) {
@@ -64,20 +65,20 @@
 	observed.checks[class] = observed.checks[class].add(results)
 }
 
-// runsVersion reports whether the gateway's process reports that it serves on a version.
+// runsVersion reports whether the last report of the gateway's current process says that it serves on the version.
 func (m *Machine) runsVersion(gateway int, version string) bool {
 	observed := &m.observed[gateway]
 	current := observed.reportedAt > 0 && observed.report.PID == observed.pid
 	return current && observed.report.Serving && observed.report.id() == m.ids[version]
 }
 
-// isSilent reports whether a gateway's last report is too old.
+// isSilent reports whether a gateway has not reported within the plan's report timeout.
 func (m *Machine) isSilent(now time.Duration, gateway int) bool {
 	at := m.observed[gateway].reportedAt
 	return at == 0 || now-at > seconds(m.plan.Change.ReportTimeoutSeconds)
 }
 
-// countSilent counts the steady gateways that are silent, by the version that they were started on.
+// countSilent counts the steady gateways that are silent, by the version on which they were started.
 func (m *Machine) countSilent(now time.Duration) (silentOld, silentNew int) {
 	for i, g := range m.state.Gateways {
 		switch {
@@ -91,7 +92,7 @@
 	return silentOld, silentNew
 }
 
-// Samples returns what each gateway did while the stage was watched, without those that report nothing.
+// Samples returns the counts of each gateway since the watch began, leaving out gateways that are silent.
 func (m *Machine) Samples(now time.Duration) (samples []Sample) {
 	for i := range m.observed {
 		observed := &m.observed[i]
@@ -104,9 +105,9 @@
 	return samples
 }
 
-// sample returns what one gateway did. The controller's checks are a class of their own.
+// sample returns the counts of one gateway. The controller's checks are moved from their classes to a separate, last class.
 func (m *Machine) sample(isNew bool, observed *observation) Sample {
-	s := Sample{New: isNew, Classes: observed.watchedCounts(), MemoryMB: observed.report.MemoryMB}
+	s := Sample{New: isNew, Classes: observed.countsDuringWatch(), MemoryMB: observed.report.MemoryMB}
 	for _, results := range observed.checks {
 		s.Checks = s.Checks.add(results)
 	}
@@ -119,7 +120,7 @@
 	return s
 }
 
-// countedChecks returns the checks of a class that watchedCounts holds.
+// countedChecks returns the check results of a class that are contained in countsDuringWatch.
 func (o *observation) countedChecks(class int) CheckResults {
 	results := o.reportedChecks[class]
 	if class < len(o.baselineChecks) {
@@ -128,19 +129,19 @@
 	return results
 }
 
-// watchedCounts returns the gateway's counts since the watch began, over all its processes.
-func (o *observation) watchedCounts() []Counts {
+// countsDuringWatch returns the gateway's counts since the watch began, summed over all its processes.
+func (o *observation) countsDuringWatch() []Counts {
 	current := o.report.Classes
 	if o.report.PID == o.baselinePID {
 		current = subtractCounts(o.report.Classes, o.baseline)
 	}
-	return addCounts(o.endedCounts, current)
+	return addCounts(o.endedProcessCounts, current)
 }
 
-// classNames returns the names of the classes of a sample.
+// classNames returns the names of the classes in a Sample: those of clients, then that of the checks if there are any.
 func (m *Machine) classNames() []string {
 	if len(m.plan.Checks) == 0 {
 		return m.classes
 	}
-	return append(slices.Clone(m.classes), "known queries")
+	return append(slices.Clone(m.classes), "checks")
 }
--- a/internal/control/rollout/outage_test.go
+++ b/internal/control/rollout/outage_test.go
@@ -13,39 +13,39 @@
 	_ "frostpier/internal/testutil/fixedseed"
 )
 
-// reportOutage is an outage of the path on which gateways report: reports are lost from its start, and come again at its end, from some
-// gateways later than from others.
+// reportOutage simulates an outage in which gateways' reports are lost. After its end the reports of some gateways resume later than
+// those of others.
 type reportOutage struct {
-	from, to    time.Duration  // since simEpoch
-	after       func() bool    // nil, or the outage begins only once this holds; its length stays
-	affects     func(int) bool // the gateways whose reports are lost
-	latecomer   func(int) bool // the gateways that come back later
-	delay       time.Duration  // by which they do
-	resumeAfter time.Duration  // the outage's begin: the controller is killed and resumed; 0 = never
+	from, to       time.Duration  // since simEpoch
+	startCondition func() bool    // if not nil, the outage begins only once it returns true; the duration stays the same
+	affects        func(int) bool // reports whether the gateway's reports are lost
+	recoversLate   func(int) bool // reports whether the gateway's reports resume later
+	lateBy         time.Duration  // for gateways with recoversLate
+	resumeAfter    time.Duration  // time after the start of the outage at which the controller is killed and resumed; 0 = never
 
-	begunAt time.Duration // since simEpoch; 0 = not yet
+	startedAt time.Duration // start of the outage since simEpoch; 0 = not started yet
 }
 
-func everyGateway(int) bool { return true }
+func affectsEveryGateway(int) bool { return true }
 
-// isLost reports whether a gateway's report is lost at a time since simEpoch.
+// isLost reports whether a gateway's report at the time since simEpoch is lost.
 func (o *reportOutage) isLost(gateway int, at time.Duration) bool {
-	if o.begunAt == 0 && at >= o.from && (o.after == nil || o.after()) {
-		o.begunAt = max(1, at)
+	if o.startedAt == 0 && at >= o.from && (o.startCondition == nil || o.startCondition()) {
+		o.startedAt = max(1, at)
 	}
-	end := o.begunAt + o.to - o.from
-	if o.latecomer(gateway) {
-		end += o.delay
+	end := o.startedAt + o.to - o.from
+	if o.recoversLate(gateway) {
+		end += o.lateBy
 	}
-	return o.begunAt > 0 && at < end && o.affects(gateway)
+	return o.startedAt > 0 && at < end && o.affects(gateway)
 }
 
-// run plays the change to its end, with the controller killed and resumed on the way.
+// run simulates the change until it has finished, with the controller killed and resumed once if resumeAfter is set.
 func (o *reportOutage) run(sim *fleetSimulation) Phase {
 	sim.partitioned = func(i int, at time.Duration) bool { return o.isLost(i, at-simEpoch) }
 	for end := sim.now + 40*time.Minute; o.resumeAfter > 0 && sim.now < end && !sim.machine.State().Phase.Finished(); {
 		sim.run(simTick)
-		if o.begunAt > 0 && sim.now-simEpoch >= o.begunAt+o.resumeAfter {
+		if o.startedAt > 0 && sim.now-simEpoch >= o.startedAt+o.resumeAfter {
 			sim.resume()
 			o.resumeAfter = 0
 		}
@@ -53,37 +53,37 @@
 	return sim.run(40 * time.Minute)
 }
 
-// outageSeeds are how many fleets play each outage.
+// outageSeeds is the number of simulated fleets for each outage.
 const outageSeeds = 20
 
-// An outage of all reports does not roll a good change back, wherever it comes and whoever reports first when it ends.
+// TestReportOutageDoesNotRollBack checks that a temporary outage of all reports does not roll a good change back, whenever it begins and
+// whichever reports resume first.
 //
-// A change was taken back although no gateway did worse (TestFleetTroublesOfTheStageAreNotBlamed saw it once, beside load). When the
-// reports came back and the old gateways' were first, the path of the reports counted as sound from that moment, while the new ones
-// looked silent for the whole outage: "1 new gateways report nothing", or "did not serve on its version 20 s after its start". In the
-// last stage no old gateway is left, so nothing made the path suspect: "18 new gateways report nothing" after 7 s.
+// It guards against two causes of false rollbacks, the first seen in an end-to-end test under load. If old gateways' reports resumed
+// first, the outage counted as over at once, and new gateways counted as silent or failed to start because of the reports lost in it.
+// In the last stage no old gateways are left to show an outage, so 18 new gateways counted as silent after 7 s.
 func TestReportOutageDoesNotRollBack(t *testing.T) {
 	t.Parallel()
 	isNew := func(sim *fleetSimulation) func(int) bool {
 		return func(i int) bool { return sim.gateways[i].version == NewVersion }
 	}
 	phaseIs := func(sim *fleetSimulation, phase Phase, lastStage bool) func() bool {
-		return func() bool { return sim.machine.State().Phase == phase && (!lastStage || sim.machine.lastStage()) }
+		return func() bool { return sim.machine.State().Phase == phase && (!lastStage || sim.machine.isLastStage()) }
 	}
-	places := map[string]func(*fleetSimulation) reportOutage{
+	outages := map[string]func(*fleetSimulation) reportOutage{
 		"first watch": func(sim *fleetSimulation) reportOutage {
-			return reportOutage{from: 5 * time.Second, after: phaseIs(sim, Watching, false)}
+			return reportOutage{from: 5 * time.Second, startCondition: phaseIs(sim, Watching, false)}
 		},
 		"first start": func(sim *fleetSimulation) reportOutage {
-			// It ends, by the seed, in the two seconds before the gateway has been waited for twice as long as a start may take.
+			// The end is random within the last 2 s before twice the ready timeout.
 			ends := seconds(2*sim.plan.Change.ReadyTimeoutSeconds) - time.Duration(sim.rand.IntN(10))*simTick
-			return reportOutage{to: ends, after: func() bool { return sim.gateways[sim.machine.order[0]].starts[NewVersion] > 0 }}
+			return reportOutage{to: ends, startCondition: func() bool { return sim.gateways[sim.machine.changeOrder[0]].starts[NewVersion] > 0 }}
 		},
 		"last watch": func(sim *fleetSimulation) reportOutage {
-			return reportOutage{after: phaseIs(sim, Watching, true)}
+			return reportOutage{startCondition: phaseIs(sim, Watching, true)}
 		},
 	}
-	for place, newOutage := range places {
+	for name, newOutage := range outages {
 		for _, c := range []struct{ length, delay time.Duration }{
 			{6 * time.Second, 200 * time.Millisecond},
 			{12 * time.Second, time.Second},
@@ -91,7 +91,7 @@
 			{15 * time.Second, 2500 * time.Millisecond},
 			{60 * time.Second, 4 * time.Second},
 		} {
-			t.Run(fmt.Sprintf("%s, %v, new ones %v later", place, c.length, c.delay), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %v, new gateways %v later", name, c.length, c.delay), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(outageSeeds) {
 					sim := newSimulation(t, 30, seed, "")
@@ -99,7 +99,7 @@
 					if o.to == 0 {
 						o.to = o.from + c.length
 					}
-					o.affects, o.latecomer, o.delay = everyGateway, isNew(sim), c.delay
+					o.affects, o.recoversLate, o.lateBy = affectsEveryGateway, isNew(sim), c.delay
 					if seed%2 == 0 {
 						o.resumeAfter = c.length / 2
 					}
@@ -112,11 +112,11 @@
 	}
 }
 
-// A new gateway that really is silent is found within maxDetection, whether it is silent alone or its silence begins in an outage of all
-// reports: then from the outage's end. One that hangs at its start is found then too.
-func TestSilentGatewayIsFoundAfterOutage(t *testing.T) {
+// TestSilentNewGatewayIsRolledBack checks that a new gateway that stops reporting, or hangs at its start, causes a rollback within
+// maxDetection. If that happens before or in an outage of all reports, the time counts from the end of the outage.
+func TestSilentNewGatewayIsRolledBack(t *testing.T) {
 	t.Parallel()
-	// The plan's 5 s without a report, and again 5 s in which the path of the reports is known to be sound; reports come once a second.
+	// The plan's report timeout of 5 s, another 5 s until reports count as reliable, and the report interval of 1 s.
 	const maxDetection = 11 * time.Second
 	const outageEnd = 40 * time.Second
 	for name, c := range map[string]struct {
@@ -124,16 +124,16 @@
 		silentFrom time.Duration
 		outage     bool
 	}{
-		"alone":                    {"", 15 * time.Second, false},
-		"when an outage ends":      {"", 15 * time.Second, true},
-		"that hangs at its start":  {"hang at start", 0, true},
-		"from before it first was": {"", 0, true},
+		"no outage":              {"", 15 * time.Second, false},
+		"silent after an outage": {"", 15 * time.Second, true},
+		"hanging at its start":   {"hang at start", 0, true},
+		"silent from its start":  {"", 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(outageSeeds) {
 				sim := newSimulation(t, 30, seed, c.bug)
-				first := sim.machine.order[0]
+				first := sim.machine.changeOrder[0]
 				sim.partitioned = func(i int, at time.Duration) bool {
 					since := at - simEpoch
 					silent := i == first && sim.gateways[i].version == NewVersion && since >= c.silentFrom
@@ -145,18 +145,21 @@
 				}
 				sim.run(from + maxDetection)
 				if phase := sim.machine.State().Phase; phase != RollingBack && phase != RolledBack {
-					t.Errorf("seed %d: %s, %v after it could be known", seed, phase, maxDetection)
+					t.Errorf("seed %d: phase %s, %v after the fault could be detected", seed, phase, maxDetection)
 				}
 			}
 		})
 	}
 }
 
-// An old gateway that never reports again does not hide a new one that hangs at its start: it is no witness of an outage once it has been
-// silent for longer than the longest watch. The new one was once waited for without end.
-func TestSilentOldGatewayHidesNoHang(t *testing.T) {
+// TestSilentOldGatewayDoesNotMaskHang checks that a new gateway that hangs at its start causes a rollback although an old gateway never
+// reports.
+//
+// It guards against an endless wait: the silent old gateway made a report outage look likely for ever. Gateways that are silent for
+// longer than the maximum watch are now disregarded.
+func TestSilentOldGatewayDoesNotMaskHang(t *testing.T) {
 	sim := newSimulation(t, 12, 3, "hang at start")
-	lost := sim.machine.order[5]
+	lost := sim.machine.changeOrder[5]
 	sim.partitioned = func(i int, at time.Duration) bool { return i == lost }
 	sim.run(seconds(sim.plan.Watch.MaxSeconds) + 20*time.Second)
 	if phase := sim.machine.State().Phase; phase != RollingBack && phase != RolledBack {
@@ -164,8 +167,9 @@
 	}
 }
 
-// Whatever outages, delays and restarts of the controller come, a good change is never rolled back, and each bad one always is.
-func TestRandomOutages(t *testing.T) {
+// TestRandomReportOutages checks that, under random outages, late reports and controller restarts, a good change always completes and a
+// bad one is always rolled back.
+func TestRandomReportOutages(t *testing.T) {
 	t.Parallel()
 	bugs := []string{"crash at start", "hang at start", "crash after 5 s", "slow", "rejects a class", "corrupts results", "leaks"}
 	rapid.Check(t, func(r *rapid.T) {
@@ -178,19 +182,20 @@
 			return time.Duration(rapid.IntRange(least, most).Draw(r, name)) * time.Millisecond
 		}
 		from := millis("outage from", 0, 180_000)
-		step := rapid.IntRange(1, 3).Draw(r, "one gateway in so many is affected")
-		newAreLate := rapid.Bool().Draw(r, "new ones are late")
-		late := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "latecomers"), 1)).Perm(30)[:rapid.IntRange(0, 30).Draw(r, "number of latecomers")]
+		step := rapid.IntRange(1, 3).Draw(r, "every n-th gateway is affected")
+		newRecoverLate := rapid.Bool().Draw(r, "new gateways recover late")
+		lateGateways := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "late gateways seed"), 1)).Perm(30)
+		lateGateways = lateGateways[:rapid.IntRange(0, 30).Draw(r, "number of late gateways")]
 		o := reportOutage{
 			from: from, to: from + millis("length", 6000, 60_000),
 			affects: func(i int) bool {
-				return step == 1 || i%step == 0 || sim.gateways[i].version == NewVersion && !sim.machine.lastStage()
+				return step == 1 || i%step == 0 || sim.gateways[i].version == NewVersion && !sim.machine.isLastStage()
 			},
-			latecomer: func(i int) bool {
-				return newAreLate && sim.gateways[i].version == NewVersion || !newAreLate && slices.Contains(late, i)
+			recoversLate: func(i int) bool {
+				return newRecoverLate && sim.gateways[i].version == NewVersion || !newRecoverLate && slices.Contains(lateGateways, i)
 			},
-			delay:       millis("delay", 0, 4000),
-			resumeAfter: millis("controller resumed", 0, 70_000),
+			lateBy:      millis("delay", 0, 4000),
+			resumeAfter: millis("controller resumed after", 0, 70_000),
 		}
 		phase := o.run(sim)
 		want := Done
--- a/internal/control/rollout/parse.go
+++ b/internal/control/rollout/parse.go
@@ -14,22 +14,22 @@
 // Kinds of a PlanError, for errors.Is.
 var (
 	ErrPlanSyntax     = errors.New("syntax error in a plan")
-	ErrPlanType       = errors.New("value of another type in a plan")
+	ErrPlanType       = errors.New("value of the wrong type in a plan")
 	ErrPlanUnknownKey = errors.New("unknown key in a plan")
 	ErrPlanValue      = errors.New("invalid value in a plan")
 )
 
-// PlanError says what makes a plan unusable.
+// PlanError describes why a plan is invalid.
 type PlanError struct {
 	Kind   error  // ErrPlanSyntax, ErrPlanType, ErrPlanUnknownKey or ErrPlanValue
-	Line   int    // from 1; of the key, its table where it is missing, or 1. 0 = not known
-	Key    string // with its table, as "judge.worse"; empty where the text cannot be read as TOML
-	Value  any    // of the key; nil where it was not read
-	Reason string // with the bound that the value violates
-	Err    error  // the cause; nil if there is none beside Reason
+	Line   int    // line of the key, from 1; if the key is missing, of its table, or 1. 0 = unknown
+	Key    string // with its table, as in "judge.worse"; empty if the text is not valid TOML
+	Value  any    // value of the key; nil if it could not be decoded
+	Reason string // what is wrong, including the bound that the value violates
+	Err    error  // the underlying error, nil if there is none
 }
 
-// Error returns the text that operators see.
+// Error returns the message that is printed for operators.
 func (e *PlanError) Error() string {
 	switch {
 	case e.Kind == ErrPlanType, e.Key == "" && e.Line == 0:
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("plan: line %d: %s: %s", e.Line, e.Key, e.Reason)
 }
 
-// Unwrap returns the kind and the cause.
+// Unwrap returns the kind and the underlying error, if any.
 func (e *PlanError) Unwrap() []error {
 	if e.Err == nil {
 		return []error{e.Kind}
@@ -52,10 +52,10 @@
 	return []error{e.Kind, e.Err}
 }
 
-const missingReason = "it is missing"
+const missingReason = "a value is required"
 
-// ParseConfigPattern reads the pattern of a plan's gateway configurations, without which ParsePlan cannot check the rest. Errors are
-// *PlanError.
+// ParseConfigPattern returns the glob pattern of a plan's gateway configurations. ParsePlan needs the number of these
+// configurations. Errors are *PlanError.
 func ParseConfigPattern(text []byte) (string, error) {
 	var p Plan
 	if _, err := toml.Decode(string(text), &p); err != nil {
@@ -67,7 +67,8 @@
 	return p.Configs, nil
 }
 
-// ParsePlan reads a plan for so many gateways, sets the defaults and validates all values. Errors are *PlanError.
+// ParsePlan parses the plan for a fleet with the given number of gateways, sets the defaults and validates all values. Errors are
+// *PlanError.
 func ParsePlan(text []byte, gateways int) (Plan, error) {
 	var p Plan
 	meta, err := toml.Decode(string(text), &p)
@@ -85,7 +86,7 @@
 	return p, nil
 }
 
-// decodeError converts an error of the TOML decoder.
+// decodeError converts an error of the TOML decoder to a *PlanError.
 func decodeError(err error) error {
 	var syntax toml.ParseError
 	if errors.As(err, &syntax) {
@@ -95,11 +96,11 @@
 	return &PlanError{Kind: ErrPlanType, Line: line, Key: key, Reason: err.Error(), Err: err}
 }
 
-// typeErrorPattern matches the errors that the TOML decoder returns for a value of a wrong type. They have no type of their own, and
-// name line and key in their text alone.
+// typeErrorPattern matches the TOML decoder's errors for a value of the wrong type. The decoder has no error type for them: line
+// and key are only in the text.
 var typeErrorPattern = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): `)
 
-// typeErrorPosition returns the line and the key of such an error, 0 and "" if they are not known.
+// typeErrorPosition extracts line and key from an error that matches typeErrorPattern, and returns 0 and "" for any other error.
 func typeErrorPosition(err error) (line int, key string) {
 	match := typeErrorPattern.FindStringSubmatch(err.Error())
 	if match == nil {
@@ -112,7 +113,8 @@
 	return line, match[2]
 }
 
-// lineOf returns the line of a key, from 1; that of its table if the key is missing, and 1 if that is missing too.
+// lineOf returns the line of a key, counted from 1. If the key is missing it returns the line of its table, and 1 if there is no
+// such table either.
 func lineOf(text []byte, key []string) int {
 	name := key[len(key)-1]
 	inTable := len(key) > 1
@@ -128,15 +130,15 @@
 			continue
 		}
 		left, _, _ := strings.Cut(line, "=")
-		rightTable := !inTable && table == "" || inTable && table == key[0]
-		if strings.TrimSpace(left) == name && rightTable {
+		isInTable := !inTable && table == "" || inTable && table == key[0]
+		if strings.TrimSpace(left) == name && isInTable {
 			return i + 1
 		}
 	}
 	return found
 }
 
-// setDefaults replaces the zero values that a plan leaves.
+// setDefaults replaces zero values with the defaults.
 func (p *Plan) setDefaults() {
 	p.Reports = cmp.Or(p.Reports, p.Listen)
 	p.Watch.setDefaults()
--- a/internal/control/rollout/parse_test.go
+++ b/internal/control/rollout/parse_test.go
@@ -18,8 +18,8 @@
 least_s = 10
 `
 
-// The defaults that a plan leaves to the program are set.
-func TestPlanDefaults(t *testing.T) {
+// TestParsePlanSetsDefaults checks the defaults of values that a plan leaves out, and that other values are kept.
+func TestParsePlanSetsDefaults(t *testing.T) {
 	p, err := ParsePlan([]byte(testPlan), 4)
 	if err != nil {
 		t.Fatal(err)
@@ -31,12 +31,12 @@
 		t.Errorf("%+v", p)
 	}
 	if p.Judge.MinChecks != 0 {
-		t.Errorf("%d results of checks are required of a plan without checks", p.Judge.MinChecks)
+		t.Errorf("%d check results are required by a plan without checks", p.Judge.MinChecks)
 	}
 }
 
-// Errors of a plan name kind, key and line, and are printed as operators know them.
-func TestPlanErrors(t *testing.T) {
+// TestParsePlanErrors checks the kind, key, line and text of the errors for invalid plans.
+func TestParsePlanErrors(t *testing.T) {
 	cases := []struct {
 		name, from, to string
 		kind           error
@@ -44,21 +44,21 @@
 		key, text      string
 	}{
 		{"empty name", `"x"`, `""`, ErrPlanValue, 1, "name",
-			"plan: line 1: name: the change needs a name on one line, without a slash"},
-		{"missing table", "[old]\nprogram = \"a\"\n", "", ErrPlanValue, 1, "old.program", "plan: line 1: old.program: it is missing"},
-		{"bound", "least_s = 10", "least_s = 400", ErrPlanValue, 9, "watch.most_s",
-			"plan: line 9: watch.most_s: 400 s at least, 300 s at most"},
+			"plan: line 1: name: a name is required, on one line and without slashes"},
+		{"missing table", "[old]\nprogram = \"a\"\n", "", ErrPlanValue, 1, "old.program", "plan: line 1: old.program: a value is required"},
+		{"invalid range", "least_s = 10", "least_s = 400", ErrPlanValue, 9, "watch.most_s",
+			"plan: line 9: watch.most_s: 400 s (watch.least_s) to 300 s is not a valid range"},
 		{"unknown key", "least_s", "lest_s", ErrPlanUnknownKey, 10, "watch.lest_s", "plan: line 10: unknown key watch.lest_s"},
-		{"type", "least_s = 10", `least_s = "a"`, ErrPlanType, 10, "watch.least_s",
+		{"wrong type", "least_s = 10", `least_s = "a"`, ErrPlanType, 10, "watch.least_s",
 			`plan: toml: line 10 (last key "watch.least_s"): incompatible types: TOML value has type string; destination has type float`},
-		{"quote", `"f"`, `"f`, ErrPlanSyntax, 2, "fleet", ""},
+		{"missing quote", `"f"`, `"f`, ErrPlanSyntax, 2, "fleet", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParsePlan([]byte(strings.Replace(testPlan, c.from, c.to, 1)), 4)
 			var found *PlanError
 			if !errors.As(err, &found) {
-				t.Fatalf("%v is no PlanError", err)
+				t.Fatalf("%v is not a *PlanError", err)
 			}
 			if !errors.Is(err, c.kind) {
 				t.Errorf("%v is not of the kind %v", err, c.kind)
--- a/internal/control/rollout/reconcile.go
+++ b/internal/control/rollout/reconcile.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	processVisibleAfter = 300 * time.Millisecond // after a start: until then its process may not be visible yet
-	restartBackoff      = time.Second            // between two starts of the old version whose process ends at once
+	processVisibilityDelay = 300 * time.Millisecond // after a start, until the new process is sure to be found
+	restartBackoff         = time.Second            // between two starts of the old version if its process exits at once
 )
 
-// unavailable counts the gateways that are out of service for the change.
+// unavailable returns the number of gateways that the change has taken out of service.
 func (m *Machine) unavailable() (count int) {
 	for _, g := range m.state.Gateways {
 		if g.Step == Stopping || g.Step == Starting {
@@ -20,15 +20,16 @@
 	return count
 }
 
+// setStep records the current step of a gateway.
 func (m *Machine) setStep(now time.Duration, gateway int, s Step, pid int) {
 	g := &m.state.Gateways[gateway]
 	g.Step, g.Since, g.PID = s, now, pid
 	m.dirty = true
 	m.observed[gateway].recovered = false
-	m.observed[gateway].waitNoted = false
+	m.observed[gateway].extensionNoted = false
 }
 
-// reconcile takes a gateway one step towards its target version.
+// reconcile moves a gateway one step towards its target version.
 func (m *Machine) reconcile(now time.Duration, gateway int) {
 	if m.observed[gateway].pid == unknownPID {
 		return
@@ -45,7 +46,7 @@
 	}
 }
 
-// reconcileSteady restarts a gateway that has ended, and begins to change one that does not run its target version.
+// reconcileSteady restarts a gateway whose process has ended, and begins to change a gateway that does not run its target version.
 func (m *Machine) reconcileSteady(now time.Duration, gateway int) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
 	if observed.pid == 0 {
@@ -53,7 +54,7 @@
 		return
 	}
 	if observed.reportedAt == 0 || observed.report.PID != observed.pid {
-		return // its version is not known
+		return // the version of the current process is unknown
 	}
 	running, target := observed.report.id(), m.ids[g.TargetVersion]
 	if running == target || m.state.Phase == Holding || m.unavailable() >= m.plan.Change.MaxUnavailable {
@@ -67,28 +68,29 @@
 	m.stopProcess(now, gateway)
 }
 
-// reconcileStopping waits for a process to end, and kills it after the plan's timeout.
+// reconcileStopping waits for a process to exit, and kills it after the plan's stop timeout.
 func (m *Machine) reconcileStopping(now time.Duration, gateway int) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
 	switch {
-	case observed.pid != g.PID: // it has ended
+	case observed.pid != g.PID: // the process has exited
 		m.startProcess(now, gateway)
 	case observed.recovered:
 		m.setStep(now, gateway, Stopping, g.PID)
 		m.addAction(Stop{gateway, g.PID})
 	case now-g.Since > seconds(m.plan.Change.StopTimeoutSeconds):
-		m.addNote("gateway %d did not stop in time and is killed", gateway)
+		m.addNote("gateway %d did not stop in time: killing its process", gateway)
 		m.setStep(now, gateway, Stopping, g.PID)
 		m.addAction(Kill{gateway, g.PID})
 	}
 }
 
-// reconcileReloading waits for a process to report the new settings, and restarts it if it cannot use them without.
+// reconcileReloading waits for a process to report that it runs with the new settings, and restarts it if they need a restart or
+// are not reported in time.
 func (m *Machine) reconcileReloading(now time.Duration, gateway int) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
 	needsRestart := observed.report.RestartPending && observed.reportedAt > g.Since
 	switch {
-	case observed.pid != g.PID: // it has ended: the next call handles the crash
+	case observed.pid != g.PID: // the process has exited: the next call handles the crash
 		m.setStep(now, gateway, Steady, 0)
 	case m.runsVersion(gateway, g.TargetVersion):
 		m.setStep(now, gateway, Steady, 0)
@@ -96,11 +98,11 @@
 		m.setStep(now, gateway, Reloading, g.PID)
 		m.addAction(Reload{gateway, g.TargetVersion, g.PID})
 	case needsRestart, now-g.Since > seconds(m.plan.Change.ReadyTimeoutSeconds):
-		if !needsRestart && m.isSilent(now, gateway) && m.waitForReport(now, gateway) {
+		if !needsRestart && m.isSilent(now, gateway) && m.extendReportWait(now, gateway) {
 			return
 		}
 		if g.TargetVersion == NewVersion && !observed.report.RestartPending {
-			m.rollBack(now, fmt.Sprintf("gateway %d did not take the new settings", gateway))
+			m.rollBack(now, fmt.Sprintf("gateway %d did not apply the new settings", gateway))
 		}
 		m.stopProcess(now, gateway)
 	}
@@ -112,48 +114,48 @@
 	elapsed := now - g.Since
 	visible := restartBackoff
 	if g.StartedVersion == NewVersion {
-		visible = processVisibleAfter
+		visible = processVisibilityDelay
 	}
 	switch {
-	case g.StartedVersion != g.TargetVersion && observed.pid > 0: // the target changed meanwhile
+	case g.StartedVersion != g.TargetVersion && observed.pid > 0: // the target has changed since the start
 		m.stopProcess(now, gateway)
 	case g.StartedVersion != g.TargetVersion:
 		m.startProcess(now, gateway)
 	case m.runsVersion(gateway, g.TargetVersion):
 		m.setStep(now, gateway, Steady, 0)
 	case observed.pid == 0 && observed.recovered:
-		m.startProcess(now, gateway) // the controller may have ended before it started the process
+		m.startProcess(now, gateway) // the controller may have exited before it started the process
 	case observed.pid == 0 && elapsed > visible:
-		m.startFailed(now, gateway, "ended at its start")
+		m.startFailed(now, gateway, "exited during its start")
 	case elapsed > seconds(m.plan.Change.ReadyTimeoutSeconds):
-		m.startOverdue(now, gateway)
+		m.handleStartTimeout(now, gateway)
 	}
 }
 
-// startOverdue handles a process that has not reported in time that it serves. One that was not heard of at all is waited for longer
-// where the path of the reports is suspect.
-func (m *Machine) startOverdue(now time.Duration, gateway int) {
+// handleStartTimeout handles a process that has not reported in time that it serves. If the process has sent no report at all and a
+// report outage is suspected, the wait is extended.
+func (m *Machine) handleStartTimeout(now time.Duration, gateway int) {
 	observed := &m.observed[gateway]
 	unreported := observed.pid > 0 && observed.report.PID != observed.pid
-	if unreported && m.waitForReport(now, gateway) {
+	if unreported && m.extendReportWait(now, gateway) {
 		return
 	}
-	m.startFailed(now, gateway, fmt.Sprintf("did not serve on its version %g s after its start", m.plan.Change.ReadyTimeoutSeconds))
+	m.startFailed(now, gateway, fmt.Sprintf("was not serving %g s after its start", m.plan.Change.ReadyTimeoutSeconds))
 }
 
-// waitForReport reports whether a gateway's overdue report is waited for longer, as the path of the reports is suspect.
-func (m *Machine) waitForReport(now time.Duration, gateway int) bool {
-	if m.pathIsSound(now) {
+// extendReportWait reports whether to wait longer for a gateway's overdue report, because a report outage is suspected.
+func (m *Machine) extendReportWait(now time.Duration, gateway int) bool {
+	if m.reportsReliable(now) {
 		return false
 	}
-	if observed := &m.observed[gateway]; !observed.waitNoted {
-		observed.waitNoted = true
-		m.addNote("gateway %d has not reported in time, but others do not either: it is waited for longer", gateway)
+	if observed := &m.observed[gateway]; !observed.extensionNoted {
+		observed.extensionNoted = true
+		m.addNote("gateway %d has not reported in time, but a report outage is suspected: waiting longer", gateway)
 	}
 	return true
 }
 
-// startProcess starts a gateway on its target version.
+// startProcess starts a gateway's process on its target version.
 func (m *Machine) startProcess(now time.Duration, gateway int) {
 	g := &m.state.Gateways[gateway]
 	g.StartedVersion = g.TargetVersion
@@ -161,21 +163,21 @@
 	m.addAction(Start{gateway, g.StartedVersion})
 }
 
-// stopProcess stops the process that a gateway runs.
+// stopProcess stops a gateway's current process.
 func (m *Machine) stopProcess(now time.Duration, gateway int) {
 	pid := m.observed[gateway].pid
 	m.setStep(now, gateway, Stopping, pid)
 	m.addAction(Stop{gateway, pid})
 }
 
-// reload has the process that a gateway runs read the settings of its target version.
+// reload makes a gateway's current process read the settings of its target version.
 func (m *Machine) reload(now time.Duration, gateway int) {
 	pid := m.observed[gateway].pid
 	m.setStep(now, gateway, Reloading, pid)
 	m.addAction(Reload{gateway, m.state.Gateways[gateway].TargetVersion, pid})
 }
 
-// startFailed handles a start after which the gateway does not serve. On the new version it rolls the change back.
+// startFailed handles a process that was started and does not serve. On the new version it rolls the change back.
 func (m *Machine) startFailed(now time.Duration, gateway int, failure string) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
 	m.addNote("gateway %d on the %s version %s", gateway, g.StartedVersion, failure)
@@ -184,7 +186,7 @@
 	}
 	switch {
 	case observed.pid > 0 && g.StartedVersion == OldVersion && g.TargetVersion == OldVersion:
-		// It runs: perhaps only its reports do not arrive, and another start would not change that.
+		// The process runs. Possibly just its reports are lost, which a restart would not cure.
 		m.setStep(now, gateway, Starting, 0)
 	case observed.pid > 0:
 		m.stopProcess(now, gateway)
@@ -193,30 +195,30 @@
 	}
 }
 
-// processCrashed restarts a gateway whose process ended without having been stopped, and counts the crash against its
-// version. A single process may end by chance.
+// processCrashed restarts a gateway whose process ended without having been stopped, and counts the crash for the version on which
+// it was started.
 func (m *Machine) processCrashed(now time.Duration, gateway int) {
 	g := &m.state.Gateways[gateway]
 	crashes := &m.state.Crashes
-	m.addNote("gateway %d on the %s version has ended by itself", gateway, g.StartedVersion)
+	m.addNote("gateway %d on the %s version exited unexpectedly: restarting it", gateway, g.StartedVersion)
 	if g.StartedVersion == NewVersion {
-		crashes[newCrashes]++
+		crashes[newCrashIndex]++
 		m.judgeCrash(now)
 	} else {
-		crashes[oldCrashes]++
+		crashes[oldCrashIndex]++
 	}
 	m.startProcess(now, gateway)
 }
 
-// judgeCrash rolls the change back if too many new gateways have crashed; after a single crash the stage is watched for
-// longer.
+// judgeCrash rolls the change back if new gateways have crashed too often. Otherwise it restarts the duration of the watch, as a single
+// crash may be chance.
 func (m *Machine) judgeCrash(now time.Duration) {
-	onNew := m.stageTarget(m.state.Stage)
+	onNew := m.stageGatewayCount(m.state.Stage)
 	onOld := len(m.observed) - onNew
-	crashesOld, crashesNew := m.state.Crashes[oldCrashes], m.state.Crashes[newCrashes]
+	crashesOld, crashesNew := m.state.Crashes[oldCrashIndex], m.state.Crashes[newCrashIndex]
 	allowed := m.plan.Judge.MaxCrashes + crashesOld*onNew/max(1, onOld)
 	if m.state.Phase != RollingBack && crashesNew >= allowed {
-		m.rollBack(now, fmt.Sprintf("%d crashes of new gateways, %d of old ones", crashesNew, crashesOld))
+		m.rollBack(now, fmt.Sprintf("%d crashes of new gateways, %d of old gateways", crashesNew, crashesOld))
 	} else if m.state.Phase == Watching {
 		m.state.Since = now
 	}
--- a/internal/control/rollout/reload_test.go
+++ b/internal/control/rollout/reload_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// A gateway that reads new settings in an outage of the reports is waited for until it reports again; one that reports and has not taken
-// them up, or is silent alone, has the change rolled back.
-func TestReloadInReportOutage(t *testing.T) {
+// TestReloadDuringReportOutage checks that the controller waits for a gateway that reloads its settings in a report outage until it
+// reports again. A gateway that reports without having applied the settings, or is the only silent one, causes a rollback.
+func TestReloadDuringReportOutage(t *testing.T) {
 	const gateways, outage = 12, 28 * time.Second
 	oldID, newID := VersionID{Program: 1, Settings: 5}, VersionID{Program: 1, Settings: 6}
 	for name, c := range map[string]struct {
 		affects   func(gateway, reloaded int) bool // whose reports are lost during the outage
-		takes     bool                             // it takes the new settings
-		rollsBack bool
+		applies   bool                             // the gateway applies the new settings
+		rollsBack bool                             // expected result
 	}{
 		"outage":       {func(int, int) bool { return true }, true, false},
 		"silent alone": {func(gateway, reloaded int) bool { return gateway == reloaded }, true, true},
-		"not taken":    {func(int, int) bool { return false }, false, true},
+		"not applied":  {func(int, int) bool { return false }, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := New(simEpoch, simPlan(t, gateways, ""), oldID, newID, simClasses, gateways)
@@ -27,11 +27,11 @@
 				for i := range gateways {
 					m.ObserveProcess(i, 100+i, true)
 					id := oldID
-					if i == reloaded && c.takes {
+					if i == reloaded && c.applies {
 						id = newID
 					}
 					lost := reloaded >= 0 && now < reloadedAt+outage && c.affects(i, reloaded)
-					late := i == reloaded && now < reloadedAt+outage+2*time.Second // it is heard of again after the others
+					late := i == reloaded && now < reloadedAt+outage+2*time.Second // its reports resume after those of the others
 					if isDue := (int(now/simTick)+i)%5 == 0; isDue && !lost && !(late && c.affects(i, reloaded)) {
 						m.ReceiveReport(now, Report{Gateway: i, PID: 100 + i, StartedAt: simEpoch, Program: id.Program, Settings: id.Settings,
 							Serving: true, Classes: make([]Counts, len(simClasses))})
@@ -45,7 +45,7 @@
 				}
 			}
 			reason := m.State().Reason
-			if got := strings.Contains(reason, "did not take the new settings"); got != c.rollsBack || !got && m.State().Phase != Watching {
+			if got := strings.Contains(reason, "did not apply the new settings"); got != c.rollsBack || !got && m.State().Phase != Watching {
 				t.Errorf("%s: %s", m.State().Phase, reason)
 			}
 		})
--- a/internal/control/rollout/rolloutpb/doc.go
+++ b/internal/control/rollout/rolloutpb/doc.go
@@ -1,2 +1,2 @@
-// Package rolloutpb holds the generated code of rollout.proto, the form of the messages on the wire.
+// Package rolloutpb contains the code generated from rollout.proto, the wire format of rollout messages.
 package rolloutpb
--- a/internal/control/rollout/sim_test.go
+++ b/internal/control/rollout/sim_test.go
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// fleetSimulation is a fleet on a virtual clock: processes that start, serve, report and end, with a bug in the new version,
-// and a controller that may be killed before or after any action.
+// fleetSimulation simulates a fleet on a virtual clock: processes that start, serve, report and exit, optionally with a bug in the new
+// version, and a controller that may be killed before or after any action.
 type fleetSimulation struct {
-	t           *testing.T
-	rand        *rand.Rand
-	now         time.Duration
-	plan        Plan
-	machine     *Machine
-	stored      string // the state as it was last stored
-	gateways    []simulatedGateway
-	bug         string                                   // of the new version; empty = none
-	outage      func(at time.Duration) float64           // share of answers that all gateways miss because of the engines
-	partitioned func(gateway int, at time.Duration) bool // its reports are lost
-	killAt      int                                      // the controller is killed at this action; -1 = never
-	killBefore  bool                                     // before the action is carried out, else after
-	executed    int                                      // actions so far
-	notes       []string
-	maxDown     int
-	harmed      float64 // answers that the bug harmed
-	answers     float64
-	pausedUntil time.Duration // the controller does nothing until then
-	nextPID     int
+	t               *testing.T
+	rand            *rand.Rand
+	now             time.Duration
+	plan            Plan
+	machine         *Machine
+	stored          string // last stored state, as JSON
+	gateways        []simulatedGateway
+	bug             string                                   // bug of the new version; empty = none
+	engineOutage    func(at time.Duration) float64           // share of requests that fail at every gateway because of the engines
+	partitioned     func(gateway int, at time.Duration) bool // reports whether the gateway's report is lost
+	killAt          int                                      // number of the action at which the controller is killed; -1 = never
+	killBefore      bool                                     // killed before the action is carried out, else after it
+	executedActions int                                      // number of actions so far
+	notes           []string
+	maxUnavailable  int
+	harmedAnswers   float64       // answers affected by the bug
+	answers         float64       // all answers
+	pausedUntil     time.Duration // the controller is suspended until then
+	nextPID         int
 }
 
 type simulatedGateway struct {
 	pid        int // 0 = no process
 	version    string
 	startedAt  time.Duration
-	stopAt     time.Duration // 0 = it was not asked to stop
+	stopAt     time.Duration // when the process exits after SIGTERM; 0 = not signaled
 	rate       float64       // requests per second
-	missOffset float64       // added to the share of requests that are missed
+	missOffset float64       // added to the share of requests that are not served in time
 	counts     []Counts
-	starts     map[string]int // by version
+	starts     map[string]int // number of starts by version
 	crashAt    time.Duration  // 0 = never
 }
 
@@ -54,13 +54,14 @@
 	shutdownTime = 800 * time.Millisecond
 )
 
-func simPlan(t *testing.T, gateways int, more string) Plan {
+// simPlan returns the plan of a simulation; extraTOML is added to its top-level keys.
+func simPlan(t *testing.T, gateways int, extraTOML string) Plan {
 	t.Helper()
 	p, err := ParsePlan([]byte(`name = "sim"
 fleet = "f"
 listen = "127.0.0.1:1"
 stages = ["1", "34%", "100%"]
-`+more+`
+`+extraTOML+`
 [old]
 program = "a"
 [new]
@@ -81,15 +82,15 @@
 
 func newSimulation(t *testing.T, gateways int, seed uint64, bug string) *fleetSimulation {
 	sim := &fleetSimulation{
-		t:           t,
-		rand:        rand.New(rand.NewPCG(seed, 3)),
-		now:         simEpoch,
-		plan:        simPlan(t, gateways, ""),
-		bug:         bug,
-		outage:      func(time.Duration) float64 { return 0 },
-		partitioned: func(int, time.Duration) bool { return false },
-		killAt:      -1,
-		nextPID:     100,
+		t:            t,
+		rand:         rand.New(rand.NewPCG(seed, 3)),
+		now:          simEpoch,
+		plan:         simPlan(t, gateways, ""),
+		bug:          bug,
+		engineOutage: func(time.Duration) float64 { return 0 },
+		partitioned:  func(int, time.Duration) bool { return false },
+		killAt:       -1,
+		nextPID:      100,
 	}
 	sim.plan.Name += fmt.Sprint(seed)
 	for range gateways {
@@ -111,6 +112,7 @@
 
 var simClasses = []string{"lookup", "report", "form-load"}
 
+// store stores the state of the controller.
 func (sim *fleetSimulation) store() {
 	text, err := json.Marshal(sim.machine.State())
 	if err != nil {
@@ -119,7 +121,7 @@
 	sim.stored = string(text)
 }
 
-// resume has another controller resume the change from the stored state.
+// resume replaces the controller by one that resumes the change from the stored state.
 func (sim *fleetSimulation) resume() {
 	var s State
 	if err := json.Unmarshal([]byte(sim.stored), &s); err != nil {
@@ -128,11 +130,12 @@
 	sim.machine = Resume(sim.now, sim.plan, simIDs[OldVersion], simIDs[NewVersion], simClasses, s)
 }
 
+// serves reports whether a gateway accepts requests.
 func (sim *fleetSimulation) serves(g *simulatedGateway) bool {
 	return g.pid > 0 && sim.now-g.startedAt > startupTime && !(g.version == NewVersion && sim.bug == "hang at start")
 }
 
-// stepFleet runs all gateways for one tick.
+// stepFleet simulates all gateways for one tick.
 func (sim *fleetSimulation) stepFleet() {
 	for i := range sim.gateways {
 		g := &sim.gateways[i]
@@ -155,7 +158,7 @@
 	}
 }
 
-// processEnds reports whether a gateway's process ends in this tick.
+// processEnds reports whether a gateway's process exits in this tick.
 func (sim *fleetSimulation) processEnds(g *simulatedGateway) bool {
 	isNew := g.version == NewVersion
 	age := sim.now - g.startedAt
@@ -169,7 +172,7 @@
 	return false
 }
 
-// runChecks has the controller check one gateway.
+// runChecks simulates the controller's checks at one gateway in one tick.
 func (sim *fleetSimulation) runChecks(gateway int) {
 	g := &sim.gateways[gateway]
 	for range 4 {
@@ -184,9 +187,10 @@
 	}
 }
 
+// serveRequest simulates one client request at a gateway.
 func (sim *fleetSimulation) serveRequest(g *simulatedGateway, isNew bool) {
 	class, miss, fast := sim.drawClass()
-	miss = min(1, max(0, miss+g.missOffset)+sim.outage(sim.now))
+	miss = min(1, max(0, miss+g.missOffset)+sim.engineOutage(sim.now))
 	c := &g.counts[class]
 	c.Requests++
 	sim.answers++
@@ -199,7 +203,7 @@
 			rejected = class == 1
 		}
 		if sim.bug == "corrupts results" && sim.rand.IntN(50) == 0 || rejected || sim.bug == "slow" && sim.rand.Float64() < 0.08 {
-			sim.harmed++
+			sim.harmedAnswers++
 		}
 	}
 	switch x := sim.rand.Float64(); {
@@ -215,7 +219,7 @@
 	}
 }
 
-// drawClass draws a request's class, with the shares of its requests that are missed and served fast.
+// drawClass draws the class of a request, and returns the shares of the class's requests that are not served in time and served fast.
 func (sim *fleetSimulation) drawClass() (class int, miss, fast float64) {
 	switch x := sim.rand.Float64(); {
 	case x > 0.95:
@@ -226,6 +230,7 @@
 	return 0, 0.03, 0.9
 }
 
+// poisson draws from a Poisson distribution.
 func poisson(rnd *rand.Rand, mean float64) (n int) {
 	for limit, p := math.Exp(-mean), rnd.Float64(); p > limit; p *= rnd.Float64() {
 		n++
@@ -233,7 +238,7 @@
 	return n
 }
 
-// stepController has gateways report and the controller tick and carry out its actions.
+// stepController delivers the due reports, calls Tick and carries out the resulting actions.
 func (sim *fleetSimulation) stepController() {
 	if sim.now < sim.pausedUntil {
 		return
@@ -251,8 +256,8 @@
 			sim.notes = append(sim.notes, n.Text)
 			continue
 		}
-		killed := sim.executed == sim.killAt
-		sim.executed++
+		killed := sim.executedActions == sim.killAt
+		sim.executedActions++
 		if !killed || !sim.killBefore {
 			sim.execute(a)
 		}
@@ -263,7 +268,7 @@
 	}
 }
 
-// report has a gateway report, once a second.
+// report delivers the gateway's report if one is due, once a second.
 func (sim *fleetSimulation) report(gateway int) {
 	g := &sim.gateways[gateway]
 	if (int(sim.now/simTick)+gateway)%5 > 0 || !sim.serves(g) || sim.partitioned(gateway, sim.now) {
@@ -301,7 +306,7 @@
 	case Start:
 		g := &sim.gateways[a.Gateway]
 		if g.pid > 0 {
-			sim.t.Errorf("gateway %d is started while process %d runs", a.Gateway, g.pid)
+			sim.t.Errorf("gateway %d is started while its process %d is running", a.Gateway, g.pid)
 		}
 		sim.nextPID++
 		g.pid, g.version, g.startedAt, g.stopAt, g.counts = sim.nextPID, a.Version, sim.now, 0, make([]Counts, 3)
@@ -316,12 +321,12 @@
 	}
 }
 
-// run simulates until the change is over, or for the duration, and returns the phase.
+// run simulates until the change has finished, at most for the duration, and returns the phase.
 func (sim *fleetSimulation) run(duration time.Duration) Phase {
 	for end := sim.now + duration; sim.now < end; sim.now += simTick {
 		sim.stepFleet()
 		sim.stepController()
-		sim.maxDown = max(sim.maxDown, sim.down())
+		sim.maxUnavailable = max(sim.maxUnavailable, sim.unavailable())
 		if sim.machine.State().Phase.Finished() {
 			break
 		}
@@ -329,8 +334,8 @@
 	return sim.machine.State().Phase
 }
 
-// down counts the gateways that accept no requests.
-func (sim *fleetSimulation) down() (count int) {
+// unavailable returns the number of gateways that accept no requests.
+func (sim *fleetSimulation) unavailable() (count int) {
 	for i := range sim.gateways {
 		if !sim.serves(&sim.gateways[i]) || sim.gateways[i].stopAt > 0 {
 			count++
@@ -339,6 +344,7 @@
 	return count
 }
 
+// allOn reports whether all gateways serve on the version.
 func (sim *fleetSimulation) allOn(version string) bool {
 	for i := range sim.gateways {
 		if sim.gateways[i].version != version || !sim.serves(&sim.gateways[i]) {
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -2,111 +2,111 @@
 
 import "time"
 
-// Phase is the phase that a change is in.
+// Phase is the phase of a change.
 type Phase string
 
-// The phases.
+// The phases of a change.
 const (
-	Changing    Phase = "changing"  // gateways of the stage are being changed
-	Watching    Phase = "watching"  // the stage is compared with the old gateways
-	Holding     Phase = "holding"   // paused by an operator, or inconclusive: nothing is changed until an operator resumes
-	RollingBack Phase = "returning" // rolling back: all gateways return to the old version
+	Changing    Phase = "changing"  // gateways of the stage are being moved to the new version
+	Watching    Phase = "watching"  // new gateways of the stage are being compared with old ones
+	Holding     Phase = "holding"   // paused by an operator or inconclusive: no gateway is changed until an operator resumes it
+	RollingBack Phase = "returning" // all gateways are being returned to the old version
 	Done        Phase = "done"      // all gateways are on the new version
-	RolledBack  Phase = "returned"  // rolled back: all gateways are on the old version again
+	RolledBack  Phase = "returned"  // all gateways are on the old version again
 )
 
 // Finished reports whether the change has ended.
 func (p Phase) Finished() bool { return p == Done || p == RolledBack }
 
-// Step is what is being done to a gateway.
+// Step is the current operation on a gateway.
 type Step string
 
-// The steps.
+// The steps of a gateway.
 const (
-	Steady    Step = "steady"
+	Steady    Step = "steady"    // no operation in progress
 	Stopping  Step = "stopping"  // its process was sent SIGTERM
-	Starting  Step = "starting"  // a process was started and has not reported yet that it serves
-	Reloading Step = "reloading" // its process was sent SIGHUP, for new settings alone
+	Starting  Step = "starting"  // a process was started and has not yet reported that it serves
+	Reloading Step = "reloading" // its process was sent SIGHUP to read new settings
 )
 
-// The versions.
+// The two versions of a change.
 const (
 	OldVersion = "old"
 	NewVersion = "new"
 )
 
-// GatewayState is what is stored of one gateway.
+// GatewayState is the stored state of one gateway.
 type GatewayState struct {
-	TargetVersion  string        `json:"want"` // the version that it is to run
+	TargetVersion  string        `json:"want"` // version that the gateway should run
 	Step           Step          `json:"step"`
-	StartedVersion string        `json:"going,omitempty"` // the version that was started last
-	Since          time.Duration `json:"since,omitempty"` // Unix time of the step
-	PID            int           `json:"pid,omitempty"`   // of the process that is being stopped or reloaded
+	StartedVersion string        `json:"going,omitempty"` // version on which its process was last started
+	Since          time.Duration `json:"since,omitempty"` // Unix time at which the step began
+	PID            int           `json:"pid,omitempty"`   // process that is being stopped or reloaded
 }
 
-// State is all that is stored of a change. Stored after each call of a Machine and before its actions are carried out, it is
-// enough for another controller to resume the change.
+// State is the stored state of a change. Another controller can resume the change from it, provided that the caller of a Machine
+// stores the state before it carries out the actions.
 type State struct {
 	Phase       Phase          `json:"phase"`
-	ResumePhase Phase          `json:"before,omitempty"` // of Holding: the phase that it interrupts
+	ResumePhase Phase          `json:"before,omitempty"` // in phase Holding: the phase to return to
 	Stage       int            `json:"stage"`            // from 0
-	Since       time.Duration  `json:"since"`            // Unix time of the phase
-	Reason      string         `json:"reason,omitempty"` // why it holds or was rolled back
+	Since       time.Duration  `json:"since"`            // Unix time at which the phase, or the watch, last began
+	Reason      string         `json:"reason,omitempty"` // why the change is on hold or was rolled back
 	Gateways    []GatewayState `json:"gateways"`
-	Crashes     [2]int         `json:"crashes"` // in this stage, by oldCrashes and newCrashes
+	Crashes     [2]int         `json:"crashes"` // in this stage, indexed by oldCrashIndex and newCrashIndex
 }
 
-// Places in State.Crashes.
+// Indices in State.Crashes.
 const (
-	oldCrashes = iota
-	newCrashes
+	oldCrashIndex = iota
+	newCrashIndex
 )
 
-// Report is what a gateway sends to the controller once a second.
+// Report is the message that a gateway sends to the controller once a second.
 type Report struct {
-	Gateway        int           // its number in the fleet, from 0
-	PID            int           // of its process
-	StartedAt      time.Duration // Unix time of the process's start
+	Gateway        int           // number of the gateway in the fleet, from 0
+	PID            int           // its process
+	StartedAt      time.Duration // Unix time at which the process started
 	Program        uint64        // the first 8 bytes of the executable's SHA-256
-	Settings       uint64        // those of the operator's file in force
-	Serving        bool          // it accepts requests
-	RestartPending bool          // a file was reloaded, and some of it takes effect only at the next start
-	MemoryMB       float64
-	Classes        []Counts // since the process's start
+	Settings       uint64        // the first 8 bytes of the SHA-256 of the operator's file in effect
+	Serving        bool          // the gateway accepts requests
+	RestartPending bool          // some settings of the reloaded operator's file take effect only after a restart
+	MemoryMB       float64       // resident memory
+	Classes        []Counts      // by class, since the process started
 }
 
-// id returns the version that the gateway runs.
+// id returns the version from which the report was sent.
 func (r Report) id() VersionID { return VersionID{r.Program, r.Settings} }
 
-// VersionID identifies a version in reports.
+// VersionID identifies a version by hashes of the executable and the operator's file.
 type VersionID struct {
 	Program  uint64 `json:"Program"`
 	Settings uint64 `json:"Settings"`
 }
 
-// Action is something that the caller of a Machine has to carry out.
+// Action is an action for the caller of a Machine to carry out.
 type Action interface{ action() }
 
-// Stop asks a process to shut down gracefully (SIGTERM).
+// Stop sends a process SIGTERM, for a graceful shutdown.
 type Stop struct{ Gateway, PID int }
 
-// Kill ends a process that does not stop (SIGKILL).
+// Kill sends SIGKILL to a process that did not stop in time.
 type Kill struct{ Gateway, PID int }
 
-// Start starts a gateway's process on a version.
+// Start starts a gateway's process on the version.
 type Start struct {
 	Gateway int
 	Version string
 }
 
-// Reload installs a version's settings and has the process read them (SIGHUP).
+// Reload installs the version's operator's file and sends the process SIGHUP to read it.
 type Reload struct {
 	Gateway int
 	Version string
 	PID     int
 }
 
-// Note is a line of the change's history.
+// Note adds a line to the history of the change.
 type Note struct{ Text string }
 
 func (Stop) action()   {}
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -89,7 +89,7 @@
 		{stages, `stages = ["1", "50%"]`, rollout.ErrPlanValue, 5, "stages", "it has to be all"},
 		{stages, `stages = ["100%"]`, rollout.ErrPlanValue, 5, "stages", "whole fleet"},
 		{stages, `stages = ["half"]`, rollout.ErrPlanValue, 5, "stages", "neither a count nor a share"},
-		{`least_s = 10`, `least_s = 400`, rollout.ErrPlanValue, 12, "watch.most_s", "400 s at least, 300 s at most"},
+		{`least_s = 10`, `least_s = 400`, rollout.ErrPlanValue, 12, "watch.most_s", "400 s (watch.least_s) to 300 s is not a valid range"},
 		{`least_s = 10`, `lest_s = 400`, rollout.ErrPlanUnknownKey, 13, "watch.lest_s", "line 13: unknown key watch.lest_s"},
 		{`false_alarm = 0.01`, `false_alarm = 2`, rollout.ErrPlanValue, 15, "judge.false_alarm", "line 15: judge.false_alarm"},
 		{`false_alarm = 0.01`, `false_alarm = "a"`, rollout.ErrPlanType, 15, "judge.false_alarm", "line 15"},
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -102,7 +102,7 @@
 	v.restartPending = !applied
 	if applied {
 		v.ownVersion.Settings = hash
-		v.versions.SetOwn(v.ownVersion)
+		v.versions.SetLocal(v.ownVersion)
 	}
 }
 
