--- a/internal/control/loadreport/digest.go
+++ b/internal/control/loadreport/digest.go
@@ -36,11 +36,11 @@
 // maxLoad is the exclusive upper bound of a valid load, in queries: no engine runs as many.
 const maxLoad = 1 << 16
 
-// LoadReport is the load of an engine at a time.
-type LoadReport struct {
-	Engine uint64        // number of the engine
-	Load   int           // queries that it runs
-	At     time.Duration // when it reported the load, since the Unix epoch
+// Report is the load of an engine at a time.
+type Report struct {
+	Engine     uint64        // number of the engine
+	Load       int           // queries that it runs
+	ReportedAt time.Duration // when it reported the load, since the Unix epoch
 }
 
 // entry is the latest report on a listed engine.
@@ -65,7 +65,7 @@
 	Recorded, Sent, Received uint64 // reports: of engines to this gateway, sent and received
 	Applied                  uint64 // received, and later than the one known
 	Unlisted, Expired        uint64 // received: of an engine that is not listed; older than Lifetime
-	Ahead                    uint64 // received: from the future, so one of the clocks is wrong
+	FromFuture               uint64 // received: from the future, so one of the clocks is wrong
 	Malformed                uint64 // messages that could not be decoded, and reports with impossible values
 }
 
@@ -143,16 +143,16 @@
 }
 
 // Latest returns the latest report on an engine, if there is one that has not expired.
-func (d *Digest) Latest(now time.Duration, engine uint64) (LoadReport, bool) {
+func (d *Digest) Latest(now time.Duration, engine uint64) (Report, bool) {
 	e := d.find(engine)
 	if e == nil || e.reportedAt == 0 || now-e.reportedAt > Lifetime {
-		return LoadReport{}, false
+		return Report{}, false
 	}
-	return LoadReport{engine, e.load, e.reportedAt}, true
+	return Report{engine, e.load, e.reportedAt}, true
 }
 
 // Counts returns the totals since New.
 func (d *Digest) Counts() Counts { return d.counts }
 
-// Disable stops sending and receiving (true), or resumes both (false).
-func (d *Digest) Disable(disabled bool) { d.disabled = disabled }
+// SetDisabled stops sending and receiving (true), or resumes both (false).
+func (d *Digest) SetDisabled(disabled bool) { d.disabled = disabled }
--- a/internal/control/loadreport/digest_test.go
+++ b/internal/control/loadreport/digest_test.go
@@ -89,8 +89,8 @@
 		if report, ok := d.Latest(now, engineNumber(0)); ok {
 			t.Errorf("not expired after %v: %v", now-epoch, report)
 		}
-		if report, ok := d.Latest(epoch+4*time.Second, engineNumber(0)); ok && report.At != epoch {
-			t.Errorf("reported at %v, now %v", epoch, report.At)
+		if report, ok := d.Latest(epoch+4*time.Second, engineNumber(0)); ok && report.ReportedAt != epoch {
+			t.Errorf("reported at %v, now %v", epoch, report.ReportedAt)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	}{
 		"not listed":        {func(m *loadreportpb.Digest) { m.Engine[0] = 9 }, func(c Counts) uint64 { return c.Unlisted }},
 		"expired":           {func(m *loadreportpb.Digest) { m.Age[0] = 200 }, func(c Counts) uint64 { return c.Expired }},
-		"from the future":   {func(m *loadreportpb.Digest) { m.Base += 40 }, func(c Counts) uint64 { return c.Ahead }},
+		"from the future":   {func(m *loadreportpb.Digest) { m.Base += 40 }, func(c Counts) uint64 { return c.FromFuture }},
 		"load out of range": {func(m *loadreportpb.Digest) { m.Load[0] = 1 << 30 }, malformed},
 		"unequal lengths":   {func(m *loadreportpb.Digest) { m.Age = nil }, malformed},
 		"base out of range": {func(m *loadreportpb.Digest) { m.Base = 1 << 60 }, malformed},
@@ -200,7 +200,7 @@
 			for i := range engines {
 				if report, ok := d.Latest(now, engineNumber(i)); ok {
 					reports++
-					age += now - report.At
+					age += now - report.ReportedAt
 				}
 			}
 		}
@@ -224,7 +224,7 @@
 	}
 	d := newDigest(4)
 	reports := d.Receive(epoch+time.Second, body)
-	want := []LoadReport{{engineNumber(2), 9, epoch + 500*time.Millisecond}, {engineNumber(0), 4, epoch}}
+	want := []Report{{engineNumber(2), 9, epoch + 500*time.Millisecond}, {engineNumber(0), 4, epoch}}
 	if !slices.Equal(reports, want) {
 		t.Errorf("%+v, want %+v", reports, want)
 	}
--- a/internal/control/loadreport/message.go
+++ b/internal/control/loadreport/message.go
@@ -80,7 +80,7 @@
 
 // Receive merges a message of another gateway and returns the reports that are later than those known. A malformed message
 // is counted and dropped.
-func (d *Digest) Receive(now time.Duration, body []byte) []LoadReport {
+func (d *Digest) Receive(now time.Duration, body []byte) []Report {
 	if d.disabled {
 		return nil
 	}
@@ -89,13 +89,13 @@
 		d.counts.Malformed++
 		return nil
 	}
-	var applied []LoadReport
+	var applied []Report
 	base := time.Duration(m.Base) * ageUnit
 	for k, load := range m.Load {
 		number := binary.LittleEndian.Uint32(m.Engine[wireNumberSize*k:])
 		at := base - time.Duration(m.Age[k])*ageUnit
 		if e := d.mergeReceived(now, number, load, at); e != nil {
-			applied = append(applied, LoadReport{e.engine, e.load, e.reportedAt})
+			applied = append(applied, Report{e.engine, e.load, e.reportedAt})
 		}
 	}
 	return applied
@@ -116,7 +116,7 @@
 	case load >= maxLoad:
 		d.counts.Malformed++
 	case at > now+maxClockSkew:
-		d.counts.Ahead++
+		d.counts.FromFuture++
 	case now-at > Lifetime:
 		d.counts.Expired++
 	case e.merge(int(load), at):
--- a/internal/control/loadreport/subset_test.go
+++ b/internal/control/loadreport/subset_test.go
@@ -115,7 +115,7 @@
 			engines++
 			if report, ok := g.digest.Latest(now, engine); ok {
 				reports++
-				age += now - report.At
+				age += now - report.ReportedAt
 			}
 		}
 	}
--- a/internal/control/subset/chooser.go
+++ b/internal/control/subset/chooser.go
@@ -56,7 +56,7 @@
 // New returns the Chooser of the gateway with this number, of so many configured ones, in this zone; a zone below 0 is
 // not known. A fleet without zones has all its gateways and engines in zone 0. Errors are *ConfigError.
 func New(config Config, number, zone int, gateways int) (*Chooser, error) {
-	if err := config.Check(); err != nil {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	if gateways < 1 || gateways > MaxGateways {
@@ -99,7 +99,7 @@
 
 // Configure changes the settings while running. An invalid Config is a *ConfigError and changes nothing.
 func (c *Chooser) Configure(now time.Duration, config Config) error {
-	if err := config.Check(); err != nil {
+	if err := config.Validate(); err != nil {
 		return err
 	}
 	c.config = config.clone()
@@ -172,8 +172,8 @@
 	c.setMembers(members)
 }
 
-// Next returns when Tick has to be called, at the earliest; due is false while there is nothing to remove.
-func (c *Chooser) Next() (at time.Duration, due bool) {
+// NextTick returns when Tick has to be called, at the earliest; due is false while there is nothing to remove.
+func (c *Chooser) NextTick() (at time.Duration, due bool) {
 	for _, removal := range c.lingering {
 		if !due || removal < at {
 			at, due = removal, true
@@ -182,8 +182,8 @@
 	return max(at, c.nextRemoval), due
 }
 
-// All reports whether the subset is every engine of the list.
-func (c *Chooser) All() bool { return len(c.ids) == len(c.engines) }
+// UsesAll reports whether the subset is every engine of the list.
+func (c *Chooser) UsesAll() bool { return len(c.ids) == len(c.engines) }
 
 // Contains reports whether an engine is in the subset.
 func (c *Chooser) Contains(id uint64) bool {
@@ -191,10 +191,10 @@
 	return found
 }
 
-// Core reports whether an engine is in the part of the subset that the gateway shares with many others of its zone: the
+// InCore reports whether an engine is in the part of the subset that the gateway shares with many others of its zone: the
 // engines on which to keep table groups warm. Engines outside the core replace those of it that do not serve, are there so
 // that every engine is in a subset, or are about to be removed.
-func (c *Chooser) Core(id uint64) bool { return c.members[id] }
+func (c *Chooser) InCore(id uint64) bool { return c.members[id] }
 
 // IDs returns the subset in ascending order. The slice is the Chooser'c own: it must not be modified, and is valid until the
 // next call.
@@ -207,9 +207,9 @@
 	return changed
 }
 
-// MeanGateways returns the mean number of gateways in service that use an engine of this subset, this one included, by what this
+// MeanGatewaysPerEngine returns the mean number of gateways in service that use an engine of this subset, this one included, by what this
 // gateway knows. A gateway whose zone is not known counts with the share of all engines that it wants.
-func (c *Chooser) MeanGateways() float64 { return c.view().holders }
+func (c *Chooser) MeanGatewaysPerEngine() float64 { return c.view().holders }
 
 // Overlap returns the share of another gateway'c subset that lies in the own one, by what this gateway knows. It is 0 if the
 // number is out of range or the gateway'c zone is not known, and 1 for an unknown zone if the own subset is every engine.
--- a/internal/control/subset/chooser_test.go
+++ b/internal/control/subset/chooser_test.go
@@ -17,16 +17,16 @@
 		t.Fatal(err)
 	}
 	c.SetEngines(0, f.engines)
-	if !c.All() || !c.Changed() || c.Changed() {
+	if !c.UsesAll() || !c.Changed() || c.Changed() {
 		t.Errorf("%d engines while nothing is known of other gateways", len(c.IDs()))
 	}
 	c.SetGateways(time.Second, f.gateways)
-	if n := len(c.IDs()); n != DefaultMinEngines+2 || c.All() { // two to cover its part of the circle
+	if n := len(c.IDs()); n != DefaultMinEngines+2 || c.UsesAll() { // two to cover its part of the circle
 		t.Errorf("%d engines at once when the others are known", n)
 	}
 	c.SetGateways(time.Minute, nil)
-	if !c.All() || c.MeanGateways() != 1 {
-		t.Errorf("%d engines of a gateway that is alone, used by %v", len(c.IDs()), c.MeanGateways())
+	if !c.UsesAll() || c.MeanGatewaysPerEngine() != 1 {
+		t.Errorf("%d engines of a gateway that is alone, used by %v", len(c.IDs()), c.MeanGatewaysPerEngine())
 	}
 	c.SetGateways(2*time.Minute, f.gateways)
 	steps, last := tickUntilDone(t, c)
@@ -38,7 +38,7 @@
 // tickUntilDone calls Tick as often as Next asks for, and returns how often that was and when the last time.
 func tickUntilDone(t *testing.T, c *Chooser) (steps int, last time.Duration) {
 	t.Helper()
-	for at, due := c.Next(); due; at, due = c.Next() {
+	for at, due := c.NextTick(); due; at, due = c.NextTick() {
 		before := len(c.IDs())
 		c.Tick(at)
 		steps, last = steps+1, at
@@ -52,8 +52,8 @@
 // TestSmallFleet checks that every gateway of a fleet with few engines uses all of them.
 func TestSmallFleet(t *testing.T) {
 	c := fleetOf(300, DefaultMinEngines, contiguous).chooser(3)
-	if !c.All() || c.MeanGateways() != 300 || c.Overlap(299) != 1 {
-		t.Errorf("all engines: %v, used by %v", c.All(), c.MeanGateways())
+	if !c.UsesAll() || c.MeanGatewaysPerEngine() != 300 || c.Overlap(299) != 1 {
+		t.Errorf("all engines: %v, used by %v", c.UsesAll(), c.MeanGatewaysPerEngine())
 	}
 }
 
@@ -70,7 +70,7 @@
 			c := DefaultConfig()
 			change(&c)
 			var invalid *ConfigError
-			if err := c.Check(); !errors.As(err, &invalid) || invalid.Key != key {
+			if err := c.Validate(); !errors.As(err, &invalid) || invalid.Key != key {
 				t.Errorf("%v", err)
 			}
 		})
--- a/internal/control/subset/config.go
+++ b/internal/control/subset/config.go
@@ -52,8 +52,8 @@
 	return Config{MinEngines: DefaultMinEngines, EngineRate: DefaultEngineRate, Coverage: DefaultCoverage, Linger: DefaultLinger}
 }
 
-// Check returns a *ConfigError for the first invalid key, nil if there is none.
-func (c Config) Check() error {
+// Validate returns a *ConfigError for the first invalid key, nil if there is none.
+func (c Config) Validate() error {
 	switch {
 	case c.MinEngines < 1 || c.MinEngines > MaxEngines:
 		return &ConfigError{"least", c.MinEngines, fmt.Sprintf("not from 1 to %d engines", MaxEngines)}
--- a/internal/control/subset/fleet_test.go
+++ b/internal/control/subset/fleet_test.go
@@ -303,7 +303,7 @@
 	s := f.chooser(3)
 	for b.Loop() {
 		s.peers = nil
-		s.MeanGateways()
+		s.MeanGatewaysPerEngine()
 	}
 }
 
--- a/internal/control/subset/peers.go
+++ b/internal/control/subset/peers.go
@@ -35,7 +35,7 @@
 		if g.Zone >= 0 || number == c.number {
 			continue
 		}
-		if c.All() {
+		if c.UsesAll() {
 			p.overlaps[number] = 1
 		}
 		if g.InService {
--- a/internal/control/subset/properties_test.go
+++ b/internal/control/subset/properties_test.go
@@ -214,7 +214,7 @@
 		again := f
 		again.engines = append(rapid.Permutation(f.engines).Draw(t, "order"), f.engines[0])
 		a, b := f.chooser(number), again.chooser(number)
-		if !slices.Equal(a.IDs(), b.IDs()) || a.MeanGateways() != b.MeanGateways() {
+		if !slices.Equal(a.IDs(), b.IDs()) || a.MeanGatewaysPerEngine() != b.MeanGatewaysPerEngine() {
 			t.Fatalf("%x and %x of the same list", a.IDs(), b.IDs())
 		}
 		size := f.config.size(len(f.engines), len(f.gateways))
@@ -255,8 +255,8 @@
 			}
 			holders += both / float64(len(own.IDs()))
 		}
-		if math.Abs(own.MeanGateways()-holders) > 1e-9 {
-			t.Fatalf("%v holders, computed as %v", holders, own.MeanGateways())
+		if math.Abs(own.MeanGatewaysPerEngine()-holders) > 1e-9 {
+			t.Fatalf("%v holders, computed as %v", holders, own.MeanGatewaysPerEngine())
 		}
 	})
 }
@@ -322,7 +322,7 @@
 			l.change(t, now)
 			l.check(t, now, before)
 		}
-		for at, due := c.Next(); due; at, due = c.Next() {
+		for at, due := c.NextTick(); due; at, due = c.NextTick() {
 			c.Tick(at)
 		}
 		if wanted := f.chooser(number); !slices.Equal(c.IDs(), wanted.IDs()) {
@@ -375,7 +375,7 @@
 				c.SetGateways(now, rapid.SliceOf(anyGateway).Draw(t, "gateways"))
 			case 2:
 				config := anyConfig.Draw(t, "config")
-				if (c.Configure(now, config) == nil) != (config.Check() == nil) {
+				if (c.Configure(now, config) == nil) != (config.Validate() == nil) {
 					t.Fatalf("%+v is valid and was refused, or invalid and was accepted", config)
 				}
 			case 3:
@@ -393,11 +393,11 @@
 		t.Fatalf("%x is no sorted set", ids)
 	}
 	for _, e := range c.engines {
-		if _, found := slices.BinarySearch(ids, e.ID); found != c.Contains(e.ID) || c.Core(e.ID) && !found {
+		if _, found := slices.BinarySearch(ids, e.ID); found != c.Contains(e.ID) || c.InCore(e.ID) && !found {
 			t.Fatalf("engine %x: in the list %v", e.ID, found)
 		}
 	}
-	if h, o := c.MeanGateways(), c.Overlap(rapid.Int().Draw(t, "other")); !(h >= 1 && h <= 9) || !(o >= 0 && o <= 1) {
+	if h, o := c.MeanGatewaysPerEngine(), c.Overlap(rapid.Int().Draw(t, "other")); !(h >= 1 && h <= 9) || !(o >= 0 && o <= 1) {
 		t.Fatalf("%v holders, overlap %v", h, o)
 	}
 }
--- a/internal/core/loadreports.go
+++ b/internal/core/loadreports.go
@@ -58,7 +58,7 @@
 	}
 	var reports []policy.PeerReport
 	for _, r := range c.loadReports.Receive(now, body) {
-		reports = append(reports, policy.PeerReport{Engine: policy.EngineID(r.Engine), RunningQueries: float64(r.Load), ReportedAt: r.At})
+		reports = append(reports, policy.PeerReport{Engine: policy.EngineID(r.Engine), RunningQueries: float64(r.Load), ReportedAt: r.ReportedAt})
 	}
 	if len(reports) == 0 {
 		return nil
--- a/internal/core/sharing.go
+++ b/internal/core/sharing.go
@@ -24,7 +24,7 @@
 // subset is unknown counts as using all engines.
 func (c *Core) sharingGateways() int {
 	s := c.subset
-	if s == nil || s.chooser.All() {
+	if s == nil || s.chooser.UsesAll() {
 		return c.gatewaysInService
 	}
 	unknown := 0
@@ -35,6 +35,6 @@
 	}
 	listed, used := c.SubsetSize()
 	// The chooser counts a gateway with an unknown subset only by the mean share of a subset; this adds the rest up to 1.
-	sharing := s.chooser.MeanGateways() + float64(unknown)*(1-float64(used)/float64(max(1, listed)))
+	sharing := s.chooser.MeanGatewaysPerEngine() + float64(unknown)*(1-float64(used)/float64(max(1, listed)))
 	return max(1, min(c.gatewaysInService, int(math.Round(sharing))))
 }
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -147,7 +147,7 @@
 // applySubset sends the changes of the subset to the module.
 func (c *Core) applySubset(now time.Duration) []Action {
 	s := c.subset
-	if !s.chooser.Changed() && s.coversAll == s.chooser.All() {
+	if !s.chooser.Changed() && s.coversAll == s.chooser.UsesAll() {
 		return nil
 	}
 	actions := c.dispatchChanges(now)
@@ -159,7 +159,7 @@
 // gateways.
 func (c *Core) updateCoversAll(now time.Duration) []Action {
 	was := c.subset.coversAll
-	c.subset.coversAll = c.subset.chooser.All()
+	c.subset.coversAll = c.subset.chooser.UsesAll()
 	if was == c.subset.coversAll {
 		return nil
 	}
@@ -174,7 +174,7 @@
 // isOverflow reports whether an engine is outside the core of the gateway's subset. The core is the part that the gateway
 // shares with many gateways of its zone.
 func (c *Core) isOverflow(e *Engine) bool {
-	return c.UsesSubset() && !c.subset.chooser.Core(uint64(e.ID))
+	return c.UsesSubset() && !c.subset.chooser.InCore(uint64(e.ID))
 }
 
 // SubsetOverlap returns the share, 0 to 1, of another gateway's subset that is also in this gateway's subset. Without a
@@ -188,7 +188,7 @@
 
 // UsesSubset reports whether the gateway uses fewer than all engines.
 func (c *Core) UsesSubset() bool {
-	return c.subset != nil && !c.subset.lifting && !c.subset.chooser.All()
+	return c.subset != nil && !c.subset.lifting && !c.subset.chooser.UsesAll()
 }
 
 // SubsetSize returns the number of listed engines that are not gone, and how many of them the gateway uses.
@@ -211,7 +211,7 @@
 	if c.subset == nil {
 		return counts
 	}
-	counts.MeanGateways = c.subset.chooser.MeanGateways()
+	counts.MeanGateways = c.subset.chooser.MeanGatewaysPerEngine()
 	counts.Added, counts.Removed = c.subset.added, c.subset.removed
 	for _, e := range c.engines {
 		if e.Health == policy.Ready && c.inSubset(e) {
--- a/internal/core/subset_changes.go
+++ b/internal/core/subset_changes.go
@@ -17,7 +17,7 @@
 	}
 	c.updateChooser(now)
 	s.chooser.Changed() // resets the flag, since the changes are sent below
-	if s.coversAll && s.chooser.All() {
+	if s.coversAll && s.chooser.UsesAll() {
 		c.markAllSent()
 		return c.dispatch(now, list)
 	}
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -167,7 +167,7 @@
 		return count
 	}
 	known := lastCount()
-	if mean := c.subset.chooser.MeanGateways(); known != int(mean+0.5) || known >= subsetGateways {
+	if mean := c.subset.chooser.MeanGatewaysPerEngine(); known != int(mean+0.5) || known >= subsetGateways {
 		t.Fatalf("%d sharing gateways, mean %.2f per engine", known, mean)
 	}
 	gateways := allGateways(subsetGateways)
@@ -213,7 +213,7 @@
 	c.SetGateways(startTime, allGateways(subsetGateways))
 	var draining []ListedEngine
 	for i := range subsetEngines {
-		if chooser.Core(uint64(engineID(engineNameAt(i)))) && len(draining) < 3 {
+		if chooser.InCore(uint64(engineID(engineNameAt(i)))) && len(draining) < 3 {
 			draining = append(draining, listedEngine(engineNameAt(i), policy.Draining))
 		}
 	}
@@ -225,8 +225,8 @@
 		if !known || info.Health != policy.Ready {
 			continue
 		}
-		if info.Overflow == chooser.Core(uint64(id)) {
-			t.Errorf("engine %x: overflow is %v, in the core of the subset is %v", id, info.Overflow, chooser.Core(uint64(id)))
+		if info.Overflow == chooser.InCore(uint64(id)) {
+			t.Errorf("engine %x: overflow is %v, in the core of the subset is %v", id, info.Overflow, chooser.InCore(uint64(id)))
 		}
 		if info.Overflow {
 			overflow++
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -110,7 +110,7 @@
 		}
 	}
 	if p.loadReports != nil {
-		p.loadReports.Disable(file.settings.Spread == nil)
+		p.loadReports.SetDisabled(file.settings.Spread == nil)
 	}
 	if p.subset != nil {
 		p.subset.Configure(file.subset)
--- a/internal/settings/subset.go
+++ b/internal/settings/subset.go
@@ -44,7 +44,7 @@
 		}
 		config.Regions = append(config.Regions, region)
 	}
-	return config, subsetError(config.Check())
+	return config, subsetError(config.Validate())
 }
 
 // sizes returns the section's configuration without the regions.
@@ -71,7 +71,7 @@
 		}
 		config.Linger = time.Duration(*s.LingerMS) * time.Millisecond
 	}
-	return config, subsetError(config.Check())
+	return config, subsetError(config.Validate())
 }
 
 // subsetError translates the error of an invalid subset.Config to one that names the key of the file.
--- a/internal/subsetdriver/driver.go
+++ b/internal/subsetdriver/driver.go
@@ -15,12 +15,12 @@
 }
 
 // NewDriver returns a Driver whose Updater is off. Start has to be called before anything else.
-func NewDriver(place Location, loop *eventloop.Loop, engines Engines, log *slog.Logger) *Driver {
+func NewDriver(place Location, loop *eventloop.Loop, engines Dispatcher, log *slog.Logger) *Driver {
 	return &Driver{Updater: New(place, engines, log), loop: loop}
 }
 
 // Start applies the first configuration; nil leaves subsets off until Configure.
-func (d *Driver) Start(members Members, config *subset.Config) {
+func (d *Driver) Start(members Membership, config *subset.Config) {
 	d.Updater.Start(d.loop.Now(), members, config)
 	d.schedule()
 }
--- a/internal/subsetdriver/fleet_test.go
+++ b/internal/subsetdriver/fleet_test.go
@@ -217,7 +217,7 @@
 }
 
 func (g *modelGateway) SubsetSize() (listed, used int)    { return len(g.model.engines), len(g.used) }
-func (g *modelGateway) SubsetActive() bool                { return !g.chooser.All() }
+func (g *modelGateway) SubsetActive() bool                { return !g.chooser.UsesAll() }
 func (g *modelGateway) SubsetOverlap(gateway int) float64 { return g.chooser.Overlap(gateway) }
 
 // The fleet that CI simulates, and the one that operators expect. Both have more gateways than a message on zones holds.
--- a/internal/subsetdriver/updater.go
+++ b/internal/subsetdriver/updater.go
@@ -21,8 +21,8 @@
 	unknownWeight   = 0.5              // weight of a gateway whose subset is not known, as a receiver of load reports
 )
 
-// Engines restricts a gateway to the engines of a subset. In the program it is a dispatcher.Dispatcher.
-type Engines interface {
+// Dispatcher restricts a gateway to the engines of a subset. In the program it is a dispatcher.Dispatcher.
+type Dispatcher interface {
 	// UseSubset restricts the gateway to the engines that the chooser selects; nil lifts the restriction.
 	UseSubset(chooser *subset.Chooser)
 	// ConfigureSubset changes the settings of the subset. Invalid settings are an error and change nothing.
@@ -39,8 +39,8 @@
 	SubsetOverlap(gateway int) float64
 }
 
-// Members is what membership knows of the gateways.
-type Members interface {
+// Membership is what membership knows of the gateways.
+type Membership interface {
 	// IsInService reports whether a gateway is in service.
 	IsInService(member int) bool
 	// StartTime returns the Unix time of a gateway's start.
@@ -58,8 +58,8 @@
 // Updater keeps the subset of a gateway's engines up to date: from its configuration, the zones of the gateways, and
 // membership. It is not safe for concurrent use. Times are those of a clock that never runs backwards.
 type Updater struct {
-	engines      Engines
-	members      Members
+	engines      Dispatcher
+	members      Membership
 	zoneTable    *zonetable.Table
 	log          *slog.Logger
 	place        Location
@@ -73,7 +73,7 @@
 }
 
 // New returns an Updater that is off. Start has to be called before anything else.
-func New(place Location, engines Engines, log *slog.Logger) *Updater {
+func New(place Location, engines Dispatcher, log *slog.Logger) *Updater {
 	if len(place.Zones) == 0 {
 		place.Zones = []string{""} // a fleet without zones is one zone without a name
 	}
@@ -90,7 +90,7 @@
 func (u *Updater) ReceiveZones(member int, body []byte) { u.zoneTable.Receive(member, body) }
 
 // Start applies the first configuration; nil leaves subsets off until Configure.
-func (u *Updater) Start(now time.Duration, members Members, config *subset.Config) {
+func (u *Updater) Start(now time.Duration, members Membership, config *subset.Config) {
 	u.members = members
 	u.Configure(now, config)
 }
--- a/internal/testbed/capacity/measure/reports.go
+++ b/internal/testbed/capacity/measure/reports.go
@@ -50,7 +50,7 @@
 		for i := range f.setup.Engines {
 			if report, ok := digest.Latest(f.Now, engineNumber(i)); ok {
 				held++
-				age += (f.Now - report.At).Seconds()
+				age += (f.Now - report.ReportedAt).Seconds()
 			}
 		}
 	}
--- a/internal/testbed/hollow/subset.go
+++ b/internal/testbed/hollow/subset.go
@@ -45,7 +45,7 @@
 }
 
 // SubsetActive reports whether fewer than all engines are used.
-func (s *subsetEngines) SubsetActive() bool { return s.chooser != nil && !s.chooser.All() }
+func (s *subsetEngines) SubsetActive() bool { return s.chooser != nil && !s.chooser.UsesAll() }
 
 // SubsetOverlap is the share of another gateway's subset that lies in the own one.
 func (s *subsetEngines) SubsetOverlap(gateway int) float64 {
