--- a/internal/protocol/enginehttp/enginehttp_test.go
+++ b/internal/protocol/enginehttp/enginehttp_test.go
@@ -16,7 +16,7 @@
 	"frostpier/policy"
 )
 
-// permit allows every attempt, for a second.
+// permit is a permission that allows every attempt to take one second.
 func permit(bool) (time.Duration, bool) { return time.Second, true }
 
 // startQuery returns a query whose POST has been written.
@@ -41,7 +41,7 @@
 	return ""
 }
 
-// endStep returns the end of the attempt, or nil.
+// endStep returns the End step, or nil.
 func endStep(steps []attempt.Step) *attempt.End {
 	for _, s := range steps {
 		if e, ok := s.(attempt.End); ok {
@@ -69,7 +69,8 @@
 		strings.Join(append(headers, ""), "\r\n"), body)
 }
 
-func TestOutcomes(t *testing.T) {
+// The status of a response, with its X-No-Effect header, decides the outcome of the attempt.
+func TestResponseOutcomes(t *testing.T) {
 	for want, bytes := range map[policy.Outcome][]byte{
 		policy.OK:       response(200, "a\n", "Page-Count: 1"),
 		policy.Rejected: response(503, "", "X-No-Effect: 1"),
@@ -78,32 +79,33 @@
 	} {
 		t.Run(fmt.Sprint(want), func(t *testing.T) {
 			if e := endStep(startQuery(t).Received(attempt.Primary, bytes)); e == nil || e.Outcome != want {
-				t.Errorf("%.20q ends as %+v, want %v", bytes, e, want)
+				t.Errorf("after %.20q: end %+v, want outcome %v", bytes, e, want)
 			}
 		})
 	}
 }
 
-// A lost connection does not end its query, which runs until it has not been polled for 2 s: a retry before would be a second
-// attempt in flight. Neither does a refused connection: an engine whose connection table is full refuses too.
-func TestLostConnectionIsNoEnd(t *testing.T) {
+// A lost connection does not end its attempt, because the engine executes the query until it has not been polled for 2 s: a retry
+// before that would run concurrently with it. A refused connection does not end the attempt either, because an engine also refuses
+// connections when its connection table is full.
+func TestLostConnectionDoesNotEndAttempt(t *testing.T) {
 	q := startQuery(t)
 	if steps := q.ConnectionLost(attempt.Primary); endStep(steps) != nil || !opens(steps, attempt.Primary) {
 		t.Fatalf("%+v", steps)
 	}
 	if steps := q.ConnectFailed(attempt.Primary); endStep(steps) != nil {
-		t.Fatalf("refused: %+v", steps)
+		t.Fatalf("after a refused connection: %+v", steps)
 	}
 	if steps := q.TimerFired(attempt.RetryBackoff); !opens(steps, attempt.Primary) {
-		t.Fatalf("does not reconnect: %+v", steps)
+		t.Fatalf("no reconnect after the backoff: %+v", steps)
 	}
 	if e := endStep(q.TimerFired(attempt.UnreachableTimeout)); e == nil || e.Outcome != policy.Reset {
 		t.Fatalf("after 2 s without a poll: %+v", e)
 	}
 }
 
-// A cancelled attempt has not ended before the engine has confirmed it.
-func TestCancelledIsInFlightUntilConfirmed(t *testing.T) {
+// A cancelled attempt ends only when the engine confirms the cancellation with status 204.
+func TestCancelledAttemptEndsWhenConfirmed(t *testing.T) {
 	q := startQuery(t)
 	if steps := q.Cancel(policy.Cancelled); endStep(steps) != nil || !opens(steps, attempt.Control) {
 		t.Fatalf("%+v", steps)
@@ -124,10 +126,11 @@
 	}
 }
 
-func TestNothingWrittenNeverRan(t *testing.T) {
+// An attempt that ends before its POST is sent has an outcome that says that the query never ran.
+func TestUnsentQueryNeverRan(t *testing.T) {
 	q, _ := NewQuery(Request{})
 	if e := endStep(q.Cancel(policy.Cancelled)); e == nil || e.Outcome != policy.NotSent {
-		t.Fatalf("cancelled before its connection: %+v", e)
+		t.Fatalf("cancelled before it was connected: %+v", e)
 	}
 	q, _ = NewQuery(Request{})
 	if e := endStep(q.ConnectFailed(attempt.Primary)); e == nil || e.Outcome != policy.NoConnection {
@@ -137,11 +140,12 @@
 	var memory any
 	steps := q.Connected(attempt.Primary, &memory, func(bool) (time.Duration, bool) { return 0, false })
 	if e := endStep(steps); e == nil || e.Outcome != policy.NotSent || written(steps) != "" {
-		t.Fatalf("no permission: %+v", steps)
+		t.Fatalf("without permission: %+v", steps)
 	}
 }
 
-func TestPages(t *testing.T) {
+// The result is the concatenation of all pages. A missing page or a result over the size limit makes the outcome an error.
+func TestPagedResult(t *testing.T) {
 	q := startQuery(t)
 	if w := written(q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))); !strings.HasPrefix(w, "GET /v2/q/9b1f/1 ") {
 		t.Fatalf("wrote %q", w)
@@ -163,27 +167,27 @@
 	}
 }
 
-// corrupt holds malformed responses that engines have sent, or could; none of them may be served.
-var corrupt = map[string][]byte{
+// corruptResponses are malformed responses that engines have sent or might send. None may be served to a client.
+var corruptResponses = map[string][]byte{
 	"two lengths":   []byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\nPage-Count: 1\r\n\r\na\tb\tc\n"),
 	"length -1":     []byte("HTTP/1.1 200 OK\r\nContent-Length: -1\r\nPage-Count: 1\r\n\r\na\n"),
 	"signed length": []byte("HTTP/1.1 200 OK\r\nContent-Length: +2\r\nPage-Count: 1\r\n\r\na\n"),
 	"two framings":  []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\nPage-Count: 1\r\n\r\na\n"),
-	"odd coding":    []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\nPage-Count: 1\r\n\r\na\n"),
+	"gzip coding":   []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\nPage-Count: 1\r\n\r\na\n"),
 	"bad chunks":    []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n"),
 	"no colon":      []byte("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\nPage-Count: 1\r\n\r\na\n"),
 	"status 2x0":    []byte("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\nPage-Count: 1\r\n\r\na\n"),
 	"not HTTP":      []byte("ICY 200 OK\r\nContent-Length: 2\r\nPage-Count: 1\r\n\r\na\n"),
-	"cut row":       response(200, "a\tb", "Page-Count: 1"),
+	"partial row":   response(200, "a\tb", "Page-Count: 1"),
 	"noise":         []byte("\x9b\xd1\r\n\r\n"),
-	"endless head":  bytes.Repeat([]byte("X-Pad: p\r\n"), maxHeaderBytes/8),
+	"long header":   bytes.Repeat([]byte("X-Pad: p\r\n"), maxHeaderBytes/8),
 	"3 GB":          []byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\nPage-Count: 1\r\n\r\nnoise"),
 }
 
-// A corrupt response is never served, and does not lose the result that the engine still has: the query is polled on a new
-// connection within the same attempt. Two lengths were once read as the first, and other corrupt responses cost a retry.
-func TestCorruptResponseIsPolledAgain(t *testing.T) {
-	for name, b := range corrupt {
+// A corrupt response is never served, and the query is polled on a new connection within the same attempt, since the engine still
+// has the result. The reader once used the first of two lengths, and other corrupt responses caused a retry.
+func TestQueryIsPolledAfterCorruptResponse(t *testing.T) {
+	for name, b := range corruptResponses {
 		t.Run(name, func(t *testing.T) {
 			var memory any
 			q := startQuery(t)
@@ -202,17 +206,17 @@
 				t.Errorf("%+v after a valid response", e)
 			}
 			if steps := q.Received(attempt.Primary, b); endStep(steps) != nil || !opens(steps, attempt.Control) {
-				t.Errorf("%+v, want it cancelled at last", steps)
+				t.Errorf("%+v, want a cancellation after the last failure", steps)
 			}
 		})
 	}
 }
 
-// A result has no hole: a page that is corrupt, missing or has another page's number is requested again, and one that stays
-// missing makes the result an error.
+// A page that is corrupt, missing or has another page's number is requested again. If all requests of a page fail, the attempt
+// ends with an error: a result without the page must not be served.
 func TestCorruptPageIsRequestedAgain(t *testing.T) {
 	for name, fail := range map[string]func(q *Query) []attempt.Step{
-		"another page":    func(q *Query) []attempt.Step { return q.Received(attempt.Primary, response(200, "b\n", "Page-No: 2")) },
+		"wrong number":    func(q *Query) []attempt.Step { return q.Received(attempt.Primary, response(200, "b\n", "Page-No: 2")) },
 		"noise":           func(q *Query) []attempt.Step { return q.Received(attempt.Primary, []byte("\x9b\r\n\r\n")) },
 		"truncated row":   func(q *Query) []attempt.Step { return q.Received(attempt.Primary, response(200, "b", "Page-No: 1")) },
 		"connection lost": func(q *Query) []attempt.Step { return q.ConnectionLost(attempt.Primary) },
@@ -234,14 +238,14 @@
 				t.Errorf("%+v after a valid page", e)
 			}
 			if e := endStep(fail(q)); e == nil || e.Outcome != policy.Error {
-				t.Errorf("%+v, want an error at last", e)
+				t.Errorf("%+v, want an error after the last failure", e)
 			}
 		})
 	}
 }
 
-// Interim responses before a valid response, and unexpected bytes after it, are ignored, and the connection is closed.
-func TestBytesAroundAResponse(t *testing.T) {
+// Interim responses before a valid response are skipped. Unexpected bytes after it are discarded, and the connection is closed.
+func TestInterimResponsesAndExtraBytes(t *testing.T) {
 	good := response(200, "a\n", "Page-Count: 1")
 	for _, more := range [][]byte{good, []byte("noise")} {
 		b := append([]byte("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"), good...)
@@ -252,8 +256,8 @@
 	}
 }
 
-// A valid response is read the same in any pieces, chunked or not.
-func TestFragmentedResponses(t *testing.T) {
+// A valid response, chunked or not, is parsed independently of how the input is split.
+func TestResponseWithSplitInput(t *testing.T) {
 	chunked := []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nPage-Count: 1\r\n\r\n" +
 		"3;x=1\r\nabc\r\n2\r\nd\n\r\n0\r\n\r\n")
 	rapid.Check(t, func(rt *rapid.T) {
@@ -271,15 +275,15 @@
 	})
 }
 
-// No input causes a panic, and no attempt ends twice.
-func TestGarbage(t *testing.T) {
-	heads := rapid.SampledFrom([]string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 202 x\r\n\r\n", "Content-Length: ", "Page-Count: 2\r\n",
+// Random input and events never cause a panic, and an attempt ends at most once.
+func TestRandomEvents(t *testing.T) {
+	headerParts := rapid.SampledFrom([]string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 202 x\r\n\r\n", "Content-Length: ", "Page-Count: 2\r\n",
 		"Page-No: 1\r\n", "Transfer-Encoding: chunked\r\n", "ffffffff\r\n", "\r\n", "\r\n\r\n", "-1", "7", ": ", "HTTP/1.1 204 x\r\n\r\n"})
 	rapid.Check(t, func(rt *rapid.T) {
 		q, ends := startQuery(t), 0
 		var memory any
 		for range rapid.IntRange(1, 25).Draw(rt, "events") {
-			channel := attempt.Channel(rapid.IntRange(0, 1).Draw(rt, "lane"))
+			channel := attempt.Channel(rapid.IntRange(0, 1).Draw(rt, "channel"))
 			var steps []attempt.Step
 			switch rapid.IntRange(0, 7).Draw(rt, "event") {
 			case 0:
@@ -289,34 +293,34 @@
 			case 2:
 				steps = q.Connected(channel, &memory, permit)
 			case 3:
-				steps = q.TimerFired(attempt.Timer(rapid.IntRange(0, 2).Draw(rt, "alarm")))
+				steps = q.TimerFired(attempt.Timer(rapid.IntRange(0, 2).Draw(rt, "timer")))
 			case 4:
 				steps = q.Received(channel, rapid.SliceOfN(rapid.Byte(), 1, 50).Draw(rt, "bytes"))
 			default:
-				steps = q.Received(channel, []byte(strings.Join(rapid.SliceOf(heads).Draw(rt, "heads"), "")))
+				steps = q.Received(channel, []byte(strings.Join(rapid.SliceOf(headerParts).Draw(rt, "header parts"), "")))
 			}
 			if endStep(steps) != nil {
 				ends++
 			}
 		}
 		if ends > 1 {
-			rt.Fatalf("%d ends", ends)
+			rt.Fatalf("attempt ended %d times", ends)
 		}
 	})
 }
 
-// A query that its engine never read is sent again within the attempt, as far as permission allows: a retry for each used up the
-// retry budget of all queries on a day of connection resets (580 in 7,200 queries). A connection is lost before a response; if
-// the engine then does not know the query, it was never read.
-func TestUnreadQueryIsSentAgain(t *testing.T) {
+// A query that the engine never read is sent again within the attempt, as often as permission allows: with a retry for each, a run
+// with many connection resets (580 in 7,200 queries) used up the retry budget of all queries. The engine never read a query if
+// the connection was lost before any response and the engine then does not know the query.
+func TestUnreadQueryIsResent(t *testing.T) {
 	var memory any
-	unread := func(t *testing.T, allowed int) (*Query, []attempt.Step) {
+	resendWhileAllowed := func(t *testing.T, allowed int) (*Query, []attempt.Step) {
 		q, _ := NewQuery(Request{Host: "e:1", ID: "9b1f"})
 		var steps []attempt.Step
-		all := allowed
-		permission := func(again bool) (time.Duration, bool) {
+		total := allowed
+		permission := func(resend bool) (time.Duration, bool) {
 			allowed--
-			return time.Second, allowed >= 0 && again == (allowed < all-1)
+			return time.Second, allowed >= 0 && resend == (allowed < total-1)
 		}
 		w := written(q.Connected(attempt.Primary, &memory, permission))
 		for ; strings.HasPrefix(w, "POST "); w = written(steps) {
@@ -330,7 +334,7 @@
 	}
 	for allowed, postsSent := range map[int]int{1: 1, 2: 2, 100: maxPosts} {
 		t.Run(fmt.Sprintf("%d allowed", allowed), func(t *testing.T) {
-			q, steps := unread(t, allowed)
+			q, steps := resendWhileAllowed(t, allowed)
 			if e := endStep(steps); e == nil || e.Outcome != policy.Error || q.postsSent != postsSent {
 				t.Errorf("posted %d times, want %d; %+v", q.postsSent, postsSent, e)
 			}
@@ -354,14 +358,14 @@
 		q.ConnectionLost(attempt.Primary)
 		q.Connected(attempt.Primary, &memory, permit)
 		if e := endStep(q.Received(attempt.Primary, response(500, ""))); e == nil || e.Outcome != policy.Error {
-			t.Fatalf("sent again though it ran: %+v", e)
+			t.Fatalf("resent although the engine has read it: %+v", e)
 		}
 	})
 }
 
-// After a cancellation, status 500 is the query's end and no error of the engine: it answers a poll that crosses the DELETE with
-// 500, as it does not know the query any more.
-func TestUnknownAfterCancelIsItsEnd(t *testing.T) {
+// After a cancellation, status 500 ends the attempt as cancelled, not as an engine error: when a poll races with the DELETE, the
+// engine responds to the poll with 500 because it no longer knows the query.
+func TestUnknownQueryConfirmsCancellation(t *testing.T) {
 	q := startQuery(t)
 	q.Cancel(policy.Cancelled)
 	if e := endStep(q.Received(attempt.Primary, response(500, ""))); e == nil || e.Outcome != policy.Cancelled {
@@ -369,9 +373,9 @@
 	}
 }
 
-// The response timeout is just longer than the time in which the engine must answer: a result lost on its way is then polled
-// soon enough for most lookups, which it was not after 0.6 s.
-func TestResponseTimeoutIsShort(t *testing.T) {
+// The response timeout is only slightly longer than the time within which the engine must respond, so that a result lost in
+// transit is polled again before the deadline of most lookups. A timeout of 0.6 s was too long.
+func TestResponseTimeouts(t *testing.T) {
 	var memory any
 	responseTimeout := func(steps []attempt.Step) time.Duration {
 		for _, s := range steps {
@@ -383,19 +387,19 @@
 	}
 	q, _ := NewQuery(Request{})
 	if d := responseTimeout(q.Connected(attempt.Primary, &memory, permit)); d <= pollWait || d > pollWait+100*time.Millisecond {
-		t.Errorf("%v after a POST", d)
+		t.Errorf("timeout of %v after a POST", d)
 	}
 	if d := responseTimeout(q.Received(attempt.Primary, response(202, ""))); d <= pollWait || d > pollWait+100*time.Millisecond {
-		t.Errorf("%v after a poll", d)
+		t.Errorf("timeout of %v after a poll", d)
 	}
 	if d := responseTimeout(q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))); d <= 0 || d >= pollWait {
-		t.Errorf("%v after the request of a page", d)
+		t.Errorf("timeout of %v after a page request", d)
 	}
 }
 
-// A query that got no response to its POST and is then reported as running has its response withheld: all 140 such queries of a
-// recorded day got no result to the end. A result that was only lost on its way comes with the first poll, and a query that got a
-// response before is running.
+// ResponseOverdue is emitted when a POST got no response and the first poll finds the query still running: all 140 such queries of
+// a recorded run never got a result. A result that was only lost in transit is returned by that poll. ResponseOverdue is not
+// emitted for a query that got a response before.
 func TestOverdueResponseIsReported(t *testing.T) {
 	var memory any
 	overdue := func(steps []attempt.Step) bool {
@@ -409,20 +413,20 @@
 		t.Fatalf("%+v", steps)
 	}
 	if overdue(q.Received(attempt.Primary, response(202, ""))) {
-		t.Error("reported twice")
+		t.Error("ResponseOverdue emitted twice")
 	}
 	q = startQuery(t)
 	q.Received(attempt.Primary, response(202, ""))
 	q.TimerFired(attempt.ResponseTimeout)
 	q.Connected(attempt.Primary, &memory, permit)
 	if overdue(q.Received(attempt.Primary, response(202, ""))) {
-		t.Error("reported for a query that got a response before")
+		t.Error("ResponseOverdue emitted for a query that got a response before")
 	}
 }
 
-// An engine that rejects the second POST of a query, or says that its time is over, proves nothing about the first, which may
-// have run. A query with an idempotency key was once retried as if it never had.
-func TestRejectionOfASecondPostIsNoProof(t *testing.T) {
+// If the engine rejects the second POST of a query, or reports that its deadline has passed, the first POST may still have run, so
+// the outcome must not say that the query never ran. A query with an idempotency key was once retried as if it had not run.
+func TestRejectedResendMayHaveRun(t *testing.T) {
 	for _, status := range []int{503, 504} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			var memory any
@@ -430,7 +434,7 @@
 			q.ConnectionLost(attempt.Primary)
 			q.Connected(attempt.Primary, &memory, permit)
 			if w := written(q.Received(attempt.Primary, response(500, ""))); !strings.HasPrefix(w, "POST ") {
-				t.Fatalf("wrote %q, want the query once more", w)
+				t.Fatalf("wrote %q, want a second POST", w)
 			}
 			e := endStep(q.Received(attempt.Primary, response(status, "", "X-No-Effect: 1")))
 			if e == nil || e.Outcome.NeverRan() {
@@ -440,8 +444,8 @@
 	}
 }
 
-// The memory of a response without an end is bounded, also for small chunks with long extensions.
-func TestEndlessResponseIsBounded(t *testing.T) {
+// The reader rejects a response that never ends before it has buffered 1 MB, even if the chunks are small and have long extensions.
+func TestEndlessResponseIsRejected(t *testing.T) {
 	var r Reader
 	if _, err := r.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
 		t.Fatal(err)
@@ -452,19 +456,19 @@
 			return
 		}
 	}
-	t.Fatalf("%d bytes are buffered", len(r.buf))
+	t.Fatalf("no error with %d bytes buffered", len(r.buf))
 }
 
-// A query is never served the result of another. A duplicate response without a new update shifts all later responses by one, and
-// the last would come when the connection serves another query, so that connection is closed.
-func TestDuplicateUpdateClosesTheConnection(t *testing.T) {
+// A connection on which a response may have been a duplicate is closed when its query ends. A duplicate shifts all later responses
+// by one, so the last would be read as the response to another query on the same connection.
+func TestAmbiguousConnectionIsClosed(t *testing.T) {
 	none := response(202, "")
 	half := response(202, "", "X-Tell: done", "Figure: 0.5")
 	more := response(202, "", "X-Tell: done", "Figure: 0.6")
 	for name, c := range map[string]struct {
 		first, second []byte
-		due           bool // the second comes when a response without an update is due
-		closed        bool
+		due           bool // a response without a new update is due when the second response arrives
+		closed        bool // whether the connection must be closed
 	}{
 		"no update, duplicate":       {none, none, false, true},
 		"same update, duplicate":     {half, half, false, true},
--- a/internal/protocol/enginehttp/golden_test.go
+++ b/internal/protocol/enginehttp/golden_test.go
@@ -10,15 +10,15 @@
 	"frostpier/policy"
 )
 
-// conversation is one attempt, and the events that it handles after its connection.
-type conversation struct {
-	name string
-	play func(q *Query, record func(event string, steps []attempt.Step))
+// attemptScript is an attempt with the events that follow its first connection.
+type attemptScript struct {
+	name string // heading in the golden file
+	run  func(q *Query, record func(event string, steps []attempt.Step))
 }
 
 var goldenRequest = Request{Host: "e:1", ID: "9b1f03aa5c7e2d41", Class: "lookup", IdempotencyKey: "5c0f", Statement: []byte("SELECT 1")}
 
-var goldenConversations = []conversation{
+var goldenScripts = []attemptScript{
 	{"served at once", func(q *Query, record func(string, []attempt.Step)) {
 		record("200", q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 1")))
 	}},
@@ -49,8 +49,8 @@
 		record("204", q.Received(attempt.Control, response(204, "")))
 	}},
 	{"no answer in time", func(q *Query, record func(string, []attempt.Step)) {
-		for a := range attempt.TimerCount {
-			record("timer", q.TimerFired(a))
+		for timer := range attempt.TimerCount {
+			record("timer", q.TimerFired(timer))
 		}
 	}},
 	{"no connection", func(q *Query, record func(string, []attempt.Step)) {
@@ -64,18 +64,18 @@
 	}},
 }
 
-// The steps of attempts, with the bytes of their requests, are those of the golden file.
+// The steps of each attempt, including the bytes of its requests, equal the golden file.
 func TestEngineTranscripts(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
-	for _, c := range goldenConversations {
+	for _, c := range goldenScripts {
 		out.WriteString("== " + c.name + "\n")
 		record := func(event string, steps []attempt.Step) { out.WriteString(transcript.Steps(event, steps)) }
 		var memory any
 		q, steps := NewQuery(goldenRequest)
 		record("new", steps)
 		record("opened", q.Connected(attempt.Primary, &memory, permit))
-		c.play(q, record)
+		c.run(q, record)
 	}
 	testutil.Golden(t, "engine.golden", []byte(out.String()))
 }
--- a/internal/protocol/enginehttp/pages.go
+++ b/internal/protocol/enginehttp/pages.go
@@ -8,7 +8,7 @@
 	"frostpier/policy"
 )
 
-// handleFirstPage handles the response of a query that succeeded.
+// handleFirstPage handles status 200: the query succeeded, and the response contains the first page of its result.
 func (q *Query) handleFirstPage(res *Response) {
 	pageCount, err := strconv.Atoi(res.Header.Get("Page-Count"))
 	if err != nil || pageCount < 1 || pageCount > maxPages || !completeRows(res.Body) {
@@ -16,7 +16,7 @@
 		return
 	}
 	q.emit(attempt.SetTimer{Timer: attempt.UnreachableTimeout, After: 0})
-	if q.state == cancelling && pageCount > 1 { // the DELETE discards the other pages
+	if q.state == cancelling && pageCount > 1 { // the DELETE discards the remaining pages
 		q.end(q.cancelOutcome)
 		return
 	}
@@ -25,11 +25,11 @@
 	q.storePage(res.Body)
 }
 
-// handlePage handles the response to the request of a further page.
+// handlePage handles the response to a page request.
 func (q *Query) handlePage(res *Response) {
 	number := res.Header.Get("Page-No")
 	switch {
-	case res.Status == http.StatusInternalServerError: // the engine does not have the page any more
+	case res.Status == http.StatusInternalServerError: // the engine has discarded the page
 		q.end(policy.Error)
 	case res.Status != http.StatusOK || number != strconv.Itoa(len(q.pages)) || !completeRows(res.Body):
 		q.handleMalformed(attempt.Primary)
@@ -38,7 +38,7 @@
 	}
 }
 
-// completeRows reports whether a page ends with a complete row, as every page does that was not truncated.
+// completeRows reports whether a page ends with a complete row. A page that does not was truncated.
 func completeRows(page []byte) bool { return len(page) == 0 || page[len(page)-1] == '\n' }
 
 func (q *Query) storePage(body []byte) {
@@ -57,8 +57,7 @@
 	}
 }
 
-// retryPage requests a page again on a new connection. A page that is missing after maxConsecutiveFailures makes the result
-// an error.
+// retryPage requests a page again on a new connection. After maxConsecutiveFailures the attempt ends with an error.
 func (q *Query) retryPage() {
 	q.consecutiveFailures++
 	if q.consecutiveFailures >= maxConsecutiveFailures {
--- a/internal/protocol/enginehttp/query.go
+++ b/internal/protocol/enginehttp/query.go
@@ -8,39 +8,39 @@
 	"frostpier/policy"
 )
 
-// Durations given by the engines' protocol: an engine answers a poll after 250 ms at the latest, and abandons a query that
-// has not been polled for 2 s.
+// Timeouts. The engines' protocol defines the first two: an engine answers a poll within 250 ms, and abandons a query that has
+// not been polled for 2 s.
 const (
 	pollWait    = 250 * time.Millisecond
 	pollLease   = 2 * time.Second
-	leaseMargin = 250 * time.Millisecond // for clocks and networks
+	leaseMargin = 250 * time.Millisecond // for clock skew and network delay
 
 	pollTimeout        = pollWait + 50*time.Millisecond // response timeout of a POST or a poll
-	pageTimeout        = 150 * time.Millisecond         // response timeout of a page, which needs no waiting at the engine
+	pageTimeout        = 150 * time.Millisecond         // response timeout of a page request, which engines answer at once
 	unreachableTimeout = pollWait + pollLease + leaseMargin
 	retryBackoff       = 150 * time.Millisecond
-	earliestUpdate     = pollWait / 2 // well before a response without an update is due
+	earliestUpdate     = pollWait / 2 // an engine without a new update waits longer than this before it responds
 )
 
 // Limits of a query.
 const (
 	maxPages               = 64
 	maxResultBytes         = 48000
-	maxConsecutiveFailures = 4 // corrupt or missing responses in a row
-	maxPosts               = 3 // a query that the engine did not read is sent so often at most
+	maxConsecutiveFailures = 4 // consecutive corrupt or missing responses
+	maxPosts               = 3 // POSTs of one attempt, counting resends of a query that the engine never read
 )
 
 type state uint8
 
 const (
-	connecting    state = iota // nothing has been written
-	running                    // the engine may have the query
-	fetchingPages              // the query succeeded and pages of its result are missing
-	cancelling                 // the query is cancelled and the engine has not confirmed it
+	connecting    state = iota // the POST has not been sent
+	running                    // the POST was sent; the engine may be executing the query
+	fetchingPages              // the query succeeded; its result is not complete yet
+	cancelling                 // the engine has not confirmed the cancellation yet
 	ended
 )
 
-// Request is a query as it is sent to the engine. No field is changed on the way.
+// Request is a query for an engine. Its fields are sent unchanged.
 type Request struct {
 	Host, ID, Class string
 	IdempotencyKey  string // idempotency key; empty for none
@@ -51,9 +51,9 @@
 type Query struct {
 	req           Request
 	state         state
-	steps         []attempt.Step     // returned by the event that is being handled
-	permission    attempt.Permission // asked before every POST
-	cancelOutcome policy.Outcome     // outcome once the engine has confirmed a cancellation
+	steps         []attempt.Step     // emitted by the event that is being handled
+	permission    attempt.Permission // must be obtained before every POST
+	cancelOutcome policy.Outcome     // outcome of the attempt when the engine confirms its cancellation
 	report        string             // latest load report of the engine
 
 	// Connections, by channel.
@@ -61,38 +61,38 @@
 	awaitingResponse [2]bool
 	readers          [2]Reader
 
-	deleteConnections int // connections requested for the DELETE
+	deleteConnections int // connections opened for the DELETE
 	postsSent         int
-	repostPending     bool // the POST is to be sent again on the next connection
-	bytesReceived     bool // since the last POST
-	// possiblyUnread is set when the connection of the POST was lost before a byte came: perhaps the engine never read it.
+	repostPending     bool // send the POST again on the next connection
+	bytesReceived     bool // on the primary channel since the last POST
+	// possiblyUnread is set when the connection was lost before any response byte: the engine may never have read the POST.
 	possiblyUnread      bool
-	responseMissed      bool // the response timeout of the POST passed without a byte
-	consecutiveFailures int  // corrupt responses and lost connections in a row
+	responseMissed      bool // the response timeout of the POST expired before any response byte
+	consecutiveFailures int  // consecutive corrupt responses and lost connections
 
 	// Detection of duplicate responses on the primary connection.
-	beforeEarliestUpdate bool      // a response without an update cannot be due yet
-	lastUpdate           [2]string // update headers of the last response
-	// ambiguous is set when a response may have been a duplicate, so that another one may still be on its way.
+	beforeEarliestUpdate bool      // the engine is not due to respond without a new update
+	lastUpdate           [2]string // X-Tell and Figure headers of the last response
+	// ambiguous is set when a response may have been a duplicate, so that one more response than requests may arrive.
 	ambiguous bool
 
 	pages       [][]byte
-	pageCount   int // pages of the result
-	resultBytes int // bytes in pages
+	pageCount   int // number of pages of the result
+	resultBytes int // total size of pages
 }
 
 var _ attempt.Machine = (*Query)(nil)
 
-// NewQuery returns the state machine of an attempt and its first steps.
+// NewQuery returns the state machine of a new attempt and its first steps.
 func NewQuery(req Request) (*Query, []attempt.Step) {
 	q := &Query{req: req}
 	return q, q.flush(attempt.Open{Channel: attempt.Primary})
 }
 
-// emit appends steps to those that the current event returns.
+// emit adds steps to those of the current event.
 func (q *Query) emit(s ...attempt.Step) { q.steps = append(q.steps, s...) }
 
-// flush returns the steps of the current event.
+// flush emits s, and returns and clears the steps of the current event.
 func (q *Query) flush(s ...attempt.Step) []attempt.Step {
 	q.emit(s...)
 	out := q.steps
@@ -100,8 +100,8 @@
 	return out
 }
 
-// Connected handles a new connection of a channel. permission is asked before the first byte whether the attempt may still
-// be sent, and how long it may take.
+// Connected handles a new connection of a channel. Before it sends a POST, the query calls permission, which returns whether
+// the attempt may still be sent and how long it may take.
 func (q *Query) Connected(channel attempt.Channel, _ *any, permission attempt.Permission) []attempt.Step {
 	if q.state == ended {
 		return q.flush(attempt.Release{Channel: channel})
@@ -139,7 +139,7 @@
 	}
 }
 
-// ConnectFailed handles a failed dial.
+// ConnectFailed handles a failed connection attempt.
 func (q *Query) ConnectFailed(_ attempt.Channel) []attempt.Step {
 	switch q.state {
 	case connecting:
@@ -147,13 +147,13 @@
 	case fetchingPages:
 		q.retryPage()
 	case running, cancelling:
-		// No proof that the query has ended: an engine whose connection table is full refuses too.
+		// This does not prove that the query has ended: an engine also refuses connections when its connection table is full.
 		q.emit(attempt.SetTimer{Timer: attempt.RetryBackoff, After: retryBackoff})
 	}
 	return q.flush()
 }
 
-// ConnectionLost handles the end of a channel's connection.
+// ConnectionLost handles the loss of a channel's connection.
 func (q *Query) ConnectionLost(channel attempt.Channel) []attempt.Step {
 	if !q.connected[channel] {
 		return nil
@@ -171,8 +171,8 @@
 	return q.flush()
 }
 
-// reconnectPrimary polls a running query on a new connection, since the query is not tied to the lost one. The second
-// failure in a row waits for a backoff first.
+// reconnectPrimary opens a new connection on which to poll a running query: engines continue a query whose connection is
+// lost. After the second consecutive failure it waits for a backoff first.
 func (q *Query) reconnectPrimary() {
 	q.possiblyUnread = q.possiblyUnread || !q.bytesReceived
 	q.emit(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: 0})
@@ -184,7 +184,7 @@
 	q.emit(attempt.Open{Channel: attempt.Primary, Fresh: true})
 }
 
-// Received handles bytes read from a channel.
+// Received handles bytes received on a channel.
 func (q *Query) Received(channel attempt.Channel, b []byte) []attempt.Step {
 	if !q.connected[channel] {
 		return nil
@@ -208,7 +208,7 @@
 	return q.flush()
 }
 
-// TimerFired handles a timer that expired.
+// TimerFired handles the expiry of a timer.
 func (q *Query) TimerFired(timer attempt.Timer) []attempt.Step {
 	if q.state == ended {
 		return q.flush()
@@ -226,7 +226,7 @@
 	return q.flush()
 }
 
-// leaseExpired ends an attempt whose query the engine has abandoned for want of polls.
+// leaseExpired ends an attempt whose query was not polled for so long that the engine has abandoned it.
 func (q *Query) leaseExpired() {
 	switch q.state {
 	case running:
@@ -257,15 +257,15 @@
 	}
 }
 
-// Cancel cancels the attempt. It ends with outcome once the engine has confirmed.
+// Cancel cancels the attempt. A query that may be running ends with outcome when the engine confirms the cancellation.
 func (q *Query) Cancel(outcome policy.Outcome) []attempt.Step {
 	switch q.state {
-	case connecting: // nothing was written: other attempts can use the connection
+	case connecting: // nothing was sent, so the connection can be reused
 		q.emit(attempt.Release{Channel: attempt.Primary})
 		q.end(policy.NotSent)
 	case running:
 		q.cancelAtEngine(outcome)
-	case fetchingPages: // the query has ended at the engine: only the rest of its result is not wanted
+	case fetchingPages: // the query has ended at the engine; the rest of its result is discarded
 		q.end(outcome)
 	}
 	return q.flush()
@@ -276,13 +276,13 @@
 	q.cancelOutcome = outcome
 	q.emit(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: 0})
 	if !q.connected[attempt.Primary] {
-		q.emit(attempt.Close{Channel: attempt.Primary}) // a pending reconnect is not needed any more
+		q.emit(attempt.Close{Channel: attempt.Primary}) // cancels a pending reconnect
 	}
 	q.requestDelete()
 }
 
-// end emits the single end of an attempt, and releases the connections on which no response is outstanding. After a second
-// POST, a response that the query had no effect proves nothing about the first one.
+// end stops all timers, releases the connections that can be reused, closes the others and emits the End step. If the POST
+// was sent more than once, an outcome that says that the query never ran holds for the last POST only and becomes an error.
 func (q *Query) end(outcome policy.Outcome) {
 	if q.postsSent > 1 && outcome.NeverRan() {
 		outcome = policy.Error
@@ -306,7 +306,7 @@
 	q.emit(end)
 }
 
-// reusable reports whether a channel's connection can serve another attempt: nothing more may come on it.
+// reusable reports whether another attempt can use a channel's connection: no further response may arrive on it.
 func (q *Query) reusable(channel attempt.Channel) bool {
 	if !q.connected[channel] || q.awaitingResponse[channel] || !q.readers[channel].Idle() {
 		return false
--- a/internal/protocol/enginehttp/reader.go
+++ b/internal/protocol/enginehttp/reader.go
@@ -1,6 +1,7 @@
-// Package enginehttp implements the gateway's side of the engines' HTTP/1.1 protocol as state machines: Reader parses responses,
-// and Query takes one attempt from its POST over polls and pages to its end. It owns no socket, clock or goroutine: events come
-// in as method calls, and what is to be done goes out as attempt.Step values. All methods are called on the event loop.
+// Package enginehttp implements the client side of the engines' HTTP/1.1 protocol as state machines: Reader parses responses,
+// and Query runs one attempt from its POST through polls and page requests to its end. The package owns no socket, clock or
+// goroutine: events arrive as method calls, and the I/O to perform is returned as attempt.Step values. All methods must be
+// called on the event loop.
 package enginehttp
 
 import (
@@ -13,15 +14,15 @@
 	"strings"
 )
 
-// Limits of a response.
+// Size limits of a response.
 const (
 	maxHeaderBytes = 8 << 10
-	maxBodyBytes   = 64 << 10 // of a page; the protocol allows 6,000, but engines exceed it
+	maxBodyBytes   = 64 << 10 // of a page; engines exceed the 6,000 bytes that their protocol allows
 )
 
 const (
 	headerEnd   = "\r\n\r\n"
-	chunkedBody = -1 // body length of a response in chunked encoding
+	chunkedBody = -1 // body length of a response with chunked transfer coding
 )
 
 var errMalformed = errors.New("malformed response")
@@ -31,18 +32,18 @@
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
-	Close  bool // the engine closes the connection after it
+	Close  bool // the engine closes the connection after this response
 }
 
 // Reader parses the responses of one connection. The zero value is ready for use.
 type Reader struct {
 	buf       []byte
-	pending   *Response // its header is read, its body is not
-	bodyBytes int       // length of its body, or chunkedBody
+	pending   *Response // header parsed, body incomplete
+	bodyBytes int       // body length of pending, or chunkedBody
 }
 
-// Feed parses further bytes. It returns a response if they complete one, otherwise nil. After an error the connection must be
-// closed; a complete response may be returned together with an error if unexpected bytes follow it.
+// Feed parses received bytes and returns the response that they complete, or nil. After an error the connection must be closed.
+// If unexpected bytes follow a complete response, Feed returns both the response and an error.
 func (r *Reader) Feed(b []byte) (*Response, error) {
 	r.buf = append(r.buf, b...)
 	for r.pending == nil {
@@ -50,21 +51,21 @@
 		if err != nil || !complete {
 			return nil, err
 		}
-		if r.pending.Status/100 == 1 { // an interim response: the final one follows
+		if r.pending.Status/100 == 1 { // interim response; the final one follows
 			r.pending = nil
 		}
 	}
 	return r.readBody()
 }
 
-// nextHeader parses a header from the buffer and reports whether it was complete.
+// nextHeader parses the header at the start of the buffer and reports whether it was complete.
 func (r *Reader) nextHeader() (complete bool, err error) {
 	end := bytes.Index(r.buf, []byte(headerEnd))
 	if end < 0 && len(r.buf) <= maxHeaderBytes {
 		return false, nil
 	}
 	if end < 0 || end > maxHeaderBytes {
-		return false, fmt.Errorf("%w: head over %d bytes", errMalformed, maxHeaderBytes)
+		return false, fmt.Errorf("%w: header over %d bytes", errMalformed, maxHeaderBytes)
 	}
 	end += len(headerEnd)
 	if err := r.readHeader(r.buf[:end]); err != nil {
@@ -99,25 +100,25 @@
 	return err
 }
 
-// bodyLength returns the length of a body in bytes, or chunkedBody. A header with two lengths is malformed: a body truncated at
-// the wrong one would be served as a complete result.
+// bodyLength returns the length of a body in bytes, or chunkedBody. A header with more than one length or transfer coding is
+// malformed: a body truncated at the wrong length would be served as a complete result.
 func bodyLength(status int, fields textproto.MIMEHeader) (int, error) {
 	lengths, coding := fields["Content-Length"], fields["Transfer-Encoding"]
 	switch {
 	case status == 204 || status == 304 || status/100 == 1:
 		return 0, nil
 	case len(lengths)+len(coding) > 1:
-		return 0, fmt.Errorf("%w: lengths %.40q %.40q", errMalformed, lengths, coding)
+		return 0, fmt.Errorf("%w: ambiguous body length: Content-Length %.40q, Transfer-Encoding %.40q", errMalformed, lengths, coding)
 	case len(coding) == 1 && strings.EqualFold(coding[0], "chunked"):
 		return chunkedBody, nil
 	case len(lengths) == 1:
 		n, err := strconv.ParseUint(lengths[0], 10, 31)
 		if err != nil || n > maxBodyBytes {
-			return 0, fmt.Errorf("%w: content length %.40q", errMalformed, lengths[0])
+			return 0, fmt.Errorf("%w: Content-Length %.40q", errMalformed, lengths[0])
 		}
 		return int(n), nil
-	case len(coding) == 1 || status == 200: // a truncated body could not be detected
-		return 0, fmt.Errorf("%w: a result without its length", errMalformed)
+	case len(coding) == 1 || status == 200: // truncation could not be detected
+		return 0, fmt.Errorf("%w: no body length", errMalformed)
 	}
 	return 0, nil
 }
@@ -133,16 +134,16 @@
 	r.pending = nil
 	r.buf = r.buf[size:]
 	if len(r.buf) > 0 {
-		return res, fmt.Errorf("%w: bytes behind a response that nothing asked for", errMalformed)
+		return res, fmt.Errorf("%w: unexpected bytes after the response", errMalformed)
 	}
 	return res, nil
 }
 
-// nextBody returns the body in the buffer and its encoded size in bytes, or incomplete.
+// nextBody returns the body at the start of the buffer and its encoded size in bytes. The size is incomplete while bytes are missing.
 func (r *Reader) nextBody() (body []byte, size int, err error) {
 	if r.bodyBytes == chunkedBody {
-		if len(r.buf) > 2*maxBodyBytes { // bounds the overhead of small chunks
-			return nil, incomplete, fmt.Errorf("%w: chunks without end", errMalformed)
+		if len(r.buf) > 2*maxBodyBytes { // limits the overhead of small chunks
+			return nil, incomplete, fmt.Errorf("%w: chunked body too large", errMalformed)
 		}
 		return unchunk(r.buf)
 	}
@@ -152,32 +153,33 @@
 	return bytes.Clone(r.buf[:r.bodyBytes]), r.bodyBytes, nil
 }
 
-// incomplete is the size of a body of which bytes are missing.
+// incomplete is the encoded size that is returned for a body with missing bytes.
 const incomplete = -1
 
-// unchunk decodes a chunked body from the begin of b and returns it with its encoded size in bytes, or incomplete.
+// unchunk decodes the chunked body at the start of b and returns it with its encoded size in bytes, which is incomplete while
+// bytes are missing.
 func unchunk(b []byte) (body []byte, size int, err error) {
-	for at := 0; ; {
-		eol := bytes.Index(b[at:], []byte("\r\n"))
+	for offset := 0; ; {
+		eol := bytes.Index(b[offset:], []byte("\r\n"))
 		if eol < 0 {
 			return nil, incomplete, nil
 		}
-		digits, _, _ := strings.Cut(string(b[at:at+eol]), ";")
+		digits, _, _ := strings.Cut(string(b[offset:offset+eol]), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 		if err != nil || len(body)+int(n) > maxBodyBytes {
-			return nil, incomplete, fmt.Errorf("%w: chunk of %.20q", errMalformed, digits)
+			return nil, incomplete, fmt.Errorf("%w: chunk size %.20q", errMalformed, digits)
 		}
-		at += eol + 2
-		if len(b) < at+int(n)+2 {
+		offset += eol + 2
+		if len(b) < offset+int(n)+2 {
 			return nil, incomplete, nil
 		}
-		if string(b[at+int(n):at+int(n)+2]) != "\r\n" {
-			return nil, incomplete, fmt.Errorf("%w: chunk without end", errMalformed)
+		if string(b[offset+int(n):offset+int(n)+2]) != "\r\n" {
+			return nil, incomplete, fmt.Errorf("%w: chunk data without CRLF", errMalformed)
 		}
-		body = append(body, b[at:at+int(n)]...)
-		at += int(n) + 2
+		body = append(body, b[offset:offset+int(n)]...)
+		offset += int(n) + 2
 		if n == 0 {
-			return body, at, nil
+			return body, offset, nil
 		}
 	}
 }
--- a/internal/protocol/enginehttp/requests.go
+++ b/internal/protocol/enginehttp/requests.go
@@ -10,8 +10,8 @@
 	"frostpier/policy"
 )
 
-// requestDelete sends the DELETE that cancels the query, or requests a connection for it. The first connection may be an
-// idle one; a retry uses a new one.
+// requestDelete sends the DELETE that cancels the query, or opens a connection for it. The first DELETE may use an idle
+// connection; a retry uses a new one.
 func (q *Query) requestDelete() {
 	if q.connected[attempt.Control] {
 		q.write(attempt.Control, q.formatRequest("DELETE", ""))
@@ -21,8 +21,8 @@
 	q.deleteConnections++
 }
 
-// repost sends the POST again within the same attempt. Its connection was lost before a byte of a response and the engine
-// does not know the query, so the query cannot run twice at a time. Whether it may be sent again is decided by permission.
+// repost sends the POST again within the same attempt if permission allows it. The previous connection was lost before any
+// byte of a response and the engine does not know the query, so two executions cannot overlap.
 func (q *Query) repost() {
 	if !q.connected[attempt.Primary] {
 		q.repostPending = true
@@ -46,15 +46,15 @@
 	q.write(attempt.Primary, q.formatPost(budget))
 }
 
-// poll waits for the query's first page or its next update.
+// poll requests the first page of the result. While the query is running, the engine responds with an update instead.
 func (q *Query) poll() { q.write(attempt.Primary, q.formatRequest("GET", "/0")) }
 
-// requestPage requests the first page that is missing.
+// requestPage requests the next page of the result.
 func (q *Query) requestPage() {
 	q.write(attempt.Primary, q.formatRequest("GET", "/"+strconv.Itoa(len(q.pages))))
 }
 
-// write emits the bytes of a request and starts the timers of its response.
+// write emits a request and starts the timers for its response.
 func (q *Query) write(channel attempt.Channel, b []byte) {
 	q.awaitingResponse[channel] = true
 	q.emit(attempt.Write{Channel: channel, Bytes: b})
@@ -80,7 +80,7 @@
 	return append([]byte(b.String()), q.req.Statement...)
 }
 
-// formatRequest formats a request on the query that was sent. path is appended to the path of the query.
+// formatRequest formats a request without a body. path is appended to the query's path.
 func (q *Query) formatRequest(method, path string) []byte {
 	return fmt.Appendf(nil, "%s /v2/q/%s%s HTTP/1.1\r\nHost: %s\r\n\r\n", method, q.req.ID, path, q.req.Host)
 }
--- a/internal/protocol/enginehttp/responses.go
+++ b/internal/protocol/enginehttp/responses.go
@@ -35,13 +35,13 @@
 	}
 }
 
-// handleStillRunning handles the response of an engine that has the query and no result yet.
+// handleStillRunning handles status 202: the query is running.
 func (q *Query) handleStillRunning(res *Response) {
 	q.consecutiveFailures = 0
 	q.possiblyUnread = false
 	q.detectAmbiguousResponse(res)
 	q.reportProgress(res)
-	if q.state == cancelling { // no further poll: if the DELETE fails, the engine abandons the query after its lease
+	if q.state == cancelling { // stops polling: if the DELETE fails, the engine abandons the query when its lease expires
 		q.emit(attempt.SetTimer{Timer: attempt.UnreachableTimeout, After: pollLease + leaseMargin})
 		return
 	}
@@ -50,16 +50,16 @@
 	} else {
 		q.emit(attempt.Open{Channel: attempt.Primary})
 	}
-	if q.responseMissed { // a result that was only lost on its way would have been sent again by now
+	if q.responseMissed { // a response that was only lost in transit would have been resent by now
 		q.responseMissed = false
 		q.emit(attempt.ResponseOverdue{})
 	}
 }
 
-// handleUnknownOrFailed handles status 500: the query failed, or the engine does not know it.
+// handleUnknownOrFailed handles status 500: the query failed, or is unknown to the engine.
 func (q *Query) handleUnknownOrFailed() {
 	switch {
-	case q.state == cancelling: // unknown because the engine has cancelled it
+	case q.state == cancelling: // unknown because the engine has cancelled the query
 		q.end(q.cancelOutcome)
 	case q.possiblyUnread && q.postsSent < maxPosts:
 		q.repost()
@@ -68,9 +68,9 @@
 	}
 }
 
-// handleMalformed handles a corrupt response. It proves no end of the query, and its connection is of no more use. The engine
-// sends the result of a successful query again when polled, so the query is polled on a new connection. After
-// maxConsecutiveFailures in a row it is cancelled and counts as failed.
+// handleMalformed handles a corrupt response. The query may still be running, and the connection cannot be used any more. The
+// engine resends the result of a successful query when polled, so the query is polled on a new connection. After
+// maxConsecutiveFailures it is cancelled and ends with an error.
 func (q *Query) handleMalformed(channel attempt.Channel) {
 	q.closeChannel(channel)
 	switch {
@@ -89,7 +89,7 @@
 	}
 }
 
-// handleDeleteResponse handles the response to a DELETE: only 204 confirms the cancellation.
+// handleDeleteResponse handles the response to a DELETE. Only status 204 confirms the cancellation.
 func (q *Query) handleDeleteResponse(res *Response) {
 	if res.Status == http.StatusNoContent {
 		q.end(q.cancelOutcome)
@@ -98,9 +98,9 @@
 	q.emit(attempt.SetTimer{Timer: attempt.RetryBackoff, After: retryBackoff})
 }
 
-// detectAmbiguousResponse detects a possible duplicate of the response before: one that repeats the last update, or has none,
-// before the engine can have waited for a new one. From then on every response may belong to the request before it, and one
-// is still outstanding when the query has ended, so the connection must not be used again.
+// detectAmbiguousResponse detects a possible duplicate of the previous response: one that repeats the last update, or has none,
+// although the engine would still be waiting for a new update. From then on every response may belong to the previous request,
+// and one more may arrive after the query has ended, so the connection must not be reused.
 func (q *Query) detectAmbiguousResponse(res *Response) {
 	update := [2]string{res.Header.Get("X-Tell"), res.Header.Get("Figure")}
 	noNewUpdate := update[0] == "" || update == q.lastUpdate
@@ -108,7 +108,7 @@
 	q.lastUpdate = update
 }
 
-// reportProgress emits the progress in a response, if it has any.
+// reportProgress emits the progress that a response reports, if any.
 func (q *Query) reportProgress(res *Response) {
 	if res.Header.Get("X-Tell") != "done" {
 		return
