--- a/internal/control/loadreport/digest_test.go
+++ b/internal/control/loadreport/digest_test.go
@@ -17,21 +17,21 @@
 
 const epoch = 1_800_000_000 * time.Second
 
-// newDigest returns a Digest with n listed engines, the numbers of which engineNumber returns.
+// newDigest returns a Digest with n listed engines. Their IDs are engineID(0) to engineID(n-1).
 func newDigest(n int) *Digest {
 	d := New()
 	var engines []uint64
 	for i := range n {
-		engines = append(engines, engineNumber(i))
+		engines = append(engines, engineID(i))
 	}
 	d.SetEngines(engines)
 	return d
 }
 
-// engineNumber returns the number of the i-th listed engine.
-func engineNumber(i int) uint64 { return uint64(i+1)<<32 | uint64(i+1) }
+// engineID returns the ID of the i-th listed engine.
+func engineID(i int) uint64 { return uint64(i+1)<<32 | uint64(i+1) }
 
-// state returns all reports that have not expired.
+// state formats all unexpired reports.
 func (d *Digest) state(now time.Duration) string {
 	out := ""
 	for _, e := range d.entries {
@@ -42,17 +42,17 @@
 	return out
 }
 
-// Reports result in the same state in whatever order, however often and over whichever gateways they arrive. A gateway's own
-// reports change nothing when they come back.
-func TestMergingCommutesAndIsIdempotent(t *testing.T) {
+// Checks that receiving the same messages in any order, more than once and with any delay results in the same reports, and
+// that a gateway applies no report that it already knows when another gateway returns it.
+func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bodies [][]byte
-		for range rapid.IntRange(1, 6).Draw(t, "writers") {
+		for range rapid.IntRange(1, 6).Draw(t, "senders") {
 			d := newDigest(8)
 			now := epoch
-			for range rapid.IntRange(1, 12).Draw(t, "notes") {
+			for range rapid.IntRange(1, 12).Draw(t, "reports") {
 				now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-				d.Record(now, engineNumber(rapid.IntRange(0, 7).Draw(t, "engine")), rapid.IntRange(0, 90).Draw(t, "load"))
+				d.Record(now, engineID(rapid.IntRange(0, 7).Draw(t, "engine")), rapid.IntRange(0, 90).Draw(t, "load"))
 			}
 			bodies = append(bodies, append([]byte(nil), d.Append(now, 0, 200, nil)...))
 		}
@@ -63,40 +63,42 @@
 		}
 		order := rapid.Permutation(append(bodies, bodies...)).Draw(t, "order")
 		for _, body := range order {
-			b.Receive(now+time.Duration(rapid.IntRange(0, 40).Draw(t, "late"))*time.Millisecond, body)
+			b.Receive(now+time.Duration(rapid.IntRange(0, 40).Draw(t, "delay ms"))*time.Millisecond, body)
 		}
 		if x, y := a.state(now), b.state(now); x != y {
-			t.Fatalf("%s\n%s", x, y)
+			t.Fatalf("reports in the original order: %s\nreports in the drawn order: %s", x, y)
 		}
 		if applied := a.Receive(now, b.Append(now, 0, 200, nil)); len(applied) > 0 {
-			t.Fatalf("own reports were applied: %v", applied)
+			t.Fatalf("known reports were applied again: %v", applied)
 		}
 	})
 }
 
-// A report expires however often and however late it is forwarded: it never becomes younger.
-func TestLoadReportsExpire(t *testing.T) {
+// Checks that forwarding a report does not change its time: a report that two gateways keep sending to each other, and that
+// each receives late, still expires.
+func TestForwardedReportsExpire(t *testing.T) {
 	a, b := newDigest(2), newDigest(2)
-	a.Record(epoch, engineNumber(0), 7)
+	a.Record(epoch, engineID(0), 7)
 	now := epoch
 	for range 200 {
 		body := append([]byte(nil), a.Append(now, 0, 200, nil)...)
-		now += 130 * time.Millisecond // late, as after a pause of the receiver
+		now += 130 * time.Millisecond // delay in the receiver, as if its process was paused
 		b.Receive(now, body)
 		a, b = b, a
 	}
 	for _, d := range []*Digest{a, b} {
-		if report, ok := d.Latest(now, engineNumber(0)); ok {
-			t.Errorf("not expired after %v: %v", now-epoch, report)
+		if report, ok := d.Latest(now, engineID(0)); ok {
+			t.Errorf("report has not expired after %v: %v", now-epoch, report)
 		}
-		if report, ok := d.Latest(epoch+4*time.Second, engineNumber(0)); ok && report.ReportedAt != epoch {
-			t.Errorf("reported at %v, now %v", epoch, report.ReportedAt)
+		if report, ok := d.Latest(epoch+4*time.Second, engineID(0)); ok && report.ReportedAt != epoch {
+			t.Errorf("time of the report is %v, want %v", report.ReportedAt, epoch)
 		}
 	}
 }
 
-// A report that is malformed, out of range, out of time or on an engine that is not listed is counted and changes nothing.
-func TestInvalidReportsAreDropped(t *testing.T) {
+// Checks that malformed messages, and reports that have a load out of range, have expired, are from the future or are on
+// unlisted engines, are counted and not applied.
+func TestReceiveDropsInvalidReports(t *testing.T) {
 	message := func(change func(m *loadreportpb.Digest)) []byte {
 		m := &loadreportpb.Digest{Engine: []byte{1, 0, 0, 0}, Load: []uint32{5}, Age: []uint32{1}, Base: uint64(epoch / ageUnit)}
 		change(m)
@@ -125,55 +127,56 @@
 	}
 }
 
-// A report on an engine that is no longer listed is not sent.
-func TestUnlistedEnginesAreNotSent(t *testing.T) {
+// Checks that Append does not send the report on an engine that is no longer listed.
+func TestAppendSkipsUnlistedEngines(t *testing.T) {
 	d := newDigest(2)
-	d.Record(epoch, engineNumber(1), 3)
-	d.SetEngines([]uint64{engineNumber(0)})
+	d.Record(epoch, engineID(1), 3)
+	d.SetEngines([]uint64{engineID(0)})
 	if body := d.Append(epoch, 0, 200, nil); len(body) > 0 {
 		t.Errorf("sent %x", body)
 	}
 }
 
-// A message never exceeds the room that it is offered.
-func TestAppendRespectsRoom(t *testing.T) {
+// Checks that Append never appends more than room bytes.
+func TestAppendStaysWithinRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDigest(80)
 		for i := range 80 {
-			d.Record(epoch+time.Duration(i)*7*time.Millisecond, engineNumber(i), rapid.IntRange(0, maxLoad-1).Draw(t, "load"))
+			d.Record(epoch+time.Duration(i)*7*time.Millisecond, engineID(i), rapid.IntRange(0, maxLoad-1).Draw(t, "load"))
 		}
 		room := rapid.IntRange(0, 240).Draw(t, "room")
 		now := epoch + time.Duration(rapid.IntRange(0, 6000).Draw(t, "ms"))*time.Millisecond
 		if b := d.Append(now, 0, room, nil); len(b) > room {
-			t.Fatalf("%d bytes, room for %d", len(b), room)
+			t.Fatalf("appended %d bytes, room is %d", len(b), room)
 		}
 	})
 }
 
-// Random bytes cause no panic.
-func TestReceiveRandomBytes(t *testing.T) {
+// Checks that random bytes do not cause a panic.
+func TestReceiveRandomBytesDoesNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		newDigest(4).Receive(epoch, rapid.SliceOfN(rapid.Byte(), 0, 250).Draw(t, "noise"))
 	})
 }
 
-// Engines whose wire numbers collide have no reports; others are not affected.
-func TestCollidingEnginesAreLeftOut(t *testing.T) {
+// Checks that engines with equal short IDs have no reports, and that other engines are not affected.
+func TestEnginesWithCollidingShortIDsAreIgnored(t *testing.T) {
 	d := New()
 	d.SetEngines([]uint64{1<<32 | 5, 2<<32 | 5, 7})
 	d.Record(epoch, 1<<32|5, 3)
 	if _, ok := d.Latest(epoch, 1<<32|5); ok {
-		t.Error("a colliding engine has a report")
+		t.Error("an engine with a colliding short ID has a report")
 	}
 	d.Record(epoch, 7, 3)
 	if _, ok := d.Latest(epoch, 7); !ok {
-		t.Error("the other engine has none")
+		t.Error("the engine with a unique short ID has no report")
 	}
 }
 
-// How many reports each gateway has, and how old: 100 gateways, each with 6 reports a second of 40 random engines, and two
-// datagrams a second to random others. Without datagrams a gateway has unexpired reports on 21 engines.
-func TestKnowledgeSpreads(t *testing.T) {
+// Measures the number and the age of the reports that a gateway has, in a fleet of 100 gateways and 40 engines. Each gateway
+// receives 6 reports per second from random engines, and sends 2 datagrams per second to random gateways. Without datagrams,
+// a gateway has unexpired reports on 21 engines.
+func TestReportDissemination(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	const gateways, engines = 100, 40
 	var sharing, isolated []*Digest
@@ -185,7 +188,7 @@
 	for ; now < epoch+10*time.Second; now += 10 * time.Millisecond {
 		for i, d := range sharing {
 			if rnd.IntN(100) < 6 {
-				engine := engineNumber(rnd.IntN(engines))
+				engine := engineID(rnd.IntN(engines))
 				d.Record(now, engine, 5)
 				isolated[i].Record(now, engine, 5)
 			}
@@ -198,7 +201,7 @@
 		reports := 0
 		for _, d := range digests {
 			for i := range engines {
-				if report, ok := d.Latest(now, engineNumber(i)); ok {
+				if report, ok := d.Latest(now, engineID(i)); ok {
 					reports++
 					age += now - report.ReportedAt
 				}
@@ -208,24 +211,24 @@
 	}
 	known, age := measure(sharing)
 	isolatedKnown, isolatedAge := measure(isolated)
-	t.Logf("sharing: %.1f of %d engines known, %v old; isolated: %.1f, %v", known, engines, age, isolatedKnown, isolatedAge)
+	t.Logf("sharing: reports on %.1f of %d engines, mean age %v; isolated: reports on %.1f, mean age %v", known, engines, age, isolatedKnown, isolatedAge)
 	if known < 39 || age > 1500*time.Millisecond || isolatedKnown > 30 {
-		t.Errorf("sharing: %.1f engines known, %v old; isolated: %.1f, %v", known, age, isolatedKnown, isolatedAge)
+		t.Errorf("sharing: reports on %.1f engines, mean age %v; isolated: reports on %.1f, mean age %v", known, age, isolatedKnown, isolatedAge)
 	}
 }
 
-// firstDigest is a message of the first version: every later version must decode it.
-const firstDigest = "0a080300000001000000120209041a020a142094d0918e8601"
+// version1Message is a message of the first protocol version, which every later version must decode.
+const version1Message = "0a080300000001000000120209041a020a142094d0918e8601"
 
-func TestFirstVersionIsDecoded(t *testing.T) {
-	body, err := hex.DecodeString(firstDigest)
+func TestVersion1MessageIsDecoded(t *testing.T) {
+	body, err := hex.DecodeString(version1Message)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := newDigest(4)
 	reports := d.Receive(epoch+time.Second, body)
-	want := []Report{{engineNumber(2), 9, epoch + 500*time.Millisecond}, {engineNumber(0), 4, epoch}}
+	want := []Report{{engineID(2), 9, epoch + 500*time.Millisecond}, {engineID(0), 4, epoch}}
 	if !slices.Equal(reports, want) {
-		t.Errorf("%+v, want %+v", reports, want)
+		t.Errorf("decoded %+v, want %+v", reports, want)
 	}
 }
--- a/internal/control/loadreport/loadreportpb/doc.go
+++ b/internal/control/loadreport/loadreportpb/doc.go
@@ -1,2 +1,2 @@
-// Package loadreportpb holds the generated code of loadreport.proto, the form of the messages on the wire.
+// Package loadreportpb contains the code generated from loadreport.proto, the wire format of load reports.
 package loadreportpb
--- a/internal/control/loadreport/subset_test.go
+++ b/internal/control/loadreport/subset_test.go
@@ -10,37 +10,37 @@
 
 // Parameters of the simulated fleet.
 const (
-	modelGatewayCount  = 800
-	modelEngineCount   = 1100
-	modelZoneCount     = 7
-	reportsPerSecond   = 6   // of engines to each gateway
-	datagramsPerSecond = 3   // of each gateway
-	modelRoom          = 200 // bytes
-	modelStep          = 10 * time.Millisecond
-	modelDuration      = 8 * time.Second
-	modelLoss          = 0.02 // share of the datagrams
+	gatewayCount       = 800
+	engineCount        = 1100
+	zoneCount          = 7
+	reportsPerSecond   = 6   // from engines to each gateway
+	datagramsPerSecond = 3   // sent by each gateway
+	datagramRoom       = 200 // bytes
+	simStep            = 10 * time.Millisecond
+	simDuration        = 8 * time.Second
+	datagramLoss       = 0.02 // share of the datagrams
 )
 
-// modelGateway is a gateway of the simulated fleet.
-type modelGateway struct {
+// simGateway is a gateway of the simulated fleet.
+type simGateway struct {
 	digest            *Digest
-	engines           []uint64  // that it sends queries to
-	cumulativeWeights []float64 // of the gateways as receivers of its datagrams
+	engines           []uint64  // engines to which it sends queries
+	cumulativeWeights []float64 // prefix sums of the weights with which it chooses the receivers of its datagrams
 }
 
-// hashedEngineNumber returns the number of an engine, scattered as hashes of names are.
-func hashedEngineNumber(i int) uint64 { return (uint64(i) + 1) * 0x9e3779b97f4a7c15 }
+// hashedEngineID returns the ID of the i-th engine. The IDs are scattered like hashes of names.
+func hashedEngineID(i int) uint64 { return (uint64(i) + 1) * 0x9e3779b97f4a7c15 }
 
-// fullMeshGateways returns gateways that use every engine and send datagrams to all others with equal probability.
-func fullMeshGateways() (out []*modelGateway) {
+// fullMeshGateways returns gateways that use every engine and send datagrams to all gateways with equal probability.
+func fullMeshGateways() (out []*simGateway) {
 	var engines []uint64
-	for i := range modelEngineCount {
-		engines = append(engines, hashedEngineNumber(i))
+	for i := range engineCount {
+		engines = append(engines, hashedEngineID(i))
 	}
-	for range modelGatewayCount {
-		g := &modelGateway{digest: New(), engines: engines}
+	for range gatewayCount {
+		g := &simGateway{digest: New(), engines: engines}
 		g.digest.SetEngines(engines)
-		for i := range modelGatewayCount {
+		for i := range gatewayCount {
 			g.cumulativeWeights = append(g.cumulativeWeights, float64(i+1))
 		}
 		out = append(out, g)
@@ -48,25 +48,25 @@
 	return out
 }
 
-// subsetGateways returns the gateways with these numbers, of a fleet in which each uses a subset of the engines.
-func subsetGateways(t testing.TB, numbers []int) (out []*modelGateway) {
+// subsetGateways returns the gateways with the given numbers from a fleet in which each gateway uses a subset of the engines.
+func subsetGateways(t testing.TB, numbers []int) (out []*simGateway) {
 	t.Helper()
 	var engines []subset.Engine
-	for i := range modelEngineCount {
-		engines = append(engines, subset.Engine{ID: hashedEngineNumber(i), Zone: i % modelZoneCount, Ready: true})
+	for i := range engineCount {
+		engines = append(engines, subset.Engine{ID: hashedEngineID(i), Zone: i % zoneCount, Ready: true})
 	}
 	var gateways []subset.Gateway
-	for i := range modelGatewayCount {
-		gateways = append(gateways, subset.Gateway{Zone: i % modelZoneCount, InService: true})
+	for i := range gatewayCount {
+		gateways = append(gateways, subset.Gateway{Zone: i % zoneCount, InService: true})
 	}
 	for _, number := range numbers {
-		chooser, err := subset.New(subset.DefaultConfig(), number, number%modelZoneCount, modelGatewayCount)
+		chooser, err := subset.New(subset.DefaultConfig(), number, number%zoneCount, gatewayCount)
 		if err != nil {
 			t.Fatal(err)
 		}
 		chooser.SetGateways(epoch, gateways)
 		chooser.SetEngines(epoch, engines)
-		g := &modelGateway{digest: New(), engines: append([]uint64(nil), chooser.IDs()...)}
+		g := &simGateway{digest: New(), engines: append([]uint64(nil), chooser.IDs()...)}
 		g.digest.SetEngines(g.engines)
 		sum := 0.0
 		for _, other := range numbers {
@@ -80,8 +80,8 @@
 	return out
 }
 
-// randomReceiver draws the receiver of a datagram by weight.
-func (g *modelGateway) randomReceiver(rnd *rand.Rand) int {
+// randomReceiver returns the index of a random gateway, drawn by weight.
+func (g *simGateway) randomReceiver(rnd *rand.Rand) int {
 	point := rnd.Float64() * g.cumulativeWeights[len(g.cumulativeWeights)-1]
 	for i, sum := range g.cumulativeWeights {
 		if sum > point {
@@ -91,19 +91,19 @@
 	return len(g.cumulativeWeights) - 1
 }
 
-// simulate runs the gateways and returns the share of its engines on which a gateway has a report at the end, and the mean age
-// of the reports.
-func simulate(gateways []*modelGateway, seed uint64) (known float64, age time.Duration) {
+// simulate runs the gateways for simDuration. It returns the share of a gateway's engines on which it has a report at the end,
+// and the mean age of these reports.
+func simulate(gateways []*simGateway, seed uint64) (known float64, age time.Duration) {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	now := epoch
-	for ; now < epoch+modelDuration; now += modelStep {
+	for ; now < epoch+simDuration; now += simStep {
 		for _, g := range gateways {
-			if rnd.Float64() < reportsPerSecond*modelStep.Seconds() {
+			if rnd.Float64() < reportsPerSecond*simStep.Seconds() {
 				g.digest.Record(now, g.engines[rnd.IntN(len(g.engines))], 5)
 			}
-			if rnd.Float64() < datagramsPerSecond*modelStep.Seconds() {
-				body := g.digest.Append(now, 0, modelRoom, nil)
-				if to := gateways[g.randomReceiver(rnd)]; rnd.Float64() >= modelLoss {
+			if rnd.Float64() < datagramsPerSecond*simStep.Seconds() {
+				body := g.digest.Append(now, 0, datagramRoom, nil)
+				if to := gateways[g.randomReceiver(rnd)]; rnd.Float64() >= datagramLoss {
 					to.digest.Receive(now, body)
 				}
 			}
@@ -122,37 +122,38 @@
 	return float64(reports) / float64(engines), age / time.Duration(max(1, reports))
 }
 
-// gatewaysOfOneZone returns the numbers of the gateways of zone 0. With this number of engines they share none with gateways
-// of other zones.
+// gatewaysOfOneZone returns the numbers of the gateways in zone 0. With engineCount engines, their subsets contain no engine
+// that gateways of other zones use.
 func gatewaysOfOneZone() (numbers []int) {
-	for number := 0; number < modelGatewayCount; number += modelZoneCount {
+	for number := 0; number < gatewayCount; number += zoneCount {
 		numbers = append(numbers, number)
 	}
 	return numbers
 }
 
-// A gateway of 800 with 1,100 engines has reports on nearly all engines of its subset. One zone is simulated: gateways of other
-// zones receive none of its datagrams, which the test checks.
+// Checks that each gateway has reports on nearly all engines of its subset in a fleet of 800 gateways and 1,100 engines. The
+// test simulates only one zone, and checks that gateways of other zones receive none of its datagrams.
 func TestReportsCoverSubset(t *testing.T) {
 	gateways := subsetGateways(t, gatewaysOfOneZone())
 	if pair := subsetGateways(t, []int{0, 1}); pair[0].cumulativeWeights[1] != 0 {
-		t.Fatalf("a gateway of another zone has the weight %g", pair[0].cumulativeWeights[1])
+		t.Fatalf("a gateway of another zone has weight %g, want 0", pair[0].cumulativeWeights[1])
 	}
 	known, age := simulate(gateways, 1)
-	t.Logf("%.3f of the subset's engines with a report, %v old", known, age)
+	t.Logf("share of the subset's engines with a report: %.3f, mean age of the reports: %v", known, age)
 	if known < 0.95 {
-		t.Errorf("%.3f of the subset's engines with a report", known)
+		t.Errorf("share of the subset's engines with a report is %.3f, want at least 0.95", known)
 	}
 }
 
-// BenchmarkKnowledge simulates the whole fleet without and with subsets.
-func BenchmarkKnowledge(b *testing.B) {
-	everyone := make([]int, modelGatewayCount)
-	for i := range everyone {
-		everyone[i] = i
+// BenchmarkReportCoverage simulates the whole fleet without and with subsets. It reports the share of a gateway's engines on
+// which it has a report, and the mean age of the reports.
+func BenchmarkReportCoverage(b *testing.B) {
+	allNumbers := make([]int, gatewayCount)
+	for i := range allNumbers {
+		allNumbers[i] = i
 	}
-	for name, gateways := range map[string]func() []*modelGateway{"subset=false": fullMeshGateways,
-		"subset=true": func() []*modelGateway { return subsetGateways(b, everyone) }} {
+	for name, gateways := range map[string]func() []*simGateway{"subset=false": fullMeshGateways,
+		"subset=true": func() []*simGateway { return subsetGateways(b, allNumbers) }} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
 				fleet, engines := gateways(), 0
@@ -160,7 +161,7 @@
 					engines += len(g.engines)
 				}
 				known, age := simulate(fleet, 1)
-				b.ReportMetric(float64(engines)/modelGatewayCount, "engines/gateway")
+				b.ReportMetric(float64(engines)/gatewayCount, "engines/gateway")
 				b.ReportMetric(known, "known")
 				b.ReportMetric(age.Seconds(), "s-old")
 			}
