--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -202,7 +202,7 @@
 		fmt.Println("thought:", s.Verdict.Reason)
 	}
 	fmt.Printf("gateways: %d on the old version, %d on the new one; a controller runs: %v\n",
-		s.On[rollout.OldVersion], s.On[rollout.NewVersion], s.Running)
+		s.GatewayCounts[rollout.OldVersion], s.GatewayCounts[rollout.NewVersion], s.Running)
 	return nil
 }
 
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -103,7 +103,7 @@
 		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
 	}
 	st, err := controller.LastStatus(c.State)
-	if err != nil || st.On[rollout.NewVersion] != changeGateways {
+	if err != nil || st.GatewayCounts[rollout.NewVersion] != changeGateways {
 		t.Errorf("status: %+v, %v", st, err)
 	}
 }
@@ -122,7 +122,7 @@
 				t.Errorf("%s in stage %d: %s", s.Phase, s.Stage+1, s.Reason)
 			}
 			st, err := controller.LastStatus(c.State)
-			if err != nil || st.On[rollout.OldVersion] != changeGateways {
+			if err != nil || st.GatewayCounts[rollout.OldVersion] != changeGateways {
 				t.Errorf("status: %+v, %v", st, err)
 			}
 		})
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status.State.Phase != rollout.Done || status.On[rollout.NewVersion] != changeGateways {
+	if status.State.Phase != rollout.Done || status.GatewayCounts[rollout.NewVersion] != changeGateways {
 		t.Errorf("status: %+v", status)
 	}
 }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -42,13 +42,13 @@
 
 // Status is the state of a change, as operators see it. The keys of its JSON form are fixed: operators' scripts read it.
 type Status struct {
-	Name    string          `json:"name"`
-	Running bool            `json:"running"` // a controller carries it
-	State   rollout.State   `json:"state"`
-	Verdict rollout.Verdict `json:"opinion"` // on the stage that is watched
-	On      map[string]int  `json:"on"`      // gateways by the version that they were last started on
-	History []HistoryEntry  `json:"history,omitempty"`
-	Error   string          `json:"error,omitempty"`
+	Name          string          `json:"name"`
+	Running       bool            `json:"running"` // a controller carries it
+	State         rollout.State   `json:"state"`
+	Verdict       rollout.Verdict `json:"opinion"` // on the stage that is watched
+	GatewayCounts map[string]int  `json:"on"`      // gateways by the version that they were last started on
+	History       []HistoryEntry  `json:"history,omitempty"`
+	Error         string          `json:"error,omitempty"`
 }
 
 // listenControl listens for commands, and writes the address to a file in dir.
@@ -135,7 +135,7 @@
 	for _, g := range s.Gateways {
 		on[g.StartedVersion]++
 	}
-	return Status{Name: name, State: s, On: on}
+	return Status{Name: name, State: s, GatewayCounts: on}
 }
 
 // SendCommand sends a command to the running controller: status, history, pause, resume or abort. It fails with ErrNone if
@@ -194,12 +194,12 @@
 	return c.History, err
 }
 
-// ReadChange reads a change, the last one for "", from the journal while no controller runs. It fails with ErrNoChange if there
+// ReadChange reads a change, the last one for "", from the journal while no controller runs. It fails with ErrChangeNotFound if there
 // is none, and with ErrRunning while a controller has the journal.
 func ReadChange(dir, name string) (c Change, err error) {
 	path := filepath.Join(dir, journalName)
 	if _, err := os.Stat(path); err != nil {
-		return c, ErrNoChange
+		return c, ErrChangeNotFound
 	}
 	j, err := ReadJournal(path)
 	if err != nil {
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -19,7 +19,7 @@
 	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNotRunning) {
 		t.Errorf("a file that was left behind: %v", err)
 	}
-	if _, err := LastStatus(dir); !errors.Is(err, ErrNoChange) {
+	if _, err := LastStatus(dir); !errors.Is(err, ErrChangeNotFound) {
 		t.Errorf("no journal: %v", err)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -114,7 +114,7 @@
 // beginOrResume makes the state machine: from the journal if the change is under way there.
 func (k *Controller) beginOrResume() error {
 	last, err := k.journal.Last()
-	if err != nil && !errors.Is(err, ErrNoChange) {
+	if err != nil && !errors.Is(err, ErrChangeNotFound) {
 		return err
 	}
 	if err == nil && !last.State.Phase.Finished() {
--- a/internal/controller/journal.go
+++ b/internal/controller/journal.go
@@ -20,8 +20,8 @@
 var (
 	// ErrRunning says that another controller has the journal open.
 	ErrRunning = errors.New("another controller runs")
-	// ErrNoChange says that the journal has no such change.
-	ErrNoChange = errors.New("no such change")
+	// ErrChangeNotFound says that the journal has no such change.
+	ErrChangeNotFound = errors.New("no such change")
 )
 
 // lockTimeout is how long opening waits for a journal that another process has open.
@@ -83,7 +83,7 @@
 	return j.update(func(changes *bbolt.Bucket) error {
 		change := changes.Bucket([]byte(name))
 		if change == nil {
-			return ErrNoChange
+			return ErrChangeNotFound
 		}
 		history, err := change.CreateBucketIfNotExists([]byte(historyBucket))
 		if err != nil {
@@ -148,7 +148,7 @@
 	History []HistoryEntry
 }
 
-// Last returns the change that was begun last. It fails with ErrNoChange if there is none.
+// Last returns the change that was begun last. It fails with ErrChangeNotFound if there is none.
 func (j *Journal) Last() (Change, error) {
 	name := ""
 	err := j.db.View(func(tx *bbolt.Tx) error {
@@ -163,13 +163,13 @@
 	return j.Change(name)
 }
 
-// Change returns a change by its name. It fails with ErrNoChange if there is none.
+// Change returns a change by its name. It fails with ErrChangeNotFound if there is none.
 func (j *Journal) Change(name string) (Change, error) {
 	c := Change{Name: name}
 	err := j.db.View(func(tx *bbolt.Tx) error {
 		changes := tx.Bucket([]byte(changesBucket))
 		if name == "" || changes == nil || changes.Bucket([]byte(name)) == nil {
-			return ErrNoChange
+			return ErrChangeNotFound
 		}
 		return c.read(changes.Bucket([]byte(name)))
 	})
--- a/internal/controller/journal_test.go
+++ b/internal/controller/journal_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	if _, err := j.Last(); !errors.Is(err, ErrNoChange) {
+	if _, err := j.Last(); !errors.Is(err, ErrChangeNotFound) {
 		t.Fatalf("an empty journal: %v", err)
 	}
 	if err := j.Begin("a", []byte("plan"), stateOf(0)); err != nil {
