--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -150,7 +150,7 @@
 func engineInfos(entries []simproto.EngineEntry) (engines []policy.EngineInfo) {
 	for _, entry := range entries {
 		engines = append(engines, policy.EngineInfo{
-			ID: decodeEngineID(entry.Engine), Zone: int(entry.Zone), MachineType: int(entry.Kind), Cell: int(entry.Cell),
+			ID: decodeEngineID(entry.Engine), Zone: int(entry.Zone), MachineType: int(entry.MachineType), Cell: int(entry.Cell),
 			Health: policy.Health(entry.Health), Scale: float64(entry.Scale), Started: time.Duration(entry.Started),
 		})
 	}
--- a/cmd/simadapter/convert.go
+++ b/cmd/simadapter/convert.go
@@ -81,11 +81,11 @@
 // loadReport names the values of a load report by the metrics of the instance's settings.
 func (a *adapter) loadReport(number uint32, load simproto.LoadReport) policy.LoadReport {
 	target := a.instances[number]
-	if target == nil || load.N == 0 {
+	if target == nil || load.Count == 0 {
 		return policy.LoadReport{}
 	}
-	report := policy.LoadReport{Present: true, Values: make(map[policy.Metric]float64, load.N)}
-	for i := 0; i < int(load.N) && i < len(target.metrics); i++ {
+	report := policy.LoadReport{Present: true, Values: make(map[policy.Metric]float64, load.Count)}
+	for i := 0; i < int(load.Count) && i < len(target.metrics); i++ {
 		report.Values[target.metrics[i]] = float64(load.Values[i])
 	}
 	return report
@@ -142,7 +142,7 @@
 	case policy.Send:
 		return &simproto.SendAttempt{Instance: number, Request: uint32(a.ID), Engine: encodeEngineID(a.Engine), Timeout: uint64(a.Timeout)}
 	case policy.SetResources:
-		return &simproto.SetTerms{Instance: number, Request: uint32(a.ID), GrantMB: float32(a.GrantMB), Priority: uint8(a.Priority)}
+		return &simproto.SetResources{Instance: number, Request: uint32(a.ID), GrantMB: float32(a.GrantMB), Priority: uint8(a.Priority)}
 	case policy.Reject:
 		return &simproto.Reject{Instance: number, Request: uint32(a.ID), RetryAfter: uint64(a.RetryAfter)}
 	case policy.Fail:
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -97,7 +97,7 @@
 
 // Events that refer to nothing known, or carry odd values, are ignored and do not disturb other requests.
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
-	nan := simproto.LoadReport{N: 2, Values: [4]float32{float32(math.NaN()), float32(math.Inf(1))}}
+	nan := simproto.LoadReport{Count: 2, Values: [4]float32{float32(math.NaN()), float32(math.Inf(1))}}
 	actions, err := play(t, start(), batch(2,
 		&simproto.AttemptEnded{Instance: 3, Request: 5}, &simproto.AttemptEnded{Instance: 44, Request: 5}, &simproto.TimerFired{Instance: 3, Token: 12},
 		&simproto.ClientGone{Instance: 3, Request: 77}, &simproto.PeerMessage{Instance: 3}, &simproto.Progress{Instance: 3, Kind: 2},
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -37,9 +37,9 @@
 // read it.
 type Permission func(resend bool) (timeout time.Duration, ok bool)
 
-// Machine executes one attempt. Each method reports an event and returns the steps that the driver must execute, in
+// StateMachine executes one attempt. Each method reports an event and returns the steps that the driver must execute, in
 // order.
-type Machine interface {
+type StateMachine interface {
 	// Connected reports that a channel has its connection. memory belongs to the connection: what the machine stores
 	// there is available to the next attempt on it. The machine asks permission before it sends the query.
 	Connected(channel Channel, memory *any, permission Permission) []Step
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -83,17 +83,17 @@
 	}
 	var classes []string
 	var objectives []time.Duration
-	for _, c := range host.Module.Classes {
+	for _, c := range host.Policy.Classes {
 		classes = append(classes, c.Name)
 		objectives = append(objectives, c.LatencyObjective)
 	}
 	invalid := func(key string, value any, format string, args ...any) error {
 		return &FleetError{Path: path, Key: key, Value: value, Reason: fmt.Sprintf(format, args...)}
 	}
-	number, gateways := host.Module.GatewayIndex, len(f.Gateways)
+	number, gateways := host.Policy.GatewayIndex, len(f.Gateways)
 	switch {
-	case host.Module.Gateways != gateways || number < 0 || number >= gateways:
-		return invalid("self_index", number, "number %d of %d, there are %d configurations", number, host.Module.Gateways, gateways)
+	case host.Policy.Gateways != gateways || number < 0 || number >= gateways:
+		return invalid("self_index", number, "number %d of %d, there are %d configurations", number, host.Policy.Gateways, gateways)
 	case f.Gateways[number].Config != "":
 		return invalid("self_index", number, "number %d is %s's", number, f.Gateways[number].Name)
 	case f.Classes != nil && !slices.Equal(f.Classes, classes):
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -58,7 +58,7 @@
 // New returns a Core for the host's settings. The seed determines all random choices. New returns an error if the
 // decision module rejects the settings.
 func New(host settings.Host, seed uint64, log *slog.Logger, invariants *invariant.Monitor) (*Core, error) {
-	module, err := policy.New(host.Module, seed)
+	module, err := policy.New(host.Policy, seed)
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
@@ -68,12 +68,12 @@
 		activeNames:       map[string]bool{},
 		engines:           map[policy.EngineID]*Engine{},
 		classes:           map[string]int{},
-		countsByClass:     make([]ClassCounts, len(host.Module.Classes)),
+		countsByClass:     make([]ClassCounts, len(host.Policy.Classes)),
 		inFlightByEngine:  map[policy.EngineID]int{},
-		gatewaysInService: host.Module.Gateways,
-		lastInService:     policy.GatewaysInService{Count: host.Module.Gateways},
+		gatewaysInService: host.Policy.Gateways,
+		lastInService:     policy.GatewaysInService{Count: host.Policy.Gateways},
 	}
-	for i, class := range host.Module.Classes {
+	for i, class := range host.Policy.Classes {
 		c.classes[class.Name] = i
 	}
 	return c, nil
@@ -86,11 +86,11 @@
 }
 
 // ClassName returns the name of a class. The class number must be valid.
-func (c *Core) ClassName(class int) string { return c.host.Module.Classes[class].Name }
+func (c *Core) ClassName(class int) string { return c.host.Policy.Classes[class].Name }
 
 // NeedsIdempotencyKey reports whether queries of a class must carry an idempotency key.
 func (c *Core) NeedsIdempotencyKey(class int) bool {
-	return c.host.Module.Classes[class].Idempotency == policy.IdempotentWithKey
+	return c.host.Policy.Classes[class].Idempotency == policy.IdempotentWithKey
 }
 
 // PendingRequests returns the number of requests without a final reply.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -24,8 +24,8 @@
 	keyed := class
 	keyed.Name, keyed.Idempotency, keyed.DedupWindow = "form-load", policy.IdempotentWithKey, 12*time.Second
 	host := settings.Host{
-		MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, Zones: []string{"z"}, MaxPending: 100,
-		Module: policy.Settings{
+		MaxRetryAfter: 500 * time.Millisecond, MachineTypes: []string{"m"}, Zones: []string{"z"}, MaxPending: 100,
+		Policy: policy.Settings{
 			Classes: []policy.Class{class, keyed}, Gateways: 1, Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4,
 			MachineTypes: []policy.MachineType{{Cores: 8}},
 		},
--- a/internal/core/decisionlog.go
+++ b/internal/core/decisionlog.go
@@ -33,7 +33,7 @@
 	c.log.Debug("attempt decided", "at", now.Milliseconds(), "request", id, "attempt", n, "class", r.class,
 		"engine", engineLabel(estimate.Engine), "held_ms", (now - r.submittedAt).Milliseconds(), "own", estimate.OwnThreads,
 		"others", estimate.PeerThreads, "limit", estimate.Limit, "target", estimate.Target, "age_ms", ageMS(estimate.ReportAge),
-		"threads", c.host.Module.Classes[r.class].Threads, "out", utilization.Threads, "window", utilization.Window,
+		"threads", c.host.Policy.Classes[r.class].Threads, "out", utilization.Threads, "window", utilization.Window,
 		"mean", utilization.MeanPeerLoad, "strain", utilization.OverloadRatio)
 }
 
--- a/internal/core/decisionlog_test.go
+++ b/internal/core/decisionlog_test.go
@@ -18,7 +18,7 @@
 	output := &bytes.Buffer{}
 	log := slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
-	c, err := New(settings.Host{EngineKinds: []string{"m"}, Zones: []string{"z"}, Module: policy.Settings{
+	c, err := New(settings.Host{MachineTypes: []string{"m"}, Zones: []string{"z"}, Policy: policy.Settings{
 		Classes: []policy.Class{class}, Gateways: 1, Tick: 5 * time.Millisecond, MachineTypes: []policy.MachineType{{Cores: 1}}}}, 1, log, invariant.New(log))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -89,7 +89,7 @@
 func (c *Core) updateEngine(now time.Duration, e *Engine, entry ListedEngine) {
 	e.Addr, e.Health, e.updatedAt = entry.Addr, entry.Health, now
 	e.info = policy.EngineInfo{
-		ID: e.ID, Zone: indexOf(c.host.Zones, entry.Zone), MachineType: indexOf(c.host.EngineKinds, entry.Kind), Cell: entry.Cell,
+		ID: e.ID, Zone: indexOf(c.host.Zones, entry.Zone), MachineType: indexOf(c.host.MachineTypes, entry.Kind), Cell: entry.Cell,
 		Health: entry.Health, Scale: entry.Weight, Started: entry.Started,
 	}
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -88,7 +88,7 @@
 	if q.Class < 0 || q.Class >= len(c.countsByClass) {
 		return 0
 	}
-	class := c.host.Module.Classes[q.Class]
+	class := c.host.Policy.Classes[q.Class]
 	forWork := class.ObjectivePerWork * float64(q.EstimatedWork) / float64(max(1, class.Threads))
 	return class.LatencyObjective + time.Duration(forWork)
 }
@@ -150,7 +150,7 @@
 	c.actions = append(c.actions, Reply{
 		ID: id, Verdict: v,
 		RetryAfter:       min(retryAfter, c.host.MaxRetryAfter),
-		DeadlineExceeded: r.deadline-now <= deadlineToleranceTicks*c.host.Module.Tick,
+		DeadlineExceeded: r.deadline-now <= deadlineToleranceTicks*c.host.Policy.Tick,
 	})
 	c.removeIfDone(id, r)
 }
--- a/internal/core/sharing.go
+++ b/internal/core/sharing.go
@@ -29,7 +29,7 @@
 	}
 	unknown := 0
 	for number, g := range s.gateways {
-		if g.InService && g.Zone < 0 && number != c.host.Module.GatewayIndex {
+		if g.InService && g.Zone < 0 && number != c.host.Policy.GatewayIndex {
 			unknown++
 		}
 	}
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -131,7 +131,7 @@
 
 // warmingUp reports whether an engine may still be warming up, by the same rule as the decision module.
 func (c *Core) warmingUp(now time.Duration, e *Engine) bool {
-	return e.info.Started > 0 && now-e.info.Started < c.host.Module.Rules.WarmupTime
+	return e.info.Started > 0 && now-e.info.Started < c.host.Policy.Rules.WarmupTime
 }
 
 // anyWarmedUp reports whether an engine that was passed to the chooser as warming up is warm or unknown by now.
--- a/internal/core/subset_bench_test.go
+++ b/internal/core/subset_bench_test.go
@@ -30,8 +30,8 @@
 func benchCore(b *testing.B, engines int, withSubset bool) *Core {
 	b.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	host := settings.Host{MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, MaxPending: 1000,
-		Module: policy.Settings{Classes: []policy.Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
+	host := settings.Host{MaxRetryAfter: 500 * time.Millisecond, MachineTypes: []string{"m"}, MaxPending: 1000,
+		Policy: policy.Settings{Classes: []policy.Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
 			Weight: 1, Threads: 1}}, Gateways: benchGateways, GatewayIndex: 3, Zone: 3, Zones: benchZones, Tick: 5 * time.Millisecond,
 			MayCancel: true, MaxAttempts: 4, MachineTypes: []policy.MachineType{{Cores: 32}}}}
 	for zone := range benchZones {
--- a/internal/core/subset_helpers_test.go
+++ b/internal/core/subset_helpers_test.go
@@ -54,8 +54,8 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	invariants := invariant.New(log)
 	class := policy.Class{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1, Threads: 1}
-	host := settings.Host{MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, Zones: []string{"z"}, MaxPending: 1000,
-		Module: policy.Settings{Classes: []policy.Class{class}, Gateways: subsetGateways, GatewayIndex: 3, Tick: 5 * time.Millisecond, MayCancel: true,
+	host := settings.Host{MaxRetryAfter: 500 * time.Millisecond, MachineTypes: []string{"m"}, Zones: []string{"z"}, MaxPending: 1000,
+		Policy: policy.Settings{Classes: []policy.Class{class}, Gateways: subsetGateways, GatewayIndex: 3, Tick: 5 * time.Millisecond, MayCancel: true,
 			MaxAttempts: 4, MachineTypes: []policy.MachineType{{Cores: 40}}, Rules: policy.Rules{WarmupTime: 20 * time.Second}}}
 	c, err := New(host, 1, log, invariants)
 	if err != nil {
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -4,5 +4,5 @@
 
 func fail(name string) { panic("invariant broken: " + name) }
 
-// Checks reports whether this build makes checks that cost too much in service.
-const Checks = true
+// ExpensiveChecks reports whether this build makes checks that cost too much in service.
+const ExpensiveChecks = true
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -4,5 +4,5 @@
 
 func fail(string) {}
 
-// Checks reports whether this build makes checks that cost too much in service.
-const Checks = false
+// ExpensiveChecks reports whether this build makes checks that cost too much in service.
+const ExpensiveChecks = false
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -34,13 +34,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	if len(peers) != s.host.Module.Gateways {
-		reason := fmt.Sprintf("%d peers, but the settings are for %d gateways", len(peers), s.host.Module.Gateways)
+	if len(peers) != s.host.Policy.Gateways {
+		reason := fmt.Sprintf("%d peers, but the settings are for %d gateways", len(peers), s.host.Policy.Gateways)
 		return nil, fmt.Errorf("membership: %w", &settings.KeyError{Source: settings.SourceConfiguration, Key: "peers", Reason: reason})
 	}
 	interval, timeout, suspect := s.section.Times()
 	node, err := membership.New(membership.Config{
-		Self: s.host.Module.GatewayIndex, Peers: peers, Fleet: s.section.Fleet, Seed: s.conf.SeedNumber(),
+		Self: s.host.Policy.GatewayIndex, Peers: peers, Fleet: s.section.Fleet, Seed: s.conf.SeedNumber(),
 		Interval: interval, ProbeTimeout: timeout, SuspicionTimeout: suspect,
 		Extensions: s.extensions, ExtensionInterval: s.extensionInterval, ExtensionWeights: s.weights,
 	})
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -58,7 +58,7 @@
 		for _, e := range p.initialEvents {
 			engines = p.dispatcher.UpdateEngines(e.Full, e.Engines)
 		}
-		p.discovery.SetServer(s.conf.Discovery)
+		p.discovery.SetServer(s.conf.DiscoveryAddr)
 		p.scheduleStats()
 	})
 	return engines
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -27,7 +27,7 @@
 // the gateway was started with.
 func (p *program) reloadConfig(old settings.Config) {
 	conf, err := readConfig()
-	if err == nil && conf.Discovery == "" && old.Discovery != "" {
+	if err == nil && conf.DiscoveryAddr == "" && old.DiscoveryAddr != "" {
 		err = &settings.KeyError{Source: settings.SourceConfiguration, Key: "bulletin", Reason: "missing: no discovery server"}
 	}
 	if err != nil {
@@ -39,20 +39,20 @@
 	}
 	events := 0
 	p.loop.Do(func() { events = p.followDiscovery(conf) })
-	p.log.Info("configuration reloaded", "discovery", conf.Discovery, "events", events)
+	p.log.Info("configuration reloaded", "discovery", conf.DiscoveryAddr, "events", events)
 }
 
 // followDiscovery applies the new engine events of a reloaded configuration and switches to its discovery server. It returns
 // the number of new events. It runs on the event loop.
 func (p *program) followDiscovery(conf settings.Config) (events int) {
-	known, err := p.engineEvents.Restore(conf.Known)
+	known, err := p.engineEvents.Restore(conf.InitialEngineEvents)
 	if err != nil {
 		p.log.Warn("invalid engine event in the configuration, relying on the discovery server", "error", err)
 	}
 	for _, e := range known {
 		p.dispatcher.UpdateEngines(e.Full, e.Engines)
 	}
-	p.discovery.SetServer(conf.Discovery)
+	p.discovery.SetServer(conf.DiscoveryAddr)
 	return len(known)
 }
 
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -46,7 +46,7 @@
 	if stopped, err := p.openListeners(ctx, s.conf.Listen); err != nil || stopped {
 		return err
 	}
-	log.Info("serving", "name", s.conf.Name, "listen", s.conf.Listen, "discovery", s.conf.Discovery,
+	log.Info("serving", "name", s.conf.Name, "listen", s.conf.Listen, "discovery", s.conf.DiscoveryAddr,
 		"events", len(p.initialEvents), "engines", engines)
 	p.reloadUntil(ctx, hup, s.conf)
 	overdue := time.NewTimer(p.shutdownDeadline + closeGrace + peerCloseGrace + hangGrace)
--- a/internal/program/run_test.go
+++ b/internal/program/run_test.go
@@ -41,7 +41,7 @@
 // shutdown takes much longer.
 func TestShutdownDeadlineIsBounded(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{time.Second: time.Second, 20 * time.Second: 3 * time.Second} {
-		host := settings.Host{Module: policy.Settings{Classes: []policy.Class{{Deadline: time.Millisecond}, {Deadline: deadline}}}}
+		host := settings.Host{Policy: policy.Settings{Classes: []policy.Class{{Deadline: time.Millisecond}, {Deadline: deadline}}}}
 		if got := shutdownDeadline(host); got != want {
 			t.Errorf("longest class deadline %v: shutdown deadline %v, want %v", deadline, got, want)
 		}
@@ -78,15 +78,15 @@
 	}{
 		{name: "valid", change: func(*settings.Config, *settings.Host) {}},
 		{name: "peer_listen", change: func(c *settings.Config, _ *settings.Host) { c.PeerListen = "nowhere" }, key: "peer_listen", want: "peer_listen"},
-		{name: "gateways", change: func(_ *settings.Config, h *settings.Host) { h.Module.Gateways = 3 }, key: "peers", want: "3 gateways"},
-		{name: "number", change: func(_ *settings.Config, h *settings.Host) { h.Module.GatewayIndex = 2 }, want: "Self is 2, must be an index into"},
+		{name: "gateways", change: func(_ *settings.Config, h *settings.Host) { h.Policy.Gateways = 3 }, key: "peers", want: "3 gateways"},
+		{name: "number", change: func(_ *settings.Config, h *settings.Host) { h.Policy.GatewayIndex = 2 }, want: "Self is 2, must be an index into"},
 		{name: "same address twice", change: func(c *settings.Config, _ *settings.Host) {
 			c.Peers = []string{"127.0.0.2:5", "127.0.0.2:5"}
 		}, want: "Peers[1] is 127.0.0.2:5, must be a valid address with a port, used by no other peer"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			conf := settings.Config{PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.2:5", "127.0.0.3:5"}}
-			host := settings.Host{Module: policy.Settings{Gateways: 2}}
+			host := settings.Host{Policy: policy.Settings{Gateways: 2}}
 			test.change(&conf, &host)
 			s := membershipSetup{section: &settings.Membership{Fleet: "f"}, conf: conf, host: host}
 			m, err := newMembershipDriver(s, eventloop.New(time.Now(), 1), log, invariant.New(log))
--- a/internal/program/setup.go
+++ b/internal/program/setup.go
@@ -112,14 +112,14 @@
 	pool := enginepool.New(loop, log, s.host.ConnectTimeout, s.host.ConnIdleTimeout, sockets.engines)
 	requests := dispatcher.New(loop, c, pool, log)
 	engineEvents := &discovery.Stream{}
-	initialEvents, err := engineEvents.Restore(s.conf.Known)
+	initialEvents, err := engineEvents.Restore(s.conf.InitialEngineEvents)
 	if err != nil {
 		log.Warn("invalid engine event in the configuration, relying on the discovery server", "error", err)
 	}
 	p := &program{
 		loop: loop, dispatcher: requests, invariants: invariants, log: log, host: s.host, operator: s.operator,
 		engineEvents: engineEvents, initialEvents: initialEvents, shutdownDeadline: shutdownDeadline(s.host),
-		discovery: enginewatch.New(loop, requests, log, s.conf.Discovery, engineEvents),
+		discovery: enginewatch.New(loop, requests, log, s.conf.DiscoveryAddr, engineEvents),
 		platform:  frontend.NewPlatformListener(requests, log, sockets.clients.Max, int(bufferLimit)),
 	}
 	if err := p.addOperatorSections(s, sockets); err != nil {
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -30,7 +30,7 @@
 // shutdownDeadline returns the longest deadline of a class, but at most maxShutdownDeadline, as the platform computes it.
 func shutdownDeadline(host settings.Host) time.Duration {
 	longest := time.Duration(0)
-	for _, c := range host.Module.Classes {
+	for _, c := range host.Policy.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	return min(longest, maxShutdownDeadline)
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -56,7 +56,7 @@
 
 // newVersionReporter returns a versionReporter, which sends nothing before the event loop runs.
 func newVersionReporter(s setup, loop *eventloop.Loop, log *slog.Logger, c *core.Core) (*versionReporter, error) {
-	v := &versionReporter{started: loop.Now(), number: s.host.Module.GatewayIndex, core: c, log: log}
+	v := &versionReporter{started: loop.Now(), number: s.host.Policy.GatewayIndex, core: c, log: log}
 	if s.operator.Membership != nil {
 		v.fleet = s.operator.Membership.Fleet
 	}
@@ -67,7 +67,7 @@
 	if v.ownVersion.Settings, err = HashFile(os.Getenv(envOperator)); err != nil {
 		return nil, fmt.Errorf("%s: %w", envOperator, err)
 	}
-	v.versions = rollout.NewVersionTracker(max(1, s.host.Module.Gateways), v.ownVersion)
+	v.versions = rollout.NewVersionTracker(max(1, s.host.Policy.Gateways), v.ownVersion)
 	section := s.operator.Rollout
 	v.sender, err = datagram.NewReporter(loop, section.ReportTo, section.ReportInterval(), v.encodeReport)
 	return v, err
--- a/internal/protocol/enginehttp/query.go
+++ b/internal/protocol/enginehttp/query.go
@@ -47,7 +47,7 @@
 	Statement       []byte
 }
 
-// Query is the state machine of one attempt. It implements attempt.Machine.
+// Query is the state machine of one attempt. It implements attempt.StateMachine.
 type Query struct {
 	req           Request
 	state         state
@@ -81,7 +81,7 @@
 	resultBytes int // total size of pages
 }
 
-var _ attempt.Machine = (*Query)(nil)
+var _ attempt.StateMachine = (*Query)(nil)
 
 // NewQuery returns the state machine of a new attempt and its first steps.
 func NewQuery(req Request) (*Query, []attempt.Step) {
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -24,11 +24,11 @@
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"` // file descriptors
 	} `json:"limits"`
-	PeerListen string          `json:"peer_listen"` // UDP address for the datagrams of other gateways
-	Peers      []string        `json:"peers"`       // the UDP address of each gateway, by number
-	Discovery  string          `json:"bulletin"`    // address of the discovery server; empty = none
-	Known      json.RawMessage `json:"known"`       // engine events before the start, as discovery sends them
-	Settings   json.RawMessage `json:"settings"`    // for ParseHost
+	PeerListen          string          `json:"peer_listen"` // UDP address for the datagrams of other gateways
+	Peers               []string        `json:"peers"`       // the UDP address of each gateway, by number
+	DiscoveryAddr       string          `json:"bulletin"`    // address of the discovery server; empty = none
+	InitialEngineEvents json.RawMessage `json:"known"`       // engine events before the start, as discovery sends them
+	Settings            json.RawMessage `json:"settings"`    // for ParseHost
 }
 
 // ParseConfig reads a configuration. Unknown keys are ignored.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,12 +13,12 @@
 
 // Host is what a gateway needs of the settings object beyond the settings of the decision module.
 type Host struct {
-	Module          policy.Settings
+	Policy          policy.Settings
 	ConnIdleTimeout time.Duration // engines close connections that were idle for so long
 	ConnectTimeout  time.Duration
 	MaxPending      int           // requests that may be pending at once; 0 = no limit
 	MaxRetryAfter   time.Duration // maximum Retry-After of a rejection
-	EngineKinds     []string      // names of the engine kinds, by number
+	MachineTypes    []string      // names of the engine kinds, by number
 	Zones           []string      // names of the zones, by number
 	PeerMessages    bool          // gateways may send each other datagrams
 }
@@ -44,8 +44,8 @@
 	}
 	p := s.Permissions
 	return Host{
-		Module: module, ConnIdleTimeout: p.ConnIdle, ConnectTimeout: p.ConnectTimeout, MaxPending: p.MaxOpen,
-		MaxRetryAfter: p.MaxRetryAfter, EngineKinds: s.Models, Zones: s.Zones, PeerMessages: p.PeerMessages,
+		Policy: module, ConnIdleTimeout: p.ConnIdle, ConnectTimeout: p.ConnectTimeout, MaxPending: p.MaxOpen,
+		MaxRetryAfter: p.MaxRetryAfter, MachineTypes: s.Models, Zones: s.Zones, PeerMessages: p.PeerMessages,
 	}, nil
 }
 
--- a/internal/testbed/capacity/measure/discovery.go
+++ b/internal/testbed/capacity/measure/discovery.go
@@ -48,11 +48,11 @@
 // newCore returns the core of a gateway with the target's settings.
 func newCore() (*core.Core, error) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	host := settings.Host{MaxRetryAfter: time.Second, EngineKinds: []string{engineKind}, MaxPending: 20_000, Module: decisionSettings(800)}
+	host := settings.Host{MaxRetryAfter: time.Second, MachineTypes: []string{engineKind}, MaxPending: 20_000, Policy: decisionSettings(800)}
 	for zone := range zoneCount {
 		host.Zones = append(host.Zones, zoneName(zone))
 	}
-	host.Module.Zones = zoneCount
+	host.Policy.Zones = zoneCount
 	return core.New(host, 1, log, invariant.New(log))
 }
 
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -95,8 +95,8 @@
 
 // rejectClass allows the first class of large queries on no kind of engine, so that the program rejects it.
 func rejectClass(h *settings.Host) {
-	i := slices.IndexFunc(h.Module.Classes, func(c policy.Class) bool { return c.Threads > 2 })
-	h.Module.Classes[max(0, i)].RestrictMachineTypes = true
+	i := slices.IndexFunc(h.Policy.Classes, func(c policy.Class) bool { return c.Threads > 2 })
+	h.Policy.Classes[max(0, i)].RestrictMachineTypes = true
 }
 
 // leakMemory allocates memory and keeps it.
--- a/internal/testbed/simproto/actions.go
+++ b/internal/testbed/simproto/actions.go
@@ -14,13 +14,13 @@
 	codeFatal                = 73
 	codeSubscribe            = 74
 	codeFetchEngineList      = 75
-	codeSetTerms             = 76
+	codeSetResources         = 76
 )
 
 // Codes that bound the actions.
 const (
 	firstAction = codeSendAttempt
-	lastAction  = codeSetTerms
+	lastAction  = codeSetResources
 )
 
 // SendAttempt sends an attempt of a request to an engine.
@@ -189,17 +189,17 @@
 	c.u32(&r.Instance)
 }
 
-// SetTerms sets the memory grant and priority with which a request's attempts run.
-type SetTerms struct {
+// SetResources sets the memory grant and priority with which a request's attempts run.
+type SetResources struct {
 	Instance uint32
 	Request  uint32
 	GrantMB  float32
 	Priority uint8
 }
 
-func (*SetTerms) code() uint8 { return codeSetTerms }
+func (*SetResources) code() uint8 { return codeSetResources }
 
-func (r *SetTerms) fields(c *cursor) {
+func (r *SetResources) fields(c *cursor) {
 	c.u32(&r.Instance)
 	c.u32(&r.Request)
 	c.f32(&r.GrantMB)
--- a/internal/testbed/simproto/cursor.go
+++ b/internal/testbed/simproto/cursor.go
@@ -82,10 +82,10 @@
 }
 
 func (c *cursor) load(v *LoadReport) {
-	c.u8(&v.N)
-	if v.N > maxLoadValues {
-		c.limit("number of load values", uint64(v.N), maxLoadValues)
-		v.N = 0
+	c.u8(&v.Count)
+	if v.Count > maxLoadValues {
+		c.limit("number of load values", uint64(v.Count), maxLoadValues)
+		v.Count = 0
 	}
 	for i := range v.Values {
 		c.f32(&v.Values[i])
@@ -146,7 +146,7 @@
 func (c *cursor) entry(e *EngineEntry) {
 	c.engine(&e.Engine)
 	c.u8(&e.Zone)
-	c.u16(&e.Kind)
+	c.u16(&e.MachineType)
 	c.u16(&e.Cell)
 	c.u8(&e.Health)
 	c.f32(&e.Scale)
--- a/internal/testbed/simproto/frame_test.go
+++ b/internal/testbed/simproto/frame_test.go
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	d := b.Events[0].(*AttemptEnded)
-	if d.Outcome != 100 || d.Terminal != 1 || d.Duration != 18500000 || d.Usage != 0x011060 || d.Report.N != 3 || d.Report.Values[1] != 7 {
+	if d.Outcome != 100 || d.Terminal != 1 || d.Duration != 18500000 || d.Usage != 0x011060 || d.Report.Count != 3 || d.Report.Values[1] != 7 {
 		t.Fatalf("outcome %+v", d)
 	}
 	l := b.Events[1].(*EngineList)
@@ -101,9 +101,9 @@
 
 func TestEveryRecordRoundTrips(t *testing.T) {
 	id := EngineID{IP: [4]byte{1, 2, 3, 4}, Port: 5}
-	load := LoadReport{N: 2, Values: [4]float32{1, 2}}
+	load := LoadReport{Count: 2, Values: [4]float32{1, 2}}
 	events := []Record{
-		&EngineList{Number: 3, Entries: []EngineEntry{{Engine: id, Zone: 1, Kind: 2, Cell: 3, Health: 2, Scale: 1.5, Started: 9}}},
+		&EngineList{Number: 3, Entries: []EngineEntry{{Engine: id, Zone: 1, MachineType: 2, Cell: 3, Health: 2, Scale: 1.5, Started: 9}}},
 		&Progress{1, 2, 3, id, 1, 0.5}, &ResponseStarted{1, 2, 3, id, 4}, &StartInstance{1, 2, []byte("{}")},
 		&RequestArrived{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, &HealthCheckEnded{1, id, 100, 7, load}, &PeerMessage{1, 2, []byte("hi")},
 		&ClientGone{1, 2}, &EngineListChanged{1, 2, 3, 4}, &StopInstance{1}, &AttemptEnded{1, 2, 3, id, 100, 5, 1, 7, load}, &TimerFired{1, 2},
@@ -115,7 +115,7 @@
 	actions := []Record{
 		&SendAttempt{1, 2, id, 3}, &Reject{1, 2, 3}, &Fail{1, 2}, &CancelAttempt{1, 2, 3}, &SetTimer{1, 2, 3},
 		&HealthCheck{1, id}, &CloseIdleConnections{1, id}, &SendPeerMessage{1, 2, []byte("x")}, &Log{1, []byte("y")},
-		&Fatal{1, []byte("z")}, &Subscribe{1, 1}, &FetchEngineList{1}, &SetTerms{1, 2, 3, 2},
+		&Fatal{1, []byte("z")}, &Subscribe{1, 1}, &FetchEngineList{1}, &SetResources{1, 2, 3, 2},
 	}
 	got, err := ReadReply(bytes.NewReader(AppendReply(nil, actions)))
 	if err != nil || !reflect.DeepEqual(got, actions) {
--- a/internal/testbed/simproto/record.go
+++ b/internal/testbed/simproto/record.go
@@ -34,7 +34,7 @@
 	func() Record { return new(Fatal) },
 	func() Record { return new(Subscribe) },
 	func() Record { return new(FetchEngineList) },
-	func() Record { return new(SetTerms) },
+	func() Record { return new(SetResources) },
 )
 
 func constructorsByCode(list ...func() Record) (byCode [256]func() Record) {
@@ -61,17 +61,17 @@
 
 // LoadReport is a load report of up to four metrics; the settings of the instance name them.
 type LoadReport struct {
-	N      uint8 // number of values that are valid
+	Count  uint8 // number of values that are valid
 	Values [maxLoadValues]float32
 }
 
 // EngineEntry is one engine in an EngineList.
 type EngineEntry struct {
-	Engine  EngineID
-	Zone    uint8
-	Kind    uint16
-	Cell    uint16
-	Health  uint8 // at most maxHealth
-	Scale   float32
-	Started uint64 // ns of the simulator's clock
+	Engine      EngineID
+	Zone        uint8
+	MachineType uint16
+	Cell        uint16
+	Health      uint8 // at most maxHealth
+	Scale       float32
+	Started     uint64 // ns of the simulator's clock
 }
--- a/internal/transport/datagram/membership.go
+++ b/internal/transport/datagram/membership.go
@@ -127,7 +127,7 @@
 	for _, e := range m.node.Events() {
 		m.handle(e)
 	}
-	if invariant.Checks {
+	if invariant.ExpensiveChecks {
 		err := m.node.CheckInvariants()
 		m.invariants.Check(err == nil, "membership", "error", err)
 	}
--- a/internal/transport/dispatcher/attempt.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -19,7 +19,7 @@
 	pool       *enginepool.Pool
 	start      core.StartAttempt
 	addr       string
-	machine    attempt.Machine
+	machine    attempt.StateMachine
 	relay      func([]byte)
 	channels   [2]*channel // by attempt.Channel; nil if not in use
 	timers     map[attempt.Timer]*eventloop.Timer
@@ -36,7 +36,7 @@
 
 // StartAttempt starts an attempt on the engine at addr and executes the machine's first steps. relay is called with the parts of the
 // response that are relayed to the client before the attempt ends.
-func StartAttempt(d *Dispatcher, pool *enginepool.Pool, start core.StartAttempt, addr string, machine attempt.Machine, steps []attempt.Step,
+func StartAttempt(d *Dispatcher, pool *enginepool.Pool, start core.StartAttempt, addr string, machine attempt.StateMachine, steps []attempt.Step,
 	relay func([]byte)) *AttemptDriver {
 	a := &AttemptDriver{
 		dispatcher: d,
--- a/internal/transport/frontend/fixture_test.go
+++ b/internal/transport/frontend/fixture_test.go
@@ -57,8 +57,8 @@
 	nonIdempotent.Name, nonIdempotent.Idempotency = nonIdempotentClass, policy.NotIdempotent
 	keyed.Name, keyed.Idempotency, keyed.DedupWindow = keyedClass, policy.IdempotentWithKey, dedupWindow
 	invariants := invariant.New(log)
-	gatewayCore, err := core.New(settings.Host{MaxRetryAfter: 500 * time.Millisecond, EngineKinds: []string{"m"}, Zones: []string{"z"},
-		Module: policy.Settings{Classes: []policy.Class{class, nonIdempotent, keyed}, MachineTypes: []policy.MachineType{{Cores: 8}}, Gateways: 1,
+	gatewayCore, err := core.New(settings.Host{MaxRetryAfter: 500 * time.Millisecond, MachineTypes: []string{"m"}, Zones: []string{"z"},
+		Policy: policy.Settings{Classes: []policy.Class{class, nonIdempotent, keyed}, MachineTypes: []policy.MachineType{{Cores: 8}}, Gateways: 1,
 			Tick: 5 * time.Millisecond, MayCancel: true, MaxAttempts: 4}}, 1, log, invariants)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/frontend/platform_test.go
+++ b/internal/transport/frontend/platform_test.go
@@ -26,7 +26,7 @@
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	class := policy.Class{Name: "lookup", LatencyObjective: time.Second, Deadline: time.Minute, Weight: 1, Threads: 1}
-	gatewayCore, err := core.New(settings.Host{Module: policy.Settings{Classes: []policy.Class{class}, Gateways: 1,
+	gatewayCore, err := core.New(settings.Host{Policy: policy.Settings{Classes: []policy.Class{class}, Gateways: 1,
 		Tick: 5 * time.Millisecond}}, 1, log, invariant.New(log))
 	if err != nil {
 		t.Fatal(err)
