--- a/internal/protocol/jsonrpc/golden_test.go
+++ b/internal/protocol/jsonrpc/golden_test.go
@@ -21,7 +21,7 @@
 	"[]\n",
 }
 
-// The events of the platform's lines, and the lines of the responses, are those of the golden file.
+// The events parsed from client lines, and the formatted response lines, equal the golden file.
 func TestPlatformTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
@@ -38,9 +38,9 @@
 		}
 		fmt.Fprintf(&out, "  error %v\n", err != nil)
 	}
-	for _, answer := range [][]byte{Result("7", []byte("rows\n")), Rejected("7", 1500*time.Millisecond), Rejected(`"a"`, 0),
+	for _, response := range [][]byte{Result("7", []byte("rows\n")), Rejected("7", 1500*time.Millisecond), Rejected(`"a"`, 0),
 		Failed("7", "failed"), Pong("8", true), Pong("8", false)} {
-		fmt.Fprintf(&out, "out %q\n", answer)
+		fmt.Fprintf(&out, "out %q\n", response)
 	}
 	testutil.Golden(t, "platform.golden", []byte(out.String()))
 }
--- a/internal/protocol/jsonrpc/jsonrpc_test.go
+++ b/internal/protocol/jsonrpc/jsonrpc_test.go
@@ -18,11 +18,12 @@
 func (classes) Class(name string) (int, bool) { return 3, name == "report" }
 func (classes) NeedsIdempotencyKey(int) bool  { return false }
 
-// validCall is a query with all parameters.
+// validCall is the line of a query with all parameters.
 const validCall = `{"jsonrpc":"2.0","id":7,"method":"report","params":{` +
 	`"rid":"9b1f03aa5c7e2d41","budget":1500,"again":1,"token":"5c0f","est":820.0,"ram":96,"blob":"U0VMRUNU"}}` + "\n"
 
-func TestCallInAnyPieces(t *testing.T) {
+// A call is parsed independently of how the input is split.
+func TestCallWithSplitInput(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s, rest := NewSession(classes{}), []byte(validCall)
 		var got []Event
@@ -45,29 +46,30 @@
 	})
 }
 
+// The response to an invalid line has the error code of the first check that fails.
 func TestInvalidLinesGetAnError(t *testing.T) {
 	edit := func(from, to string) string { return strings.Replace(validCall, from, to, 1) }
 	for name, c := range map[string]struct {
 		line string
 		code int
 	}{
-		"no JSON":             {"nonsense\n", codeParse},
-		"batch":               {"[" + validCall[:len(validCall)-1] + "]\n", codeParse},
-		"empty object":        {"{}\n", codeRequest},
-		"other version":       {edit(`"2.0"`, `"1.0"`), codeRequest},
-		"object as id":        {edit(`7`, `{}`), codeRequest},
-		"unknown method":      {edit("report", "nosuch"), codeMethod},
-		"budget of 0":         {edit("1500", "0"), codeParams},
-		"text as budget":      {edit("1500", `"x"`), codeParams},
-		"negative budget":     {edit("1500", "-1"), codeParams},
-		"huge budget":         {edit("1500", "1e99"), codeParams},
-		"blob not in base64":  {edit("U0VMRUNU", "%"), codeParams},
-		"line feed in rid":    {edit("9b1f", `9\r\nX: `), codeParams},
-		"path in rid":         {edit("9b1f", "../"), codeParams},
-		"space in token":      {edit("5c0f", "a b"), codeParams},
-		"negative memory":     {edit("96", "-96"), codeParams},
-		"no blob":             {edit(`,"blob":"U0VMRUNU"`, ""), codeParams},
-		"query without an id": {edit(`"id":7,`, ""), codeRequest},
+		"not JSON":            {"nonsense\n", codeParseError},
+		"batch":               {"[" + validCall[:len(validCall)-1] + "]\n", codeParseError},
+		"empty object":        {"{}\n", codeInvalidRequest},
+		"wrong version":       {edit(`"2.0"`, `"1.0"`), codeInvalidRequest},
+		"object as id":        {edit(`7`, `{}`), codeInvalidRequest},
+		"unknown method":      {edit("report", "nosuch"), codeMethodNotFound},
+		"budget of 0":         {edit("1500", "0"), codeInvalidParams},
+		"text as budget":      {edit("1500", `"x"`), codeInvalidParams},
+		"negative budget":     {edit("1500", "-1"), codeInvalidParams},
+		"huge budget":         {edit("1500", "1e99"), codeInvalidParams},
+		"blob not in base64":  {edit("U0VMRUNU", "%"), codeInvalidParams},
+		"line feed in rid":    {edit("9b1f", `9\r\nX: `), codeInvalidParams},
+		"path in rid":         {edit("9b1f", "../"), codeInvalidParams},
+		"space in token":      {edit("5c0f", "a b"), codeInvalidParams},
+		"negative memory":     {edit("96", "-96"), codeInvalidParams},
+		"no blob":             {edit(`,"blob":"U0VMRUNU"`, ""), codeInvalidParams},
+		"query without an id": {edit(`"id":7,`, ""), codeInvalidRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			events, err := NewSession(classes{}).Feed([]byte(c.line))
@@ -78,9 +80,9 @@
 	}
 }
 
-// There are never two responses for one ID: whatever else comes with the ID of an open call is rejected, and the error has no ID,
-// as it would be read as the response to the open call.
-func TestIDInUse(t *testing.T) {
+// A message with the ID of an open call is rejected. The error has a null ID, because a client would read an error with that ID as
+// the response to the open call.
+func TestIDOfOpenCallIsRejected(t *testing.T) {
 	for name, second := range map[string]string{
 		"query":          validCall,
 		"invalid query":  strings.Replace(validCall, "1500", "-1", 1),
@@ -98,11 +100,11 @@
 	}
 }
 
-func TestAbort(t *testing.T) {
+func TestAbortFindsOpenCall(t *testing.T) {
 	for name, params := range map[string]string{
 		"by id":         `"params":{"id":7}`,
 		"by rid":        `"params":{"rid":"9b1f03aa5c7e2d41"}`,
-		"by its own id": `"id":7`,
+		"by message id": `"id":7`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewSession(classes{})
@@ -114,7 +116,7 @@
 	}
 }
 
-func TestLineTooLong(t *testing.T) {
+func TestTooLongLineIsRejected(t *testing.T) {
 	s, line := NewSession(classes{}), bytes.Repeat([]byte("x"), 1<<16)
 	var err error
 	for i := 0; err == nil && i < 2*maxLineBytes/len(line); i++ {
--- a/internal/protocol/jsonrpc/session.go
+++ b/internal/protocol/jsonrpc/session.go
@@ -1,6 +1,6 @@
-// Package jsonrpc implements the gateway's side of the platform's JSON-RPC 2.0 protocol, one message a line: Session parses the
-// lines of a client into events, and the other functions format responses. It owns no socket, clock or goroutine. The methods of a
-// Session are called on the event loop.
+// Package jsonrpc implements the server side of the platform's JSON-RPC 2.0 protocol, with one message per line: Session parses
+// the lines of a client into events, and the other functions format responses. The package owns no socket, clock or goroutine. The
+// methods of a Session must be called on the event loop.
 package jsonrpc
 
 import (
@@ -11,58 +11,58 @@
 	"time"
 )
 
-// Limits of what a client may send.
+// Limits of a client's input.
 const (
-	maxLineBytes   = 256 << 10 // a statement is written by a person; incomplete lines are kept in memory
-	maxOpenCalls   = 32        // of one connection
+	maxLineBytes   = 256 << 10 // ample for statements written by people; an incomplete line is held in memory
+	maxOpenCalls   = 32        // per connection
 	maxBudget      = 24 * time.Hour
 	maxEstimate    = 1e9 // milliseconds or MB
 	maxIDBytes     = 64
-	maxHeaderBytes = 256 // of a field that is sent on in an HTTP header
+	maxHeaderBytes = 256 // of a parameter that is forwarded in an HTTP header
 )
 
-// nullID stands for a missing ID.
+// nullID is the ID in responses to messages without a valid ID.
 const nullID = "null"
 
-// ErrLineTooLong is returned by Session.Feed for a line over the limit. The lines behind it cannot be found any more, so nothing
-// more of the connection is to be read.
+// ErrLineTooLong is returned by Session.Feed for a line over the limit. The start of the next line is unknown then, so the caller
+// must not read further input from the connection.
 var ErrLineTooLong = errors.New("line too long")
 
-// Call is a query of a client.
+// Call is a query that a client sent.
 type Call struct {
 	Class             int
 	ID                string // as encoded in JSON
-	RID               string // names the query towards the engine
+	RID               string // request ID under which the query is sent to the engine
 	Token             string // idempotency key; empty for none
 	Statement         []byte
 	Budget            time.Duration
-	EstimatedWork     time.Duration // 0 if the client gives none
-	EstimatedMemoryMB float64       // 0 if the client gives none
+	EstimatedWork     time.Duration // 0 if not given
+	EstimatedMemoryMB float64       // 0 if not given
 	IsClientRetry     bool
 }
 
-// Event is the meaning of one line. One field is set at most; an event without any has no effect.
+// Event is the result of parsing one line. At most one field is set; an event without any field has no effect.
 type Event struct {
 	Call  *Call
-	Abort string // ID of the call that its client has aborted
-	Ping  string // ID of the ping, to be answered with Pong
-	Reply []byte // a line to be sent at once
+	Abort string // ID of the open call to abort
+	Ping  string // ID of a ping, to be answered with Pong
+	Reply []byte // an error response to send at once
 }
 
-// Classes are the classes of queries, each of which is a method that clients can call.
+// Classes provides the classes of queries. Each is a method that clients can call.
 type Classes interface {
-	// Class returns the number of a class, and whether there is one of this name.
+	// Class returns the index of the class with this name, and whether it exists.
 	Class(name string) (int, bool)
-	// NeedsIdempotencyKey reports whether queries of a class are only accepted with a token.
+	// NeedsIdempotencyKey reports whether queries of a class are rejected without a token.
 	NeedsIdempotencyKey(class int) bool
 }
 
-// Session is one connection of a client.
+// Session is the protocol state of one client connection.
 type Session struct {
 	classes  Classes
-	buf      []byte            // received, not parsed yet
-	scanned  int               // bytes of buf in which there is no line feed
-	openRIDs map[string]string // of the open calls, by ID
+	buf      []byte            // received bytes that are not parsed yet
+	scanned  int               // length of the start of buf that is known to have no line feed
+	openRIDs map[string]string // request IDs of the open calls, by call ID
 }
 
 // NewSession returns a Session without open calls.
@@ -70,20 +70,20 @@
 	return &Session{classes: classes, openRIDs: map[string]string{}}
 }
 
-// OpenCalls returns how many calls are open.
+// OpenCalls returns the number of open calls.
 func (s *Session) OpenCalls() int { return len(s.openRIDs) }
 
-// BufferedBytes returns how many bytes of an incomplete line have been received.
+// BufferedBytes returns the number of bytes buffered of an incomplete line.
 func (s *Session) BufferedBytes() int { return len(s.buf) }
 
-// DiscardInput discards an incomplete line, after which Feed must not be called any more. Open calls stay open.
+// DiscardInput discards an incomplete line. Feed must not be called afterwards. Open calls stay open.
 func (s *Session) DiscardInput() { s.buf, s.scanned = nil, 0 }
 
-// EndCall removes an open call that has its response, or needs none.
+// EndCall removes an open call whose response was sent or is not needed.
 func (s *Session) EndCall(id string) { delete(s.openRIDs, id) }
 
-// Feed parses further bytes and returns the events of the lines that they complete. The only error is ErrLineTooLong, with which
-// the events of the lines before it are returned.
+// Feed parses received bytes and returns the events of the lines that they complete. The only error is ErrLineTooLong; the events
+// of the lines before the long one are returned with it.
 func (s *Session) Feed(b []byte) ([]Event, error) {
 	s.buf = append(s.buf, b...)
 	var events []Event
@@ -111,7 +111,7 @@
 		return ErrLineTooLong
 	}
 	if s.scanned == 0 {
-		s.buf = nil // frees the memory of the last line
+		s.buf = nil // releases the memory of the last line
 	}
 	return nil
 }
@@ -123,12 +123,12 @@
 	Params  json.RawMessage `json:"params"`
 }
 
-// params has the parameters of all methods.
+// params holds the parameters of all methods.
 type params struct {
 	RID               string          `json:"rid"`
 	ID                json.RawMessage `json:"id"`
 	BudgetMS          float64         `json:"budget"`
-	IsRetry           any             `json:"again"` // set unless missing, null, false or 0
+	IsRetry           any             `json:"again"` // true unless missing, null, false or 0
 	Token             string          `json:"token"`
 	EstimatedMS       float64         `json:"est"`
 	EstimatedMemoryMB float64         `json:"ram"`
@@ -138,18 +138,18 @@
 func (s *Session) parseLine(line []byte) Event {
 	var m message
 	if err := json.Unmarshal(line, &m); err != nil {
-		return errorReply(nullID, codeParse, "not a JSON-RPC line")
+		return errorReply(nullID, codeParseError, "not a JSON-RPC line")
 	}
 	id := string(m.ID)
 	if id == "" {
 		id = nullID
 	}
-	if m.Version != "2.0" || m.Method == "" || !plainID(id) {
-		return errorReply(nullID, codeRequest, "not a JSON-RPC 2.0 request")
+	if m.Version != "2.0" || m.Method == "" || !validID(id) {
+		return errorReply(nullID, codeInvalidRequest, "not a JSON-RPC 2.0 request")
 	}
 	_, inUse := s.openRIDs[id]
 	if inUse && m.Method != "abort" { // an error with that ID would be read as the response to the open call
-		return errorReply(nullID, codeRequest, "the id is in use")
+		return errorReply(nullID, codeInvalidRequest, "the id is in use")
 	}
 	var p params
 	if len(m.Params) > 0 {
@@ -157,7 +157,7 @@
 			if inUse {
 				id = nullID
 			}
-			return errorReply(id, codeParams, "params are of another form")
+			return errorReply(id, codeInvalidParams, "params are of another form")
 		}
 	}
 	return s.parseMethod(id, m.Method, p)
@@ -172,10 +172,10 @@
 	}
 	class, known := s.classes.Class(method)
 	if !known {
-		return errorReply(id, codeMethod, "no such method")
+		return errorReply(id, codeMethodNotFound, "no such method")
 	}
 	if id == nullID {
-		return errorReply(id, codeRequest, "a query needs an id")
+		return errorReply(id, codeInvalidRequest, "a query needs an id")
 	}
 	return s.parseCall(id, class, p)
 }
@@ -184,19 +184,19 @@
 	statement, err := decodeBlob(p.Blob)
 	switch {
 	case err != nil:
-		return errorReply(id, codeParams, "blob is not base64")
+		return errorReply(id, codeInvalidParams, "blob is not base64")
 	case !(p.BudgetMS > 0) || p.BudgetMS > float64(maxBudget/time.Millisecond):
-		return errorReply(id, codeParams, "budget is not a time")
+		return errorReply(id, codeInvalidParams, "budget is not a time")
 	case !headerSafe(p.RID) || p.RID == "" || strings.ContainsAny(p.RID, "/ ?#%"):
-		return errorReply(id, codeParams, "rid is not a name")
+		return errorReply(id, codeInvalidParams, "rid is not a name")
 	case !headerSafe(p.Token):
-		return errorReply(id, codeParams, "token is not a key")
+		return errorReply(id, codeInvalidParams, "token is not a key")
 	case s.classes.NeedsIdempotencyKey(class) && p.Token == "":
-		return errorReply(id, codeParams, "this class needs a token")
+		return errorReply(id, codeInvalidParams, "this class needs a token")
 	case !validEstimate(p.EstimatedMS) || !validEstimate(p.EstimatedMemoryMB):
-		return errorReply(id, codeParams, "est or ram is no figure")
+		return errorReply(id, codeInvalidParams, "est or ram is no figure")
 	case len(s.openRIDs) >= maxOpenCalls:
-		return errorReply(id, codeRequest, "too many calls are open")
+		return errorReply(id, codeInvalidRequest, "too many calls are open")
 	}
 	s.openRIDs[id] = p.RID
 	return Event{Call: &Call{
@@ -212,8 +212,8 @@
 	}}
 }
 
-// findAborted returns the open call that an abort names: by the ID or the RID in its params, or by its own ID. An abort that names
-// none has no effect.
+// findAborted returns an event for the open call that an abort identifies: by the ID or RID in its params, or by the ID of the abort
+// message itself. An abort that matches no open call has no effect.
 func (s *Session) findAborted(id string, p params) Event {
 	for _, candidate := range []string{string(p.ID), id} {
 		if _, open := s.openRIDs[candidate]; open {
--- a/internal/protocol/jsonrpc/values.go
+++ b/internal/protocol/jsonrpc/values.go
@@ -26,12 +26,12 @@
 // validEstimate reports whether a client's estimate is in range.
 func validEstimate(n float64) bool { return n >= 0 && n <= maxEstimate }
 
-// plainID reports whether an ID can be sent back as it is: a number, a string or null.
-func plainID(id string) bool {
+// validID reports whether an ID can be echoed in a response: a number, a string or null.
+func validID(id string) bool {
 	return len(id) <= maxIDBytes && (id == nullID || id[0] == '"' || id[0] == '-' || id[0] >= '0' && id[0] <= '9')
 }
 
-// headerSafe reports whether a text can be sent as the value of an HTTP header.
+// headerSafe reports whether s can be sent as an HTTP header value.
 func headerSafe(s string) bool {
 	unsafe := func(r rune) bool { return r <= ' ' || r >= 0x7f }
 	return len(s) <= maxHeaderBytes && strings.IndexFunc(s, unsafe) < 0
