--- a/internal/protocol/discovery/event.go
+++ b/internal/protocol/discovery/event.go
@@ -13,15 +13,15 @@
 // ErrInvalidEvent is wrapped by the errors of Feed. The caller must reconnect and resume after the last valid event.
 var ErrInvalidEvent = errors.New("invalid discovery event")
 
-// EventError is an ErrInvalidEvent with its reason.
+// EventError reports an invalid field of an event. It matches ErrInvalidEvent.
 type EventError struct {
-	Field string // of the event
+	Field string // field of the event, or a property of its line
 	Value any
-	Bound string // that the value violates
-	Err   error  // of the JSON decoder, or nil
+	Bound string // requirement that the value violates
+	Err   error  // error of the JSON decoder, or nil
 }
 
-// Error names the field, the value and the bound.
+// Error gives the field, its value and the requirement.
 func (e *EventError) Error() string {
 	text := fmt.Sprintf("%v: %s is %v, must be %s", ErrInvalidEvent, e.Field, e.Value, e.Bound)
 	if e.Err != nil {
@@ -43,7 +43,7 @@
 	Engines         []core.ListedEngine
 }
 
-// wireEvent is the JSON form of an event, or of the latest resource version if it has no roster.
+// wireEvent is an event in JSON. Without a roster it only gives the server's latest resource version.
 type wireEvent struct {
 	Version *int64      `json:"no"`
 	Roster  *wireRoster `json:"roster"`
@@ -62,17 +62,17 @@
 	Cell      int     `json:"cell"`
 	Lifecycle string  `json:"lifecycle"`
 	Weight    float64 `json:"weight"`
-	Started   int64   `json:"startedAtMs"` // Unix time
+	Started   int64   `json:"startedAtMs"` // Unix time in milliseconds
 }
 
-var lifecycles = map[string]policy.Health{
+var healthByLifecycle = map[string]policy.Health{
 	"in_service":  policy.Ready,
 	"terminating": policy.Draining,
 	"terminated":  policy.Gone,
 }
 
-// parseEvent parses an event that follows the last one and remembers its resource version. The event is nil if it is a
-// duplicate, sent again after a reconnect, or only a resource version.
+// parseEvent parses an event and advances the stream's resource version to it. The returned event is nil if it is a duplicate
+// that was resent after a reconnect, or only gives a resource version.
 func (s *Stream) parseEvent(text []byte) (*Event, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -102,9 +102,9 @@
 	return event, nil
 }
 
-// listedEngine validates an engine and converts it.
+// listedEngine validates and converts an engine.
 func (e *wireEngine) listedEngine() (core.ListedEngine, error) {
-	health, known := lifecycles[e.Lifecycle]
+	health, known := healthByLifecycle[e.Lifecycle]
 	switch {
 	case !known:
 		return core.ListedEngine{}, e.invalid("lifecycle", e.Lifecycle, "in_service, terminating or terminated")
@@ -130,5 +130,5 @@
 	return &EventError{Field: fmt.Sprintf("%s of engine %q at %q", field, e.ID, e.Addr), Value: fmt.Sprintf("%q", value), Bound: bound}
 }
 
-// excerpt returns the start of a line, quoted.
+// excerpt returns the quoted start of a line.
 func excerpt(text []byte) string { return fmt.Sprintf("%.80q", text) }
--- a/internal/protocol/discovery/golden_test.go
+++ b/internal/protocol/discovery/golden_test.go
@@ -8,7 +8,7 @@
 	"frostpier/internal/testutil"
 )
 
-// The watch requests and the events parsed do not change.
+// Watch requests and parsed events equal the golden file.
 func TestWatchTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
--- a/internal/protocol/discovery/stream.go
+++ b/internal/protocol/discovery/stream.go
@@ -1,9 +1,9 @@
 // Package discovery parses the watch stream of the engine list: the events of the configuration and those of the
 // discovery server, each with its resource version.
 //
-// The package owns the line format, the order of the events and the resource version to resume after. It does no input or
-// output, reads no clock and starts no goroutine; a Stream is not safe for concurrent use, and all its calls come from the
-// gateway's event loop.
+// The package handles the line format, the order of the events and the resource version after which a watch resumes. It does
+// no I/O, reads no clock and starts no goroutine. A Stream is not safe for concurrent use; its methods must be called on the
+// event loop.
 package discovery
 
 import (
@@ -13,47 +13,47 @@
 	"strconv"
 )
 
-// maxLineBytes is the upper bound of a line: an event may carry the whole engine list.
+// maxLineBytes is the maximum length of a line. An event may contain the whole engine list.
 const maxLineBytes = 4 << 20
 
-// Stream parses the events of a watch in order and remembers the last resource version. The zero value is ready for use.
+// Stream parses the events of a watch in order and tracks the last resource version. The zero value is ready for use.
 type Stream struct {
 	resourceVersion int64
-	buffer          []byte // the start of a line that is not complete yet
-	failed          bool   // after an error: the rest of this connection's input is ignored
+	buffer          []byte // start of an incomplete line
+	failed          bool   // set by an error: the rest of this connection's input is ignored
 	linesRead       int
 }
 
 // LinesRead returns the number of complete lines received.
 func (s *Stream) LinesRead() int { return s.linesRead }
 
-// ResourceVersion returns the resource version of the last event applied.
+// ResourceVersion returns the resource version of the last event.
 func (s *Stream) ResourceVersion() int64 { return s.resourceVersion }
 
-// Restore parses the events of a configuration, which is empty or the JSON object {"no": last resource version, "items":
-// events}. At the start it returns all of them, the first as the full list. When the configuration is reloaded it returns
-// only those that follow the last event; the watch delivers what the configuration lacks. The error is that of the JSON
-// decoder, or wraps ErrInvalidEvent.
+// Restore parses the events in a configuration, which is empty or the JSON object {"no": last resource version, "items":
+// events}. The first call returns all events, the first of them as the full list. When the configuration is reloaded, Restore
+// returns only the events that follow the last one; the watch delivers those that the configuration does not have. The error
+// is that of the JSON decoder, or wraps ErrInvalidEvent.
 func (s *Stream) Restore(text []byte) ([]Event, error) {
 	if len(text) == 0 {
 		return nil, nil
 	}
-	var known struct {
+	var config struct {
 		Version int64             `json:"no"`
 		Items   []json.RawMessage `json:"items"`
 	}
-	if err := json.Unmarshal(text, &known); err != nil {
-		return nil, fmt.Errorf("known events: %w", err)
+	if err := json.Unmarshal(text, &config); err != nil {
+		return nil, fmt.Errorf("engine events of the configuration: %w", err)
 	}
 	reloaded := s.resourceVersion > 0
-	events, err := s.parseEvents(known.Items)
+	events, err := s.parseEvents(config.Items)
 	if err != nil || reloaded {
 		return events, err
 	}
 	if len(events) > 0 {
 		events[0].Full = true
 	}
-	s.resourceVersion = max(s.resourceVersion, known.Version)
+	s.resourceVersion = max(s.resourceVersion, config.Version)
 	return events, nil
 }
 
@@ -71,14 +71,14 @@
 	return events, nil
 }
 
-// Request returns the watch request, which resumes after the last event. It must be the first line of every connection.
+// Request returns the watch request, which resumes after the last event. It must be the first line sent on each connection.
 func (s *Stream) Request() []byte {
 	s.buffer, s.failed = nil, false
 	return fmt.Appendf(nil, "after %d\n", s.resourceVersion)
 }
 
-// Feed parses received bytes and returns the events that they complete. An error wraps ErrInvalidEvent; after one the
-// caller must reconnect, and until the next Request further input is ignored.
+// Feed parses received bytes and returns the events that they complete. An error wraps ErrInvalidEvent. After an error the
+// caller must reconnect; input is ignored until the next call of Request.
 func (s *Stream) Feed(b []byte) ([]Event, error) {
 	if s.failed {
 		return nil, nil
@@ -101,7 +101,7 @@
 	}
 }
 
-// nextLine removes the next complete line from the buffer.
+// nextLine removes the next complete line from the buffer and returns it.
 func (s *Stream) nextLine() (line []byte, complete bool) {
 	end := bytes.IndexByte(s.buffer, '\n')
 	if end < 0 {
@@ -122,8 +122,8 @@
 	return &EventError{Field: "line length", Value: len(s.buffer), Bound: fmt.Sprintf("at most %d bytes", maxLineBytes)}
 }
 
-// parseLine parses a line: an event, a bare resource version, or nothing (a heartbeat). The event is nil if there is none
-// to apply.
+// parseLine parses a line: an event, a bare resource version, or an empty heartbeat. The returned event is nil if there is
+// none to apply.
 func (s *Stream) parseLine(line []byte) (*Event, error) {
 	if len(line) == 0 {
 		return nil, nil
@@ -134,7 +134,7 @@
 	return s.parseEvent(line)
 }
 
-// checkVersion compares the server's latest resource version with that of the stream, and returns an error if an event was
+// checkVersion compares the server's latest resource version with that of the stream and returns an error if an event was
 // missed.
 func (s *Stream) checkVersion(version int64) error {
 	if version > s.resourceVersion {
--- a/internal/protocol/discovery/stream_test.go
+++ b/internal/protocol/discovery/stream_test.go
@@ -13,7 +13,7 @@
 	"frostpier/policy"
 )
 
-// eventLine returns an event with one engine.
+// eventLine returns an event that contains one engine.
 func eventLine(no int, state string) string {
 	return fmt.Sprintf(`{"no":%d,"roster":{"generation":%d,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.9:1",`+
 		`"zone":"east","machineType":"std","cell":2,"lifecycle":%q,"weight":4,"startedAtMs":1500}]}}`, no, no, state)
@@ -34,8 +34,8 @@
 	return s
 }
 
-// Events are parsed however the input is divided; resource versions and duplicates are no events.
-func TestFeedInPieces(t *testing.T) {
+// Events are parsed independently of how the input is split. Bare resource versions and duplicates yield no event.
+func TestFeedWithSplitInput(t *testing.T) {
 	text := eventLine(2, "terminating") + "\n2\n" + eventLine(2, "terminating") + "\n{\"no\":2}\n" + eventLine(3, "terminated") + "\n"
 	rapid.Check(t, func(rt *rapid.T) {
 		s := restoredStream(t)
@@ -59,7 +59,7 @@
 	})
 }
 
-// The events of a configuration may be changes, and full lists after a reset.
+// A configuration may contain changes of the engine list and, after a reset, full lists.
 func TestRestoreChangesAndResets(t *testing.T) {
 	s := &Stream{}
 	reset := strings.Replace(eventLine(3, "in_service"), `"reset":false`, `"reset":true`, 1)
@@ -72,9 +72,9 @@
 	}
 }
 
-// Guards against an event that is lost for good: after an invalid line the watch resumes after the last valid event, and the
-// rest of the connection's input is ignored.
-func TestInvalidLines(t *testing.T) {
+// After an invalid line, the watch resumes after the last valid event, and the rest of the connection's input is ignored.
+// Otherwise an event would be lost for good.
+func TestWatchResumesAfterInvalidLine(t *testing.T) {
 	for _, c := range []struct {
 		name, text, field string
 		value             any
@@ -104,7 +104,7 @@
 	}
 }
 
-// A line may have the maximum length, and no more.
+// A line of the maximum length is accepted, and a longer one is rejected.
 func TestLineLengthIsBounded(t *testing.T) {
 	s := restoredStream(t)
 	if _, err := s.Feed(make([]byte, maxLineBytes)); err != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// Random input causes no panic.
+// Random input never causes a panic.
 func TestFeedRandomBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &Stream{}
@@ -126,12 +126,12 @@
 				s.Request()
 			}
 		}
-		s.Restore(rapid.SliceOf(rapid.Byte()).Draw(rt, "known"))
+		s.Restore(rapid.SliceOf(rapid.Byte()).Draw(rt, "configuration"))
 	})
 }
 
-// Guards against events lost, or taken for a full list, when the configuration is reloaded: only those that follow the last
-// one are applied, and the last resource version that the configuration names skips none.
+// When the configuration is reloaded, only events that follow the last one are returned, and not as full lists. The resource
+// version in the configuration must not advance the stream, because the watch would then skip events.
 func TestRestoreAfterReload(t *testing.T) {
 	s := &Stream{}
 	first := `{"no":1,"roster":{"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"in_service"}]}}`
