--- a/internal/protocol/vrrp/packet.go
+++ b/internal/protocol/vrrp/packet.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Fields of an advertisement (RFC 9568 section 5.2).
+// Wire format of an advertisement (RFC 9568 section 5.2).
 const (
 	protocolVersion      = 3
 	typeAdvertisement    = 1
@@ -17,28 +17,28 @@
 	addressSize          = 4
 	maxAddresses         = 255
 	maxAdvertisementSize = headerSize + addressSize*maxAddresses
-	intervalUnit         = 10 * time.Millisecond // Max Advertise Interval is in hundredths of a second
+	intervalUnit         = 10 * time.Millisecond // Max Advertise Interval is in centiseconds
 	intervalMask         = 0xfff
 	maxInterval          = intervalMask * intervalUnit
 	checksumOffset       = 6
 )
 
-// Priorities with a meaning of their own (RFC 9568 section 5.2.4).
+// Reserved priorities (RFC 9568 section 5.2.4).
 const (
-	releasePriority = 0   // the active router stops
-	ownerPriority   = 255 // the router owns the addresses
+	stopPriority  = 0   // the master has stopped participating in VRRP
+	ownerPriority = 255 // the sender owns the addresses
 )
 
 // ErrDiscarded is wrapped by every error about an advertisement that must be discarded (RFC 9568 section 7.1).
 var ErrDiscarded = errors.New("advertisement discarded")
 
-// SizeError reports an advertisement whose size is wrong. It matches ErrDiscarded.
+// SizeError reports an advertisement of the wrong size. It matches ErrDiscarded.
 type SizeError struct {
 	Size      int // bytes received
-	Addresses int // number of addresses that the header announces; 0 if it was not read
+	Addresses int // number of addresses in the header; 0 if the header was not read
 }
 
-// Error gives both sizes.
+// Error gives the size and the number of addresses.
 func (e *SizeError) Error() string {
 	return fmt.Sprintf("%v: %d bytes with %d addresses", ErrDiscarded, e.Size, e.Addresses)
 }
@@ -46,13 +46,13 @@
 // Unwrap makes errors.Is match ErrDiscarded.
 func (e *SizeError) Unwrap() error { return ErrDiscarded }
 
-// Errors of advertisements that are discarded for one field. All match ErrDiscarded.
+// Errors for advertisements with one invalid field. All match ErrDiscarded.
 var (
-	errVersionOrType = fmt.Errorf("%w: version or type", ErrDiscarded)
-	errChecksum      = fmt.Errorf("%w: checksum", ErrDiscarded)
-	errOtherRouter   = fmt.Errorf("%w: other virtual router", ErrDiscarded)
+	errVersionOrType = fmt.Errorf("%w: unsupported version or type", ErrDiscarded)
+	errChecksum      = fmt.Errorf("%w: wrong checksum", ErrDiscarded)
+	errOtherRouter   = fmt.Errorf("%w: VRID of another virtual router", ErrDiscarded)
 	errNotOwner      = fmt.Errorf("%w: this router owns the addresses", ErrDiscarded)
-	errZeroInterval  = fmt.Errorf("%w: advertisement interval of zero", ErrDiscarded)
+	errZeroInterval  = fmt.Errorf("%w: advertisement interval is zero", ErrDiscarded)
 )
 
 // advertisement is a VRRP advertisement.
@@ -63,7 +63,7 @@
 	addrs    []netip.Addr // IPv4
 }
 
-// encode returns the bytes of the advertisement.
+// encode returns the advertisement in wire format.
 func (a advertisement) encode() []byte {
 	b := []byte{versionAndType, a.vrid, a.priority, byte(len(a.addrs))}
 	b = binary.BigEndian.AppendUint16(b, uint16(a.interval/intervalUnit)&intervalMask)
@@ -76,8 +76,8 @@
 	return b
 }
 
-// onesComplementSum is the sum whose complement is the checksum. For IPv4 it covers the advertisement alone, without a
-// pseudo-header (RFC 9568 section 5.2.8). Over bytes that include their checksum it is 0xffff.
+// onesComplementSum returns the one's complement sum of b; its complement is the checksum. For IPv4 the checksum covers only
+// the advertisement, without a pseudo-header (RFC 9568 section 5.2.8). The sum of bytes with a correct checksum is 0xffff.
 func onesComplementSum(b []byte) uint16 {
 	total := uint32(0)
 	for i := 0; i+1 < len(b); i += 2 {
@@ -89,7 +89,7 @@
 	return uint16(total)
 }
 
-// parseAdvertisement reads and verifies an advertisement (RFC 9568 section 7.1). Every error matches ErrDiscarded.
+// parseAdvertisement parses and verifies an advertisement (RFC 9568 section 7.1). Every error matches ErrDiscarded.
 func parseAdvertisement(b []byte) (advertisement, error) {
 	if len(b) < headerSize || len(b) > maxAdvertisementSize {
 		return advertisement{}, &SizeError{Size: len(b)}
--- a/internal/protocol/vrrp/router.go
+++ b/internal/protocol/vrrp/router.go
@@ -19,23 +19,23 @@
 // String returns the state in lower case.
 func (s State) String() string { return [...]string{"initialize", "backup", "master"}[s] }
 
-// Step is what the driver is to do next. Zero fields have no effect.
+// Step is an action that the driver must execute. Zero fields have no effect.
 type Step struct {
-	Send       []byte        // an advertisement for all peers
-	StartTimer time.Duration // (re)start the timer; there is one timer
+	Send       []byte        // advertisement to send to all peers
+	StartTimer time.Duration // start or restart the only timer
 	StopTimer  bool          // stop the timer
-	NewState   *State        // the new state
+	NewState   *State        // state after a transition; nil for none
 }
 
-// Router is the state machine of a virtual router on one router.
+// Router is the state machine of a virtual router on one VRRP router.
 type Router struct {
 	config Config
 	state  State
-	// activeInterval is Active_Adver_Interval, which the active router's advertisements carry.
+	// activeInterval is Active_Adver_Interval: the interval in the advertisements of the master.
 	activeInterval time.Duration
 }
 
-// New returns a Router in the state Initialize. The error is a *ConfigError.
+// New returns a Router in the state Initialize. An error is a *ConfigError.
 func New(config Config) (*Router, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -46,13 +46,13 @@
 // State returns the current state.
 func (r *Router) State() State { return r.state }
 
-// skewTime is Skew_Time (RFC 9568 section 6.1): routers of higher priority take over sooner.
+// skewTime returns Skew_Time (RFC 9568 section 6.1), by which routers with a higher priority take over sooner.
 func (r *Router) skewTime() time.Duration {
 	return time.Duration(256-int(r.config.Priority)) * r.activeInterval / 256
 }
 
-// activeDownInterval is Active_Down_Interval (RFC 9568 section 6.1): after so long without an advertisement a backup
-// takes over.
+// activeDownInterval returns Active_Down_Interval (RFC 9568 section 6.1): the time without an advertisement after which a
+// backup takes over.
 func (r *Router) activeDownInterval() time.Duration { return 3*r.activeInterval + r.skewTime() }
 
 func (r *Router) transition(s State) Step {
@@ -65,25 +65,25 @@
 	return Step{Send: a.encode()}
 }
 
-// advertiseAndWait sends an advertisement and starts the timer for the next.
+// advertiseAndWait sends an advertisement and starts the timer for the next one.
 func (r *Router) advertiseAndWait() []Step {
 	return []Step{r.advertise(r.config.Priority), {StartTimer: r.config.Interval}}
 }
 
 // Startup handles the Startup event in the state Initialize (RFC 9568 section 6.4.1): the owner of the addresses becomes
-// master at once, any other router becomes a backup.
+// master at once; any other router becomes a backup.
 func (r *Router) Startup() []Step {
 	if r.state != Initialize {
 		return nil
 	}
 	if r.config.Priority == ownerPriority {
-		return r.becomeActive()
+		return r.becomeMaster()
 	}
 	r.activeInterval = r.config.Interval
 	return []Step{{StartTimer: r.activeDownInterval()}, r.transition(Backup)}
 }
 
-func (r *Router) becomeActive() []Step {
+func (r *Router) becomeMaster() []Step {
 	return append(r.advertiseAndWait(), r.transition(Master))
 }
 
@@ -96,7 +96,7 @@
 	}
 	steps := []Step{{StopTimer: true}, r.transition(Initialize)}
 	if previous == Master {
-		steps = append([]Step{r.advertise(releasePriority)}, steps...)
+		steps = append([]Step{r.advertise(stopPriority)}, steps...)
 	}
 	return steps
 }
@@ -105,50 +105,50 @@
 func (r *Router) TimerFired() []Step {
 	switch r.state {
 	case Backup:
-		return r.becomeActive()
+		return r.becomeMaster()
 	case Master:
 		return r.advertiseAndWait()
 	}
 	return nil
 }
 
-// Received handles bytes received from a peer. An error matches ErrDiscarded and says why they were discarded; the
-// state is unchanged then.
+// Received handles an advertisement from a peer. If the advertisement is discarded, the error matches ErrDiscarded and the
+// state is unchanged.
 func (r *Router) Received(from netip.Addr, b []byte) ([]Step, error) {
 	a, err := parseAdvertisement(b)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.accepts(from, a); err != nil {
+	if err := r.checkAdvertisement(from, a); err != nil {
 		return nil, err
 	}
 	switch r.state {
 	case Backup:
 		return r.handleAsBackup(a), nil
 	case Master:
-		return r.handleAsActive(from, a), nil
+		return r.handleAsMaster(from, a), nil
 	}
 	return nil, nil
 }
 
-// accepts checks an advertisement against this router's configuration.
-func (r *Router) accepts(from netip.Addr, a advertisement) error {
+// checkAdvertisement checks an advertisement against this router's configuration.
+func (r *Router) checkAdvertisement(from netip.Addr, a advertisement) error {
 	switch {
 	case a.vrid != r.config.VRID:
 		return fmt.Errorf("%w: %d", errOtherRouter, a.vrid)
 	case r.config.Priority == ownerPriority:
 		return fmt.Errorf("%w, %v does not", errNotOwner, from)
-	case a.priority != releasePriority && a.interval == 0:
+	case a.priority != stopPriority && a.interval == 0:
 		return errZeroInterval
 	}
 	return nil
 }
 
-// handleAsBackup handles an advertisement in the state Backup (RFC 9568 section 6.4.2). One of a master of lower
-// priority is ignored with Preempt, so that the timer fires and this router takes over.
+// handleAsBackup handles an advertisement in the state Backup (RFC 9568 section 6.4.2). With Preempt it
+// ignores an advertisement with a lower priority, so that the timer fires and this router takes over.
 func (r *Router) handleAsBackup(a advertisement) []Step {
 	switch {
-	case a.priority == releasePriority:
+	case a.priority == stopPriority:
 		return []Step{{StartTimer: max(intervalUnit, r.skewTime())}}
 	case !r.config.Preempt || a.priority >= r.config.Priority:
 		r.activeInterval = a.interval
@@ -157,11 +157,11 @@
 	return nil
 }
 
-// handleAsActive handles an advertisement in the state Master (RFC 9568 section 6.4.3). To a router of lower precedence
-// it answers with an advertisement at once, so that this one steps back.
-func (r *Router) handleAsActive(from netip.Addr, a advertisement) []Step {
+// handleAsMaster handles an advertisement in the state Master (RFC 9568 section 6.4.3). If this router has
+// precedence, it sends an advertisement at once, so that the other becomes a backup.
+func (r *Router) handleAsMaster(from netip.Addr, a advertisement) []Step {
 	switch {
-	case a.priority == releasePriority:
+	case a.priority == stopPriority:
 		return r.advertiseAndWait()
 	case r.yieldsTo(from, a.priority):
 		r.activeInterval = a.interval
@@ -170,7 +170,7 @@
 	return []Step{r.advertise(r.config.Priority)}
 }
 
-// yieldsTo reports whether another router takes precedence: by priority, or by address between equal priorities.
+// yieldsTo reports whether another router has precedence: by priority, or by primary address between equal priorities.
 func (r *Router) yieldsTo(from netip.Addr, priority uint8) bool {
 	if priority != r.config.Priority {
 		return priority > r.config.Priority
--- a/internal/protocol/vrrp/vrrp_test.go
+++ b/internal/protocol/vrrp/vrrp_test.go
@@ -15,7 +15,7 @@
 
 var low, high = netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
 
-// router returns a router with a lower address than its peer.
+// router returns a Router with the lower of the two test addresses.
 func router(t *testing.T, priority uint8, preempt bool) *Router {
 	t.Helper()
 	r, err := New(Config{VRID: 7, Priority: priority, Interval: time.Second, Preempt: preempt, PrimaryAddr: low,
@@ -26,12 +26,12 @@
 	return r
 }
 
-// advert encodes an advertisement of a peer.
+// advert returns the bytes of an advertisement from a peer.
 func advert(vrid, priority uint8, interval time.Duration) []byte {
 	return advertisement{vrid: vrid, priority: priority, interval: interval, addrs: []netip.Addr{low}}.encode()
 }
 
-// timer returns the timer that steps start; 0 for none.
+// timer returns the duration of the timer that steps start, or 0.
 func timer(steps []Step) time.Duration {
 	for _, s := range steps {
 		if s.StartTimer > 0 {
@@ -41,7 +41,7 @@
 	return 0
 }
 
-// sent returns the advertisement that steps send.
+// sent returns the advertisement that steps send, and whether there is one.
 func sent(t *testing.T, steps []Step) (advertisement, bool) {
 	t.Helper()
 	for _, s := range steps {
@@ -72,7 +72,7 @@
 		t.Fatalf("%v after %v", r.State(), got)
 	}
 	if got := timer(receive(t, r, high, advert(7, 200, 500*time.Millisecond))); got != 1500*time.Millisecond+skew/2 {
-		t.Fatalf("with the master's own interval: %v", got) // RFC 9568 section 6.4.2: the interval is learned
+		t.Fatalf("with the interval of the master: %v", got) // RFC 9568 section 6.4.2: a backup adopts it
 	}
 	steps := r.TimerFired()
 	if m, ok := sent(t, steps); r.State() != Master || !ok || m.priority != 100 || timer(steps) != time.Second {
@@ -80,19 +80,20 @@
 	}
 }
 
+// An advertisement of priority 0 starts the takeover after Skew_Time, and a master sends one when it shuts down.
 func TestPriorityZeroStartsTakeover(t *testing.T) {
 	r := router(t, 100, true)
 	r.Startup()
 	if got := timer(receive(t, r, high, advert(7, 0, time.Second))); got != 156*time.Second/256 {
-		t.Fatalf("waits %v, want Skew_Time", got)
+		t.Fatalf("timer of %v, want Skew_Time", got)
 	}
 	r.TimerFired()
 	m, ok := sent(t, r.Shutdown())
 	if !ok || m.priority != 0 || r.State() != Initialize {
-		t.Fatalf("a master that stops sent %+v", m)
+		t.Fatalf("state %v, shutdown sent %+v, want priority 0", r.State(), m)
 	}
 	if r.TimerFired() != nil || r.Shutdown() != nil {
-		t.Fatal("a router in Initialize has steps to do")
+		t.Fatal("a router in Initialize returned steps")
 	}
 }
 
@@ -116,18 +117,18 @@
 		priority uint8
 		want     State
 	}{
-		"higher priority":                     {low, 101, Backup},
-		"equal priority and higher address":   {high, 100, Backup},
-		"equal priority and lower address":    {lowest, 100, Master},
-		"lower priority":                      {high, 99, Master},
-		"priority 0 of a router that stopped": {high, 0, Master},
+		"higher priority":                          {low, 101, Backup},
+		"equal priority and higher address":        {high, 100, Backup},
+		"equal priority and lower address":         {lowest, 100, Master},
+		"lower priority":                           {high, 99, Master},
+		"priority 0 from a router that shuts down": {high, 0, Master},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := router(t, 100, true)
 			r.Startup()
 			r.TimerFired()
 			steps := receive(t, r, c.from, advert(7, c.priority, time.Second))
-			if _, answered := sent(t, steps); r.State() != c.want || answered != (c.want == Master) {
+			if _, advertised := sent(t, steps); r.State() != c.want || advertised != (c.want == Master) {
 				t.Errorf("%v, %+v", r.State(), steps)
 			}
 		})
@@ -146,18 +147,18 @@
 	good := advert(7, 200, time.Second)
 	type invalid struct {
 		bytes []byte
-		want  error // nil: any that matches ErrDiscarded
+		want  error // nil accepts any error that matches ErrDiscarded
 	}
 	cases := map[string]invalid{
-		"other router":  {advert(8, 200, time.Second), errOtherRouter},
+		"other VRID":    {advert(8, 200, time.Second), errOtherRouter},
 		"zero interval": {advert(7, 200, 0), errZeroInterval},
 		"short":         {good[:7], &SizeError{Size: 7}},
 		"long":          {append(good[:len(good):len(good)], 0), &SizeError{Size: 13, Addresses: 1}},
 	}
-	for i := range good { // the checksum or the checks before it detect any one bit
+	for i := range good { // any flipped bit is detected by the checksum or an earlier check
 		flipped := append([]byte(nil), good...)
 		flipped[i] ^= 1
-		cases[fmt.Sprintf("bit in byte %d", i)] = invalid{flipped, nil}
+		cases[fmt.Sprintf("flipped bit in byte %d", i)] = invalid{flipped, nil}
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -186,7 +187,7 @@
 		"priority":            func(c *Config) { c.Priority = 0 },
 		"interval":            func(c *Config) { c.Interval = maxInterval + 1 },
 		"number of addresses": func(c *Config) { c.VirtualAddrs = nil },
-		"own address":         func(c *Config) { c.PrimaryAddr = ipv6 },
+		"primary address":     func(c *Config) { c.PrimaryAddr = ipv6 },
 		"address":             func(c *Config) { c.VirtualAddrs = []netip.Addr{low, ipv6} },
 	} {
 		t.Run(field, func(t *testing.T) {
