--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -9,41 +9,41 @@
 	"frostpier/policy"
 )
 
-// engineListCount is how many numbered engine lists the process keeps.
+// engineListCount is the number of engine lists that the process stores. EngineList.Number is below it.
 const engineListCount = 16
 
-// adapter holds the state of the process: the numbered engine lists and the instances.
+// adapter is the state of the process: the engine lists by number and the running instances by ID.
 type adapter struct {
 	lists     [engineListCount][]simproto.EngineEntry
 	instances map[uint32]*instance
-	actions   []simproto.Record // of the current batch; the memory is reused
+	actions   []simproto.Record // actions of the current batch; the slice is reused
 }
 
 // instance is one simulated gateway.
 type instance struct {
 	gateway *policy.Gateway
-	metrics []policy.Metric // what the values of load reports mean, in order
+	metrics []policy.Metric // metric of each value in a load report
 }
 
 func newAdapter() *adapter { return &adapter{instances: map[uint32]*instance{}} }
 
-// settingsError reports settings with which an instance cannot start.
+// settingsError reports invalid settings of an instance.
 type settingsError struct {
 	instance uint32
 	err      error
 }
 
-// Error names the instance and the cause.
+// Error returns a message with the instance's ID and the cause.
 func (e *settingsError) Error() string {
-	return fmt.Sprintf("settings of instance %d: %v", e.instance, e.err)
+	return fmt.Sprintf("invalid settings of instance %d: %v", e.instance, e.err)
 }
 
 // Unwrap returns the cause.
 func (e *settingsError) Unwrap() error { return e.err }
 
-// reply delivers the events of a batch in order and returns the actions of all instances. They are valid until the next
-// call. The error is a *settingsError or matches simproto.ErrMalformedFrame.
-func (a *adapter) reply(batch simproto.Batch) ([]simproto.Record, error) {
+// handleBatch passes each event of a batch, in order, to its instance and returns the resulting actions. They are valid
+// until the next call. Errors are *settingsErrors or match simproto.ErrMalformedFrame.
+func (a *adapter) handleBatch(batch simproto.Batch) ([]simproto.Record, error) {
 	a.actions = a.actions[:0]
 	now := time.Duration(batch.Now)
 	for _, event := range batch.Events {
@@ -66,8 +66,8 @@
 	case *simproto.EngineListChanged:
 		return a.deliverEngineList(now, r)
 	}
-	number, event := a.policyEvent(record)
-	a.deliver(now, number, event)
+	instanceID, event := a.policyEvent(record)
+	a.deliver(now, instanceID, event)
 	return nil
 }
 
@@ -81,7 +81,7 @@
 
 func checkListNumber(number uint16) error {
 	if number >= engineListCount {
-		return &simproto.LimitError{Field: "number of an engine list", Value: uint64(number), Limit: engineListCount - 1}
+		return &simproto.LimitError{Field: "engine list number", Value: uint64(number), Limit: engineListCount - 1}
 	}
 	return nil
 }
@@ -99,19 +99,19 @@
 	return nil
 }
 
-// deliver passes an event to an instance and keeps its actions. An event for an instance that does not run is dropped,
-// and so is nil.
-func (a *adapter) deliver(now time.Duration, number uint32, event policy.Event) {
-	target := a.instances[number]
+// deliver passes an event to an instance and appends the resulting actions to a.actions. It ignores a nil event and an
+// event for an unknown instance.
+func (a *adapter) deliver(now time.Duration, instanceID uint32, event policy.Event) {
+	target := a.instances[instanceID]
 	if target == nil || event == nil {
 		return
 	}
 	for _, action := range target.gateway.Handle(now, event) {
-		a.actions = append(a.actions, actionRecord(number, action))
+		a.actions = append(a.actions, actionRecord(instanceID, action))
 	}
 }
 
-// listKinds are the kinds of engine lists by their code on the wire.
+// listKinds maps the values of EngineListChanged.Kind.
 var listKinds = map[uint8]policy.ListKind{
 	1: policy.ListCached,
 	2: policy.ListFailed,
@@ -119,18 +119,18 @@
 	4: policy.ListDelta,
 }
 
-// unknownListKindError reports a change of the engine list of unknown kind. It matches simproto.ErrMalformedFrame.
+// unknownListKindError reports an unknown value of EngineListChanged.Kind. It matches simproto.ErrMalformedFrame.
 type unknownListKindError struct{ kind uint8 }
 
-// Error names the kind.
+// Error returns a message with the unknown kind.
 func (e *unknownListKindError) Error() string {
-	return fmt.Sprintf("%v: engine list of unknown kind %d", simproto.ErrMalformedFrame, e.kind)
+	return fmt.Sprintf("%v: unknown engine list kind %d", simproto.ErrMalformedFrame, e.kind)
 }
 
 // Unwrap makes errors.Is match simproto.ErrMalformedFrame.
 func (e *unknownListKindError) Unwrap() error { return simproto.ErrMalformedFrame }
 
-// deliverEngineList passes a stored list to an instance. A failed fetch has no list.
+// deliverEngineList passes a stored list to an instance. An event of kind policy.ListFailed refers to no list.
 func (a *adapter) deliverEngineList(now time.Duration, change *simproto.EngineListChanged) error {
 	kind, known := listKinds[change.Kind]
 	if !known {
--- a/cmd/simadapter/convert.go
+++ b/cmd/simadapter/convert.go
@@ -9,17 +9,17 @@
 	"frostpier/policy"
 )
 
-// Encoding of values within fields of the simulator's records.
+// Encodings of values in the simulator's records.
 const (
-	progressShareDone = 1       // Progress.Kind: the value is the share of the work done
-	usageMemorySteps  = 4096    // AttemptEnded.Usage is work in ms times this, plus memory in steps
-	usageMemoryStepMB = 4       // MB in a step of memory
-	maxTableGroup     = 1 << 24 // integers beyond it are not exact in a float32
-	subscribeEnabled  = 1
+	progressCompletedShare = 1       // Progress.Kind if Progress.Value is the completed share of the work
+	usageMemoryModulus     = 4096    // AttemptEnded.Usage = work in ms * usageMemoryModulus + memory in units
+	usageMemoryUnitMB      = 4       // MB per unit of memory
+	maxTableGroup          = 1 << 24 // a float32 represents every integer up to it exactly
+	subscribeEnabled       = 1       // Subscribe.Enabled
 )
 
-// policyEvent converts a record to the instance's number and the decision module's event. The event is nil for a record
-// that the module has no use for.
+// policyEvent converts a record to the ID of its instance and an event of the decision module. The event is nil if the
+// module does not use the record.
 func (a *adapter) policyEvent(record simproto.Record) (uint32, policy.Event) {
 	switch r := record.(type) {
 	case *simproto.RequestArrived:
@@ -38,7 +38,7 @@
 			Report:   a.loadReport(r.Instance, r.Report),
 		}
 	case *simproto.Progress:
-		if r.Kind != progressShareDone {
+		if r.Kind != progressCompletedShare {
 			return r.Instance, nil
 		}
 		return r.Instance, policy.Progress{ID: policy.RequestID(r.Request), Attempt: int(r.Attempt), Done: float64(r.Value)}
@@ -72,15 +72,15 @@
 		Outcome:  outcome(r.Outcome),
 		Duration: duration(r.Duration),
 		Terminal: r.Terminal != 0,
-		Work:     time.Duration(r.Usage/usageMemorySteps) * time.Millisecond,
-		UsedMB:   float64(r.Usage%usageMemorySteps) * usageMemoryStepMB,
+		Work:     time.Duration(r.Usage/usageMemoryModulus) * time.Millisecond,
+		UsedMB:   float64(r.Usage%usageMemoryModulus) * usageMemoryUnitMB,
 		Report:   a.loadReport(r.Instance, r.Report),
 	}
 }
 
-// loadReport names the values of a load report by the metrics of the instance's settings.
-func (a *adapter) loadReport(number uint32, load simproto.LoadReport) policy.LoadReport {
-	target := a.instances[number]
+// loadReport converts a load report. The settings of the instance say which metric each value holds.
+func (a *adapter) loadReport(instanceID uint32, load simproto.LoadReport) policy.LoadReport {
+	target := a.instances[instanceID]
 	if target == nil || load.Count == 0 {
 		return policy.LoadReport{}
 	}
@@ -91,7 +91,7 @@
 	return report
 }
 
-// outcomes are the outcomes of attempts and health checks by their code on the wire.
+// outcomes maps the outcome codes of attempts and health checks.
 var outcomes = map[uint16]policy.Outcome{
 	100: policy.OK,
 	301: policy.Error,
@@ -103,7 +103,7 @@
 	307: policy.NotSent,
 }
 
-// outcome converts an outcome code. An unknown one is policy.Error, the outcome that proves nothing about the query.
+// outcome converts an outcome code. It maps unknown codes to policy.Error, which leaves open whether the query ran.
 func outcome(code uint16) policy.Outcome {
 	if o, known := outcomes[code]; known {
 		return o
@@ -111,18 +111,19 @@
 	return policy.Error
 }
 
-// duration converts nanoseconds, cut to the largest Duration.
+// duration converts nanoseconds to a time.Duration, capped at its maximum.
 func duration(ns uint64) time.Duration { return time.Duration(min(ns, math.MaxInt64)) }
 
-// tableGroup converts a table group; one that is no number of a group is 0.
+// tableGroup converts a table group. NaN, negative values and values above maxTableGroup become 0.
 func tableGroup(group float32) int {
-	if group != group || group < 0 || group > maxTableGroup { // group != group: not a number
+	if group != group || group < 0 || group > maxTableGroup { // group != group: NaN
 		return 0
 	}
 	return int(group)
 }
 
-// decodeEngineID packs an address into the decision module's id: the port above the four bytes of the IP.
+// decodeEngineID converts an engine's address to a policy.EngineID: the IPv4 address is in the lower 32 bits, the port in
+// the 16 bits above.
 func decodeEngineID(e simproto.EngineID) policy.EngineID {
 	id := uint64(e.Port)
 	for _, b := range e.IP {
@@ -135,28 +136,28 @@
 	return simproto.EngineID{Port: uint16(id >> 32), IP: [4]byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)}}
 }
 
-// actionRecord converts an action of the decision module. It panics on an action that the simulator has no record for,
-// which is an error in the program.
-func actionRecord(number uint32, action policy.Action) simproto.Record {
+// actionRecord converts an action of the decision module to a record of the given instance. It panics if there is no
+// record for the type of the action, which is a programming error.
+func actionRecord(instanceID uint32, action policy.Action) simproto.Record {
 	switch a := action.(type) {
 	case policy.Send:
-		return &simproto.SendAttempt{Instance: number, Request: uint32(a.ID), Engine: encodeEngineID(a.Engine), Timeout: uint64(a.Timeout)}
+		return &simproto.SendAttempt{Instance: instanceID, Request: uint32(a.ID), Engine: encodeEngineID(a.Engine), Timeout: uint64(a.Timeout)}
 	case policy.SetResources:
-		return &simproto.SetResources{Instance: number, Request: uint32(a.ID), GrantMB: float32(a.GrantMB), Priority: uint8(a.Priority)}
+		return &simproto.SetResources{Instance: instanceID, Request: uint32(a.ID), GrantMB: float32(a.GrantMB), Priority: uint8(a.Priority)}
 	case policy.Reject:
-		return &simproto.Reject{Instance: number, Request: uint32(a.ID), RetryAfter: uint64(a.RetryAfter)}
+		return &simproto.Reject{Instance: instanceID, Request: uint32(a.ID), RetryAfter: uint64(a.RetryAfter)}
 	case policy.Fail:
-		return &simproto.Fail{Instance: number, Request: uint32(a.ID)}
+		return &simproto.Fail{Instance: instanceID, Request: uint32(a.ID)}
 	case policy.Cancel:
-		return &simproto.CancelAttempt{Instance: number, Request: uint32(a.ID), Attempt: uint16(a.Attempt)}
+		return &simproto.CancelAttempt{Instance: instanceID, Request: uint32(a.ID), Attempt: uint16(a.Attempt)}
 	case policy.Probe:
-		return &simproto.HealthCheck{Instance: number, Engine: encodeEngineID(a.Engine)}
+		return &simproto.HealthCheck{Instance: instanceID, Engine: encodeEngineID(a.Engine)}
 	case policy.SetTimer:
-		return &simproto.SetTimer{Instance: number, After: uint64(a.After), Token: a.Token}
+		return &simproto.SetTimer{Instance: instanceID, After: uint64(a.After), Token: a.Token}
 	case policy.Subscribe:
-		return &simproto.Subscribe{Instance: number, Enabled: subscribeEnabled}
+		return &simproto.Subscribe{Instance: instanceID, Enabled: subscribeEnabled}
 	case policy.Log:
-		return &simproto.Log{Instance: number, Text: []byte(a.Text)}
+		return &simproto.Log{Instance: instanceID, Text: []byte(a.Text)}
 	}
-	panic(fmt.Sprintf("no record for action %T", action))
+	panic(fmt.Sprintf("no record for action type %T", action))
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,7 +1,7 @@
-// Simadapter connects the decision module to the simulator: it reads batches of events from standard input, passes
-// each event to the policy.Gateway of its instance and writes the actions to standard output. It makes no decision.
+// Simadapter runs the decision module in the simulator. It reads batches of events from standard input, passes each event
+// to the policy.Gateway of its instance and writes the resulting actions to standard output.
 //
-// It runs in one goroutine and ends when the input ends between two frames.
+// It runs in a single goroutine and exits at the end of the input. An input that ends within a frame is an error.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"frostpier/internal/testbed/simproto"
 )
 
-// readBufferSize is the size of the buffer before the input, in bytes.
+// readBufferSize is the size of the input buffer in bytes.
 const readBufferSize = 1 << 20
 
 func main() {
@@ -23,7 +23,7 @@
 	}
 }
 
-// run answers batches until the input ends. Input that ends within a frame is an error.
+// run replies to batches until the input ends. It returns an error if the input ends within a frame.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferSize)
 	a := newAdapter()
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		actions, err := a.reply(batch)
+		actions, err := a.handleBatch(batch)
 		if err != nil {
 			return err
 		}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -22,7 +22,8 @@
 	return simproto.AppendBatch(nil, simproto.Batch{Now: now, Events: events})
 }
 
-func play(t *testing.T, frames ...[]byte) ([]simproto.Record, error) {
+// runFrames runs the adapter on the frames and returns the actions of all replies and the error of run.
+func runFrames(t *testing.T, frames ...[]byte) ([]simproto.Record, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := run(bytes.NewReader(bytes.Join(frames, nil)), &out)
@@ -30,7 +31,7 @@
 	for out.Len() > 0 {
 		reply, readErr := simproto.ReadReply(&out)
 		if readErr != nil {
-			t.Fatalf("partial reply: %v", readErr)
+			t.Fatalf("invalid reply: %v", readErr)
 		}
 		actions = append(actions, reply...)
 	}
@@ -39,7 +40,8 @@
 
 var engine = simproto.EngineID{IP: [4]byte{10, 1, 2, 3}, Port: 8080}
 
-func start() []byte {
+// startBatch returns a batch that starts instance 3 with one engine.
+func startBatch() []byte {
 	return batch(1, startInstance(settingsJSON),
 		&simproto.EngineList{Entries: []simproto.EngineEntry{{Engine: engine}}},
 		&simproto.EngineListChanged{Instance: 3, Kind: 1})
@@ -49,8 +51,8 @@
 	return &simproto.RequestArrived{Instance: 3, Request: id, Remaining: 5e9, TableGroup: float32(math.NaN())}
 }
 
-func TestRequestIsSentToTheListedEngine(t *testing.T) {
-	actions, err := play(t, start(), batch(2, request(9)))
+func TestRunSendsRequestToListedEngine(t *testing.T) {
+	actions, err := runFrames(t, startBatch(), batch(2, request(9)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,10 +61,10 @@
 			return
 		}
 	}
-	t.Fatalf("no attempt in %+v", actions)
+	t.Fatalf("request 9 was not sent to the engine: %+v", actions)
 }
 
-func TestMalformedInputEndsWithAnError(t *testing.T) {
+func TestRunRejectsMalformedInput(t *testing.T) {
 	var (
 		invalid   *settingsError
 		limit     *simproto.LimitError
@@ -74,16 +76,17 @@
 		frame []byte
 		want  any // target of errors.As; nil: ErrMalformedFrame
 	}{
-		{"cut short", start()[:40], nil},
-		{"settings", batch(1, startInstance("{")), &invalid},
+		{"truncated frame", startBatch()[:40], nil},
+		{"malformed settings", batch(1, startInstance("{")), &invalid},
 		{"no classes", batch(1, startInstance("{}")), &invalid},
-		{"repeat", batch(1, startInstance(badRepeat)), &invalid},
-		{"stored list number", batch(1, &simproto.EngineList{Number: 16}), &limit},
-		{"list number", batch(1, startInstance(settingsJSON), &simproto.EngineListChanged{Instance: 3, List: 77, Kind: 1}), &limit},
-		{"list kind", batch(1, startInstance(settingsJSON), &simproto.EngineListChanged{Instance: 3, Kind: 9}), &unknown},
+		{"unknown value of repeat", batch(1, startInstance(badRepeat)), &invalid},
+		{"EngineList number out of range", batch(1, &simproto.EngineList{Number: 16}), &limit},
+		{"EngineListChanged number out of range",
+			batch(1, startInstance(settingsJSON), &simproto.EngineListChanged{Instance: 3, List: 77, Kind: 1}), &limit},
+		{"unknown list kind", batch(1, startInstance(settingsJSON), &simproto.EngineListChanged{Instance: 3, Kind: 9}), &unknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			actions, err := play(t, c.frame)
+			actions, err := runFrames(t, c.frame)
 			matched := errors.Is(err, simproto.ErrMalformedFrame)
 			if c.want != nil {
 				matched = errors.As(err, c.want)
@@ -95,10 +98,11 @@
 	}
 }
 
-// Events that refer to nothing known, or carry odd values, are ignored and do not disturb other requests.
-func TestUnexpectedEventsAreIgnored(t *testing.T) {
+// Checks that events with unknown IDs, unsupported kinds or values such as NaN, and repeated events, neither fail nor
+// affect other requests.
+func TestRunIgnoresUnexpectedEvents(t *testing.T) {
 	nan := simproto.LoadReport{Count: 2, Values: [4]float32{float32(math.NaN()), float32(math.Inf(1))}}
-	actions, err := play(t, start(), batch(2,
+	actions, err := runFrames(t, startBatch(), batch(2,
 		&simproto.AttemptEnded{Instance: 3, Request: 5}, &simproto.AttemptEnded{Instance: 44, Request: 5}, &simproto.TimerFired{Instance: 3, Token: 12},
 		&simproto.ClientGone{Instance: 3, Request: 77}, &simproto.PeerMessage{Instance: 3}, &simproto.Progress{Instance: 3, Kind: 2},
 		&simproto.ResponseStarted{Instance: 3, Request: 8}, &simproto.HealthCheckEnded{Instance: 3, Engine: simproto.EngineID{}, Outcome: 100},
@@ -115,12 +119,13 @@
 		}
 	}
 	if sent[9] != 1 || sent[10] != 1 {
-		t.Fatalf("sends %v", sent)
+		t.Fatalf("attempts per request: %v, want one for 9 and one for 10", sent)
 	}
 }
 
-func TestStopAndStartInOneBatch(t *testing.T) {
-	actions, err := play(t, start(), batch(2, request(9)), batch(3, &simproto.StopInstance{Instance: 3}, startInstance(settingsJSON),
+// Checks that a stopped instance ignores requests. The instance is also stopped and started again within one batch.
+func TestRunIgnoresRequestsOfStoppedInstance(t *testing.T) {
+	actions, err := runFrames(t, startBatch(), batch(2, request(9)), batch(3, &simproto.StopInstance{Instance: 3}, startInstance(settingsJSON),
 		&simproto.EngineList{Entries: []simproto.EngineEntry{{Engine: engine}}}, &simproto.EngineListChanged{Instance: 3, Kind: 1}, request(10)),
 		batch(4, &simproto.StopInstance{Instance: 3}), batch(5, request(11)))
 	if err != nil {
@@ -128,7 +133,7 @@
 	}
 	for _, a := range actions {
 		if d, ok := a.(*simproto.SendAttempt); ok && d.Request == 11 {
-			t.Fatal("a stopped instance acted")
+			t.Fatal("a stopped instance sent an attempt")
 		}
 	}
 }
