--- a/internal/controller/checker.go
+++ b/internal/controller/checker.go
@@ -17,32 +17,31 @@
 	"frostpier/internal/control/rollout"
 )
 
-// answerGrace is how long after a query's budget its answer is still waited for.
+// answerGrace is how long the checker waits for an answer after the query's budget has run out.
 const answerGrace = time.Second
 
-// checker sends gateways queries whose result is known, as a client does, and compares the results: the gateways' own counts cannot
-// show results that they corrupted.
+// checker sends synthetic checks to gateways: queries with a known result, over the clients' protocol. It detects corrupted results,
+// which the gateways' own counts cannot show.
 //
-// It has one goroutine per gateway and check. They send their results to a channel and end when the gateway is no longer a
-// target.
+// It runs one goroutine per gateway and check. Each sends its results to a channel and ends when the gateway is no longer a target.
 type checker struct {
 	checks   []rollout.Check
-	targets  []checkTarget // by check
+	targets  []checkTarget // indexed like checks
 	gateways []Gateway
 	results  chan<- checkResult
 
 	mu      sync.Mutex
-	running map[int]context.CancelFunc // by gateway
+	running map[int]context.CancelFunc // by gateway index
 	loops   sync.WaitGroup
 }
 
-// checkTarget is the class of a check.
+// checkTarget is the query class of a check, with its latency objective.
 type checkTarget struct {
 	class            int
 	latencyObjective time.Duration
 }
 
-// checkResult is the result of a check at a gateway.
+// checkResult is the result of one check at one gateway.
 type checkResult struct {
 	gateway, class int
 	results        rollout.CheckResults
@@ -57,7 +56,7 @@
 	return k
 }
 
-// setTargets starts to check these gateways, and stops to check all others.
+// setTargets makes the checker check exactly these gateways.
 func (k *checker) setTargets(gateways []int) {
 	if len(k.checks) == 0 {
 		return
@@ -79,7 +78,7 @@
 	}
 }
 
-// start starts the goroutines of a gateway, and returns what ends them.
+// start starts the goroutines that check a gateway, and returns a function that stops them.
 func (k *checker) start(gateway int) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	for check := range k.checks {
@@ -92,13 +91,13 @@
 	return cancel
 }
 
-// close ends all checks and waits for their goroutines.
+// close stops all checks and waits for their goroutines.
 func (k *checker) close() {
 	k.setTargets(nil)
 	k.loops.Wait()
 }
 
-// run sends one check to one gateway at the check's interval, over one connection at a time.
+// run sends one check to one gateway at the check's interval. It reuses one connection and reconnects after a failure.
 func (k *checker) run(ctx context.Context, gateway, check int) {
 	ticker := time.NewTicker(time.Duration(k.checks[check].IntervalMS) * time.Millisecond)
 	defer ticker.Stop()
@@ -117,7 +116,7 @@
 		if conn == nil {
 			var err error
 			if conn, err = dialGateway(k.gateways[gateway].Listen); err != nil {
-				continue // whether the gateway's process runs is observed elsewhere
+				continue // not counted: Controller.tick observes whether the process runs
 			}
 		}
 		result, reusable := conn.timedExchange(id, k.checks[check], k.targets[check].latencyObjective)
@@ -136,7 +135,7 @@
 	}
 }
 
-// checkConn is a connection to a gateway, as a client has it.
+// checkConn is a client connection to a gateway.
 type checkConn struct {
 	net.Conn
 	lines *bufio.Reader
@@ -152,7 +151,7 @@
 
 func (c *checkConn) close() { _ = c.Close() }
 
-// timedExchange is exchange, with the time that the answer took compared with the latency objective.
+// timedExchange calls exchange and also compares the latency of the answer with the objective.
 func (c *checkConn) timedExchange(id int, check rollout.Check, latencyObjective time.Duration) (result rollout.CheckResults, reusable bool) {
 	started := time.Now()
 	result, reusable = c.exchange(id, check)
@@ -166,7 +165,7 @@
 	return result, reusable
 }
 
-// checkAnswer is the part of an answer that is compared.
+// checkAnswer holds the fields of an answer that are compared with the expected ones.
 type checkAnswer struct {
 	ID     int `json:"id"`
 	Result *struct {
@@ -174,9 +173,9 @@
 	} `json:"result"`
 }
 
-// exchange sends a query once and compares its answer; reusable reports whether the connection is still in a known state. Nothing
-// is counted where the connection ended: otherwise a gateway that crashed by chance and took a while to restart would be
-// blamed for the queries that it missed meanwhile.
+// exchange sends a query once and compares its answer with the expected one; reusable reports whether the connection can be used for
+// the next query. A closed connection is not counted: otherwise a gateway that crashes once would also be charged with the queries
+// that fail until it has restarted.
 func (c *checkConn) exchange(id int, check rollout.Check) (result rollout.CheckResults, reusable bool) {
 	rid := newRequestID()
 	request, err := encodeRequest(id, rid, check)
@@ -195,13 +194,13 @@
 	switch {
 	case errors.As(err, &netErr) && netErr.Timeout():
 		return rollout.CheckResults{Unserved: 1}, false
-	case err != nil: // its process ended: that counts as a crash, and not here as well
+	case err != nil: // the process has ended: it is counted as a crash already
 		return rollout.CheckResults{}, false
 	}
-	return checkLine(line, id, strings.ReplaceAll(check.Expect, "{rid}", rid))
+	return compareAnswer(line, id, strings.ReplaceAll(check.Expect, "{rid}", rid))
 }
 
-// newRequestID returns a random id that no other request has.
+// newRequestID returns a random 64-bit request id in hexadecimal.
 func newRequestID() string {
 	var raw [8]byte
 	_, _ = rand.Read(raw[:]) // never fails
@@ -221,11 +220,11 @@
 	})
 }
 
-// checkLine compares an answer with the expected result.
-func checkLine(line []byte, id int, expected string) (result rollout.CheckResults, reusable bool) {
+// compareAnswer parses a line as the answer to query id, and compares its result with the expected one.
+func compareAnswer(line []byte, id int, expected string) (result rollout.CheckResults, reusable bool) {
 	var answer checkAnswer
 	if json.Unmarshal(line, &answer) != nil || answer.ID != id {
-		return rollout.CheckResults{Incorrect: 1}, false // it answers no query: what follows cannot be trusted
+		return rollout.CheckResults{Incorrect: 1}, false // not an answer to this query: the stream is out of step
 	}
 	if answer.Result == nil {
 		return rollout.CheckResults{Unserved: 1}, true
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -11,9 +11,9 @@
 	"frostpier/internal/control/rollout"
 )
 
-// An answer that is wrong, an error, and no answer in time count. A connection that ends does not: a version must not be
-// blamed for the queries that a gateway missed while its process was down.
-func TestCheckResults(t *testing.T) {
+// TestExchangeCountsAnswers checks that wrong answers, errors and timeouts are counted, but closed connections are not: queries
+// that fail while a gateway's process is down must not count against its version.
+func TestExchangeCountsAnswers(t *testing.T) {
 	cases := []struct {
 		answer string
 		want   rollout.CheckResults
@@ -48,7 +48,7 @@
 	}
 }
 
-// answerOnce accepts a connection and answers its first request.
+// answerOnce accepts one connection and answers its first request, or fails in the way that answer describes.
 func answerOnce(ln net.Listener, answer string) {
 	conn, err := ln.Accept()
 	if err != nil {
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	controlName       = "control" // the file with the address on which a running controller accepts commands
+	controlFileName   = "control" // file that holds the address on which the running controller accepts commands
 	controlTimeout    = 5 * time.Second
 	dialTimeout       = time.Second
 	maxCommandLength  = 64 // bytes
 	controlListenAddr = "127.0.0.1:0"
 )
 
-// ErrNotRunning says that no controller runs.
-var ErrNotRunning = errors.New("no controller runs")
+// ErrNotRunning means that no controller is running.
+var ErrNotRunning = errors.New("no controller is running")
 
-// Operators' commands on the control connection.
+// Commands that operators send on the control connection.
 const (
 	commandStatus  = "status"
 	commandHistory = "history"
@@ -34,37 +34,37 @@
 	commandAbort   = "abort"
 )
 
-// controlRequest is an operator's command on its way to Run.
+// controlRequest is an operator's command, passed from its connection to Run.
 type controlRequest struct {
 	command string
 	reply   chan Status
 }
 
-// Status is the state of a change, as operators see it. The keys of its JSON form are fixed: operators' scripts read it.
+// Status is the state of a change, as shown to operators. Its JSON keys must not change: operators' scripts read them.
 type Status struct {
 	Name          string          `json:"name"`
-	Running       bool            `json:"running"` // a controller carries it
+	Running       bool            `json:"running"` // whether a controller is executing the change
 	State         rollout.State   `json:"state"`
-	Verdict       rollout.Verdict `json:"opinion"` // on the stage that is watched
-	GatewayCounts map[string]int  `json:"on"`      // gateways by the version that they were last started on
+	Verdict       rollout.Verdict `json:"opinion"` // on the stage that is being watched
+	GatewayCounts map[string]int  `json:"on"`      // number of gateways by the version that they were last started on
 	History       []HistoryEntry  `json:"history,omitempty"`
 	Error         string          `json:"error,omitempty"`
 }
 
-// listenControl listens for commands, and writes the address to a file in dir.
+// listenControl opens the listener for commands, and writes its address to a file in dir.
 func listenControl(dir string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", controlListenAddr)
 	if err != nil {
-		return nil, fmt.Errorf("control: %w", err)
+		return nil, fmt.Errorf("control connection: %w", err)
 	}
-	if err := replaceFile(filepath.Join(dir, controlName), []byte(ln.Addr().String()), 0o600); err != nil {
+	if err := replaceFile(filepath.Join(dir, controlFileName), []byte(ln.Addr().String()), 0o600); err != nil {
 		_ = ln.Close()
-		return nil, fmt.Errorf("control: %w", err)
+		return nil, fmt.Errorf("control connection: %w", err)
 	}
 	return ln, nil
 }
 
-// replaceFile writes a file atomically: readers see the former content or the new one.
+// replaceFile writes a file atomically: readers see either the old content or the new one.
 func replaceFile(path string, content []byte, mode os.FileMode) error {
 	if err := os.WriteFile(path+".new", content, mode); err != nil {
 		return err
@@ -83,7 +83,7 @@
 	}
 }
 
-// serveCommand reads a command, passes it to Run, and writes the answer.
+// serveCommand reads a command from a connection, passes it to Run, and writes the reply.
 func (k *Controller) serveCommand(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	if conn.SetDeadline(time.Now().Add(controlTimeout)) != nil {
@@ -99,10 +99,10 @@
 	case <-k.quit:
 		return
 	}
-	_ = json.NewEncoder(conn).Encode(<-r.reply) // the operator's side reports a broken connection
+	_ = json.NewEncoder(conn).Encode(<-r.reply) // on a broken connection SendCommand returns an error
 }
 
-// handleCommand carries out an operator's command. It is called by Run.
+// handleCommand executes an operator's command and returns the resulting status. Only Run calls it.
 func (k *Controller) handleCommand(command string) Status {
 	var err error
 	var history []HistoryEntry
@@ -138,29 +138,29 @@
 	return Status{Name: name, State: s, GatewayCounts: on}
 }
 
-// SendCommand sends a command to the running controller: status, history, pause, resume or abort. It fails with ErrNone if
-// none runs.
+// SendCommand sends a command to the running controller: status, history, pause, resume or abort. It fails with ErrNotRunning if
+// there is none.
 func SendCommand(dir, command string) (s Status, err error) {
-	addr, err := os.ReadFile(filepath.Join(dir, controlName))
+	addr, err := os.ReadFile(filepath.Join(dir, controlFileName))
 	if errors.Is(err, os.ErrNotExist) {
 		return s, ErrNotRunning
 	}
 	if err != nil {
-		return s, fmt.Errorf("control: %w", err)
+		return s, fmt.Errorf("control connection: %w", err)
 	}
 	conn, err := net.DialTimeout("tcp", string(addr), dialTimeout)
-	if err != nil { // it was killed and left the file behind
+	if err != nil { // the file is stale: the controller was killed before it could remove it
 		return s, ErrNotRunning
 	}
 	defer func() { _ = conn.Close() }()
 	if err := conn.SetDeadline(time.Now().Add(controlTimeout)); err != nil {
-		return s, fmt.Errorf("control: %w", err)
+		return s, fmt.Errorf("control connection: %w", err)
 	}
 	if _, err := fmt.Fprintln(conn, command); err != nil {
-		return s, fmt.Errorf("control: %w", err)
+		return s, fmt.Errorf("control connection: %w", err)
 	}
 	if err := json.NewDecoder(conn).Decode(&s); err != nil {
-		return s, fmt.Errorf("control: %w", err)
+		return s, fmt.Errorf("control connection: %w", err)
 	}
 	if s.Error != "" {
 		return s, errors.New(s.Error)
@@ -168,7 +168,7 @@
 	return s, nil
 }
 
-// LastStatus returns the state of the last change: from the running controller, else from the journal.
+// LastStatus returns the status of the last change, from the running controller if there is one, else from the journal.
 func LastStatus(dir string) (Status, error) {
 	s, err := SendCommand(dir, commandStatus)
 	if !errors.Is(err, ErrNotRunning) {
@@ -181,7 +181,8 @@
 	return statusOf(c.Name, c.State), nil
 }
 
-// History returns the history of a change, of the last one for "": from the controller that carries it, else from the journal.
+// History returns the history of the named change, or of the last one if name is empty. It asks the controller that is executing the
+// change, and otherwise reads the journal.
 func History(dir, name string) ([]HistoryEntry, error) {
 	s, err := SendCommand(dir, commandHistory)
 	if err == nil && (name == "" || name == s.Name) {
@@ -194,10 +195,10 @@
 	return c.History, err
 }
 
-// ReadChange reads a change, the last one for "", from the journal while no controller runs. It fails with ErrChangeNotFound if there
-// is none, and with ErrRunning while a controller has the journal.
+// ReadChange reads the named change from the journal, or the last one if name is empty. It fails with ErrChangeNotFound if there is
+// none, and with ErrRunning while a controller has the journal open.
 func ReadChange(dir, name string) (c Change, err error) {
-	path := filepath.Join(dir, journalName)
+	path := filepath.Join(dir, journalFileName)
 	if _, err := os.Stat(path); err != nil {
 		return c, ErrChangeNotFound
 	}
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// A command to a controller that does not run fails with ErrNone.
-func TestNoControllerRuns(t *testing.T) {
+// TestCommandsFailWithoutController checks the errors of commands while no controller is running.
+func TestCommandsFailWithoutController(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNotRunning) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("no address file: %v", err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, controlName), []byte("127.0.0.1:1"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, controlFileName), []byte("127.0.0.1:1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := SendCommand(dir, "pause"); !errors.Is(err, ErrNotRunning) {
-		t.Errorf("a file that was left behind: %v", err)
+		t.Errorf("stale address file: %v", err)
 	}
 	if _, err := LastStatus(dir); !errors.Is(err, ErrChangeNotFound) {
 		t.Errorf("no journal: %v", err)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	tickInterval     = 100 * time.Millisecond
-	checkedOld       = 3       // old gateways that are checked too, to see whether incorrect results are the engines'
-	reportBufferSize = 4 << 20 // bytes: hundreds of gateways may report at the same moment
-	queueSize        = 4096    // reports, and check results, that wait for the loop
-	journalName      = "rollout.db"
+	tickInterval          = 100 * time.Millisecond
+	maxOldGatewaysChecked = 3       // old gateways that are checked for comparison: incorrect results may come from the engines
+	reportBufferSize      = 4 << 20 // bytes: hundreds of gateways may send reports at the same moment
+	channelCapacity       = 4096    // capacity of the channels to Run, one for reports and one for check results
+	journalFileName       = "rollout.db"
 )
 
-// Controller carries one change to its end. Run owns its state.
+// Controller executes one change until it has completed or is rolled back. Run owns its state.
 type Controller struct {
 	log      *slog.Logger
 	dir      string
@@ -31,17 +31,17 @@
 	journal  *Journal
 	machine  *rollout.Machine
 	procs    *processes
-	sock     *net.UDPConn // of reports
+	sock     *net.UDPConn // receives reports
 	control  net.Listener
 	checker  *checker
 	reports  chan rollout.Report
 	results  chan checkResult
 	requests chan controlRequest
 	quit     chan struct{}  // closed by Close
-	loops    sync.WaitGroup // that receive reports and accept commands
+	loops    sync.WaitGroup // goroutines that receive reports and accept commands
 }
 
-// ConflictError says that the journal's state does not allow to begin or resume a change.
+// ConflictError means that a change cannot begin or be resumed because of the journal's state.
 type ConflictError struct {
 	Change string // the name of the change in the journal
 	Reason string
@@ -50,8 +50,8 @@
 // Error returns the text that operators see.
 func (e *ConflictError) Error() string { return fmt.Sprintf("change %q %s", e.Change, e.Reason) }
 
-// Open begins a change, or resumes the one of this name that is not over. The controller keeps its state in dir. Open fails
-// with ErrRunning while another controller has the journal, and with a *ConflictError while another change is under way.
+// Open begins the plan's change, or resumes it if the journal has it as unfinished. The controller stores its state in dir. Open fails
+// with ErrRunning while another controller has the journal open, and with a *ConflictError while another change is in progress.
 func Open(dir string, c CheckedPlan, log *slog.Logger) (_ *Controller, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -64,12 +64,12 @@
 		dir:      dir,
 		checked:  c,
 		procs:    newProcesses(dir, c),
-		reports:  make(chan rollout.Report, queueSize),
-		results:  make(chan checkResult, queueSize),
+		reports:  make(chan rollout.Report, channelCapacity),
+		results:  make(chan checkResult, channelCapacity),
 		requests: make(chan controlRequest),
 		quit:     make(chan struct{}),
 	}
-	if k.journal, err = OpenJournal(filepath.Join(dir, journalName)); err != nil {
+	if k.journal, err = OpenJournal(filepath.Join(dir, journalFileName)); err != nil {
 		return nil, err
 	}
 	defer func() {
@@ -91,7 +91,7 @@
 	return k, nil
 }
 
-// listenReports opens the socket to which gateways report.
+// listenReports opens the UDP socket that receives the gateways' reports.
 func listenReports(address string) (*net.UDPConn, error) {
 	invalid := func(err error) error {
 		return &rollout.PlanError{Kind: rollout.ErrPlanValue, Key: "listen", Value: address, Reason: err.Error(), Err: err}
@@ -104,14 +104,14 @@
 	if err != nil {
 		return nil, invalid(err)
 	}
-	_ = sock.SetReadBuffer(reportBufferSize) // the system may grant less: a lost report is followed by the next
+	_ = sock.SetReadBuffer(reportBufferSize) // the system may grant less: a lost report is made up for by the next one
 	return sock, nil
 }
 
-// now returns the Unix time.
+// now returns the time since the Unix epoch.
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// beginOrResume makes the state machine: from the journal if the change is under way there.
+// beginOrResume creates the state machine, from the journal if the last change there is unfinished.
 func (k *Controller) beginOrResume() error {
 	last, err := k.journal.Last()
 	if err != nil && !errors.Is(err, ErrChangeNotFound) {
@@ -129,36 +129,36 @@
 	return k.journal.Begin(p.Name, k.checked.Text, k.machine.State())
 }
 
-// resume continues a change that is under way in the journal, if it is the plan's and was begun with the same plan.
+// resume resumes the last change of the journal. It fails with a *ConflictError unless that change was started with the same plan.
 func (k *Controller) resume(last Change) error {
 	p, fleet := k.checked.Plan, k.checked.Fleet
 	switch {
 	case last.Name != p.Name:
-		return &ConflictError{last.Name, fmt.Sprintf("is under way (%s): end it first", last.State.Phase)}
+		return &ConflictError{last.Name, fmt.Sprintf("is in progress (%s): complete or abort it first", last.State.Phase)}
 	case string(last.Plan) != string(k.checked.Text):
-		return &ConflictError{p.Name, "was begun with another plan"}
+		return &ConflictError{p.Name, "was started with a different plan"}
 	case len(last.State.Gateways) != len(fleet.Gateways):
-		return &ConflictError{p.Name, fmt.Sprintf("was begun with %d gateways", len(last.State.Gateways))}
+		return &ConflictError{p.Name, fmt.Sprintf("was started on a fleet of %d gateways", len(last.State.Gateways))}
 	}
 	k.machine = rollout.Resume(now(), p, k.checked.IDs[rollout.OldVersion], k.checked.IDs[rollout.NewVersion], fleet.Classes, last.State)
 	k.log.Info("change resumed", "change", p.Name, "phase", last.State.Phase, "stage", last.State.Stage+1)
-	return k.journal.Save(p.Name, k.machine.State(), now(), []string{"taken up by a controller that started"})
+	return k.journal.Save(p.Name, k.machine.State(), now(), []string{"resumed after a controller restart"})
 }
 
-// Close ends the controller and its goroutines. The gateways keep running.
+// Close stops the controller and its goroutines. The gateways keep running.
 func (k *Controller) Close() {
 	close(k.quit)
 	k.checker.close()
 	_ = k.sock.Close()
 	_ = k.control.Close()
 	k.loops.Wait()
-	_ = os.Remove(filepath.Join(k.dir, controlName))
+	_ = os.Remove(filepath.Join(k.dir, controlFileName))
 	if err := k.journal.Close(); err != nil {
-		k.log.Error("journal not closed", "error", err)
+		k.log.Error("closing the journal failed", "error", err)
 	}
 }
 
-// Run carries the change until it is over or the context ends, and returns its state. It is called once.
+// Run executes the change until it has finished or ctx is done, and returns its state. It must be called only once.
 func (k *Controller) Run(ctx context.Context) (rollout.State, error) {
 	k.startLoop(k.receiveReports)
 	k.startLoop(k.serveControl)
@@ -188,7 +188,7 @@
 	}
 }
 
-// startLoop starts a goroutine that Close waits for.
+// startLoop runs a function on a goroutine that Close waits for.
 func (k *Controller) startLoop(loop func()) {
 	k.loops.Add(1)
 	go func() {
@@ -197,17 +197,17 @@
 	}()
 }
 
-// tick updates what is observed, and carries out what the state machine decides.
+// tick passes the latest reports and processes to the state machine, and executes the actions that it decides on.
 func (k *Controller) tick() error {
 	k.drainReports()
 	for i, p := range k.procs.find() {
 		k.machine.ObserveProcess(i, p.pid, p.reloadable)
 	}
 	k.machine.Tick(now())
-	return k.carryOut()
+	return k.persistAndExecute()
 }
 
-// drainReports records the reports that arrived before this moment, so that the next decision counts them.
+// drainReports passes all queued reports to the state machine, so that its next decision takes them into account.
 func (k *Controller) drainReports() {
 	for {
 		select {
@@ -219,9 +219,9 @@
 	}
 }
 
-// carryOut stores the state, and only then carries out the actions: a controller that resumes the change repeats those of which it
-// cannot tell that they were carried out.
-func (k *Controller) carryOut() error {
+// persistAndExecute stores the state before it executes the actions, so that a controller that resumes the change after a crash repeats the
+// actions that may not have been executed.
+func (k *Controller) persistAndExecute() error {
 	actions := k.machine.Actions()
 	var notes []string
 	for _, a := range actions {
@@ -236,7 +236,7 @@
 		}
 	}
 	for _, a := range actions {
-		// A failed action shows in what is observed next, and the state machine decides again.
+		// No retry here: the state machine sees at the next tick that the action had no effect, and decides again.
 		if err := k.execute(a); err != nil && !errors.Is(err, errProcessEnded) {
 			k.log.Error("action failed", "action", fmt.Sprintf("%T", a), "error", err)
 		}
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// gatewaysToCheck returns the new gateways and a few old ones while a stage is watched, else none.
+// gatewaysToCheck returns the new gateways and up to maxOldGatewaysChecked old ones while a stage is being watched, otherwise none.
 func (k *Controller) gatewaysToCheck() (gateways []int) {
 	s := k.machine.State()
 	if s.Phase != rollout.Watching {
@@ -271,7 +271,7 @@
 		}
 		if g.StartedVersion == rollout.NewVersion {
 			gateways = append(gateways, i)
-		} else if olds < checkedOld {
+		} else if olds < maxOldGatewaysChecked {
 			olds++
 			gateways = append(gateways, i)
 		}
@@ -279,7 +279,7 @@
 	return gateways
 }
 
-// receiveReports reads reports until the socket is closed.
+// receiveReports receives reports until the socket is closed.
 func (k *Controller) receiveReports() {
 	buf := make([]byte, rollout.MaxReportBytes+1)
 	fleet := k.checked.Fleet
@@ -293,12 +293,12 @@
 		}
 		r, err := rollout.ParseReport(buf[:n], k.checked.Plan.Fleet, len(fleet.Gateways), len(fleet.Classes))
 		if err != nil {
-			k.log.Debug("report dropped", "error", err)
+			k.log.Debug("invalid report dropped", "error", err)
 			continue
 		}
 		select {
 		case k.reports <- r:
-		default: // the gateway's next report includes what this one counts
+		default: // counts are cumulative, so the gateway's next report includes those of this one
 		}
 	}
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,9 +1,9 @@
 // Package controller runs a rollout: it drives the state machine of package rollout.
 //
-// It owns the journal of changes on disk, the socket to which gateways report, the search for the gateways' processes, their
-// start and stop, the checks (queries whose result is known), and the control connection for operators' commands. It never
-// decides when a gateway is changed or a stage rolled back: package rollout does.
+// It stores changes in a journal on disk, receives the gateways' reports on a UDP socket, finds, starts and stops the gateways'
+// processes, sends synthetic checks (queries with a known result), and serves operators' commands on the control connection. When
+// to restart a gateway or roll back a stage is decided by package rollout alone.
 //
-// One goroutine, which calls Controller.Run, owns the state machine and the journal. The goroutines that receive reports,
-// serve commands and send checks pass their results to it over channels.
+// The goroutine that calls Controller.Run owns the state machine and the journal. The goroutines that receive reports, serve
+// commands and send checks pass their results to it over channels.
 package controller
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -10,27 +10,27 @@
 	"frostpier/internal/settings"
 )
 
-// Gateway is one gateway of the fleet, as its configuration has it.
+// Gateway is a gateway of the fleet, as described by its configuration.
 type Gateway struct {
 	Name   string
-	Config string // the configuration's absolute path, which identifies its process
+	Config string // absolute path of the configuration, which identifies the gateway's process
 	Listen string // the address to which clients connect
 }
 
-// Fleet is the gateways that a plan changes.
+// Fleet describes the gateways that a plan changes.
 type Fleet struct {
-	Gateways          []Gateway // by their numbers
+	Gateways          []Gateway // by index
 	Classes           []string
-	LatencyObjectives []time.Duration `json:"Aims"` // of the classes
+	LatencyObjectives []time.Duration `json:"Aims"` // indexed like Classes
 }
 
-// FleetError says which configuration makes a fleet unusable.
+// FleetError means that the configurations do not describe a valid fleet.
 type FleetError struct {
-	Path   string // of the configuration; empty where none is to blame alone
-	Key    string // of the configuration or the plan; empty where the configuration cannot be read
-	Value  any    // of the key
+	Path   string // of the invalid configuration; empty if the error is not in a single one
+	Key    string // in the configuration or the plan; empty if the configuration cannot be read or parsed
+	Value  any    // of Key
 	Reason string
-	Err    error // the cause; nil if there is none beside Reason
+	Err    error // underlying error; may be nil
 }
 
 // Error returns the text that operators see.
@@ -45,14 +45,14 @@
 	return fmt.Sprintf("fleet: %s: %s", subject, e.Reason)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *FleetError) Unwrap() error { return e.Err }
 
-// ReadFleet reads the configurations that match a glob, one for each gateway. Errors are *FleetError.
+// ReadFleet reads the configurations that match a glob pattern, one per gateway. Errors are of type *FleetError.
 func ReadFleet(pattern string) (Fleet, error) {
 	paths, err := filepath.Glob(pattern)
 	if err != nil || len(paths) == 0 {
-		return Fleet{}, &FleetError{Key: "configs", Value: pattern, Reason: fmt.Sprintf("%q names no file", pattern), Err: err}
+		return Fleet{}, &FleetError{Key: "configs", Value: pattern, Reason: fmt.Sprintf("no file matches %q", pattern), Err: err}
 	}
 	f := Fleet{Gateways: make([]Gateway, len(paths))}
 	for _, path := range paths {
@@ -90,16 +90,16 @@
 	invalid := func(key string, value any, format string, args ...any) error {
 		return &FleetError{Path: path, Key: key, Value: value, Reason: fmt.Sprintf(format, args...)}
 	}
-	number, gateways := host.Policy.GatewayIndex, len(f.Gateways)
+	index, gateways := host.Policy.GatewayIndex, len(f.Gateways)
 	switch {
-	case host.Policy.Gateways != gateways || number < 0 || number >= gateways:
-		return invalid("self_index", number, "number %d of %d, there are %d configurations", number, host.Policy.Gateways, gateways)
-	case f.Gateways[number].Config != "":
-		return invalid("self_index", number, "number %d is %s's", number, f.Gateways[number].Name)
+	case host.Policy.Gateways != gateways || index < 0 || index >= gateways:
+		return invalid("self_index", index, "index %d of %d gateways, but there are %d configurations", index, host.Policy.Gateways, gateways)
+	case f.Gateways[index].Config != "":
+		return invalid("self_index", index, "index %d is already used by %s", index, f.Gateways[index].Name)
 	case f.Classes != nil && !slices.Equal(f.Classes, classes):
-		return invalid("classes", classes, "its classes are not the others'")
+		return invalid("classes", classes, "classes differ from those of the other configurations")
 	}
 	f.Classes, f.LatencyObjectives = classes, objectives
-	f.Gateways[number] = Gateway{Name: conf.Name, Config: path, Listen: conf.Listen}
+	f.Gateways[index] = Gateway{Name: conf.Name, Config: path, Listen: conf.Listen}
 	return nil
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -10,8 +10,9 @@
 	"frostpier/internal/testutil"
 )
 
-// A journal of an earlier version is read, and what is printed with --json has the keys that it had.
-func TestStoredJournalIsRead(t *testing.T) {
+// TestStoredJournalMatchesGolden checks that a journal written by an earlier version can be read, and that the JSON keys of the status
+// and the history are unchanged.
+func TestStoredJournalMatchesGolden(t *testing.T) {
 	t.Parallel()
 	stored, err := os.ReadFile("testdata/journal.db")
 	if err != nil {
--- a/internal/controller/journal.go
+++ b/internal/controller/journal.go
@@ -13,22 +13,22 @@
 	"frostpier/internal/control/rollout"
 )
 
-// Journal stores changes durably. bbolt writes copy-on-write pages and syncs them before a commit returns, so that a commit
-// torn by a crash leaves the state before it. One process at a time has it open.
+// Journal stores changes durably. bbolt writes pages copy-on-write and syncs them before a commit returns, so that a crash during a
+// commit leaves the previous state intact. Only one process at a time can have a journal open.
 type Journal struct{ db *bbolt.DB }
 
 var (
-	// ErrRunning says that another controller has the journal open.
-	ErrRunning = errors.New("another controller runs")
-	// ErrChangeNotFound says that the journal has no such change.
+	// ErrRunning means that another controller has the journal open.
+	ErrRunning = errors.New("another controller is running")
+	// ErrChangeNotFound means that the journal has no such change.
 	ErrChangeNotFound = errors.New("no such change")
 )
 
-// lockTimeout is how long opening waits for a journal that another process has open.
+// lockTimeout is how long to wait for the file lock of a journal that another process has open.
 const lockTimeout = 200 * time.Millisecond
 
-// Names of buckets and keys. A bucket of all changes holds the name of the last one, and a bucket for each, by its name, with the
-// plan, the state and a bucket of its history.
+// Names of buckets and keys. The bucket of changes holds the name of the last change, and one bucket per change under the change's
+// name. That bucket holds the plan, the state and the bucket of the history.
 const (
 	changesBucket = "changes"
 	historyBucket = "history"
@@ -37,11 +37,11 @@
 	stateKey      = "state"
 )
 
-// OpenJournal opens the journal to write, and creates it if it is missing. It fails with ErrRunning while another process has it
+// OpenJournal opens a journal for writing, and creates it if it is missing. It fails with ErrRunning while another process has it
 // open.
 func OpenJournal(path string) (*Journal, error) { return open(path, false) }
 
-// ReadJournal opens the journal to read. It fails with ErrRunning while a controller has it open.
+// ReadJournal opens a journal for reading. It fails with ErrRunning while a controller has it open.
 func ReadJournal(path string) (*Journal, error) { return open(path, true) }
 
 func open(path string, readOnly bool) (*Journal, error) {
@@ -58,11 +58,11 @@
 // Close closes the journal.
 func (j *Journal) Close() error { return j.db.Close() }
 
-// Begin adds a change with its plan's text and its first state. It fails with a *ConflictError if there is one of this name.
+// Begin adds a change with the text of its plan and its initial state. It fails with a *ConflictError if the name is already used.
 func (j *Journal) Begin(name string, plan []byte, s rollout.State) error {
 	return j.update(func(changes *bbolt.Bucket) error {
 		if changes.Bucket([]byte(name)) != nil {
-			return &ConflictError{name, "stands in the journal already"}
+			return &ConflictError{name, "already exists in the journal"}
 		}
 		change, err := changes.CreateBucket([]byte(name))
 		if err != nil {
@@ -78,7 +78,7 @@
 	})
 }
 
-// Save stores a state and adds entries to the history, in one transaction. It is on disk when Save returns.
+// Save stores the state of a change and adds notes to its history, in one transaction that is on disk when Save returns.
 func (j *Journal) Save(name string, s rollout.State, at time.Duration, notes []string) error {
 	return j.update(func(changes *bbolt.Bucket) error {
 		change := changes.Bucket([]byte(name))
@@ -119,7 +119,7 @@
 	return change.Put([]byte(stateKey), text)
 }
 
-// update runs a transaction on the bucket of all changes.
+// update runs a transaction on the bucket of changes.
 func (j *Journal) update(transaction func(changes *bbolt.Bucket) error) error {
 	err := j.db.Update(func(tx *bbolt.Tx) error {
 		changes, err := tx.CreateBucketIfNotExists([]byte(changesBucket))
@@ -134,21 +134,21 @@
 	return nil
 }
 
-// HistoryEntry is an event of a change's history.
+// HistoryEntry is an event in the history of a change.
 type HistoryEntry struct {
-	At   time.Duration `json:"at"` // Unix time
+	At   time.Duration `json:"at"` // since the Unix epoch
 	Text string        `json:"text"`
 }
 
-// Change is what the journal has of a change.
+// Change is a change as stored in the journal.
 type Change struct {
 	Name    string
-	Plan    []byte // its text
+	Plan    []byte // text of the plan
 	State   rollout.State
 	History []HistoryEntry
 }
 
-// Last returns the change that was begun last. It fails with ErrChangeNotFound if there is none.
+// Last returns the change that began last. It fails with ErrChangeNotFound if the journal is empty.
 func (j *Journal) Last() (Change, error) {
 	name := ""
 	err := j.db.View(func(tx *bbolt.Tx) error {
@@ -163,7 +163,7 @@
 	return j.Change(name)
 }
 
-// Change returns a change by its name. It fails with ErrChangeNotFound if there is none.
+// Change returns the change with this name. It fails with ErrChangeNotFound if there is none.
 func (j *Journal) Change(name string) (Change, error) {
 	c := Change{Name: name}
 	err := j.db.View(func(tx *bbolt.Tx) error {
@@ -179,7 +179,7 @@
 	return c, nil
 }
 
-// read reads a change from its bucket.
+// read decodes a change from its bucket.
 func (c *Change) read(change *bbolt.Bucket) error {
 	c.Plan = append(c.Plan, change.Get([]byte(planKey))...)
 	if err := json.Unmarshal(change.Get([]byte(stateKey)), &c.State); err != nil {
--- a/internal/controller/journal_test.go
+++ b/internal/controller/journal_test.go
@@ -12,8 +12,8 @@
 	"frostpier/internal/control/rollout"
 )
 
-// stateOf returns a state of a change in a stage.
-func stateOf(stage int) rollout.State {
+// stateInStage returns the state of a change that is watching a stage.
+func stateInStage(stage int) rollout.State {
 	return rollout.State{
 		Phase:    rollout.Watching,
 		Stage:    stage,
@@ -21,7 +21,7 @@
 	}
 }
 
-// beginJournal opens a new journal with a change "a", and returns it with its path.
+// beginJournal creates a journal that contains the change "a", and returns it with its path.
 func beginJournal(t *testing.T) (*Journal, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "rollout.db")
@@ -29,24 +29,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := j.Begin("a", []byte("plan"), stateOf(0)); err != nil {
+	if err := j.Begin("a", []byte("plan"), stateInStage(0)); err != nil {
 		t.Fatal(err)
 	}
 	return j, path
 }
 
-// saveStages saves the change's state in these stages, each with an entry of history.
+// saveStages saves a state for each of these stages, with one history entry each.
 func saveStages(t *testing.T, j *Journal, from, to int) {
 	t.Helper()
 	for stage := from; stage <= to; stage++ {
 		note := fmt.Sprint("line ", stage)
-		if err := j.Save("a", stateOf(stage), time.Duration(stage)*time.Second, []string{note}); err != nil {
+		if err := j.Save("a", stateInStage(stage), time.Duration(stage)*time.Second, []string{note}); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// One process at a time has the journal open, and a change is begun once.
+// TestJournalIsExclusive checks that only one process can have a journal open, and that a change can begin only once.
 func TestJournalIsExclusive(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rollout.db")
 	j, err := OpenJournal(path)
@@ -55,24 +55,24 @@
 	}
 	defer j.Close()
 	if _, err := j.Last(); !errors.Is(err, ErrChangeNotFound) {
-		t.Fatalf("an empty journal: %v", err)
+		t.Fatalf("empty journal: %v", err)
 	}
-	if err := j.Begin("a", []byte("plan"), stateOf(0)); err != nil {
+	if err := j.Begin("a", []byte("plan"), stateInStage(0)); err != nil {
 		t.Fatal(err)
 	}
 	var conflict *ConflictError
-	if err := j.Begin("a", nil, stateOf(0)); !errors.As(err, &conflict) || conflict.Change != "a" {
-		t.Errorf("a change was begun twice: %v", err)
+	if err := j.Begin("a", nil, stateInStage(0)); !errors.As(err, &conflict) || conflict.Change != "a" {
+		t.Errorf("second Begin of a change: %v", err)
 	}
 	if _, err := OpenJournal(path); !errors.Is(err, ErrRunning) {
-		t.Errorf("a second controller: %v", err)
+		t.Errorf("second OpenJournal: %v", err)
 	}
 	if _, err := ReadJournal(path); !errors.Is(err, ErrRunning) {
-		t.Errorf("a reader beside a controller: %v", err)
+		t.Errorf("ReadJournal of an open journal: %v", err)
 	}
 }
 
-// What was saved is read back.
+// TestJournalRoundTrip checks that a reopened journal returns what was saved.
 func TestJournalRoundTrip(t *testing.T) {
 	j, path := beginJournal(t)
 	saveStages(t, j, 1, 6)
@@ -99,10 +99,10 @@
 	}
 }
 
-// A commit that a crash of the machine tore is dropped: the state before it stands, with its history. bbolt syncs the pages before it
-// writes and syncs the root, of which there are two in turn, at the file's start: so either some of the pages are written
-// and no new root, or all pages and a part of the root.
-func TestJournalAfterTornCommit(t *testing.T) {
+// TestJournalRecoversFromTornCommit checks that a commit that was only partly written in a machine crash is dropped, and that the previous
+// state is read with its whole history. bbolt syncs the data pages before it writes one of the two alternating meta pages at the start
+// of the file. So a crash leaves either some data pages and the old meta page, or all data pages and a part of the new meta page.
+func TestJournalRecoversFromTornCommit(t *testing.T) {
 	const stages = 5
 	j, path := beginJournal(t)
 	saveStages(t, j, 1, stages)
@@ -118,27 +118,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	roots := 2 * os.Getpagesize()
-	t.Run("pages", func(t *testing.T) {
-		for cut := roots; cut <= len(after); cut += 512 {
+	metaSize := 2 * os.Getpagesize()
+	t.Run("data pages", func(t *testing.T) {
+		for cut := metaSize; cut <= len(after); cut += 512 {
 			torn := slices.Clone(after)
-			copy(torn, before[:roots])
+			copy(torn, before[:metaSize])
 			if cut < len(before) {
 				copy(torn[cut:], before[cut:])
 			}
 			checkTornJournal(t, fmt.Sprintf("cut at %d", cut), torn, stages)
 		}
 	})
-	t.Run("roots", func(t *testing.T) {
-		for cut := 0; cut <= roots; cut += 16 {
+	t.Run("meta pages", func(t *testing.T) {
+		for cut := 0; cut <= metaSize; cut += 16 {
 			torn := slices.Clone(after)
-			copy(torn[cut:roots], before[cut:roots])
+			copy(torn[cut:metaSize], before[cut:metaSize])
 			checkTornJournal(t, fmt.Sprintf("cut at %d", cut), torn, stages)
 		}
 	})
 }
 
-// checkTornJournal checks that a journal has the state of the stage or the one after it, with its whole history.
+// checkTornJournal checks that a journal holds the state of the stage or of the next one, with all history entries up to it.
 func checkTornJournal(t *testing.T, name string, content []byte, stage int) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "torn.db")
@@ -153,6 +153,6 @@
 	defer j.Close()
 	c, err := j.Last()
 	if err != nil || c.State.Stage < stage || c.State.Stage > stage+1 || len(c.History) != c.State.Stage {
-		t.Errorf("%s: stage %d, %d entries, %v", name, c.State.Stage, len(c.History), err)
+		t.Errorf("%s: stage %d, %d history entries, %v", name, c.State.Stage, len(c.History), err)
 	}
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -11,22 +11,22 @@
 	"frostpier/internal/settings"
 )
 
-// CheckedPlan is a valid plan with what it names: the fleet and both versions exist and can be read.
+// CheckedPlan is a valid plan, with the fleet and the versions that it refers to.
 type CheckedPlan struct {
 	Plan  rollout.Plan
-	Text  []byte // of the plan
+	Text  []byte // of the plan's file
 	Fleet Fleet
-	IDs   map[string]rollout.VersionID // by version
+	IDs   map[string]rollout.VersionID // by OldVersion or NewVersion
 }
 
-// versionPlan is one version of a plan, and its key there.
-type versionPlan struct {
+// namedVersion is the old or new version of a plan, with its key in the plan.
+type namedVersion struct {
 	key     string
 	version rollout.Version
 }
 
-// CheckPlan reads and validates a plan and all that it names, before anything is changed. Errors are *rollout.PlanError and
-// *FleetError.
+// CheckPlan parses a plan, and validates it with all files that it refers to. It changes nothing. Errors are of type
+// *rollout.PlanError or *FleetError.
 func CheckPlan(text []byte) (CheckedPlan, error) {
 	c := CheckedPlan{Text: text, IDs: map[string]rollout.VersionID{}}
 	pattern, err := rollout.ParseConfigPattern(text)
@@ -39,7 +39,7 @@
 	if c.Plan, err = rollout.ParsePlan(text, len(c.Fleet.Gateways)); err != nil {
 		return c, err
 	}
-	versions := []versionPlan{{rollout.OldVersion, c.Plan.Old}, {rollout.NewVersion, c.Plan.New}}
+	versions := []namedVersion{{rollout.OldVersion, c.Plan.Old}, {rollout.NewVersion, c.Plan.New}}
 	for _, v := range versions {
 		if c.IDs[v.key], err = v.identify(c.Plan.Fleet, c.Plan.Reports); err != nil {
 			return c, err
@@ -47,7 +47,7 @@
 	}
 	if c.IDs[rollout.OldVersion] == c.IDs[rollout.NewVersion] {
 		return c, &rollout.PlanError{Kind: rollout.ErrPlanValue, Key: "new", Value: c.Plan.New,
-			Reason: "it is the old version: neither the program's nor the operator's file differs"}
+			Reason: "it is the same as the old version: the program and the operator's file are identical"}
 	}
 	for _, check := range c.Plan.Checks {
 		if !slices.Contains(c.Fleet.Classes, check.Class) {
@@ -58,8 +58,8 @@
 	return c, nil
 }
 
-// identify validates a version's files and returns how it shows in reports.
-func (v versionPlan) identify(fleet, reportTo string) (id rollout.VersionID, err error) {
+// identify validates the files of a version and returns the ID by which gateways report it.
+func (v namedVersion) identify(fleet, reportTo string) (id rollout.VersionID, err error) {
 	if id.Program, err = hashProgram(v.version.Program); err != nil {
 		return id, v.invalid("program", v.version.Program, err)
 	}
@@ -72,23 +72,23 @@
 	return id, nil
 }
 
-func (v versionPlan) invalid(key, value string, err error) error {
+func (v namedVersion) invalid(key, value string, err error) error {
 	return &rollout.PlanError{Kind: rollout.ErrPlanValue, Key: v.key + "." + key, Value: value, Reason: err.Error(), Err: err}
 }
 
-// hashProgram returns the hash of an executable file.
+// hashProgram returns the hash of a program. It fails if the file is not executable.
 func hashProgram(path string) (uint64, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return 0, err
 	}
 	if info.IsDir() || info.Mode()&0o111 == 0 {
-		return 0, fmt.Errorf("%s is no executable", path)
+		return 0, fmt.Errorf("%s is not an executable file", path)
 	}
 	return program.HashFile(path)
 }
 
-// OperatorError says which key of an operator's file does not fit the plan.
+// OperatorError means that a key of an operator's file does not match the plan.
 type OperatorError struct {
 	Path   string
 	Key    string
@@ -98,10 +98,10 @@
 // Error returns the text that operators see.
 func (e *OperatorError) Error() string { return e.Path + ": " + e.Reason }
 
-// validateOperator validates an operator's file: gateways that use it must be of the fleet, and report to the controller.
+// validateOperator validates an operator's file. It must name the plan's fleet, and send reports to the controller.
 func validateOperator(path, fleet, reportTo string) error {
 	if path == "" {
-		return errors.New("without an operator's file gateways report nothing")
+		return errors.New("an operator's file is required: without one, gateways send no reports")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -113,13 +113,13 @@
 	}
 	switch {
 	case op.Rollout == nil:
-		return &OperatorError{path, "rollout", "it has no section rollout"}
+		return &OperatorError{path, "rollout", "section rollout is missing"}
 	case op.Rollout.ReportTo.String() != reportTo:
 		return &OperatorError{path, "rollout.report_to",
-			fmt.Sprintf("rollout.report_to is %v, the plan has %s", op.Rollout.ReportTo, reportTo)}
+			fmt.Sprintf("rollout.report_to is %v, but the plan requires %s", op.Rollout.ReportTo, reportTo)}
 	case op.Membership.Fleet != fleet:
 		return &OperatorError{path, "membership.fleet",
-			fmt.Sprintf("membership.fleet is %q, the plan's fleet %q", op.Membership.Fleet, fleet)}
+			fmt.Sprintf("membership.fleet is %q, but the plan's fleet is %q", op.Membership.Fleet, fleet)}
 	}
 	return nil
 }
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -11,7 +11,7 @@
 	"frostpier/internal/control/rollout"
 )
 
-// writeFleet writes the files that a plan names: configurations, programs, operator's files.
+// writeFleet writes the files that validPlan refers to: configurations, programs and operator's files.
 func writeFleet(t *testing.T, dir string, gateways int) {
 	t.Helper()
 	put := func(name, text string, mode os.FileMode) {
@@ -32,8 +32,8 @@
 	put("none.toml", "[membership]\nfleet = \"f\"\n", 0o600)
 }
 
-// planOf returns a valid plan of the fleet in dir.
-func planOf(dir string) string {
+// validPlan returns a valid plan for the fleet in dir.
+func validPlan(dir string) string {
 	return strings.ReplaceAll(`name = "x"
 fleet = "f"
 listen = "127.0.0.1:7950"
@@ -52,11 +52,11 @@
 `, "DIR", dir)
 }
 
-// A valid plan is read with its fleet and the versions' identities.
+// TestCheckPlan checks the fleet, version IDs and defaults of a valid plan.
 func TestCheckPlan(t *testing.T) {
 	dir := t.TempDir()
 	writeFleet(t, dir, 4)
-	c, err := CheckPlan([]byte(planOf(dir)))
+	c, err := CheckPlan([]byte(validPlan(dir)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// What is invalid in a plan is named by key, and by line where it is in the plan's text.
+// TestCheckPlanErrors checks that errors name the invalid key, and its line if the error is in the plan's text.
 func TestCheckPlanErrors(t *testing.T) {
 	dir := t.TempDir()
 	writeFleet(t, dir, 4)
@@ -81,7 +81,7 @@
 		kind     error
 		line     int
 		key      string
-		reason   string // a part of the text; empty = any
+		reason   string // substring of the error's text; empty = any
 	}{
 		{`name = "x"`, `name = ""`, rollout.ErrPlanValue, 1, "name", ""},
 		{`name = "x"`, `name = "x`, rollout.ErrPlanSyntax, 1, "name", ""},
@@ -94,17 +94,17 @@
 		{`false_alarm = 0.01`, `false_alarm = 2`, rollout.ErrPlanValue, 15, "judge.false_alarm", "line 15: judge.false_alarm"},
 		{`false_alarm = 0.01`, `false_alarm = "a"`, rollout.ErrPlanType, 15, "judge.false_alarm", "line 15"},
 		{dir + `/new"`, dir + `/absent"`, rollout.ErrPlanValue, 0, "new.program", "no such file"},
-		{dir + `/new"`, dir + `/op.toml"`, rollout.ErrPlanValue, 0, "new.program", "is no executable"},
-		{`program = "` + dir + `/new"`, `program = "` + dir + `/old"`, rollout.ErrPlanValue, 0, "new", "it is the old version"},
+		{dir + `/new"`, dir + `/op.toml"`, rollout.ErrPlanValue, 0, "new.program", "is not an executable file"},
+		{`program = "` + dir + `/new"`, `program = "` + dir + `/old"`, rollout.ErrPlanValue, 0, "new", "it is the same as the old version"},
 		{`[judge]`, "[[check]]\nclass = \"none\"\nstatement = \"s\"\n[judge]", rollout.ErrPlanValue, 0, "check.class", `no class "none"`},
 		{`[judge]`, "[[check]]\nclass = \"lookup\"\n[judge]", rollout.ErrPlanValue, 14, "check.statement", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.to, func(t *testing.T) {
-			_, err := CheckPlan([]byte(strings.Replace(planOf(dir), c.from, c.to, 1)))
+			_, err := CheckPlan([]byte(strings.Replace(validPlan(dir), c.from, c.to, 1)))
 			var found *rollout.PlanError
 			if !errors.As(err, &found) {
-				t.Fatalf("%v is no PlanError", err)
+				t.Fatalf("%v is not a PlanError", err)
 			}
 			if found.Kind != c.kind || found.Line != c.line || found.Key != c.key {
 				t.Errorf("%v: %v, line %d, key %q, want %v, line %d, key %q", err, found.Kind, found.Line, found.Key, c.kind, c.line, c.key)
@@ -116,7 +116,8 @@
 	}
 }
 
-// A plan that does not fit the operator's file is an error of the version's key, and names the operator's key.
+// TestCheckPlanAgainstOperatorFile checks that a mismatch between plan and operator's file is reported for the version's key in the
+// plan, and names the key in the operator's file.
 func TestCheckPlanAgainstOperatorFile(t *testing.T) {
 	dir := t.TempDir()
 	writeFleet(t, dir, 4)
@@ -125,13 +126,13 @@
 		"rollout.report_to": {`listen = "127.0.0.1:7950"`, `listen = "127.0.0.1:7951"`},
 	} {
 		t.Run(key, func(t *testing.T) {
-			_, err := CheckPlan([]byte(strings.Replace(planOf(dir), change[0], change[1], 1)))
+			_, err := CheckPlan([]byte(strings.Replace(validPlan(dir), change[0], change[1], 1)))
 			checkOperatorError(t, err, "old.operator", key)
 		})
 	}
 	for file, key := range map[string]string{"bad.toml": "membership.interval_ms", "none.toml": "rollout", "absent.toml": ""} {
 		t.Run(file, func(t *testing.T) {
-			good := planOf(dir)
+			good := validPlan(dir)
 			last := strings.LastIndex(good, "op.toml")
 			_, err := CheckPlan([]byte(good[:last] + file + good[last+len("op.toml"):]))
 			checkOperatorError(t, err, "new.operator", key)
@@ -139,37 +140,37 @@
 	}
 }
 
-// checkOperatorError checks that an error is of a plan's key, and names a key of the operator's file.
+// checkOperatorError checks that an error is reported for planKey, and that its text contains operatorKey.
 func checkOperatorError(t *testing.T, err error, planKey, operatorKey string) {
 	t.Helper()
 	var inPlan *rollout.PlanError
 	if !errors.As(err, &inPlan) || inPlan.Key != planKey || !errors.Is(err, rollout.ErrPlanValue) {
-		t.Fatalf("%v is no error of %s", err, planKey)
+		t.Fatalf("%v is not an error of %s", err, planKey)
 	}
 	if !strings.Contains(err.Error(), operatorKey) {
 		t.Errorf("%v, want %q", err, operatorKey)
 	}
 	var inOperator *OperatorError
 	if errors.As(err, &inOperator) && inOperator.Key != operatorKey {
-		t.Errorf("%v is of the key %q, want %q", err, inOperator.Key, operatorKey)
+		t.Errorf("%v: operator's key %q, want %q", err, inOperator.Key, operatorKey)
 	}
 }
 
-// The configurations have to be those of a whole fleet.
+// TestReadFleetErrors checks that missing configurations are an error.
 func TestReadFleetErrors(t *testing.T) {
 	dir := t.TempDir()
 	writeFleet(t, dir, 4)
 	var found *FleetError
-	_, err := CheckPlan([]byte(strings.Replace(planOf(dir), "n*.json", "m*.json", 1)))
+	_, err := CheckPlan([]byte(strings.Replace(validPlan(dir), "n*.json", "m*.json", 1)))
 	if !errors.As(err, &found) || found.Key != "configs" {
 		t.Errorf("no configuration: %v", err)
 	}
-	writeFleet(t, dir, 5) // the first four still say that there are five
+	writeFleet(t, dir, 5) // each configuration says that there are five gateways
 	if err := os.Remove(filepath.Join(dir, "n2.json")); err != nil {
 		t.Fatal(err)
 	}
-	_, err = CheckPlan([]byte(planOf(dir)))
+	_, err = CheckPlan([]byte(validPlan(dir)))
 	if !errors.As(err, &found) || found.Key != "self_index" || !strings.Contains(err.Error(), "there are 4 configurations") {
-		t.Errorf("a configuration is missing: %v", err)
+		t.Errorf("missing configuration: %v", err)
 	}
 }
--- a/internal/controller/processes.go
+++ b/internal/controller/processes.go
@@ -13,7 +13,7 @@
 	"frostpier/internal/control/rollout"
 )
 
-// Variables of a gateway's environment. The configuration identifies its process.
+// Environment variables of a gateway. The path of the configuration identifies its process.
 const (
 	configVariable   = "GW_CONFIG"
 	nameVariable     = "GW_NAME"
@@ -21,19 +21,19 @@
 	operatorVariable = "FROSTPIER_OPERATOR"
 )
 
-// processes finds, starts and stops the processes of gateways. A gateway's process is known by the configuration in its
-// environment: so it is found whoever started it, also by a controller that was just started, and also if it hangs.
+// processes finds, starts and stops the processes of gateways. It recognizes a gateway's process by the path of the configuration in
+// its environment. That works for a process that was started by another controller or by hand, and for one that hangs.
 type processes struct {
-	dir      string // of the controller's state
+	dir      string // directory of the controller's state
 	gateways []Gateway
 	versions map[string]rollout.Version
-	pids     map[int]int // the process found last, by gateway
+	pids     map[int]int // last known process, by gateway index
 }
 
-// process is what was found of a gateway's process.
+// process describes the process of a gateway.
 type process struct {
-	pid        int  // 0 = there is none
-	reloadable bool // its operator's file is the one that the controller writes: new settings need no restart
+	pid        int  // 0 = no process
+	reloadable bool // it uses the operator's file that the controller writes, so that new settings need no restart
 }
 
 func newProcesses(dir string, c CheckedPlan) *processes {
@@ -45,16 +45,16 @@
 	}
 }
 
-// operatorPath returns the path of a gateway's operator's file. Each has its own, so that settings can differ.
+// operatorPath returns the path of a gateway's operator's file. Each gateway has its own file, since settings differ by version.
 func (p *processes) operatorPath(gateway int) string {
 	return filepath.Join(p.dir, "operators", p.gateways[gateway].Name+".toml")
 }
 
-// find returns the processes of all gateways, by their numbers. Those found last time are tried first, and /proc is searched for
+// find returns the processes of all gateways, by index. It looks at the last known processes first, and searches /proc only for
 // the others.
 func (p *processes) find() []process {
 	found := make([]process, len(p.gateways))
-	missing := map[string]int{} // gateways by their configuration
+	missing := map[string]int{} // gateway index by configuration path
 	for i, g := range p.gateways {
 		if pid := p.pids[i]; pid > 0 {
 			if known, ok := p.inspect(pid, i); ok {
@@ -71,7 +71,7 @@
 	return found
 }
 
-// search scans /proc for the processes of the gateways with these configurations.
+// search scans /proc for the processes of the missing gateways, and stores them in found.
 func (p *processes) search(missing map[string]int, found []process) {
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
@@ -94,14 +94,14 @@
 	}
 }
 
-// inspect reads a process's environment, and reports whether it is the gateway's.
+// inspect reads the environment of a process, and reports whether it belongs to the gateway.
 func (p *processes) inspect(pid, gateway int) (process, bool) {
 	config, operator := readEnvironment(pid)
 	return process{pid, operator == p.operatorPath(gateway)}, config == p.gateways[gateway].Config
 }
 
-// readEnvironment returns the configuration and operator's file with which a process was started; nothing for one that has ended or is
-// another user's.
+// readEnvironment returns the paths of the configuration and of the operator's file from the environment of a process. Both are empty
+// if the process has ended or belongs to another user.
 func readEnvironment(pid int) (config, operator string) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
@@ -118,7 +118,7 @@
 	return config, operator
 }
 
-// installSettings replaces a gateway's operator's file with that of a version, atomically.
+// installSettings atomically replaces a gateway's operator's file with that of a version.
 func (p *processes) installSettings(gateway int, version string) error {
 	text, err := os.ReadFile(p.versions[version].Operator)
 	if err != nil {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// openLog opens the file to which a gateway's process logs.
+// openLog opens the log file of a gateway's process for appending.
 func (p *processes) openLog(gateway int) (*os.File, error) {
 	logs := filepath.Join(p.dir, "logs")
 	if err := os.MkdirAll(logs, 0o755); err != nil {
@@ -144,7 +144,7 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 }
 
-// start starts a gateway's process on a version. The process outlives the controller.
+// start starts a gateway on a version. The process keeps running when the controller ends.
 func (p *processes) start(gateway int, version string) error {
 	if err := p.installSettings(gateway, version); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has its own descriptor
+	defer func() { _ = log.Close() }() // the process has its own copy of the descriptor
 	g, v := p.gateways[gateway], p.versions[version]
 	cmd := exec.Command(v.Program, v.Args...)
 	cmd.Env = append(os.Environ(), v.Env...)
@@ -164,11 +164,11 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("gateway %s: %w", g.Name, err)
 	}
-	go func() { _ = cmd.Wait() }() // reaps it: a zombie would still be found
+	go func() { _ = cmd.Wait() }() // reap the process: find would still see a zombie
 	return nil
 }
 
-// reload installs a version's settings and has the process read them.
+// reload installs the settings of a version and signals the process to reload them.
 func (p *processes) reload(gateway int, version string, pid int) error {
 	if err := p.installSettings(gateway, version); err != nil {
 		return err
@@ -176,10 +176,10 @@
 	return p.signal(gateway, pid, syscall.SIGHUP)
 }
 
-var errProcessEnded = errors.New("its process has ended")
+var errProcessEnded = errors.New("the process has ended")
 
-// signal sends a signal to a gateway's process. It fails with errProcessEnded if the process is no longer the gateway's: the system
-// may have reused its id.
+// signal sends a signal to a gateway's process. It fails with errProcessEnded if pid no longer belongs to the gateway, since the system
+// may have reused it for another process.
 func (p *processes) signal(gateway, pid int, s syscall.Signal) error {
 	if _, ok := p.inspect(pid, gateway); !ok {
 		return fmt.Errorf("gateway %s: %w", p.gateways[gateway].Name, errProcessEnded)
@@ -187,7 +187,7 @@
 	return syscall.Kill(pid, s)
 }
 
-// FindProcesses returns the ids of the gateways' processes, by their numbers; 0 where there is none.
+// FindProcesses returns the process IDs of all gateways, by index; 0 means that the gateway is not running.
 func FindProcesses(f Fleet) (pids []int) {
 	p := &processes{gateways: f.Gateways, pids: map[int]int{}}
 	for _, found := range p.find() {
--- a/internal/controller/restart.go
+++ b/internal/controller/restart.go
@@ -9,10 +9,10 @@
 	"frostpier/internal/control/rollout"
 )
 
-// stopPollInterval is the time between two checks whether a process that was asked to stop has ended.
+// stopPollInterval is how often to check whether a process has ended after SIGTERM.
 const stopPollInterval = 50 * time.Millisecond
 
-// StartGateways starts the gateways that do not run, on the plan's old version, and returns how many those were.
+// StartGateways starts the gateways that are not running, on the plan's old version, and returns how many it started.
 func StartGateways(dir string, c CheckedPlan) (started int, err error) {
 	if dir, err = filepath.Abs(dir); err != nil {
 		return 0, err
@@ -30,8 +30,8 @@
 	return started, nil
 }
 
-// RollingRestart stops each gateway in turn and starts it on the new version, with a pause after each, and does not watch how it does: a
-// plain rolling restart, to compare with.
+// RollingRestart restarts one gateway after another on the new version, with a pause after each. It does not evaluate the new version:
+// it is the baseline that experiments compare staged changes with.
 func RollingRestart(dir string, c CheckedPlan, pause time.Duration) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// stop stops a gateway's process, if there is one, and waits for its end; after the timeout it is killed.
+// stop sends SIGTERM to a gateway's process, if there is one, and waits until it has ended. After the timeout it sends SIGKILL.
 func (p *processes) stop(gateway int, timeout time.Duration) error {
 	pid := p.find()[gateway].pid
 	if pid == 0 {
@@ -65,7 +65,7 @@
 	deadline := time.Now().Add(timeout)
 	for p.find()[gateway].pid == pid {
 		if time.Now().After(deadline) {
-			_ = p.signal(gateway, pid, syscall.SIGKILL) // tried again until the process has ended
+			_ = p.signal(gateway, pid, syscall.SIGKILL) // repeated until the process has ended
 		}
 		time.Sleep(stopPollInterval)
 	}
