--- a/internal/control/zonetable/golden_test.go
+++ b/internal/control/zonetable/golden_test.go
@@ -8,8 +8,8 @@
 	"frostpier/internal/testutil"
 )
 
-// The bytes of the messages do not change.
-func TestZoneTranscript(t *testing.T) {
+// Checks that the encoding of messages does not change.
+func TestMessagesMatchGoldenFile(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
 	table, other := newTable(1, 400), newTable(2, 400)
--- a/internal/control/zonetable/message.go
+++ b/internal/control/zonetable/message.go
@@ -9,22 +9,22 @@
 	"frostpier/internal/control/zonetable/zonepb"
 )
 
-// When messages are sent, and their size.
+// Times and sizes of messages.
 const (
-	sendInterval    = 2 * time.Second  // between two messages, other than to members that have just started
-	startupPeriod   = 30 * time.Second // after the start of a member, in which every datagram to it carries a message
-	joinPeriod      = 15 * time.Second // after the start of a member, in which it chooses its first subset
-	maxEntryBytes   = 96               // of the entries in a message: less than half of a datagram
-	maxJoinBytes    = 160              // likewise to a member in its joinPeriod: it has little use for load reports yet
-	minMessageBytes = 24               // room below which no message is sent
-	maxFieldBytes   = 18               // of all fields but the entries
+	sendInterval    = 2 * time.Second  // between two messages to members past their startupPeriod
+	startupPeriod   = 30 * time.Second // from a member's start; every datagram to it in this period carries a message
+	joinPeriod      = 15 * time.Second // from a member's start; it chooses its first subset in this period
+	maxEntryBytes   = 96               // maximum size of the entries in a message: less than half of a datagram
+	maxJoinBytes    = 160              // the same for a member in its joinPeriod, which hardly needs load reports yet
+	minMessageBytes = 24               // no message is sent if there is less room
+	maxFieldBytes   = 18               // maximum size of all other fields
 )
 
 // Kind returns ExtensionKind.
 func (t *Table) Kind() uint32 { return ExtensionKind }
 
-// Append appends a message with the own zone and the next entries of the table to dst: in every datagram for a member that
-// has just started, and to others at intervals. The message takes at most room bytes.
+// Append appends a message with this gateway's zone and the next entries of the table to dst. It does so in every datagram
+// to a member in its startupPeriod, and once per sendInterval otherwise. The message takes at most room bytes.
 func (t *Table) Append(now time.Duration, to, room int, dst []byte) []byte {
 	if !t.everUsedSubset || room < minMessageBytes {
 		return dst
@@ -44,15 +44,15 @@
 	message.Others = t.encodeNextEntries(min(limit, room-maxFieldBytes))
 	out, err := proto.MarshalOptions{}.MarshalAppend(dst, message)
 	if err != nil {
-		return dst // does not happen: the message has no string that could be invalid UTF-8
+		return dst // unreachable: the message has no string that could be invalid UTF-8
 	}
 	return out
 }
 
-// encodeNextEntries encodes the next entries of the table into at most maxBytes, and advances nextEntry. The first entry
-// follows the last.
+// encodeNextEntries encodes the next entries of the table into at most maxBytes, and advances nextEntry. After the last
+// entry it continues with the first.
 func (t *Table) encodeNextEntries(maxBytes int) []byte {
-	width := t.codeWidth()
+	width := t.zoneCodeBits()
 	count := min(8*maxBytes/width, len(t.entries))
 	out := make([]byte, (count*width+7)/8)
 	for i := range count {
@@ -63,8 +63,8 @@
 	return out
 }
 
-// Receive merges a message of a member and reports whether it did. One that is malformed or refers to another list of
-// zones changes nothing.
+// Receive merges a message from a member. It returns false and changes nothing if the message is malformed or was encoded
+// for a different list of zones.
 func (t *Table) Receive(member int, body []byte) bool {
 	if member < 0 || member >= len(t.entries) || member == t.self {
 		return false
@@ -77,22 +77,22 @@
 	if !ok {
 		return false
 	}
-	t.entries[member] = entry{zone: zoneOf(message.Own), firstHand: true}
+	t.entries[member] = entry{zone: zoneOf(message.Own), selfReported: true}
 	for i, code := range codes {
 		gateway := (int(message.First) + i) % len(t.entries)
-		t.setReported(gateway, zoneOf(code))
+		t.setReportedByOther(gateway, zoneOf(code))
 	}
 	return true
 }
 
-// valid reports whether a message refers to the own list of zones, and its fields are in range.
+// valid reports whether a message was encoded for this gateway's list of zones and its fields are in range.
 func (t *Table) valid(message *zonepb.Zones) bool {
 	return message.List == t.zoneListHash && int64(message.Own) <= int64(t.zoneCount) && int64(message.First) < int64(len(t.entries))
 }
 
-// decodeCodes decodes the entries of a message; ok is false if one is no zone of the list.
+// decodeCodes decodes the entries of a message. ok is false if an entry is out of the range of the list of zones.
 func (t *Table) decodeCodes(encoded []byte) (codes []uint32, ok bool) {
-	width := t.codeWidth()
+	width := t.zoneCodeBits()
 	count := min(8*len(encoded)/width, len(t.entries))
 	codes = make([]uint32, 0, count)
 	for i := range count {
@@ -105,16 +105,16 @@
 	return codes, true
 }
 
-// zoneCode returns the code of a zone in a message: its index plus one, 0 for unknownZone.
+// zoneCode returns the code of a zone in messages: its index plus one, or 0 for unknownZone.
 func zoneCode(zone int) uint32 { return uint32(zone + 1) }
 
-// zoneOf returns the zone of a code.
+// zoneOf returns the zone with the given code.
 func zoneOf(code uint32) int { return int(code) - 1 }
 
-// codeWidth returns the number of bits of a zone code in a message.
-func (t *Table) codeWidth() int { return max(1, bits.Len(uint(t.zoneCount))) }
+// zoneCodeBits returns the width of a zone code in messages.
+func (t *Table) zoneCodeBits() int { return max(1, bits.Len(uint(t.zoneCount))) }
 
-// setBits writes a value of at most eight bits into zeroed bytes, the lowest bit first.
+// setBits writes a value of at most eight bits into zeroed bytes, starting with the lowest bit.
 func setBits(bytes []byte, from, width int, value uint32) {
 	shifted := value << (from % 8)
 	bytes[from/8] |= byte(shifted)
@@ -123,7 +123,7 @@
 	}
 }
 
-// getBits reads a value that setBits wrote.
+// getBits returns a value written by setBits.
 func getBits(bytes []byte, from, width int) uint32 {
 	value := uint32(bytes[from/8])
 	if from%8+width > 8 {
--- a/internal/control/zonetable/mixed_test.go
+++ b/internal/control/zonetable/mixed_test.go
@@ -8,8 +8,9 @@
 	"frostpier/internal/control/membership/simulation"
 )
 
-// Half of a fleet sends zones; the other half, of the version before, skips the messages, and membership is not affected.
-func TestMixedVersions(t *testing.T) {
+// Checks a fleet in which half of the gateways send zones, and the other half run the previous version, which ignores these
+// messages: membership is not affected.
+func TestGatewaysWithoutZoneExtensionAreUnaffected(t *testing.T) {
 	const members = 20
 	tables := map[int]*Table{}
 	f, err := simulation.New(simulation.Setup{Members: members, Seed: 5, Loss: 0.1, StartSpread: time.Second, StepsPerCheck: 10,
@@ -35,11 +36,11 @@
 	f.OnEvent = func(at int, e membership.Event) error {
 		switch {
 		case e.Kind == membership.ExtensionReceived && tables[at] == nil:
-			t.Errorf("member %d received a message of kind %d", at, e.ExtensionKind)
+			t.Errorf("member %d without the extension received a message of kind %d", at, e.ExtensionKind)
 		case e.Kind == membership.ExtensionReceived && !tables[at].Receive(e.Member, e.Body):
-			t.Errorf("member %d dropped a message of member %d", at, e.Member)
+			t.Errorf("member %d dropped a message from member %d", at, e.Member)
 		case e.Kind == membership.StateChanged && e.NewState == membership.Dead:
-			t.Errorf("member %d declares %d dead", at, e.Member)
+			t.Errorf("member %d declared member %d dead", at, e.Member)
 		}
 		return nil
 	}
@@ -56,7 +57,7 @@
 				want = member % len(zones)
 			}
 			if got := table.Zone(member); got != want {
-				t.Errorf("at member %d: member %d in zone %d, want %d", at, member, got, want)
+				t.Errorf("member %d knows zone %d for member %d, want %d", at, got, member, want)
 			}
 		}
 	}
--- a/internal/control/zonetable/model_test.go
+++ b/internal/control/zonetable/model_test.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// modelZones are the zones of the simulated fleet.
-var modelZones = []string{"a", "b", "c", "d", "e", "f", "g"}
+// simZones are the zones of the simulated fleet.
+var simZones = []string{"a", "b", "c", "d", "e", "f", "g"}
 
-// How soon a gateway knows the zones: 800 gateways, each with four datagrams a second to random others, 2% of them lost.
-func TestZonesSpread(t *testing.T) {
+// Measures how fast gateways learn the zones of others in a fleet of 800. Each gateway sends four datagrams per second to
+// random gateways, and 2% of the datagrams are lost.
+func TestZoneDissemination(t *testing.T) {
 	const gateways, datagrams, step = 800, 4, 50 * time.Millisecond
 	rnd := rand.New(rand.NewPCG(1, 2))
 	started := make([]time.Duration, gateways)
 	var tables []*Table
 	for i := range gateways {
 		started[i] = epoch
-		table := New(i, gateways, modelZones, i%len(modelZones), func(member int) time.Duration { return started[member] })
+		table := New(i, gateways, simZones, i%len(simZones), func(member int) time.Duration { return started[member] })
 		table.SetUsesSubset(true)
 		tables = append(tables, table)
 	}
-	known := func(table *Table) (count int) { // a wrong zone fails the test
+	countKnown := func(table *Table) (count int) { // fails the test if a zone is wrong
 		for i := range gateways {
 			switch zone := table.Zone(i); {
-			case zone == i%len(modelZones):
+			case zone == i%len(simZones):
 				count++
 			case zone >= 0:
-				t.Fatalf("at gateway %d: gateway %d in zone %d", table.self, i, zone)
+				t.Fatalf("gateway %d has zone %d for gateway %d, want %d", table.self, zone, i, i%len(simZones))
 			}
 		}
 		return count
@@ -51,19 +52,19 @@
 	run(12 * time.Second)
 	fewest := gateways
 	for _, table := range tables {
-		fewest = min(fewest, known(table))
+		fewest = min(fewest, countKnown(table))
 	}
-	t.Logf("12 s after the start of all, each gateway knows at least %d of %d zones", fewest, gateways)
+	t.Logf("12 s after all gateways started, each knows the zones of at least %d of %d gateways", fewest, gateways)
 	if fewest < gateways*99/100 {
-		t.Errorf("%d zones known", fewest)
+		t.Errorf("a gateway knows the zones of %d gateways only, want at least 99%% of %d", fewest, gateways)
 	}
 	now = epoch + startupPeriod + time.Second
 	bytes, started[7] = 0, now
-	tables[7] = New(7, gateways, modelZones, 0, func(member int) time.Duration { return started[member] })
+	tables[7] = New(7, gateways, simZones, 0, func(member int) time.Duration { return started[member] })
 	tables[7].SetUsesSubset(true)
 	run(4 * time.Second)
-	t.Logf("4 s after its start a gateway knows %d; %d bytes per gateway and second", known(tables[7]), bytes/gateways/4)
-	if known(tables[7]) < gateways*9/10 || bytes/gateways/4 > 64 {
-		t.Errorf("%d zones known, %d bytes per gateway and second", known(tables[7]), bytes/gateways/4)
+	t.Logf("4 s after its restart, a gateway knows the zones of %d gateways; each gateway sends %d B/s", countKnown(tables[7]), bytes/gateways/4)
+	if countKnown(tables[7]) < gateways*9/10 || bytes/gateways/4 > 64 {
+		t.Errorf("zones of %d gateways are known, want at least 90%%; %d B/s per gateway, want at most 64", countKnown(tables[7]), bytes/gateways/4)
 	}
 }
--- a/internal/control/zonetable/table.go
+++ b/internal/control/zonetable/table.go
@@ -1,12 +1,12 @@
 // Package zonetable keeps the zones of the other gateways, which the platform's configuration does not contain. Each
 // gateway that uses a subset of the engines piggybacks its own zone and a part of its table on membership datagrams.
 //
-// The package owns the table and its wire format. It does no input or output, reads no clock and starts no goroutine, and
-// is not safe for concurrent use: all calls come from the gateway's event loop.
+// The package owns the table and its wire format. It performs no I/O, reads no clock and starts no goroutine, and is not
+// safe for concurrent use: all calls come from the gateway's event loop.
 //
-// What a gateway reports of itself overrides what others report of it. A gateway without a known zone counts as one that
-// uses every engine; so do gateways of older versions, which send no such message. An entry survives a restart of its
-// gateway, which nearly always returns in the same zone.
+// The zone that a gateway reports for itself overrides what other gateways report about it. A gateway whose zone is unknown
+// is assumed to use every engine. This includes gateways of older versions, which do not send zones. An entry is kept when
+// its gateway restarts, because a gateway nearly always restarts in the same zone.
 package zonetable
 
 import (
@@ -15,42 +15,42 @@
 )
 
 const (
-	// ExtensionKind identifies this subsystem among the extensions of membership.
+	// ExtensionKind identifies zone messages among the extensions of membership.
 	ExtensionKind = 3
-	// MaxZones is the upper bound of the number of zones in the settings: the code of a zone takes at most eight bits.
+	// MaxZones is the maximum number of zones in the settings, because a zone code has at most eight bits.
 	MaxZones = 254
 )
 
 const (
 	unknownZone = -1
-	// startStride is the distance between the first entries that gateways of successive numbers send, so that they start
-	// with different parts of the table.
+	// startStride is the distance between the table positions at which gateways with consecutive numbers start to send, so
+	// that different gateways start with different parts of the table.
 	startStride = 619
 )
 
 // entry is the zone of one gateway.
 type entry struct {
-	zone      int  // index in the settings' list of zones, or unknownZone
-	firstHand bool // reported by the gateway itself
+	zone         int  // index in the settings' list of zones, or unknownZone
+	selfReported bool // reported by the gateway itself
 }
 
-// Table is the table of one gateway. Its size depends on the number of gateways alone. It implements
-// membership.Extension.
+// Table is one gateway's table of zones, with an entry for each configured gateway. It implements membership.Extension.
 type Table struct {
-	self           int // own gateway number
-	zone           int // own zone
+	self           int // number of this gateway
+	zone           int // zone of this gateway
 	zoneCount      int
 	zoneListHash   uint32
 	usesSubset     bool
-	everUsedSubset bool // from then on messages are sent, also to report that the gateway uses every engine again
+	everUsedSubset bool // messages are sent from then on, even if the gateway uses every engine again, to report this
 	entries        []entry
 	nextEntry      int           // first gateway in the next message
-	lastSentAt     time.Duration // time of the last message to a member that had not just started
+	lastSentAt     time.Duration // time of the last message to a member past its startupPeriod
 	startedAt      func(member int) time.Duration
 }
 
-// New returns the Table of a gateway: its number, the number of gateways, the settings' list of zones and the index of its
-// own zone in the list. startedAt returns the Unix time at which a member started.
+// New returns the Table of the gateway with the given number. gateways is the number of configured gateways, zones is the
+// list of zones in the settings, and zone is the index of the gateway's own zone in this list. startedAt returns the Unix
+// time at which a member started.
 func New(number, gateways int, zones []string, zone int, startedAt func(member int) time.Duration) *Table {
 	t := &Table{
 		self:         number,
@@ -67,7 +67,7 @@
 	return t
 }
 
-// zoneListHash returns a hash that identifies a list of zones on the wire (FNV-1a).
+// zoneListHash returns the FNV-1a hash that identifies a list of zones in messages.
 func zoneListHash(zones []string) uint32 {
 	h := fnv.New32a()
 	for _, name := range zones {
@@ -76,14 +76,14 @@
 	return h.Sum32()
 }
 
-// SetUsesSubset sets whether this gateway uses a subset of the engines. Until it first does, no message is sent.
+// SetUsesSubset sets whether this gateway uses a subset of the engines. No message is sent before the first call with true.
 func (t *Table) SetUsesSubset(usesSubset bool) {
 	t.usesSubset = usesSubset
 	t.everUsedSubset = t.everUsedSubset || usesSubset
 }
 
-// Zone returns the zone of a gateway that uses a subset of the engines, as an index in the settings' list; -1 if the
-// gateway uses every engine, or is not known to use a subset.
+// Zone returns the zone of a gateway that uses a subset of the engines, as an index in the settings' list. It returns -1 if
+// the gateway uses every engine or is not known to use a subset.
 func (t *Table) Zone(gateway int) int {
 	switch {
 	case gateway < 0 || gateway >= len(t.entries):
@@ -96,10 +96,10 @@
 	return t.entries[gateway].zone
 }
 
-// setReported records the zone that another gateway reports of one, unless that gateway reported its zone itself.
-func (t *Table) setReported(gateway, zone int) {
+// setReportedByOther stores the zone that another gateway reported for this one, unless the gateway has reported its own.
+func (t *Table) setReportedByOther(gateway, zone int) {
 	e := &t.entries[gateway]
-	if !e.firstHand && zone != unknownZone {
+	if !e.selfReported && zone != unknownZone {
 		e.zone = zone
 	}
 }
--- a/internal/control/zonetable/zonepb/doc.go
+++ b/internal/control/zonetable/zonepb/doc.go
@@ -1,2 +1,2 @@
-// Package zonepb holds the generated code of zone.proto, the form of the messages on the wire.
+// Package zonepb contains the code generated from zone.proto, the wire format of zone messages.
 package zonepb
