--- a/internal/testbed/simproto/actions.go
+++ b/internal/testbed/simproto/actions.go
@@ -1,6 +1,6 @@
 package simproto
 
-// Codes of the actions.
+// Record codes of the actions.
 const (
 	codeSendAttempt          = 64
 	codeReject               = 65
@@ -17,7 +17,7 @@
 	codeSetResources         = 76
 )
 
-// Codes that bound the actions.
+// Range of the action codes.
 const (
 	firstAction = codeSendAttempt
 	lastAction  = codeSetResources
@@ -44,7 +44,7 @@
 type Reject struct {
 	Instance   uint32
 	Request    uint32
-	RetryAfter uint64 // ns, the advice to the client
+	RetryAfter uint64 // ns, as sent to the client; 0 = none
 }
 
 func (*Reject) code() uint8 { return codeReject }
@@ -55,7 +55,7 @@
 	c.u64(&r.RetryAfter)
 }
 
-// Fail ends a request with an error that leaves open whether it ran.
+// Fail ends a request with an error that leaves open whether the request ran.
 type Fail struct {
 	Instance uint32
 	Request  uint32
@@ -83,7 +83,7 @@
 	c.u16(&r.Attempt)
 }
 
-// SetTimer requests a TimerFired event.
+// SetTimer requests a TimerFired event after a delay.
 type SetTimer struct {
 	Instance uint32
 	After    uint64 // ns
@@ -152,7 +152,7 @@
 	c.bytes(&r.Text)
 }
 
-// Fatal reports that the decision code is broken.
+// Fatal reports a fatal error in the decision module.
 type Fatal struct {
 	Instance uint32
 	Text     []byte
@@ -189,7 +189,7 @@
 	c.u32(&r.Instance)
 }
 
-// SetResources sets the memory grant and priority with which a request's attempts run.
+// SetResources sets the memory grant and the priority of a request's attempts.
 type SetResources struct {
 	Instance uint32
 	Request  uint32
--- a/internal/testbed/simproto/cursor.go
+++ b/internal/testbed/simproto/cursor.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Bounds of fields.
+// Maximum values of fields.
 const (
 	maxLoadValues = 4
 	maxHealth     = 2
@@ -14,18 +14,18 @@
 // engineEntrySize is the size of an encoded EngineEntry, in bytes.
 const engineEntrySize = 24
 
-// cursor visits the fields of one record. The same calls read the record or, if writing is set, write it. Fixed-size
-// fields lie in record one after the other; variable-length fields lie in the frame's tail and are referred to from
-// record.
+// cursor reads or writes the fields of one record in wire order. Each method reads a field into its argument or, if
+// writing is set, encodes its argument. Fixed-size fields are stored in record; variable-length fields are stored in the
+// frame's tail, and record contains references to them.
 type cursor struct {
 	record  []byte
-	offset  int // in record, of the next field
+	offset  int // offset in record of the next field
 	writing bool
 	tail    []byte
-	err     error // the first error
+	err     error // first error
 }
 
-// next returns the record's next n bytes.
+// next returns the next n bytes of the record and advances the offset.
 func (c *cursor) next(n int) []byte {
 	b := c.record[c.offset : c.offset+n]
 	c.offset += n
@@ -81,10 +81,10 @@
 	c.u16(&v.Port)
 }
 
-func (c *cursor) load(v *LoadReport) {
+func (c *cursor) loadReport(v *LoadReport) {
 	c.u8(&v.Count)
 	if v.Count > maxLoadValues {
-		c.limit("number of load values", uint64(v.Count), maxLoadValues)
+		c.setLimitError("number of load values", uint64(v.Count), maxLoadValues)
 		v.Count = 0
 	}
 	for i := range v.Values {
@@ -92,8 +92,9 @@
 	}
 }
 
-// tailReference reads or writes a reference to the tail: the offset, and the count of elements of the given size. When
-// reading it returns the bytes referred to; when writing the caller appends the elements to the tail afterwards.
+// tailReference reads or writes a reference to elements of the given size in the tail: their offset and their number.
+// When reading, it returns the referenced bytes. When writing, it returns nil, and the caller must append the elements to
+// the tail.
 func (c *cursor) tailReference(count, elementSize int) []byte {
 	offset, elements := uint32(len(c.tail)), uint32(count)
 	c.u32(&offset)
@@ -103,7 +104,7 @@
 	}
 	end := uint64(offset) + uint64(elements)*uint64(elementSize)
 	if end > uint64(len(c.tail)) {
-		c.limit("end of a reference to the tail", end, uint64(len(c.tail)))
+		c.setLimitError("end of tail reference", end, uint64(len(c.tail)))
 		return nil
 	}
 	return c.tail[offset:end]
@@ -129,12 +130,12 @@
 		element := cursor{record: b[i*engineEntrySize : (i+1)*engineEntrySize]}
 		element.entry(&(*v)[i])
 		if health := (*v)[i].Health; health > maxHealth {
-			c.limit("health of an engine", uint64(health), maxHealth)
+			c.setLimitError("engine health", uint64(health), maxHealth)
 		}
 	}
 }
 
-// appendEntries encodes entries at the end of the tail.
+// appendEntries appends the encoded entries to the tail.
 func (c *cursor) appendEntries(entries []EngineEntry) {
 	for i := range entries {
 		element := cursor{record: make([]byte, engineEntrySize), writing: true}
@@ -153,8 +154,9 @@
 	c.u64(&e.Started)
 }
 
-// limit records that a field is out of bounds. Reading goes on, so that fields need no error results.
-func (c *cursor) limit(field string, value, limit uint64) {
+// setLimitError sets err, unless it is set already, for a field that is out of bounds. Reading continues, so that the
+// methods that read fields need no error results.
+func (c *cursor) setLimitError(field string, value, limit uint64) {
 	if c.err == nil {
 		c.err = &LimitError{Field: field, Value: value, Limit: limit}
 	}
--- a/internal/testbed/simproto/events.go
+++ b/internal/testbed/simproto/events.go
@@ -1,6 +1,6 @@
 package simproto
 
-// Codes of the events.
+// Record codes of the events.
 const (
 	codeEngineList        = 0
 	codeProgress          = 1
@@ -16,7 +16,7 @@
 	codeTimerFired        = 11
 )
 
-// Codes that bound the events.
+// Range of the event codes.
 const (
 	firstEvent = codeEngineList
 	lastEvent  = codeTimerFired
@@ -28,9 +28,10 @@
 	FlagClientRetry   = 1 << 1 // the client has sent this request before
 )
 
-// EngineList is a numbered list of engines, kept for the whole process and referred to by EngineListChanged.
+// EngineList defines or replaces a numbered list of engines. It is shared by all instances; EngineListChanged refers to
+// it by its number.
 type EngineList struct {
-	Number  uint16 // the receiver bounds it
+	Number  uint16 // the receiver checks its range
 	Entries []EngineEntry
 }
 
@@ -47,7 +48,7 @@
 	Request  uint32
 	Attempt  uint16
 	Engine   EngineID
-	Kind     uint8 // what Value is; 1 = share of the work done
+	Kind     uint8 // meaning of Value; 1 = completed share of the work
 	Value    float32
 }
 
@@ -62,7 +63,7 @@
 	c.f32(&r.Value)
 }
 
-// ResponseStarted reports that an attempt's streamed response has begun.
+// ResponseStarted reports that the response of an attempt has started to stream.
 type ResponseStarted struct {
 	Instance uint32
 	Request  uint32
@@ -84,7 +85,7 @@
 // StartInstance starts an instance of the decision module.
 type StartInstance struct {
 	Instance uint32
-	Seed     uint64 // of the instance's random numbers
+	Seed     uint64 // seed of the instance's random number generator
 	Settings []byte // JSON, see package settings
 }
 
@@ -96,7 +97,7 @@
 	c.bytes(&r.Settings)
 }
 
-// RequestArrived is a client's request.
+// RequestArrived reports a new request from a client.
 type RequestArrived struct {
 	Instance          uint32
 	Request           uint32
@@ -105,7 +106,7 @@
 	EstimatedMemoryMB float32
 	Class             uint16
 	Tenant            uint16
-	TableGroup        float32 // any float; the receiver checks it
+	TableGroup        float32 // may be any float, including NaN; the receiver checks it
 	EstimatedWork     uint64  // ns, valid with FlagEstimatedWork
 	Remaining         uint64  // ns until the client gives up
 }
@@ -125,7 +126,7 @@
 	c.u64(&r.Remaining)
 }
 
-// HealthCheckEnded is the result of a health check.
+// HealthCheckEnded reports the result of a health check.
 type HealthCheckEnded struct {
 	Instance uint32
 	Engine   EngineID
@@ -141,10 +142,10 @@
 	c.engine(&r.Engine)
 	c.u16(&r.Outcome)
 	c.u64(&r.Duration)
-	c.load(&r.Report)
+	c.loadReport(&r.Report)
 }
 
-// PeerMessage is a message from another instance.
+// PeerMessage delivers a message from another instance.
 type PeerMessage struct {
 	Instance uint32
 	From     uint16 // number of the sender
@@ -159,7 +160,7 @@
 	c.bytes(&r.Payload)
 }
 
-// ClientGone reports that a client gave its request up.
+// ClientGone reports that the client no longer waits for a request.
 type ClientGone struct {
 	Instance uint32
 	Request  uint32
@@ -172,7 +173,7 @@
 	c.u32(&r.Request)
 }
 
-// EngineListChanged gives an instance a list of engines.
+// EngineListChanged delivers an engine list, or a change of it, to an instance.
 type EngineListChanged struct {
 	Instance uint32
 	List     uint16 // number of an EngineList
@@ -189,7 +190,7 @@
 	c.u8(&r.Kind)
 }
 
-// StopInstance ends an instance; its state is lost.
+// StopInstance stops an instance and discards its state.
 type StopInstance struct {
 	Instance uint32
 }
@@ -208,8 +209,8 @@
 	Engine   EngineID
 	Outcome  uint16 // outcome code
 	Duration uint64 // ns
-	Terminal uint8  // 1 = the request is over
-	Usage    uint32 // work and memory used, packed in one integer; 0 = not reported
+	Terminal uint8  // 1 = the request has ended
+	Usage    uint32 // work and memory that the attempt used, packed into one integer; 0 = not reported
 	Report   LoadReport
 }
 
@@ -224,7 +225,7 @@
 	c.u64(&r.Duration)
 	c.u8(&r.Terminal)
 	c.u32(&r.Usage)
-	c.load(&r.Report)
+	c.loadReport(&r.Report)
 }
 
 // TimerFired reports that a timer set by SetTimer has expired.
--- a/internal/testbed/simproto/frame.go
+++ b/internal/testbed/simproto/frame.go
@@ -7,30 +7,30 @@
 	"io"
 )
 
-// Sizes of the fixed parts of a frame, in bytes.
+// Sizes of the parts of a frame, in bytes.
 const (
-	EventSize       = 56 // of an encoded event
-	ActionSize      = 24 // of an encoded action
+	EventSize       = 56 // encoded event
+	ActionSize      = 24 // encoded action
 	batchHeaderSize = 16 // body size, number of events, time
 	replyHeaderSize = 8  // body size, number of actions
 	maxBodySize     = 1 << 28
 )
 
-// Batch is what the simulator sends: the events of one moment.
+// Batch contains events of the simulator that occur at the same time.
 type Batch struct {
 	Now    uint64 // ns of the simulator's clock
 	Events []Record
 }
 
-// ReadBatch reads the next batch. At the end of the input it returns io.EOF itself; any other error of reading or
-// decoding matches ErrMalformedFrame.
+// ReadBatch reads the next batch. At the end of the input it returns io.EOF unwrapped; all other errors match
+// ErrMalformedFrame.
 func ReadBatch(r io.Reader) (Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, io.EOF
 		}
-		return Batch{}, fmt.Errorf("%w: header cut short: %w", ErrMalformedFrame, err)
+		return Batch{}, fmt.Errorf("%w: truncated header: %w", ErrMalformedFrame, err)
 	}
 	body, err := readBody(r, binary.LittleEndian.Uint32(header[:]))
 	if err != nil {
@@ -40,7 +40,7 @@
 	return Batch{Now: binary.LittleEndian.Uint64(header[8:]), Events: events}, err
 }
 
-// AppendBatch appends an encoded batch to dst.
+// AppendBatch appends an encoded batch to dst and returns the extended slice.
 func AppendBatch(dst []byte, b Batch) []byte {
 	start := len(dst)
 	dst = append(dst, make([]byte, batchHeaderSize)...)
@@ -50,11 +50,11 @@
 	return dst
 }
 
-// ReadReply reads a reply, as the simulator does. Every error matches ErrMalformedFrame.
+// ReadReply reads the reply to a batch and returns its actions. All errors match ErrMalformedFrame.
 func ReadReply(r io.Reader) ([]Record, error) {
 	var header [replyHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
-		return nil, fmt.Errorf("%w: header cut short: %w", ErrMalformedFrame, err)
+		return nil, fmt.Errorf("%w: truncated header: %w", ErrMalformedFrame, err)
 	}
 	body, err := readBody(r, binary.LittleEndian.Uint32(header[:]))
 	if err != nil {
@@ -63,7 +63,7 @@
 	return decode(body, binary.LittleEndian.Uint32(header[4:]), ActionSize, firstAction, lastAction)
 }
 
-// AppendReply appends an encoded reply to dst.
+// AppendReply appends an encoded reply to dst and returns the extended slice.
 func AppendReply(dst []byte, actions []Record) []byte {
 	start := len(dst)
 	dst = append(dst, make([]byte, replyHeaderSize)...)
@@ -72,7 +72,7 @@
 	return dst
 }
 
-// putSizes writes the two sizes with which both headers begin: that of the body, and the number of records.
+// putSizes writes the first two fields of a header: the size of the body and the number of records.
 func putSizes(frame []byte, headerSize, records int) {
 	binary.LittleEndian.PutUint32(frame, uint32(len(frame)-headerSize))
 	binary.LittleEndian.PutUint32(frame[4:], uint32(records))
@@ -80,16 +80,16 @@
 
 func readBody(r io.Reader, size uint32) ([]byte, error) {
 	if size > maxBodySize {
-		return nil, &LimitError{Field: "size of the body", Value: uint64(size), Limit: maxBodySize}
+		return nil, &LimitError{Field: "body size", Value: uint64(size), Limit: maxBodySize}
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return nil, fmt.Errorf("%w: body cut short: %w", ErrMalformedFrame, err)
+		return nil, fmt.Errorf("%w: truncated body: %w", ErrMalformedFrame, err)
 	}
 	return body, nil
 }
 
-// decode reads count records of the given size from body; the codes first to last are allowed.
+// decode decodes count records of the given size from body. Their codes must be in the range from first to last.
 func decode(body []byte, count uint32, size int, first, last uint8) ([]Record, error) {
 	if uint64(count)*uint64(size) > uint64(len(body)) {
 		return nil, &LimitError{Field: "number of records", Value: uint64(count), Limit: uint64(len(body) / size)}
@@ -112,7 +112,7 @@
 	return records, nil
 }
 
-// encode appends records of the given size to dst, and the tail after them.
+// encode appends the encoded records, each of the given size, and their tail to dst.
 func encode(dst []byte, records []Record, size int) []byte {
 	start := len(dst)
 	dst = append(dst, make([]byte, len(records)*size)...)
--- a/internal/testbed/simproto/frame_test.go
+++ b/internal/testbed/simproto/frame_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The example frames of the protocol's documentation, with their zero bytes written out.
+// Example frames from the protocol's documentation, with their zero padding.
 var (
 	emptyBatch = "00000000" + "00000000" + "90bf68f501000000"
 	batchHex   = "a8000000" + "03000000" + "90bf68f501000000" +
@@ -26,7 +26,7 @@
 
 func zeros(n int) string { return strings.Repeat("00", n) }
 
-func unhex(t testing.TB, s string) []byte {
+func decodeHex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(s)
 	if err != nil {
@@ -35,14 +35,14 @@
 	return b
 }
 
-func TestExampleBatch(t *testing.T) {
+func TestBatchCodecMatchesDocumentedExample(t *testing.T) {
 	want := Batch{Now: 0x01f568bf90, Events: []Record{
 		&RequestArrived{Instance: 3, Request: 0x5d3a91c4, Flags: 1, Key: 0x91f03b7c55d20a64, EstimatedMemoryMB: 384, TableGroup: 11,
 			EstimatedWork: 12_000_000, Remaining: 240_000_000},
 		&TimerFired{Instance: 3, Token: 77},
 		&ClientGone{Instance: 5, Request: 0x0e6f2b19},
 	}}
-	raw := unhex(t, batchHex)
+	raw := decodeHex(t, batchHex)
 	got, err := ReadBatch(bytes.NewReader(raw))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("got %+v, %v", got.Events[0], err)
@@ -50,20 +50,20 @@
 	if encoded := AppendBatch(nil, got); !bytes.Equal(encoded, raw) {
 		t.Fatalf("encoded as %x", encoded)
 	}
-	empty, err := ReadBatch(bytes.NewReader(unhex(t, emptyBatch)))
+	empty, err := ReadBatch(bytes.NewReader(decodeHex(t, emptyBatch)))
 	if err != nil || len(empty.Events) != 0 || empty.Now != want.Now {
 		t.Fatalf("empty batch: %+v, %v", empty, err)
 	}
 }
 
-func TestExampleReply(t *testing.T) {
+func TestReplyCodecMatchesDocumentedExample(t *testing.T) {
 	want := []Record{
 		&SendAttempt{Instance: 3, Request: 0x5d3a91c4, Engine: EngineID{IP: [4]byte{10, 18, 74, 7}, Port: 8083},
 			Timeout: 80_000_000},
 		&SetTimer{Instance: 3, After: 500_000_000, Token: 77},
 		&Log{Instance: 5, Text: []byte("two servers known")},
 	}
-	raw := unhex(t, replyHex)
+	raw := decodeHex(t, replyHex)
 	if got := AppendReply(nil, want); !bytes.Equal(got, raw) {
 		t.Fatalf("encoded as %x", got)
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestExampleOutcomeAndList(t *testing.T) {
+func TestReadBatchDecodesDocumentedAttemptAndEngineList(t *testing.T) {
 	attemptEnded := "0a03000000c4913a5d00000a124a07931f6400a0491a0100000000016010010003" +
 		"52b81e3f0000e0400000a03f00000000" + zeros(7)
 	engineList := "00" + "0000" + "00000000" + "02000000" + zeros(45)
@@ -82,24 +82,24 @@
 	body := attemptEnded + engineList + engineListChanged + entries
 	header := make([]byte, 16)
 	header[0], header[4] = byte(len(body)/2), 3
-	b, err := ReadBatch(bytes.NewReader(append(header, unhex(t, body)...)))
+	b, err := ReadBatch(bytes.NewReader(append(header, decodeHex(t, body)...)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := b.Events[0].(*AttemptEnded)
 	if d.Outcome != 100 || d.Terminal != 1 || d.Duration != 18500000 || d.Usage != 0x011060 || d.Report.Count != 3 || d.Report.Values[1] != 7 {
-		t.Fatalf("outcome %+v", d)
+		t.Fatalf("AttemptEnded %+v", d)
 	}
 	l := b.Events[1].(*EngineList)
 	if len(l.Entries) != 2 || l.Entries[1].Engine.Port != 8124 || l.Entries[1].Scale != 1.5 || l.Entries[1].Started == 0 {
-		t.Fatalf("list %+v", l)
+		t.Fatalf("EngineList %+v", l)
 	}
 	if a := b.Events[2].(*EngineListChanged); a.Kind != 1 || a.Version != 41 {
-		t.Fatalf("engine list changed %+v", a)
+		t.Fatalf("EngineListChanged %+v", a)
 	}
 }
 
-func TestEveryRecordRoundTrips(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	id := EngineID{IP: [4]byte{1, 2, 3, 4}, Port: 5}
 	load := LoadReport{Count: 2, Values: [4]float32{1, 2}}
 	events := []Record{
@@ -110,7 +110,7 @@
 	}
 	b, err := ReadBatch(bytes.NewReader(AppendBatch(nil, Batch{5, events})))
 	if err != nil || !reflect.DeepEqual(b.Events, events) {
-		t.Fatalf("events came back as %+v, %v", b.Events, err)
+		t.Fatalf("events decoded as %+v, %v", b.Events, err)
 	}
 	actions := []Record{
 		&SendAttempt{1, 2, id, 3}, &Reject{1, 2, 3}, &Fail{1, 2}, &CancelAttempt{1, 2, 3}, &SetTimer{1, 2, 3},
@@ -119,11 +119,11 @@
 	}
 	got, err := ReadReply(bytes.NewReader(AppendReply(nil, actions)))
 	if err != nil || !reflect.DeepEqual(got, actions) {
-		t.Fatalf("actions came back as %+v, %v", got, err)
+		t.Fatalf("actions decoded as %+v, %v", got, err)
 	}
 }
 
-// matches reports whether err is or wraps want; typed errors are compared by their fields.
+// matches reports whether err is or wraps want. LimitError and UnknownCodeError are compared by their fields.
 func matches(err, want error) bool {
 	var limit *LimitError
 	var code *UnknownCodeError
@@ -136,8 +136,8 @@
 	return errors.Is(err, want)
 }
 
-func TestMalformedFramesAreErrors(t *testing.T) {
-	good := unhex(t, batchHex)
+func TestReadBatchRejectsMalformedFrames(t *testing.T) {
+	good := decodeHex(t, batchHex)
 	change := func(at int, v byte) []byte {
 		b := bytes.Clone(good)
 		b[at] = v
@@ -161,11 +161,11 @@
 		{"unknown code", change(16, 99), &UnknownCodeError{Record: 0, Code: 99}},
 		{"action code", change(16, 64), &UnknownCodeError{Record: 0, Code: 64}},
 		{"too many records", change(4, 200), &LimitError{Field: "number of records", Value: 200, Limit: 3}},
-		{"oversized", change(3, 0xff), &LimitError{Field: "size of the body", Value: 0xff0000a8, Limit: maxBodySize}},
-		{"reference beyond tail", beyondTail, &LimitError{Field: "end of a reference to the tail", Value: 202, Limit: 2}},
-		{"entries beyond tail", extraEntries, &LimitError{Field: "end of a reference to the tail", Value: 48, Limit: 24}},
-		{"unknown health", badHealth, &LimitError{Field: "health of an engine", Value: 3, Limit: maxHealth}},
-		{"five load values", fiveValues, &LimitError{Field: "number of load values", Value: 5, Limit: maxLoadValues}},
+		{"body too large", change(3, 0xff), &LimitError{Field: "body size", Value: 0xff0000a8, Limit: maxBodySize}},
+		{"reference beyond tail", beyondTail, &LimitError{Field: "end of tail reference", Value: 202, Limit: 2}},
+		{"entries beyond tail", extraEntries, &LimitError{Field: "end of tail reference", Value: 48, Limit: 24}},
+		{"unknown health", badHealth, &LimitError{Field: "engine health", Value: 3, Limit: maxHealth}},
+		{"too many load values", fiveValues, &LimitError{Field: "number of load values", Value: 5, Limit: maxLoadValues}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ReadBatch(bytes.NewReader(c.raw))
@@ -179,10 +179,11 @@
 	}
 }
 
-// Whatever the bytes, reading ends in a batch or an error; what was read is written back to the same meaning.
+// FuzzReadBatch checks that ReadBatch does not panic on any input, and that encoding a decoded batch is stable: the
+// encoded batch decodes again and encodes to the same bytes.
 func FuzzReadBatch(f *testing.F) {
-	f.Add(unhex(f, emptyBatch))
-	f.Add(unhex(f, batchHex))
+	f.Add(decodeHex(f, emptyBatch))
+	f.Add(decodeHex(f, batchHex))
 	f.Add(AppendBatch(nil, Batch{1, []Record{&StartInstance{1, 2, []byte("{}")}, &EngineList{Entries: []EngineEntry{{}}}}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		b, err := ReadBatch(bytes.NewReader(raw))
@@ -192,7 +193,7 @@
 		first := AppendBatch(nil, b)
 		reread, err := ReadBatch(bytes.NewReader(first))
 		if err != nil || !bytes.Equal(AppendBatch(nil, reread), first) {
-			t.Fatalf("not stable: %v", err)
+			t.Fatalf("the batch changed in a round trip: %v", err)
 		}
 	})
 }
--- a/internal/testbed/simproto/golden_test.go
+++ b/internal/testbed/simproto/golden_test.go
@@ -10,7 +10,7 @@
 	"frostpier/internal/testutil"
 )
 
-// fill sets each field of a record to a random value.
+// fill sets v and its elements or fields, recursively, to random values. Slices get three elements.
 func fill(v reflect.Value, rnd *rand.Rand) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -35,8 +35,8 @@
 	}
 }
 
-// The encoding of every record equals the recorded transcript.
-func TestRecordTranscript(t *testing.T) {
+// Checks the encoding of each kind of record, with random field values from a fixed seed, against the golden file.
+func TestRecordEncodingMatchesGoldenFile(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
 	rnd := rand.New(rand.NewPCG(26, 0))
--- a/internal/testbed/simproto/record.go
+++ b/internal/testbed/simproto/record.go
@@ -1,14 +1,14 @@
 package simproto
 
-// Record is an event or an action. It names its code and lists its fields once, for both reading and writing.
+// Record is an event or an action.
 type Record interface {
-	// code is the first byte of the encoded record.
+	// code returns the record code, which is the first byte of the encoded record.
 	code() uint8
-	// fields visits the fields in their order on the wire.
+	// fields reads or writes all fields, in wire order, with c. It serves both directions, so that they cannot differ.
 	fields(c *cursor)
 }
 
-// constructors make an empty record of each kind, by code.
+// constructors contains, for each record code, a function that returns an empty record.
 var constructors = constructorsByCode(
 	func() Record { return new(EngineList) },
 	func() Record { return new(Progress) },
@@ -44,7 +44,7 @@
 	return byCode
 }
 
-// newRecord returns an empty record; nil for an unknown code.
+// newRecord returns an empty record with the given code, or nil if the code is unknown.
 func newRecord(code uint8) Record {
 	construct := constructors[code]
 	if construct == nil {
@@ -53,15 +53,15 @@
 	return construct()
 }
 
-// EngineID is an engine's address: IPv4 and port.
+// EngineID identifies an engine by its IPv4 address and port.
 type EngineID struct {
 	IP   [4]byte
 	Port uint16
 }
 
-// LoadReport is a load report of up to four metrics; the settings of the instance name them.
+// LoadReport is a load report with up to four values. The settings of the instance say which metric each value holds.
 type LoadReport struct {
-	Count  uint8 // number of values that are valid
+	Count  uint8 // number of valid values
 	Values [maxLoadValues]float32
 }
 
