--- a/cmd/fleettest/chart.go
+++ b/cmd/fleettest/chart.go
@@ -45,7 +45,7 @@
 	}
 	fullest, emptiest = plotter.XYs{{X: 0, Y: float64(members)}}, plotter.XYs{{X: 0, Y: float64(members)}}
 	for _, change := range changes {
-		if change.Is == "alive" {
+		if change.State == "alive" {
 			delete(outOfService[change.Viewer], change.Member)
 		} else {
 			outOfService[change.Viewer][change.Member] = true
--- a/cmd/fleettest/demo.go
+++ b/cmd/fleettest/demo.go
@@ -48,13 +48,13 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	pool.PublishTo(f.Discovery)
+	pool.SetDiscoveryServer(f.Discovery)
 	if err := f.StartAll(); err != nil {
 		return err
 	}
 	fmt.Printf("%d gateways serve before %d stand-in engines of %d cores; clients send %.0f queries a second for %d s.\n", demoGateways,
 		demoEngines, demoCores, traffic.Rate, c.Seconds)
-	clients := emulator.NewClients(f.Clients(), traffic.Classes, demoSeed, clock)
+	clients := emulator.NewClients(f.ClientAddrs(), traffic.Classes, demoSeed, clock)
 	defer clients.Close()
 	start := clock()
 	stopFaults := c.scheduleFaults(f, pool, func() time.Duration { return clock() - start })
--- a/cmd/fleettest/distribution.go
+++ b/cmd/fleettest/distribution.go
@@ -141,12 +141,12 @@
 		return result, err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	pool.PublishTo(f.Discovery)
+	pool.SetDiscoveryServer(f.Discovery)
 	if err := f.StartAll(); err != nil {
 		return result, err
 	}
 	logProgress("%s: %d gateways serve", name, c.Gateways)
-	clients := emulator.NewClients(f.Clients(), traffic.Classes, c.Seed, clock)
+	clients := emulator.NewClients(f.ClientAddrs(), traffic.Classes, c.Seed, clock)
 	defer clients.Close()
 	result = c.playWatched(name, pool, f, func() { clients.Play(requests, nil) })
 	result.outcomes, _ = clients.Outcomes(0)
@@ -188,7 +188,7 @@
 // playWatched plays the traffic and injects the fault of the case. It watches the engines for as long as clients send.
 func (c *distributionCommand) playWatched(name string, pool *testfleet.Pool, f *testfleet.Fleet, play func()) versionResult {
 	stop, balance := make(chan struct{}), make(chan testfleet.Balance, 1)
-	go func() { balance <- pool.Watch(stop) }()
+	go func() { balance <- pool.SampleBalance(stop) }()
 	fault := time.AfterFunc(faultDelay, func() { c.injectFault(pool, f) })
 	defer fault.Stop()
 	end := time.AfterFunc(c.duration(), func() { close(stop) })
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -45,8 +45,8 @@
 	path := filepath.Join(t.TempDir(), "views.svg")
 	start := time.Now()
 	changes := []testfleet.StateChange{
-		{At: start.Add(time.Second), Viewer: 0, Member: 1, Is: "dead"},
-		{At: start.Add(2 * time.Second), Viewer: 0, Member: 1, Is: "alive"},
+		{At: start.Add(time.Second), Viewer: 0, Member: 1, State: "dead"},
+		{At: start.Add(2 * time.Second), Viewer: 0, Member: 1, State: "alive"},
 	}
 	if err := chartViews(path, 3, start, changes); err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	if text, err := os.ReadFile(path); err != nil || !strings.Contains(string(text), "<svg") {
 		t.Fatalf("%d bytes, %v", len(text), err)
 	}
-	rows := resultTable([]testfleet.Result{{Step: "1", Do: "kill", FirstDetected: []time.Duration{time.Second, 3 * time.Second}}}).rows
+	rows := resultTable([]testfleet.Result{{Step: "1", Action: "kill", DetectionTimes: []time.Duration{time.Second, 3 * time.Second}}}).rows
 	if rows[0][3] != "3.0 / 3.0" || rows[0][4] != "-" {
 		t.Fatalf("%v", rows)
 	}
--- a/cmd/fleettest/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -129,12 +129,12 @@
 			err = closing
 		}
 	}()
-	change.Send(c.MaxDuration)
+	change.SendLoad(c.MaxDuration)
 	start := time.Now()
 	err = c.rollOut(change, r)
 	r.duration = time.Since(start)
-	r.addOutcomes(change.StopClients(), change.Checked.Plan.StageGateways(c.Gateways)[0], c.Plain)
-	if running := controller.FindProcesses(change.Checked.Fleet); r.phase == rollout.RolledBack && slices.Contains(running, 0) {
+	r.addOutcomes(change.StopClients(), change.CheckedPlan.Plan.StageGateways(c.Gateways)[0], c.Plain)
+	if running := controller.FindProcesses(change.CheckedPlan.Fleet); r.phase == rollout.RolledBack && slices.Contains(running, 0) {
 		return fmt.Errorf("%s, seed %d: a gateway does not run after the return", r.kind, seed)
 	}
 	return err
@@ -170,7 +170,7 @@
 func (c *rolloutCommand) rollOut(change *testfleet.Change, r *rolloutResult) error {
 	if c.Plain {
 		r.phase = phaseRolled
-		return change.Rolling(rollingInterval)
+		return change.RollingRestart(rollingInterval)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.MaxDuration)
 	defer cancel()
--- a/cmd/fleettest/run.go
+++ b/cmd/fleettest/run.go
@@ -99,7 +99,7 @@
 	if err := checkAlarms(f); err != nil {
 		return nil, err
 	}
-	if longest, _ := f.Relay.Longest(); longest > maxDatagram {
+	if longest, _ := f.Relay.DatagramStats(); longest > maxDatagram {
 		return nil, fmt.Errorf("a datagram of %d bytes", longest)
 	}
 	return results, nil
--- a/cmd/fleettest/soaktable.go
+++ b/cmd/fleettest/soaktable.go
@@ -13,11 +13,11 @@
 		"cut by kill", "lost (sent before SIGTERM / to 0.7 s / later)", "lost at kill", "late", "corrupted", "answered twice", "exit",
 		"s after SIGTERM"}}
 	for _, r := range results {
-		ends := r.Ends()
+		ends := r.CountOutcomes()
 		t.rows = append(t.rows, []string{
 			fmt.Sprint(r.Scenario.Seed), fmt.Sprint(r.Scenario.Clients), fmt.Sprint(r.Scenario.MySQLClients), r.Scenario.Disturbance.String(),
 			fmt.Sprint(len(r.Requests)), fmt.Sprint(ends[soak.Served]), fmt.Sprint(ends[soak.Rejected]), fmt.Sprint(ends[soak.Failed]),
-			fmt.Sprint(ends[soak.Aborted]), fmt.Sprint(ends[soak.Crossed]), fmt.Sprint(ends[soak.CutByKill]), lossesByTime(r),
+			fmt.Sprint(ends[soak.Aborted]), fmt.Sprint(ends[soak.RacedClose]), fmt.Sprint(ends[soak.CutByKill]), lossesByTime(r),
 			fmt.Sprint(ends[soak.LostAtKill]), fmt.Sprint(ends[soak.Late]), fmt.Sprint(ends[soak.Corrupted]), fmt.Sprint(answeredTwice(r)),
 			exitText(r.Exits), lastExit(r.Exits),
 		})
@@ -30,10 +30,10 @@
 	var before, early, late int
 	for _, request := range r.Requests {
 		switch {
-		case request.End != soak.Lost:
-		case request.SentAfter < 0:
+		case request.Outcome != soak.Lost:
+		case request.SentAfterTerm < 0:
 			before++
-		case request.SentAfter <= soak.KillGrace:
+		case request.SentAfterTerm <= soak.KillGrace:
 			early++
 		default:
 			late++
@@ -77,7 +77,7 @@
 func lastExit(exits []soak.Exit) string {
 	longest := time.Duration(0)
 	for _, e := range exits {
-		longest = max(longest, e.After)
+		longest = max(longest, e.AfterTerm)
 	}
 	return fmt.Sprintf("%.2f", longest.Seconds())
 }
--- a/cmd/fleettest/table.go
+++ b/cmd/fleettest/table.go
@@ -69,8 +69,8 @@
 		"all told s later (median / most)", "told dead without need", "views agree s after the fault (median / most)",
 		"datagrams a gateway and s", "bytes a gateway and s"}}
 	for _, r := range results {
-		t.rows = append(t.rows, []string{r.Step, r.Do, fmt.Sprint(r.Gateways), medianAndMax(r.FirstDetected), medianAndMax(r.AllDetected),
-			fmt.Sprint(r.FalseDeaths), medianAndMax(r.Converged), fmt.Sprintf("%.2f", r.Datagrams), fmt.Sprintf("%.0f", r.Bytes)})
+		t.rows = append(t.rows, []string{r.Step, r.Action, fmt.Sprint(r.Gateways), medianAndMax(r.DetectionTimes), medianAndMax(r.DisseminationTimes),
+			fmt.Sprint(r.FalsePositives), medianAndMax(r.ConvergenceTimes), fmt.Sprintf("%.2f", r.DatagramRate), fmt.Sprintf("%.0f", r.ByteRate)})
 	}
 	return t
 }
--- a/cmd/frostpier/crossings_test.go
+++ b/cmd/frostpier/crossings_test.go
@@ -82,7 +82,7 @@
 		c.submit(id, "lookup", "x", 3000, "")
 		c.wantServed(id, "a\tb\tc\n")
 		time.Sleep(5 * time.Millisecond) // by which the end that came with the response has arrived
-		if soak.EndOfInput(c.conn.(syscall.Conn)) {
+		if soak.AtEOF(c.conn.(syscall.Conn)) {
 			break
 		}
 	}
--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -48,7 +48,7 @@
 		if a := f.Alarms(); len(a) > 0 {
 			t.Errorf("in the logs: %v", a)
 		}
-		if longest, foreign := f.Relay.Longest(); longest > 256 || foreign > 0 {
+		if longest, foreign := f.Relay.DatagramStats(); longest > 256 || foreign > 0 {
 			t.Errorf("a datagram of %d bytes; %d from no gateway", longest, foreign)
 		}
 	})
@@ -70,7 +70,7 @@
 // waitAgreed waits until every gateway's view of the fleet is true.
 func (f *testFleet) waitAgreed(when string, most time.Duration) {
 	f.t.Helper()
-	if err := f.Wait(most, f.Agreed); err != nil {
+	if err := f.Wait(most, f.CheckConverged); err != nil {
 		f.t.Fatalf("%s: %v", when, err)
 	}
 }
@@ -81,7 +81,7 @@
 	f.stateMark = mark
 	deaths := map[int]int{}
 	for _, change := range changes {
-		if change.Is == "dead" {
+		if change.State == "dead" {
 			deaths[change.Member]++
 		}
 	}
@@ -105,8 +105,8 @@
 	f.t.Helper()
 	err := f.Wait(detectTimeout, func() error {
 		for v := range f.Size() {
-			if v != member && f.Up(v) && f.View(v, member) != is {
-				return fmt.Errorf("gateway %d has %d as %s", v, member, f.View(v, member))
+			if v != member && f.Running(v) && f.MemberState(v, member) != is {
+				return fmt.Errorf("gateway %d has %d as %s", v, member, f.MemberState(v, member))
 			}
 		}
 		return nil
@@ -174,14 +174,14 @@
 	f.wantNoDeaths("20% loss")
 	f.Relay.SetDefaultLink(testfleet.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond})
 
-	f.Relay.Set(1, 0, testfleet.Link{Cut: true})
+	f.Relay.SetLink(1, 0, testfleet.Link{Cut: true})
 	time.Sleep(15 * time.Second)
 	f.waitAgreed("0 cannot hear 1", healTimeout)
 	f.wantNoDeaths("0 cannot hear 1")
 	f.Relay.Heal()
 
 	for i := 0; i < fleetSize; i += 3 {
-		f.must(f.Term(i))
+		f.must(f.Terminate(i))
 		f.waitView("after SIGTERM", i, "left")
 		f.must(f.StartAll())
 	}
@@ -205,7 +205,7 @@
 	changes, mark := f.StateChanges(f.stateMark)
 	f.stateMark = mark
 	for _, d := range changes { // the two themselves may declare members dead that they cannot reach
-		if d.Is == "dead" && d.Member != 2 && d.Member != 9 && d.Viewer != 2 && d.Viewer != 9 {
+		if d.State == "dead" && d.Member != 2 && d.Member != 9 && d.Viewer != 2 && d.Viewer != 9 {
 			t.Errorf("gateway %d declared %d dead", d.Viewer, d.Member)
 		}
 	}
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -58,7 +58,7 @@
 			t.Logf("the controller's log:\n%s", text)
 		}
 	})
-	c.Send(changeTimeout)
+	c.SendLoad(changeTimeout)
 	return c
 }
 
@@ -102,7 +102,7 @@
 	if s.Phase != rollout.Done || ends[emulator.Corrupted] > 0 {
 		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
 	}
-	st, err := controller.LastStatus(c.State)
+	st, err := controller.LastStatus(c.StateDir)
 	if err != nil || st.GatewayCounts[rollout.NewVersion] != changeGateways {
 		t.Errorf("status: %+v, %v", st, err)
 	}
@@ -121,7 +121,7 @@
 			if s.Phase != rollout.RolledBack || s.Stage != 0 {
 				t.Errorf("%s in stage %d: %s", s.Phase, s.Stage+1, s.Reason)
 			}
-			st, err := controller.LastStatus(c.State)
+			st, err := controller.LastStatus(c.StateDir)
 			if err != nil || st.GatewayCounts[rollout.OldVersion] != changeGateways {
 				t.Errorf("status: %+v, %v", st, err)
 			}
@@ -133,13 +133,13 @@
 func TestFleetSettingsChangeWhileRunning(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 3, Settings: "\n# a comment makes another file\n"})
-	before := controller.FindProcesses(c.Checked.Fleet)
+	before := controller.FindProcesses(c.CheckedPlan.Fleet)
 	s := executeChange(t, c)
 	ends := checkReplies(t, c, false)
 	if s.Phase != rollout.Done {
 		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
 	}
-	for i, pid := range controller.FindProcesses(c.Checked.Fleet) {
+	for i, pid := range controller.FindProcesses(c.CheckedPlan.Fleet) {
 		if pid != before[i] {
 			t.Errorf("gateway %d was process %d and is %d", i, before[i], pid)
 		}
@@ -166,11 +166,11 @@
 		t.Errorf("exit code %d", code)
 	}
 	checkReplies(t, c, false)
-	history, err := controller.History(c.State, "")
+	history, err := controller.History(c.StateDir, "")
 	if err != nil || len(history) == 0 {
 		t.Errorf("history: %d lines, %v", len(history), err)
 	}
-	status, err := controller.LastStatus(c.State)
+	status, err := controller.LastStatus(c.StateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 // startCommandProcess starts rollout start in a process.
 func startCommandProcess(t *testing.T, c *testfleet.Change) *exec.Cmd {
 	t.Helper()
-	cmd, err := c.Start([]string{os.Args[0]}, append([]string{envAsProgram + "=1"}, emulator.OwnerEnv()...))
+	cmd, err := c.StartController([]string{os.Args[0]}, append([]string{envAsProgram + "=1"}, emulator.OwnerEnv()...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 			k.t.Fatal("a second controller was not rejected")
 		case <-time.After(100 * time.Millisecond):
 		}
-		if _, err := controller.SendCommand(c.State, "status"); err != nil {
+		if _, err := controller.SendCommand(c.StateDir, "status"); err != nil {
 			continue // the first has not opened its journal yet
 		}
 		second := startCommandProcess(k.t, c)
@@ -242,7 +242,7 @@
 // awaitPhase waits until the change is in a phase. It returns false if the change ends before.
 func awaitPhase(c *testfleet.Change, phase rollout.Phase) bool {
 	for deadline := time.Now().Add(changeTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
-		status, err := controller.LastStatus(c.State)
+		status, err := controller.LastStatus(c.StateDir)
 		if err == nil && status.State.Phase == phase {
 			return true
 		}
@@ -258,7 +258,7 @@
 func TestFleetTroublesOfTheStageAreNotBlamed(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 5, MinWatchSeconds: 10, MaxWatchSeconds: 90})
-	order := c.Checked.Plan.StageGateways(changeGateways)
+	order := c.CheckedPlan.Plan.StageGateways(changeGateways)
 	go func() {
 		if !awaitPhase(c, rollout.Watching) {
 			return // executeChange reports how the change ended
@@ -266,7 +266,7 @@
 		time.Sleep(time.Second)
 		c.DropReports(order[0][0], order[1][0], order[1][1], order[1][2])
 		c.Pool.Engines()[0].SetHung(true)
-		if pid := controller.FindProcesses(c.Checked.Fleet)[order[0][1]]; pid > 0 {
+		if pid := controller.FindProcesses(c.CheckedPlan.Fleet)[order[0][1]]; pid > 0 {
 			if p, err := os.FindProcess(pid); err == nil {
 				p.Kill()
 			}
--- a/cmd/frostpier/soak_test.go
+++ b/cmd/frostpier/soak_test.go
@@ -59,9 +59,9 @@
 }
 
 // mysqlRequests counts the requests of MySQL clients with these ends.
-func mysqlRequests(result soak.Result, ends ...soak.End) (count int) {
+func mysqlRequests(result soak.Result, ends ...soak.Outcome) (count int) {
 	for _, r := range result.Requests {
-		if r.MySQL && slices.Contains(ends, r.End) {
+		if r.MySQL && slices.Contains(ends, r.Outcome) {
 			count++
 		}
 	}
--- a/cmd/frostpier/spread_test.go
+++ b/cmd/frostpier/spread_test.go
@@ -56,8 +56,8 @@
 	opt.Seed, opt.Engines = seed, pool.EngineList()
 	opt.Settings = func(n, self int) string { return emulator.Settings(s.traffic.Classes, n, self, spreadCores) }
 	s.testFleet = startFleetWith(t, opt)
-	pool.PublishTo(s.Discovery)
-	s.clients = emulator.NewClients(s.Clients(), s.traffic.Classes, seed, clock)
+	pool.SetDiscoveryServer(s.Discovery)
+	s.clients = emulator.NewClients(s.ClientAddrs(), s.traffic.Classes, seed, clock)
 	t.Cleanup(s.clients.Close)
 	return s
 }
@@ -68,7 +68,7 @@
 	s.t.Helper()
 	requests := s.traffic.Draw(s.duration)
 	stop, watched := make(chan struct{}), make(chan testfleet.Balance, 1)
-	go func() { watched <- s.pool.Watch(stop) }()
+	go func() { watched <- s.pool.SampleBalance(stop) }()
 	if fault != nil {
 		timer := time.AfterFunc(faultDelay, fault)
 		defer timer.Stop()
--- a/cmd/frostpier/subset_test.go
+++ b/cmd/frostpier/subset_test.go
@@ -34,8 +34,8 @@
 	s.traffic.Rate = s.traffic.RateFor(0.4, 2*subsetEngines)
 	s.testFleet = startFleetWith(t, testfleet.Options{Gateways: subsetGateways, Seed: 31, Engines: pool.EngineList(), Operator: "\n[spread]\n",
 		Settings: func(n, self int) string { return emulator.Settings(s.traffic.Classes, n, self, 2) }})
-	pool.PublishTo(s.Discovery)
-	s.clients = emulator.NewClients(s.Clients(), s.traffic.Classes, 31, clock)
+	pool.SetDiscoveryServer(s.Discovery)
+	s.clients = emulator.NewClients(s.ClientAddrs(), s.traffic.Classes, 31, clock)
 	t.Cleanup(s.clients.Close)
 	return s
 }
--- a/internal/testbed/scale/runner/agreement.go
+++ b/internal/testbed/scale/runner/agreement.go
@@ -93,7 +93,7 @@
 			viewer, v, n, version, engines)
 	}
 	for member := range r.plan.Members() {
-		if view := r.fleet.View(viewer, member); (view == "alive") != r.shouldServe(viewer, member) {
+		if view := r.fleet.MemberState(viewer, member); (view == "alive") != r.shouldServe(viewer, member) {
 			return fmt.Errorf("%w: in the view of gateway %d member %d is %s, which runs: %v", ErrNotAgreed,
 				viewer, member, view, r.up[member])
 		}
--- a/internal/testbed/scale/runner/engines.go
+++ b/internal/testbed/scale/runner/engines.go
@@ -46,7 +46,7 @@
 func (r *Runner) publish(engines []int, state string, startedMS int64) {
 	var changed []testfleet.Engine
 	for _, number := range engines {
-		r.engineList[number].State, r.engineList[number].Began = state, startedMS
+		r.engineList[number].State, r.engineList[number].StartedAtMS = state, startedMS
 		changed = append(changed, r.engineList[number])
 	}
 	r.fleet.Discovery.Publish(changed)
--- a/internal/testbed/scale/runner/members.go
+++ b/internal/testbed/scale/runner/members.go
@@ -42,7 +42,7 @@
 // hollowPeers returns the addresses at which hollow gateways reach all members: the real ones by the relay, which counts and
 // drops their datagrams, and each other directly.
 func (r *Runner) hollowPeers() []netip.AddrPort {
-	faces := r.fleet.Relay.Faces()
+	faces := r.fleet.Relay.Addrs()
 	return append(slices.Clone(faces[:r.plan.Real]), r.fleet.RemoteAddrs()...)
 }
 
@@ -81,7 +81,7 @@
 // stopMembers has members shut down gracefully, all at the same time, and waits for their end.
 func (r *Runner) stopMembers(ctx context.Context, members []int) error {
 	realOnes, hollowOnes := r.divideMembers(members)
-	err := r.concurrently(realOnes, r.fleet.Term, func() error {
+	err := r.concurrently(realOnes, r.fleet.Terminate, func() error {
 		return r.commandHollow(ctx, func(own []int) hollow.GatewayCommand { return hollow.GatewayCommand{Leave: own} }, hollowOnes)
 	})
 	r.setUp(members, false)
--- a/internal/testbed/scale/runner/steps.go
+++ b/internal/testbed/scale/runner/steps.go
@@ -135,7 +135,7 @@
 	began := time.Now()
 	traffic := emulator.Traffic{Classes: lookupClass(), Rate: r.plan.Rate * float64(r.plan.Real), Gateways: r.plan.Real, Groups: 200,
 		Zipf: 0.7, Seed: r.plan.Seed}
-	clients := emulator.NewClients(r.fleet.Clients(), traffic.Classes, r.plan.Seed, func() time.Duration { return time.Since(began) })
+	clients := emulator.NewClients(r.fleet.ClientAddrs(), traffic.Classes, r.plan.Seed, func() time.Duration { return time.Since(began) })
 	defer clients.Close()
 	clients.Play(traffic.Draw(r.plan.Quiet), ctx.Done())
 	outcomes, _ := clients.Outcomes(0)
--- a/internal/testbed/soak/engines.go
+++ b/internal/testbed/soak/engines.go
@@ -73,10 +73,10 @@
 		list := e.pool.EngineList()
 		list[0].State = "terminating"
 		discovery.Publish(list[:1])
-	case EngineIsKilled:
+	case EngineKilled:
 		e.pool.Kill(first)
-	case DiscoveryIsAway:
+	case DiscoveryDown:
 		discovery.Close()
-	case Undisturbed:
+	case NoDisturbance:
 	}
 }
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -49,7 +49,7 @@
 
 // endOfUnanswered returns how a request ended whose connection ended just now, before its answer or, if partial, in the middle of it.
 // received tells whether an engine got it.
-func (g *gateway) endOfUnanswered(r *Request, received, partial bool) End {
+func (g *gateway) endOfUnanswered(r *Request, received, partial bool) Outcome {
 	_, killed := g.killed()
 	switch {
 	case killed && g.owedAtKill(r.Sent):
@@ -57,7 +57,7 @@
 	case killed:
 		return CutByKill
 	case !partial && (r.crossed || g.clock()-r.Sent <= crossingWindow) && !received:
-		return Crossed
+		return RacedClose
 	}
 	return Lost
 }
@@ -67,7 +67,7 @@
 
 // terminate sends the gateway its signals, and kills it if it is still there at the platform's earliest.
 func (g *gateway) terminate(killDelay time.Duration) (exit Exit) {
-	time.Sleep(g.stop.After)
+	time.Sleep(g.stop.Delay)
 	at := g.clock()
 	g.mu.Lock()
 	g.terminatedAt = at
@@ -76,22 +76,22 @@
 		return Exit{Err: fmt.Errorf("SIGTERM: %w", err)}
 	}
 	for _, s := range g.stop.Signals {
-		time.AfterFunc(s.After, func() { _ = g.fleet.Signal(g.number, s.Signal) }) // it may have exited by then
+		time.AfterFunc(s.Delay, func() { _ = g.fleet.Signal(g.number, s.Signal) }) // it may have exited by then
 	}
-	for g.clock() < at+killDelay && g.fleet.Up(g.number) {
+	for g.clock() < at+killDelay && g.fleet.Running(g.number) {
 		time.Sleep(pollInterval)
 	}
 	if exit.Killed = g.kill(); exit.Killed {
-		return Exit{After: g.clock() - at, Killed: true, Err: nil}
+		return Exit{AfterTerm: g.clock() - at, Killed: true, Err: nil}
 	}
 	exit.Err = g.fleet.WaitExit(g.number, exitTimeout)
-	exit.After = g.clock() - at
+	exit.AfterTerm = g.clock() - at
 	return exit
 }
 
 // kill kills the gateway, and reports whether it was there.
 func (g *gateway) kill() bool {
-	if !g.fleet.Up(g.number) {
+	if !g.fleet.Running(g.number) {
 		return false
 	}
 	g.mu.Lock()
--- a/internal/testbed/soak/mysqlclient.go
+++ b/internal/testbed/soak/mysqlclient.go
@@ -94,8 +94,8 @@
 	if errors.Is(err, driver.ErrBadConn) {
 		return false
 	}
-	r.Took = c.gateway.clock() - r.Sent
-	r.End = c.endOf(r, row, err)
+	r.Latency = c.gateway.clock() - r.Sent
+	r.Outcome = c.endOf(r, row, err)
 	c.recorder.add(r)
 	var answer *mysql.MySQLError
 	return err == nil || errors.As(err, &answer)
@@ -120,12 +120,12 @@
 }
 
 // endOf returns how a query ended.
-func (c *mysqlClient) endOf(r *Request, row string, err error) End {
+func (c *mysqlClient) endOf(r *Request, row string, err error) Outcome {
 	var answer *mysql.MySQLError
 	switch isAnswer := errors.As(err, &answer); {
 	case err != nil && !isAnswer:
 		return c.gateway.endOfUnanswered(r, c.engine.Received(r.ID), false)
-	case r.Took > r.Budget+answerSlack:
+	case r.Latency > r.Budget+answerSlack:
 		return Late
 	case isAnswer && answer.Number == mysqlRejected:
 		return Rejected
--- a/internal/testbed/soak/platformconn.go
+++ b/internal/testbed/soak/platformconn.go
@@ -60,11 +60,11 @@
 		return true
 	default:
 	}
-	return EndOfInput(p.conn)
+	return AtEOF(p.conn)
 }
 
-// EndOfInput reports whether nothing is left to be read before the end of a connection.
-func EndOfInput(conn syscall.Conn) bool {
+// AtEOF reports whether nothing is left to be read before the end of a connection.
+func AtEOF(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
@@ -90,7 +90,7 @@
 	p.client.recorder.add(r)
 	p.open[r.Number] = r
 	_ = p.write(line)
-	r.crossed = EndOfInput(p.conn) && clock()-r.Sent <= crossingWindow
+	r.crossed = AtEOF(p.conn) && clock()-r.Sent <= crossingWindow
 }
 
 // abort aborts a request that is open.
@@ -107,9 +107,9 @@
 }
 
 // end ends an open request; the lock is held.
-func (p *platformConn) end(r *Request, end End) {
-	r.End = end
-	r.Took = p.client.gateway.clock() - r.Sent
+func (p *platformConn) end(r *Request, end Outcome) {
+	r.Outcome = end
+	r.Latency = p.client.gateway.clock() - r.Sent
 	delete(p.open, r.Number)
 	p.answered[r.Number] = r
 	<-p.slots
@@ -150,13 +150,13 @@
 	switch {
 	case r != nil && err == nil:
 		p.end(r, p.endOf(r, a))
-	case p.answered[a.ID] != nil && p.answered[a.ID].End != Aborted:
+	case p.answered[a.ID] != nil && p.answered[a.ID].Outcome != Aborted:
 		p.answered[a.ID].Duplicates++
 	}
 }
 
 // endOf returns how an answer ends its request.
-func (p *platformConn) endOf(r *Request, a platformAnswer) End {
+func (p *platformConn) endOf(r *Request, a platformAnswer) Outcome {
 	switch {
 	case p.client.gateway.clock()-r.Sent > r.Budget+answerSlack:
 		return Late
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -20,9 +20,9 @@
 
 // Exit is how a gateway ended.
 type Exit struct {
-	After  time.Duration // SIGTERM
-	Killed bool          // by the platform's SIGKILL
-	Err    error         // of an exit by itself: nil for code 0
+	AfterTerm time.Duration // SIGTERM
+	Killed    bool          // by the platform's SIGKILL
+	Err       error         // of an exit by itself: nil for code 0
 }
 
 // Result is the result of a run.
@@ -118,7 +118,7 @@
 			use()
 		}()
 	}
-	disturbance := time.AfterFunc(r.scenario.DisturbanceAfter, func() { r.engines.disturb(r.scenario.Disturbance, r.fleet.Discovery) })
+	disturbance := time.AfterFunc(r.scenario.DisturbanceDelay, func() { r.engines.disturb(r.scenario.Disturbance, r.fleet.Discovery) })
 	defer disturbance.Stop()
 	exits := make([]Exit, len(r.gateways))
 	for i, g := range r.gateways {
@@ -136,7 +136,7 @@
 // clients returns what each client does.
 func (r *run) clients() (out []func()) {
 	random := rand.New(rand.NewPCG(r.scenario.Seed, 2))
-	addrs := r.fleet.Clients()
+	addrs := r.fleet.ClientAddrs()
 	for i := range r.scenario.Clients {
 		g := r.gateways[i%len(r.gateways)]
 		c := newPlatformClient(i, g, addrs[g.number], r.scenario.classes(), random.Uint64(), &r.recorder, r.engines)
@@ -156,7 +156,7 @@
 	defer r.recorder.mu.Unlock()
 	for _, request := range r.recorder.requests {
 		at, _ := r.gateways[request.Gateway].terminated()
-		request.SentAfter = request.Sent - at
+		request.SentAfterTerm = request.Sent - at
 		out = append(out, *request)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Sent < out[j].Sent })
--- a/internal/testbed/soak/scenario.go
+++ b/internal/testbed/soak/scenario.go
@@ -42,11 +42,11 @@
 
 // Disturbances.
 const (
-	Undisturbed Disturbance = iota
+	NoDisturbance Disturbance = iota
 	EngineHangs
 	EngineDrains
-	EngineIsKilled
-	DiscoveryIsAway
+	EngineKilled
+	DiscoveryDown
 	disturbances // their number
 )
 
@@ -57,13 +57,13 @@
 
 // Signal is a signal that a gateway gets after its first SIGTERM.
 type Signal struct {
-	After  time.Duration // SIGTERM
+	Delay  time.Duration // SIGTERM
 	Signal syscall.Signal
 }
 
 // Stop is the planned stop of one gateway.
 type Stop struct {
-	After         time.Duration // the clients' start
+	Delay         time.Duration // the clients' start
 	ReconnectTime time.Duration // after SIGTERM, in which clients open new connections
 	Signals       []Signal
 }
@@ -76,7 +76,7 @@
 	Deadline         time.Duration // the longest of a class, and the budget of the requests
 	Stops            []Stop        // by gateway
 	Disturbance      Disturbance
-	DisturbanceAfter time.Duration // the clients' start
+	DisturbanceDelay time.Duration // the clients' start
 }
 
 // NewScenario draws a scenario with so many gateways.
@@ -96,13 +96,13 @@
 		s.Stops = append(s.Stops, newStop(random))
 	}
 	s.Disturbance = Disturbance(random.IntN(int(disturbances)))
-	s.DisturbanceAfter = between(random, 0, maxStopDelay+signalSpan)
+	s.DisturbanceDelay = between(random, 0, maxStopDelay+signalSpan)
 	return s
 }
 
 func newStop(random *rand.Rand) Stop {
 	s := Stop{
-		After:         between(random, minStopDelay, maxStopDelay),
+		Delay:         between(random, minStopDelay, maxStopDelay),
 		ReconnectTime: between(random, minReconnectTime, maxReconnectTime),
 	}
 	for range random.IntN(maxSignals + 1) {
@@ -110,7 +110,7 @@
 		if random.IntN(2) == 0 {
 			signal = syscall.SIGHUP
 		}
-		s.Signals = append(s.Signals, Signal{After: between(random, 0, signalSpan), Signal: signal})
+		s.Signals = append(s.Signals, Signal{Delay: between(random, 0, signalSpan), Signal: signal})
 	}
 	return s
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -25,8 +25,8 @@
 				t.Errorf("seed %d: clients reconnect for %v", seed, stop.ReconnectTime)
 			}
 			for _, signal := range stop.Signals {
-				if signal.After > signalSpan {
-					t.Errorf("seed %d: a signal after %v", seed, signal.After)
+				if signal.Delay > signalSpan {
+					t.Errorf("seed %d: a signal after %v", seed, signal.Delay)
 				}
 			}
 		}
@@ -42,10 +42,10 @@
 		killed            bool
 		received, partial bool
 		crossed           bool
-		want              End
+		want              Outcome
 	}{
-		{"crossed", 3 * time.Second, 3*time.Second + crossingWindow, false, false, false, false, Crossed},
-		{"crossed, read late", 3 * time.Second, 4 * time.Second, false, false, false, true, Crossed},
+		{"crossed", 3 * time.Second, 3*time.Second + crossingWindow, false, false, false, false, RacedClose},
+		{"crossed, read late", 3 * time.Second, 4 * time.Second, false, false, false, true, RacedClose},
 		{"too late to have crossed", 3 * time.Second, 3*time.Second + 2*crossingWindow, false, false, false, false, Lost},
 		{"an engine got it", 3 * time.Second, 3 * time.Second, false, true, false, true, Lost},
 		{"in the middle of its answer", 3 * time.Second, 3 * time.Second, false, false, true, false, Lost},
@@ -68,14 +68,14 @@
 // Every end that breaks a rule is a problem, and so are a second answer, a failed exit and an alarm in the log.
 func TestProblems(t *testing.T) {
 	for end := Open; end < ends; end++ {
-		result := Result{Requests: []Request{{End: end}}}
+		result := Result{Requests: []Request{{Outcome: end}}}
 		isLoss := strings.HasPrefix(end.String(), "lost") || end == Open || end == Late || end == Corrupted
 		if got := len(result.Problems()) > 0; got != isLoss {
 			t.Errorf("%v is a problem: %v", end, got)
 		}
 	}
 	for name, result := range map[string]Result{
-		"second answer": {Requests: []Request{{End: Served, Duplicates: 1}}},
+		"second answer": {Requests: []Request{{Outcome: Served, Duplicates: 1}}},
 		"exit":          {Exits: []Exit{{Err: errTest{}}}},
 		"alarm":         {Alarms: []string{"panic"}},
 	} {
--- a/internal/testbed/testfleet/balance.go
+++ b/internal/testbed/testfleet/balance.go
@@ -27,20 +27,20 @@
 
 // Balance describes how evenly load was spread over the engines. A window lasts one second.
 type Balance struct {
-	Windows       int
-	PeakToMean    float64 // peak to mean: the busiest engine's threads over the mean of a window, averaged over the windows
-	PeakToMeanP95 float64 // the same, 95th percentile of the windows
-	LongestIdle   float64 // seconds for which an engine had less than half of the mean load, at most
-	Burst         float64 // arrivals at an engine in half a second over its equal share, 99.9th percentile
-	Conns         int     // connections open at all engines, at most
-	Threads       float64 // mean threads a core
-	Arrivals      int     // queries that reached engines
-	Rejected      int     // of them, since the engine was full
+	Windows        int
+	PeakToMean     float64 // peak to mean: the busiest engine's threads over the mean of a window, averaged over the windows
+	PeakToMeanP95  float64 // the same, 95th percentile of the windows
+	LongestIdle    float64 // seconds for which an engine had less than half of the mean load, at most
+	BurstP999      float64 // arrivals at an engine in half a second over its equal share, 99.9th percentile
+	MaxConns       int     // connections open at all engines, at most
+	ThreadsPerCore float64 // mean threads a core
+	Arrivals       int     // queries that reached engines
+	Rejected       int     // of them, since the engine was full
 }
 
-// Watch samples the engines until stop is closed and returns how even their load was. It assumes that all engines have the
+// SampleBalance samples the engines until stop is closed and returns how even their load was. It assumes that all engines have the
 // same Spec.
-func (p *Pool) Watch(stop <-chan struct{}) Balance {
+func (p *Pool) SampleBalance(stop <-chan struct{}) Balance {
 	s := balanceSampler{cores: p.spec.Cores, engines: map[*emulator.Engine]*engineSample{}}
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -80,7 +80,7 @@
 	for _, e := range engines {
 		conns += s.sampleEngine(e)
 	}
-	s.balance.Conns = max(s.balance.Conns, conns)
+	s.balance.MaxConns = max(s.balance.MaxConns, conns)
 	if s.samples%samplesPerBurst == 0 {
 		s.recordBursts(engines)
 	}
@@ -130,7 +130,7 @@
 	loaded := mean > minMeanLoad*s.cores
 	if loaded {
 		s.peakToMean = append(s.peakToMean, peak/mean)
-		s.balance.Threads += mean / s.cores
+		s.balance.ThreadsPerCore += mean / s.cores
 	}
 	for _, e := range engines {
 		engine := s.engines[e]
@@ -158,8 +158,8 @@
 		b.PeakToMean += ratio / float64(b.Windows)
 	}
 	b.PeakToMeanP95 = quantile(s.peakToMean, peakQuantile)
-	b.Burst = quantile(s.bursts, burstQuantile)
-	b.Threads /= math.Max(1, float64(b.Windows))
+	b.BurstP999 = quantile(s.bursts, burstQuantile)
+	b.ThreadsPerCore /= math.Max(1, float64(b.Windows))
 	return b
 }
 
--- a/internal/testbed/testfleet/change.go
+++ b/internal/testbed/testfleet/change.go
@@ -39,9 +39,9 @@
 	Pool        *Pool
 	Fleet       *Fleet
 	Clients     *emulator.Clients
-	Checked     controller.CheckedPlan
-	Plan        string // path of the plan
-	State       string // the controller's state folder
+	CheckedPlan controller.CheckedPlan
+	PlanPath    string // path of the plan
+	StateDir    string // the controller's state folder
 	traffic     emulator.Traffic
 	clock       func() time.Duration
 	reportProxy *reportProxy
@@ -54,11 +54,11 @@
 func NewChange(opt ChangeOptions) (_ *Change, err error) {
 	start := time.Now()
 	c := &Change{
-		options: opt,
-		State:   filepath.Join(opt.Dir, "rollout"),
-		Plan:    filepath.Join(opt.Dir, "plan.toml"),
-		clock:   func() time.Duration { return time.Since(start) },
-		stop:    make(chan struct{}),
+		options:  opt,
+		StateDir: filepath.Join(opt.Dir, "rollout"),
+		PlanPath: filepath.Join(opt.Dir, "plan.toml"),
+		clock:    func() time.Duration { return time.Since(start) },
+		stop:     make(chan struct{}),
 	}
 	defer func() {
 		if err != nil {
@@ -71,10 +71,10 @@
 	if err := c.writePlan(); err != nil {
 		return c, err
 	}
-	if _, err := controller.StartGateways(c.State, c.Checked); err != nil {
+	if _, err := controller.StartGateways(c.StateDir, c.CheckedPlan); err != nil {
 		return c, err
 	}
-	c.Clients = emulator.NewClients(c.Fleet.Clients(), c.traffic.Classes, opt.Seed, c.clock)
+	c.Clients = emulator.NewClients(c.Fleet.ClientAddrs(), c.traffic.Classes, opt.Seed, c.clock)
 	return c, c.Fleet.Wait(startTimeout, c.ready)
 }
 
@@ -103,7 +103,7 @@
 	}); err != nil {
 		return err
 	}
-	c.Pool.PublishTo(c.Fleet.Discovery)
+	c.Pool.SetDiscoveryServer(c.Fleet.Discovery)
 	c.reportProxy, err = newReportProxy(opt.Gateways, len(c.traffic.Classes))
 	return err
 }
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Send has clients send requests for so long, on a goroutine that StopClients waits for.
-func (c *Change) Send(span time.Duration) {
+// SendLoad has clients send requests for so long, on a goroutine that StopClients waits for.
+func (c *Change) SendLoad(span time.Duration) {
 	requests := c.traffic.Draw(span)
 	c.clientsDone.Add(1)
 	go func() {
@@ -156,7 +156,7 @@
 		return rollout.State{}, err
 	}
 	defer func() { _ = log.Close() }()
-	k, err := controller.Open(c.State, c.Checked, slog.New(slog.NewTextHandler(log, nil)))
+	k, err := controller.Open(c.StateDir, c.CheckedPlan, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		return rollout.State{}, err
 	}
@@ -164,10 +164,10 @@
 	return k.Run(ctx)
 }
 
-// Start starts a controller as a process of the program, which ends with this process at the latest. The caller waits for
+// StartController starts a controller as a process of the program, which ends with this process at the latest. The caller waits for
 // it. command starts the program; the arguments of a controller are added to it.
-func (c *Change) Start(command []string, env []string) (*exec.Cmd, error) {
-	cmd := exec.Command(command[0], append(slices.Clone(command[1:]), "rollout", "start", c.Plan, "--state", c.State)...)
+func (c *Change) StartController(command []string, env []string) (*exec.Cmd, error) {
+	cmd := exec.Command(command[0], append(slices.Clone(command[1:]), "rollout", "start", c.PlanPath, "--state", c.StateDir)...)
 	cmd.Env = append(os.Environ(), env...)
 	log, err := c.openLog()
 	if err != nil {
@@ -179,16 +179,16 @@
 	return cmd, cmd.Start()
 }
 
-// Rolling is the rolling restart to compare with: each gateway in turn is restarted on the new version, and nothing
+// RollingRestart is the rolling restart to compare with: each gateway in turn is restarted on the new version, and nothing
 // evaluates it.
-func (c *Change) Rolling(each time.Duration) error {
-	return controller.RollingRestart(c.State, c.Checked, each)
+func (c *Change) RollingRestart(each time.Duration) error {
+	return controller.RollingRestart(c.StateDir, c.CheckedPlan, each)
 }
 
 // Close ends every process of the fleet, by its process ID, and everything else that NewChange started.
 func (c *Change) Close() error {
 	var errs []error
-	for _, pid := range controller.FindProcesses(c.Checked.Fleet) {
+	for _, pid := range controller.FindProcesses(c.CheckedPlan.Fleet) {
 		if pid > 0 {
 			errs = append(errs, syscall.Kill(pid, syscall.SIGKILL))
 		}
--- a/internal/testbed/testfleet/changeplan.go
+++ b/internal/testbed/testfleet/changeplan.go
@@ -66,7 +66,7 @@
 
 // writePlan writes both versions and the plan, and has the controller's own code check it.
 func (c *Change) writePlan() error {
-	configs, err := c.Fleet.Configs()
+	configs, err := c.Fleet.WriteConfigs()
 	if err != nil {
 		return err
 	}
@@ -82,10 +82,10 @@
 		return err
 	}
 	text := c.planText(listen, configs, newProgram)
-	if err := os.WriteFile(c.Plan, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(c.PlanPath, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if c.Checked, err = controller.CheckPlan([]byte(text)); err != nil {
+	if c.CheckedPlan, err = controller.CheckPlan([]byte(text)); err != nil {
 		return err
 	}
 	return c.reportProxy.setController(listen)
--- a/internal/testbed/testfleet/config.go
+++ b/internal/testbed/testfleet/config.go
@@ -26,7 +26,7 @@
 // config writes the configuration of a gateway, as the platform would at this start, and returns its path.
 func (f *Fleet) config(i int) (path string, err error) {
 	var peers []string
-	for _, p := range f.Relay.Faces() {
+	for _, p := range f.Relay.Addrs() {
 		peers = append(peers, p.String())
 	}
 	settings := fmt.Sprintf(defaultSettings, f.options.members(), i)
--- a/internal/testbed/testfleet/discovery.go
+++ b/internal/testbed/testfleet/discovery.go
@@ -11,12 +11,12 @@
 
 // Engine is an entry of the engine list as the discovery server sends it.
 type Engine struct {
-	Name  string `json:"instanceId"`
-	Addr  string `json:"hostPort"`
-	Zone  string `json:"zone"`
-	Kind  string `json:"machineType"`
-	State string `json:"lifecycle"`
-	Began int64  `json:"startedAtMs"` // Unix milliseconds of a late start, else 0
+	Name        string `json:"instanceId"`
+	Addr        string `json:"hostPort"`
+	Zone        string `json:"zone"`
+	Kind        string `json:"machineType"`
+	State       string `json:"lifecycle"`
+	StartedAtMS int64  `json:"startedAtMs"` // Unix milliseconds of a late start, else 0
 }
 
 // Times of a watch's connection.
--- a/internal/testbed/testfleet/fleet.go
+++ b/internal/testbed/testfleet/fleet.go
@@ -85,8 +85,8 @@
 	return f, nil
 }
 
-// Clients returns the addresses on which the gateways serve clients, by number.
-func (f *Fleet) Clients() (out []string) {
+// ClientAddrs returns the addresses on which the gateways serve clients, by number.
+func (f *Fleet) ClientAddrs() (out []string) {
 	for _, a := range f.clientAddrs {
 		out = append(out, a.String())
 	}
@@ -96,9 +96,9 @@
 // Size returns the number of gateways.
 func (f *Fleet) Size() int { return len(f.gateways) }
 
-// Configs writes the configurations of all gateways and returns a glob pattern that matches them, for a fleet whose
+// WriteConfigs writes the configurations of all gateways and returns a glob pattern that matches them, for a fleet whose
 // processes a controller starts.
-func (f *Fleet) Configs() (pattern string, err error) {
+func (f *Fleet) WriteConfigs() (pattern string, err error) {
 	for i := range f.gateways {
 		if _, err := f.config(i); err != nil {
 			return "", err
@@ -157,8 +157,8 @@
 	return f.gateways[i].waitExit(stopTimeout)
 }
 
-// Term has a gateway shut down gracefully and waits for its end.
-func (f *Fleet) Term(i int) error {
+// Terminate has a gateway shut down gracefully and waits for its end.
+func (f *Fleet) Terminate(i int) error {
 	if err := f.gateways[i].signal(syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -182,8 +182,8 @@
 // Resume continues a paused gateway.
 func (f *Fleet) Resume(i int) error { return f.gateways[i].signal(syscall.SIGCONT) }
 
-// Up reports whether a gateway runs, paused or not.
-func (f *Fleet) Up(i int) bool {
+// Running reports whether a gateway runs, paused or not.
+func (f *Fleet) Running(i int) bool {
 	up, _, _ := f.gateways[i].state()
 	return up
 }
@@ -213,8 +213,8 @@
 	return g.version, g.engines
 }
 
-// View returns a member's state in the view of a gateway: alive, dead or left.
-func (f *Fleet) View(viewer, member int) string {
+// MemberState returns a member's state in the view of a gateway: alive, dead or left.
+func (f *Fleet) MemberState(viewer, member int) string {
 	g := f.gateways[viewer]
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -231,15 +231,15 @@
 	return append([]StateChange(nil), f.changes[mark:]...), len(f.changes)
 }
 
-// Agreed returns nil if the view of every gateway that runs and serves matches the truth.
-func (f *Fleet) Agreed() error {
+// CheckConverged returns nil if the view of every gateway that runs and serves matches the truth.
+func (f *Fleet) CheckConverged() error {
 	for v, g := range f.gateways {
 		if up, ready, paused := g.state(); !up || !ready || paused {
 			continue
 		}
 		for i := range f.gateways {
-			if is := f.View(v, i); (is == "alive") != f.Up(i) {
-				return fmt.Errorf("gateway %d holds %d %s, which runs: %v", v, i, is, f.Up(i))
+			if is := f.MemberState(v, i); (is == "alive") != f.Running(i) {
+				return fmt.Errorf("gateway %d holds %d %s, which runs: %v", v, i, is, f.Running(i))
 			}
 		}
 	}
--- a/internal/testbed/testfleet/gateway.go
+++ b/internal/testbed/testfleet/gateway.go
@@ -19,7 +19,7 @@
 	At     time.Time
 	Viewer int
 	Member int
-	Is     string // alive, dead or left; a suspect counts as alive
+	State  string // alive, dead or left; a suspect counts as alive
 }
 
 // gateway is one process of the program.
@@ -136,7 +136,7 @@
 		state = "alive"
 	}
 	g.view[member] = state
-	changed(StateChange{At: time.Now(), Viewer: g.number, Member: member, Is: state})
+	changed(StateChange{At: time.Now(), Viewer: g.number, Member: member, State: state})
 }
 
 // recordEngineList records the engine list that a line reports; the lock is held.
--- a/internal/testbed/testfleet/golden_test.go
+++ b/internal/testbed/testfleet/golden_test.go
@@ -19,7 +19,7 @@
 	if err != nil || s.Gateways == 0 || len(s.Steps) == 0 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	steps, err := json.Marshal([]any{len(s.Steps), s.Steps[0].Do, s.Steps[len(s.Steps)-1].Do, s.Network.Loss, s.Network.DelayMS})
+	steps, err := json.Marshal([]any{len(s.Steps), s.Steps[0].Action, s.Steps[len(s.Steps)-1].Action, s.Network.Loss, s.Network.DelayMS})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/testfleet/play.go
+++ b/internal/testbed/testfleet/play.go
@@ -9,15 +9,15 @@
 
 // Result is the result of a step.
 type Result struct {
-	Step, Do      string
-	Gateways      int             // affected, over all repeats
-	FirstDetected []time.Duration // from the fault until the first other gateway logged it, sorted
-	AllDetected   []time.Duration // from then until all that run had, sorted
-	FalseDeaths   int             // distinct members declared dead by unaffected gateways though they ran, unaffected too
-	Converged     []time.Duration // from the end of the fault until all views matched the truth, sorted
-	Datagrams     float64         // a second that a gateway sent
-	Bytes         float64         // of datagrams a second that a gateway sent
-	Duration      time.Duration
+	Step, Action       string
+	Gateways           int             // affected, over all repeats
+	DetectionTimes     []time.Duration // from the fault until the first other gateway logged it, sorted
+	DisseminationTimes []time.Duration // from then until all that run had, sorted
+	FalsePositives     int             // distinct members declared dead by unaffected gateways though they ran, unaffected too
+	ConvergenceTimes   []time.Duration // from the end of the fault until all views matched the truth, sorted
+	DatagramRate       float64         // a second that a gateway sent
+	ByteRate           float64         // of datagrams a second that a gateway sent
+	Duration           time.Duration
 }
 
 // convergenceTimeout bounds every wait until the views of all gateways agree.
@@ -28,24 +28,24 @@
 func (f *Fleet) Play(s Scenario, note func(string)) ([]Result, error) {
 	random := rand.New(rand.NewPCG(s.Seed, 9))
 	var out []Result
-	if err := f.Wait(convergenceTimeout, f.Agreed); err != nil {
+	if err := f.Wait(convergenceTimeout, f.CheckConverged); err != nil {
 		return nil, fmt.Errorf("at the start: %w", err)
 	}
 	for i, step := range s.Steps {
 		r, err := f.playStep(step, random)
 		if err != nil {
-			return out, fmt.Errorf("step %d, %s: %w", i+1, step.Do, err)
+			return out, fmt.Errorf("step %d, %s: %w", i+1, step.Action, err)
 		}
 		r.Step = fmt.Sprint(i + 1)
 		out = append(out, r)
-		note(fmt.Sprintf("step %d, %s: %d gateways, %v", i+1, step.Do, r.Gateways, r.Duration.Round(time.Second)))
+		note(fmt.Sprintf("step %d, %s: %d gateways, %v", i+1, step.Action, r.Gateways, r.Duration.Round(time.Second)))
 	}
 	return out, nil
 }
 
 // playStep plays a step as often as it says.
 func (f *Fleet) playStep(step Step, random *rand.Rand) (Result, error) {
-	r := Result{Do: step.Do}
+	r := Result{Action: step.Action}
 	start := time.Now()
 	datagramsBefore, bytesBefore := f.trafficSent()
 	for range max(1, step.Repeat) {
@@ -56,11 +56,11 @@
 	datagrams, bytes := f.trafficSent()
 	r.Duration = time.Since(start)
 	gatewaySeconds := r.Duration.Seconds() * float64(f.Size())
-	r.Datagrams = float64(datagrams-datagramsBefore) / gatewaySeconds
-	r.Bytes = float64(bytes-bytesBefore) / gatewaySeconds
-	slices.Sort(r.FirstDetected)
-	slices.Sort(r.AllDetected)
-	slices.Sort(r.Converged)
+	r.DatagramRate = float64(datagrams-datagramsBefore) / gatewaySeconds
+	r.ByteRate = float64(bytes-bytesBefore) / gatewaySeconds
+	slices.Sort(r.DetectionTimes)
+	slices.Sort(r.DisseminationTimes)
+	slices.Sort(r.ConvergenceTimes)
 	return r, nil
 }
 
@@ -82,15 +82,15 @@
 
 // playOnce injects a step's fault once and waits until the views of all gateways agree.
 func (f *Fleet) playOnce(step Step, affected []int, r *Result) error {
-	if step.Do == DoQuiet {
+	if step.Action == ActionQuiet {
 		affected = nil
 	}
 	r.Gateways += len(affected)
 	current := fault{affected: affected}
 	_, current.mark = f.StateChanges(0)
 	current.start = time.Now()
-	if step.Do == DoKill || step.Do == DoTerm {
-		if err := f.stop(step.Do, current, r); err != nil {
+	if step.Action == ActionKill || step.Action == ActionTerminate {
+		if err := f.stop(step.Action, current, r); err != nil {
 			return err
 		}
 		current.start = time.Time{} // the changes logged from here on belong to the restart
@@ -102,8 +102,8 @@
 		return err
 	}
 	healed := time.Now()
-	err := f.Wait(convergenceTimeout, f.Agreed)
-	r.Converged = append(r.Converged, time.Since(healed))
+	err := f.Wait(convergenceTimeout, f.CheckConverged)
+	r.ConvergenceTimes = append(r.ConvergenceTimes, time.Since(healed))
 	if err != nil {
 		return err
 	}
@@ -114,13 +114,13 @@
 // stop ends the affected gateways, waits until the others agree on that, and records how they detected it.
 func (f *Fleet) stop(action string, current fault, r *Result) error {
 	end := f.Kill
-	if action == DoTerm {
-		end = f.Term
+	if action == ActionTerminate {
+		end = f.Terminate
 	}
 	if err := forEach(current.affected, end); err != nil {
 		return err
 	}
-	if err := f.Wait(convergenceTimeout, f.Agreed); err != nil {
+	if err := f.Wait(convergenceTimeout, f.CheckConverged); err != nil {
 		return err
 	}
 	f.recordDetections(current, r)
@@ -129,21 +129,21 @@
 
 // inject injects a fault for the time of the step, and removes it. A network without a time stays.
 func (f *Fleet) inject(step Step, affected []int) error {
-	duration := time.Duration(step.ForS * float64(time.Second))
-	switch step.Do {
-	case DoPause:
+	duration := time.Duration(step.DurationS * float64(time.Second))
+	switch step.Action {
+	case ActionPause:
 		if err := forEach(affected, f.Pause); err != nil {
 			return err
 		}
 		time.Sleep(duration)
 		return forEach(affected, f.Resume)
-	case DoNetwork:
+	case ActionNetwork:
 		f.Relay.SetDefaultLink(step.Network.Link())
 		time.Sleep(duration)
 		if duration > 0 {
 			f.Relay.SetDefaultLink(f.options.Link)
 		}
-	case DoQuiet:
+	case ActionQuiet:
 		time.Sleep(duration)
 	default:
 		for _, i := range affected {
@@ -157,14 +157,14 @@
 
 // dropDatagrams has the relay drop those datagrams of a gateway that the step's action names.
 func (f *Fleet) dropDatagrams(step Step, gateway int) {
-	switch step.Do {
-	case DoDropInbound:
+	switch step.Action {
+	case ActionDropInbound:
 		f.Relay.DropInbound(gateway, true)
-	case DoDropOutbound:
+	case ActionDropOutbound:
 		f.Relay.DropOutbound(gateway, true)
-	case DoCut:
-		f.Relay.Set(step.From, gateway, Link{Cut: true})
-	case DoSplit:
+	case ActionCut:
+		f.Relay.SetLink(step.From, gateway, Link{Cut: true})
+	case ActionSplit:
 		f.Relay.SetPartitionSide(gateway, 1)
 	}
 }
@@ -186,22 +186,22 @@
 	falseDeaths := map[int]bool{}
 	for _, change := range changes {
 		switch {
-		case change.Is == "alive":
+		case change.State == "alive":
 		case slices.Contains(current.affected, change.Member):
 			if first[change.Member].IsZero() {
 				first[change.Member] = change.At
 			}
 			last[change.Member] = change.At
-		case change.Is == "dead" && !slices.Contains(current.affected, change.Viewer):
+		case change.State == "dead" && !slices.Contains(current.affected, change.Viewer):
 			falseDeaths[change.Member] = true
 		}
 	}
-	r.FalseDeaths += len(falseDeaths)
+	r.FalsePositives += len(falseDeaths)
 	if current.start.IsZero() {
 		return
 	}
 	for member, at := range first {
-		r.FirstDetected = append(r.FirstDetected, at.Sub(current.start))
-		r.AllDetected = append(r.AllDetected, last[member].Sub(at))
+		r.DetectionTimes = append(r.DetectionTimes, at.Sub(current.start))
+		r.DisseminationTimes = append(r.DisseminationTimes, last[member].Sub(at))
 	}
 }
--- a/internal/testbed/testfleet/pool.go
+++ b/internal/testbed/testfleet/pool.go
@@ -52,7 +52,7 @@
 	p.engines = append(p.engines, e)
 	entry := Engine{Name: name, Addr: e.Addr(), Zone: "z", Kind: "m", State: "in_service"}
 	if warmingUp {
-		entry.Began = time.Now().UnixMilli()
+		entry.StartedAtMS = time.Now().UnixMilli()
 	}
 	p.list = append(p.list, entry)
 	return nil
@@ -65,8 +65,8 @@
 	return slices.Clone(p.list)
 }
 
-// PublishTo sets the discovery server on which Publish publishes the engine list.
-func (p *Pool) PublishTo(server *DiscoveryServer) { p.discovery = server }
+// SetDiscoveryServer sets the discovery server on which Publish publishes the engine list.
+func (p *Pool) SetDiscoveryServer(server *DiscoveryServer) { p.discovery = server }
 
 // Engines returns the engines that run.
 func (p *Pool) Engines() []*emulator.Engine {
--- a/internal/testbed/testfleet/relay.go
+++ b/internal/testbed/testfleet/relay.go
@@ -72,8 +72,8 @@
 	return r, nil
 }
 
-// Faces returns the face of each gateway: the peers in the gateways' configurations.
-func (r *Relay) Faces() (out []netip.AddrPort) {
+// Addrs returns the face of each gateway: the peers in the gateways' configurations.
+func (r *Relay) Addrs() (out []netip.AddrPort) {
 	for _, f := range r.faces {
 		out = append(out, f.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
@@ -91,8 +91,8 @@
 // SetDefaultLink sets the link of all pairs for which Set has set none.
 func (r *Relay) SetDefaultLink(l Link) { r.locked(func() { r.defaultLink = l }) }
 
-// Set sets the link from one gateway to another.
-func (r *Relay) Set(from, to int, l Link) { r.locked(func() { r.links[[2]int{from, to}] = l }) }
+// SetLink sets the link from one gateway to another.
+func (r *Relay) SetLink(from, to int, l Link) { r.locked(func() { r.links[[2]int{from, to}] = l }) }
 
 // DropInbound starts or stops dropping all datagrams to a gateway.
 func (r *Relay) DropInbound(i int, on bool) { r.locked(func() { r.dropInbound[i] = on }) }
@@ -125,8 +125,8 @@
 	return bytes
 }
 
-// Longest returns the length of the longest datagram, in bytes, and how many datagrams came from no gateway.
-func (r *Relay) Longest() (longest, foreign int) {
+// DatagramStats returns the length of the longest datagram, in bytes, and how many datagrams came from no gateway.
+func (r *Relay) DatagramStats() (longest, foreign int) {
 	r.locked(func() { longest, foreign = r.longestDatagram, r.foreignDatagrams })
 	return longest, foreign
 }
--- a/internal/testbed/testfleet/relay_test.go
+++ b/internal/testbed/testfleet/relay_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(relay.Close)
-	return &relayFixture{t: t, relay: relay, faces: relay.Faces(), gateways: gateways}
+	return &relayFixture{t: t, relay: relay, faces: relay.Addrs(), gateways: gateways}
 }
 
 // send sends a datagram of one gateway to the face of another.
@@ -75,14 +75,14 @@
 	f := newRelayFixture(t)
 	f.send(0, 1, "a")
 	f.expect(1, 0, "a")
-	f.relay.Set(0, 1, Link{Cut: true})
+	f.relay.SetLink(0, 1, Link{Cut: true})
 	f.send(0, 1, "lost")
 	f.waitSent(2)
 	f.send(1, 0, "the other way")
 	f.expect(0, 1, "the other way")
 	f.send(2, 1, "another pair") // had the first passed, it would come before this one
 	f.expect(1, 2, "another pair")
-	f.relay.Set(0, 1, Link{Duplicate: 1})
+	f.relay.SetLink(0, 1, Link{Duplicate: 1})
 	f.send(0, 1, "twice")
 	f.expect(1, 0, "twice")
 	f.expect(1, 0, "twice")
@@ -110,7 +110,7 @@
 	defer stranger.Close()
 	stranger.Write([]byte("x"))
 	for deadline := time.Now().Add(relayTimeout); ; time.Sleep(time.Millisecond) {
-		if _, foreign := f.relay.Longest(); foreign == 1 {
+		if _, foreign := f.relay.DatagramStats(); foreign == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
--- a/internal/testbed/testfleet/scenario.go
+++ b/internal/testbed/testfleet/scenario.go
@@ -21,40 +21,40 @@
 
 // Network describes the link between any two gateways.
 type Network struct {
-	Loss    float64  `toml:"loss"`     // share of datagrams lost
-	Double  float64  `toml:"double"`   // share of datagrams duplicated
-	DelayMS [2]int64 `toml:"delay_ms"` // shortest, longest
+	Loss      float64  `toml:"loss"`     // share of datagrams lost
+	Duplicate float64  `toml:"double"`   // share of datagrams duplicated
+	DelayMS   [2]int64 `toml:"delay_ms"` // shortest, longest
 }
 
 // Link returns the link that the relay uses.
 func (n Network) Link() Link {
-	return Link{Loss: n.Loss, Duplicate: n.Double, DelayMin: time.Duration(n.DelayMS[0]) * time.Millisecond,
+	return Link{Loss: n.Loss, Duplicate: n.Duplicate, DelayMin: time.Duration(n.DelayMS[0]) * time.Millisecond,
 		DelayMax: time.Duration(n.DelayMS[1]) * time.Millisecond}
 }
 
 // Step is one action. It names the gateways that it affects, or their number or share, of which the seed draws them.
 type Step struct {
-	Do       string   `toml:"do"` // one of the actions below
-	Gateways []int    `toml:"gateways"`
-	Count    int      `toml:"count"`
-	Share    float64  `toml:"share"`
-	From     int      `toml:"from"`    // of the action cut: the sender whose datagrams are dropped
-	ForS     float64  `toml:"for_s"`   // seconds
-	Repeat   int      `toml:"repeat"`  // times; 0 = once
-	Network  *Network `toml:"network"` // of the action network
+	Action    string   `toml:"do"` // one of the actions below
+	Gateways  []int    `toml:"gateways"`
+	Count     int      `toml:"count"`
+	Share     float64  `toml:"share"`
+	From      int      `toml:"from"`    // of the action cut: the sender whose datagrams are dropped
+	DurationS float64  `toml:"for_s"`   // seconds
+	Repeat    int      `toml:"repeat"`  // times; 0 = once
+	Network   *Network `toml:"network"` // of the action network
 }
 
 // Actions of a step.
 const (
-	DoKill         = "kill"          // SIGKILL; waits until all views agree, then starts them again and waits once more
-	DoTerm         = "term"          // SIGTERM, likewise
-	DoPause        = "pause"         // SIGSTOP for for_s, then SIGCONT; waits until all views agree
-	DoDropInbound  = "drop_inbound"  // they get no datagrams for for_s; likewise
-	DoDropOutbound = "drop_outbound" // what they send does not arrive for for_s; likewise
-	DoCut          = "cut"           // what `from` sends does not arrive at them for for_s; likewise
-	DoSplit        = "split"         // they are cut from all others for for_s; likewise
-	DoNetwork      = "network"       // sets another network, for for_s or for good; likewise
-	DoQuiet        = "quiet"         // nothing happens for for_s
+	ActionKill         = "kill"          // SIGKILL; waits until all views agree, then starts them again and waits once more
+	ActionTerminate    = "term"          // SIGTERM, likewise
+	ActionPause        = "pause"         // SIGSTOP for for_s, then SIGCONT; waits until all views agree
+	ActionDropInbound  = "drop_inbound"  // they get no datagrams for for_s; likewise
+	ActionDropOutbound = "drop_outbound" // what they send does not arrive for for_s; likewise
+	ActionCut          = "cut"           // what `from` sends does not arrive at them for for_s; likewise
+	ActionSplit        = "split"         // they are cut from all others for for_s; likewise
+	ActionNetwork      = "network"       // sets another network, for for_s or for good; likewise
+	ActionQuiet        = "quiet"         // nothing happens for for_s
 )
 
 // Bounds of a scenario.
@@ -123,8 +123,8 @@
 	switch {
 	case n.Loss < 0 || n.Loss >= 1:
 		return &ScenarioError{Key: "network.loss", Value: n.Loss, Bound: "a share below 1"}
-	case n.Double < 0 || n.Double > 1:
-		return &ScenarioError{Key: "network.double", Value: n.Double, Bound: "a share up to 1"}
+	case n.Duplicate < 0 || n.Duplicate > 1:
+		return &ScenarioError{Key: "network.double", Value: n.Duplicate, Bound: "a share up to 1"}
 	case n.DelayMS[0] < 0 || n.DelayMS[1] < n.DelayMS[0] || n.DelayMS[1] > maxDelayMS:
 		return &ScenarioError{Key: "network.delay_ms", Value: n.DelayMS, Bound: fmt.Sprintf("a range within 0 and %d", maxDelayMS)}
 	}
@@ -133,8 +133,8 @@
 
 // Actions that need a time, and those that do not.
 var (
-	timedActions   = []string{DoPause, DoDropInbound, DoDropOutbound, DoCut, DoSplit, DoQuiet}
-	untimedActions = []string{DoKill, DoTerm, DoNetwork}
+	timedActions   = []string{ActionPause, ActionDropInbound, ActionDropOutbound, ActionCut, ActionSplit, ActionQuiet}
+	untimedActions = []string{ActionKill, ActionTerminate, ActionNetwork}
 )
 
 // validate checks a step of a scenario with so many gateways.
@@ -146,11 +146,11 @@
 		return err
 	}
 	switch {
-	case slices.Contains(timedActions, s.Do) && !(s.ForS > 0):
-		return &ScenarioError{Key: "for_s", Value: s.ForS, Bound: "above 0, as " + s.Do + " needs"}
+	case slices.Contains(timedActions, s.Action) && !(s.DurationS > 0):
+		return &ScenarioError{Key: "for_s", Value: s.DurationS, Bound: "above 0, as " + s.Action + " needs"}
 	case s.Repeat < 0 || s.Repeat > maxRepeat:
 		return &ScenarioError{Key: "repeat", Value: s.Repeat, Bound: fmt.Sprintf("between 0 and %d", maxRepeat)}
-	case s.Do == DoNetwork && s.Network == nil:
+	case s.Action == ActionNetwork && s.Network == nil:
 		return &ScenarioError{Key: "network", Bound: "missing"}
 	case s.Network != nil:
 		return s.Network.validate()
@@ -159,8 +159,8 @@
 }
 
 func (s Step) validateAction() *ScenarioError {
-	if known := slices.Concat(untimedActions, timedActions); !slices.Contains(known, s.Do) {
-		return &ScenarioError{Key: "do", Value: fmt.Sprintf("%q", s.Do), Bound: fmt.Sprintf("one of %v", known)}
+	if known := slices.Concat(untimedActions, timedActions); !slices.Contains(known, s.Action) {
+		return &ScenarioError{Key: "do", Value: fmt.Sprintf("%q", s.Action), Bound: fmt.Sprintf("one of %v", known)}
 	}
 	return nil
 }
--- a/internal/testutil/nettest/engine.go
+++ b/internal/testutil/nettest/engine.go
@@ -62,13 +62,13 @@
 // Addr returns the engine's address.
 func (e *Engine) Addr() string { return e.listener.Addr().String() }
 
-// Listed returns the engine's entry in an engine list.
-func (e *Engine) Listed(health policy.Health) core.ListedEngine {
+// ListEntry returns the engine's entry in an engine list.
+func (e *Engine) ListEntry(health policy.Health) core.ListedEngine {
 	return core.ListedEngine{Name: e.ID, Addr: e.Addr(), Zone: "z", Kind: "m", Health: health, Weight: 1}
 }
 
-// Connections returns how many connections the test has not accepted yet.
-func (e *Engine) Connections() int { return len(e.conns) }
+// PendingConns returns how many connections the test has not accepted yet.
+func (e *Engine) PendingConns() int { return len(e.conns) }
 
 // Accept returns the engine's next connection.
 func (e *Engine) Accept() *EngineConn {
--- a/internal/transport/frontend/engine_races_test.go
+++ b/internal/transport/frontend/engine_races_test.go
@@ -124,7 +124,7 @@
 			f.loop.RunNext()
 		}
 		f.waitQueued(1) // the dial to the other engine has succeeded
-		f.dispatcher.UpdateEngines(false, []core.ListedEngine{other.Listed(policy.Draining)})
+		f.dispatcher.UpdateEngines(false, []core.ListedEngine{other.ListEntry(policy.Draining)})
 	})
 	next := other.Accept()
 	nettest.Eventually(t, "the retry to end", func() (ended bool) {
@@ -154,8 +154,8 @@
 	}
 	nettest.Send(t, poll.Conn, failed) // the engine does not know the query
 	expectLine(t, bufio.NewReader(nc), `"id":11,"error":{"code":-32013`)
-	if n := f.counts(); n.Attempts != 1 || n.Further != 0 || e.Connections() != 0 {
-		t.Fatalf("counts are %+v with %d unaccepted connections, want one attempt, no retry and no connection", n, e.Connections())
+	if n := f.counts(); n.Attempts != 1 || n.Further != 0 || e.PendingConns() != 0 {
+		t.Fatalf("counts are %+v with %d unaccepted connections, want one attempt, no retry and no connection", n, e.PendingConns())
 	}
 }
 
--- a/internal/transport/frontend/fixture_test.go
+++ b/internal/transport/frontend/fixture_test.go
@@ -84,7 +84,7 @@
 func (f *fixture) listEngines(engines ...*nettest.Engine) {
 	var listed []core.ListedEngine
 	for _, e := range engines {
-		listed = append(listed, e.Listed(policy.Ready))
+		listed = append(listed, e.ListEntry(policy.Ready))
 	}
 	if len(listed) > 0 {
 		f.loop.Do(func() { f.dispatcher.UpdateEngines(true, listed) })
