--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-func fail(name string) { panic("invariant broken: " + name) }
+func panicIfDebug(name string) { panic("invariant broken: " + name) }
 
-// ExpensiveChecks reports whether this build makes checks that cost too much in service.
+// ExpensiveChecks enables checks that are too expensive for production.
 const ExpensiveChecks = true
--- a/internal/invariant/debug_test.go
+++ b/internal/invariant/debug_test.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-const panics = true
+const wantPanic = true // on a violation
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// Both builds count a violation; only a debug build panics.
-func TestBrokenInvariants(t *testing.T) {
-	k := New(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	if !k.Check(true, "holds") || k.Violations() != 0 {
-		t.Fatal("an invariant that holds counts as broken")
+// Checks that Check counts a violation in all builds and panics only in a debug build.
+func TestCheckCountsViolations(t *testing.T) {
+	m := New(slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if !m.Check(true, "holds") || m.Violations() != 0 {
+		t.Fatal("an invariant that holds was counted as violated")
 	}
 	panicked := func() (panicked bool) {
 		defer func() { panicked = recover() != nil }()
-		return k.Check(false, "does not hold")
+		return m.Check(false, "does not hold")
 	}()
-	if panicked != panics || k.Violations() != 1 {
-		t.Fatalf("panicked: %v, %d broken", panicked, k.Violations())
+	if panicked != wantPanic || m.Violations() != 1 {
+		t.Fatalf("panicked: %v, want %v; %d violations, want 1", panicked, wantPanic, m.Violations())
 	}
 }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-func fail(string) {}
+func panicIfDebug(string) {}
 
-// ExpensiveChecks reports whether this build makes checks that cost too much in service.
+// ExpensiveChecks enables checks that are too expensive for production.
 const ExpensiveChecks = false
--- a/internal/invariant/release_test.go
+++ b/internal/invariant/release_test.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-const panics = false
+const wantPanic = false // on a violation
