--- a/internal/protocol/mysql/errcode.go
+++ b/internal/protocol/mysql/errcode.go
@@ -6,7 +6,7 @@
 	erAccessDenied           = 1045 // ER_ACCESS_DENIED_ERROR
 	erUnknownCommand         = 1047 // ER_UNKNOWN_COM_ERROR
 	erServerShutdown         = 1053 // ER_SERVER_SHUTDOWN
-	erNoSuchThread           = 1094 // ER_NO_SUCH_THREAD: the answer to KILL for a connection that has ended
+	erNoSuchThread           = 1094 // ER_NO_SUCH_THREAD: the response to KILL for a connection that has ended
 	erUnknownError           = 1105 // ER_UNKNOWN_ERROR
 	erNetPacketTooLarge      = 1153 // ER_NET_PACKET_TOO_LARGE
 	erTooManyUserConnections = 1203 // ER_TOO_MANY_USER_CONNECTIONS
@@ -18,10 +18,10 @@
 	erQueryTimeout           = 3024 // ER_QUERY_TIMEOUT: MAX_EXECUTION_TIME exceeded
 )
 
-// defaultSQLState is the SQLSTATE of error codes that have none of their own.
+// defaultSQLState is the SQLSTATE of error codes without a specific one.
 const defaultSQLState = "HY000"
 
-// sqlStates are the SQLSTATE values of the errors that the front sends.
+// sqlStates are the specific SQLSTATE values of the errors that ServerConn sends.
 var sqlStates = map[int]string{
 	erConCount:              "08004",
 	erAccessDenied:          "28000",
--- a/internal/protocol/mysql/exchange.go
+++ b/internal/protocol/mysql/exchange.go
@@ -11,46 +11,46 @@
 const (
 	loginTimeout       = 2 * time.Second  // for the login and the setup commands together
 	resultIdleTimeout  = 30 * time.Second // between two reads of a result whose rows are being relayed
-	killConfirmTimeout = 5 * time.Second  // from the first KILL until the attempt ends unconfirmed
+	killConfirmTimeout = 5 * time.Second  // from the first KILL until the attempt ends without a confirmation
 	killRetryBackoff   = 150 * time.Millisecond
 )
 
 // channelCount is the number of channels of an attempt: primary and control.
 const channelCount = int(attempt.Control) + 1
 
-// phase is how far an exchange has come. The order matters: in phases before phaseQuerySent the query has not run.
+// phase is the progress of an exchange. The order matters: before phaseQuerySent the query has not run.
 type phase uint8
 
 const (
-	phaseLogin     phase = iota // the engine has received nothing but the login
-	phaseSetup                  // setup commands are in flight: schema, replay key, preparation
+	phaseLogin     phase = iota // the login is in progress
+	phaseSetup                  // setup commands are in flight: schema, idempotency key, prepare
 	phaseQuerySent              // the query is in flight and may be running
-	phaseKilling                // the query is being killed, and the engine has not confirmed its end
+	phaseKilling                // the engine has not confirmed the end of the killed query yet
 	phaseFinished
 )
 
-// Exchange carries one attempt of a call to an engine. The query travels on the primary channel; a second connection,
-// the control channel, is opened only to send KILL QUERY.
+// Exchange executes one attempt of a query on an engine. It implements attempt.Machine. The query is sent on the primary
+// channel; a second connection, the control channel, is opened only to send KILL QUERY.
 type Exchange struct {
-	call            *Query
+	query           *Query
 	credentials     credentials
 	phase           phase
 	sessions        [channelCount]*session
 	connected       [channelCount]bool
-	reused          bool // the primary connection has served an earlier attempt
+	reused          bool // an earlier attempt has used the primary connection
 	permission      attempt.Permission
 	setupQueue      []setupCommand
-	definitionsLeft int // packets of a COM_STMT_PREPARE response that are still to come
+	definitionsLeft int // outstanding packets of a COM_STMT_PREPARE response
 	statementID     uint32
 	result          resultStream
-	outcome         policy.Outcome // of the attempt once the kill is confirmed
+	outcome         policy.Outcome // outcome of the attempt when the kill is confirmed
 	killSent        bool
 	steps           []attempt.Step
 }
 
-// NewExchange returns an exchange for one attempt of call, logging in with the engine's account, and its first steps.
-func NewExchange(call *Query, user, password string) (*Exchange, []attempt.Step) {
-	x := &Exchange{call: call, credentials: credentials{user, password}}
+// NewExchange returns an exchange for one attempt of query and its first steps. It logs in to the engine as user.
+func NewExchange(query *Query, user, password string) (*Exchange, []attempt.Step) {
+	x := &Exchange{query: query, credentials: credentials{user, password}}
 	x.emit(attempt.Open{Channel: attempt.Primary})
 	return x, x.flush()
 }
@@ -70,8 +70,8 @@
 	}
 }
 
-// Connected handles a channel's new connection. memory keeps what is known of the connection between attempts; it is
-// set here on a connection that has none.
+// Connected handles a new connection of a channel. memory keeps the session of the connection between attempts; it is set here
+// if the connection has none.
 func (x *Exchange) Connected(channel attempt.Channel, memory *any, permission attempt.Permission) []attempt.Step {
 	s, _ := (*memory).(*session)
 	if s == nil {
@@ -89,7 +89,7 @@
 	return x.flush()
 }
 
-// ConnectFailed handles a channel that got no connection.
+// ConnectFailed handles a failed connection attempt.
 func (x *Exchange) ConnectFailed(channel attempt.Channel) []attempt.Step {
 	switch {
 	case x.phase == phaseFinished:
@@ -101,7 +101,7 @@
 	return x.flush()
 }
 
-// ConnectionLost handles the end of a channel's connection.
+// ConnectionLost handles the loss of a channel's connection.
 func (x *Exchange) ConnectionLost(channel attempt.Channel) []attempt.Step {
 	if x.connected[channel] {
 		x.connected[channel] = false
@@ -125,14 +125,14 @@
 	}
 }
 
-// reconnect starts over on a fresh connection after an idle one turned out to be closed. Engines close idle connections
-// routinely, so this is not a failure of the attempt.
+// reconnect restarts the attempt on a new connection after a reused one was lost. Engines routinely close idle connections, so
+// this is not a failure of the attempt.
 func (x *Exchange) reconnect() {
 	x.phase, x.reused, x.setupQueue, x.definitionsLeft = phaseLogin, false, nil, 0
 	x.emit(attempt.Open{Channel: attempt.Primary, Fresh: true})
 }
 
-// TimerFired handles the expiry of a timer that the exchange set.
+// TimerFired handles the expiry of a timer.
 func (x *Exchange) TimerFired(timer attempt.Timer) []attempt.Step {
 	switch {
 	case x.phase == phaseFinished:
@@ -149,8 +149,8 @@
 	return x.flush()
 }
 
-// Cancel gives the attempt up with the given outcome. If the query was not sent yet the attempt ends as NotSent at
-// once; otherwise it ends when the engine has confirmed the query's end.
+// Cancel cancels the attempt. If the query was not sent yet, the attempt ends at once as NotSent; otherwise it ends with
+// outcome when the engine confirms the end of the query.
 func (x *Exchange) Cancel(outcome policy.Outcome) []attempt.Step {
 	switch x.phase {
 	case phaseLogin, phaseSetup:
@@ -162,7 +162,7 @@
 	return x.flush()
 }
 
-// Received handles bytes that arrived on a channel.
+// Received handles bytes received on a channel.
 func (x *Exchange) Received(channel attempt.Channel, b []byte) []attempt.Step {
 	if !x.connected[channel] || x.phase == phaseFinished {
 		return nil
@@ -204,7 +204,7 @@
 	}
 }
 
-// handleResult handles bytes of the query's result, also of one that is being killed: its end confirms the kill.
+// handleResult handles bytes of the query's result. While the query is being killed, the end of the result confirms the kill.
 func (x *Exchange) handleResult(b []byte) {
 	relay, last, err := x.result.received(b)
 	if x.phase == phaseQuerySent && len(relay) > 0 {
@@ -218,7 +218,7 @@
 		x.finish(x.outcome, nil)
 	case x.result.errCode == 0:
 		x.finish(policy.OK, last)
-	case x.result.rowsRelayed: // the client has rows already: the ERR packet is the end of its result
+	case x.result.rowsRelayed: // the client already has rows, so the ERR packet ends its result
 		x.finish(policy.Error, last)
 	case outcomeOfError(x.result.errCode) == policy.OK:
 		x.finish(policy.OK, last)
@@ -227,8 +227,8 @@
 	}
 }
 
-// outcomeOfError classifies an engine's error code. Most errors are about the statement itself: those are a valid
-// result (OK), which the client receives as it came.
+// outcomeOfError returns the outcome for an engine's error code. Most errors are about the statement itself; these are a valid
+// result (OK), which is relayed to the client unchanged.
 func outcomeOfError(code int) policy.Outcome {
 	switch code {
 	case erConCount, erTooManyUserConnections:
@@ -239,8 +239,8 @@
 	return policy.OK
 }
 
-// handleMalformed handles bytes that do not follow the protocol. They prove nothing about the end of a query that was
-// sent, so that one is killed; before the query was sent the attempt ends.
+// handleMalformed handles bytes that violate the protocol. A query that was sent may still be running, so it is killed. If the
+// query was not sent, the attempt ends.
 func (x *Exchange) handleMalformed(channel attempt.Channel) {
 	x.closeChannel(channel)
 	switch {
@@ -259,9 +259,8 @@
 	x.emit(attempt.Close{Channel: channel})
 }
 
-// finish is the only end of an exchange: it stops all timers, releases or closes both channels and reports the
-// outcome. last is the rest of the result for the client; where rows were relayed without their end, the client gets
-// an ERR packet instead.
+// finish ends the exchange: it stops all timers, releases or closes both channels and emits the End step. last is the rest of
+// the result for the client. If rows were relayed and last is nil, the client gets an ERR packet that ends them.
 func (x *Exchange) finish(outcome policy.Outcome, last []byte) {
 	if last == nil && x.result.rowsRelayed {
 		last = x.result.truncationPacket()
@@ -281,8 +280,8 @@
 	x.emit(attempt.End{Outcome: outcome, Result: last})
 }
 
-// primaryReusable reports whether another attempt may use the primary connection. After a KILL QUERY it never may: the
-// engine could execute a late KILL against the next query. Nor may it in the middle of the setup commands.
+// primaryReusable reports whether another attempt may use the primary connection. After KILL QUERY none may, because the
+// engine could apply a late KILL to the next query. The connection cannot be reused while setup commands are in flight, either.
 func (x *Exchange) primaryReusable() bool {
 	quiescent := x.phase == phaseLogin || x.phase == phaseQuerySent
 	if !quiescent || !x.connected[attempt.Primary] {
--- a/internal/protocol/mysql/exchange_kill.go
+++ b/internal/protocol/mysql/exchange_kill.go
@@ -7,8 +7,8 @@
 	"frostpier/policy"
 )
 
-// killQuery gives up a query that was sent: it has the engine kill it. The attempt stays in flight until the query's
-// own connection brings the end of the result or, if that connection is lost, until the engine confirms the KILL.
+// killQuery requests that the engine kill the query. The attempt stays in flight until the end of the result arrives on the
+// primary connection or, if that connection is lost, until the engine confirms the KILL.
 func (x *Exchange) killQuery(outcome policy.Outcome) {
 	x.phase, x.outcome = phaseKilling, outcome
 	x.emit(
@@ -18,14 +18,14 @@
 	x.sendKill()
 }
 
-// sendKill sends KILL QUERY on the control channel, which it opens first if need be.
+// sendKill sends KILL QUERY on the control channel, or opens the channel first.
 func (x *Exchange) sendKill() {
 	if !x.connected[attempt.Control] {
 		x.emit(attempt.Open{Channel: attempt.Control, Fresh: x.outcome == policy.Reset})
 		return
 	}
 	if !x.sessions[attempt.Control].authenticated {
-		return // handleLoggedIn calls again
+		return // handleLoggedIn calls sendKill again
 	}
 	x.killSent = true
 	statement := fmt.Appendf(nil, "KILL QUERY %d", x.sessions[attempt.Primary].connectionID)
@@ -36,9 +36,8 @@
 	x.emit(attempt.SetTimer{Timer: attempt.RetryBackoff, After: killRetryBackoff})
 }
 
-// handleKillResponse handles the response to KILL QUERY. While the query's own connection lives, the end of its result
-// is awaited there; without it the response is the only confirmation. ER_NO_SUCH_THREAD also
-// confirms the query's end.
+// handleKillResponse handles the response to KILL QUERY. While the primary connection is open, the attempt ends with the end of
+// the result on it; otherwise this response is the only confirmation. ER_NO_SUCH_THREAD also confirms that the query has ended.
 func (x *Exchange) handleKillResponse(p packet) {
 	if !confirmsKill(p.payload) {
 		x.killSent = false
--- a/internal/protocol/mysql/exchange_setup.go
+++ b/internal/protocol/mysql/exchange_setup.go
@@ -8,7 +8,7 @@
 	"frostpier/policy"
 )
 
-// setupCommand is a command that precedes the query on the primary channel, with the response that it needs.
+// setupCommand is a command that must precede the query on the primary channel, with the expected response.
 type setupCommand struct {
 	packet   []byte
 	response expectedResponse
@@ -21,7 +21,7 @@
 	expectPrepareOK
 )
 
-// minPrepareOK is the size of the payload of a COM_STMT_PREPARE_OK packet.
+// minPrepareOK is the minimum payload size of a COM_STMT_PREPARE_OK packet.
 const minPrepareOK = 12
 
 // handleLoginPacket handles a packet of the connection phase.
@@ -37,8 +37,7 @@
 	}
 }
 
-// handleLoginError handles a login that the engine rejected. Too many connections is a sign of load, not of bad
-// health.
+// handleLoginError handles a failed login. The error "too many connections" is a sign of load, not of an unhealthy engine.
 func (x *Exchange) handleLoginError(channel attempt.Channel, err error) {
 	x.closeChannel(channel)
 	var rejection *engineError
@@ -67,16 +66,16 @@
 	x.sendNext()
 }
 
-// queueSetup queues the commands that the session needs before the query: its schema, its replay key and the prepared
-// statement, unless the connection has them already.
+// queueSetup queues the commands that must precede the query: selecting the schema and preparing the statement, unless done in
+// this session before, and setting the idempotency key.
 func (x *Exchange) queueSetup(s *session) {
-	if x.call.Schema != "" && x.call.Schema != s.schema {
-		x.queue(expectOK, commandPacket(comInitDB, []byte(x.call.Schema)))
+	if x.query.Schema != "" && x.query.Schema != s.schema {
+		x.queue(expectOK, commandPacket(comInitDB, []byte(x.query.Schema)))
 	}
-	if x.call.IdempotencyKey != "" {
-		x.queue(expectOK, commandPacket(comQuery, []byte("SET @replay_key="+x.call.IdempotencyKey)))
+	if x.query.IdempotencyKey != "" {
+		x.queue(expectOK, commandPacket(comQuery, []byte("SET @replay_key="+x.query.IdempotencyKey)))
 	}
-	execution := x.call.Execution
+	execution := x.query.Execution
 	if execution == nil {
 		return
 	}
@@ -91,9 +90,9 @@
 	x.setupQueue = append(x.setupQueue, setupCommand{packet: packet, response: response})
 }
 
-// preparedKey is the key of the call's statement among the session's prepared statements. It includes the schema: names
-// in a statement are resolved in the schema in which it was prepared.
-func (x *Exchange) preparedKey() string { return x.call.Schema + "\x00" + x.call.Execution.Text }
+// preparedKey returns the key of the query's statement in session.statementIDs. It includes the schema, because names in a
+// statement are resolved in the schema in which it was prepared.
+func (x *Exchange) preparedKey() string { return x.query.Schema + "\x00" + x.query.Execution.Text }
 
 // sendNext sends the next setup command or, after the last one, the query.
 func (x *Exchange) sendNext() {
@@ -101,21 +100,21 @@
 		x.write(attempt.Primary, x.setupQueue[0].packet)
 		return
 	}
-	// The engine may have begun to drain during the setup. The query must then go to another engine.
+	// The engine may have started to drain during the setup. The query must then be sent to another engine.
 	if _, ok := x.permission(false); !ok {
 		x.finish(policy.NotSent, nil)
 		return
 	}
 	x.phase = phaseQuerySent
 	x.emit(attempt.SetTimer{Timer: attempt.ResponseTimeout})
-	if execution := x.call.Execution; execution != nil {
+	if execution := x.query.Execution; execution != nil {
 		x.write(attempt.Primary, append(execution.longDataPackets(x.statementID), execution.executePacket(x.statementID)...))
 		return
 	}
-	x.write(attempt.Primary, commandPacket(comQuery, []byte(x.call.Text)))
+	x.write(attempt.Primary, commandPacket(comQuery, []byte(x.query.Text)))
 }
 
-// handleSetupResponse handles the response to the first command of the setup queue.
+// handleSetupResponse handles the response to the first command in the setup queue.
 func (x *Exchange) handleSetupResponse(p packet) {
 	if len(x.setupQueue) == 0 || len(p.payload) == 0 {
 		x.handleMalformed(attempt.Primary)
@@ -134,13 +133,13 @@
 		x.handlePrepareOK(p.payload)
 	default:
 		if command.packet[headerSize] == comInitDB {
-			x.sessions[attempt.Primary].schema = x.call.Schema
+			x.sessions[attempt.Primary].schema = x.query.Schema
 		}
 		x.sendNext()
 	}
 }
 
-// handlePrepareOK reads a COM_STMT_PREPARE_OK packet: header, statement id, number of columns, number of parameters.
+// handlePrepareOK handles a COM_STMT_PREPARE_OK packet: header, statement id, number of columns, number of parameters.
 func (x *Exchange) handlePrepareOK(payload []byte) {
 	if len(payload) < minPrepareOK {
 		x.handleMalformed(attempt.Primary)
@@ -149,8 +148,8 @@
 	x.statementID = binary.LittleEndian.Uint32(payload[1:])
 	columns := int(binary.LittleEndian.Uint16(payload[5:]))
 	params := int(binary.LittleEndian.Uint16(payload[7:]))
-	// With another number of parameters the engine would bind the values differently from what the client means.
-	if params != x.call.Execution.Params {
+	// With a different number of parameters, the engine would bind the values to other parameters than the client.
+	if params != x.query.Execution.Params {
 		x.handleMalformed(attempt.Primary)
 		return
 	}
@@ -161,7 +160,7 @@
 	}
 }
 
-// definitionPackets is how many packets follow for a number of definitions: one each and an EOF packet, or none.
+// definitionPackets returns the number of packets that follow for the definitions: one each and an EOF packet, or none.
 func definitionPackets(definitions int) int {
 	if definitions == 0 {
 		return 0
@@ -169,8 +168,8 @@
 	return definitions + 1
 }
 
-// handleSetupError handles an ERR packet in response to a setup command; the query has not run. An error about the
-// statement itself is the call's result.
+// handleSetupError handles an ERR packet in response to a setup command. The query has not run. An error about the statement
+// itself is the result of the query.
 func (x *Exchange) handleSetupError(p packet) {
 	x.emit(attempt.SetTimer{Timer: attempt.ResponseTimeout})
 	switch outcomeOfError(errPacketCode(p.payload)) {
--- a/internal/protocol/mysql/golden_test.go
+++ b/internal/protocol/mysql/golden_test.go
@@ -13,7 +13,7 @@
 	"frostpier/policy"
 )
 
-// goldenCommands are the commands of one session, each sent after the response to the one before.
+// goldenCommands returns the commands of one connection, each sent after the response to the previous one.
 func goldenCommands() [][]byte {
 	return [][]byte{
 		commandPacket(comPing),
@@ -33,68 +33,68 @@
 	}
 }
 
-// Every byte that the front writes equals the recorded transcript.
-func TestFrontTranscript(t *testing.T) {
+// Every byte that a ServerConn writes equals the golden file.
+func TestServerConnTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
-	f, greeting := NewServerConn(map[string]*Account{"u": {User: "u", PasswordHash: HashPassword("p"), Budget: time.Second}}, 1, scramble)
+	conn, greeting := NewServerConn(map[string]*Account{"u": {User: "u", PasswordHash: HashPassword("p"), Budget: time.Second}}, 1, scramble)
 	fmt.Fprintf(&out, "greeting %q\n", greeting)
 	for _, in := range slices.Concat([][]byte{loginBytes(t)}, goldenCommands()) {
 		fmt.Fprintf(&out, "in %q\n", in)
-		events := f.Received(in)
+		events := conn.Received(in)
 		for _, e := range slices.Clone(events) {
 			if e.Query != nil {
-				events = append(events, f.QueryEnded()...)
+				events = append(events, conn.QueryEnded()...)
 			}
 		}
 		for _, e := range events {
 			fmt.Fprintf(&out, "  write %q close %v\n", e.Write, e.Close)
-			if c := e.Query; c != nil {
-				fmt.Fprintf(&out, "  call schema %q text %q key %q\n", c.Schema, c.Text, c.IdempotencyKey)
-				if c.Execution != nil {
-					fmt.Fprintf(&out, "  execute %q\n", slices.Concat(c.Execution.longDataPackets(5), c.Execution.executePacket(5)))
+			if q := e.Query; q != nil {
+				fmt.Fprintf(&out, "  call schema %q text %q key %q\n", q.Schema, q.Text, q.IdempotencyKey)
+				if q.Execution != nil {
+					fmt.Fprintf(&out, "  execute %q\n", slices.Concat(q.Execution.longDataPackets(5), q.Execution.executePacket(5)))
 				}
 			}
 		}
 	}
-	for _, answer := range [][]byte{RejectedPacket(1500 * time.Millisecond), RejectedPacket(0), DeadlineExceededPacket(), FailedPacket()} {
-		fmt.Fprintf(&out, "answer %q\n", answer)
+	for _, response := range [][]byte{RejectedPacket(1500 * time.Millisecond), RejectedPacket(0), DeadlineExceededPacket(), FailedPacket()} {
+		fmt.Fprintf(&out, "answer %q\n", response)
 	}
 	testutil.Golden(t, "front.golden", []byte(out.String()))
 }
 
-// Every byte that an exchange sends to engines equals the recorded transcript.
+// Every byte that an Exchange sends to engines equals the golden file.
 func TestExchangeTranscript(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
-	note := func(event string, steps []attempt.Step) { out.WriteString(transcript.Steps(event, steps)) }
+	record := func(event string, steps []attempt.Step) { out.WriteString(transcript.Steps(event, steps)) }
 	_, greeting := NewServerConn(nil, 1, scramble)
 	permission := func(bool) (time.Duration, bool) { return time.Second, true }
 	prepared := &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}, paramValues: []byte("\x01x")}
-	preparedAnswer := slices.Concat(frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}), frame(2, []byte(definition)), eofPacket(3))
-	for _, execute := range []*Execution{nil, prepared} {
+	prepareOK := slices.Concat(frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}), frame(2, []byte(definition)), eofPacket(3))
+	for _, execution := range []*Execution{nil, prepared} {
 		var memory [2]any
-		call := &Query{Account: &Account{}, Text: "SELECT ?", Schema: "s", IdempotencyKey: "'k'", Execution: execute}
-		x, steps := NewExchange(call, "u", "p")
-		note("new", steps)
-		note("opened", x.Connected(attempt.Primary, &memory[0], permission))
-		note("greeting", x.Received(attempt.Primary, greeting))
-		note("ok", x.Received(attempt.Primary, okPacket(2)))
-		note("ok", x.Received(attempt.Primary, okPacket(1)))
-		note("ok", x.Received(attempt.Primary, okPacket(1)))
-		if execute != nil {
-			note("prepared", x.Received(attempt.Primary, preparedAnswer))
-			note("rows", x.Received(attempt.Primary, rows("a", "b")))
+		query := &Query{Account: &Account{}, Text: "SELECT ?", Schema: "s", IdempotencyKey: "'k'", Execution: execution}
+		x, steps := NewExchange(query, "u", "p")
+		record("new", steps)
+		record("opened", x.Connected(attempt.Primary, &memory[0], permission))
+		record("greeting", x.Received(attempt.Primary, greeting))
+		record("ok", x.Received(attempt.Primary, okPacket(2)))
+		record("ok", x.Received(attempt.Primary, okPacket(1)))
+		record("ok", x.Received(attempt.Primary, okPacket(1)))
+		if execution != nil {
+			record("prepared", x.Received(attempt.Primary, prepareOK))
+			record("rows", x.Received(attempt.Primary, rows("a", "b")))
 			continue
 		}
-		note("first rows", x.Received(attempt.Primary, rows("a", "b")[:60]))
-		note("cancel", x.Cancel(policy.Cancelled))
-		note("opened", x.Connected(attempt.Control, &memory[1], permission))
-		note("greeting", x.Received(attempt.Control, greeting))
-		note("ok", x.Received(attempt.Control, okPacket(2)))
-		note("ok", x.Received(attempt.Control, okPacket(1)))
-		note("error", x.Received(attempt.Primary, errPacket(5, 1317, "interrupted")))
-		note("lost", x.ConnectionLost(attempt.Primary))
+		record("first rows", x.Received(attempt.Primary, rows("a", "b")[:60]))
+		record("cancel", x.Cancel(policy.Cancelled))
+		record("opened", x.Connected(attempt.Control, &memory[1], permission))
+		record("greeting", x.Received(attempt.Control, greeting))
+		record("ok", x.Received(attempt.Control, okPacket(2)))
+		record("ok", x.Received(attempt.Control, okPacket(1)))
+		record("error", x.Received(attempt.Primary, errPacket(5, 1317, "interrupted")))
+		record("lost", x.ConnectionLost(attempt.Primary))
 	}
 	testutil.Golden(t, "exchange.golden", []byte(out.String()))
 }
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -17,17 +17,17 @@
 
 var scramble = []byte("abcdefghijklmnopqrst")
 
-// newFront returns the front of a new connection with the account u, password p.
-func newFront(t testing.TB) *ServerConn {
+// newServerConn returns a new connection with the account u and the password p.
+func newServerConn(t testing.TB) *ServerConn {
 	t.Helper()
-	f, greeting := NewServerConn(map[string]*Account{"u": {User: "u", PasswordHash: HashPassword("p"), Budget: time.Second}}, 1, scramble)
+	conn, greeting := NewServerConn(map[string]*Account{"u": {User: "u", PasswordHash: HashPassword("p"), Budget: time.Second}}, 1, scramble)
 	if n := payloadLength(greeting); n != len(greeting)-headerSize {
 		t.Fatalf("handshake of %d bytes has length %d in its header", len(greeting)-headerSize, n)
 	}
-	return f
+	return conn
 }
 
-// loginBytes returns a client's handshake response. It is built by the package's own side towards engines.
+// loginBytes returns a client's handshake response. It is created by session, the client side for engines.
 func loginBytes(t testing.TB) []byte {
 	t.Helper()
 	_, greeting := NewServerConn(nil, 1, scramble)
@@ -39,52 +39,52 @@
 	return out
 }
 
-// Commands mean the same however the bytes are split, and run one after the other.
-func TestFrontWithSplitInput(t *testing.T) {
+// Commands are parsed independently of how the input is split, and a query starts only after the previous one has ended.
+func TestServerConnWithSplitInput(t *testing.T) {
 	input := slices.Concat(loginBytes(t), commandPacket(comPing), commandPacket(comStmtPrepare, []byte("SELECT ?, '?'")),
 		commandPacket(comStmtExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0, 1, 'x'}), commandPacket(comQuery, []byte("SELECT 1")))
 	rapid.Check(t, func(rt *rapid.T) {
-		f, rest := newFront(t), input
-		var calls []*Query
+		conn, rest := newServerConn(t), input
+		var queries []*Query
 		collect := func(events []Event) {
 			for _, e := range events {
 				if e.Query != nil {
-					calls = append(calls, e.Query)
+					queries = append(queries, e.Query)
 				}
 			}
 		}
 		for len(rest) > 0 {
 			n := rapid.IntRange(1, len(rest)).Draw(rt, "piece")
-			collect(f.Received(rest[:n]))
+			collect(conn.Received(rest[:n]))
 			rest = rest[n:]
 		}
-		if len(calls) != 1 || calls[0].Execution == nil || calls[0].Execution.Params != 1 {
-			rt.Fatalf("calls %+v while the first query runs", calls)
+		if len(queries) != 1 || queries[0].Execution == nil || queries[0].Execution.Params != 1 {
+			rt.Fatalf("queries %+v while the first one is running", queries)
 		}
-		collect(f.QueryEnded())
-		if len(calls) != 2 || calls[1].Text != "SELECT 1" {
-			rt.Fatalf("calls %+v after the first query", calls)
+		collect(conn.QueryEnded())
+		if len(queries) != 2 || queries[1].Text != "SELECT 1" {
+			rt.Fatalf("queries %+v after the first one has ended", queries)
 		}
 	})
 }
 
-// Arbitrary bytes and packets never make the front panic.
-func TestFrontGarbageNeverPanics(t *testing.T) {
+// Random bytes and packets never cause a panic.
+func TestServerConnGarbageNeverPanics(t *testing.T) {
 	commands := []byte{comQuit, comInitDB, comQuery, comPing, comStmtPrepare, comStmtExecute, comStmtSendLongData, comStmtReset}
 	login := loginBytes(t)
 	rapid.Check(t, func(rt *rapid.T) {
-		f := newFront(t)
+		conn := newServerConn(t)
 		if rapid.Bool().Draw(rt, "logged in") {
-			f.Received(login)
+			conn.Received(login)
 		}
 		for _, p := range rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 0, 40)).Draw(rt, "packets") {
 			if len(p) > 0 && rapid.Bool().Draw(rt, "known command") {
 				p[0] = rapid.SampledFrom(commands).Draw(rt, "command")
 			}
-			f.Received(frame(0, p))
-			f.QueryEnded()
+			conn.Received(frame(0, p))
+			conn.QueryEnded()
 		}
-		f.Received(rapid.SliceOf(rapid.Byte()).Draw(rt, "bytes"))
+		conn.Received(rapid.SliceOf(rapid.Byte()).Draw(rt, "bytes"))
 	})
 }
 
@@ -103,7 +103,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			if got := countPlaceholders(text); got != want {
-				t.Errorf("%q has %d, want %d", text, got, want)
+				t.Errorf("%q has %d placeholders, want %d", text, got, want)
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 			}
 		})
 	}
-	for name, text := range map[string]string{"empty": "", "short": "*" + digits[2:], "no digits": "*" + strings.Repeat("x", len(digits))} {
+	for name, text := range map[string]string{"empty": "", "short": "*" + digits[2:], "not hex": "*" + strings.Repeat("x", len(digits))} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParsePasswordHash(text); !errors.Is(err, ErrPasswordHash) {
 				t.Errorf("error %v, want ErrPasswordHash", err)
@@ -159,7 +159,7 @@
 
 const definition = "\x03def\x00\x00\x00\x01c\x00\x0c\x2d\x00\xff\x00\x00\x00\xfd\x00\x00\x00\x00\x00"
 
-// rows is a result of one column, with a packet number each.
+// rows returns a result with one column and a row for each value.
 func rows(values ...string) []byte {
 	out := frame(1, []byte{1})
 	out = append(out, frame(2, []byte(definition))...)
@@ -172,30 +172,30 @@
 	return append(out, eofPacket(seq)...)
 }
 
-// A result is relayed byte for byte, however the bytes are split.
+// A result is relayed unchanged, independently of how the input is split.
 func TestResultWithSplitInput(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		full := rapid.SampledFrom([][]byte{rows(), rows("a", "bc"), rows(strings.Repeat("x", 200)), okPacket(1),
-			errPacket(1, 1064, "x")}).Draw(rt, "answer")
+			errPacket(1, 1064, "x")}).Draw(rt, "response")
 		var r resultStream
 		var got []byte
 		for rest := full; len(rest) > 0; {
 			n := rapid.IntRange(1, len(rest)).Draw(rt, "piece")
-			pass, last, err := r.received(rest[:n])
+			relay, last, err := r.received(rest[:n])
 			if err != nil {
 				rt.Fatal(err)
 			}
-			got, rest = append(append(got, pass...), last...), rest[n:]
+			got, rest = append(append(got, relay...), last...), rest[n:]
 		}
 		if !r.complete || !bytes.Equal(got, full) {
-			rt.Fatalf("%q became %q", full, got)
+			rt.Fatalf("relayed %q, want %q", got, full)
 		}
 	})
 }
 
-// A result that breaks off must not look complete: between rows an ERR packet ends it, within a row only the end of
-// the connection can.
-func TestTruncatedResult(t *testing.T) {
+// A truncated result must not look complete: between rows an ERR packet ends it, and within a row only closing the connection
+// can.
+func TestTruncatedResultEndsWithError(t *testing.T) {
 	full := rows("abc", "def")
 	first := bytes.Index(full, []byte("\x03abc")) + 4
 	var r resultStream
@@ -210,7 +210,7 @@
 	}
 }
 
-// countEndsAndQueries counts the ends of the attempt and the sends of the query "SELECT ?" among steps.
+// countEndsAndQueries returns the number of End steps, and of writes of the query "SELECT ?".
 func countEndsAndQueries(steps []attempt.Step) (ends, queries int) {
 	for _, step := range steps {
 		switch s := step.(type) {
@@ -225,8 +225,8 @@
 	return ends, queries
 }
 
-// Whatever the events and their order, an exchange ends at most once and sends the query at most once.
-func TestExchangeGarbage(t *testing.T) {
+// An exchange ends at most once and sends the query at most once, whatever the events and their order.
+func TestExchangeEndsAndSendsAtMostOnce(t *testing.T) {
 	_, greeting := NewServerConn(nil, 1, scramble)
 	parts := rapid.SampledFrom([][]byte{
 		greeting,
@@ -241,11 +241,11 @@
 		frame(2, []byte(definition)),
 	})
 	rapid.Check(t, func(rt *rapid.T) {
-		call := &Query{Account: &Account{}, Text: "SELECT ?", Schema: "s", IdempotencyKey: "'k'"}
+		query := &Query{Account: &Account{}, Text: "SELECT ?", Schema: "s", IdempotencyKey: "'k'"}
 		if rapid.Bool().Draw(rt, "prepared") {
-			call.Execution = &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}}
+			query.Execution = &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}}
 		}
-		x, _ := NewExchange(call, "u", "p")
+		x, _ := NewExchange(query, "u", "p")
 		var memory [2]any
 		ends, queries := 0, 0
 		for range rapid.IntRange(1, 30).Draw(rt, "events") {
@@ -272,7 +272,7 @@
 			ends, queries = ends+e, queries+q
 		}
 		if ends > 1 || queries > 1 {
-			rt.Fatalf("%d ends, %d queries sent", ends, queries)
+			rt.Fatalf("ended %d times, sent the query %d times", ends, queries)
 		}
 	})
 }
@@ -284,11 +284,11 @@
 	return s
 }
 
-// permitted is a permission to send that does not expire.
+// permitted is a permission that allows every attempt to take one second.
 func permitted(bool) (time.Duration, bool) { return time.Second, true }
 
-// A late KILL QUERY would end the next query on the same connection, so a connection whose query was killed is never
-// released, even after its result was read to the end.
+// A connection whose query was killed is never released, even after its result was read to the end: a late KILL QUERY would end
+// the next query on it.
 func TestKilledConnectionIsNotReused(t *testing.T) {
 	x, _ := NewExchange(&Query{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
 	var memory any = idleSession()
@@ -304,9 +304,10 @@
 	}
 }
 
-// A second attempt must not start while the first may still run: neither a lost connection nor an ERR packet for the
-// KILL confirms its end; the end of the query's own result does, or ER_NO_SUCH_THREAD for the KILL.
-func TestKilledQueryIsInFlightUntilConfirmed(t *testing.T) {
+// A killed attempt ends only when the end of its query is confirmed, by the end of the result or by ER_NO_SUCH_THREAD in response to
+// the KILL. A lost connection or another ERR packet in response to the KILL does not confirm it. If the attempt ended before, a
+// second one could start while the first is still running.
+func TestKilledAttemptEndsWhenConfirmed(t *testing.T) {
 	ended := func(steps []attempt.Step) bool {
 		return slices.ContainsFunc(steps, func(s attempt.Step) bool { _, end := s.(attempt.End); return end })
 	}
@@ -316,7 +317,7 @@
 		x.Connected(attempt.Primary, &primary, permitted)
 		return x, idleSession()
 	}
-	t.Run("by the end of its result", func(t *testing.T) {
+	t.Run("by the end of the result", func(t *testing.T) {
 		x, control := queryInFlight()
 		if ended(x.Cancel(policy.Cancelled)) ||
 			ended(x.Connected(attempt.Control, &control, permitted)) ||
@@ -329,12 +330,12 @@
 			t.Fatal("still in flight after the end of the result")
 		}
 	})
-	t.Run("by the KILL after the connection is lost", func(t *testing.T) {
+	t.Run("by the response to KILL after the connection is lost", func(t *testing.T) {
 		x, control := queryInFlight()
 		if ended(x.ConnectionLost(attempt.Primary)) ||
 			ended(x.Connected(attempt.Control, &control, permitted)) ||
 			ended(x.ConnectFailed(attempt.Control)) {
-			t.Fatal("ended by a lost connection")
+			t.Fatal("ended after a lost connection without a confirmation")
 		}
 		if !ended(x.Received(attempt.Control, errPacket(1, erNoSuchThread, "unknown"))) {
 			t.Fatal("still in flight after ER_NO_SUCH_THREAD")
--- a/internal/protocol/mysql/packet.go
+++ b/internal/protocol/mysql/packet.go
@@ -6,13 +6,13 @@
 	"fmt"
 )
 
-// errMalformedPacket is wrapped by every error about bytes that do not follow the protocol.
+// errMalformedPacket is wrapped by every error about bytes that violate the protocol.
 var errMalformedPacket = errors.New("malformed packet")
 
 // packetSizeError reports a packet whose payload is larger than the receiver accepts. It matches errMalformedPacket.
 type packetSizeError struct{ size, limit int } // payload bytes
 
-// Error gives the payload's size and the limit.
+// Error gives the payload size and the limit.
 func (e *packetSizeError) Error() string {
 	return fmt.Sprintf("%v: payload of %d bytes, limit %d", errMalformedPacket, e.size, e.limit)
 }
@@ -27,7 +27,7 @@
 	raw        []byte // header and payload as received
 }
 
-// framer cuts a byte stream into packets of at most maxPayload bytes of payload.
+// framer splits a byte stream into packets with a payload of at most maxPayload bytes.
 type framer struct {
 	buf        []byte
 	maxPayload int
@@ -35,13 +35,13 @@
 
 func (f *framer) append(b []byte) { f.buf = append(f.buf, b...) }
 
-// nextPacket returns the next complete packet; ok is false until its last byte is there.
+// nextPacket returns the next complete packet; ok is false while it is incomplete.
 func (f *framer) nextPacket() (p packet, ok bool, err error) {
 	if len(f.buf) < headerSize {
 		return packet{}, false, nil
 	}
 	size := payloadLength(f.buf)
-	// A payload of the protocol's maximum size continues in a further packet; it is over every limit used here too.
+	// A payload of the protocol's maximum size, which continues in the next packet, is over every limit that is used here.
 	if size > f.maxPayload {
 		return packet{}, false, &packetSizeError{size: size, limit: f.maxPayload}
 	}
@@ -59,13 +59,13 @@
 // payloadLength reads the three-byte little-endian length at the start of b.
 func payloadLength(b []byte) int { return int(b[0]) | int(b[1])<<8 | int(b[2])<<16 }
 
-// frame puts the packet header before a payload of less than maxPayload bytes.
+// frame prepends the packet header to a payload of less than maxPayload bytes.
 func frame(sequenceID byte, payload []byte) []byte {
 	size := len(payload)
 	return append([]byte{byte(size), byte(size >> 8), byte(size >> 16), sequenceID}, payload...)
 }
 
-// commandPacket builds a command; commands always have sequence id 0.
+// commandPacket returns a command. Its sequence id is always 0.
 func commandPacket(code byte, parts ...[]byte) []byte {
 	payload := []byte{code}
 	for _, part := range parts {
@@ -93,7 +93,7 @@
 	return frame(sequenceID, payload)
 }
 
-// errPacketCode reads the error code of an ERR packet; 0 if the payload is too short for one.
+// errPacketCode returns the error code of an ERR packet, or 0 if the payload is too short.
 func errPacketCode(payload []byte) int {
 	if len(payload) < 3 {
 		return 0
--- a/internal/protocol/mysql/payload.go
+++ b/internal/protocol/mysql/payload.go
@@ -9,8 +9,8 @@
 	lenencThreeBytes = 0xfd
 )
 
-// payloadReader reads the fields of a payload in order. A field that is missing sets malformed, and that field and all
-// later ones read as zero; callers check malformed once at the end.
+// payloadReader reads the fields of a payload in order. A missing field sets malformed, and it and all later
+// fields are read as zero. Callers check malformed once at the end.
 type payloadReader struct {
 	remaining []byte
 	malformed bool
@@ -48,8 +48,8 @@
 	return 0
 }
 
-// nulString reads a string<NUL>. Clients may leave the zero byte out of the last field, so the end of the payload also
-// ends the string.
+// nulString reads a string<NUL>. Clients may omit the zero byte of the last field, so the end of the payload also ends
+// the string.
 func (r *payloadReader) nulString() string {
 	for i, b := range r.remaining {
 		if b == 0 {
@@ -63,8 +63,8 @@
 	return s
 }
 
-// lenencInt reads an int<lenenc> of up to three bytes. The eight-byte form is malformed: no field read here is that
-// long.
+// lenencInt reads an int<lenenc> of up to three bytes. The eight-byte form is treated as malformed, because no field that
+// is read here can be so long.
 func (r *payloadReader) lenencInt() int {
 	switch prefix := r.byte(); {
 	case prefix <= lenencOneByteMax:
--- a/internal/protocol/mysql/protocol.go
+++ b/internal/protocol/mysql/protocol.go
@@ -1,6 +1,6 @@
 package mysql
 
-// Command bytes of the protocol's command phase (MySQL documentation, "Text Protocol" and "Prepared Statements").
+// Command bytes of the command phase (MySQL documentation, "Text Protocol" and "Prepared Statements").
 const (
 	comQuit             = 0x01
 	comInitDB           = 0x02
@@ -25,16 +25,16 @@
 	sqlStateMarker   = '#'
 )
 
-// Limits of packets, in bytes.
+// Sizes and size limits of packets, in bytes.
 const (
-	headerSize        = 4 // length of three bytes and sequence id
+	headerSize        = 4 // three-byte payload length and sequence id
 	maxPayload        = 1<<24 - 1
-	maxCommandSize    = 1 << 20  // of a client's command, and of the long data that a statement holds
+	maxCommandSize    = 1 << 20  // of a client's command, and of the long data of a statement
 	maxNonRowPacket   = 64 << 10 // of an engine's packet that is not a row
 	maxResultMetadata = 1 << 20  // of the column definitions of a result
 )
 
-// maxClientStatements is how many prepared statements one client connection may hold.
+// maxClientStatements is the maximum number of prepared statements of a client connection.
 const maxClientStatements = 256
 
 // Capability flags (MySQL documentation, "Capabilities Flags").
@@ -49,8 +49,8 @@
 	clientPluginAuthLenencData = 1 << 21
 )
 
-// capabilityFlags are the flags that the front offers and that the gateway requests of engines. Both sides use the same
-// set, so that a result can be relayed unchanged.
+// capabilityFlags are the capabilities that the gateway offers to clients and requests from engines. Both use the same set, so
+// that results can be relayed unchanged.
 const capabilityFlags = clientLongPassword | clientLongFlag | clientConnectWithDB | clientProtocol41 |
 	clientTransactions | clientSecureConnection | clientPluginAuth
 
@@ -66,7 +66,7 @@
 const (
 	authPluginDataSize      = 20 // auth plugin data ("scramble") that mysql_native_password uses
 	authPluginDataPart1Size = 8
-	authPluginDataPart2Min  = 13 // with its zero byte
+	authPluginDataPart2Min  = 13 // including the terminating zero byte
 	handshakeReservedSize   = 10
 	handshakeFillerSize     = 23 // of the handshake response
 )
--- a/internal/protocol/mysql/result.go
+++ b/internal/protocol/mysql/result.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// resultStream relays an engine's response to a query while it arrives. It holds the metadata (column count, column
-// definitions, EOF packet) back until the first row, so that a failed query can still be retried; rows are relayed in
-// whatever pieces they arrive.
+// resultStream relays an engine's response to a query while it arrives. It holds back the metadata (column count, column
+// definitions, EOF packet) until the first row, so that a failed query can still be retried. Rows are relayed as they
+// arrive, also in part.
 type resultStream struct {
 	buf             []byte
-	metadata        []byte // complete packets that are not relayed yet
-	columnCount     int    // 0 until it is read
+	metadata        []byte // complete packets that have not been relayed yet
+	columnCount     int    // 0 until it has been read
 	definitionsRead int
-	inRows          bool // the metadata is complete
+	inRows          bool // the metadata has been read
 	rowsRelayed     bool
 	rowBytesLeft    int  // of the current row packet
 	rowContinues    bool // the current row continues in a further packet
 	sequenceID      byte // of the last row packet relayed
 	complete        bool
-	errCode         int // of the ERR packet that ended the result; 0 for none
+	errCode         int // of the ERR packet that ended the result, or 0
 }
 
-// received handles bytes of the response. relay goes to the client at once; last, once complete, is the end of the
-// response. An error wraps errMalformedPacket; relay is valid then too.
+// received handles bytes of the response. relay must be sent to the client at once; last is the rest of the response when it
+// is complete. An error wraps errMalformedPacket; relay is valid nevertheless.
 func (r *resultStream) received(b []byte) (relay, last []byte, err error) {
 	r.buf = append(r.buf, b...)
 	for !r.complete {
@@ -48,7 +48,7 @@
 	return relay, last, nil
 }
 
-// relayRow appends to relay what has arrived of the current row packet.
+// relayRow appends the received part of the current row packet to relay.
 func (r *resultStream) relayRow(relay []byte) []byte {
 	n := min(r.rowBytesLeft, len(r.buf))
 	relay = append(relay, r.buf[:n]...)
@@ -57,7 +57,7 @@
 	return relay
 }
 
-// endsRows reports whether a packet after the metadata is an EOF or ERR packet; any other is a row.
+// endsRows reports whether a packet after the metadata is an EOF or ERR packet. Any other packet is a row.
 func endsRows(header byte, size int) bool {
 	return header == errHeader || header == eofHeader && size <= maxEOFPayload
 }
@@ -72,7 +72,7 @@
 	return relay
 }
 
-// acceptNonRow handles the packet at the start of the buffer, which is not a row; accepted is false while it is
+// acceptNonRow handles the packet at the start of the buffer, which is not a row. accepted is false while the packet is
 // incomplete.
 func (r *resultStream) acceptNonRow(size int) (accepted bool, err error) {
 	if size == 0 {
@@ -118,12 +118,12 @@
 	return nil
 }
 
-// acceptRowsEnd handles the EOF packet after the rows. The gateway sends single statements only, so there must be no
-// further result.
+// acceptRowsEnd handles the EOF packet after the rows. The gateway sends single statements only, so no further
+// result may follow.
 func (r *resultStream) acceptRowsEnd(payload []byte) error {
 	r.complete = true
 	if len(payload) >= 5 && binary.LittleEndian.Uint16(payload[3:])&serverMoreResultsExist != 0 {
-		return fmt.Errorf("%w: more results than requested", errMalformedPacket)
+		return fmt.Errorf("%w: unexpected second result", errMalformedPacket)
 	}
 	return nil
 }
@@ -132,13 +132,13 @@
 	fields := payloadReader{remaining: payload}
 	r.columnCount = fields.lenencInt()
 	if fields.malformed || r.columnCount == 0 || len(fields.remaining) > 0 {
-		return fmt.Errorf("%w: a result begins with %#x", errMalformedPacket, payload[0])
+		return fmt.Errorf("%w: invalid column count, first byte %#x", errMalformedPacket, payload[0])
 	}
 	return nil
 }
 
-// truncationPacket is the ERR packet that ends a result whose rows broke off. Within a row it is nil: there any packet
-// would be read as part of the row, so that only closing the client's connection can end it.
+// truncationPacket returns the ERR packet that ends a truncated result. Within a row it returns nil: the client would read any
+// packet as part of the row, so that only closing its connection can end the result.
 func (r *resultStream) truncationPacket() []byte {
 	if r.rowBytesLeft > 0 || r.rowContinues {
 		return nil
--- /dev/null
+++ b/internal/protocol/mysql/server_conn_commands.go
@@ -0,0 +1,144 @@
+package mysql
+
+import "encoding/binary"
+
+const (
+	unsupportedStatementMessage = "the gateway keeps no transactions and no session settings"
+	unknownStatementMessage     = "unknown prepared statement"
+)
+
+func (c *ServerConn) handleCommand(p packet) {
+	if len(p.payload) == 0 || p.sequenceID != 0 {
+		c.sendError(p.sequenceID+1, erMalformedPacket, "malformed command")
+		return
+	}
+	arguments := &payloadReader{remaining: p.payload[1:]}
+	switch p.payload[0] {
+	case comQuit:
+		c.closeConnection()
+	case comPing:
+		c.write(okPacket(1))
+	case comInitDB:
+		c.useSchema(string(arguments.remaining))
+	case comQuery:
+		c.handleQuery(string(arguments.remaining))
+	case comStmtPrepare:
+		c.handlePrepare(string(arguments.remaining))
+	case comStmtExecute:
+		c.handleExecute(arguments)
+	case comStmtSendLongData:
+		c.handleLongData(arguments) // has no response
+	case comStmtClose:
+		delete(c.statements, arguments.uint32()) // has no response
+	case comStmtReset:
+		c.handleReset(arguments)
+	default:
+		c.sendError(1, erUnknownCommand, "the gateway does not know this command")
+	}
+}
+
+func (c *ServerConn) useSchema(schema string) {
+	c.schema = schema
+	c.write(okPacket(1))
+}
+
+// handleQuery handles COM_QUERY. Statements about the session are handled here; all others run on an engine.
+func (c *ServerConn) handleQuery(text string) {
+	statement := stripLeadingComments(text)
+	if match := setReplayKey.FindStringSubmatch(statement); match != nil {
+		c.idempotencyKey = match[1]
+		c.write(okPacket(1))
+		return
+	}
+	if match := useStatement.FindStringSubmatch(statement); match != nil {
+		c.useSchema(match[1])
+		return
+	}
+	switch {
+	case ignoredSet.MatchString(statement):
+		c.write(okPacket(1))
+	case unsupportedStatement.MatchString(statement):
+		c.sendError(1, erNotSupportedYet, unsupportedStatementMessage)
+	default:
+		c.startQuery(&Query{Text: text})
+	}
+}
+
+// handlePrepare handles COM_STMT_PREPARE. The statement is only stored; an engine prepares it before it first executes
+// it.
+func (c *ServerConn) handlePrepare(text string) {
+	if unsupportedStatement.MatchString(stripLeadingComments(text)) {
+		c.sendError(1, erNotSupportedYet, unsupportedStatementMessage)
+		return
+	}
+	if len(c.statements) >= maxClientStatements {
+		c.sendError(1, erMaxPreparedStatements, "too many prepared statements")
+		return
+	}
+	c.lastStatementID++
+	s := &statement{id: c.lastStatementID, text: text, params: countPlaceholders(text)}
+	if s.params > maxStatementParams {
+		c.sendError(1, erMalformedPacket, "too many parameters")
+		return
+	}
+	c.statements[s.id] = s
+	c.write(prepareResponse(s))
+}
+
+// prepareResponse returns the response to COM_STMT_PREPARE. It has no column definitions, because no engine has prepared the
+// statement yet; each result has them.
+func prepareResponse(s *statement) []byte {
+	b := binary.LittleEndian.AppendUint32([]byte{okHeader}, s.id)
+	b = binary.LittleEndian.AppendUint16(b, 0) // number of columns
+	b = binary.LittleEndian.AppendUint16(b, uint16(s.params))
+	b = append(b, 0, 0, 0) // filler, number of warnings
+	packets := frame(1, b)
+	if s.params == 0 {
+		return packets
+	}
+	sequenceID := byte(2)
+	for range s.params {
+		packets = append(packets, frame(sequenceID, paramDefinition)...)
+		sequenceID++
+	}
+	return append(packets, eofPacket(sequenceID)...)
+}
+
+// paramDefinition is the column definition of an unbound parameter: a string with the name "?", as MySQL servers send it.
+var paramDefinition = append([]byte("\x03def\x00\x00\x00\x01?\x00\x0c\x3f\x00"), 0, 0, 0, 0, 0xfd, 0x80, 0, 0, 0, 0)
+
+// handleExecute handles COM_STMT_EXECUTE. Long data is used for one execute only.
+func (c *ServerConn) handleExecute(arguments *payloadReader) {
+	s := c.statements[arguments.uint32()]
+	if s == nil {
+		c.sendError(1, erUnknownStatement, unknownStatementMessage)
+		return
+	}
+	execution, ok := s.parseExecute(arguments)
+	if !ok {
+		c.sendError(1, erMalformedPacket, "malformed execute")
+		return
+	}
+	s.clearLongData()
+	c.startQuery(&Query{Text: s.text, Execution: execution})
+}
+
+// handleLongData handles COM_STMT_SEND_LONG_DATA. The command has no response, so data that cannot be stored is dropped.
+func (c *ServerConn) handleLongData(arguments *payloadReader) {
+	s := c.statements[arguments.uint32()]
+	param := arguments.uint16()
+	if s == nil || arguments.malformed {
+		return
+	}
+	s.appendLongData(param, arguments.remaining)
+}
+
+func (c *ServerConn) handleReset(arguments *payloadReader) {
+	s := c.statements[arguments.uint32()]
+	if s == nil {
+		c.sendError(1, erUnknownStatement, unknownStatementMessage)
+		return
+	}
+	s.clearLongData()
+	c.write(okPacket(1))
+}
--- a/internal/protocol/mysql/front_login.go
+++ b/internal/protocol/mysql/server_conn_login.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// serverVersion is the version that the handshake names.
+// serverVersion is the server version in the handshake.
 const serverVersion = "8.0.0-frostpier"
 
-// handshakePacket builds Protocol::HandshakeV10.
+// handshakePacket returns Protocol::HandshakeV10.
 func handshakePacket(connectionID uint32, scramble []byte) []byte {
 	flags := uint32(capabilityFlags)
 	b := []byte{handshakeVersion}
@@ -28,15 +28,15 @@
 	return frame(0, b)
 }
 
-// handshakeResponse is what the front reads of Protocol::HandshakeResponse41.
+// handshakeResponse holds the fields of Protocol::HandshakeResponse41 that the gateway uses.
 type handshakeResponse struct {
 	user   string
 	auth   []byte
 	schema string
-	plugin string // of the authentication method that the client used
+	plugin string // authentication plugin that the client used
 }
 
-// parseHandshakeResponse reads a handshake response; ok is false if it is malformed or of an older protocol.
+// parseHandshakeResponse parses a handshake response. ok is false if it is malformed or of an older protocol.
 func parseHandshakeResponse(payload []byte) (response handshakeResponse, ok bool) {
 	r := payloadReader{remaining: payload}
 	flags := r.uint32()
@@ -57,24 +57,24 @@
 	return response, !r.malformed && flags&clientProtocol41 != 0
 }
 
-// handleHandshakeResponse authenticates the client, or requests a switch to mysql_native_password first.
-func (f *ServerConn) handleHandshakeResponse(p packet) {
+// handleHandshakeResponse authenticates the client, or first requests a switch to mysql_native_password.
+func (c *ServerConn) handleHandshakeResponse(p packet) {
 	response, ok := parseHandshakeResponse(p.payload)
 	if !ok {
-		f.sendError(p.sequenceID+1, erMalformedPacket, "malformed login")
-		f.closeConnection()
+		c.sendError(p.sequenceID+1, erMalformedPacket, "malformed login")
+		c.closeConnection()
 		return
 	}
-	f.user, f.schema = response.user, response.schema
+	c.user, c.schema = response.user, response.schema
 	if response.plugin != nativePassword {
-		f.stage = stageAuthSwitch
-		f.write(authSwitchRequest(p.sequenceID+1, f.scramble))
+		c.state = stateAuthSwitch
+		c.write(authSwitchRequest(p.sequenceID+1, c.scramble))
 		return
 	}
-	f.authenticate(p.sequenceID+1, response.auth)
+	c.authenticate(p.sequenceID+1, response.auth)
 }
 
-// authSwitchRequest builds Protocol::AuthSwitchRequest for mysql_native_password.
+// authSwitchRequest returns Protocol::AuthSwitchRequest for mysql_native_password.
 func authSwitchRequest(sequenceID byte, scramble []byte) []byte {
 	b := []byte{authSwitchHeader}
 	b = append(b, nativePassword+"\x00"...)
@@ -82,13 +82,13 @@
 	return frame(sequenceID, append(b, 0))
 }
 
-func (f *ServerConn) authenticate(sequenceID byte, auth []byte) {
-	account := f.accounts[f.user]
-	if account == nil || !account.PasswordHash.verify(f.scramble, auth) {
-		f.sendError(sequenceID, erAccessDenied, fmt.Sprintf("Access denied for user '%.32s'", f.user))
-		f.closeConnection()
+func (c *ServerConn) authenticate(sequenceID byte, auth []byte) {
+	account := c.accounts[c.user]
+	if account == nil || !account.PasswordHash.verify(c.scramble, auth) {
+		c.sendError(sequenceID, erAccessDenied, fmt.Sprintf("Access denied for user '%.32s'", c.user))
+		c.closeConnection()
 		return
 	}
-	f.account, f.stage = account, stageReady
-	f.write(okPacket(sequenceID))
+	c.account, c.state = account, stateReady
+	c.write(okPacket(sequenceID))
 }
--- a/internal/protocol/mysql/session.go
+++ b/internal/protocol/mysql/session.go
@@ -5,35 +5,35 @@
 	"fmt"
 )
 
-// maxSessionStatements bounds the prepared statements of a connection to an engine; a connection that has more is
-// closed after use instead of being released.
+// maxSessionStatements is the maximum number of prepared statements of a pooled connection to an engine. A connection that has
+// more is closed after use instead of being released.
 const maxSessionStatements = 128
 
-// session is what is known of one connection to an engine. It stays with the connection while it is idle.
+// session is the protocol state of one connection to an engine. It is kept with the connection between attempts.
 type session struct {
 	packets       framer
 	authenticated bool
 	responseSent  bool // the handshake response was sent
 	connectionID  uint32
 	schema        string
-	statementIDs  map[string]uint32 // prepared statements by Exchange.preparedKey
+	statementIDs  map[string]uint32 // of prepared statements, by Exchange.preparedKey
 }
 
 func newSession() *session {
 	return &session{packets: framer{maxPayload: maxNonRowPacket}, statementIDs: map[string]uint32{}}
 }
 
-// credentials are the gateway's account at the engines.
+// credentials are those of the gateway's account on the engines.
 type credentials struct{ user, password string }
 
-// engineError is an ERR packet of an engine during the login.
+// engineError reports an ERR packet from an engine during the login.
 type engineError struct{ code int }
 
-// Error names the engine's error code.
+// Error gives the engine's error code.
 func (e *engineError) Error() string { return fmt.Sprintf("engine error %d", e.code) }
 
-// handleLogin handles a packet of the connection phase and returns the response to it, if any; authenticated is set
-// once the engine has accepted the login. The error is an *engineError or wraps errMalformedPacket.
+// handleLogin handles a packet of the connection phase and returns the response to it, if any. It sets authenticated when the
+// engine accepts the login. An error is an *engineError or wraps errMalformedPacket.
 func (s *session) handleLogin(p packet, account credentials) ([]byte, error) {
 	if len(p.payload) == 0 {
 		return nil, fmt.Errorf("%w: empty payload in the connection phase", errMalformedPacket)
@@ -53,7 +53,7 @@
 	}
 }
 
-// handshakeResponse answers Protocol::HandshakeV10 with Protocol::HandshakeResponse41.
+// handshakeResponse returns the Protocol::HandshakeResponse41 for a Protocol::HandshakeV10.
 func (s *session) handshakeResponse(handshake packet, account credentials) ([]byte, error) {
 	scramble, err := s.readHandshake(handshake.payload)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return frame(handshake.sequenceID+1, b), nil
 }
 
-// readHandshake reads Protocol::HandshakeV10: it stores the connection id and returns the auth plugin data, which the
-// packet carries in two parts.
+// readHandshake parses Protocol::HandshakeV10. It stores the connection id and returns the auth plugin data, which the packet
+// contains in two parts.
 func (s *session) readHandshake(payload []byte) (scramble []byte, err error) {
 	r := payloadReader{remaining: payload[1:]}
 	r.nulString() // server version
@@ -90,7 +90,7 @@
 	return scramble[:authPluginDataSize], nil
 }
 
-// authSwitchResponse answers Protocol::AuthSwitchRequest. Only mysql_native_password is supported.
+// authSwitchResponse returns the response to Protocol::AuthSwitchRequest. Only mysql_native_password is supported.
 func (s *session) authSwitchResponse(request packet, account credentials) ([]byte, error) {
 	r := payloadReader{remaining: request.payload[1:]}
 	plugin := r.nulString()
--- a/internal/protocol/mysql/sqltext.go
+++ b/internal/protocol/mysql/sqltext.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The statements that the front answers itself. All expect text without leading comments.
+// Patterns of the statements that are not sent to engines. All expect text without leading comments.
 var (
 	setReplayKey         = regexp.MustCompile(`(?is)^\s*SET\s+@replay_key\s*:?=\s*('(?:[^'\\]|\\.|'')*')\s*;?\s*$`)
 	ignoredSet           = regexp.MustCompile(`(?is)^\s*SET\s+(NAMES\b.*|CHARACTER\s+SET\b.*|(@@)?(session\s+|session\.)?autocommit\s*=\s*(1|ON))\s*;?\s*$`)
@@ -14,7 +14,7 @@
 	useStatement = regexp.MustCompile("(?is)^\\s*USE\\s+`?([^`;\\s]+)`?\\s*;?\\s*$")
 )
 
-// countPlaceholders counts the parameter placeholders of a statement: question marks outside of strings, quoted
+// countPlaceholders returns the number of parameter placeholders in a statement: question marks outside of strings, quoted
 // identifiers and comments.
 func countPlaceholders(text string) int {
 	count := 0
@@ -37,8 +37,8 @@
 	return count
 }
 
-// closingQuote returns the index of the quote that closes the one at open, or one past the end of an unclosed string.
-// A backslash escapes the next byte except in quoted identifiers.
+// closingQuote returns the index of the quote that closes the one at open, or an index past the end of the text if there is
+// none. A backslash escapes the next byte, except in quoted identifiers.
 func closingQuote(text string, open int) int {
 	quote := text[open]
 	i := open + 1
@@ -51,8 +51,8 @@
 	return i
 }
 
-// stripLeadingComments removes comments before a statement, so that they cannot hide what it is. Executable comments
-// ("/*!") are part of the statement.
+// stripLeadingComments removes the comments before a statement, so that it can be matched against patterns. Executable
+// comments ("/*!") are part of the statement.
 func stripLeadingComments(text string) string {
 	for {
 		text = strings.TrimSpace(text)
--- a/internal/protocol/mysql/statement.go
+++ b/internal/protocol/mysql/statement.go
@@ -6,27 +6,27 @@
 
 // Fields of COM_STMT_EXECUTE (MySQL documentation, "COM_STMT_EXECUTE").
 const (
-	cursorTypeNoCursor  = 0
-	newParamsBoundFlag  = 1
-	paramTypeSize       = 2
-	maxStatementParams  = 0xffff // the parameter count is an int<2>
-	executeIterations   = 1
-	nullBitmapBitsAByte = 8
+	cursorTypeNoCursor = 0
+	newParamsBoundFlag = 1
+	paramTypeSize      = 2
+	maxStatementParams = 0xffff // the parameter count is an int<2>
+	executeIterations  = 1
+	bitsPerByte        = 8
 )
 
-// statement is a prepared statement of a client. Its id is the gateway's own, valid for the client's connection,
-// whatever engines have prepared the text.
+// statement is a prepared statement of a client. Its id is assigned by the gateway, is valid on the client's connection, and
+// is independent of the ids that engines assign.
 type statement struct {
 	id            uint32
 	text          string
 	params        int
-	paramTypes    []byte            // as last bound; later executes may leave them out
-	longData      map[uint16][]byte // by parameter, sent since the last execute
-	longDataOrder []uint16          // parameters in the order in which their long data began
+	paramTypes    []byte            // last bound types; later executes may omit them
+	longData      map[uint16][]byte // by parameter, received since the last execute
+	longDataOrder []uint16          // parameters in the order of their first long data
 	longDataSize  int               // bytes
 }
 
-// Execution is one execute of a prepared statement, in a form that any engine can run.
+// Execution is one execution of a prepared statement, in a form that is independent of the engine.
 type Execution struct {
 	Text          string // of the statement
 	Params        int    // number of parameters
@@ -37,9 +37,9 @@
 	longDataOrder []uint16
 }
 
-// parseExecute reads the payload of COM_STMT_EXECUTE after the statement id; ok is false if it is malformed.
+// parseExecute parses the payload of COM_STMT_EXECUTE after the statement id. ok is false if it is malformed.
 func (s *statement) parseExecute(r *payloadReader) (execution *Execution, ok bool) {
-	r.byte()   // flags: a cursor would bind the client to one engine, so all rows are sent at once
+	r.byte()   // flags: ignored, since a cursor would bind the client to one engine; all rows are sent at once
 	r.uint32() // iteration count, always 1
 	e := &Execution{Text: s.text, Params: s.params, longData: s.longData, longDataOrder: s.longDataOrder}
 	if s.params > 0 {
@@ -54,7 +54,7 @@
 	return e, !r.malformed
 }
 
-func nullBitmapSize(params int) int { return (params + nullBitmapBitsAByte - 1) / nullBitmapBitsAByte }
+func nullBitmapSize(params int) int { return (params + bitsPerByte - 1) / bitsPerByte }
 
 // bindTypes reads the new-params-bound flag and, if it is set, the parameter types.
 func (s *statement) bindTypes(r *payloadReader) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// appendLongData adds a piece of a parameter's value. One that is out of range or too large is dropped: the command
-// has no response, and the execute then fails for the missing value.
+// appendLongData appends to the long data of a parameter. Data of an invalid parameter, or over the size limit, is dropped: the
+// command has no response, and the execute fails later because the value is missing.
 func (s *statement) appendLongData(param uint16, data []byte) {
 	if int(param) >= s.params || s.longDataSize+len(data) > maxCommandSize {
 		return
@@ -84,7 +84,7 @@
 
 func (s *statement) clearLongData() { s.longData, s.longDataOrder, s.longDataSize = nil, nil, 0 }
 
-// executePacket is COM_STMT_EXECUTE for an engine that prepared the statement under the given id. It always binds the
+// executePacket returns COM_STMT_EXECUTE for an engine that prepared the statement under the given id. It always binds the
 // parameter types, since this engine may not have received them before.
 func (e *Execution) executePacket(id uint32) []byte {
 	head := binary.LittleEndian.AppendUint32(nil, id)
@@ -96,7 +96,7 @@
 	return commandPacket(comStmtExecute, head, e.nullBitmap, []byte{newParamsBoundFlag}, e.paramTypes, e.paramValues)
 }
 
-// longDataPackets are the COM_STMT_SEND_LONG_DATA commands that repeat the client's long data to an engine.
+// longDataPackets returns the COM_STMT_SEND_LONG_DATA commands that send the client's long data to an engine.
 func (e *Execution) longDataPackets(id uint32) []byte {
 	var out []byte
 	for _, param := range e.longDataOrder {
