--- a/internal/protocol/enginehttp/enginehttp_test.go
+++ b/internal/protocol/enginehttp/enginehttp_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// An attempt that ends before its POST is sent has an outcome that says that the query never ran.
+// An attempt that ends before its POST is sent has an outcome for which NeverRan is true.
 func TestUnsentQueryNeverRan(t *testing.T) {
 	q, _ := NewQuery(Request{})
 	if e := endStep(q.Cancel(policy.Cancelled)); e == nil || e.Outcome != policy.NotSent {
@@ -425,7 +425,7 @@
 }
 
 // If the engine rejects the second POST of a query, or reports that its deadline has passed, the first POST may still have run, so
-// the outcome must not say that the query never ran. A query with an idempotency key was once retried as if it had not run.
+// the outcome must be one for which NeverRan is false. A query with an idempotency key was once retried as if it had not run.
 func TestRejectedResendMayHaveRun(t *testing.T) {
 	for _, status := range []int{503, 504} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
--- a/internal/protocol/enginehttp/query.go
+++ b/internal/protocol/enginehttp/query.go
@@ -43,7 +43,7 @@
 // Request is a query for an engine. Its fields are sent unchanged.
 type Request struct {
 	Host, ID, Class string
-	IdempotencyKey  string // idempotency key; empty for none
+	IdempotencyKey  string // empty for none
 	Statement       []byte
 }
 
@@ -71,7 +71,7 @@
 	consecutiveFailures int  // consecutive corrupt responses and lost connections
 
 	// Detection of duplicate responses on the primary connection.
-	beforeEarliestUpdate bool      // the engine is not due to respond without a new update
+	beforeEarliestUpdate bool      // a response without a new update is not due yet
 	lastUpdate           [2]string // X-Tell and Figure headers of the last response
 	// ambiguous is set when a response may have been a duplicate, so that one more response than requests may arrive.
 	ambiguous bool
@@ -172,7 +172,7 @@
 }
 
 // reconnectPrimary opens a new connection on which to poll a running query: engines continue a query whose connection is
-// lost. After the second consecutive failure it waits for a backoff first.
+// lost. From the second consecutive failure on, it waits for a backoff first.
 func (q *Query) reconnectPrimary() {
 	q.possiblyUnread = q.possiblyUnread || !q.bytesReceived
 	q.emit(attempt.SetTimer{Timer: attempt.ResponseTimeout, After: 0})
@@ -281,8 +281,8 @@
 	q.requestDelete()
 }
 
-// end stops all timers, releases the connections that can be reused, closes the others and emits the End step. If the POST
-// was sent more than once, an outcome that says that the query never ran holds for the last POST only and becomes an error.
+// end stops all timers, releases the connections that can be reused, closes the others and emits the End step. After more
+// than one POST, the response to the last one does not prove that the query never ran, so such an outcome becomes an error.
 func (q *Query) end(outcome policy.Outcome) {
 	if q.postsSent > 1 && outcome.NeverRan() {
 		outcome = policy.Error
--- a/internal/protocol/enginehttp/reader.go
+++ b/internal/protocol/enginehttp/reader.go
@@ -139,7 +139,8 @@
 	return res, nil
 }
 
-// nextBody returns the body at the start of the buffer and its encoded size in bytes. The size is incomplete while bytes are missing.
+// nextBody returns the body at the start of the buffer and its encoded size in bytes. The size is the constant
+// incomplete while bytes are missing.
 func (r *Reader) nextBody() (body []byte, size int, err error) {
 	if r.bodyBytes == chunkedBody {
 		if len(r.buf) > 2*maxBodyBytes { // limits the overhead of small chunks
@@ -156,8 +157,8 @@
 // incomplete is the encoded size that is returned for a body with missing bytes.
 const incomplete = -1
 
-// unchunk decodes the chunked body at the start of b and returns it with its encoded size in bytes, which is incomplete while
-// bytes are missing.
+// unchunk decodes the chunked body at the start of b and returns it with its encoded size in bytes. The size is the constant
+// incomplete while bytes are missing.
 func unchunk(b []byte) (body []byte, size int, err error) {
 	for offset := 0; ; {
 		eol := bytes.Index(b[offset:], []byte("\r\n"))
--- a/internal/protocol/jsonrpc/session.go
+++ b/internal/protocol/jsonrpc/session.go
@@ -21,7 +21,7 @@
 	maxHeaderBytes = 256 // of a parameter that is forwarded in an HTTP header
 )
 
-// nullID is the ID in responses to messages without a valid ID.
+// nullID is the JSON encoding of a null ID, which also represents a missing one.
 const nullID = "null"
 
 // ErrLineTooLong is returned by Session.Feed for a line over the limit. The start of the next line is unknown then, so the caller
--- a/internal/protocol/mysql/auth.go
+++ b/internal/protocol/mysql/auth.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// ErrPasswordHash is wrapped by ParseHash's error for text that is not a password hash.
+// ErrPasswordHash is wrapped by the error of ParsePasswordHash for text that is not a password hash.
 var ErrPasswordHash = errors.New("password hash must have 40 hexadecimal digits after an optional asterisk")
 
 // PasswordHash is the verifier of mysql_native_password: SHA-1 of the SHA-1 of the password (MySQL documentation, "Native
--- a/internal/protocol/mysql/exchange.go
+++ b/internal/protocol/mysql/exchange.go
@@ -29,7 +29,7 @@
 	phaseFinished
 )
 
-// Exchange executes one attempt of a query on an engine. It implements attempt.Machine. The query is sent on the primary
+// Exchange executes one attempt of a query on an engine. It implements attempt.StateMachine. The query is sent on the primary
 // channel; a second connection, the control channel, is opened only to send KILL QUERY.
 type Exchange struct {
 	query           *Query
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -305,8 +305,8 @@
 }
 
 // A killed attempt ends only when the end of its query is confirmed, by the end of the result or by ER_NO_SUCH_THREAD in response to
-// the KILL. A lost connection or another ERR packet in response to the KILL does not confirm it. If the attempt ended before, a
-// second one could start while the first is still running.
+// the KILL. A lost connection or another ERR packet in response to the KILL does not confirm it. If the attempt ended earlier,
+// a second one could start while the first is still running.
 func TestKilledAttemptEndsWhenConfirmed(t *testing.T) {
 	ended := func(steps []attempt.Step) bool {
 		return slices.ContainsFunc(steps, func(s attempt.Step) bool { _, end := s.(attempt.End); return end })
