--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -7,14 +7,14 @@
 	"strconv"
 )
 
-// Limits of a configuration that names none.
+// Default limits of a configuration.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// Config is the configuration file that the platform starts a gateway with.
+// Config is the configuration file with which the platform starts a gateway.
 type Config struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -24,14 +24,14 @@
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"` // file descriptors
 	} `json:"limits"`
-	PeerListen          string          `json:"peer_listen"` // UDP address for the datagrams of other gateways
-	Peers               []string        `json:"peers"`       // the UDP address of each gateway, by number
+	PeerListen          string          `json:"peer_listen"` // UDP address on which datagrams of other gateways are received
+	Peers               []string        `json:"peers"`       // UDP addresses of all gateways, by gateway index
 	DiscoveryAddr       string          `json:"bulletin"`    // address of the discovery server; empty = none
-	InitialEngineEvents json.RawMessage `json:"known"`       // engine events before the start, as discovery sends them
-	Settings            json.RawMessage `json:"settings"`    // for ParseHost
+	InitialEngineEvents json.RawMessage `json:"known"`       // engine events from before the start, as the discovery server sends them
+	Settings            json.RawMessage `json:"settings"`    // settings object, see ParseHost
 }
 
-// ParseConfig reads a configuration. Unknown keys are ignored.
+// ParseConfig parses a configuration file. It ignores unknown keys.
 func ParseConfig(text []byte) (Config, error) {
 	c := Config{}
 	c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets = defaultCores, defaultMemoryMB, defaultSockets
@@ -41,7 +41,7 @@
 	return c, nil
 }
 
-// SeedNumber returns the seed of every random choice. A seed that is no hexadecimal number is hashed.
+// SeedNumber returns the seed of all random number generators: Seed as a hexadecimal number, or its hash if it is not one.
 func (c Config) SeedNumber() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
@@ -53,15 +53,15 @@
 	return n
 }
 
-// PeerAddrs returns the address to listen on for datagrams and the addresses of all gateways. Only membership needs
-// them, so ParseConfig does not check them: a gateway without membership must start whatever they are. The error is a
-// *KeyError.
+// PeerAddrs returns the address on which datagrams are received and the addresses of all gateways. Only membership needs
+// them, so ParseConfig does not check them: a gateway without membership must start even if they are invalid. The error is
+// a *KeyError.
 func (c Config) PeerAddrs() (listen netip.AddrPort, peers []netip.AddrPort, err error) {
 	if listen, err = parseAddr("peer_listen", c.PeerListen); err != nil {
 		return listen, nil, err
 	}
 	if len(c.Peers) == 0 {
-		return listen, nil, &KeyError{Source: SourceConfiguration, Key: "peers", Reason: "the configuration names none"}
+		return listen, nil, &KeyError{Source: SourceConfiguration, Key: "peers", Reason: "must not be empty"}
 	}
 	for i, text := range c.Peers {
 		peer, err := parseAddr(fmt.Sprintf("peers[%d]", i), text)
@@ -73,11 +73,11 @@
 	return listen, peers, nil
 }
 
-// parseAddr parses the address that a key of the configuration has.
+// parseAddr parses the value of a configuration key as an IP address with a port.
 func parseAddr(key, text string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return addr, &KeyError{Source: SourceConfiguration, Key: key, Value: text, Reason: "no address with a port", Err: err}
+		return addr, &KeyError{Source: SourceConfiguration, Key: key, Value: text, Reason: "must be an IP address with a port", Err: err}
 	}
 	return addr, nil
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -6,11 +6,11 @@
 	"frostpier/internal/testutil"
 )
 
-// The configuration, the platform's settings and the operator's file have the keys that they had before the code was
-// rearranged.
-func TestKeysOfFiles(t *testing.T) {
+// Checks the keys and value types of the configuration, the settings object and the operator's file against the golden
+// file, because renaming a Go field must not change them.
+func TestFileKeysMatchGoldenFile(t *testing.T) {
 	t.Parallel()
-	keys := testutil.FieldKeys("json", "configuration", Config{}) + testutil.FieldKeys("json", "settings", setup{}) +
+	keys := testutil.FieldKeys("json", "configuration", Config{}) + testutil.FieldKeys("json", "settings", settingsObject{}) +
 		testutil.FieldKeys("toml", "operator", Operator{})
 	testutil.Golden(t, "keys.golden", []byte(keys))
 }
--- a/internal/settings/keyerror.go
+++ b/internal/settings/keyerror.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The sources of settings, as error messages name them.
+// Sources of settings, as they appear in error messages.
 const (
 	SourceOperator      = "operator's file"
 	SourceConfiguration = "configuration"
@@ -12,13 +12,13 @@
 // KeyError reports a key whose value is invalid, or that is missing or unknown.
 type KeyError struct {
 	Source string // one of the Source constants
-	Key    string // with its section, as in membership.interval_ms
-	Value  any    // nil = missing or of no interest
-	Reason string // names the bounds, where there are any
-	Err    error  // the cause, if another package found it; nil = none
+	Key    string // including its section, as in membership.interval_ms
+	Value  any    // nil if it is missing or not relevant
+	Reason string // includes the bounds, if there are any
+	Err    error  // underlying error of another package; nil = none
 }
 
-// Error names the source, the key, its value and the reason.
+// Error returns a message with the source, the key, its value and the reason.
 func (e *KeyError) Error() string {
 	text := e.Source + ": " + e.Key + ": "
 	switch value := e.Value.(type) {
@@ -37,18 +37,18 @@
 	return text + e.Reason + ": " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// operatorError returns the error of a key in the operator's file.
+// operatorError returns a *KeyError for a key of the operator's file.
 func operatorError(key string, value any, reason string) error {
 	return &KeyError{Source: SourceOperator, Key: key, Value: value, Reason: reason}
 }
 
-// checkRange returns an error of the operator's file if a value is outside its bounds, which are inclusive.
+// checkRange returns a *KeyError for a key of the operator's file if its value is not between lower and upper, inclusive.
 func checkRange(key string, value, lower, upper int64) error {
 	if value < lower || value > upper {
-		return operatorError(key, value, fmt.Sprintf("not between %d and %d", lower, upper))
+		return operatorError(key, value, fmt.Sprintf("must be between %d and %d", lower, upper))
 	}
 	return nil
 }
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -7,7 +7,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator is the operator's file: what the gateway does beside serving the platform. A section that is nil is off.
+// Operator is the content of the operator's file. Each section enables a feature that the platform does not need; the
+// feature of a nil section is disabled.
 type Operator struct {
 	MySQL      *MySQL      `toml:"mysql"`
 	VRRP       *VRRP       `toml:"vrrp"`
@@ -17,8 +18,8 @@
 	Subset     *Subset     `toml:"subset"`
 }
 
-// ParseOperator reads an operator's file. An unknown key is an error, as it would be a setting without effect. The error
-// of an invalid key is a *KeyError, except where the TOML decoder finds it.
+// ParseOperator parses an operator's file. An unknown key is an error, because a misspelled key would have no effect. The
+// error for an invalid key is a *KeyError, unless the TOML decoder reports it.
 func ParseOperator(text []byte) (Operator, error) {
 	var o Operator
 	meta, err := toml.Decode(string(text), &o)
@@ -31,7 +32,7 @@
 	return o, o.check()
 }
 
-// check returns the error of the first section that is invalid.
+// check returns the error of the first invalid section, or nil.
 func (o Operator) check() error {
 	checks := []func() error{o.checkVRRP, o.checkMembership, o.checkRollout, o.checkSpread, o.checkSubset, o.checkMySQL}
 	for _, check := range checks {
@@ -44,7 +45,7 @@
 
 func (o Operator) checkVRRP() error {
 	if o.VRRP != nil && o.MySQL == nil {
-		return operatorError("vrrp", nil, "without mysql it has nothing to own")
+		return operatorError("vrrp", nil, "requires mysql: the master of the virtual router opens the MySQL listener")
 	}
 	return nil
 }
@@ -64,14 +65,14 @@
 		return err
 	}
 	if o.Membership == nil {
-		return operatorError("rollout", nil, "without membership it has no fleet's name")
+		return operatorError("rollout", nil, "requires membership, which has the name of the fleet")
 	}
 	return nil
 }
 
 func (o Operator) checkSpread() error {
 	if o.Spread != nil && o.Membership == nil {
-		return operatorError("spread", nil, "needs membership: its messages are piggybacked on membership datagrams")
+		return operatorError("spread", nil, "requires membership: its messages are piggybacked on membership datagrams")
 	}
 	return nil
 }
@@ -81,7 +82,7 @@
 		return nil
 	}
 	if o.Membership == nil {
-		return operatorError("subset", nil, "without membership it cannot tell which gateways share the engines")
+		return operatorError("subset", nil, "requires membership, which determines the gateways that share the engines")
 	}
 	return o.Subset.check()
 }
@@ -93,16 +94,16 @@
 	return o.MySQL.check()
 }
 
-// CanApplyLive reports whether every difference to another operator's file can be applied while the program runs. Those
-// are timeout_ms and suspect_ms of membership, the whole section subset, and the end or return of a spread that was on at
-// the start.
+// CanApplyLive reports whether all differences between the operator's file at the start, o, and a new version of it can be
+// applied without a restart. These are changes of membership.timeout_ms and membership.suspect_ms, all changes of the
+// section subset, and the removal of the section spread, which may return later.
 func (o Operator) CanApplyLive(next Operator) bool {
 	membershipToggled := (o.Membership == nil) != (next.Membership == nil)
 	spreadAdded := o.Spread == nil && next.Spread != nil
 	if membershipToggled || spreadAdded {
 		return false
 	}
-	// What can be applied live is made equal; the rest must be.
+	// Make the keys that can be applied live equal; all other keys must be equal already.
 	a, b := o, next
 	a.Spread, b.Spread = nil, nil
 	a.Subset, b.Subset = nil, nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads what a gateway is started with: the platform's configuration, the settings object in it, which
-// is the same in the simulator's protocol, and the operator's file. It checks them and translates the settings object to
-// policy.Settings. It reads no files and environment variables itself, and keeps no state.
+// Package settings parses and validates the inputs with which a gateway starts: the platform's configuration, the settings
+// object that it contains (and that the simulator's protocol uses as well), and the operator's file. It translates the
+// settings object to policy.Settings. It does not read files or environment variables, and it keeps no state.
 package settings
 
 import (
@@ -11,30 +11,32 @@
 	"frostpier/policy"
 )
 
-// Host is what a gateway needs of the settings object beyond the settings of the decision module.
+// Host contains the settings of a gateway process, which is the host of the decision module.
 type Host struct {
 	Policy          policy.Settings
-	ConnIdleTimeout time.Duration // engines close connections that were idle for so long
+	ConnIdleTimeout time.Duration // idle time after which engines close a connection
 	ConnectTimeout  time.Duration
-	MaxPending      int           // requests that may be pending at once; 0 = no limit
+	MaxPending      int           // maximum number of pending requests; 0 = no limit
 	MaxRetryAfter   time.Duration // maximum Retry-After of a rejection
-	MachineTypes    []string      // names of the engine kinds, by number
-	Zones           []string      // names of the zones, by number
-	PeerMessages    bool          // gateways may send each other datagrams
+	MachineTypes    []string      // names, by index into policy.Settings.MachineTypes
+	Zones           []string      // names, by zone number
+	PeerMessages    bool          // gateways may send datagrams to each other
 }
 
-// Parse reads a settings object for the decision module alone. The error of an invalid value is a *KeyError.
+// Parse parses a settings object and returns the settings of the decision module. The error for an invalid value is a
+// *KeyError.
 func Parse(text []byte) (policy.Settings, error) {
-	var s setup
+	var s settingsObject
 	if err := json.Unmarshal(text, &s); err != nil {
 		return policy.Settings{}, err
 	}
 	return s.moduleSettings()
 }
 
-// ParseHost reads a settings object for a gateway. The error of an invalid value is a *KeyError.
+// ParseHost parses a settings object and returns the settings of a gateway process. The error for an invalid value is a
+// *KeyError.
 func ParseHost(text []byte) (Host, error) {
-	var s setup
+	var s settingsObject
 	if err := json.Unmarshal(text, &s); err != nil {
 		return Host{}, fmt.Errorf("%s: %w", SourceSettings, err)
 	}
@@ -44,11 +46,11 @@
 	}
 	p := s.Permissions
 	return Host{
-		Policy: module, ConnIdleTimeout: p.ConnIdle, ConnectTimeout: p.ConnectTimeout, MaxPending: p.MaxOpen,
-		MaxRetryAfter: p.MaxRetryAfter, MachineTypes: s.Models, Zones: s.Zones, PeerMessages: p.PeerMessages,
+		Policy: module, ConnIdleTimeout: p.ConnIdle, ConnectTimeout: p.ConnectTimeout, MaxPending: p.MaxPending,
+		MaxRetryAfter: p.MaxRetryAfter, MachineTypes: s.MachineTypes, Zones: s.Zones, PeerMessages: p.PeerMessages,
 	}, nil
 }
 
-// MetricOf returns the metric that a field of a load report holds; policy.UnknownMetric for a field that the decision module
-// does not use.
-func MetricOf(field string) policy.Metric { return metrics[field] }
+// MetricOf returns the metric of a field of load reports, or policy.UnknownMetric if the decision module does not use the
+// field.
+func MetricOf(field string) policy.Metric { return metricsByField[field] }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -3,9 +3,8 @@
 import (
 	"errors"
 	"fmt"
-	"regexp"
-
 	"os"
+	"regexp"
 	"strings"
 	"testing"
 	"time"
@@ -13,8 +12,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The file that operators copy must be valid.
-func TestOperatorFileInDeployIsValid(t *testing.T) {
+// Checks that deploy/operator.toml, which operators copy, is valid.
+func TestDeployOperatorFileIsValid(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +24,7 @@
 	}
 }
 
-func TestPlatformFileInDeployIsValid(t *testing.T) {
+func TestDeployPlatformFileIsValid(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/platform.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -37,11 +36,11 @@
 
 const mysqlSection = "[mysql]\nlisten = \"127.0.0.1:1\"\nengine_user = \"u\"\n[[mysql.account]]\nuser = \"a\"\n"
 
-// decoderKey finds the key in the text of an error of the TOML decoder, which has no type for values of a wrong type.
+// decoderKey matches the key in an error message of the TOML decoder, which has no error type for a value of the wrong type.
 var decoderKey = regexp.MustCompile(`toml: line \d+ \(last key "([^"]+)"\): `)
 
-// keyOf returns the key that an error names: that of a KeyError from source, or that of a value that the TOML decoder
-// rejects.
+// keyOf returns the key that an error names. The error must be a *KeyError with the given source, or an error of the TOML
+// decoder.
 func keyOf(t *testing.T, err error, source string) string {
 	t.Helper()
 	var syntax toml.ParseError
@@ -53,16 +52,16 @@
 	}
 	var invalid *KeyError
 	if !errors.As(err, &invalid) {
-		t.Errorf("no KeyError: %v", err)
+		t.Errorf("not a KeyError: %v", err)
 		return ""
 	}
 	if invalid.Source != source || !strings.Contains(err.Error(), invalid.Source+": "+invalid.Key+": ") {
-		t.Errorf("%v: want a key of %s, and its name in the text", err, source)
+		t.Errorf("%v: want the source %s and the key in the message", err, source)
 	}
 	return invalid.Key
 }
 
-func TestInvalidOperatorFiles(t *testing.T) {
+func TestParseOperatorRejectsInvalidFiles(t *testing.T) {
 	const vrrp = "[vrrp]\nlisten = \"127.0.0.1:2\"\npeers = [\"127.0.0.2:2\"]\nid = 1\npriority = 9\n" +
 		"interval_ms = 500\naddresses = [\"127.0.0.1\"]\n"
 	if o, err := ParseOperator([]byte(mysqlSection + vrrp)); err != nil || o.VRRP.Interval() != 500*time.Millisecond {
@@ -70,35 +69,35 @@
 	}
 	for _, test := range []struct{ name, text, key string }{
 		{"unknown key", mysqlSection + "buget_ms = 1\n", "mysql.account.buget_ms"},
-		{"vrrp alone", vrrp, "vrrp"},
-		{"spread alone", "[spread]\n", "spread"},
-		{"unknown key of spread", "[membership]\nfleet = \"f\"\n[spread]\nevery = 1\n", "spread.every"},
-		{"no fleet", "[membership]\ninterval_ms = 1000\n", "membership.fleet"},
-		{"interval", "[membership]\nfleet = \"f\"\ninterval_ms = 5\n", "membership.interval_ms"},
-		{"timeout", "[membership]\nfleet = \"f\"\ntimeout_ms = 1000\n", "membership.timeout_ms"},
-		{"suspect", "[membership]\nfleet = \"f\"\nsuspect_ms = 9\n", "membership.suspect_ms"},
-		{"no account", "[mysql]\nlisten = \"x\"\nengine_user = \"u\"\n", "mysql.account"},
-		{"no TOML", "mysql", ""},
-		{"id", mysqlSection + "[vrrp]\nid = 300\n", "vrrp.id"},
+		{"vrrp without mysql", vrrp, "vrrp"},
+		{"spread without membership", "[spread]\n", "spread"},
+		{"unknown key in spread", "[membership]\nfleet = \"f\"\n[spread]\nevery = 1\n", "spread.every"},
+		{"membership without fleet", "[membership]\ninterval_ms = 1000\n", "membership.fleet"},
+		{"membership interval out of range", "[membership]\nfleet = \"f\"\ninterval_ms = 5\n", "membership.interval_ms"},
+		{"membership timeout out of range", "[membership]\nfleet = \"f\"\ntimeout_ms = 1000\n", "membership.timeout_ms"},
+		{"suspicion timeout out of range", "[membership]\nfleet = \"f\"\nsuspect_ms = 9\n", "membership.suspect_ms"},
+		{"mysql without account", "[mysql]\nlisten = \"x\"\nengine_user = \"u\"\n", "mysql.account"},
+		{"not TOML", "mysql", ""},
+		{"vrrp id out of range", mysqlSection + "[vrrp]\nid = 300\n", "vrrp.id"},
 		{"rollout without address", membershipSection + "[rollout]\n", "rollout.report_to"},
 		{"rollout to another machine", membershipSection + "[rollout]\nreport_to = \"10.0.0.1:1\"\n", "rollout.report_to"},
-		{"rollout interval", membershipSection + "[rollout]\nreport_to = \"127.0.0.1:1\"\nreport_ms = 1\n", "rollout.report_ms"},
-		{"rollout alone", "[rollout]\nreport_to = \"127.0.0.1:1\"\n", "rollout"},
+		{"rollout interval out of range", membershipSection + "[rollout]\nreport_to = \"127.0.0.1:1\"\nreport_ms = 1\n", "rollout.report_ms"},
+		{"rollout without membership", "[rollout]\nreport_to = \"127.0.0.1:1\"\n", "rollout"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := ParseOperator([]byte(test.text))
 			if err == nil {
-				t.Fatal("accepted")
+				t.Fatal("the invalid file was accepted")
 			}
 			if key := keyOf(t, err, SourceOperator); key != test.key {
-				t.Errorf("%v: names %q, want %q", err, key, test.key)
+				t.Errorf("%v: key %q, want %q", err, key, test.key)
 			}
 		})
 	}
 }
 
-// Each error of the section membership names the key at fault, its value and the bound.
-func TestMembershipErrorsNameTheKey(t *testing.T) {
+// Checks that each error about the section membership names the invalid key, its value and the bound.
+func TestMembershipErrorsNameKeyValueAndBound(t *testing.T) {
 	o, err := ParseOperator([]byte("[membership]\nfleet = \"f\"\ninterval_ms = 500\nsuspect_ms = 900\n"))
 	if err != nil || o.Membership == nil {
 		t.Fatal(err)
@@ -108,17 +107,17 @@
 		t.Fatalf("%v %v %v", interval, timeout, suspect)
 	}
 	for _, test := range []struct{ key, text, want string }{
-		{"membership.fleet", "", "membership.fleet: the fleet needs a name"},
-		{"membership.interval_ms", "fleet = \"f\"\ninterval_ms = 70000\n", "membership.interval_ms: 70000: not between 100 and 60000"},
+		{"membership.fleet", "", "membership.fleet: must not be empty"},
+		{"membership.interval_ms", "fleet = \"f\"\ninterval_ms = 70000\n", "membership.interval_ms: 70000: must be between 100 and 60000"},
 		{"membership.timeout_ms", "fleet = \"f\"\ninterval_ms = 500\ntimeout_ms = 250\n",
-			"membership.timeout_ms: 250: not under half of the interval of 500"},
+			"membership.timeout_ms: 250: must be at least 0 and less than half of interval_ms (500)"},
 		{"membership.suspect_ms", "fleet = \"f\"\ninterval_ms = 500\nsuspect_ms = -1\n",
-			"membership.suspect_ms: -1: not between half of the interval of 500 and 60000"},
+			"membership.suspect_ms: -1: must be between half of interval_ms (500) and 60000"},
 	} {
 		t.Run(test.key, func(t *testing.T) {
 			_, err := ParseOperator([]byte("[membership]\n" + test.text))
 			if key := keyOf(t, err, SourceOperator); key != test.key {
-				t.Errorf("%v: names %q", err, key)
+				t.Errorf("%v: key %q, want %q", err, key, test.key)
 			}
 			if want := SourceOperator + ": " + test.want; err == nil || err.Error() != want {
 				t.Errorf("%v, want %s", err, want)
@@ -147,19 +146,20 @@
 			}
 			_, _, err = c.PeerAddrs()
 			if got := keyOf(t, err, SourceConfiguration); got != key {
-				t.Errorf("%v: names %q", err, got)
+				t.Errorf("%v: key %q, want %q", err, got, key)
 			}
 		})
 	}
 }
 
-func TestConfig(t *testing.T) {
+// Checks ParseConfig, and that errors of ParseHost name the invalid key of a class.
+func TestParseConfigAndParseHost(t *testing.T) {
 	c, err := ParseConfig([]byte(`{"listen":"x:1","seed":"8c1f30d27a5be964","limits":{"sockets":10},"novelty":1}`))
 	if err != nil || c.SeedNumber() != 0x8c1f30d27a5be964 || c.Limits.Sockets != 10 || c.Limits.MemoryMB != 192 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	if _, err := ParseConfig([]byte("{")); err == nil {
-		t.Fatal("half a configuration was accepted")
+		t.Fatal("a truncated configuration was accepted")
 	}
 	for key, text := range map[string]string{
 		"classes[0].repeat": `{"classes":[{"repeat":"maybe"}]}`,
@@ -167,13 +167,13 @@
 	} {
 		_, err := ParseHost([]byte(text))
 		if got := keyOf(t, err, SourceSettings); got != key {
-			t.Errorf("%v: names %q, want %q", err, got, key)
+			t.Errorf("%v: key %q, want %q", err, got, key)
 		}
 	}
 }
 
-// Two times of membership and the end of a spread that was on at the start can be applied while the program runs. Every
-// other change waits for the next start.
+// Checks that timeout_ms and suspect_ms of membership can change and the section spread can be removed without a restart,
+// and that other changes require one.
 func TestCanApplyLive(t *testing.T) {
 	parse := func(text string) Operator {
 		t.Helper()
@@ -198,7 +198,7 @@
 		{base, base + "[rollout]\nreport_to = \"127.0.0.1:1\"\n", false},
 	} {
 		if got := parse(test.from).CanApplyLive(parse(test.to)); got != test.want {
-			t.Errorf("%q to %q: %v", test.from, test.to, got)
+			t.Errorf("%q to %q: got %v", test.from, test.to, got)
 		}
 	}
 }
--- a/internal/settings/setup.go
+++ b/internal/settings/settingsobject.go
@@ -8,9 +8,9 @@
 	"frostpier/policy"
 )
 
-// setup is the settings object as it is encoded: the keys that a gateway uses. Other keys are ignored. Durations are
-// nanoseconds.
-type setup struct {
+// settingsObject is the encoded settings object with the keys that a gateway uses. Other keys are ignored. Durations are
+// in nanoseconds.
+type settingsObject struct {
 	Classes []struct {
 		Name             string        `json:"name"`
 		LatencyObjective time.Duration `json:"objective"`
@@ -24,30 +24,30 @@
 		Ordered          bool          `json:"in_order"`
 		Stream           bool          `json:"stream"`
 		Zones            []string      `json:"zones_open"`
-		Kinds            []string      `json:"allowed_on"`
+		MachineTypes     []string      `json:"allowed_on"`
 	} `json:"classes"`
 	Engines struct {
-		CoresByKind          []float64 `json:"cores_by_kind"`
-		WorkInResponses      bool      `json:"cost_in_answers"`
-		MaxGrantShare        float64   `json:"grant_cap"`
-		IsLoadByClass        []bool    `json:"is_load"`
-		MemoryOvercommit     string    `json:"overbooked"`
-		MemoryMBByKind       []float64 `json:"size_mb"`
-		HonorsGrants         bool      `json:"takes_grants"`
-		HonorsPriority       bool      `json:"takes_priority"`
-		ThreadsByClass       []int     `json:"threads_by_class"`
-		WaitsForLoadsByClass []bool    `json:"waits_for_loads"`
+		CoresByMachineType       []float64 `json:"cores_by_kind"`
+		WorkInResponses          bool      `json:"cost_in_answers"`
+		MaxGrantShare            float64   `json:"grant_cap"`
+		IsDataLoadByClass        []bool    `json:"is_load"`
+		MemoryOvercommit         string    `json:"overbooked"`
+		MemoryMBByMachineType    []float64 `json:"size_mb"`
+		HonorsGrants             bool      `json:"takes_grants"`
+		HonorsPriority           bool      `json:"takes_priority"`
+		ThreadsByClass           []int     `json:"threads_by_class"`
+		WaitsForDataLoadsByClass []bool    `json:"waits_for_loads"`
 	} `json:"family_info"`
 	Costs struct {
 		CrossZone float64 `json:"cross_zone"`
 	} `json:"costs"`
 	EngineListMode string   `json:"membership_mode"`
-	Models         []string `json:"models"`
+	MachineTypes   []string `json:"models"`
 	Permissions    struct {
 		MaxAttempts    int           `json:"attempts_cap"`
 		ConnIdle       time.Duration `json:"conn_idle"`
 		ConnectTimeout time.Duration `json:"connect_timeout"`
-		MaxOpen        int           `json:"max_open"`
+		MaxPending     int           `json:"max_open"`
 		MayCancel      bool          `json:"cancel"`
 		MaxRetryAfter  time.Duration `json:"max_retry_after"`
 		PeerMessages   bool          `json:"peer_messages"`
@@ -71,36 +71,36 @@
 		RetryBudgetSpan        time.Duration `json:"ratio_span"`
 		OrderedKeyPause        time.Duration `json:"key_rest"`
 	} `json:"rules"`
-	GatewayNumber int           `json:"self_index"`
-	Gateways      int           `json:"siblings"`
-	Tick          time.Duration `json:"tick"`
-	Zone          int           `json:"zone"`
-	Zones         []string      `json:"zones"`
+	GatewayIndex int           `json:"self_index"`
+	Gateways     int           `json:"siblings"`
+	Tick         time.Duration `json:"tick"`
+	Zone         int           `json:"zone"`
+	Zones        []string      `json:"zones"`
 }
 
-// Values of the settings object that the translation compares with.
+// Values of keys of the settings object.
 const (
 	engineListOnRequest = "on_request" // of membership_mode
 	overcommitQueues    = "line_up"    // of overbooked
 )
 
-var metrics = map[string]policy.Metric{
+var metricsByField = map[string]policy.Metric{
 	"inflight": policy.RunningQueries, "queue": policy.QueuedQueries, "util": policy.CPUUtilization, "latency_ms": policy.LatencyMS,
 	"qps": policy.QueriesPerSecond, "eps": policy.ErrorsPerSecond, "x0": policy.MemoryUtilization, "x1": policy.DiskUtilization,
 }
 
-var idempotencies = map[string]policy.Idempotency{
+var idempotencyByName = map[string]policy.Idempotency{
 	"retryable": policy.Idempotent, "dedup": policy.IdempotentWithKey, "fragile": policy.NotIdempotent,
 }
 
-var dedupScopes = map[string]policy.DedupScope{
+var dedupScopeByName = map[string]policy.DedupScope{
 	"": policy.DedupAll, "all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell,
 }
 
-// moduleSettings translates the settings object to the settings of the decision module.
-func (s *setup) moduleSettings() (policy.Settings, error) {
+// moduleSettings returns the settings of the decision module.
+func (s *settingsObject) moduleSettings() (policy.Settings, error) {
 	out := policy.Settings{
-		Zones: len(s.Zones), Zone: s.Zone, Gateways: s.Gateways, GatewayIndex: s.GatewayNumber, Tick: s.Tick,
+		Zones: len(s.Zones), Zone: s.Zone, Gateways: s.Gateways, GatewayIndex: s.GatewayIndex, Tick: s.Tick,
 		PollEngineList: s.EngineListMode == engineListOnRequest, MaxGrantShare: s.Engines.MaxGrantShare,
 		HonorsGrants: s.Engines.HonorsGrants, HonorsPriority: s.Engines.HonorsPriority,
 		QueuesForMemory: s.Engines.MemoryOvercommit == overcommitQueues, WorkInResponses: s.Engines.WorkInResponses,
@@ -113,11 +113,13 @@
 		out.MaxRetryAfter = s.Permissions.MaxRetryAfter
 	}
 	for _, name := range s.Report.Fields {
-		out.Metrics = append(out.Metrics, metrics[name])
+		out.Metrics = append(out.Metrics, metricsByField[name])
 	}
-	for i := range s.Models {
-		kind := policy.MachineType{Cores: elementAt(s.Engines.CoresByKind, i), MemoryMB: elementAt(s.Engines.MemoryMBByKind, i)}
-		out.MachineTypes = append(out.MachineTypes, kind)
+	for i := range s.MachineTypes {
+		machineType := policy.MachineType{
+			Cores: elementAt(s.Engines.CoresByMachineType, i), MemoryMB: elementAt(s.Engines.MemoryMBByMachineType, i),
+		}
+		out.MachineTypes = append(out.MachineTypes, machineType)
 	}
 	for i := range s.Classes {
 		class, err := s.class(i)
@@ -129,8 +131,8 @@
 	return out, nil
 }
 
-// rules translates the rules. There is a retry budget if either of its two keys is set.
-func (s *setup) rules() policy.Rules {
+// rules returns the rules of the decision module. The retry budget is enabled if free_resends or extra_share is set.
+func (s *settingsObject) rules() policy.Rules {
 	r := s.Rules
 	rules := policy.Rules{
 		ResponseSlack: r.ResponseSlack, DrainGrace: r.DrainGrace, InitialCapacityShare: r.InitialCapacityShare,
@@ -147,33 +149,33 @@
 	return rules
 }
 
-// class translates class i.
-func (s *setup) class(i int) (policy.Class, error) {
+// class returns the class with index i for the decision module.
+func (s *settingsObject) class(i int) (policy.Class, error) {
 	c := s.Classes[i]
-	idempotency, known := idempotencies[c.Idempotency]
+	idempotency, known := idempotencyByName[c.Idempotency]
 	if !known {
-		return policy.Class{}, classError(i, "repeat", c.Idempotency, "not retryable, dedup or fragile")
+		return policy.Class{}, classError(i, "repeat", c.Idempotency, "must be retryable, dedup or fragile")
 	}
-	scope, known := dedupScopes[c.DedupScope]
+	scope, known := dedupScopeByName[c.DedupScope]
 	if !known {
-		return policy.Class{}, classError(i, "group", c.DedupScope, "not all, zone or cell")
+		return policy.Class{}, classError(i, "group", c.DedupScope, "must be all, zone or cell")
 	}
 	return policy.Class{
 		Name: c.Name, LatencyObjective: c.LatencyObjective, ObjectivePerWork: c.ObjectivePerWork, Deadline: c.Deadline,
 		Weight: c.Weight, LateWeightShare: c.LateWeightShare, Idempotency: idempotency, DedupScope: scope,
 		DedupWindow: c.DedupWindow, Ordered: c.Ordered, Stream: c.Stream, Threads: elementAt(s.Engines.ThreadsByClass, i),
-		IsDataLoad: elementAt(s.Engines.IsLoadByClass, i), WaitsForDataLoads: elementAt(s.Engines.WaitsForLoadsByClass, i),
-		RestrictZones: c.Zones != nil, RestrictMachineTypes: c.Kinds != nil,
-		Zones: indexesOf(c.Zones, s.Zones), MachineTypes: indexesOf(c.Kinds, s.Models),
+		IsDataLoad: elementAt(s.Engines.IsDataLoadByClass, i), WaitsForDataLoads: elementAt(s.Engines.WaitsForDataLoadsByClass, i),
+		RestrictZones: c.Zones != nil, RestrictMachineTypes: c.MachineTypes != nil,
+		Zones: indexesOf(c.Zones, s.Zones), MachineTypes: indexesOf(c.MachineTypes, s.MachineTypes),
 	}, nil
 }
 
-// classError returns the error of a key of class i.
+// classError returns a *KeyError for a key of the class with index i.
 func classError(i int, key, value, reason string) error {
 	return &KeyError{Source: SourceSettings, Key: fmt.Sprintf("classes[%d].%s", i, key), Value: value, Reason: reason}
 }
 
-// elementAt returns element i of a list that may be shorter or missing; then it returns the zero value.
+// elementAt returns the element of a list at index i, or the zero value if the list is shorter.
 func elementAt[T any](list []T, i int) T {
 	if i < len(list) {
 		return list[i]
@@ -182,7 +184,7 @@
 	return zero
 }
 
-// indexesOf returns the index of each name in a list. Names that the list lacks are left out.
+// indexesOf returns the indexes of names in a list. It skips names that the list does not contain.
 func indexesOf(names, list []string) []int {
 	var indexes []int
 	for _, n := range names {
--- a/internal/settings/subset.go
+++ b/internal/settings/subset.go
@@ -10,25 +10,27 @@
 	"frostpier/internal/control/subset"
 )
 
-// Subset has the gateway use a subset of the engines. A key that is nil has the default of the package subset.
+// Subset makes the gateway use a subset of the engines. A nil key selects the default of package subset.
 type Subset struct {
-	MinEngines *int64     `toml:"least"`       // minimum number of engines
+	MinEngines *int64     `toml:"least"`       // minimum number of engines in the subset
 	Rate       *float64   `toml:"rate"`        // statements per second of one gateway
 	EngineRate *float64   `toml:"engine_rate"` // statements per second that one gateway sends to one engine
-	Coverage   *int64     `toml:"coverage"`    // minimum of the mean number of gateways per engine
-	LingerMS   *int64     `toml:"linger_ms"`   // how long an engine stays in use after the choice changes
-	Regions    [][]string `toml:"regions"`     // names of the zones of each region
+	Coverage   *int64     `toml:"coverage"`    // minimum average number of gateways per engine
+	LingerMS   *int64     `toml:"linger_ms"`   // how long an engine stays in use after it has left the subset
+	Regions    [][]string `toml:"regions"`     // zone names of each region
 }
 
-// subsetKeys maps keys of subset.Config to keys of the file, where they differ.
-var subsetKeys = map[string]string{"linger": "linger_ms"}
+// operatorKeys maps subset.ConfigError.Key to the key in the operator's file, where they differ.
+var operatorKeys = map[string]string{"linger": "linger_ms"}
 
-// maxLingerMS keeps linger_ms within what a time.Duration holds. The package subset checks a lower bound.
+// maxLingerMS prevents an overflow in the conversion of linger_ms to a time.Duration. Package subset enforces a smaller
+// maximum.
 const maxLingerMS = 1 << 40
 
-// Config returns the section's configuration in a fleet with these zones. The error of an invalid key is a *KeyError.
+// Config returns the configuration of package subset for a fleet with the given zones. The error for an invalid key is a
+// *KeyError.
 func (s Subset) Config(zones []string) (subset.Config, error) {
-	config, err := s.sizes()
+	config, err := s.configWithoutRegions()
 	if err != nil {
 		return config, err
 	}
@@ -37,7 +39,7 @@
 		for _, name := range names {
 			zone := slices.Index(zones, name)
 			if zone < 0 {
-				reason := fmt.Sprintf("none of the settings' zones (%s)", strings.Join(zones, ", "))
+				reason := fmt.Sprintf("not one of the zones in the settings (%s)", strings.Join(zones, ", "))
 				return config, operatorError("subset.regions", name, reason)
 			}
 			region = append(region, zone)
@@ -47,15 +49,15 @@
 	return config, subsetError(config.Validate())
 }
 
-// sizes returns the section's configuration without the regions.
-func (s Subset) sizes() (subset.Config, error) {
+// configWithoutRegions returns the configuration of package subset, except for the regions.
+func (s Subset) configWithoutRegions() (subset.Config, error) {
 	config := subset.DefaultConfig()
 	if s.MinEngines != nil {
 		config.MinEngines = int(*s.MinEngines)
 	}
 	if s.Rate != nil {
 		if *s.Rate <= 0 {
-			return config, operatorError("subset.rate", *s.Rate, "not above 0; without the key it is not known")
+			return config, operatorError("subset.rate", *s.Rate, "must be above 0; omit the key if the rate is unknown")
 		}
 		config.Rate = *s.Rate
 	}
@@ -67,39 +69,40 @@
 	}
 	if s.LingerMS != nil {
 		if *s.LingerMS > maxLingerMS {
-			return config, operatorError("subset.linger_ms", *s.LingerMS, fmt.Sprintf("too long: over %d", int64(maxLingerMS)))
+			return config, operatorError("subset.linger_ms", *s.LingerMS, fmt.Sprintf("must be at most %d", int64(maxLingerMS)))
 		}
 		config.Linger = time.Duration(*s.LingerMS) * time.Millisecond
 	}
 	return config, subsetError(config.Validate())
 }
 
-// subsetError translates the error of an invalid subset.Config to one that names the key of the file.
+// subsetError converts a *subset.ConfigError to a *KeyError with the key in the operator's file. It returns any other error
+// unchanged.
 func subsetError(err error) error {
-	var fault *subset.ConfigError
-	if !errors.As(err, &fault) {
+	var invalid *subset.ConfigError
+	if !errors.As(err, &invalid) {
 		return err
 	}
-	key, differs := subsetKeys[fault.Key]
+	key, differs := operatorKeys[invalid.Key]
 	if !differs {
-		key = fault.Key
+		key = invalid.Key
 	}
-	return operatorError("subset."+key, fault.Value, fault.Reason)
+	return operatorError("subset."+key, invalid.Value, invalid.Reason)
 }
 
-// check checks what does not depend on the zones of the fleet.
+// check checks the keys, except whether the fleet has the zones of the regions.
 func (s Subset) check() error {
-	if _, err := s.sizes(); err != nil {
+	if _, err := s.configWithoutRegions(); err != nil {
 		return err
 	}
 	seen := map[string]bool{}
 	for _, names := range s.Regions {
 		if len(names) == 0 {
-			return operatorError("subset.regions", nil, "a region without zones")
+			return operatorError("subset.regions", nil, "each region must have at least one zone")
 		}
 		for _, name := range names {
 			if name == "" || seen[name] {
-				return operatorError("subset.regions", name, "a zone that has no name or is in two regions")
+				return operatorError("subset.regions", name, "zone names must not be empty or appear twice")
 			}
 			seen[name] = true
 		}
--- a/internal/settings/subset_test.go
+++ b/internal/settings/subset_test.go
@@ -12,7 +12,7 @@
 
 const membershipSection = "[membership]\nfleet = \"f\"\n"
 
-func TestSubsetSection(t *testing.T) {
+func TestSubsetConfig(t *testing.T) {
 	o, err := ParseOperator([]byte(membershipSection + "[subset]\nrate = 1625\nlinger_ms = 5000\nregions = [[\"b\"], [\"a\", \"c\"]]\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -26,14 +26,14 @@
 		t.Fatal(err)
 	}
 	if got, err := o.Subset.Config(nil); err != nil || !reflect.DeepEqual(got, subset.DefaultConfig()) {
-		t.Errorf("a section without keys: %+v, %v", got, err)
+		t.Errorf("section without keys: %+v, %v", got, err)
 	}
 	if o, err = ParseOperator([]byte(membershipSection)); err != nil || o.Subset != nil {
 		t.Errorf("no section: %+v, %v", o.Subset, err)
 	}
 }
 
-// Each error names the key at fault.
+// Checks that each error about the section subset names the invalid key.
 func TestSubsetErrorsNameTheKey(t *testing.T) {
 	for name, values := range map[string][]string{
 		"least":       {"0", "-1", "1000000", "\"many\"", "1.5"},
@@ -48,10 +48,10 @@
 			t.Run(name+"="+value, func(t *testing.T) {
 				_, err := ParseOperator([]byte(membershipSection + "[subset]\n" + name + " = " + value + "\n"))
 				if err == nil {
-					t.Fatal("accepted")
+					t.Fatal("the invalid value was accepted")
 				}
 				if key := keyOf(t, err, SourceOperator); key != "subset."+name {
-					t.Errorf("%v: names %q", err, key)
+					t.Errorf("%v: key %q, want %q", err, key, "subset."+name)
 				}
 			})
 		}
@@ -62,12 +62,12 @@
 	}
 	_, err = (Subset{Regions: [][]string{{"d"}}}).Config([]string{"a"})
 	if key := keyOf(t, err, SourceOperator); key != "subset.regions" {
-		t.Errorf("an unknown zone: %v", err)
+		t.Errorf("unknown zone: %v", err)
 	}
 }
 
-// The section that the comments of the operator's file explain must be valid and name every key.
-func TestSubsetInDeployIsValid(t *testing.T) {
+// Checks that the section subset, which is commented out in deploy/operator.toml, is valid and contains every key.
+func TestDeployOperatorFileDocumentsSubset(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 	_, section, found := strings.Cut(string(text), "# [subset]\n")
 	section, _, ended := strings.Cut(section, "\n\n")
 	if !found || !ended {
-		t.Fatal("no section subset")
+		t.Fatal("no commented section subset")
 	}
 	section = "[subset]\n" + strings.ReplaceAll("\n"+section, "\n# ", "\n")
 	o, err := ParseOperator([]byte(membershipSection + section))
@@ -85,13 +85,14 @@
 	fields := reflect.ValueOf(*o.Subset)
 	for i := range fields.NumField() {
 		if fields.Field(i).IsNil() {
-			t.Errorf("%s is not explained", fields.Type().Field(i).Tag)
+			t.Errorf("key %s is missing", fields.Type().Field(i).Tag)
 		}
 	}
 }
 
-// The whole section can be added, changed and removed while the program runs; no other change can because of it.
-func TestCanApplySubsetLive(t *testing.T) {
+// Checks that the section subset can be added, changed and removed without a restart, and that other changes in the same
+// file still require one.
+func TestCanApplyLiveAllowsSubsetChanges(t *testing.T) {
 	const on, other = "[subset]\nleast = 10\n", "[subset]\ncoverage = 3\nregions = [[\"a\"]]\n"
 	for _, test := range []struct {
 		from, to string
@@ -112,7 +113,7 @@
 			t.Fatal(err)
 		}
 		if got := from.CanApplyLive(to); got != test.want {
-			t.Errorf("%q to %q: %v", test.from, test.to, got)
+			t.Errorf("%q to %q: got %v", test.from, test.to, got)
 		}
 	}
 }
