--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestParseHash(t *testing.T) {
+func TestParsePasswordHash(t *testing.T) {
 	const digits = "2470C0C06DEE42FD1618BB99005ADCA2EC9D1E19" // of "password"
 	for name, text := range map[string]string{"with star": "*" + digits, "without star": digits} {
 		t.Run(name, func(t *testing.T) {
