--- a/internal/testbed/soak/doc.go
+++ b/internal/testbed/soak/doc.go
@@ -1,5 +1,5 @@
-// Package soak plays planned stops of gateways under load, each drawn from a seed: clients that go on using their connections
-// until the process is killed, series of signals, engines that hang, drain or die, and a discovery server that is away. It checks
-// that every request that a gateway has accepted gets one whole answer. Gateways are processes of the program; engines and clients
-// are emulated on loopback. The package decides nothing for a gateway.
+// Package soak runs soak tests of planned gateway shutdowns under load. Each scenario is generated from a seed: clients keep using
+// their connections until the process is killed, the gateway receives several signals, engines hang, drain or crash, and the discovery
+// server becomes unavailable. A run checks that every accepted request gets exactly one complete answer. Gateways are processes of the
+// program; engines and clients are emulated on loopback.
 package soak
--- a/internal/testbed/soak/engines.go
+++ b/internal/testbed/soak/engines.go
@@ -15,10 +15,10 @@
 	engineCores     = 8
 )
 
-// engines are the emulated engines of a run, with their trouble.
+// engines holds the emulated engines of a run and injects disturbances into them.
 type engines struct {
 	pool  *testfleet.Pool
-	all   []*emulator.Engine // also those that were killed
+	all   []*emulator.Engine // including killed ones
 	mysql *emulator.MySQLEngine
 }
 
@@ -40,20 +40,20 @@
 	e.mysql.Close()
 }
 
-// mysqlSections are the sections of the operator's file for MySQL clients, whose queries all engines run at one MySQL address.
+// mysqlSections returns the sections of the operator's file that enable MySQL clients. All engines share one emulated MySQL server.
 func (e *engines) mysqlSections(listen string, budget time.Duration) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[mysql]\nlisten = %q\nengine_user = \"gw\"\n[mysql.engines]\n", listen)
 	for _, engine := range e.all {
 		fmt.Fprintf(&b, "%s = %q\n", engine.Name(), e.mysql.Addr())
 	}
-	stage1 := sha1.Sum([]byte(mysqlPassword)) // as mysql_native_password has it
+	stage1 := sha1.Sum([]byte(mysqlPassword)) // mysql_native_password stores SHA1(SHA1(password))
 	fmt.Fprintf(&b, "[[mysql.account]]\nuser = %q\npassword_hash = \"*%X\"\nclass = %q\nbudget_ms = %d\n", mysqlUser, sha1.Sum(stage1[:]),
 		mysqlClass, budget.Milliseconds())
 	return b.String()
 }
 
-// received reports whether an engine has run a query lately.
+// received reports whether any engine has recently received the query with this ID.
 func (e *engines) received(id string) bool {
 	for _, engine := range e.all {
 		if engine.Knows(id) {
@@ -63,8 +63,8 @@
 	return false
 }
 
-// disturb brings the trouble of a scenario.
-func (e *engines) disturb(d Disturbance, discovery *testfleet.DiscoveryServer) {
+// injectDisturbance injects the scenario's disturbance.
+func (e *engines) injectDisturbance(d Disturbance, discovery *testfleet.DiscoveryServer) {
 	first := e.all[0]
 	switch d {
 	case EngineHangs:
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -9,7 +9,7 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// gateway is a gateway that is stopped while clients use it.
+// gateway is a gateway process that is shut down while clients use it.
 type gateway struct {
 	number int
 	fleet  *testfleet.Fleet
@@ -17,55 +17,55 @@
 	clock  func() time.Duration
 
 	mu           sync.Mutex
-	terminatedAt time.Duration // 0 = not yet
-	killedAt     time.Duration // 0 = not yet, or it exited by itself
+	terminatedAt time.Duration // when SIGTERM was sent; 0 = not yet
+	killedAt     time.Duration // when SIGKILL was sent; 0 = not yet, or the process exited on its own
 }
 
-// terminated returns when SIGTERM was sent, and whether it was.
+// terminated returns when SIGTERM was sent, and false if it has not been sent yet.
 func (g *gateway) terminated() (at time.Duration, done bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.terminatedAt, g.terminatedAt > 0
 }
 
-// killed returns when SIGKILL was sent, and whether it was.
+// killed returns when SIGKILL was sent, and false if it has not been sent.
 func (g *gateway) killed() (at time.Duration, done bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.killedAt, g.killedAt > 0
 }
 
-// acceptsClients reports whether the platform still opens connections to the gateway.
+// acceptsClients reports whether the platform's clients still open new connections to the gateway.
 func (g *gateway) acceptsClients() bool {
 	at, done := g.terminated()
 	return !done || g.clock() < at+g.stop.ReconnectTime
 }
 
-// owedAtKill reports whether a request that was sent at this time is owed an answer before the kill.
-func (g *gateway) owedAtKill(sent time.Duration) bool {
+// dueBeforeKill reports whether the gateway must answer a request sent at this time before SIGKILL.
+func (g *gateway) dueBeforeKill(sent time.Duration) bool {
 	at, done := g.terminated()
 	return !done || sent <= at+KillGrace
 }
 
-// endOfUnanswered returns how a request ended whose connection ended just now, before its answer or, if partial, in the middle of it.
-// received tells whether an engine got it.
-func (g *gateway) endOfUnanswered(r *Request, received, partial bool) Outcome {
+// unansweredOutcome returns the outcome of a request whose connection has just closed without a complete answer. received is set if an
+// engine received the request, and partial if part of an answer had arrived.
+func (g *gateway) unansweredOutcome(r *Request, received, partial bool) Outcome {
 	_, killed := g.killed()
 	switch {
-	case killed && g.owedAtKill(r.Sent):
+	case killed && g.dueBeforeKill(r.Sent):
 		return LostAtKill
 	case killed:
 		return CutByKill
-	case !partial && (r.crossed || g.clock()-r.Sent <= crossingWindow) && !received:
+	case !partial && (r.racedClose || g.clock()-r.Sent <= closeRaceWindow) && !received:
 		return RacedClose
 	}
 	return Lost
 }
 
-// pollInterval is the time between two checks of a process.
+// pollInterval is the interval at which terminate checks whether the process has exited.
 const pollInterval = 5 * time.Millisecond
 
-// terminate sends the gateway its signals, and kills it if it is still there at the platform's earliest.
+// terminate sends the gateway SIGTERM and the scenario's further signals, and kills it if it still runs killDelay after SIGTERM.
 func (g *gateway) terminate(killDelay time.Duration) (exit Exit) {
 	time.Sleep(g.stop.Delay)
 	at := g.clock()
@@ -89,7 +89,7 @@
 	return exit
 }
 
-// kill kills the gateway, and reports whether it was there.
+// kill kills the gateway and reports whether it was still running.
 func (g *gateway) kill() bool {
 	if !g.fleet.Running(g.number) {
 		return false
--- a/internal/testbed/soak/mysqlclient.go
+++ b/internal/testbed/soak/mysqlclient.go
@@ -14,7 +14,7 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// The login of MySQL clients, and the class of its queries.
+// Account of the MySQL clients and the class of its queries.
 const (
 	mysqlUser     = "soak"
 	mysqlPassword = "soak"
@@ -22,13 +22,13 @@
 )
 
 const (
-	mysqlRejected    = 1040 // ER_CON_COUNT_ERROR: the gateway rejects a query with it
-	mysqlShortQuery  = 5 * time.Millisecond
-	mysqlLongQuery   = 400 * time.Millisecond
-	mysqlLongQueries = 10 // one query in so many is long
+	mysqlErrRejected    = 1040 // ER_CON_COUNT_ERROR, with which the gateway rejects a query
+	mysqlShortQuery     = 5 * time.Millisecond
+	mysqlLongQuery      = 400 * time.Millisecond
+	mysqlLongQueryOneIn = 10 // one query in 10 is long
 )
 
-// mysqlClient is a client that speaks MySQL, with one query open at a time.
+// mysqlClient is a MySQL client that sends one query at a time.
 type mysqlClient struct {
 	number   int
 	gateway  *gateway
@@ -39,7 +39,7 @@
 	engine   *emulator.MySQLEngine
 }
 
-// run connects again and again while the platform does, and uses each connection until its end.
+// run sends queries over one connection after the other. It stops reconnecting when the platform's clients do.
 func (c *mysqlClient) run() {
 	config := mysql.NewConfig()
 	config.User, config.Passwd, config.Net, config.Addr = mysqlUser, mysqlPassword, "tcp", c.addr
@@ -55,7 +55,7 @@
 			c.wait()
 			continue
 		}
-		c.use(conn)
+		c.sendQueries(conn)
 		_ = conn.Close()
 	}
 }
@@ -64,8 +64,8 @@
 	time.Sleep(time.Duration(c.random.ExpFloat64() * float64(meanPause)))
 }
 
-// use sends queries over a connection until its end.
-func (c *mysqlClient) use(conn driver.Conn) {
+// sendQueries sends queries until the connection is closed or the gateway is killed.
+func (c *mysqlClient) sendQueries(conn driver.Conn) {
 	for number := 1; ; number++ {
 		c.wait()
 		if _, killed := c.gateway.killed(); killed {
@@ -79,11 +79,11 @@
 	}
 }
 
-// query sends a query, and reports whether the connection can be used for another one. The driver looks for the connection's end before
-// it writes; a query that it has not written is not recorded.
+// query sends a query and reports whether the connection can be reused. The driver checks for a closed connection before it writes; a
+// query that was not written is not recorded.
 func (c *mysqlClient) query(conn driver.Conn, r *Request) bool {
 	duration := mysqlShortQuery
-	if c.random.IntN(mysqlLongQueries) == 0 {
+	if c.random.IntN(mysqlLongQueryOneIn) == 0 {
 		duration = time.Duration(c.random.ExpFloat64() * float64(mysqlLongQuery))
 	}
 	if conn.(driver.SessionResetter).ResetSession(context.Background()) != nil {
@@ -95,7 +95,7 @@
 		return false
 	}
 	r.Latency = c.gateway.clock() - r.Sent
-	r.Outcome = c.endOf(r, row, err)
+	r.Outcome = c.outcomeOf(r, row, err)
 	c.recorder.add(r)
 	var answer *mysql.MySQLError
 	return err == nil || errors.As(err, &answer)
@@ -119,15 +119,15 @@
 	return text, rows.Close()
 }
 
-// endOf returns how a query ended.
-func (c *mysqlClient) endOf(r *Request, row string, err error) Outcome {
+// outcomeOf returns the outcome of a query.
+func (c *mysqlClient) outcomeOf(r *Request, row string, err error) Outcome {
 	var answer *mysql.MySQLError
 	switch isAnswer := errors.As(err, &answer); {
 	case err != nil && !isAnswer:
-		return c.gateway.endOfUnanswered(r, c.engine.Received(r.ID), false)
+		return c.gateway.unansweredOutcome(r, c.engine.Received(r.ID), false)
 	case r.Latency > r.Budget+answerSlack:
 		return Late
-	case isAnswer && answer.Number == mysqlRejected:
+	case isAnswer && answer.Number == mysqlErrRejected:
 		return Rejected
 	case isAnswer:
 		return Failed
--- a/internal/testbed/soak/platformclient.go
+++ b/internal/testbed/soak/platformclient.go
@@ -11,23 +11,23 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// Habits of clients.
+// Behavior of the platform's clients.
 const (
-	dialTimeout       = time.Second
-	meanPause         = 30 * time.Millisecond
-	meanLongPause     = 400 * time.Millisecond
-	maxPartialPause   = 250 * time.Millisecond // in the middle of a line
-	maxAbortDelay     = 300 * time.Millisecond
-	maxPipelined      = 6
-	pausingClients    = 8  // one client in so many pauses for longer between its requests
-	pipeliningClients = 8  // one client in so many has several requests open
-	partialLines      = 20 // one request in so many is sent in two parts
-	abortedRequests   = 40 // one request in so many is aborted
-	rejectedQueries   = 12 // one statement in so many is rejected by every engine
-	rejectedMemory    = 1e9
+	dialTimeout        = time.Second
+	meanPause          = 30 * time.Millisecond
+	meanLongPause      = 400 * time.Millisecond
+	maxPartialPause    = 250 * time.Millisecond // between the two parts of a line
+	maxAbortDelay      = 300 * time.Millisecond
+	maxPipelined       = 6
+	longPauseOneIn     = 8   // one client in 8 pauses for meanLongPause between its requests
+	pipeliningOneIn    = 8   // one client in 8 pipelines requests
+	partialLineOneIn   = 20  // one request in 20 is sent in two parts
+	abortOneIn         = 40  // one request in 40 is aborted
+	rejectedQueryOneIn = 12  // one statement in 12 is rejected by every engine
+	rejectedMemory     = 1e9 // MB, more than any engine has
 )
 
-// platformClient is a client of the platform: it uses one connection at a time.
+// platformClient is a JSON-RPC client that uses one connection at a time.
 type platformClient struct {
 	number   int
 	gateway  *gateway
@@ -36,25 +36,25 @@
 	random   *rand.Rand
 	recorder *recorder
 	engines  *engines
-	pause    time.Duration // mean, between the end of a request and the next one
-	openMax  int           // requests that it has open
+	pause    time.Duration // mean pause before the next request
+	maxOpen  int           // maximum number of pipelined requests
 }
 
 func newPlatformClient(number int, g *gateway, addr string, classes []emulator.Class, seed uint64, r *recorder,
 	e *engines) *platformClient {
 	random := rand.New(rand.NewPCG(seed, uint64(100+number)))
 	c := &platformClient{number: number, gateway: g, addr: addr, classes: classes, random: random, recorder: r, engines: e,
-		pause: meanPause, openMax: 1}
-	if random.IntN(pausingClients) == 0 {
+		pause: meanPause, maxOpen: 1}
+	if random.IntN(longPauseOneIn) == 0 {
 		c.pause = meanLongPause
 	}
-	if random.IntN(pipeliningClients) == 0 {
-		c.openMax = 1 + random.IntN(maxPipelined)
+	if random.IntN(pipeliningOneIn) == 0 {
+		c.maxOpen = 1 + random.IntN(maxPipelined)
 	}
 	return c
 }
 
-// run connects again and again while the platform does, and uses each connection until its end.
+// run sends requests over one connection after the other. It stops reconnecting when the gateway stops accepting clients.
 func (c *platformClient) run() {
 	for c.gateway.acceptsClients() {
 		conn, err := net.DialTimeout("tcp", c.addr, dialTimeout)
@@ -62,12 +62,12 @@
 			c.wait()
 			continue
 		}
-		c.use(newPlatformConn(conn.(*net.TCPConn), c))
+		c.sendRequests(newPlatformConn(conn.(*net.TCPConn), c))
 	}
 }
 
-// use sends requests over a connection until its end.
-func (c *platformClient) use(conn *platformConn) {
+// sendRequests sends requests until the connection is closed.
+func (c *platformClient) sendRequests(conn *platformConn) {
 	defer conn.close()
 	for {
 		select {
@@ -87,33 +87,33 @@
 	time.Sleep(time.Duration(c.random.ExpFloat64() * float64(c.pause)))
 }
 
-// send sends one request, sometimes in two parts, and sometimes aborts it.
+// send sends one request and schedules an abort of one request in abortOneIn.
 func (c *platformClient) send(conn *platformConn) {
-	request, line := c.draw(conn)
-	c.write(conn, request, line)
-	if c.random.IntN(abortedRequests) == 0 {
-		time.AfterFunc(between(c.random, 0, maxAbortDelay), func() { conn.abort(request) })
+	request, line := c.newRequest(conn)
+	c.writeRequest(conn, request, line)
+	if c.random.IntN(abortOneIn) == 0 {
+		time.AfterFunc(randomDuration(c.random, 0, maxAbortDelay), func() { conn.abort(request) })
 	}
 }
 
-// write writes the line of a request. A failed write shows as the end of the connection.
-func (c *platformClient) write(conn *platformConn, request *Request, line []byte) {
+// writeRequest writes the line of a request, sometimes in two parts. The reader detects a failed write as a closed connection.
+func (c *platformClient) writeRequest(conn *platformConn, request *Request, line []byte) {
 	conn.writing.Lock()
 	defer conn.writing.Unlock()
-	if c.random.IntN(partialLines) == 0 {
+	if c.random.IntN(partialLineOneIn) == 0 {
 		half := len(line) / 2
 		_ = conn.write(line[:half])
-		time.Sleep(between(c.random, 0, maxPartialPause))
+		time.Sleep(randomDuration(c.random, 0, maxPartialPause))
 		line = line[half:]
-		if conn.hasEnded() { // before it was accepted
+		if conn.hasEnded() { // the gateway has not accepted the incomplete request
 			return
 		}
 	}
 	conn.send(request, line)
 }
 
-// draw draws the next request of a connection, and returns it with its line.
-func (c *platformClient) draw(conn *platformConn) (*Request, []byte) {
+// newRequest generates the next request of a connection and its encoded line.
+func (c *platformClient) newRequest(conn *platformConn) (*Request, []byte) {
 	conn.lastNumber++
 	class := c.classes[c.random.IntN(len(c.classes))]
 	r := &Request{
@@ -121,12 +121,12 @@
 		ID:         fmt.Sprintf("%016x", c.random.Uint64()),
 		Class:      class.Name,
 		Budget:     min(class.Timeout, maxStopDeadline),
-		IsRejected: c.random.IntN(rejectedQueries) == 0,
+		IsRejected: c.random.IntN(rejectedQueryOneIn) == 0,
 	}
 	params := map[string]any{
 		"rid":    r.ID,
 		"budget": r.Budget.Milliseconds(),
-		"blob":   base64.StdEncoding.EncodeToString([]byte(drawStatement(c.random, class, r.IsRejected))),
+		"blob":   base64.StdEncoding.EncodeToString([]byte(randomStatement(c.random, class, r.IsRejected))),
 	}
 	if class.Load {
 		params["token"] = r.ID + r.ID
@@ -138,19 +138,19 @@
 	return r, append(line, '\n')
 }
 
-// Work of the statements, in seconds on one thread.
+// Work of the statements, in seconds of one thread.
 const (
-	shortWork  = 0.008
-	longWork   = 0.3
-	longestMul = 8  // times longWork
-	longShare  = 10 // one statement in so many takes some longWork
+	shortWork      = 0.008
+	longWork       = 0.3
+	maxLongFactor  = 8  // bounds the random multiple of longWork
+	longQueryOneIn = 10 // one statement in 10 takes a random multiple of longWork
 )
 
-// drawStatement draws the text of a query.
-func drawStatement(random *rand.Rand, class emulator.Class, rejected bool) string {
+// randomStatement generates the text of a query.
+func randomStatement(random *rand.Rand, class emulator.Class, rejected bool) string {
 	q := emulator.Query{Work: shortWork * (0.2 + random.ExpFloat64()), Threads: 1, NeedMB: 1, Group: 1 + random.IntN(4), Load: class.Load}
-	if random.IntN(longShare) == 0 {
-		q.Work = longWork * (0.2 + min(longestMul, random.ExpFloat64()))
+	if random.IntN(longQueryOneIn) == 0 {
+		q.Work = longWork * (0.2 + min(maxLongFactor, random.ExpFloat64()))
 	}
 	if rejected {
 		q.NeedMB = rejectedMemory
--- a/internal/testbed/soak/platformconn.go
+++ b/internal/testbed/soak/platformconn.go
@@ -12,29 +12,29 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// codeRejected is the error code of a rejection.
+// codeRejected is the JSON-RPC error code of a rejected request.
 const codeRejected = -32008
 
-// platformConn is one connection of a platformClient. Its answers are read by a goroutine of its own.
+// platformConn is one connection of a platformClient. A separate goroutine reads its answers.
 type platformConn struct {
 	client     *platformClient
 	conn       *net.TCPConn
 	slots      chan struct{} // holds an element for each open request
-	ended      chan struct{} // closed at the connection's end
-	lastNumber int           // of a request; used by the client's goroutine alone
+	ended      chan struct{} // closed when the reader has reached the end of the connection
+	lastNumber int           // number of the last request; used only by the client's goroutine
 
-	writing sync.Mutex // held while a line is written, in one part or two
+	writing sync.Mutex // held while a line is written in one or two parts
 
 	mu       sync.Mutex
 	open     map[int]*Request
 	answered map[int]*Request
-	isOver   bool // the connection has ended
+	closed   bool // set when the reader has reached the end of the connection
 }
 
 func newPlatformConn(conn *net.TCPConn, c *platformClient) *platformConn {
 	p := &platformConn{
 		client: c, conn: conn,
-		slots:    make(chan struct{}, c.openMax),
+		slots:    make(chan struct{}, c.maxOpen),
 		ended:    make(chan struct{}),
 		open:     map[int]*Request{},
 		answered: map[int]*Request{},
@@ -44,7 +44,7 @@
 }
 
 func (p *platformConn) close() {
-	_ = p.conn.Close() // its reader ends with it
+	_ = p.conn.Close() // this also stops the reader
 	<-p.ended
 }
 
@@ -53,7 +53,7 @@
 	return err
 }
 
-// hasEnded reports whether the connection's end has come, read or not.
+// hasEnded reports whether the gateway has closed the connection, even if the reader has not seen it yet.
 func (p *platformConn) hasEnded() bool {
 	select {
 	case <-p.ended:
@@ -63,7 +63,7 @@
 	return AtEOF(p.conn)
 }
 
-// AtEOF reports whether nothing is left to be read before the end of a connection.
+// AtEOF reports whether the next read would return the end of the connection or a connection reset.
 func AtEOF(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -82,7 +82,7 @@
 func (p *platformConn) send(r *Request, line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.isOver {
+	if p.closed {
 		return
 	}
 	clock := p.client.gateway.clock
@@ -90,10 +90,10 @@
 	p.client.recorder.add(r)
 	p.open[r.Number] = r
 	_ = p.write(line)
-	r.crossed = AtEOF(p.conn) && clock()-r.Sent <= crossingWindow
+	r.racedClose = AtEOF(p.conn) && clock()-r.Sent <= closeRaceWindow
 }
 
-// abort aborts a request that is open.
+// abort aborts a request if it is still open.
 func (p *platformConn) abort(r *Request) {
 	p.writing.Lock()
 	defer p.writing.Unlock()
@@ -102,20 +102,20 @@
 	if p.open[r.Number] != r {
 		return
 	}
-	p.end(r, Aborted)
+	p.finish(r, Aborted)
 	_ = p.write(fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"abort","params":{"id":%d}}`+"\n", r.Number))
 }
 
-// end ends an open request; the lock is held.
-func (p *platformConn) end(r *Request, end Outcome) {
-	r.Outcome = end
+// finish records the outcome of an open request. The caller holds p.mu.
+func (p *platformConn) finish(r *Request, outcome Outcome) {
+	r.Outcome = outcome
 	r.Latency = p.client.gateway.clock() - r.Sent
 	delete(p.open, r.Number)
 	p.answered[r.Number] = r
 	<-p.slots
 }
 
-// read reads answers until the connection's end, which ends all its open requests.
+// read reads answers until the connection is closed, and then finishes all open requests.
 func (p *platformConn) read() {
 	defer close(p.ended)
 	lines := bufio.NewReader(p.conn)
@@ -129,7 +129,7 @@
 	}
 }
 
-// platformAnswer is an answer of a gateway.
+// platformAnswer is a JSON-RPC answer of a gateway.
 type platformAnswer struct {
 	ID     int `json:"id"`
 	Result *struct {
@@ -140,7 +140,7 @@
 	} `json:"error"`
 }
 
-// answer handles a line of the gateway.
+// answer handles one line received from the gateway.
 func (p *platformConn) answer(line []byte) {
 	var a platformAnswer
 	err := json.Unmarshal(line, &a)
@@ -149,14 +149,14 @@
 	r := p.open[a.ID]
 	switch {
 	case r != nil && err == nil:
-		p.end(r, p.endOf(r, a))
+		p.finish(r, p.outcomeOf(r, a))
 	case p.answered[a.ID] != nil && p.answered[a.ID].Outcome != Aborted:
 		p.answered[a.ID].Duplicates++
 	}
 }
 
-// endOf returns how an answer ends its request.
-func (p *platformConn) endOf(r *Request, a platformAnswer) Outcome {
+// outcomeOf returns the outcome of a request that got this answer.
+func (p *platformConn) outcomeOf(r *Request, a platformAnswer) Outcome {
 	switch {
 	case p.client.gateway.clock()-r.Sent > r.Budget+answerSlack:
 		return Late
@@ -170,12 +170,12 @@
 	return Corrupted
 }
 
-// connectionEnded ends the open requests of the connection. partial is set if it ended in the middle of an answer.
+// connectionEnded finishes the open requests of a closed connection. partial is set if the last answer was incomplete.
 func (p *platformConn) connectionEnded(partial bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.isOver = true
+	p.closed = true
 	for _, r := range p.open {
-		p.end(r, p.client.gateway.endOfUnanswered(r, p.client.engines.received(r.ID), partial))
+		p.finish(r, p.client.gateway.unansweredOutcome(r, p.client.engines.received(r.ID), partial))
 	}
 }
--- a/internal/testbed/soak/request.go
+++ b/internal/testbed/soak/request.go
@@ -6,68 +6,68 @@
 	"time"
 )
 
-// Outcome is how a request ended, as its client saw it.
+// Outcome is the outcome of a request as seen by its client.
 type Outcome uint8
 
-// Ends of a request.
+// Outcomes of a request.
 const (
-	Open       Outcome = iota // not ended
-	Served                    // with the result that an engine made for it
-	Rejected                  // without effect: a retry is harmless
-	Failed                    // any other error
-	Aborted                   // by its client: no answer is owed
-	RacedClose                // the connection's end crossed it, and no engine got it: the client sends it elsewhere
-	CutByKill                 // unanswered at the kill, and sent too late to be owed an answer by then
-	Lost                      // the connection ended without an answer
-	LostAtKill                // unanswered at the kill, though sent early enough
-	Late                      // answered over answerSlack after its deadline
-	Corrupted                 // answered with what no engine made for it, or with what cannot be read
-	ends                      // their number
+	Open       Outcome = iota // still unanswered
+	Served                    // answered with the result that an engine returned for it
+	Rejected                  // rejected before it had any effect, so that a retry is safe
+	Failed                    // answered with any other error
+	Aborted                   // aborted by its client, so that no answer is required
+	RacedClose                // sent while the gateway closed the connection and received by no engine: the client retries it elsewhere
+	CutByKill                 // unanswered at SIGKILL, and sent too late for an answer to be required
+	Lost                      // the connection was closed without an answer
+	LostAtKill                // unanswered at SIGKILL although it was sent early enough
+	Late                      // answered more than answerSlack after its deadline
+	Corrupted                 // answered with a wrong result or an unreadable answer
+	numOutcomes
 )
 
-// String names an end.
-func (e Outcome) String() string {
+// String returns the name used in reports.
+func (o Outcome) String() string {
 	return [...]string{"open", "served", "rejected", "failed", "aborted", "crossed", "cut by kill", "lost", "lost at kill", "late",
-		"corrupted"}[e]
+		"corrupted"}[o]
 }
 
-// IsViolation reports whether an end breaks the rule that each accepted request gets one whole answer in time.
-func (e Outcome) IsViolation() bool { return e == Open || e >= Lost }
+// IsViolation reports whether the outcome violates the requirement that each accepted request gets one complete answer in time.
+func (o Outcome) IsViolation() bool { return o == Open || o >= Lost }
 
-// answerSlack is how long after its deadline an answer only earns nothing; a later one counts as lost.
+// answerSlack is how late an answer may be: within it, the answer merely has no value to the platform; a later one counts as lost.
 const answerSlack = 500 * time.Millisecond
 
 // Request is one request of a client.
 type Request struct {
-	Gateway       int
-	Client        int
-	Number        int // on its connection, from 1
+	Gateway       int // index
+	Client        int // index over all gateways
+	Number        int // position on its connection, from 1; the JSON-RPC id
 	MySQL         bool
-	ID            string        // by which engines know it
-	Class         string        // of the query
-	Budget        time.Duration // in which its client wants the answer
-	IsRejected    bool          // engines reject its statement whenever they get it
-	Sent          time.Duration // its last byte, since the clients' start
-	SentAfterTerm time.Duration // SIGTERM; negative before it
-	Latency       time.Duration // until its end
+	ID            string        // identifies the request at the engines
+	Class         string        // class of the query
+	Budget        time.Duration // time in which its client expects the answer
+	IsRejected    bool          // every engine rejects its statement
+	Sent          time.Duration // when its last byte was sent, since the start of the clients
+	SentAfterTerm time.Duration // when it was sent, relative to SIGTERM; negative before
+	Latency       time.Duration // time from sending to the outcome
 	Outcome       Outcome
-	Duplicates    int // answers after the first
+	Duplicates    int // number of answers after the first
 
-	crossed bool // the connection's end was there within crossingWindow of its sending
+	racedClose bool // the gateway closed the connection less than closeRaceWindow after the request was sent
 }
 
-// String describes a request in a line.
+// String describes a request in one line.
 func (r Request) String() string {
-	front := "platform"
+	protocol := "platform"
 	if r.MySQL {
-		front = "mysql"
+		protocol = "mysql"
 	}
-	return fmt.Sprintf("%s: %s request %s (%s, number %d of its connection, client %d of gateway %d), sent %d ms after SIGTERM, ended %.2f ms later, "+
-		"%d further answers", r.Outcome, front, r.ID, r.Class, r.Number, r.Client, r.Gateway, r.SentAfterTerm.Milliseconds(),
+	return fmt.Sprintf("%s: %s request %s (class %s, number %d on its connection, client %d of gateway %d), sent %d ms after SIGTERM, "+
+		"finished %.2f ms later, %d duplicate answers", r.Outcome, protocol, r.ID, r.Class, r.Number, r.Client, r.Gateway, r.SentAfterTerm.Milliseconds(),
 		float64(r.Latency.Microseconds())/1000, r.Duplicates)
 }
 
-// recorder keeps all requests of a run. Its methods may be called by several goroutines.
+// recorder collects all requests of a run. It is safe for concurrent use.
 type recorder struct {
 	mu       sync.Mutex
 	requests []*Request
--- a/internal/testbed/soak/result.go
+++ b/internal/testbed/soak/result.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Problems describes everything in a result that breaks a rule, a line each.
+// Problems describes each violation in a result in one line.
 func (r Result) Problems() (out []string) {
 	for _, request := range r.Requests {
 		if request.Outcome.IsViolation() || request.Duplicates > 0 {
@@ -11,14 +11,14 @@
 	}
 	for i, exit := range r.Exits {
 		if exit.Err != nil {
-			out = append(out, fmt.Sprintf("gateway %d ended %v after SIGTERM: %v", i, exit.AfterTerm, exit.Err))
+			out = append(out, fmt.Sprintf("gateway %d exited %v after SIGTERM: %v", i, exit.AfterTerm, exit.Err))
 		}
 	}
 	return append(out, r.Alarms...)
 }
 
-// CountOutcomes counts the requests by their end.
-func (r Result) CountOutcomes() (counts [ends]int) {
+// CountOutcomes counts the requests by outcome.
+func (r Result) CountOutcomes() (counts [numOutcomes]int) {
 	for _, request := range r.Requests {
 		counts[request.Outcome]++
 	}
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -11,26 +11,26 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// Options are what a run needs beside its scenario.
+// Options configure a run.
 type Options struct {
-	Dir     string   // of configurations and logs, which exists
-	Command []string // command of a gateway
-	Env     []string // of the gateways, beside that of this process
+	Dir     string   // existing directory for configurations and logs
+	Command []string // command line of a gateway
+	Env     []string // environment variables of the gateways in addition to those of this process
 }
 
-// Exit is how a gateway ended.
+// Exit describes how a gateway process exited.
 type Exit struct {
-	AfterTerm time.Duration // SIGTERM
-	Killed    bool          // by the platform's SIGKILL
-	Err       error         // of an exit by itself: nil for code 0
+	AfterTerm time.Duration // time from SIGTERM to the exit
+	Killed    bool          // it did not exit before the platform's SIGKILL
+	Err       error         // error of an exit without SIGKILL; nil for exit code 0
 }
 
 // Result is the result of a run.
 type Result struct {
 	Scenario Scenario
 	Requests []Request
-	Exits    []Exit   // by gateway
-	Alarms   []string // log lines of failures of the program
+	Exits    []Exit   // by gateway index
+	Alarms   []string // log lines that report panics, broken invariants and data races
 }
 
 const (
@@ -38,8 +38,8 @@
 	exitTimeout    = 10 * time.Second // after SIGKILL
 )
 
-// maxDescriptors returns how many descriptors a gateway may use. The MySQL front takes half of the clients' share, and a crowd has to
-// fit into the rest: newcomers beyond it may be closed unread.
+// maxDescriptors returns the limit on a gateway's file descriptors. The MySQL listener reserves half of the clients' share, and
+// manyClients must fit into the rest, since the gateway may close further connections without reading from them.
 func (s Scenario) maxDescriptors() int {
 	if s.MySQLClients > 0 {
 		return 2 * maxDescriptors
@@ -56,10 +56,10 @@
 	recorder recorder
 	clock    func() time.Duration
 
-	mysqlAddr string // of the gateway's MySQL front; empty = it has none
+	mysqlAddr string // address of the gateway's MySQL listener; empty = it has none
 }
 
-// Run plays a scenario. It returns an error if it could not be played.
+// Run runs a scenario. It returns an error only if the scenario could not be run; Result.Problems lists the violations.
 func Run(s Scenario, options Options) (result Result, err error) {
 	start := time.Now()
 	r := &run{scenario: s, clock: func() time.Duration { return time.Since(start) }}
@@ -108,17 +108,17 @@
 	return nil
 }
 
-// play lets the clients run, stops the gateways, and returns once all have ended.
+// play runs the clients, shuts the gateways down, and returns when all of them have finished.
 func (r *run) play() Result {
 	var clients, stops sync.WaitGroup
-	for _, use := range r.clients() {
+	for _, runClient := range r.clients() {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			use()
+			runClient()
 		}()
 	}
-	disturbance := time.AfterFunc(r.scenario.DisturbanceDelay, func() { r.engines.disturb(r.scenario.Disturbance, r.fleet.Discovery) })
+	disturbance := time.AfterFunc(r.scenario.DisturbanceDelay, func() { r.engines.injectDisturbance(r.scenario.Disturbance, r.fleet.Discovery) })
 	defer disturbance.Stop()
 	exits := make([]Exit, len(r.gateways))
 	for i, g := range r.gateways {
@@ -133,7 +133,7 @@
 	return Result{Scenario: r.scenario, Requests: r.requests(), Exits: exits}
 }
 
-// clients returns what each client does.
+// clients returns a function for each client that runs it until it stops.
 func (r *run) clients() (out []func()) {
 	random := rand.New(rand.NewPCG(r.scenario.Seed, 2))
 	addrs := r.fleet.ClientAddrs()
@@ -150,7 +150,7 @@
 	return out
 }
 
-// requests returns all requests in the order in which they were sent.
+// requests returns all requests in the order of sending.
 func (r *run) requests() (out []Request) {
 	r.recorder.mu.Lock()
 	defer r.recorder.mu.Unlock()
--- a/internal/testbed/soak/scenario.go
+++ b/internal/testbed/soak/scenario.go
@@ -9,35 +9,35 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// KillGrace is the least time from the longest deadline to SIGKILL. A request that was sent up to so long after SIGTERM is owed an answer
-// before the kill.
+// KillGrace is the minimum time between the longest deadline and SIGKILL. The gateway must answer requests sent within this time after
+// SIGTERM before it is killed.
 const KillGrace = 700 * time.Millisecond
 
-// Further times of a planned restart, as the platform's pages have them.
+// Further times that the platform specifies for a planned restart.
 const (
-	maxStopDeadline = 3 * time.Second       // the longest deadline of a class counts as no more than this
-	crossingWindow  = 50 * time.Millisecond // a request that crosses the end of its connection by less is sent elsewhere
+	maxStopDeadline = 3 * time.Second       // caps the longest deadline of a class in the computation of the kill delay
+	closeRaceWindow = 50 * time.Millisecond // a request sent at most this long before the close was seen is retried on another gateway
 )
 
-// Bounds of what is drawn.
+// Bounds of the random values.
 const (
-	crowdInterval    = 5 // one seed in so many has a crowd
-	crowdClients     = 350
-	minClients       = 10
-	maxClients       = 37
-	minStopDelay     = 300 * time.Millisecond
-	maxStopDelay     = time.Second
-	minReconnectTime = 200 * time.Millisecond
-	maxReconnectTime = 400 * time.Millisecond
-	maxSignals       = 3
-	signalSpan       = 900 * time.Millisecond // after SIGTERM, in which further signals come
-	shortestDeadline = 800 * time.Millisecond
-	shortDeadlines   = 4 // one seed in so many has a deadline under maxStopDeadline
-	mysqlInterval    = 2 // one seed in so many has MySQL clients beside those of the platform
-	maxMySQLClients  = 12
+	manyClientsInterval = 5 // every fifth seed has manyClients
+	manyClients         = 350
+	minClients          = 10
+	maxClients          = 37
+	minStopDelay        = 300 * time.Millisecond
+	maxStopDelay        = time.Second
+	minReconnectTime    = 200 * time.Millisecond
+	maxReconnectTime    = 400 * time.Millisecond
+	maxSignals          = 3
+	maxSignalDelay      = 900 * time.Millisecond // from SIGTERM to a further signal
+	minDeadline         = 800 * time.Millisecond
+	shortDeadlineOneIn  = 4 // one seed in 4 has a deadline under maxStopDeadline
+	mysqlOneIn          = 2 // one seed in 2 has MySQL clients in addition to JSON-RPC clients
+	maxMySQLClients     = 12
 )
 
-// Disturbance is a trouble beside a planned stop.
+// Disturbance is a fault that is injected during a planned shutdown.
 type Disturbance uint8
 
 // Disturbances.
@@ -47,87 +47,87 @@
 	EngineDrains
 	EngineKilled
 	DiscoveryDown
-	disturbances // their number
+	numDisturbances
 )
 
-// String names a disturbance.
+// String returns the name used in reports.
 func (d Disturbance) String() string {
-	return [...]string{"none", "engine hangs", "engine drains", "engine killed", "discovery away"}[d]
+	return [...]string{"none", "engine hangs", "engine drains", "engine killed", "discovery down"}[d]
 }
 
-// Signal is a signal that a gateway gets after its first SIGTERM.
+// Signal is a further signal that is sent to a gateway after SIGTERM.
 type Signal struct {
-	Delay  time.Duration // SIGTERM
+	Delay  time.Duration // since SIGTERM
 	Signal syscall.Signal
 }
 
-// Stop is the planned stop of one gateway.
+// Stop is the planned shutdown of one gateway.
 type Stop struct {
-	Delay         time.Duration // the clients' start
-	ReconnectTime time.Duration // after SIGTERM, in which clients open new connections
+	Delay         time.Duration // from the start of the clients to SIGTERM
+	ReconnectTime time.Duration // how long clients open new connections after SIGTERM
 	Signals       []Signal
 }
 
-// Scenario is what a seed decides.
+// Scenario is a run's scenario. It is determined by the seed and the number of gateways.
 type Scenario struct {
 	Seed             uint64
-	Clients          int           // of the platform, over all gateways
-	MySQLClients     int           // over all gateways
-	Deadline         time.Duration // the longest of a class, and the budget of the requests
-	Stops            []Stop        // by gateway
+	Clients          int           // number of JSON-RPC clients over all gateways
+	MySQLClients     int           // number of MySQL clients over all gateways
+	Deadline         time.Duration // upper bound of the requests' time budgets; the budget of MySQL queries
+	Stops            []Stop        // by gateway index
 	Disturbance      Disturbance
-	DisturbanceDelay time.Duration // the clients' start
+	DisturbanceDelay time.Duration // from the start of the clients
 }
 
-// NewScenario draws a scenario with so many gateways.
+// NewScenario generates the scenario of a seed with the given number of gateways.
 func NewScenario(seed uint64, gateways int) Scenario {
 	random := rand.New(rand.NewPCG(seed, 1))
 	s := Scenario{Seed: seed, Clients: minClients + random.IntN(maxClients-minClients+1), Deadline: maxStopDeadline}
-	if seed%crowdInterval == 0 {
-		s.Clients = crowdClients
+	if seed%manyClientsInterval == 0 {
+		s.Clients = manyClients
 	}
-	if random.IntN(shortDeadlines) == 0 {
-		s.Deadline = between(random, shortestDeadline, maxStopDeadline)
+	if random.IntN(shortDeadlineOneIn) == 0 {
+		s.Deadline = randomDuration(random, minDeadline, maxStopDeadline)
 	}
-	if mysqlClients := 1 + random.IntN(maxMySQLClients); random.IntN(mysqlInterval) == 0 && gateways == 1 {
-		s.MySQLClients = mysqlClients // several gateways would need an operator's file each
+	if mysqlClients := 1 + random.IntN(maxMySQLClients); random.IntN(mysqlOneIn) == 0 && gateways == 1 {
+		s.MySQLClients = mysqlClients // several gateways would each need their own operator's file
 	}
 	for range gateways {
 		s.Stops = append(s.Stops, newStop(random))
 	}
-	s.Disturbance = Disturbance(random.IntN(int(disturbances)))
-	s.DisturbanceDelay = between(random, 0, maxStopDelay+signalSpan)
+	s.Disturbance = Disturbance(random.IntN(int(numDisturbances)))
+	s.DisturbanceDelay = randomDuration(random, 0, maxStopDelay+maxSignalDelay)
 	return s
 }
 
 func newStop(random *rand.Rand) Stop {
 	s := Stop{
-		Delay:         between(random, minStopDelay, maxStopDelay),
-		ReconnectTime: between(random, minReconnectTime, maxReconnectTime),
+		Delay:         randomDuration(random, minStopDelay, maxStopDelay),
+		ReconnectTime: randomDuration(random, minReconnectTime, maxReconnectTime),
 	}
 	for range random.IntN(maxSignals + 1) {
 		signal := syscall.SIGTERM
 		if random.IntN(2) == 0 {
 			signal = syscall.SIGHUP
 		}
-		s.Signals = append(s.Signals, Signal{Delay: between(random, 0, signalSpan), Signal: signal})
+		s.Signals = append(s.Signals, Signal{Delay: randomDuration(random, 0, maxSignalDelay), Signal: signal})
 	}
 	return s
 }
 
-// KillDelay returns when the platform kills a gateway, at its earliest, after SIGTERM.
+// KillDelay returns the time from SIGTERM after which the platform may kill a gateway.
 func (s Scenario) KillDelay() time.Duration { return min(s.Deadline, maxStopDeadline) + KillGrace }
 
-// String describes the scenario in a line.
+// String describes the scenario in one line.
 func (s Scenario) String() string {
 	return fmt.Sprintf("seed %d: %d clients, %d of MySQL, deadline %v, disturbance: %v", s.Seed, s.Clients, s.MySQLClients,
 		s.Deadline.Round(time.Millisecond), s.Disturbance)
 }
 
-// classes returns the classes of queries.
+// classes returns the default query classes with their timeouts capped at the scenario's deadline.
 func (s Scenario) classes() []emulator.Class {
 	classes := emulator.DefaultClasses()
-	if s.Deadline == maxStopDeadline { // those of classes may well be longer
+	if s.Deadline == maxStopDeadline { // default timeouts, which may be longer
 		return classes
 	}
 	for i := range classes {
@@ -136,7 +136,7 @@
 	return classes
 }
 
-// between draws a duration.
-func between(random *rand.Rand, shortest, longest time.Duration) time.Duration {
+// randomDuration returns a random duration from shortest up to, but not including, longest.
+func randomDuration(random *rand.Rand, shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(random.Int64N(int64(longest-shortest)))
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -7,77 +7,78 @@
 	"time"
 )
 
-// A seed decides the whole scenario, and the times of each are within what the platform's pages permit.
-func TestScenarioIsDrawnBySeed(t *testing.T) {
+// NewScenario is deterministic for a seed, and its times are within the limits that the platform specifies.
+func TestNewScenarioIsDeterministicAndWithinLimits(t *testing.T) {
 	for seed := range uint64(200) {
 		s := NewScenario(seed, 2)
 		if !reflect.DeepEqual(s, NewScenario(seed, 2)) {
-			t.Fatalf("seed %d: two scenarios", seed)
+			t.Fatalf("seed %d: two calls returned different scenarios", seed)
 		}
-		if crowd := s.Clients == crowdClients; crowd != (seed%crowdInterval == 0) {
+		if many := s.Clients == manyClients; many != (seed%manyClientsInterval == 0) {
 			t.Errorf("seed %d: %d clients", seed, s.Clients)
 		}
 		if s.KillDelay() != s.Deadline+KillGrace || s.Deadline > maxStopDeadline {
-			t.Errorf("seed %d: killed after %v with a deadline of %v", seed, s.KillDelay(), s.Deadline)
+			t.Errorf("seed %d: kill delay %v with deadline %v", seed, s.KillDelay(), s.Deadline)
 		}
 		for _, stop := range s.Stops {
 			if stop.ReconnectTime < minReconnectTime || stop.ReconnectTime > maxReconnectTime {
-				t.Errorf("seed %d: clients reconnect for %v", seed, stop.ReconnectTime)
+				t.Errorf("seed %d: ReconnectTime %v", seed, stop.ReconnectTime)
 			}
 			for _, signal := range stop.Signals {
-				if signal.Delay > signalSpan {
-					t.Errorf("seed %d: a signal after %v", seed, signal.Delay)
+				if signal.Delay > maxSignalDelay {
+					t.Errorf("seed %d: signal delay %v", seed, signal.Delay)
 				}
 			}
 		}
 	}
 }
 
-// What became of a request whose connection ended follows from when it was sent, and from whether an engine got it.
-func TestEndOfUnansweredRequest(t *testing.T) {
+// The outcome of a request whose connection was closed without an answer depends on when the request was sent, whether an engine
+// received it, and whether the gateway was killed.
+func TestOutcomeOfUnansweredRequest(t *testing.T) {
 	const sigterm = 10 * time.Second
 	for _, c := range []struct {
 		name              string
-		sent, ended       time.Duration // after SIGTERM
+		sent, closed      time.Duration // since SIGTERM
 		killed            bool
 		received, partial bool
-		crossed           bool
+		racedClose        bool
 		want              Outcome
 	}{
-		{"crossed", 3 * time.Second, 3*time.Second + crossingWindow, false, false, false, false, RacedClose},
-		{"crossed, read late", 3 * time.Second, 4 * time.Second, false, false, false, true, RacedClose},
-		{"too late to have crossed", 3 * time.Second, 3*time.Second + 2*crossingWindow, false, false, false, false, Lost},
-		{"an engine got it", 3 * time.Second, 3 * time.Second, false, true, false, true, Lost},
-		{"in the middle of its answer", 3 * time.Second, 3 * time.Second, false, false, true, false, Lost},
+		{"sent just before the close", 3 * time.Second, 3*time.Second + closeRaceWindow, false, false, false, false, RacedClose},
+		{"sent just before the close, which was read late", 3 * time.Second, 4 * time.Second, false, false, false, true, RacedClose},
+		{"sent too long before the close", 3 * time.Second, 3*time.Second + 2*closeRaceWindow, false, false, false, false, Lost},
+		{"received by an engine", 3 * time.Second, 3 * time.Second, false, true, false, true, Lost},
+		{"answered in part", 3 * time.Second, 3 * time.Second, false, false, true, false, Lost},
 		{"killed, sent early", KillGrace, 3700 * time.Millisecond, true, false, false, false, LostAtKill},
 		{"killed, sent late", KillGrace + time.Millisecond, 3700 * time.Millisecond, true, false, false, false, CutByKill},
 		{"killed, sent before SIGTERM", -time.Second, 3700 * time.Millisecond, true, false, false, false, LostAtKill},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := &gateway{clock: func() time.Duration { return sigterm + c.ended }, terminatedAt: sigterm}
+			g := &gateway{clock: func() time.Duration { return sigterm + c.closed }, terminatedAt: sigterm}
 			if c.killed {
-				g.killedAt = sigterm + c.ended
+				g.killedAt = sigterm + c.closed
 			}
-			if got := g.endOfUnanswered(&Request{Sent: sigterm + c.sent, crossed: c.crossed}, c.received, c.partial); got != c.want {
+			if got := g.unansweredOutcome(&Request{Sent: sigterm + c.sent, racedClose: c.racedClose}, c.received, c.partial); got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Every end that breaks a rule is a problem, and so are a second answer, a failed exit and an alarm in the log.
-func TestProblems(t *testing.T) {
-	for end := Open; end < ends; end++ {
-		result := Result{Requests: []Request{{Outcome: end}}}
-		isLoss := strings.HasPrefix(end.String(), "lost") || end == Open || end == Late || end == Corrupted
-		if got := len(result.Problems()) > 0; got != isLoss {
-			t.Errorf("%v is a problem: %v", end, got)
+// Problems reports each outcome that violates the requirements, duplicate answers, failed exits and alarms in the log.
+func TestProblemsReportsEachViolation(t *testing.T) {
+	for outcome := Open; outcome < numOutcomes; outcome++ {
+		result := Result{Requests: []Request{{Outcome: outcome}}}
+		isViolation := strings.HasPrefix(outcome.String(), "lost") || outcome == Open || outcome == Late || outcome == Corrupted
+		if got := len(result.Problems()) > 0; got != isViolation {
+			t.Errorf("%v is a problem: %v, want %v", outcome, got, isViolation)
 		}
 	}
 	for name, result := range map[string]Result{
-		"second answer": {Requests: []Request{{Outcome: Served, Duplicates: 1}}},
-		"exit":          {Exits: []Exit{{Err: errTest{}}}},
-		"alarm":         {Alarms: []string{"panic"}},
+		"duplicate answer": {Requests: []Request{{Outcome: Served, Duplicates: 1}}},
+		"failed exit":      {Exits: []Exit{{Err: exitError{}}}},
+		"alarm":            {Alarms: []string{"panic"}},
 	} {
 		if len(result.Problems()) != 1 {
 			t.Errorf("%s: %v", name, result.Problems())
@@ -85,6 +86,6 @@
 	}
 }
 
-type errTest struct{}
+type exitError struct{}
 
-func (errTest) Error() string { return "exit status 2" }
+func (exitError) Error() string { return "exit status 2" }
