--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -7,8 +7,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator is the content of the operator's file. Each section enables a feature that the platform does not need; the
-// feature of a nil section is disabled.
+// Operator is the content of the operator's file. Each section enables a feature beyond serving the platform; the feature
+// of a nil section is disabled.
 type Operator struct {
 	MySQL      *MySQL      `toml:"mysql"`
 	VRRP       *VRRP       `toml:"vrrp"`
