--- a/internal/control/subset/chooser.go
+++ b/internal/control/subset/chooser.go
@@ -8,62 +8,63 @@
 	"time"
 )
 
-// Engine is an engine of the list.
+// Engine is an engine in the list of engines.
 type Engine struct {
 	ID        uint64
 	Zone      int
-	Ready     bool // listed, and neither draining nor gone
+	Ready     bool // neither draining nor removed
 	WarmingUp bool // may still be warming up
 }
 
-// serves reports whether the engine counts towards the size of a subset.
-func (e Engine) serves() bool { return e.Ready && !e.WarmingUp }
+// isServing reports whether the engine counts towards the size of a subset.
+func (e Engine) isServing() bool { return e.Ready && !e.WarmingUp }
 
-// unknownZone stands for a zone of a gateway that is not known.
+// unknownZone is the zone of a gateway whose zone is unknown.
 const unknownZone = -1
 
-// Gateway is what is known of a configured gateway.
+// Gateway is the known state of a configured gateway.
 type Gateway struct {
-	Zone      int // below 0 = not known
+	Zone      int // negative = unknown
 	InService bool
 }
 
-// Chooser holds the subset of one gateway: the engines that it wants, and those that it no longer wants but still keeps. It
-// is not safe for concurrent use. Times are those of a clock that never runs backwards.
+// Chooser maintains the subset of one gateway: the engines that the gateway wants, and those that it no longer wants but has
+// not removed yet. It is not safe for concurrent use. The times that are passed to it must come from a monotonic clock.
 type Chooser struct {
-	config      Config
-	number      int // of the gateway
-	zone        int
-	order       []int // the configured gateways' numbers by their position
-	gateways    []Gateway
-	engines     []listedEngine // in the order of their hash
-	fleet       *fleet
-	ids         []uint64                 // the subset, ascending
-	members     map[uint64]bool          // the subset; true for its core
-	lingering   map[uint64]time.Duration // members that are no longer wanted: when each may be removed
-	nextRemoval time.Duration            // when the next of these may be removed
-	lingerFrom  time.Duration            // before it, members that are not wanted are removed at once
-	joined      bool                     // SetGateways has been called
-	changed     bool                     // since the last call of Changed
-	peers       *peers                   // nil = not computed since the last change
+	config       Config
+	number       int // number of this gateway
+	zone         int
+	order        []int // numbers of the configured gateways, sorted by position
+	gateways     []Gateway
+	engines      []listedEngine // sorted by hash
+	fleet        *fleet
+	ids          []uint64                 // the subset, ascending
+	members      map[uint64]bool          // the subset; true for engines in its core
+	lingering    map[uint64]time.Duration // members that are no longer wanted, with the earliest time of their removal
+	nextRemoval  time.Duration            // earliest time of the next removal
+	lingerFrom   time.Duration            // unwanted members are removed at once before this time, and linger after it
+	joined       bool                     // SetGateways has been called
+	changed      bool                     // the subset or its core has changed since the last call of Changed
+	peerOverlaps *peerOverlaps            // nil = not computed since the last change
 }
 
 const (
-	removalInterval = time.Second // between two removals of members that are no longer wanted
-	removalBatch    = 4           // members that are removed at a time
+	removalInterval = time.Second // minimum time between two removals of lingering members
+	removalBatch    = 4           // members per removal
 )
 
-// New returns the Chooser of the gateway with this number, of so many configured ones, in this zone; a zone below 0 is
-// not known. A fleet without zones has all its gateways and engines in zone 0. Errors are *ConfigError.
+// New returns the Chooser of the gateway with the given number and zone, in a fleet with the given number of configured
+// gateways. A negative zone is unknown. In a fleet without zones, all gateways and engines are in zone 0. New returns a
+// *ConfigError if an argument is invalid.
 func New(config Config, number, zone int, gateways int) (*Chooser, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	if gateways < 1 || gateways > MaxGateways {
-		return nil, &ConfigError{"gateways", gateways, fmt.Sprintf("not from 1 to %d", MaxGateways)}
+		return nil, &ConfigError{"gateways", gateways, fmt.Sprintf("must be from 1 to %d", MaxGateways)}
 	}
 	if number < 0 || number >= gateways {
-		return nil, &ConfigError{"number", number, fmt.Sprintf("not from 0 to %d", gateways-1)}
+		return nil, &ConfigError{"number", number, fmt.Sprintf("must be from 0 to %d", gateways-1)}
 	}
 	c := &Chooser{config: config.clone(), number: number, zone: max(zone, unknownZone), gateways: make([]Gateway, gateways),
 		order: orderByPosition(gateways)}
@@ -72,14 +73,15 @@
 	return c, nil
 }
 
-// SetEngines replaces the list of engines, which may be in any order.
+// SetEngines replaces the list of engines. The list may be in any order.
 func (c *Chooser) SetEngines(now time.Duration, engines []Engine) {
 	c.engines = sortEngines(engines)
 	c.update(now)
 }
 
-// SetGateways replaces what is known of the gateways, by their numbers. Those that the slice lacks are out of service. Until
-// the first call, which is best made once membership has joined the fleet, the subset is every engine.
+// SetGateways replaces the known states of the gateways, indexed by number. Gateways beyond the end of the slice are out of
+// service. The subset consists of every engine until the first call, which should come after membership has joined the
+// fleet.
 func (c *Chooser) SetGateways(now time.Duration, gateways []Gateway) {
 	if !c.joined {
 		c.joined, c.lingerFrom = true, now+c.config.Linger
@@ -88,7 +90,7 @@
 	c.update(now)
 }
 
-// storeGateways copies what is known of the other gateways. Of itself the gateway knows better.
+// storeGateways copies the states of the gateways, except for this gateway's own, which the Chooser knows itself.
 func (c *Chooser) storeGateways(gateways []Gateway) {
 	known := copy(c.gateways, gateways)
 	for i := known; i < len(c.gateways); i++ {
@@ -97,7 +99,7 @@
 	c.gateways[c.number] = Gateway{Zone: c.zone, InService: true}
 }
 
-// Configure changes the settings while running. An invalid Config is a *ConfigError and changes nothing.
+// Configure replaces the settings at run time. If config is invalid, it changes nothing and returns a *ConfigError.
 func (c *Chooser) Configure(now time.Duration, config Config) error {
 	if err := config.Validate(); err != nil {
 		return err
@@ -107,11 +109,11 @@
 	return nil
 }
 
-// update recomputes which engines are wanted. Members that no longer are linger for a while.
+// update recomputes the wanted engines. Members that are no longer wanted start to linger.
 func (c *Chooser) update(now time.Duration) {
 	c.fleet = newFleet(c.config, c.engines, c.gateways, c.order)
 	wanted := c.fleet.newWantedSet()
-	wanted.collect(c.fleet, c.fleet.spans(c.zone), c.number)
+	wanted.collect(c.fleet, c.fleet.demands(c.zone), c.number)
 	members, lingering := map[uint64]bool{}, map[uint64]time.Duration{}
 	for i, e := range c.engines {
 		switch {
@@ -126,7 +128,7 @@
 	c.setMembers(members)
 }
 
-// removalTime returns when a member that is not wanted may be removed, at the earliest.
+// removalTime returns the earliest time at which an unwanted member may be removed.
 func (c *Chooser) removalTime(id uint64, now time.Duration) time.Duration {
 	latest := now + c.config.Linger
 	if at, known := c.lingering[id]; known {
@@ -135,9 +137,9 @@
 	return latest
 }
 
-// setMembers makes these engines the subset.
+// setMembers replaces the subset.
 func (c *Chooser) setMembers(members map[uint64]bool) {
-	c.peers = nil
+	c.peerOverlaps = nil
 	if maps.Equal(members, c.members) {
 		return
 	}
@@ -146,7 +148,7 @@
 	c.changed = true
 }
 
-// Tick removes a few of the members that have not been wanted for Config.Linger.
+// Tick removes up to removalBatch of the members that have been unwanted for Config.Linger.
 func (c *Chooser) Tick(now time.Duration) {
 	if now < c.nextRemoval {
 		return
@@ -172,7 +174,7 @@
 	c.setMembers(members)
 }
 
-// NextTick returns when Tick has to be called, at the earliest; due is false while there is nothing to remove.
+// NextTick returns the time at which Tick has to be called next. due is false if there is nothing to remove.
 func (c *Chooser) NextTick() (at time.Duration, due bool) {
 	for _, removal := range c.lingering {
 		if !due || removal < at {
@@ -182,7 +184,7 @@
 	return max(at, c.nextRemoval), due
 }
 
-// UsesAll reports whether the subset is every engine of the list.
+// UsesAll reports whether the subset contains every engine in the list.
 func (c *Chooser) UsesAll() bool { return len(c.ids) == len(c.engines) }
 
 // Contains reports whether an engine is in the subset.
@@ -191,13 +193,13 @@
 	return found
 }
 
-// InCore reports whether an engine is in the part of the subset that the gateway shares with many others of its zone: the
-// engines on which to keep table groups warm. Engines outside the core replace those of it that do not serve, are there so
-// that every engine is in a subset, or are about to be removed.
+// InCore reports whether an engine is in the core of the subset, which the gateway shares with many others of its zone:
+// table groups should be kept warm on these engines. The engines outside the core replace core engines that are not
+// serving, are in the subset so that every engine is in at least one, or are about to be removed.
 func (c *Chooser) InCore(id uint64) bool { return c.members[id] }
 
-// IDs returns the subset in ascending order. The slice is the Chooser'c own: it must not be modified, and is valid until the
-// next call.
+// IDs returns the subset in ascending order. The caller must not modify the slice, which is valid until the next method
+// call.
 func (c *Chooser) IDs() []uint64 { return c.ids }
 
 // Changed reports whether the subset or its core has changed since the last call.
@@ -207,23 +209,25 @@
 	return changed
 }
 
-// MeanGatewaysPerEngine returns the mean number of gateways in service that use an engine of this subset, this one included, by what this
-// gateway knows. A gateway whose zone is not known counts with the share of all engines that it wants.
-func (c *Chooser) MeanGatewaysPerEngine() float64 { return c.view().holders }
+// MeanGatewaysPerEngine returns the mean number of gateways in service that use an engine of this subset, including this
+// gateway, as far as this gateway knows. A gateway whose zone is unknown is counted in proportion to the share of all
+// engines that it wants.
+func (c *Chooser) MeanGatewaysPerEngine() float64 { return c.overlapsOfPeers().meanGateways }
 
-// Overlap returns the share of another gateway'c subset that lies in the own one, by what this gateway knows. It is 0 if the
-// number is out of range or the gateway'c zone is not known, and 1 for an unknown zone if the own subset is every engine.
+// Overlap returns the share of another gateway's subset that is also in this gateway's subset, as far as this gateway knows.
+// It returns 0 if the number is out of range. If the other gateway's zone is unknown, it returns 1 if this gateway uses
+// every engine, and 0 otherwise.
 func (c *Chooser) Overlap(number int) float64 {
 	if number < 0 || number >= len(c.gateways) {
 		return 0
 	}
-	return c.view().overlaps[number]
+	return c.overlapsOfPeers().overlaps[number]
 }
 
-// view returns the others' subsets, which it computes once after each change.
-func (c *Chooser) view() *peers {
-	if c.peers == nil {
-		c.peers = c.computePeers()
+// overlapsOfPeers returns the overlaps with the subsets of the other gateways, which it computes once after each change.
+func (c *Chooser) overlapsOfPeers() *peerOverlaps {
+	if c.peerOverlaps == nil {
+		c.peerOverlaps = c.comparePeers()
 	}
-	return c.peers
+	return c.peerOverlaps
 }
--- a/internal/control/subset/chooser_test.go
+++ b/internal/control/subset/chooser_test.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// TestWithoutOtherGateways checks that a gateway uses every engine while it knows no others, or is alone, and narrows its
-// subset step by step once others are back.
-func TestWithoutOtherGateways(t *testing.T) {
-	f := fleetOf(300, 1100, contiguous)
+// TestLoneGatewayUsesAllEngines checks that a gateway uses every engine while it knows no other gateways, or no other gateway
+// is in service, and that it shrinks its subset gradually once others are in service again.
+func TestLoneGatewayUsesAllEngines(t *testing.T) {
+	f := newFleetModel(300, 1100, contiguous)
 	c, err := New(f.config, 7, f.gateways[7].Zone, len(f.gateways))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.SetEngines(0, f.engines)
 	if !c.UsesAll() || !c.Changed() || c.Changed() {
-		t.Errorf("%d engines while nothing is known of other gateways", len(c.IDs()))
+		t.Errorf("%d engines before the other gateways are known, want all", len(c.IDs()))
 	}
 	c.SetGateways(time.Second, f.gateways)
-	if n := len(c.IDs()); n != DefaultMinEngines+2 || c.UsesAll() { // two to cover its part of the circle
-		t.Errorf("%d engines at once when the others are known", n)
+	if n := len(c.IDs()); n != DefaultMinEngines+2 || c.UsesAll() { // two engines cover the gap to the next gateway
+		t.Errorf("%d engines immediately after the other gateways are known, want %d", n, DefaultMinEngines+2)
 	}
 	c.SetGateways(time.Minute, nil)
 	if !c.UsesAll() || c.MeanGatewaysPerEngine() != 1 {
-		t.Errorf("%d engines of a gateway that is alone, used by %v", len(c.IDs()), c.MeanGatewaysPerEngine())
+		t.Errorf("the only gateway uses %d engines, each of them used by %v gateways", len(c.IDs()), c.MeanGatewaysPerEngine())
 	}
 	c.SetGateways(2*time.Minute, f.gateways)
 	steps, last := tickUntilDone(t, c)
 	if want := time.Duration(steps-1)*removalInterval + 2*time.Minute + DefaultLinger; steps != 255 || last != want {
-		t.Errorf("narrowed in %d steps until %v, not %v", steps, last, want)
+		t.Errorf("shrank in %d steps until %v, want 255 steps until %v", steps, last, want)
 	}
 }
 
-// tickUntilDone calls Tick as often as Next asks for, and returns how often that was and when the last time.
+// tickUntilDone calls Tick at each time that NextTick returns. It returns the number of calls and the time of the last one.
 func tickUntilDone(t *testing.T, c *Chooser) (steps int, last time.Duration) {
 	t.Helper()
 	for at, due := c.NextTick(); due; at, due = c.NextTick() {
@@ -43,21 +43,22 @@
 		c.Tick(at)
 		steps, last = steps+1, at
 		if removed := before - len(c.IDs()); removed < 1 || removed > removalBatch {
-			t.Fatalf("%d engines removed in a step", removed)
+			t.Fatalf("a tick removed %d engines, want 1 to %d", removed, removalBatch)
 		}
 	}
 	return steps, last
 }
 
-// TestSmallFleet checks that every gateway of a fleet with few engines uses all of them.
-func TestSmallFleet(t *testing.T) {
-	c := fleetOf(300, DefaultMinEngines, contiguous).chooser(3)
+// TestSmallFleetUsesAllEngines checks that every gateway of a fleet with few engines uses all of them.
+func TestSmallFleetUsesAllEngines(t *testing.T) {
+	c := newFleetModel(300, DefaultMinEngines, contiguous).chooser(3)
 	if !c.UsesAll() || c.MeanGatewaysPerEngine() != 300 || c.Overlap(299) != 1 {
-		t.Errorf("all engines: %v, used by %v", c.UsesAll(), c.MeanGatewaysPerEngine())
+		t.Errorf("uses all engines: %v, gateways per engine: %v, overlap: %v", c.UsesAll(), c.MeanGatewaysPerEngine(), c.Overlap(299))
 	}
 }
 
-func TestConfigErrors(t *testing.T) {
+// TestValidateNamesInvalidKey checks that Validate returns a ConfigError that names the key of the invalid value.
+func TestValidateNamesInvalidKey(t *testing.T) {
 	for key, change := range map[string]func(*Config){
 		"least":       func(c *Config) { c.MinEngines = 0 },
 		"rate":        func(c *Config) { c.Rate = math.NaN() },
@@ -71,13 +72,14 @@
 			change(&c)
 			var invalid *ConfigError
 			if err := c.Validate(); !errors.As(err, &invalid) || invalid.Key != key {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want a ConfigError for %s", err, key)
 			}
 		})
 	}
 }
 
-func TestArgumentErrors(t *testing.T) {
+// TestNewNamesInvalidArgument checks that New returns a ConfigError that names the invalid argument.
+func TestNewNamesInvalidArgument(t *testing.T) {
 	for _, c := range []struct {
 		number, gateways int
 		key              string
@@ -90,7 +92,7 @@
 		t.Run(fmt.Sprintf("number %d of %d", c.number, c.gateways), func(t *testing.T) {
 			var invalid *ConfigError
 			if _, err := New(DefaultConfig(), c.number, 0, c.gateways); !errors.As(err, &invalid) || invalid.Key != c.key {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want a ConfigError for %s", err, c.key)
 			}
 		})
 	}
--- a/internal/control/subset/config.go
+++ b/internal/control/subset/config.go
@@ -9,62 +9,61 @@
 
 // Defaults of Config.
 const (
-	DefaultMinEngines = 80               // engines: gateways of smaller fleets use every engine
-	DefaultEngineRate = 20               // statements per second of one gateway on one engine
-	DefaultCoverage   = 16               // gateways per engine: the loss of a few is a small part of its load
-	DefaultLinger     = 30 * time.Second // longer than a restart, and than the engines of a table group stay unused
+	DefaultMinEngines = 80               // gateways use every engine if the fleet has no more engines than this
+	DefaultEngineRate = 20               // statements per second that one gateway sends to one engine
+	DefaultCoverage   = 16               // gateways per engine, so that an engine loses little load when a few gateways fail
+	DefaultLinger     = 30 * time.Second // longer than a restart, and longer than a table group's engines stay unused
 )
 
-// Bounds of Config. Values beyond them are errors.
+// Bounds of Config.
 const (
-	MaxEngines  = 1 << 14 // engines of a list; those beyond are ignored
-	MaxGateways = 1 << 12 // configured gateways, as many as membership takes
+	MaxEngines  = 1 << 14 // engines in a list; the rest of a longer list is ignored
+	MaxGateways = 1 << 12 // configured gateways; the limit of membership
 
 	maxRate   = 1e6
 	maxLinger = time.Hour
 	maxZones  = 1 << 10
 )
 
-// Config sets how many engines a gateway uses, and how long it keeps those that it no longer wants.
+// Config sets how many engines a gateway uses, and how long it keeps engines that it no longer wants.
 type Config struct {
-	MinEngines int           `json:"Least"` // minimum engines of a subset
-	Rate       float64       // statements per second of one gateway; 0 = not known: Least and Coverage decide
-	EngineRate float64       // statements per second of one gateway on one engine
-	Coverage   int           // minimum number of subsets that an engine is in, on average
-	Linger     time.Duration // time that an engine stays in the subset after it is no longer wanted
-	Regions    [][]int       // zones by region; empty = one region. Zones that no region names form one more
+	MinEngines int           `json:"Least"` // minimum size of a subset
+	Rate       float64       // statements per second of one gateway; 0 = unknown, and then only MinEngines and Coverage apply
+	EngineRate float64       // statements per second that one gateway sends to one engine
+	Coverage   int           // minimum mean number of subsets that contain an engine
+	Linger     time.Duration // how long an engine stays in the subset after it is no longer wanted
+	Regions    [][]int       // zones by region; empty = one region. The zones that are in none form an additional region
 }
 
-// ConfigError says which key of a Config, or argument of New, is invalid.
+// ConfigError reports an invalid key of a Config, or an invalid argument of New.
 type ConfigError struct {
-	Key    string // as in the operator's file
+	Key    string // name in the operator's file
 	Value  any
-	Reason string // with the bound that the value violates
+	Reason string // names the bound that the value violates
 }
 
-// Error returns the text that operators see.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("subset: %s = %v: %s", e.Key, e.Value, e.Reason)
 }
 
-// DefaultConfig returns the settings of a fleet that sets nothing.
+// DefaultConfig returns the Config of a fleet whose settings are all defaults.
 func DefaultConfig() Config {
 	return Config{MinEngines: DefaultMinEngines, EngineRate: DefaultEngineRate, Coverage: DefaultCoverage, Linger: DefaultLinger}
 }
 
-// Validate returns a *ConfigError for the first invalid key, nil if there is none.
+// Validate returns a *ConfigError for the first invalid key, or nil if there is none.
 func (c Config) Validate() error {
 	switch {
 	case c.MinEngines < 1 || c.MinEngines > MaxEngines:
-		return &ConfigError{"least", c.MinEngines, fmt.Sprintf("not from 1 to %d engines", MaxEngines)}
+		return &ConfigError{"least", c.MinEngines, fmt.Sprintf("must be from 1 to %d engines", MaxEngines)}
 	case !(c.Rate >= 0 && c.Rate <= maxRate):
-		return &ConfigError{"rate", c.Rate, fmt.Sprintf("not from 0 to %g statements a second", float64(maxRate))}
+		return &ConfigError{"rate", c.Rate, fmt.Sprintf("must be from 0 to %g statements per second", float64(maxRate))}
 	case !(c.EngineRate > 0 && c.EngineRate <= maxRate):
-		return &ConfigError{"engine_rate", c.EngineRate, fmt.Sprintf("not above 0 and up to %g", float64(maxRate))}
+		return &ConfigError{"engine_rate", c.EngineRate, fmt.Sprintf("must be above 0 and at most %g statements per second", float64(maxRate))}
 	case c.Coverage < 1 || c.Coverage > MaxGateways:
-		return &ConfigError{"coverage", c.Coverage, fmt.Sprintf("not from 1 to %d gateways", MaxGateways)}
+		return &ConfigError{"coverage", c.Coverage, fmt.Sprintf("must be from 1 to %d gateways", MaxGateways)}
 	case c.Linger <= 0 || c.Linger > maxLinger:
-		return &ConfigError{"linger", c.Linger, fmt.Sprintf("not above 0 and up to %v", maxLinger)}
+		return &ConfigError{"linger", c.Linger, fmt.Sprintf("must be above 0 and at most %v", maxLinger)}
 	}
 	return c.checkRegions()
 }
@@ -73,7 +72,7 @@
 	var seen []int
 	for _, region := range c.Regions {
 		if len(region) == 0 {
-			return &ConfigError{"regions", c.Regions, "a region without zones"}
+			return &ConfigError{"regions", c.Regions, "a region has no zones"}
 		}
 		for _, zone := range region {
 			if zone < 0 || slices.Contains(seen, zone) {
@@ -98,8 +97,8 @@
 	return c
 }
 
-// size returns how many serving engines a gateway wants of a fleet with so many engines and gateways.
-func (c Config) size(engines, gateways int) int {
+// subsetSize returns the number of serving engines that a gateway wants in a fleet of the given size.
+func (c Config) subsetSize(engines, gateways int) int {
 	byRate := math.Ceil(c.Rate / c.EngineRate)
 	byCoverage := (c.Coverage*engines + gateways - 1) / gateways
 	return min(engines, max(c.MinEngines, int(min(byRate, MaxEngines)), byCoverage))
--- a/internal/control/subset/fleet.go
+++ b/internal/control/subset/fleet.go
@@ -6,55 +6,56 @@
 	"slices"
 )
 
-// Bounds of the load of a zone's engines, as a multiple of the fleet's mean. With the unevenness of rings on top, no engine gets
-// more than twice the mean.
+// Limits of the load on a zone's engines, as multiples of the fleet's mean. The engines of a ring do not get exactly equal
+// load, but with these limits no engine gets more than twice the mean.
 const (
-	maxConfiguredLoad = 1.15 // by the configured gateways: it does not change when one fails
-	maxLiveLoad       = 1.5  // by the gateways in service: reached when most gateways of other zones have failed
+	maxConfiguredLoad = 1.15 // computed from the configured gateways, so that a failed gateway does not change it
+	maxLiveLoad       = 1.5  // computed from the gateways in service; applies if most gateways of other zones have failed
 )
 
-// fleet is what one gateway knows of all engines and gateways, and how both are distributed over zones and regions.
+// fleet contains all engines and gateways that a gateway knows, and their distribution over zones and regions.
 type fleet struct {
-	size     int            // serving engines that each gateway wants
-	engines  []listedEngine // in the order of their hash
-	zoneOf   []int          // index in zones, by engine
-	gateways []Gateway
-	ranks    []int  // by gateway: its rank among those configured in its zone, or its number while its zone is not known
-	zones    []zone // ascending
-	regions  []region
-	total    tally
-	active   positions // of the gateways in service whose zone is known
-}
-
-// tally counts the engines and gateways of a zone, a region or the fleet.
-type tally struct {
-	serving    int // engines
-	covered    int // of these, engines in zones that have a gateway in service
-	configured int // gateways whose zone is known
-	inService  int // of these
+	subsetSize   int            // serving engines that each gateway wants
+	engines      []listedEngine // sorted by hash
+	zoneOfEngine []int          // index in zones, by engine
+	gateways     []Gateway
+	ranks        []int  // by gateway: rank among the gateways configured in its zone, or its number if its zone is unknown
+	zones        []zone // sorted by number
+	regions      []region
+	total        counts
+	active       positions // positions of the gateways in service whose zone is known
+}
+
+// counts contains the numbers of engines and gateways in a zone, a region or the fleet. It does not include gateways whose
+// zone is unknown.
+type counts struct {
+	serving    int // serving engines
+	covered    int // serving engines in zones that have a gateway in service
+	configured int // configured gateways
+	inService  int // gateways in service
 }
 
 type zone struct {
-	tally
+	counts
 	number     int
 	region     int       // index in fleet.regions
-	active     positions // of its gateways in service
-	localShare float64   // share of its gateways' subsets that lies in the zone
+	active     positions // positions of the zone's gateways in service
+	localShare float64   // share of its gateways' subsets that is in the zone
 }
 
 type region struct {
-	tally
-	active        positions
-	regionalShare float64 // of the rest of these subsets: the share that lies in the region
+	counts
+	active        positions // positions of the region's gateways in service
+	regionalShare float64   // share of the engines outside the gateway's zone that its gateways take from the region
 }
 
-// listedEngine is an engine of the list with its hash: its place on the unit circle, in the units of positions.
+// listedEngine is a listed engine with its hash. The hash is the engine's position on the unit circle, in units of 2^-64.
 type listedEngine struct {
 	Engine
 	hash uint64
 }
 
-// sortEngines returns the list in the order of the hash, each id once. The result does not depend on the order of the input.
+// sortEngines returns the engines sorted by hash, without duplicate IDs. The result does not depend on the order of the input.
 func sortEngines(engines []Engine) []listedEngine {
 	sorted := make([]listedEngine, len(engines))
 	for i, e := range engines {
@@ -81,19 +82,20 @@
 	return 1
 }
 
-// newFleet counts sorted engines and gateways by zone and region; order is the gateways' numbers by their position.
+// newFleet returns the fleet with the given engines, as returned by sortEngines, and gateways. order contains the numbers of
+// the gateways, sorted by position.
 func newFleet(c Config, engines []listedEngine, gateways []Gateway, order []int) *fleet {
-	f := &fleet{size: c.size(len(engines), len(gateways)), engines: engines, zoneOf: make([]int, len(engines)),
+	f := &fleet{subsetSize: c.subsetSize(len(engines), len(gateways)), engines: engines, zoneOfEngine: make([]int, len(engines)),
 		gateways: gateways, ranks: make([]int, len(gateways)), regions: make([]region, len(c.Regions)+1)}
 	f.listZones(c)
 	f.countGateways()
 	f.listActive(order)
 	f.countEngines()
-	f.setLocality()
+	f.computeLocality()
 	return f
 }
 
-// listZones collects the zones that an engine or a gateway is in.
+// listZones lists the zones that have an engine or a gateway.
 func (f *fleet) listZones(c Config) {
 	known := map[int]bool{}
 	for _, e := range f.engines {
@@ -109,7 +111,7 @@
 	}
 }
 
-// regionOf returns the index of a zone's region. Zones that no region names are in one more, the last.
+// regionOf returns the index of a zone's region. The zones that are in no configured region form an additional, last one.
 func (c Config) regionOf(zone int) int {
 	for i, region := range c.Regions {
 		if slices.Contains(region, zone) {
@@ -119,7 +121,7 @@
 	return len(c.Regions)
 }
 
-// zoneIndex returns the index in zones of a zone that has an engine or a gateway.
+// zoneIndex returns the index in f.zones of a zone that has an engine or a gateway.
 func (f *fleet) zoneIndex(zoneNumber int) int {
 	i, _ := slices.BinarySearchFunc(f.zones, zoneNumber, func(z zone, n int) int { return cmp.Compare(z.number, n) })
 	return i
@@ -134,16 +136,16 @@
 		z := &f.zones[f.zoneIndex(g.Zone)]
 		r := &f.regions[z.region]
 		f.ranks[number] = z.configured
-		for _, t := range []*tally{&z.tally, &r.tally, &f.total} {
-			t.configured++
+		for _, c := range []*counts{&z.counts, &r.counts, &f.total} {
+			c.configured++
 			if g.InService {
-				t.inService++
+				c.inService++
 			}
 		}
 	}
 }
 
-// listActive lists the positions of the gateways in service of each zone, of each region and of the fleet.
+// listActive lists the positions of the gateways in service, for each zone, each region and the fleet.
 func (f *fleet) listActive(order []int) {
 	for _, number := range order {
 		g := f.gateways[number]
@@ -159,28 +161,29 @@
 
 func (f *fleet) countEngines() {
 	for i, e := range f.engines {
-		f.zoneOf[i] = f.zoneIndex(e.Zone)
-		if !e.serves() {
+		f.zoneOfEngine[i] = f.zoneIndex(e.Zone)
+		if !e.isServing() {
 			continue
 		}
-		z := &f.zones[f.zoneOf[i]]
-		for _, t := range []*tally{&z.tally, &f.regions[z.region].tally, &f.total} {
-			t.serving++
+		z := &f.zones[f.zoneOfEngine[i]]
+		for _, c := range []*counts{&z.counts, &f.regions[z.region].counts, &f.total} {
+			c.serving++
 			if z.inService > 0 {
-				t.covered++
+				c.covered++
 			}
 		}
 	}
 }
 
-// setLocality sets which share of a gateway's subset lies in its zone, and which share of the rest in its region, as Envoy's
-// zone-aware routing does. A zone with fewer engines than its gateways need keeps what its engines have capacity for; the rest
-// goes to the region as far as that has capacity, and then to all others.
-func (f *fleet) setLocality() {
-	kept := make([]float64, len(f.regions)) // by region: gateways' worth of traffic that stays in its zone
+// computeLocality sets the share of a gateway's subset that is in its zone, and the share of the rest that is in its region,
+// as Envoy's zone-aware routing does. A zone that has fewer engines than its gateways need keeps the traffic for which its
+// engines have capacity. The rest of the traffic goes to the region, as far as the region has capacity, and then to all other
+// regions.
+func (f *fleet) computeLocality() {
+	kept := make([]float64, len(f.regions)) // by region: traffic that stays in its zone, in units of a gateway's traffic
 	for i := range f.zones {
 		z := &f.zones[i]
-		z.localShare = min(1, ratio(z.serving, f.size), f.localCapacity(z.tally))
+		z.localShare = min(1, ratio(z.serving, f.subsetSize), f.localCapacity(z.counts))
 		kept[z.region] += z.localShare * float64(z.inService)
 	}
 	for i := range f.regions {
@@ -194,20 +197,20 @@
 	}
 }
 
-// localCapacity returns the share of its gateways' traffic for which a zone's engines have capacity.
-func (f *fleet) localCapacity(t tally) float64 {
-	engines := ratio(t.serving, f.total.serving)
+// localCapacity returns the share of the traffic of a zone's gateways for which the zone's engines have capacity.
+func (f *fleet) localCapacity(zone counts) float64 {
+	engines := ratio(zone.serving, f.total.serving)
 	share := 1.0
-	if t.configured > 0 {
-		share = min(share, maxConfiguredLoad*engines/ratio(t.configured, f.total.configured))
+	if zone.configured > 0 {
+		share = min(share, maxConfiguredLoad*engines/ratio(zone.configured, f.total.configured))
 	}
-	if t.inService > 0 {
-		share = min(share, maxLiveLoad*engines/ratio(t.inService, f.total.inService))
+	if zone.inService > 0 {
+		share = min(share, maxLiveLoad*engines/ratio(zone.inService, f.total.inService))
 	}
 	return share
 }
 
-// ratio returns a part of a whole, 0 if the whole is 0.
+// ratio returns part divided by whole, or 0 if whole is 0.
 func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/control/subset/peers.go
+++ b/internal/control/subset/peers.go
@@ -1,14 +1,15 @@
 package subset
 
-// peers is how the subsets of the other gateways relate to the own one, as computed from this gateway'c view.
-type peers struct {
-	holders  float64   // mean gateways in service that use an engine of the own subset
-	overlaps []float64 // by gateway: the share of its subset that lies in the own one
+// peerOverlaps describes how much the subsets of the other gateways overlap with this gateway's subset. This gateway computes
+// their subsets from its own view of the fleet.
+type peerOverlaps struct {
+	meanGateways float64   // mean number of gateways in service that use an engine of this subset
+	overlaps     []float64 // by gateway: share of its subset that is in this subset
 }
 
-// computePeers computes the subsets that the other gateways want, and compares them with the own one.
-func (c *Chooser) computePeers() *peers {
-	p := &peers{holders: 1, overlaps: make([]float64, len(c.gateways))}
+// comparePeers computes the subsets that the other gateways want, and compares them with this gateway's subset.
+func (c *Chooser) comparePeers() *peerOverlaps {
+	p := &peerOverlaps{meanGateways: 1, overlaps: make([]float64, len(c.gateways))}
 	members := make([]bool, len(c.engines))
 	for i, e := range c.engines {
 		members[i] = c.Contains(e.ID)
@@ -18,9 +19,9 @@
 		if len(numbers) == 0 {
 			continue
 		}
-		spans := c.fleet.spans(c.fleet.zones[zone].number)
+		demands := c.fleet.demands(c.fleet.zones[zone].number)
 		for _, number := range numbers {
-			set.collect(c.fleet, spans, number)
+			set.collect(c.fleet, demands, number)
 			p.add(c, number, set, members)
 		}
 	}
@@ -29,8 +30,9 @@
 	return p
 }
 
-// addUnknownZones adds the gateways whose zone is not known, each with the share of all engines that a gateway wants.
-func (c *Chooser) addUnknownZones(p *peers) {
+// addUnknownZones adds the gateways whose zone is unknown. It counts each in proportion to the share of all engines that a
+// gateway wants.
+func (c *Chooser) addUnknownZones(p *peerOverlaps) {
 	for number, g := range c.gateways {
 		if g.Zone >= 0 || number == c.number {
 			continue
@@ -39,13 +41,13 @@
 			p.overlaps[number] = 1
 		}
 		if g.InService {
-			p.holders += ratio(c.fleet.size, len(c.engines))
+			p.meanGateways += ratio(c.fleet.subsetSize, len(c.engines))
 		}
 	}
 }
 
-// add adds a gateway with the set that it wants; members are the engines of the own subset.
-func (p *peers) add(c *Chooser, number int, set *wantedSet, members []bool) {
+// add adds a gateway and the set that it wants. members marks the engines of this gateway's subset.
+func (p *peerOverlaps) add(c *Chooser, number int, set *wantedSet, members []bool) {
 	wanted, shared := 0, 0
 	for engine, marked := range set.marked {
 		if !marked {
@@ -58,11 +60,11 @@
 	}
 	p.overlaps[number] = ratio(shared, wanted)
 	if c.gateways[number].InService {
-		p.holders += ratio(shared, len(c.ids))
+		p.meanGateways += ratio(shared, len(c.ids))
 	}
 }
 
-// gatewaysByZone lists the other gateways whose zone is known, by the zone'c index in the fleet'c zones.
+// gatewaysByZone returns the numbers of the other gateways whose zone is known, by the index of the zone in fleet.zones.
 func (c *Chooser) gatewaysByZone() [][]int {
 	lists := make([][]int, len(c.fleet.zones))
 	for number, g := range c.gateways {
--- a/internal/control/subset/properties_test.go
+++ b/internal/control/subset/properties_test.go
@@ -12,7 +12,7 @@
 	_ "frostpier/internal/testutil/fixedseed"
 )
 
-// fleetModel is a fleet as it is, which the views of its gateways may differ from.
+// fleetModel is the true state of a fleet. What its gateways know may differ from it.
 type fleetModel struct {
 	config   Config
 	engines  []Engine
@@ -43,7 +43,7 @@
 	return f
 }
 
-// chooser returns the Chooser of a gateway that knows all of this.
+// chooser returns the Chooser of a gateway that knows the whole fleet.
 func (f fleetModel) chooser(number int) *Chooser {
 	s, err := New(f.config, number, f.gateways[number].Zone, len(f.gateways))
 	if err != nil {
@@ -54,29 +54,30 @@
 	return s
 }
 
+// serving reports for each engine ID whether the engine is serving.
 func (f fleetModel) serving() map[uint64]bool {
 	serving := map[uint64]bool{}
 	for _, e := range f.engines {
-		serving[e.ID] = e.serves()
+		serving[e.ID] = e.isServing()
 	}
 	return serving
 }
 
-// parts returns what a subset changes greatly with: its size, and into how many parts the rings of the zone are divided.
+// parts returns the subset size and the number of parts of each ring. If one of these changes, subsets change considerably.
 func parts(s *Chooser) []int {
-	list := []int{s.fleet.size}
-	for _, span := range s.fleet.spans(s.zone) {
-		list = append(list, span.parts)
+	list := []int{s.fleet.subsetSize}
+	for _, d := range s.fleet.demands(s.zone) {
+		list = append(list, d.parts)
 	}
 	return list
 }
 
-// maxMoved is the maximum number of other engines of a subset that one engine more or less changes.
+// maxMoved is the maximum number of other engines that may enter or leave a subset when an engine is added to the fleet.
 const maxMoved = 8
 
-// TestOneEngineMovesFewOthers checks that one more engine changes few others of any subset, as long as the parts of the rings stay
-// the same.
-func TestOneEngineMovesFewOthers(t *testing.T) {
+// TestAddedEngineMovesFewOthers checks that only a few other engines enter or leave a subset when an engine is added to the
+// fleet, as long as the number of parts of each ring stays the same.
+func TestAddedEngineMovesFewOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := drawFleet(t)
 		for i := range before.gateways {
@@ -90,32 +91,33 @@
 				continue
 			}
 			moved := 0
-			for id, serves := range before.serving() {
-				if serves && id != added.ID && a.Contains(id) != b.Contains(id) {
+			for id, isServing := range before.serving() {
+				if isServing && id != added.ID && a.Contains(id) != b.Contains(id) {
 					moved++
 				}
 			}
 			if moved > maxMoved {
-				t.Fatalf("gateway %d: %d engines moved for one", number, moved)
+				t.Fatalf("gateway %d: %d other engines moved when one was added, want at most %d", number, moved, maxMoved)
 			}
 		}
 	})
 }
 
-// TestGatewayFailureChangesOneNeighbour checks that the failure of a gateway changes the subset of one other for each ring that
-// it covers (its zone, and zones and regions without gateways), as long as the zone has others and none is short of engines.
-func TestGatewayFailureChangesOneNeighbour(t *testing.T) {
+// TestGatewayFailureChangesOneSubsetPerRing checks that the failure of a gateway changes the subset of at most one other gateway
+// for each ring that it covers: the rings of its zone, and of zones and regions without gateways. Cases in which the failure
+// changes the share of the traffic that stays in a zone or region, or leaves a zone without gateways, are skipped.
+func TestGatewayFailureChangesOneSubsetPerRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := drawFleet(t)
-		died := rapid.IntRange(0, len(before.gateways)-1).Draw(t, "died")
-		before.gateways[died].InService = true
+		failed := rapid.IntRange(0, len(before.gateways)-1).Draw(t, "failed")
+		before.gateways[failed].InService = true
 		after := before
 		after.gateways = slices.Clone(before.gateways)
-		after.gateways[died].InService = false
-		changed, rings := 0, coveredRings(before.chooser(died))
+		after.gateways[failed].InService = false
+		changed, rings := 0, countCoveredRings(before.chooser(failed))
 		for number := range before.gateways {
 			a, b := before.chooser(number), after.chooser(number)
-			if number == died || !before.gateways[number].InService || !sameShares(a.fleet, b.fleet) {
+			if number == failed || !before.gateways[number].InService || !equalLocality(a.fleet, b.fleet) {
 				continue
 			}
 			if !slices.Equal(a.IDs(), b.IDs()) {
@@ -123,22 +125,24 @@
 			}
 		}
 		if changed > rings {
-			t.Fatalf("%d gateways changed for one that covered %d rings", changed, rings)
+			t.Fatalf("%d subsets changed after the failure of a gateway that covered %d rings", changed, rings)
 		}
 	})
 }
 
-func coveredRings(s *Chooser) int {
+// countCoveredRings returns the number of non-empty rings that a gateway covers together with others.
+func countCoveredRings(s *Chooser) int {
 	rings := 0
-	for _, span := range s.fleet.spans(s.zone) {
-		if span.covered && len(span.ring.members) > 0 {
+	for _, d := range s.fleet.demands(s.zone) {
+		if d.covered && len(d.ring.members) > 0 {
 			rings++
 		}
 	}
 	return rings
 }
 
-func sameShares(a, b *fleet) bool {
+// equalLocality reports whether two fleets have the same local and regional shares, and gateways in service in the same zones.
+func equalLocality(a, b *fleet) bool {
 	for i, z := range a.zones {
 		if z.localShare != b.zones[i].localShare || (z.inService == 0) != (b.zones[i].inService == 0) {
 			return false
@@ -152,8 +156,8 @@
 	return true
 }
 
-// incompleteView returns what a gateway may know of a fleet: it does not know the zones of some gateways, takes some for dead that
-// are in service, and its list lacks a few engines.
+// incompleteView returns the fleet as a gateway may know it: without the zones of some gateways, with some gateways wrongly out
+// of service, and without a few engines.
 func (f fleetModel) incompleteView(number int, rnd *rand.Rand) fleetModel {
 	view := f
 	view.gateways, view.engines = slices.Clone(f.gateways), nil
@@ -171,9 +175,9 @@
 	return view
 }
 
-// TestEveryEngineIsInASubset checks that an engine that all gateways in service have in their lists is in a subset, although each
-// gateway has an incomplete view.
-func TestEveryEngineIsInASubset(t *testing.T) {
+// TestEveryEngineIsInSomeSubset checks that each engine that is in the lists of all gateways in service is in at least one
+// subset, even if the gateways have different incomplete views of the fleet.
+func TestEveryEngineIsInSomeSubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
 		seed := rapid.Uint64().Draw(t, "views")
@@ -199,14 +203,14 @@
 		}
 		for _, e := range f.engines {
 			if inService > 0 && listed[e.ID] == inService && !chosen[e.ID] {
-				t.Fatalf("engine %x of zone %d is in no subset of %d", e.ID, e.Zone, inService)
+				t.Fatalf("engine %x of zone %d is in none of %d subsets", e.ID, e.Zone, inService)
 			}
 		}
 	})
 }
 
-// TestSubsetIsDeterministic checks that the subset does not depend on the order of the list, and has as many serving engines as
-// are wanted.
+// TestSubsetIsDeterministic checks that the subset does not depend on the order of the list of engines, and that it has the
+// wanted number of serving engines.
 func TestSubsetIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
@@ -215,12 +219,12 @@
 		again.engines = append(rapid.Permutation(f.engines).Draw(t, "order"), f.engines[0])
 		a, b := f.chooser(number), again.chooser(number)
 		if !slices.Equal(a.IDs(), b.IDs()) || a.MeanGatewaysPerEngine() != b.MeanGatewaysPerEngine() {
-			t.Fatalf("%x and %x of the same list", a.IDs(), b.IDs())
+			t.Fatalf("the same engines in a different order result in the subsets %x and %x", a.IDs(), b.IDs())
 		}
-		size := f.config.size(len(f.engines), len(f.gateways))
+		size := f.config.subsetSize(len(f.engines), len(f.gateways))
 		serving, total := 0, 0
-		for id, serves := range f.serving() {
-			if serves {
+		for id, isServing := range f.serving() {
+			if isServing {
 				total++
 				if a.Contains(id) {
 					serving++
@@ -228,18 +232,19 @@
 			}
 		}
 		if serving < min(size, total) {
-			t.Fatalf("%d engines that serve in a subset of %d", serving, size)
+			t.Fatalf("subset has %d serving engines, want %d", serving, min(size, total))
 		}
 	})
 }
 
-// TestHoldersAndOverlaps compares what a gateway computes of the others with the subsets that these choose.
-func TestHoldersAndOverlaps(t *testing.T) {
+// TestPeerOverlapsMatchPeerSubsets checks that MeanGatewaysPerEngine and Overlap agree with the subsets that the other gateways
+// choose.
+func TestPeerOverlapsMatchPeerSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
 		number := rapid.IntRange(0, len(f.gateways)-1).Draw(t, "number")
 		f.gateways[number].InService = true
-		own, holders := f.chooser(number), 0.0
+		own, want := f.chooser(number), 0.0
 		for other, g := range f.gateways {
 			if !g.InService {
 				continue
@@ -251,25 +256,25 @@
 				}
 			}
 			if share := both / float64(len(ids)); own.Overlap(other) != share {
-				t.Fatalf("overlap with %d is %v, computed as %v", other, share, own.Overlap(other))
+				t.Fatalf("overlap with gateway %d is %v, want %v", other, own.Overlap(other), share)
 			}
-			holders += both / float64(len(own.IDs()))
+			want += both / float64(len(own.IDs()))
 		}
-		if math.Abs(own.MeanGatewaysPerEngine()-holders) > 1e-9 {
-			t.Fatalf("%v holders, computed as %v", holders, own.MeanGatewaysPerEngine())
+		if math.Abs(own.MeanGatewaysPerEngine()-want) > 1e-9 {
+			t.Fatalf("mean gateways per engine are %v, want %v", own.MeanGatewaysPerEngine(), want)
 		}
 	})
 }
 
-// lingerCheck follows a Chooser through changes, and checks when engines are removed.
+// lingerCheck applies changes to a Chooser, and checks when engines are removed.
 type lingerCheck struct {
 	fleet    fleetModel
-	number   int // of the gateway
+	number   int // number of the gateway
 	chooser  *Chooser
-	unwanted map[uint64]time.Duration // members that are no longer wanted: since when
+	unwanted map[uint64]time.Duration // members that are no longer wanted, with the time when they became unwanted
 }
 
-// change lets a Chooser tick, or toggles some engines.
+// change calls Tick, or toggles the readiness of some engines.
 func (l *lingerCheck) change(t *rapid.T, now time.Duration) {
 	if rapid.Bool().Draw(t, "tick") {
 		l.chooser.Tick(now)
@@ -283,14 +288,14 @@
 	l.chooser.SetEngines(now, engines)
 }
 
-// check compares the subset with the one before a change, and with what is wanted.
+// check compares the subset with the subset before a change and with the wanted engines.
 func (l *lingerCheck) check(t *rapid.T, now time.Duration, before []uint64) {
 	wanted, removed := l.fleet.chooser(l.number), 0
 	for _, e := range l.fleet.engines {
 		since, known := l.unwanted[e.ID]
 		switch {
 		case wanted.Contains(e.ID) && !l.chooser.Contains(e.ID):
-			t.Fatalf("engine %x is wanted and not there", e.ID)
+			t.Fatalf("engine %x is wanted but not in the subset", e.ID)
 		case wanted.Contains(e.ID):
 			delete(l.unwanted, e.ID)
 		case l.chooser.Contains(e.ID) && !known:
@@ -298,17 +303,17 @@
 		case !l.chooser.Contains(e.ID) && slices.Contains(before, e.ID):
 			removed++
 			if !known || now < since+l.fleet.config.Linger {
-				t.Fatalf("engine %x was removed at %v, wanted until %v", e.ID, now, since)
+				t.Fatalf("engine %x was removed at %v, too soon after it was wanted until %v", e.ID, now, since)
 			}
 		}
 	}
 	if removed > removalBatch {
-		t.Fatalf("%d engines removed in a step", removed)
+		t.Fatalf("a step removed %d engines, want at most %d", removed, removalBatch)
 	}
 }
 
-// TestUnwantedEnginesLinger drives a Chooser through random changes: what is wanted is there at once, what is not is removed
-// no sooner than after Linger, a few in each step, and all of it in the end.
+// TestUnwantedEnginesLinger checks, through random changes, that a Chooser adds wanted engines at once, that it removes unwanted
+// engines no sooner than after Linger and a few at a time, and that it removes all of them in the end.
 func TestUnwantedEnginesLinger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
@@ -326,12 +331,12 @@
 			c.Tick(at)
 		}
 		if wanted := f.chooser(number); !slices.Equal(c.IDs(), wanted.IDs()) {
-			t.Fatalf("%d engines in the end, %d wanted", len(c.IDs()), len(wanted.IDs()))
+			t.Fatalf("%d engines in the end, want %d", len(c.IDs()), len(wanted.IDs()))
 		}
 	})
 }
 
-// Generators of arbitrary values, in range or not.
+// Generators of arbitrary values, both valid and invalid.
 var (
 	anyTime   = rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64().Draw(t, "time")) })
 	anyZoneOf = rapid.OneOf(rapid.Int(), rapid.IntRange(-1, 3))
@@ -358,8 +363,8 @@
 	})
 )
 
-// TestArbitraryInput checks that no input makes a Chooser inconsistent, and that invalid settings are refused.
-func TestArbitraryInput(t *testing.T) {
+// TestArbitraryInputKeepsInvariants checks that no input makes a Chooser inconsistent, and that it rejects invalid settings.
+func TestArbitraryInputKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		configured := rapid.IntRange(1, 9).Draw(t, "configured")
 		c, err := New(DefaultConfig(), rapid.IntRange(0, configured-1).Draw(t, "number"), rapid.Int().Draw(t, "zone"), configured)
@@ -376,7 +381,7 @@
 			case 2:
 				config := anyConfig.Draw(t, "config")
 				if (c.Configure(now, config) == nil) != (config.Validate() == nil) {
-					t.Fatalf("%+v is valid and was refused, or invalid and was accepted", config)
+					t.Fatalf("a valid Config was rejected, or an invalid one accepted: %+v", config)
 				}
 			case 3:
 				c.Tick(now)
@@ -386,18 +391,18 @@
 	})
 }
 
-// checkConsistent checks that a Chooser's answers agree with each other and are within bounds.
+// checkConsistent checks that the results of a Chooser's methods are consistent and within bounds.
 func checkConsistent(t *rapid.T, c *Chooser) {
 	ids := c.IDs()
 	if !slices.IsSorted(ids) || len(ids) != len(slices.Compact(slices.Clone(ids))) {
-		t.Fatalf("%x is no sorted set", ids)
+		t.Fatalf("IDs are not sorted and unique: %x", ids)
 	}
 	for _, e := range c.engines {
 		if _, found := slices.BinarySearch(ids, e.ID); found != c.Contains(e.ID) || c.InCore(e.ID) && !found {
-			t.Fatalf("engine %x: in the list %v", e.ID, found)
+			t.Fatalf("engine %x: IDs contains it: %v, Contains: %v, InCore: %v", e.ID, found, c.Contains(e.ID), c.InCore(e.ID))
 		}
 	}
-	if h, o := c.MeanGatewaysPerEngine(), c.Overlap(rapid.Int().Draw(t, "other")); !(h >= 1 && h <= 9) || !(o >= 0 && o <= 1) {
-		t.Fatalf("%v holders, overlap %v", h, o)
+	if m, o := c.MeanGatewaysPerEngine(), c.Overlap(rapid.Int().Draw(t, "other")); !(m >= 1 && m <= 9) || !(o >= 0 && o <= 1) {
+		t.Fatalf("%v gateways per engine, want 1 to 9; overlap %v, want 0 to 1", m, o)
 	}
 }
--- a/internal/control/subset/ring.go
+++ b/internal/control/subset/ring.go
@@ -7,14 +7,15 @@
 	"sort"
 )
 
-// goldenStep is 2^64 divided by the golden ratio. Its multiples modulo 2^64 are a low-discrepancy sequence: any run of
-// them, and any regular selection, lies evenly on the circle, and adding one moves none of the others.
-const goldenStep = 0x9e3779b97f4a7c15
+// goldenRatioStep is 2^64 divided by the golden ratio. Its multiples modulo 2^64 are a low-discrepancy sequence: consecutive
+// multiples, and multiples at regular intervals, are evenly distributed on the circle, and an additional one does not move the
+// others.
+const goldenRatioStep = 0x9e3779b97f4a7c15
 
-// position returns the place of a gateway on the unit circle, in units of 2^-64.
-func position(number int) uint64 { return uint64(number) * goldenStep }
+// position returns the position of a gateway on the unit circle, in units of 2^-64.
+func position(number int) uint64 { return uint64(number) * goldenRatioStep }
 
-// orderByPosition returns the numbers of so many gateways by their position.
+// orderByPosition returns the numbers from 0 to gateways-1, sorted by position.
 func orderByPosition(gateways int) []int {
 	order := make([]int, gateways)
 	for number := range order {
@@ -24,43 +25,43 @@
 	return order
 }
 
-// mix64 hashes an engine's id with the finalizer of SplitMix64, which is a bijection: no two ids have the same hash.
+// mix64 hashes an engine ID with the finalizer of SplitMix64. This is a bijection, so different IDs have different hashes.
 func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// ring is some of a fleet's engines in the order of their hash; the first follows the last.
+// ring is a circular list of some of a fleet's engines, sorted by hash.
 type ring struct {
-	members []int // indices in the fleet's engines
-	serving int   // engines that serve
+	members []int // indices in fleet.engines
+	serving int   // number of serving engines
 }
 
-// ringOf returns the ring of the engines in the zones that keep accepts.
-func (f *fleet) ringOf(keep func(z *zone) bool) *ring {
-	kept := make([]bool, len(f.zones))
+// ringOf returns the ring of the engines in the zones for which include returns true.
+func (f *fleet) ringOf(include func(z *zone) bool) *ring {
+	included := make([]bool, len(f.zones))
 	for i := range f.zones {
-		kept[i] = keep(&f.zones[i])
+		included[i] = include(&f.zones[i])
 	}
 	r := &ring{members: make([]int, 0, len(f.engines))}
 	for i, e := range f.engines {
-		if !kept[f.zoneOf[i]] {
+		if !included[f.zoneOfEngine[i]] {
 			continue
 		}
 		r.members = append(r.members, i)
-		if e.serves() {
+		if e.isServing() {
 			r.serving++
 		}
 	}
 	return r
 }
 
-// ringRange is the members [from, to) of a ring.
+// ringRange is the half-open range [from, to) of a ring's members.
 type ringRange struct{ from, to int }
 
-// walkOutside calls visit with the members outside a range, once around from the one that a position points to among them,
-// until visit returns false.
+// walkOutside calls visit for each member outside the excluded range until visit returns false. It starts with the member that
+// the position at selects, and goes around the ring once.
 func (r *ring) walkOutside(excluded ringRange, at uint64, visit func(engine int) bool) {
 	count := len(r.members) - (excluded.to - excluded.from)
 	first, _ := bits.Mul64(at, uint64(count))
@@ -72,11 +73,11 @@
 	}
 }
 
-// positions are those of some gateways in service, ascending.
+// positions contains the positions of some gateways in service in ascending order.
 type positions []uint64
 
-// distance returns how far it is from a position to the next other one, around the circle; 0 if there is no other.
-func (p positions) distance(from uint64) uint64 {
+// distanceToNext returns the distance on the circle from a position to the next other position, or 0 if there is no other.
+func (p positions) distanceToNext(from uint64) uint64 {
 	next := sort.Search(len(p), func(i int) bool { return p[i] > from })
 	switch {
 	case next < len(p):
