--- a/cmd/frostpier/exit.go
+++ b/cmd/frostpier/exit.go
@@ -4,32 +4,32 @@
 
 // Exit codes of the rollout commands.
 const (
-	exitDone     = 0 // done, or the information was shown
-	exitError    = 1
-	exitPlan     = 2 // the plan or the command line is invalid; nothing was done
-	exitBusy     = 3 // another controller runs; for pause, resume and abort: none runs
-	exitReturned = 4 // the change was rolled back
-	exitStopped  = 5 // the controller was told to end before the change was over
+	exitOK          = 0 // the command succeeded
+	exitError       = 1
+	exitInvalid     = 2 // invalid plan or command line; nothing was changed
+	exitConflict    = 3 // another controller is running; for pause, resume and abort: no controller is running
+	exitRolledBack  = 4 // the change was rolled back
+	exitInterrupted = 5 // a signal stopped the controller before the change had finished
 )
 
-// codedError is an error with an exit code of its own.
-type codedError struct {
+// exitCodeError is an error that sets the exit code of the program.
+type exitCodeError struct {
 	code int
 	err  error
 }
 
-// Error returns the text of the error.
-func (e codedError) Error() string { return e.err.Error() }
+// Error returns the text of the wrapped error.
+func (e exitCodeError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error without the code.
-func (e codedError) Unwrap() error { return e.err }
+// Unwrap returns the wrapped error.
+func (e exitCodeError) Unwrap() error { return e.err }
 
-// exitCode returns the exit code for the result of a command.
+// exitCode returns the exit code for the error that a command returned.
 func exitCode(err error) int {
-	var coded codedError
+	var coded exitCodeError
 	switch {
 	case err == nil:
-		return exitDone
+		return exitOK
 	case errors.As(err, &coded):
 		return coded.code
 	}
--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -9,30 +9,31 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// The tests run twelve processes of the program, with faults in and between them. The probe interval is the default of
-// 2 s, at which a pause of 2 s must not look like a death. Waits end on what the gateways log; their bounds are several
-// times what is expected.
+// The tests run a fleet of twelve processes, and cause faults of processes and of the network. The probe interval is the default of 2 s,
+// at which a gateway that pauses for 2 s must not be declared dead. The tests wait for events in the gateways' logs, with timeouts of
+// several times the expected time.
 const (
 	fleetSize     = 12
-	detectTimeout = 60 * time.Second // a kill is detected within some 9 s at the worst
+	detectTimeout = 60 * time.Second // a kill is detected within about 9 s at worst
 	healTimeout   = 90 * time.Second
 )
 
-// testFleet is a fleet whose processes end with the test. stateMark is the position in the logged state changes up to
-// which the test has read them.
+// testFleet is a fleet whose processes end with the test. stateMark is the position up to which the test has read the logged state
+// changes.
 type testFleet struct {
 	*testfleet.Fleet
 	t         *testing.T
 	stateMark int
 }
 
-// startFleet starts a fleet without further options.
+// startFleet starts a fleet with default options.
 func startFleet(t *testing.T, seed uint64) *testFleet {
 	t.Helper()
 	return startFleetWith(t, testfleet.Options{Gateways: fleetSize, Seed: seed})
 }
 
-// startFleetWith starts a fleet of this program.
+// startFleetWith starts a fleet of processes of this test binary, and waits until all gateways agree on the members. At the end of the test
+// it checks the logs, and the size and source of the datagrams.
 func startFleetWith(t *testing.T, opt testfleet.Options) *testFleet {
 	t.Helper()
 	opt.Dir, opt.Command, opt.Env = t.TempDir(), []string{os.Args[0]}, []string{envAsProgram + "=1"}
@@ -46,20 +47,20 @@
 			t.Error(err)
 		}
 		if a := f.Alarms(); len(a) > 0 {
-			t.Errorf("in the logs: %v", a)
+			t.Errorf("alarms in the logs: %v", a)
 		}
 		if longest, foreign := f.Relay.DatagramStats(); longest > 256 || foreign > 0 {
-			t.Errorf("a datagram of %d bytes; %d from no gateway", longest, foreign)
+			t.Errorf("longest datagram: %d bytes; datagrams from other sources: %d", longest, foreign)
 		}
 	})
 	out := &testFleet{Fleet: f, t: t}
 	out.must(f.StartAll())
 	out.waitAgreed("at the start", detectTimeout)
-	_, out.stateMark = f.StateChanges(0) // on a slow machine some start late, and are rightly declared dead before
+	_, out.stateMark = f.StateChanges(0) // on a slow machine some gateways start late and are declared dead before that, which is correct
 	return out
 }
 
-// must fails the test on an error.
+// must ends the test on an error.
 func (f *testFleet) must(err error) {
 	f.t.Helper()
 	if err != nil {
@@ -67,15 +68,15 @@
 	}
 }
 
-// waitAgreed waits until every gateway's view of the fleet is true.
-func (f *testFleet) waitAgreed(when string, most time.Duration) {
+// waitAgreed waits until every gateway's view of the fleet is correct.
+func (f *testFleet) waitAgreed(when string, timeout time.Duration) {
 	f.t.Helper()
-	if err := f.Wait(most, f.CheckConverged); err != nil {
+	if err := f.Wait(timeout, f.CheckConverged); err != nil {
 		f.t.Fatalf("%s: %v", when, err)
 	}
 }
 
-// newDeaths returns how many gateways have declared each member dead since the last call.
+// newDeaths returns, by member, how many gateways have declared it dead since the last call.
 func (f *testFleet) newDeaths() map[int]int {
 	changes, mark := f.StateChanges(f.stateMark)
 	f.stateMark = mark
@@ -88,25 +89,25 @@
 	return deaths
 }
 
-// wantNoDeaths checks that no member was declared dead except the listed ones.
-func (f *testFleet) wantNoDeaths(when string, but ...int) {
+// wantNoDeaths checks that no member was declared dead, apart from the listed ones.
+func (f *testFleet) wantNoDeaths(when string, except ...int) {
 	f.t.Helper()
 	deaths := f.newDeaths()
-	for _, i := range but {
+	for _, i := range except {
 		delete(deaths, i)
 	}
 	if len(deaths) > 0 {
-		f.t.Errorf("%s: declared dead without need: %v", when, deaths)
+		f.t.Errorf("%s: falsely declared dead: %v", when, deaths)
 	}
 }
 
-// waitView waits until all other gateways have the member in this state.
-func (f *testFleet) waitView(when string, member int, is string) {
+// waitView waits until all other gateways see the member in this state.
+func (f *testFleet) waitView(when string, member int, state string) {
 	f.t.Helper()
 	err := f.Wait(detectTimeout, func() error {
 		for v := range f.Size() {
-			if v != member && f.Running(v) && f.MemberState(v, member) != is {
-				return fmt.Errorf("gateway %d has %d as %s", v, member, f.MemberState(v, member))
+			if v != member && f.Running(v) && f.MemberState(v, member) != state {
+				return fmt.Errorf("gateway %d sees %d as %s", v, member, f.MemberState(v, member))
 			}
 		}
 		return nil
@@ -116,22 +117,22 @@
 	}
 }
 
-// Killed gateways, one and a third of the fleet at once, are declared dead everywhere and found again when they return.
-// One that returns before its death is declared is not declared dead.
-func TestFleetKills(t *testing.T) {
+// TestFleetDetectsKills checks that killed gateways, one alone and then a third of the fleet, are declared dead everywhere and are seen as
+// alive after their restart. A gateway that restarts before it is declared dead must not be declared dead.
+func TestFleetDetectsKills(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1)
 	f.must(f.Kill(3))
 	f.waitAgreed("one killed", detectTimeout)
 	f.wantNoDeaths("one killed", 3)
 	f.must(f.StartAll())
-	f.waitAgreed("it is back", healTimeout)
+	f.waitAgreed("restarted", healTimeout)
 
 	f.must(f.Kill(7))
 	time.Sleep(3 * time.Second)
 	f.must(f.StartAll())
-	time.Sleep(8 * time.Second) // by now its former incarnation would be declared dead
-	f.waitAgreed("back from nothing after 3 s", healTimeout)
+	time.Sleep(8 * time.Second) // by now its previous incarnation would have been declared dead
+	f.waitAgreed("restarted after 3 s", healTimeout)
 
 	third := []int{0, 4, 8, 11}
 	for _, i := range third {
@@ -140,11 +141,12 @@
 	f.waitAgreed("a third killed", detectTimeout)
 	f.wantNoDeaths("a third killed", append(third, 7)...)
 	f.must(f.StartAll())
-	f.waitAgreed("the third is back", healTimeout)
+	f.waitAgreed("the third restarted", healTimeout)
 }
 
-// Pauses of 0.5 to 2 s of one gateway after another cause no death. A long pause does, and it is refuted everywhere.
-func TestFleetPauses(t *testing.T) {
+// TestFleetToleratesPauses checks that pauses of 0.5 to 2 s, of one gateway after another, do not lead to a declared death. A long pause
+// does, and the gateway is seen as alive everywhere after it.
+func TestFleetToleratesPauses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 2)
 	for k, pause := range []time.Duration{500, 2000, 1000, 1500, 2000, 700, 1800, 2000} {
@@ -163,9 +165,9 @@
 	f.wantNoDeaths("a long pause", 6)
 }
 
-// Loss with duplicates and reordering, and a link that is cut in one direction, cause no death. Gateways that are restarted
-// by SIGTERM are declared left, not dead.
-func TestFleetLossAndRestarts(t *testing.T) {
+// TestFleetToleratesLossAndRestarts checks that packet loss with duplicates and reordering, and a link that is cut in one direction, do
+// not lead to a declared death. Gateways that are restarted with SIGTERM must be seen as left, not as dead.
+func TestFleetToleratesLossAndRestarts(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
 	f.Relay.SetDefaultLink(testfleet.Link{Loss: 0.2, Duplicate: 0.1, DelayMin: time.Millisecond, DelayMax: 120 * time.Millisecond})
@@ -176,8 +178,8 @@
 
 	f.Relay.SetLink(1, 0, testfleet.Link{Cut: true})
 	time.Sleep(15 * time.Second)
-	f.waitAgreed("0 cannot hear 1", healTimeout)
-	f.wantNoDeaths("0 cannot hear 1")
+	f.waitAgreed("link from 1 to 0 cut", healTimeout)
+	f.wantNoDeaths("link from 1 to 0 cut")
 	f.Relay.Heal()
 
 	for i := 0; i < fleetSize; i += 3 {
@@ -189,9 +191,9 @@
 	f.wantNoDeaths("restarts by SIGTERM")
 }
 
-// A gateway that cannot receive and one that cannot send are declared dead, and the others declare nobody else dead. Two
-// halves of the fleet that are cut off from each other find each other again.
-func TestFleetCuts(t *testing.T) {
+// TestFleetRecoversFromPartitions checks that a gateway that cannot receive and one that cannot send are declared dead, and that the other
+// gateways declare no other member dead. After a partition of the fleet into two halves, all views must become correct again.
+func TestFleetRecoversFromPartitions(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 4)
 	f.Relay.DropInbound(2, true)
@@ -204,7 +206,7 @@
 	f.waitAgreed("outbound restored", healTimeout)
 	changes, mark := f.StateChanges(f.stateMark)
 	f.stateMark = mark
-	for _, d := range changes { // the two themselves may declare members dead that they cannot reach
+	for _, d := range changes { // these two may declare members dead that they cannot reach
 		if d.State == "dead" && d.Member != 2 && d.Member != 9 && d.Viewer != 2 && d.Viewer != 9 {
 			t.Errorf("gateway %d declared %d dead", d.Viewer, d.Member)
 		}
@@ -215,5 +217,5 @@
 	}
 	time.Sleep(10 * time.Second)
 	f.Relay.Heal()
-	f.waitAgreed("after the split", healTimeout)
+	f.waitAgreed("after the partition", healTimeout)
 }
--- a/cmd/frostpier/golden_test.go
+++ b/cmd/frostpier/golden_test.go
@@ -10,8 +10,8 @@
 	"frostpier/internal/testutil"
 )
 
-// The command line has the commands, arguments, flags and exit codes that it had before the code was rearranged.
-func TestCommandLineIsUnchanged(t *testing.T) {
+// TestCommandLineMatchesGolden checks that commands, arguments, flags, their defaults and the exit codes are unchanged.
+func TestCommandLineMatchesGolden(t *testing.T) {
 	t.Parallel()
 	var c commandLine
 	parser, err := kong.New(&c, kong.Name("frostpier"))
@@ -30,6 +30,6 @@
 			}
 		}
 	}
-	fmt.Fprintf(&out, "exit codes %d %d %d %d %d %d\n", exitDone, exitError, exitPlan, exitBusy, exitReturned, exitStopped)
+	fmt.Fprintf(&out, "exit codes %d %d %d %d %d %d\n", exitOK, exitError, exitInvalid, exitConflict, exitRolledBack, exitInterrupted)
 	testutil.Golden(t, "commandline.golden", []byte(out.String()))
 }
--- a/cmd/frostpier/httpengine_test.go
+++ b/cmd/frostpier/httpengine_test.go
@@ -13,20 +13,20 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// httpEngine is a fake engine of the platform. A word in the statement selects what it does: "sleep" runs until it is
-// deleted, "full" is rejected, "fault" fails, "break" runs but its connection is cut, "garbage" gets no valid HTTP
-// response, "pages" has a result of three pages. Any other statement has a result of one row.
+// httpEngine is a fake engine that speaks the platform's HTTP protocol. A word in the statement selects its behavior: "sleep" runs
+// until the query is deleted, "full" is rejected, "fault" fails, "break" runs but the connection is closed, "garbage" gets an invalid
+// HTTP response, "pages" returns three pages. Any other statement returns one row.
 type httpEngine struct {
 	ln          net.Listener
 	mu          sync.Mutex
 	posts       []post
-	deletedIDs  map[string]bool // of the queries that were deleted
-	inFlight    map[string]int  // attempts by query
-	maxInFlight int             // of any query at one time
-	servesAll   bool            // every statement has a result of one row; set before the program starts
+	deletedIDs  map[string]bool // IDs of deleted queries
+	inFlight    map[string]int  // attempts in flight by query ID
+	maxInFlight int             // highest number of concurrent attempts of one query
+	servesAll   bool            // return one row for every statement; set before the program starts
 }
 
-// post is a POST request, which starts a query.
+// post is a received POST request, which submits a query.
 type post struct {
 	head textproto.MIMEHeader
 	body string
@@ -41,7 +41,7 @@
 
 func (e *httpEngine) addr() string { return e.ln.Addr().String() }
 
-// received returns how many POST requests had the text in their body.
+// received returns how many POST requests contained the text in their body.
 func (e *httpEngine) received(text string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,10 +79,10 @@
 	}
 }
 
-// reportHeader is a load report.
+// reportHeader is a header with a load report.
 const reportHeader = "X-Report: queue:0;inflight:1;x0:0.2;x1:0.1"
 
-// respond returns the response to a call; empty = the connection is cut.
+// respond returns the response to a call, or "" to close the connection without one.
 func (e *httpEngine) respond(method, path string, head textproto.MIMEHeader, body string) string {
 	id, page := head.Get("X-Hop-Id"), "0"
 	if method != "POST" {
@@ -115,7 +115,7 @@
 	return e.result(id, page, body, method == "POST")
 }
 
-// result returns the response to a call that asks for a page of a query's result. first is set for the POST.
+// result returns the response to a call that requests a page of a query's result. first is set for the POST request.
 func (e *httpEngine) result(id, page, body string, first bool) string {
 	end := func(answer string) string {
 		e.mu.Lock()
@@ -129,7 +129,7 @@
 	case e.servesAll:
 		return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
 	case strings.Contains(body, "sleep"):
-		time.Sleep(30 * time.Millisecond) // a long poll, shorter than the platform's
+		time.Sleep(30 * time.Millisecond) // a long poll, shorter than on the platform
 		return emulator.Answer(202, "", "X-Tell: done", "Figure: 0.5")
 	case strings.Contains(body, "full"):
 		return end(emulator.Answer(503, "", "X-No-Effect: 1", reportHeader))
--- a/cmd/frostpier/crossings_test.go
+++ b/cmd/frostpier/lifecycle_races_test.go
@@ -14,16 +14,17 @@
 	"frostpier/internal/testbed/soak"
 )
 
-// docs/design/crossings.md has a row for each of these.
+// The tests in this file force races between clients, discovery, and the start and shutdown of the gateway; docs/design/crossings.md lists
+// them.
 
-// terminate sends SIGTERM and waits until the shutdown has begun.
+// terminate sends SIGTERM and waits until the program logs that it is shutting down.
 func (n *node) terminate() {
 	n.t.Helper()
 	n.cmd.Process.Signal(syscall.SIGTERM)
 	n.waitLog("msg=stopping")
 }
 
-// waitExit waits for the program to exit, which must be with code 0.
+// waitExit waits for the program to exit, and checks that the exit code is 0.
 func (n *node) waitExit() {
 	n.t.Helper()
 	if err := n.cmd.Wait(); err != nil {
@@ -31,11 +32,11 @@
 	}
 }
 
-// wantEOF waits for the end of the connection, before which nothing more must come and which must not be a reset.
+// wantEOF checks that the server closes the connection without a reset and sends nothing before that.
 func (c *rpcClient) wantEOF() {
 	c.t.Helper()
 	if b, err := io.ReadAll(c.reader); err != nil || len(b) > 0 {
-		c.t.Fatalf("%q, %v, want EOF and nothing before it", b, err)
+		c.t.Fatalf("read %q, %v, want EOF without data", b, err)
 	}
 }
 
@@ -49,9 +50,9 @@
 	return c
 }
 
-// An idle client sees the end of its connection in a shutdown before a request can be lost on it: one that it sends after
-// that was certainly not accepted, and reaches no engine.
-func TestStopEndsRestingConnections(t *testing.T) {
+// TestShutdownClosesIdleConnections checks that a shutdown closes an idle connection before a request can be lost on it: a request that
+// the client sends after the close is not accepted and reaches no engine.
+func TestShutdownClosesIdleConnections(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", e.addr()))
@@ -62,14 +63,14 @@
 	c.conn.Close()
 	n.waitExit()
 	if got := e.received("late"); got != 0 {
-		t.Fatalf("the engine got it %d times", got)
+		t.Fatalf("the engine received the late request %d times", got)
 	}
 }
 
-// A client that goes on using its connection in a shutdown finds the end of it together with a response, while the gateway still waits
-// for a long query of another client. Connections that were never idle together once stayed until 3.2 s after SIGTERM and were closed
-// all at once, in the middle of their clients' pauses, so that requests crossed the end.
-func TestStopEndsConnectionsWithTheirResponses(t *testing.T) {
+// TestShutdownClosesBusyConnectionsAfterResponse checks that a shutdown closes a connection that a client keeps using right after a
+// response, while the gateway still waits for another client's long query. Connections that were busy were once kept open until 3.2 s
+// after SIGTERM and then all closed at once, between two requests of their clients, so that some requests were lost in that race.
+func TestShutdownClosesBusyConnectionsAfterResponse(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", e.addr()))
@@ -78,15 +79,15 @@
 	waitFor(t, "the long query", func() bool { return e.received("sleep") == 1 })
 	c := dialRPC(t, n)
 	n.terminate()
-	for id := 100; ; id++ { // the name of a query is its number
+	for id := 100; ; id++ { // each query needs another id
 		c.submit(id, "lookup", "x", 3000, "")
 		c.wantServed(id, "a\tb\tc\n")
-		time.Sleep(5 * time.Millisecond) // by which the end that came with the response has arrived
+		time.Sleep(5 * time.Millisecond) // long enough for an EOF that follows the response to arrive
 		if soak.AtEOF(c.conn.(syscall.Conn)) {
 			break
 		}
 	}
-	waiting.conn.SetReadDeadline(time.Now().Add(time.Second)) // its own response is due 2.4 s later
+	waiting.conn.SetReadDeadline(time.Now().Add(time.Second)) // its own response follows 2.4 s later
 	if b, err := waiting.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("%q, %v, want no response to the long query yet", b, err)
 	}
@@ -96,8 +97,9 @@
 	n.waitExit()
 }
 
-// A request of which half has arrived when the shutdown begins is accepted and replied to.
-func TestStopWaitsForHalfALine(t *testing.T) {
+// TestShutdownServesPartiallyReceivedRequest checks that a request is still served if only a part of its line has arrived when the
+// shutdown begins.
+func TestShutdownServesPartiallyReceivedRequest(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", e.addr()))
@@ -111,15 +113,16 @@
 	n.waitExit()
 }
 
-// A request that is queued, or between two attempts, when the shutdown begins gets its one reply before the end.
-func TestStopAnswersWhatWaits(t *testing.T) {
+// TestShutdownRepliesToPendingRequests checks that a request that is queued, or between two attempts, when the shutdown begins gets
+// exactly one reply before its connection is closed.
+func TestShutdownRepliesToPendingRequests(t *testing.T) {
 	t.Parallel()
 	t.Run("no engine", func(t *testing.T) {
 		n := startNode(t, "")
 		c := dialRPC(t, n)
 		c.submit(2, "report", "", 15000, "")
 		c.ping()
-		wantErrorAtStop(t, n, c)
+		wantErrorOnShutdown(t, n, c)
 	})
 	t.Run("between attempts", func(t *testing.T) {
 		e := newHTTPEngine(t)
@@ -127,12 +130,12 @@
 		c := dialRPC(t, n)
 		c.submit(2, "report", "full", 15000, "")
 		waitFor(t, "the first attempt", func() bool { return e.received("full") > 0 })
-		wantErrorAtStop(t, n, c)
+		wantErrorOnShutdown(t, n, c)
 	})
 }
 
-// wantErrorAtStop shuts the program down. Request 2 must get an error as its one reply, and the program must exit.
-func wantErrorAtStop(t *testing.T, n *node, c *rpcClient) {
+// wantErrorOnShutdown shuts the program down, and checks that request 2 gets an error as its only reply and that the program exits.
+func wantErrorOnShutdown(t *testing.T, n *node, c *rpcClient) {
 	t.Helper()
 	n.terminate()
 	if r := c.readResponse(); r.ID != 2 || r.Error == nil {
@@ -142,9 +145,9 @@
 	n.waitExit()
 }
 
-// Idle clients use up the descriptors of the clients while discovery is down. Once it is back, the list is fetched, the
-// engine is reached and a new client is served.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+// TestIdleClientsDoNotBlockDiscoveryReconnect lets idle clients use up the descriptors reserved for clients while the discovery server is
+// down. It checks that the gateway still fetches the engine list once discovery is back, connects to the engine, and serves a new client.
+func TestIdleClientsDoNotBlockDiscoveryReconnect(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	const sockets = 128
@@ -156,7 +159,7 @@
 	for range sockets {
 		idle = append(idle, dialRPC(t, n).ping())
 	}
-	waitFor(t, "connections closed for others", func() bool { return strings.Contains(n.log.String(), "evicted for a new connection") })
+	waitFor(t, "evicted connections", func() bool { return strings.Contains(n.log.String(), "evicted for a new connection") })
 	n.discovery.publish(engineInService("e1", e.addr()))
 	n.config["bulletin"] = n.discovery.ln.Addr().String()
 	n.writeConfig()
@@ -165,7 +168,7 @@
 	c := dialRPC(t, n)
 	c.submit(2, "lookup", "x", 3000, "")
 	c.wantServed(2, "a\tb\tc\n")
-	late := idle[len(idle)-1] // the last one, though idle, is still connected
+	late := idle[len(idle)-1] // the newest idle client has not been evicted
 	late.submit(2, "lookup", "y", 3000, "")
 	late.wantServed(2, "a\tb\tc\n")
 	if log := n.log.String(); strings.Contains(log, "accept failed") || strings.Contains(log, "too many open files") {
@@ -173,8 +176,8 @@
 	}
 }
 
-// What one client can flood the program with is bounded, and other clients are served meanwhile.
-func TestFloodOfOneClientCostsOthersNothing(t *testing.T) {
+// TestFloodingClientDoesNotBlockOthers checks that other clients are served while one client floods the gateway with input.
+func TestFloodingClientDoesNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", e.addr()))
@@ -203,7 +206,7 @@
 	}
 }
 
-// flood sends a text again and again, 64 MB in all or until the connection ends.
+// flood sends a text repeatedly, until 64 MB are sent or the connection is closed.
 func (c *rpcClient) flood(text string) {
 	const block, blocks = 64 << 10, 1000
 	bytes := []byte(strings.Repeat(text, block/len(text)))
@@ -214,9 +217,9 @@
 	}
 }
 
-// A restarted gateway serves soon whatever state discovery is in, even if idle clients use up the clients' descriptors as
-// soon as it listens. It waits for none of these.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+// TestRestartedGatewayServesWithoutDiscovery checks that a restarted gateway serves soon while the discovery server is down or does not
+// respond, even if idle clients use up the descriptors reserved for clients as soon as it listens.
+func TestRestartedGatewayServesWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	silent := serveTCP(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
@@ -246,11 +249,11 @@
 	}
 }
 
-// wantReady waits until the program listens, connects idle clients, and checks that a query is served soon.
+// wantReady waits until the program listens, connects idle clients, and checks that a query is served within 10 s.
 func (n *node) wantReady(statement string, idleClients int) {
 	n.t.Helper()
 	started := time.Now()
-	waitFor(n.t, "its address", func() bool {
+	waitFor(n.t, "the listener", func() bool {
 		conn, err := net.Dial("tcp", n.listen)
 		if err == nil {
 			conn.Close()
@@ -268,7 +271,7 @@
 	}
 }
 
-// killAndRestart kills the program and restarts it while clients have connections to it.
+// killAndRestart kills the program while clients are connected, and restarts it.
 func (n *node) killAndRestart() {
 	n.t.Helper()
 	n.cmd.Process.Kill()
@@ -279,9 +282,9 @@
 	n.start()
 }
 
-// While the former process still has the address, the next one waits for it, and exits with code 0 if it is told to stop
-// meanwhile.
-func TestStartWaitsForTheAddress(t *testing.T) {
+// TestStartRetriesAddressInUse checks that a process waits for its listen address while the previous process still uses it, and that it
+// exits with code 0 on a SIGTERM while it waits.
+func TestStartRetriesAddressInUse(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	first := startNode(t, "", engineInService("e1", e.addr()))
@@ -297,5 +300,5 @@
 	third.launch()
 	third.waitLog("address in use, retrying")
 	third.cmd.Process.Signal(syscall.SIGTERM)
-	third.waitExit() // a stop before the start is complete is no failure
+	third.waitExit() // a shutdown during the start is not an error
 }
--- a/cmd/frostpier/mysql_test.go
+++ b/cmd/frostpier/mysql_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// sqlClient is a client that speaks MySQL.
+// sqlClient is a client that speaks the MySQL protocol.
 type sqlClient struct {
 	t    *testing.T
 	conn net.Conn
@@ -26,7 +26,7 @@
 	return h[:]
 }
 
-// dialSQL connects and logs in. It returns the response to the login.
+// dialSQL connects and logs in, and returns the response to the login.
 func dialSQL(t *testing.T, addr, user, password string) (*sqlClient, []byte) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -80,14 +80,14 @@
 	return string(p[9:])
 }
 
-// wantRows reads a result and returns its encoded rows.
+// wantRows reads a result set and returns its encoded rows.
 func (c *sqlClient) wantRows() []string {
 	c.t.Helper()
 	if p := c.read(); string(p) != "\x01" {
-		c.t.Fatalf("got %q, want a result of one column", p)
+		c.t.Fatalf("got %q, want a result set of one column", p)
 	}
 	if def, eof := c.read(), c.read(); string(def) != columnDefinition || string(eof) != eofPayload {
-		c.t.Fatalf("the definitions came changed: %q %q", def, eof)
+		c.t.Fatalf("column definition %q or EOF %q was changed", def, eof)
 	}
 	var rows []string
 	for {
@@ -118,7 +118,8 @@
 
 func le32(n uint32) string { return string(binary.LittleEndian.AppendUint32(nil, n)) }
 
-const textParameter = "\x00\x01\xfd\x00" // of an execute: no nulls, types follow, one text
+// textParameter is the start of the parameters of COM_STMT_EXECUTE: no NULLs, types follow, one string.
+const textParameter = "\x00\x01\xfd\x00"
 
 func (c *sqlClient) execute(id uint32, params string) {
 	c.send(0x17, le32(id)+"\x00\x01\x00\x00\x00"+params)
@@ -126,7 +127,7 @@
 
 var expectedRows = []string{"\x05row 1", "\x05row 2"}
 
-// sqlNode is a program with the MySQL frontend, and its engines.
+// sqlNode is a process of the program with the MySQL frontend, with its fake engines.
 type sqlNode struct {
 	*node
 	addr    string
@@ -134,17 +135,19 @@
 	engines []*sqlEngine
 }
 
-func startSQLNode(t *testing.T, inList int, budget int, engines int) *sqlNode {
+// startSQLNode starts the program with MySQL engines, of which the first listed ones are in the engine list. The accounts have this query
+// budget in ms.
+func startSQLNode(t *testing.T, listed int, budget int, engines int) *sqlNode {
 	t.Helper()
 	n := &sqlNode{addr: freePort(t), record: newExecutionRecord()}
 	var list []engineEntry
-	named := ""
+	addresses := ""
 	for i := range engines {
 		name := string(rune('A' + i))
 		e := newSQLEngine(t, name, n.record)
 		n.engines = append(n.engines, e)
-		named += fmt.Sprintf("%s = %q\n", name, e.addr())
-		if i < inList {
+		addresses += fmt.Sprintf("%s = %q\n", name, e.addr())
+		if i < listed {
 			list = append(list, engineInService(name, "127.0.0.1:1"))
 		}
 	}
@@ -154,12 +157,12 @@
 			sha1Of(sha1Of([]byte("secret"))), class, budget)
 	}
 	n.node = startNode(t, fmt.Sprintf("[mysql]\nlisten = %q\nengine_user = \"gw\"\nengine_password = \"pw\"\n[mysql.engines]\n%s%s",
-		n.addr, named, accounts), list...)
+		n.addr, addresses, accounts), list...)
 	t.Cleanup(func() {
 		n.record.mu.Lock()
 		defer n.record.mu.Unlock()
 		if n.record.maxInFlight > 1 {
-			t.Errorf("%d attempts of one request were in flight at one time", n.record.maxInFlight)
+			t.Errorf("%d concurrent attempts of one request", n.record.maxInFlight)
 		}
 	})
 	return n
@@ -174,6 +177,7 @@
 	return c
 }
 
+// TestMySQLServesStatements checks text queries, prepared statements with remembered types and long data, and closed statements.
 func TestMySQLServesStatements(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 4000, 1)
@@ -195,13 +199,13 @@
 	last := n.engines[0].executes[1]
 	n.engines[0].mu.Unlock()
 	if string(last[10:]) != textParameter+"\x03def" {
-		t.Fatalf("the engine got %q", last)
+		t.Fatalf("the engine received %q", last)
 	}
 	io.WriteString(c.conn, encodePacket(0, "\x18"+le32(id)+"\x00\x00lo")+encodePacket(0, "\x18"+le32(id)+"\x00\x00ng"))
 	c.execute(id, textParameter)
 	c.wantRows()
-	if longs := n.engines[0].longData; len(longs) != 1 || longs[0] != "long" {
-		t.Fatalf("long data %q", longs)
+	if longData := n.engines[0].longData; len(longData) != 1 || longData[0] != "long" {
+		t.Fatalf("long data %q", longData)
 	}
 	c.send(0x1a, le32(id))
 	c.wantOK("reset")
@@ -210,11 +214,13 @@
 	c.wantErr(1243)
 }
 
-func TestMySQLRejectsUnrun(t *testing.T) {
+// TestMySQLRejectsUnsupportedCommands checks that a wrong password, transactions, unsupported commands, unbound parameters and a load
+// without an idempotency key are rejected with the proper error code, and that no engine executes them.
+func TestMySQLRejectsUnsupportedCommands(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 4000, 1)
 	if _, p := dialSQL(t, n.addr, "lookup", "guess"); p[0] != 0xff || binary.LittleEndian.Uint16(p[1:]) != 1045 {
-		t.Fatalf("a wrong password: %q", p)
+		t.Fatalf("wrong password: %q", p)
 	}
 	c := n.login("lookup")
 	for text, code := range map[string]int{"BEGIN": 1235, "/* x */ start transaction": 1235, "SET autocommit=0": 1235, "commit": 1235} {
@@ -226,18 +232,19 @@
 	c.send(0x1c, le32(1)) // fetch
 	c.wantErr(1047)
 	id := c.prepare("SELECT ?")
-	c.execute(id, "\x00") // no types were ever bound
+	c.execute(id, "\x00") // no types have been bound yet
 	c.wantErr(1835)
 	c.send(0x01, "")
 	l := n.login("form-load")
 	l.send(0x03, "load without a key")
 	l.wantErr(1105)
 	if runs := n.record.count(""); runs != 0 {
-		t.Fatalf("%d of them ran", runs)
+		t.Fatalf("%d rejected statements were executed", runs)
 	}
 }
 
-func TestMySQLDeadline(t *testing.T) {
+// TestMySQLDeadlineKillsQuery checks that a query is killed at its deadline, and that the client's connection can still be used.
+func TestMySQLDeadlineKillsQuery(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 400, 1)
 	c := n.login("report")
@@ -245,48 +252,53 @@
 	c.wantErr(3024)
 	waitFor(t, "the kill", func() bool { return n.record.totalInFlight() == 0 })
 	c.send(0x0e, "")
-	c.wantOK("the connection serves on")
+	c.wantOK("ping after the deadline")
 }
 
-func TestMySQLRefusal(t *testing.T) {
+// TestMySQLRejectionSuggestsRetryTime checks that the error of a rejected query says when to retry.
+func TestMySQLRejectionSuggestsRetryTime(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 2500, 1)
 	n.engines[0].mu.Lock()
 	n.engines[0].rejectsConnections = true
 	n.engines[0].mu.Unlock()
-	c := n.login("report") // it is rejected a second before its deadline, so that the error cannot be the deadline's
+	c := n.login("report") // rejected 1 s before its deadline, so that the error cannot be a timeout
 	c.send(0x03, "SELECT 1")
 	if text := c.wantErr(1040); !strings.Contains(text, "come back in 500 ms") {
-		t.Fatalf("the rejection says %q", text)
+		t.Fatalf("rejected with %q", text)
 	}
 }
 
-func TestMySQLErrors(t *testing.T) {
+// TestMySQLRetriesOnlyEngineErrors checks that errors of the statement are forwarded, and that errors of the engine are retried unless a
+// part of the result has been sent.
+func TestMySQLRetriesOnlyEngineErrors(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 2, 4000, 2)
 	c := n.login("lookup")
 	c.send(0x03, "wrong")
-	c.wantErr(1064) // the statement's own error is forwarded without a retry
+	c.wantErr(1064) // an error of the statement is forwarded without a retry
 	if runs := n.record.count("wrong"); runs != 1 {
-		t.Fatalf("ran %d times", runs)
+		t.Fatalf("executed %d times", runs)
 	}
 	c = n.login("report")
 	c.send(0x03, "down")
-	c.wantErr(1040) // an engine's error is retried elsewhere; then the statement is rejected, as it is idempotent
+	c.wantErr(1040) // an engine error is retried on another engine; then the statement is rejected, as it is idempotent
 	if runs := n.record.count("down"); runs < 2 {
-		t.Fatalf("ran %d times", runs)
+		t.Fatalf("executed %d times", runs)
 	}
-	c.send(0x03, "cut") // after the first row there is no retry, and the client sees the error
+	c.send(0x03, "cut") // after the first row there is no retry, and the client receives the error
 	c.read()
 	c.read()
 	c.read()
 	c.read()
 	c.wantErr(1105)
 	if runs := n.record.count("cut"); runs != 1 {
-		t.Fatalf("ran %d times", runs)
+		t.Fatalf("executed %d times", runs)
 	}
 }
 
+// TestMySQLSplitAndOversizedPackets checks packets that arrive byte by byte, two packets that arrive together, and that an oversized packet
+// closes the connection.
 func TestMySQLSplitAndOversizedPackets(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 4000, 1)
@@ -296,9 +308,9 @@
 	}
 	c.wantRows()
 	id := c.prepare("SELECT ?")
-	io.WriteString(c.conn, encodePacket(0, "\x17"+le32(id)+"\x00\x01\x00\x00\x00"+textParameter+"\x01a")+encodePacket(0, "\x0e")) // together
+	io.WriteString(c.conn, encodePacket(0, "\x17"+le32(id)+"\x00\x01\x00\x00\x00"+textParameter+"\x01a")+encodePacket(0, "\x0e")) // in one write
 	c.wantRows()
-	c.wantOK("the ping behind")
+	c.wantOK("ping after the execute")
 	c.conn.Write([]byte{0xff, 0xff, 0xff, 0, 3})
 	c.wantErr(1153)
 	if _, _, err := readPacket(c.conn); err == nil {
@@ -306,8 +318,9 @@
 	}
 }
 
-// A load whose connection broke after it may have run is retried with its idempotency key, and takes effect once.
-func TestMySQLKeyedRepeat(t *testing.T) {
+// TestMySQLKeyedRetryTakesEffectOnce checks that a load is retried with its idempotency key if the connection broke after it may have
+// been executed, and that it takes effect only once.
+func TestMySQLKeyedRetryTakesEffectOnce(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 2, 15000, 2)
 	c := n.login("form-load")
@@ -316,18 +329,19 @@
 	c.send(0x03, "lose load")
 	c.wantOK("load")
 	if runs := n.record.count("lose"); runs < 2 {
-		t.Fatalf("ran %d times", runs)
+		t.Fatalf("executed %d times", runs)
 	}
 	if effects := n.record.effects["'k-1'"]; effects != 1 {
 		t.Fatalf("%d effects", effects)
 	}
 	c.send(0x03, "load again")
-	c.wantErr(1105) // a key is valid for one load
+	c.wantErr(1105) // a key is valid for only one load
 }
 
-// A statement that was prepared while one engine served is executed on another once that one drains, with the types that
-// were bound before. The draining engine gets nothing new later than 2 s after it was listed as draining.
-func TestMySQLStatementOutlivesItsEngine(t *testing.T) {
+// TestMySQLPreparedStatementMovesToAnotherEngine checks that a statement that was prepared on one engine is executed on another one, with
+// the types bound before, once the first engine drains. The draining engine must get no new work later than 2 s after it was listed as
+// draining.
+func TestMySQLPreparedStatementMovesToAnotherEngine(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 4000, 2)
 	c := n.login("lookup")
@@ -355,12 +369,13 @@
 		t.Fatalf("A got new work after it was listed as draining")
 	}
 	if e := n.engines[1].executes[0]; string(e[10:]) != textParameter+"\x03abc" {
-		t.Fatalf("B got %q", e)
+		t.Fatalf("B received %q", e)
 	}
 }
 
-// The query of a client that closes in the middle of a result is killed, and its attempt is in flight until then.
-func TestMySQLCloseMidResult(t *testing.T) {
+// TestMySQLClientCloseKillsQuery checks that a query is killed if its client closes the connection in the middle of the result, and that
+// its attempt counts as in flight until then.
+func TestMySQLClientCloseKillsQuery(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 15000, 1)
 	c := n.login("report")
@@ -375,7 +390,8 @@
 	other.wantRows()
 }
 
-// A client that does not read exerts back pressure on the engine: the program does not buffer the result.
+// TestMySQLBackPressure checks that the gateway does not buffer a result that the client does not read, that other clients are still
+// served, and that no row is lost.
 func TestMySQLBackPressure(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 15000, 1)
@@ -384,22 +400,23 @@
 	for range 4 {
 		c.read()
 	}
-	waitFor(t, "a query that runs", func() bool { return n.record.totalInFlight() == 1 })
+	waitFor(t, "a running query", func() bool { return n.record.totalInFlight() == 1 })
 	other := n.login("lookup")
 	other.send(0x03, "SELECT 1")
-	other.wantRows() // the event loop is not blocked
-	for range 4096 { // the rows go on, numbered and complete
+	other.wantRows() // the event loop must not be blocked
+	for range 4096 { // the following rows are complete
 		if p := c.read(); len(p) != 1027 {
 			t.Fatalf("a row of %d bytes", len(p))
 		}
 	}
 }
 
-// The master of the virtual router listens. When it shuts down, the other takes over.
-func TestMySQLListenerFollowsTheMaster(t *testing.T) {
+// TestMySQLListenerFollowsVRRPMaster checks that the master of the virtual router opens the MySQL listener, and that the backup opens it
+// when the master shuts down.
+func TestMySQLListenerFollowsVRRPMaster(t *testing.T) {
 	t.Parallel()
-	led := newExecutionRecord()
-	e := newSQLEngine(t, "A", led)
+	record := newExecutionRecord()
+	e := newSQLEngine(t, "A", record)
 	addr, udp := freePort(t), [2]string{freeUDP(t), freeUDP(t)}
 	var nodes [2]*node
 	for i, priority := range []int{200, 100} {
@@ -419,7 +436,7 @@
 	c.wantRows()
 	nodes[0].cmd.Process.Signal(syscall.SIGTERM)
 	nodes[1].waitLog("mysql listener opened")
-	waitFor(t, "the other to serve", func() bool {
+	waitFor(t, "the backup to listen", func() bool {
 		nc, err := net.Dial("tcp", addr)
 		if err == nil {
 			nc.Close()
@@ -427,7 +444,7 @@
 		return err == nil
 	})
 	if c, p = dialSQL(t, addr, "u", "p"); p[0] != 0 {
-		t.Fatalf("login at the other: %q", p)
+		t.Fatalf("login at the backup: %q", p)
 	}
 	c.send(0x03, "SELECT 1")
 	c.wantRows()
--- a/cmd/frostpier/mysqlengine_test.go
+++ b/cmd/frostpier/mysqlengine_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// readPacket reads a packet of the MySQL protocol.
+// readPacket reads a MySQL packet.
 func readPacket(r io.Reader) (seq byte, payload []byte, err error) {
 	var head [4]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
@@ -21,13 +21,13 @@
 	return head[3], payload, err
 }
 
-// encodePacket returns a packet.
+// encodePacket returns an encoded MySQL packet.
 func encodePacket(seq byte, payload string) string {
 	n := len(payload)
 	return string([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}) + payload
 }
 
-// encodeResponse returns the packets of a response to a command, numbered from 1.
+// encodeResponse returns the packets of a response to a command, with sequence numbers from 1.
 func encodeResponse(payloads ...string) string {
 	out := ""
 	for i, p := range payloads {
@@ -47,22 +47,22 @@
 	return "\xff" + string(binary.LittleEndian.AppendUint16(nil, uint16(code))) + "#HY000" + text
 }
 
-// executionRecord is what the fake engines of a test share: what ran where, and which loads took effect.
+// executionRecord records what the fake engines of a test executed, and which loads took effect. All engines of the test share it.
 type executionRecord struct {
 	mu             sync.Mutex
-	executions     []string       // engine:statement, in order
-	inFlight       map[string]int // attempts by statement
-	maxInFlight    int            // of any statement at one time, over all engines
-	effects        map[string]int
+	executions     []string       // "engine:statement", in order of execution
+	inFlight       map[string]int // attempts in flight by statement
+	maxInFlight    int            // highest number of concurrent attempts of one statement, over all engines
+	effects        map[string]int // by idempotency key
 	kills          int
-	connectionLost bool // on "lose"
+	connectionLost bool // whether a "lose" statement has closed its connection already
 }
 
 func newExecutionRecord() *executionRecord {
 	return &executionRecord{inFlight: map[string]int{}, effects: map[string]int{}}
 }
 
-// count returns how many executions had the text in engine:statement.
+// count returns how many executions have the text in their "engine:statement".
 func (r *executionRecord) count(text string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,25 +92,25 @@
 	return n
 }
 
-// sqlEngine is a fake engine that speaks MySQL. A word in the statement selects what it does: "sleep" runs until it is
-// killed, "many" returns rows until it is killed, "cut" returns a row and then cuts the connection, "wrong" is an error of
-// the statement, "down" an error of the engine, "lose" takes effect and then cuts the connection, once. A "load" returns
-// OK, any other statement two rows.
+// sqlEngine is a fake engine that speaks the MySQL protocol. A word in the statement selects its behavior: "sleep" runs until it is
+// killed, "many" returns rows until it is killed, "cut" returns a row and closes the connection, "wrong" fails with an error of the
+// statement, "down" with an error of the engine, "lose" takes effect and closes the connection, but only the first time. A "load"
+// returns OK, and any other statement returns two rows.
 type sqlEngine struct {
 	name               string
 	ln                 net.Listener
 	record             *executionRecord
 	mu                 sync.Mutex
 	nextID             uint32
-	running            map[uint32]chan struct{} // by connection; closed to kill its statement
+	running            map[uint32]chan struct{} // by connection ID; closed to kill the statement
 	rejectsConnections bool                     // with "Too many connections"
 	executes           [][]byte
 	longData           []string
 }
 
-func newSQLEngine(t *testing.T, name string, led *executionRecord) *sqlEngine {
+func newSQLEngine(t *testing.T, name string, record *executionRecord) *sqlEngine {
 	t.Helper()
-	e := &sqlEngine{name: name, record: led, running: map[uint32]chan struct{}{}}
+	e := &sqlEngine{name: name, record: record, running: map[uint32]chan struct{}{}}
 	e.ln = serveTCP(t, e.serve)
 	return e
 }
@@ -137,7 +137,7 @@
 	}
 	e.mu.Lock()
 	e.nextID++
-	s := &sqlSession{conn: nc, id: e.nextID, statements: map[uint32]string{}, lastStatement: 70} // so that IDs differ from the gateway's
+	s := &sqlSession{conn: nc, id: e.nextID, statements: map[uint32]string{}, lastStatement: 70} // so that statement IDs differ from the gateway's
 	e.mu.Unlock()
 	id := string(binary.LittleEndian.AppendUint32(nil, s.id))
 	io.WriteString(nc, encodePacket(0, "\x0a5.7.0\x00"+id+"abcdefgh\x00\xff\xf7\x2d\x02\x00\xff\x81\x15"+strings.Repeat("\x00", 10)+
@@ -154,7 +154,7 @@
 	}
 }
 
-// command responds to a command; false cuts the connection.
+// command responds to a command. It returns false to close the connection.
 func (e *sqlEngine) command(s *sqlSession, p []byte) bool {
 	switch p[0] {
 	case 0x02:
@@ -194,9 +194,9 @@
 	return true
 }
 
-// query responds to a text query.
+// query responds to a text query. It returns false to close the connection.
 func (e *sqlEngine) query(s *sqlSession, text string) bool {
-	if key, is := strings.CutPrefix(text, "SET @replay_key="); is {
+	if key, ok := strings.CutPrefix(text, "SET @replay_key="); ok {
 		s.idempotencyKey = key
 		io.WriteString(s.conn, encodeResponse(okPayload))
 		return true
@@ -226,7 +226,7 @@
 	io.WriteString(s.conn, encodeResponse(okPayload))
 }
 
-// run executes a statement and responds; false cuts the connection.
+// run executes a statement and responds. It returns false to close the connection.
 func (e *sqlEngine) run(s *sqlSession, text string) bool {
 	stop := make(chan struct{})
 	e.mu.Lock()
@@ -238,7 +238,7 @@
 	e.record.executions = append(e.record.executions, e.name+":"+text)
 	e.record.inFlight[text]++
 	e.record.maxInFlight = max(e.record.maxInFlight, e.record.inFlight[text])
-	if s.idempotencyKey != "" && e.record.effects[s.idempotencyKey] == 0 { // all engines drop a duplicate within the window
+	if s.idempotencyKey != "" && e.record.effects[s.idempotencyKey] == 0 { // the engines drop duplicates, as within the deduplication window
 		e.record.effects[s.idempotencyKey]++
 	}
 	e.record.mu.Unlock()
@@ -283,7 +283,7 @@
 	return true
 }
 
-// streamRows returns rows until the query is killed. The query runs on even if nobody reads them, as at an engine.
+// streamRows sends rows until the query is killed. As on a real engine, the query keeps running if the client does not read them.
 func (e *sqlEngine) streamRows(s *sqlSession, stop chan struct{}, ended func()) bool {
 	io.WriteString(s.conn, encodeResponse("\x01", columnDefinition, eofPayload))
 	rows := make(chan bool)
--- a/cmd/frostpier/oncall_test.go
+++ b/cmd/frostpier/oncall_test.go
@@ -16,16 +16,16 @@
 
 const (
 	onCallPage         = "../../docs/operators/ONCALL.md"
-	oldMessagesHeading = "## Changed messages" // what stands behind it quotes texts that are no longer logged
+	oldMessagesHeading = "## Changed messages" // the section below it quotes messages that are no longer logged
 )
 
-// productSources are the folders whose log messages operators see.
+// productSources are the directories of the code whose log messages operators see.
 var productSources = []string{"../../cmd/frostpier", "../../policy", "../../internal/core", "../../internal/invariant", "../../internal/program",
 	"../../internal/settings", "../../internal/control", "../../internal/protocol", "../../internal/transport"}
 
 var logMethods = []string{"Debug", "Info", "Warn", "Error", "Log"}
 
-// logMessages returns the messages that the functions of a file log. Of a message that is put together, its literal part counts.
+// logMessages returns the messages that the functions of a file log. For a concatenated message it returns the string literals in it.
 func logMessages(file *ast.File) []string {
 	var messages []string
 	for _, declaration := range file.Decls {
@@ -45,7 +45,7 @@
 	return messages
 }
 
-// messageArgument returns the message of a call of a logger; nil for any other call.
+// messageArgument returns the message argument of a call to a logger, or nil for any other call.
 func messageArgument(call *ast.CallExpr) ast.Expr {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains(logMethods, method.Sel.Name) || !isLogger(method.X) {
@@ -53,7 +53,7 @@
 	}
 	index := 0
 	if method.Sel.Name == "Log" {
-		index = 2 // behind the context and the level
+		index = 2 // after the context and the level
 	}
 	if len(call.Args) <= index {
 		return nil
@@ -61,7 +61,7 @@
 	return call.Args[index]
 }
 
-// isLogger reports whether an expression is a variable or field that holds a logger, by its name.
+// isLogger reports whether the name of a variable or field suggests that it holds a logger.
 func isLogger(expression ast.Expr) bool {
 	name := ""
 	switch x := expression.(type) {
@@ -73,7 +73,7 @@
 	return strings.HasSuffix(strings.ToLower(name), "log") || strings.HasSuffix(strings.ToLower(name), "logger")
 }
 
-// literals returns the strings that an expression may be: its own, and those assigned to the variable that it names.
+// literals returns the string literals of an expression. For a variable it returns those assigned to it in the function body.
 func literals(body *ast.BlockStmt, expression ast.Expr) []string {
 	switch x := expression.(type) {
 	case *ast.BasicLit:
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// assigned returns the strings that are assigned to a variable.
+// assigned returns the string literals that are assigned to a variable in a function body.
 func assigned(body *ast.BlockStmt, name string) []string {
 	var found []string
 	ast.Inspect(body, func(n ast.Node) bool {
@@ -106,7 +106,7 @@
 	return found
 }
 
-// Every message that the program logs has its place on the on-call page.
+// TestOnCallPageHasEveryLogMessage checks that the on-call page quotes each message that the program logs.
 func TestOnCallPageHasEveryLogMessage(t *testing.T) {
 	t.Parallel()
 	page, err := os.ReadFile(onCallPage)
@@ -119,8 +119,8 @@
 		quoted = append(quoted, match[1])
 	}
 	found := 0
-	for _, folder := range productSources {
-		err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
+	for _, directory := range productSources {
+		err := filepath.WalkDir(directory, func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
@@ -143,7 +143,7 @@
 			t.Fatal(err)
 		}
 	}
-	const atLeast = 40 // fewer would mean that the search misses calls
+	const atLeast = 40 // fewer mean that logMessages misses calls
 	if found < atLeast {
 		t.Errorf("found only %d log messages", found)
 	}
--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// rpcClient is a client of the platform, which speaks JSON-RPC.
+// rpcClient is a platform client, which speaks JSON-RPC.
 type rpcClient struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// rpcResponse is a response to a request of either kind.
+// rpcResponse is a response to a query or a ping.
 type rpcResponse struct {
 	ID     int `json:"id"`
 	Result *struct {
@@ -36,7 +36,7 @@
 	} `json:"error"`
 }
 
-// dialRPC connects a client.
+// dialRPC connects a client to the program.
 func dialRPC(t *testing.T, n *node) *rpcClient {
 	t.Helper()
 	nc, err := net.Dial("tcp", n.listen)
@@ -50,7 +50,7 @@
 
 func (c *rpcClient) sendLine(text string) { io.WriteString(c.conn, text+"\n") }
 
-// submit sends a query. more is JSON that is added to its parameters.
+// submit sends a query. more is JSON text that is added to its parameters.
 func (c *rpcClient) submit(id int, method, statement string, budget int, more string) {
 	c.sendLine(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016x","budget":%d%s,"blob":%q}}`, id, method,
 		id, budget, more, base64.StdEncoding.EncodeToString([]byte(statement))))
@@ -69,26 +69,28 @@
 	return a
 }
 
-// wantServed reads a response, which must be this result.
+// wantServed reads a response and checks that it has this result.
 func (c *rpcClient) wantServed(id int, want string) {
 	c.t.Helper()
 	a := c.readResponse()
 	if a.ID != id || a.Result == nil || a.Result.Blob != base64.StdEncoding.EncodeToString([]byte(want)) {
-		c.t.Fatalf("answer %+v, want %q", a, want)
+		c.t.Fatalf("response %+v, want %q", a, want)
 	}
 }
 
-// wantError reads a response, which must be this error.
+// wantError reads a response and checks that it has this error.
 func (c *rpcClient) wantError(id, code int) rpcResponse {
 	c.t.Helper()
 	a := c.readResponse()
 	if a.ID != id || a.Error == nil || a.Error.Code != code {
-		c.t.Fatalf("answer %+v, want error %d for %d", a, code, id)
+		c.t.Fatalf("response %+v, want error %d for request %d", a, code, id)
 	}
 	return a
 }
 
-func TestPlatformServesAndPassesOnUnchanged(t *testing.T) {
+// TestPlatformForwardsQueriesUnchanged checks that the engine receives the statement, id, class and idempotency key of a query unchanged, and
+// that the client receives all pages of a result.
+func TestPlatformForwardsQueriesUnchanged(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
@@ -98,13 +100,15 @@
 	p := e.posts[0]
 	if p.body != statement || p.head.Get("X-Hop-Id") != "0000000000000001" || p.head.Get("X-Sort") != "form-load" ||
 		p.head.Get("X-Replay-Key") != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" {
-		t.Fatalf("the engine got %+v", p)
+		t.Fatalf("the engine received %+v", p)
 	}
 	c.submit(2, "lookup", "pages", 3000, "")
 	c.wantServed(2, "page0\tx\ty\npage1\tx\ty\npage2\tx\ty\n")
 }
 
-func TestPlatformErrors(t *testing.T) {
+// TestPlatformRejectsInvalidRequests checks the error codes of invalid requests, that none reaches the engine, and that an oversized line
+// closes the connection.
+func TestPlatformRejectsInvalidRequests(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
@@ -119,16 +123,16 @@
 	c.submit(4, "form-load", "x", 1000, "") // a load needs an idempotency key
 	c.wantError(4, -32602)
 	if n := e.received(""); n != 0 {
-		t.Fatalf("%d of them reached the engine", n)
+		t.Fatalf("%d invalid requests reached the engine", n)
 	}
 	c.sendLine(strings.Repeat("x", 2<<20))
 	if _, err := c.reader.ReadString('\n'); err == nil {
-		t.Fatal("an over-long line left the connection open")
+		t.Fatal("the connection is open after an oversized line")
 	}
 }
 
-// A rejection carries a Retry-After, which is at most what the settings allow.
-func TestPlatformRefusalCarriesRetryTime(t *testing.T) {
+// TestPlatformRejectionCarriesBackoff checks that a rejection carries a backoff of at most the maximum in the settings.
+func TestPlatformRejectionCarriesBackoff(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
@@ -138,10 +142,11 @@
 	}
 }
 
-// An idempotent query that fails at one engine is served by another. It never has two attempts in flight.
-func TestPlatformTriesElsewhere(t *testing.T) {
+// TestPlatformRetriesOnAnotherEngine checks that an idempotent query that fails on one engine is served by another one, and that it never
+// has two attempts in flight.
+func TestPlatformRetriesOnAnotherEngine(t *testing.T) {
 	t.Parallel()
-	// A query whose connection breaks or brings garbage is polled on another connection: that is no further attempt.
+	// After a broken connection or an invalid response the query is polled on another connection, which is not a new attempt.
 	for text, retries := range map[string]int{"break": 0, "fault": 1, "garbage": 0, "full": 1} {
 		bad, good := newHTTPEngine(t), newHTTPEngine(t)
 		good.servesAll = true
@@ -149,21 +154,22 @@
 		c := dialRPC(t, n)
 		id := 0
 		waitFor(t, "a query that was sent to the bad engine first", func() bool {
-			id++ // each with another table group, as those are spread over the engines
+			id++ // a new table group each time, as groups are distributed over the engines
 			c.submit(id, "report", fmt.Sprintf("%s FROM sales_%d.orders", text, id), 15000, "")
 			c.wantServed(id, "a\tb\tc\n")
 			return bad.received(text) > 0
 		})
 		if total := bad.received(text) + good.received(text); total != id+retries {
-			t.Fatalf("%s: %d attempts of %d requests", text, total, id)
+			t.Fatalf("%s: %d attempts for %d requests", text, total, id)
 		}
 		if bad.maxInFlight > 1 || good.maxInFlight > 1 {
-			t.Fatalf("%s: two attempts in flight at one time", text)
+			t.Fatalf("%s: two concurrent attempts", text)
 		}
 	}
 }
 
-func TestPlatformAbortAndCloseCancel(t *testing.T) {
+// TestPlatformAbortAndCloseCancelQueries checks that a query is canceled on its engine when its client sends abort or disconnects.
+func TestPlatformAbortAndCloseCancelQueries(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", e.addr()))
@@ -171,25 +177,26 @@
 	c.submit(1, "report", "sleep one", 15000, "")
 	waitFor(t, "the first query", func() bool { return e.received("one") == 1 })
 	c.sendLine(`{"jsonrpc":"2.0","method":"abort","params":{"id":1}}`)
-	waitFor(t, "its end", func() bool { return e.deletions() == 1 })
+	waitFor(t, "its cancellation", func() bool { return e.deletions() == 1 })
 	c.submit(2, "report", "sleep two", 15000, "")
 	waitFor(t, "the second query", func() bool { return e.received("two") == 1 })
 	c.conn.Close()
-	waitFor(t, "its end", func() bool { return e.deletions() == 2 })
+	waitFor(t, "its cancellation", func() bool { return e.deletions() == 2 })
 }
 
-func TestPlatformDeadline(t *testing.T) {
+// TestPlatformDeadlineCancelsQuery checks that a query is rejected at its deadline and canceled on its engine.
+func TestPlatformDeadlineCancelsQuery(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
 	c.submit(1, "lookup", "sleep", 400, "")
-	c.wantError(1, -32008) // as it is idempotent, it is rejected and may be retried
-	waitFor(t, "the end at the engine", func() bool { return e.deletions() == 1 })
+	c.wantError(1, -32008) // it is idempotent, so it is rejected as retryable
+	waitFor(t, "the cancellation on the engine", func() bool { return e.deletions() == 1 })
 }
 
-// After SIGTERM pings report the shutdown, pending requests get replies, new ones are still accepted, and the program
-// exits with code 0.
-func TestPlatformStop(t *testing.T) {
+// TestPlatformShutdownCompletesRequests checks that after SIGTERM pings report the shutdown, pending requests get replies, new ones are still
+// accepted, and the program exits with code 0.
+func TestPlatformShutdownCompletesRequests(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", e.addr()))
@@ -215,7 +222,7 @@
 	}
 }
 
-// A discovery event that cannot be used is logged and requested again after the last good event.
+// TestDiscoveryWatchReconnects checks that the discovery watch reconnects after an invalid event and resumes after the last valid one.
 func TestDiscoveryWatchReconnects(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
@@ -223,9 +230,9 @@
 	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
 	n.discovery.publish(engineEntry{"e1", "127.0.0.1:1", "z", "m", "terminated"})
 	n.discovery.publishRaw("{nonsense")
-	waitFor(t, "its return", func() bool { return n.discovery.connected() == 2 })
+	waitFor(t, "the reconnect", func() bool { return n.discovery.connected() == 2 })
 	if n.discovery.requests[1] != "after 2" {
-		t.Fatalf("asked %q", n.discovery.requests[1])
+		t.Fatalf("requested %q", n.discovery.requests[1])
 	}
 	n.discovery.publish(engineInService("e2", e.addr()))
 	c := dialRPC(t, n)
@@ -233,9 +240,9 @@
 	c.wantServed(1, "a\tb\tc\n")
 }
 
-// SIGHUP reloads the configuration: the program follows the discovery server that it names now from the last event on,
-// closes the old watch, and goes on serving. An invalid file changes nothing.
-func TestReloadWatchesTheNewDiscoveryServer(t *testing.T) {
+// TestReloadSwitchesDiscoveryServer checks that after a configuration reload by SIGHUP the program watches the newly configured discovery
+// server from the last event on, closes the old watch, and keeps serving. An invalid configuration must change nothing.
+func TestReloadSwitchesDiscoveryServer(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", "127.0.0.1:1"))
@@ -256,7 +263,7 @@
 	n.cmd.Process.Signal(syscall.SIGHUP)
 	waitFor(t, "the new discovery watch", func() bool { return next.connected() == 1 })
 	if next.requests[0] != "after 2" {
-		t.Fatalf("asked %q", next.requests[0])
+		t.Fatalf("requested %q", next.requests[0])
 	}
 	next.publish(engineInService("e2", e.addr()))
 	c.submit(1, "lookup", "x", 3000, "")
@@ -266,9 +273,9 @@
 	}
 }
 
-// Membership stays off where the platform's settings forbid it, although the operator's file asks for it; the program
-// serves all the same.
-func TestMembershipStaysOffWhereItIsForbidden(t *testing.T) {
+// TestMembershipIsDisabledWhereForbidden checks that membership is disabled if the platform's settings do not permit it, although the
+// operator's file enables it, and that the program serves without it.
+func TestMembershipIsDisabledWhereForbidden(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "[membership]\nfleet = \"f\"\n[spread]\n", engineInService("e1", e.addr()))
--- a/cmd/frostpier/ports_test.go
+++ b/cmd/frostpier/ports_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// portHost is a loopback address of this test process. On 127.0.0.1 any outgoing connection of another test may take a port
-// between its choice here and the moment when the program listens on it.
+// portHost is a loopback address that only this test process uses. On 127.0.0.1, an outgoing connection of another test could take a
+// port after freePort has returned it and before the program listens on it.
 var portHost = net.IPv4(127, 200, byte(os.Getpid()>>8), byte(1+os.Getpid()%250)).String()
 
-// usedPorts are the addresses that freePort and freeUDP have returned, so that none is returned twice.
+// usedPorts holds the addresses that freePort and freeUDP have returned, so that no address is returned twice.
 var usedPorts = struct {
 	sync.Mutex
 	tcp, udp map[string]bool
 }{tcp: map[string]bool{}, udp: map[string]bool{}}
 
-// freePort returns a TCP address on which nothing listens.
+// freePort returns an unused TCP address.
 func freePort(t *testing.T) string {
 	t.Helper()
 	return reservePort(t, usedPorts.tcp, func() (string, error) {
@@ -29,7 +29,7 @@
 	})
 }
 
-// freeUDP returns a UDP address on which nothing listens.
+// freeUDP returns an unused UDP address.
 func freeUDP(t *testing.T) string {
 	t.Helper()
 	return reservePort(t, usedPorts.udp, func() (string, error) {
@@ -41,7 +41,7 @@
 	})
 }
 
-// reservePort chooses addresses until it has one that is not in used, and adds it there.
+// reservePort calls choose until it returns an address that is not in used, and adds the address to used.
 func reservePort(t *testing.T, used map[string]bool, choose func() (string, error)) string {
 	t.Helper()
 	usedPorts.Lock()
--- a/cmd/frostpier/program_test.go
+++ b/cmd/frostpier/program_test.go
@@ -22,13 +22,13 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// waitTimeout is how long a test waits for something. Nothing is expected to take so long.
+// waitTimeout is how long a test waits for a condition before it fails.
 const waitTimeout = 20 * time.Second
 
-// envAsProgram has the test binary run as the program instead of the tests.
+// envAsProgram is an environment variable that makes the test binary run as the program instead of running the tests.
 const envAsProgram = "FROSTPIER_AS_PROGRAM"
 
-// TestMain runs the tests, or the program in a process that a test starts.
+// TestMain runs the tests, or the program if envAsProgram is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(envAsProgram) == "" {
 		os.Exit(m.Run())
@@ -42,7 +42,7 @@
 	}
 }
 
-// serveWithFaults serves like the program, with the faults that the environment asks for, and logs at debug level.
+// serveWithFaults runs the gateway with the faults that the environment selects, and logs at debug level.
 func serveWithFaults() error {
 	hooks, err := emulator.Hooks()
 	if err != nil {
@@ -63,13 +63,13 @@
 	listen     string
 	log        *logBuffer
 	discovery  *discoveryServer
-	configPath string         // of the configuration
-	config     map[string]any // what the configuration holds
+	configPath string
+	config     map[string]any // content of the configuration
 
-	operatorPath string // of the operator's file; empty = none
+	operatorPath string // empty = no operator's file
 }
 
-// logBuffer keeps the output of a process.
+// logBuffer collects the output of a process.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -97,13 +97,13 @@
 "rules":{"answer_slack":20000000,"drain_grace":2000000000,"free_resends":2,"extra_share":0.1,"ratio_span":5000000000},
 "siblings":1,"tick":5000000}`
 
-// startNode starts the program with engines in its configuration's list and an operator's file; empty = none.
+// startNode starts the program with a list of engines and the content of an operator's file; empty means no file.
 func startNode(t *testing.T, operator string, engines ...engineEntry) *node {
 	t.Helper()
 	return startNodeWith(t, operator, func(map[string]any) {}, engines...)
 }
 
-// startNodeWith starts the program with a changed configuration.
+// startNodeWith is like startNode, but lets change modify the configuration.
 func startNodeWith(t *testing.T, operator string, change func(conf map[string]any), engines ...engineEntry) *node {
 	t.Helper()
 	n := &node{t: t, listen: freePort(t), log: &logBuffer{}, discovery: newDiscoveryServer(t, engines...)}
@@ -126,7 +126,8 @@
 	return n
 }
 
-// launch starts the program and ends it with the test, which fails if the log shows a panic or a broken invariant.
+// launch starts the program and kills it at the end of the test. The test fails if the log shows a panic, a broken invariant or a data
+// race.
 func (n *node) launch() {
 	n.t.Helper()
 	n.start()
@@ -143,7 +144,7 @@
 	})
 }
 
-// start starts the program, or restarts it once it has ended.
+// start starts the process of the program, also after a previous one has ended.
 func (n *node) start() {
 	n.t.Helper()
 	n.cmd = exec.Command(os.Args[0])
@@ -185,7 +186,7 @@
 	}
 }
 
-// engineEntry is an entry of the engine list, as discovery encodes it.
+// engineEntry is an entry of the engine list, as encoded by the discovery server.
 type engineEntry struct {
 	Name  string `json:"instanceId"`
 	Addr  string `json:"hostPort"`
@@ -194,7 +195,7 @@
 	State string `json:"lifecycle"`
 }
 
-// engineInService returns the entry of an engine that serves.
+// engineInService returns the entry of an engine in service.
 func engineInService(name, addr string) engineEntry {
 	return engineEntry{name, addr, "z", "m", "in_service"}
 }
@@ -205,7 +206,7 @@
 	mu       sync.Mutex
 	events   []map[string]any
 	conns    []net.Conn
-	requests []string // first line of each connection
+	requests []string // the first line of each connection
 }
 
 func newDiscoveryServer(t *testing.T, engines ...engineEntry) *discoveryServer {
@@ -215,7 +216,7 @@
 	return f
 }
 
-// serveTCP listens on a free port and serves each connection on a goroutine of its own.
+// serveTCP listens on a free port and serves each connection on its own goroutine.
 func serveTCP(t *testing.T, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -235,7 +236,7 @@
 	return ln
 }
 
-// event returns an event of the engine list.
+// event returns a discovery event with a list of engines.
 func event(no int, engines []engineEntry) map[string]any {
 	return map[string]any{"no": no, "roster": map[string]any{"generation": no, "reset": false, "instances": engines}}
 }
@@ -272,7 +273,7 @@
 	}
 }
 
-// publishRaw sends a line as it is to every connection.
+// publishRaw sends a line unchanged to every connection, without recording it.
 func (f *discoveryServer) publishRaw(line string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -281,7 +282,7 @@
 	}
 }
 
-// connected returns how many connections there have been.
+// connected returns how many connections have been accepted so far.
 func (f *discoveryServer) connected() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -18,55 +18,55 @@
 	"frostpier/internal/controller"
 )
 
-// commandLine is what kong parses. The names of commands, arguments and flags follow from those of the fields.
+// commandLine defines the command line for kong, which derives the names of commands, arguments and flags from the field names.
 type commandLine struct {
 	Rollout struct {
-		Plan    planCommand    `cmd:"" help:"Check a plan whole and show its stages; nothing is done."`
-		Up      upCommand      `cmd:"" help:"Start the gateways that do not run, on the plan's old version."`
-		Start   startCommand   `cmd:"" help:"Carry a change to its end, or take one up that was begun with the same plan."`
-		Status  statusCommand  `cmd:"" help:"Show where the last change stands."`
-		Pause   controlCommand `cmd:"" help:"Have nothing go on but what is under way."`
-		Resume  controlCommand `cmd:"" help:"Go on after a pause, or where too little was known."`
-		Abort   controlCommand `cmd:"" help:"Take the change back."`
-		History historyCommand `cmd:"" help:"Show what happened, from the journal."`
-	} `cmd:"" help:"Change the program or the settings of a fleet in stages."`
+		Plan    planCommand    `cmd:"" help:"Validate a plan and show its stages, without changing anything."`
+		Up      upCommand      `cmd:"" help:"Start the gateways that are not running, on the plan's old version."`
+		Start   startCommand   `cmd:"" help:"Execute a change in stages, or resume one that was started with the same plan."`
+		Status  statusCommand  `cmd:"" help:"Show the status of the last change."`
+		Pause   controlCommand `cmd:"" help:"Put the change on hold. Steps in progress are completed."`
+		Resume  controlCommand `cmd:"" help:"Resume a change that is on hold, after a pause or an inconclusive stage."`
+		Abort   controlCommand `cmd:"" help:"Abort the change: roll all gateways back to the old version."`
+		History historyCommand `cmd:"" help:"Show the history of a change."`
+	} `cmd:"" help:"Roll out a new program or new settings to a fleet, in stages."`
 }
 
-// stateFlags are the flags that most commands share.
+// stateFlags are the flags shared by all commands except plan.
 type stateFlags struct {
-	State string `default:"rollout" help:"The folder of the journal, logs and operator's files."`
+	State string `default:"rollout" help:"Directory of the journal, logs and operator's files."`
 	JSON  bool   `name:"json" help:"Print JSON."`
 }
 
 type (
 	planCommand struct {
-		Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
+		Plan string `arg:"" type:"existingfile" help:"Path of the plan, a TOML file."`
 		JSON bool   `name:"json" help:"Print JSON."`
 	}
 	startCommand struct {
 		stateFlags
-		Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
+		Plan string `arg:"" type:"existingfile" help:"Path of the plan, a TOML file."`
 	}
 	upCommand struct {
 		stateFlags
-		Plan string `arg:"" type:"existingfile" help:"The plan, a TOML file."`
+		Plan string `arg:"" type:"existingfile" help:"Path of the plan, a TOML file."`
 	}
 	statusCommand  struct{ stateFlags }
 	controlCommand struct{ stateFlags } // pause, resume or abort
 	historyCommand struct {
 		stateFlags
-		Name string `arg:"" optional:"" help:"The change; the last one where none is named."`
+		Name string `arg:"" optional:"" help:"Name of the change; by default the last one."`
 	}
 )
 
-// commandPrefix is what kong's name of a subcommand starts with.
+// commandPrefix is the prefix of the subcommand names that kong passes to Run.
 const commandPrefix = "rollout "
 
 // runCommand runs a command line and returns the exit code.
 func runCommand(args []string) int {
 	var c commandLine
 	parser, err := kong.New(&c, kong.Name("frostpier"), kong.UsageOnError(),
-		kong.Description("A workload manager. Without arguments it serves, as GW_CONFIG says."))
+		kong.Description("A workload manager for queries. Without arguments it runs the gateway with the configuration file in GW_CONFIG."))
 	if err != nil {
 		printError(err)
 		return exitError
@@ -74,7 +74,7 @@
 	ctx, err := parser.Parse(args)
 	if err != nil {
 		printError(err)
-		return exitPlan
+		return exitInvalid
 	}
 	err = ctx.Run(ctx.Command())
 	if err != nil {
@@ -83,15 +83,15 @@
 	return exitCode(err)
 }
 
-// readPlan reads and checks a plan.
+// readPlan reads and validates a plan.
 func readPlan(path string) (controller.CheckedPlan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return controller.CheckedPlan{}, codedError{exitPlan, err}
+		return controller.CheckedPlan{}, exitCodeError{exitInvalid, err}
 	}
 	checked, err := controller.CheckPlan(text)
 	if err != nil {
-		return checked, codedError{exitPlan, err}
+		return checked, exitCodeError{exitInvalid, err}
 	}
 	return checked, nil
 }
@@ -99,14 +99,14 @@
 // printJSON prints a value as one line of JSON.
 func printJSON(v any) error { return json.NewEncoder(os.Stdout).Encode(v) }
 
-// planOutput is the JSON output of the command plan.
+// planOutput is the JSON output of the plan command.
 type planOutput struct {
-	IDs    map[string]rollout.VersionID `json:"ids"` // by version
+	IDs    map[string]rollout.VersionID `json:"ids"` // by OldVersion or NewVersion
 	Plan   rollout.Plan                 `json:"plan"`
-	Stages [][]int                      `json:"stages"` // numbers of the gateways
+	Stages [][]int                      `json:"stages"` // gateway indexes by stage
 }
 
-// Run checks and shows a plan.
+// Run validates a plan and prints its stages.
 func (c *planCommand) Run() error {
 	checked, err := readPlan(c.Plan)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// Run starts the gateways that do not run.
+// Run starts the gateways that are not running.
 func (c *upCommand) Run() error {
 	checked, err := readPlan(c.Plan)
 	if err != nil {
@@ -145,11 +145,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d gateways started, %d ran already\n", started, len(checked.Fleet.Gateways)-started)
+	fmt.Printf("%d gateways started, %d already running\n", started, len(checked.Fleet.Gateways)-started)
 	return nil
 }
 
-// Run executes a change to its end.
+// Run executes a change and returns an error unless it is completed.
 func (c *startCommand) Run() error {
 	state, err := c.execute()
 	if err != nil {
@@ -164,29 +164,29 @@
 	case rollout.Done:
 		return nil
 	case rollout.RolledBack:
-		return codedError{exitReturned, fmt.Errorf("stage %d was taken back: %s", state.Stage+1, state.Reason)}
+		return exitCodeError{exitRolledBack, fmt.Errorf("change rolled back in stage %d: %s", state.Stage+1, state.Reason)}
 	}
-	return codedError{exitStopped, fmt.Errorf("ended while %s; start it again to go on", state.Phase)}
+	return exitCodeError{exitInterrupted, fmt.Errorf("controller stopped in phase %s; run the command again to resume the change", state.Phase)}
 }
 
-// execute runs the controller until the change is over or a signal ends it.
+// execute runs the controller until the change has finished or a signal stops it.
 func (c *startCommand) execute() (rollout.State, error) {
 	checked, err := readPlan(c.Plan)
 	if err != nil {
 		return rollout.State{}, err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	changer, err := controller.Open(c.State, checked, log)
+	ctl, err := controller.Open(c.State, checked, log)
 	if errors.Is(err, controller.ErrRunning) {
-		return rollout.State{}, codedError{exitBusy, err}
+		return rollout.State{}, exitCodeError{exitConflict, err}
 	}
 	if err != nil {
 		return rollout.State{}, err
 	}
-	defer changer.Close()
+	defer ctl.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	return changer.Run(ctx)
+	return ctl.Run(ctx)
 }
 
 // show prints the status of a change.
@@ -196,12 +196,12 @@
 	}
 	fmt.Printf("change %q: %s, stage %d, since %s\n", s.Name, s.State.Phase, s.State.Stage+1, formatTime(int64(s.State.Since)))
 	if s.State.Reason != "" {
-		fmt.Println("because:", s.State.Reason)
+		fmt.Println("reason:", s.State.Reason)
 	}
 	if s.Verdict.Reason != "" {
-		fmt.Println("thought:", s.Verdict.Reason)
+		fmt.Println("verdict:", s.Verdict.Reason)
 	}
-	fmt.Printf("gateways: %d on the old version, %d on the new one; a controller runs: %v\n",
+	fmt.Printf("gateways: %d on the old version, %d on the new version; controller running: %v\n",
 		s.GatewayCounts[rollout.OldVersion], s.GatewayCounts[rollout.NewVersion], s.Running)
 	return nil
 }
@@ -209,7 +209,7 @@
 // formatTime formats nanoseconds since the Unix epoch.
 func formatTime(ns int64) string { return time.Unix(0, ns).Format(time.DateTime) }
 
-// Run shows the status of the last change.
+// Run prints the status of the last change.
 func (c *statusCommand) Run() error {
 	s, err := controller.LastStatus(c.State)
 	if err != nil {
@@ -218,11 +218,11 @@
 	return c.show(s)
 }
 
-// Run sends a command to the running controller: the subcommand's own name.
+// Run sends the name of the subcommand as a command to the running controller, and prints the resulting status.
 func (c *controlCommand) Run(command string) error {
 	s, err := controller.SendCommand(c.State, strings.TrimPrefix(command, commandPrefix))
 	if errors.Is(err, controller.ErrNotRunning) {
-		return codedError{exitBusy, err}
+		return exitCodeError{exitConflict, err}
 	}
 	if err != nil {
 		return err
@@ -230,11 +230,11 @@
 	return c.show(s)
 }
 
-// Run shows the journal of a change.
+// Run prints the history of a change.
 func (c *historyCommand) Run() error {
 	history, err := controller.History(c.State, c.Name)
 	if errors.Is(err, controller.ErrRunning) {
-		return codedError{exitBusy, err}
+		return exitCodeError{exitConflict, err}
 	}
 	if err != nil {
 		return err
@@ -242,8 +242,8 @@
 	if c.JSON {
 		return printJSON(history)
 	}
-	for _, line := range history {
-		fmt.Println(formatTime(int64(line.At)), line.Text)
+	for _, entry := range history {
+		fmt.Println(formatTime(int64(entry.At)), entry.Text)
 	}
 	return nil
 }
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-// Only without -tags debug: with both CI would take too long, and fleet_test.go runs fleets with it.
+// Built only without the tag debug to keep CI short: with the tag, fleet_test.go runs fleets.
 
 package main
 
@@ -19,14 +19,14 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// The tests run twelve processes of the program under load, and roll out changes. They judge what the controller decides
-// and what clients get, but no times; waits have bounds of many times what is expected.
+// The tests run twelve processes of the program under load, and roll out changes. They check the controller's decisions and the clients'
+// responses, but no durations; timeouts are many times the expected time.
 const (
 	changeGateways = 12
 	changeTimeout  = 3 * time.Minute
 )
 
-// startChange starts a fleet, its clients and the plan of a change.
+// startChange starts a fleet, its engines and its clients, and prepares a change.
 func startChange(t *testing.T, opt testfleet.ChangeOptions) *testfleet.Change {
 	t.Helper()
 	opt.Gateways, opt.Engines, opt.Cores, opt.Load = changeGateways, 4, 8, 0.5
@@ -62,7 +62,7 @@
 	return c
 }
 
-// executeChange runs the controller in this process until the change is over.
+// executeChange runs the controller in this process until the change has finished.
 func executeChange(t *testing.T, c *testfleet.Change) rollout.State {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
@@ -74,33 +74,32 @@
 	return s
 }
 
-// checkReplies checks that every request had one complete reply; killed allows lost ones, as a gateway was killed. It
-// returns how many requests ended in each way.
+// checkReplies checks that every request got exactly one complete reply. killed allows lost requests, for tests that kill a gateway. It
+// returns the number of requests by verdict.
 func checkReplies(t *testing.T, c *testfleet.Change, killed bool) map[emulator.Verdict]int {
 	t.Helper()
-	ends := map[emulator.Verdict]int{}
+	verdicts := map[emulator.Verdict]int{}
 	for _, o := range c.StopClients() {
-		ends[o.Verdict]++
+		verdicts[o.Verdict]++
 		if o.DuplicateAnswers > 0 {
-			t.Errorf("a request got %d more replies", o.DuplicateAnswers)
+			t.Errorf("a request got %d duplicate replies", o.DuplicateAnswers)
 		}
 	}
-	if !killed && ends[emulator.Lost]+ends[emulator.Unanswered] > 0 {
-		t.Errorf("lost or unanswered: %v", ends)
+	if !killed && verdicts[emulator.Lost]+verdicts[emulator.Unanswered] > 0 {
+		t.Errorf("lost or unanswered: %v", verdicts)
 	}
-	return ends
+	return verdicts
 }
 
-// A good change is completed: no request is lost, none has two replies, and never are more gateways out of service than
-// the plan allows.
-func TestFleetGoodChangeGoesThrough(t *testing.T) {
+// TestFleetGoodChangeCompletes checks that a change without a fault completes, that no request is lost, and that none gets two replies.
+func TestFleetGoodChangeCompletes(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 1})
 	s := executeChange(t, c)
-	ends := checkReplies(t, c, false)
-	t.Logf("%s, %v", s.Phase, ends)
-	if s.Phase != rollout.Done || ends[emulator.Corrupted] > 0 {
-		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
+	verdicts := checkReplies(t, c, false)
+	t.Logf("%s, %v", s.Phase, verdicts)
+	if s.Phase != rollout.Done || verdicts[emulator.Corrupted] > 0 {
+		t.Errorf("%s: %s; %v", s.Phase, s.Reason, verdicts)
 	}
 	st, err := controller.LastStatus(c.StateDir)
 	if err != nil || st.GatewayCounts[rollout.NewVersion] != changeGateways {
@@ -108,16 +107,17 @@
 	}
 }
 
-// Whatever is wrong with a new version, it is rolled back in its first stage, and all gateways run the old one again.
-func TestFleetBadChangesAreTakenBack(t *testing.T) {
+// TestFleetFaultyChangesAreRolledBack checks, for each fault of a new version, that the change is rolled back in its first stage and that all
+// gateways run the old version again.
+func TestFleetFaultyChangesAreRolledBack(t *testing.T) {
 	t.Parallel()
 	for _, fault := range emulator.Faults() {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			c := startChange(t, testfleet.ChangeOptions{Seed: 2, Fault: fault, MinWatchSeconds: 15, MaxWatchSeconds: 100})
 			s := executeChange(t, c)
-			ends := checkReplies(t, c, true)
-			t.Logf("%s: %s; %v", s.Phase, s.Reason, ends)
+			verdicts := checkReplies(t, c, true)
+			t.Logf("%s: %s; %v", s.Phase, s.Reason, verdicts)
 			if s.Phase != rollout.RolledBack || s.Stage != 0 {
 				t.Errorf("%s in stage %d: %s", s.Phase, s.Stage+1, s.Reason)
 			}
@@ -129,26 +129,26 @@
 	}
 }
 
-// A change of settings alone is applied by a reload: no process ends.
-func TestFleetSettingsChangeWhileRunning(t *testing.T) {
+// TestFleetSettingsChangeNeedsNoRestart checks that a change that affects only settings is applied by reloads, without a restart.
+func TestFleetSettingsChangeNeedsNoRestart(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 3, Settings: "\n# a comment makes another file\n"})
 	before := controller.FindProcesses(c.CheckedPlan.Fleet)
 	s := executeChange(t, c)
-	ends := checkReplies(t, c, false)
+	verdicts := checkReplies(t, c, false)
 	if s.Phase != rollout.Done {
-		t.Errorf("%s: %s; %v", s.Phase, s.Reason, ends)
+		t.Errorf("%s: %s; %v", s.Phase, s.Reason, verdicts)
 	}
 	for i, pid := range controller.FindProcesses(c.CheckedPlan.Fleet) {
 		if pid != before[i] {
-			t.Errorf("gateway %d was process %d and is %d", i, before[i], pid)
+			t.Errorf("gateway %d was restarted: pid %d became %d", i, before[i], pid)
 		}
 	}
 }
 
-// A controller that is killed again and again, wherever it is, leaves a change that the next one resumes. A second
-// controller beside it is rejected.
-func TestFleetControllerIsKilled(t *testing.T) {
+// TestFleetChangeSurvivesControllerKills kills the controller at several points of a change, and checks that the next one resumes and
+// completes it. A second controller must be rejected while one is running.
+func TestFleetChangeSurvivesControllerKills(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 4, Stages: []string{"2", "5", "100%"}, MinWatchSeconds: 3, MaxWatchSeconds: 60})
 	for _, after := range []time.Duration{300, 900, 1700, 2600, 3100, 4500} {
@@ -160,15 +160,15 @@
 	select {
 	case <-k.ended:
 	case <-time.After(changeTimeout):
-		t.Fatal("the change does not end")
+		t.Fatal("the change did not finish in time")
 	}
-	if code := k.cmd.ProcessState.ExitCode(); code != exitDone {
+	if code := k.cmd.ProcessState.ExitCode(); code != exitOK {
 		t.Errorf("exit code %d", code)
 	}
 	checkReplies(t, c, false)
 	history, err := controller.History(c.StateDir, "")
 	if err != nil || len(history) == 0 {
-		t.Errorf("history: %d lines, %v", len(history), err)
+		t.Errorf("history: %d entries, %v", len(history), err)
 	}
 	status, err := controller.LastStatus(c.StateDir)
 	if err != nil {
@@ -179,14 +179,14 @@
 	}
 }
 
-// controllerProcess is a process of the command rollout start.
+// controllerProcess is a process that runs the command "rollout start".
 type controllerProcess struct {
 	t     *testing.T
 	cmd   *exec.Cmd
 	ended chan error
 }
 
-// startCommandProcess starts rollout start in a process.
+// startCommandProcess starts the command "rollout start" in a process.
 func startCommandProcess(t *testing.T, c *testfleet.Change) *exec.Cmd {
 	t.Helper()
 	cmd, err := c.StartController([]string{os.Args[0]}, append([]string{envAsProgram + "=1"}, emulator.OwnerEnv()...))
@@ -196,7 +196,7 @@
 	return cmd
 }
 
-// startController starts a controller of the change in a process.
+// startController starts a controller for the change in a process.
 func startController(t *testing.T, c *testfleet.Change) *controllerProcess {
 	t.Helper()
 	k := &controllerProcess{t: t, cmd: startCommandProcess(t, c), ended: make(chan error, 1)}
@@ -204,12 +204,12 @@
 	return k
 }
 
-// killAfter kills the controller, which must not have ended by then.
+// killAfter kills the controller after a delay. The controller must still be running then.
 func (k *controllerProcess) killAfter(delay time.Duration) {
 	k.t.Helper()
 	select {
 	case err := <-k.ended:
-		k.t.Fatalf("it ended by itself: %v", err)
+		k.t.Fatalf("the controller exited: %v", err)
 	case <-time.After(delay):
 	}
 	if err := k.cmd.Process.Kill(); err != nil {
@@ -218,20 +218,20 @@
 	<-k.ended
 }
 
-// wantSecondRejected starts second controllers until one is rejected, which must happen while this one runs.
+// wantSecondRejected starts second controllers until one is rejected. This controller must be running until then.
 func (k *controllerProcess) wantSecondRejected(c *testfleet.Change) {
 	k.t.Helper()
 	deadline := time.After(waitTimeout)
-	for code := exitDone; code != exitBusy; {
+	for code := exitOK; code != exitConflict; {
 		select {
 		case err := <-k.ended:
-			k.t.Fatalf("it ended by itself: %v", err)
+			k.t.Fatalf("the controller exited: %v", err)
 		case <-deadline:
 			k.t.Fatal("a second controller was not rejected")
 		case <-time.After(100 * time.Millisecond):
 		}
 		if _, err := controller.SendCommand(c.StateDir, "status"); err != nil {
-			continue // the first has not opened its journal yet
+			continue // the first controller has not opened its journal yet
 		}
 		second := startCommandProcess(k.t, c)
 		second.Wait()
@@ -239,7 +239,7 @@
 	}
 }
 
-// awaitPhase waits until the change is in a phase. It returns false if the change ends before.
+// awaitPhase waits until the change is in this phase. It returns false if the change finishes first or the wait times out.
 func awaitPhase(c *testfleet.Change, phase rollout.Phase) bool {
 	for deadline := time.Now().Add(changeTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		status, err := controller.LastStatus(c.StateDir)
@@ -253,9 +253,9 @@
 	return false
 }
 
-// The change is not blamed for a third of the gateways being cut off from the controller, a killed gateway and a silent
-// engine in the middle of a stage.
-func TestFleetTroublesOfTheStageAreNotBlamed(t *testing.T) {
+// TestFleetChangeToleratesUnrelatedFaults checks that a change is not rolled back because of faults that it did not cause: in the middle of a
+// stage the reports of a third of the gateways are dropped, a gateway is killed, and an engine hangs.
+func TestFleetChangeToleratesUnrelatedFaults(t *testing.T) {
 	t.Parallel()
 	c := startChange(t, testfleet.ChangeOptions{Seed: 5, MinWatchSeconds: 10, MaxWatchSeconds: 90})
 	order := c.CheckedPlan.Plan.StageGateways(changeGateways)
@@ -277,8 +277,8 @@
 		})
 	}()
 	s := executeChange(t, c)
-	ends := checkReplies(t, c, true)
-	t.Logf("%s: %s; %v", s.Phase, s.Reason, ends)
+	verdicts := checkReplies(t, c, true)
+	t.Logf("%s: %s; %v", s.Phase, s.Reason, verdicts)
 	if s.Phase != rollout.Done {
 		t.Errorf("%s: %s", s.Phase, s.Reason)
 	}
--- a/cmd/frostpier/subset_test.go
+++ b/cmd/frostpier/subset_test.go
@@ -12,18 +12,18 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// The test runs four processes of the program with more engines than a subset has.
+// The test runs four processes of the program with more engines than a subset contains.
 const (
 	subsetGateways = 4
 	subsetEngines  = 32
 	subsetDuration = 6 * time.Second
 )
 
-// startSubset starts the fleet and its load, without a subset.
-func startSubset(t *testing.T) *loadedFleet {
+// startSubsetFleet starts gateways, engines and clients. No subset is configured yet.
+func startSubsetFleet(t *testing.T) *loadedFleet {
 	t.Helper()
-	began := time.Now()
-	clock := func() time.Duration { return time.Since(began) }
+	started := time.Now()
+	clock := func() time.Duration { return time.Since(started) }
 	pool, err := testfleet.NewPool(subsetEngines, emulator.DefaultSpec(2), clock)
 	if err != nil {
 		t.Fatal(err)
@@ -40,43 +40,43 @@
 	return s
 }
 
-// waitLogged waits until every gateway has logged a text this many times.
+// waitLogged waits until every gateway has logged a text at least this many times.
 func (s *loadedFleet) waitLogged(text string, times int) {
 	s.check(s.Wait(waitTimeout, func() error {
 		for i := range s.Size() {
 			if n := strings.Count(s.Log(i), text); n < times {
-				return fmt.Errorf("gateway %d has logged %q %d times, not %d", i, text, n, times)
+				return fmt.Errorf("gateway %d has logged %q %d times, want %d", i, text, n, times)
 			}
 		}
 		return nil
 	}))
 }
 
-// While requests are pending, reloads set a subset, a larger one, and none again. Every request has one reply, none is
-// lost, and no engine gets a query twice.
-func TestSubsetChangesUnderLoad(t *testing.T) {
-	s := startSubset(t)
+// TestSubsetChangesLoseNoRequest configures a subset, a larger one and none again by reloads under load, and checks that every request gets
+// one reply, that none is lost, and that no engine receives a query twice.
+func TestSubsetChangesLoseNoRequest(t *testing.T) {
+	s := startSubsetFleet(t)
 	changed := make(chan struct{})
 	go func() {
 		defer close(changed)
 		time.Sleep(500 * time.Millisecond)
 		s.check(s.Reload("\n[spread]\n[subset]\nleast = 6\ncoverage = 1\nlinger_ms = 300\n"))
-		s.waitLogged(`msg="subset size changed"`, 2) // to all engines at the start, and to the subset
+		s.waitLogged(`msg="subset size changed"`, 2) // once to all engines at the start, and once to the subset
 		s.check(s.Reload("\n[spread]\n[subset]\nleast = 12\ncoverage = 1\nlinger_ms = 300\n"))
 		s.waitLogged(`msg="subset configured" on=true`, 2)
 		time.Sleep(500 * time.Millisecond)
 		s.check(s.Reload("\n[spread]\n"))
 		s.waitLogged(`msg="subset configured" on=false`, 1)
 	}()
-	ends, _ := s.run(nil)
+	verdicts, _ := s.run(nil)
 	<-changed
-	t.Logf("%v", ends)
-	if !servedAtLeast(ends, 0.97) || ends[emulator.Lost]+ends[emulator.Failed] > 0 {
-		t.Errorf("ends: %v", ends)
+	t.Logf("%v", verdicts)
+	if !servedAtLeast(verdicts, 0.97) || verdicts[emulator.Lost]+verdicts[emulator.Failed] > 0 {
+		t.Errorf("verdicts: %v", verdicts)
 	}
 	for i := range s.Size() {
 		if log := s.Log(i); !strings.Contains(log, " engines=32 subset=") || strings.Contains(log, "invariant broken") {
-			t.Errorf("gateway %d logged no subset, or a fault", i)
+			t.Errorf("gateway %d logged no subset, or a broken invariant", i)
 		}
 	}
 }
--- a/cmd/frostpier/cold_test.go
+++ b/cmd/frostpier/warmup_test.go
@@ -13,20 +13,20 @@
 
 const (
 	warmupGateways = 30
-	warmupDuration = 6 * time.Second // three times the span in which an engine that warms up can be overloaded
+	warmupDuration = 6 * time.Second // three times as long as a new engine can be overloaded
 )
 
-// check reports an error from a goroutine beside the test, which goes on.
+// check reports an error without ending the test, as is needed on goroutines other than the test's.
 func (s *loadedFleet) check(err error) {
 	if err != nil {
 		s.t.Error(err)
 	}
 }
 
-// Thirty gateways see engines appear that are warming up. What they send together stays within the warm-up budget of N
-// queries of mean work, plus 2*sqrt(N)+2 for chance, whatever the gateways know of each other: nothing, too much, as half of
-// them have just been restarted, or outdated things, as no datagram arrives.
-func TestFleetColdEnginesUnderThirtyGateways(t *testing.T) {
+// TestFleetStaysWithinWarmUpBudgets checks that 30 gateways together send an engine that is warming up at most its budget of N queries of
+// mean work, plus a margin of 2*sqrt(N)+2 for random variation. That must hold whatever the gateways know about each other: nothing
+// (no membership), too many members (half of the gateways were just restarted), or outdated states (no datagram arrives).
+func TestFleetStaysWithinWarmUpBudgets(t *testing.T) {
 	mean := 0.0
 	for _, c := range emulator.DefaultClasses() {
 		mean += c.Share * c.Work
@@ -52,7 +52,7 @@
 				if c.fault != nil {
 					c.fault(s)
 				}
-				for _, e := range s.pool.Engines()[:spreadEngines/2] {
+				for _, e := range s.pool.Engines()[:loadTestEngines/2] {
 					s.check(s.pool.Replace(e))
 				}
 				s.pool.Publish()
@@ -71,7 +71,7 @@
 				}
 			}
 			if warmingUp == 0 {
-				t.Error("no engine was sent anything while warming up")
+				t.Error("no engine was sent queries while warming up")
 			}
 		})
 	}
