--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,4 +1,4 @@
-// Package layers holds the check that imports point downwards only, as docs/ARCHITECTURE.md has the layers.
+// Package layers checks the layered architecture that docs/ARCHITECTURE.md describes: a package must not import one of a higher layer.
 package layers
 
 import (
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// module is the path of this module.
+// module is the import path of this module, with a trailing slash.
 const module = "frostpier/"
 
-// layers are the directories of each layer, the lowest first. A package may import those of its own layer and of lower ones; the
-// longest directory that a package is under decides.
+// layers lists the directories of each layer, from the lowest to the highest. A package may import packages of its own layer and of lower
+// ones. A package belongs to the layer of the longest directory that contains it.
 var layers = [][]string{
 	{"internal/invariant", "internal/attempt", "internal/protocol", "internal/control", "policy", "internal/settings", "internal/testutil"},
-	{"internal/core", "internal/protocol/discovery", "internal/testutil/nettest"}, // these use its types
+	{"internal/core", "internal/protocol/discovery", "internal/testutil/nettest"}, // these use types of the lowest layer
 	{"internal/transport"},
 	{"internal/subsetdriver"},
 	{"internal/program"},
@@ -23,7 +23,8 @@
 	{"cmd", "internal/layers"},
 }
 
-// forbidden are imports within a layer that its purpose forbids: what is pure knows nothing of files and settings.
+// forbidden lists, by directory, import prefixes that are not allowed although the layers permit them: packages that only compute must not
+// depend on settings, protocols or I/O.
 var forbidden = map[string][]string{
 	"policy":             {"internal/"},
 	"internal/protocol":  {"internal/control", "internal/settings"},
@@ -32,8 +33,8 @@
 	"internal/invariant": {"internal/", "policy"},
 }
 
-// Imports point downwards only, and what decides without I/O imports nothing that does I/O.
-func TestImportsPointDownwards(t *testing.T) {
+// TestImportsFollowLayers checks that no package imports a package of a higher layer, or a package that forbidden lists for it.
+func TestImportsFollowLayers(t *testing.T) {
 	out, err := exec.Command("go", "list", "-f", "{{.ImportPath}} {{join .Imports \" \"}}", module+"...").Output()
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +45,7 @@
 		importer := strings.TrimPrefix(fields[0], module)
 		packages++
 		for _, imported := range fields[1:] {
-			if path, own := strings.CutPrefix(imported, module); own {
+			if path, internal := strings.CutPrefix(imported, module); internal {
 				checkImport(t, importer, path)
 			}
 		}
@@ -59,20 +60,20 @@
 	from, to := layerOf(importer), layerOf(imported)
 	switch {
 	case from < 0 || to < 0:
-		t.Errorf("%s imports %s: one of them is in no layer", importer, imported)
+		t.Errorf("%s imports %s: one of them belongs to no layer", importer, imported)
 	case to > from:
 		t.Errorf("%s imports %s, which is in a higher layer", importer, imported)
 	}
 	for directory, prefixes := range forbidden {
 		for _, prefix := range prefixes {
 			if isUnder(importer, directory) && !isUnder(imported, directory) && strings.HasPrefix(imported, prefix) {
-				t.Errorf("%s imports %s, which %s must not", importer, imported, directory)
+				t.Errorf("%s imports %s, which is forbidden in %s", importer, imported, directory)
 			}
 		}
 	}
 }
 
-// layerOf returns the layer of a package, or -1 if it is in none.
+// layerOf returns the index of the layer of a package, or -1 if it belongs to none.
 func layerOf(path string) int {
 	best, length := -1, 0
 	for layer, directories := range layers {
