--- a/internal/testbed/soak/platformconn.go
+++ b/internal/testbed/soak/platformconn.go
@@ -77,8 +77,8 @@
 	return ended || err != nil
 }
 
-// send writes the rest of a request's line, unless the connection has ended. A failed write shows as the connection's end. The end may
-// stand in the socket right behind the write; it is looked for here, as the reader may be scheduled late.
+// send writes the rest of a request's line, unless the connection is closed. The reader detects a failed write as a closed connection.
+// After the write send checks for a close that is already in the socket's buffer, since the reader may be scheduled late.
 func (p *platformConn) send(r *Request, line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/soak/request.go
+++ b/internal/testbed/soak/request.go
@@ -25,7 +25,7 @@
 	numOutcomes
 )
 
-// String returns the name used in reports.
+// String returns the name used in reports. For RacedClose it is the name of its column in the table of results.
 func (o Outcome) String() string {
 	return [...]string{"open", "served", "rejected", "failed", "aborted", "crossed", "cut by kill", "lost", "lost at kill", "late",
 		"corrupted"}[o]
--- a/internal/testbed/testfleet/balance.go
+++ b/internal/testbed/testfleet/balance.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	sampleInterval   = 100 * time.Millisecond // between two samples of every engine
+	sampleInterval   = 100 * time.Millisecond
 	samplesPerBurst  = 5
 	samplesPerWindow = 10
 
-	// minMeanLoad is the mean load, in threads a core, from which the engines of a window are compared: with less, as when
-	// all requests have been sent, the differences are chance.
+	// minMeanLoad is the mean load, in threads per core, below which a window is not evaluated. At lower loads, such as
+	// after the last request, the differences between engines are random.
 	minMeanLoad = 0.2
 
-	// minBurstArrivals is the mean number of arrivals at an engine from which bursts are compared: with fewer they are
-	// chance.
+	// minBurstArrivals is the mean number of arrivals per engine below which bursts are not evaluated, since the
+	// differences between engines are random.
 	minBurstArrivals = 4
 
-	peakQuantile  = 0.95
-	burstQuantile = 0.999
+	peakPercentile  = 0.95
+	burstPercentile = 0.999
 )
 
-// Balance describes how evenly load was spread over the engines. A window lasts one second.
+// Balance describes how evenly load was distributed over the engines. A window lasts one second.
 type Balance struct {
-	Windows        int
-	PeakToMean     float64 // peak to mean: the busiest engine's threads over the mean of a window, averaged over the windows
-	PeakToMeanP95  float64 // the same, 95th percentile of the windows
-	LongestIdle    float64 // seconds for which an engine had less than half of the mean load, at most
-	BurstP999      float64 // arrivals at an engine in half a second over its equal share, 99.9th percentile
-	MaxConns       int     // connections open at all engines, at most
-	ThreadsPerCore float64 // mean threads a core
-	Arrivals       int     // queries that reached engines
-	Rejected       int     // of them, since the engine was full
+	Windows        int     // number of evaluated windows
+	PeakToMean     float64 // ratio of the busiest engine's threads to the mean of all engines, averaged over the windows
+	PeakToMeanP95  float64 // 95th percentile of that ratio over the windows
+	LongestIdle    float64 // longest time in seconds for which an engine had less than half of the mean load
+	BurstP999      float64 // 99.9th percentile of the ratio of an engine's arrivals in half a second to the mean of all engines
+	MaxConns       int     // maximum number of open connections, summed over all engines
+	ThreadsPerCore float64 // mean number of busy threads per core
+	Arrivals       int     // number of queries that reached engines
+	Rejected       int     // number of these that engines rejected because they were full
 }
 
-// SampleBalance samples the engines until stop is closed and returns how even their load was. It assumes that all engines have the
-// same Spec.
+// SampleBalance samples the engines until stop is closed and returns how evenly load was distributed over them. It assumes
+// that all engines have the same Spec.
 func (p *Pool) SampleBalance(stop <-chan struct{}) Balance {
 	s := balanceSampler{cores: p.spec.Cores, engines: map[*emulator.Engine]*engineSample{}}
 	tick := time.NewTicker(sampleInterval)
@@ -56,24 +56,24 @@
 
 // balanceSampler collects samples of the engines of a pool.
 type balanceSampler struct {
-	cores      float64 // of an engine
+	cores      float64 // cores per engine
 	engines    map[*emulator.Engine]*engineSample
 	samples    int
-	peakToMean []float64 // of each window
-	bursts     []float64 // of each engine in each half second
+	peakToMean []float64 // one value per window
+	bursts     []float64 // one value per engine and half second
 	balance    Balance
 }
 
-// engineSample is what the sampler keeps of one engine.
+// engineSample holds the samples of one engine.
 type engineSample struct {
-	threads  float64 // summed over the samples of the present window
-	arrived  int     // up to the last sample
-	arrivals []int   // between the latest samples
-	rejected int
-	idle     float64 // windows with less than half of the mean load, without a break
+	threads  float64 // sum over the samples of the current window
+	arrived  int     // total at the last sample
+	arrivals []int   // increments over the last samplesPerBurst samples
+	rejected int     // total at the last sample
+	idle     float64 // number of consecutive windows with less than half of the mean load
 }
 
-// sample reads all engines that run.
+// sample samples all given engines and evaluates completed bursts and windows.
 func (s *balanceSampler) sample(engines []*emulator.Engine) {
 	s.samples++
 	conns := 0
@@ -89,7 +89,7 @@
 	}
 }
 
-// sampleEngine reads one engine and returns how many connections it has.
+// sampleEngine samples one engine and returns its number of connections.
 func (s *balanceSampler) sampleEngine(e *emulator.Engine) (conns int) {
 	load, totals, _ := e.Load()
 	engine := s.engines[e]
@@ -106,7 +106,7 @@
 	return totals.Conns
 }
 
-// recordBursts compares the engines' arrivals in the last half second.
+// recordBursts compares the numbers of arrivals at the engines in the last half second.
 func (s *balanceSampler) recordBursts(engines []*emulator.Engine) {
 	all := 0
 	for _, e := range engines {
@@ -120,7 +120,7 @@
 	}
 }
 
-// closeWindow compares the engines' mean threads in the window that ends, and begins the next.
+// closeWindow compares the mean threads of the engines in the current window and starts the next one.
 func (s *balanceSampler) closeWindow(engines []*emulator.Engine) {
 	mean, peak := 0.0, 0.0
 	for _, e := range engines {
@@ -144,7 +144,7 @@
 	}
 }
 
-// result works the figures out.
+// result computes the Balance of all samples.
 func (s *balanceSampler) result() Balance {
 	b := s.balance
 	for _, engine := range s.engines {
@@ -157,8 +157,8 @@
 	for _, ratio := range s.peakToMean {
 		b.PeakToMean += ratio / float64(b.Windows)
 	}
-	b.PeakToMeanP95 = quantile(s.peakToMean, peakQuantile)
-	b.BurstP999 = quantile(s.bursts, burstQuantile)
+	b.PeakToMeanP95 = quantile(s.peakToMean, peakPercentile)
+	b.BurstP999 = quantile(s.bursts, burstPercentile)
 	b.ThreadsPerCore /= math.Max(1, float64(b.Windows))
 	return b
 }
@@ -170,7 +170,7 @@
 	return total
 }
 
-// quantile is the value that the share q of the sorted values does not exceed; 0 where there are none.
+// quantile returns the q-quantile of sorted values, or 0 if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/testbed/testfleet/change.go
+++ b/internal/testbed/testfleet/change.go
@@ -18,22 +18,22 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// ChangeOptions describe a change and the fleet that it is rolled out to.
+// ChangeOptions describe a change and the fleet to which it is rolled out.
 type ChangeOptions struct {
 	Gateways, Engines                int
-	Cores                            float64 // of an engine
-	Load                             float64 // work that clients send, as a share of what the engines' cores can do
+	Cores                            float64 // cores per engine
+	Load                             float64 // offered load as a share of the capacity of the engines' cores
 	Seed                             uint64
-	Dir                              string   // for the plan, configurations and logs
-	Program                          []string // command of the old version
-	Env                              []string // of all processes
-	Fault                            string   // of the new version, one of emulator.Faults; "" = none
-	Settings                         string   // further sections of the new version's operator's file; "" = the program changes
+	Dir                              string   // directory for the plan, configurations and logs
+	Program                          []string // command line of the old version
+	Env                              []string // environment variables of all processes
+	Fault                            string   // fault of the new version, one of emulator.Faults; "" = none
+	Settings                         string   // operator's file sections added by the new version; "" = the program changes
 	Stages                           []string
-	MinWatchSeconds, MaxWatchSeconds float64 // shortest and longest watch of a stage, in seconds
+	MinWatchSeconds, MaxWatchSeconds float64 // minimum and maximum analysis window of a stage, in seconds
 }
 
-// Change is a fleet of processes under load, with engines, and a plan that a controller carries out.
+// Change is a fleet under load, its engines and clients, and the plan of a change that a controller rolls out.
 type Change struct {
 	options     ChangeOptions
 	Pool        *Pool
@@ -41,7 +41,7 @@
 	Clients     *emulator.Clients
 	CheckedPlan controller.CheckedPlan
 	PlanPath    string // path of the plan
-	StateDir    string // the controller's state folder
+	StateDir    string // the controller's state directory
 	traffic     emulator.Traffic
 	clock       func() time.Duration
 	reportProxy *reportProxy
@@ -49,8 +49,8 @@
 	clientsDone sync.WaitGroup
 }
 
-// NewChange starts engines, clients and a fleet on the old version, and writes the plan of the change. It returns once all
-// gateways serve and report; after an error everything is ended again.
+// NewChange starts engines, clients and a fleet on the old version, and writes the plan of the change. It returns when all
+// gateways are serving and have reported. After an error it stops everything that it has started.
 func NewChange(opt ChangeOptions) (_ *Change, err error) {
 	start := time.Now()
 	c := &Change{
@@ -78,13 +78,13 @@
 	return c, c.Fleet.Wait(startTimeout, c.ready)
 }
 
-// Times between any two gateways of a change, much like the platform's.
+// Network delays between the gateways of a change, similar to the platform's.
 const (
 	minChangeDelay = time.Millisecond
 	maxChangeDelay = 5 * time.Millisecond
 )
 
-// startTestbed starts what stands around the gateways: engines, discovery server, relay and report proxy.
+// startTestbed starts the environment of the gateways: engines, discovery server, relay and report proxy.
 func (c *Change) startTestbed() (err error) {
 	opt := c.options
 	if c.Pool, err = NewPool(opt.Engines, emulator.DefaultSpec(opt.Cores), c.clock); err != nil {
@@ -110,22 +110,22 @@
 
 var errNotReporting = errors.New("not all gateways have reported")
 
-// ready is nil once all gateways serve clients and have reported.
+// ready returns nil when all gateways are serving clients and have reported.
 func (c *Change) ready() error {
 	for i := range c.options.Gateways {
 		if !c.Clients.Serving(i) {
 			return fmt.Errorf("gateway %d: %w", i, errNotReady)
 		}
 	}
-	if c.reportProxy.reporting() < c.options.Gateways {
+	if c.reportProxy.numReporting() < c.options.Gateways {
 		return errNotReporting
 	}
 	return nil
 }
 
-// SendLoad has clients send requests for so long, on a goroutine that StopClients waits for.
-func (c *Change) SendLoad(span time.Duration) {
-	requests := c.traffic.Draw(span)
+// SendLoad makes the clients send requests for this duration, on a goroutine that StopClients waits for.
+func (c *Change) SendLoad(duration time.Duration) {
+	requests := c.traffic.Draw(duration)
 	c.clientsDone.Add(1)
 	go func() {
 		defer c.clientsDone.Done()
@@ -133,7 +133,7 @@
 	}()
 }
 
-// StopClients stops the clients, waits until all requests have ended, and returns their outcomes.
+// StopClients stops the clients, waits until all requests have finished, and returns their outcomes.
 func (c *Change) StopClients() []emulator.Outcome {
 	close(c.stop)
 	c.clientsDone.Wait()
@@ -141,31 +141,31 @@
 	return out
 }
 
-// DropReports drops the reports of these gateways on their way to the controller; without arguments it drops none.
-func (c *Change) DropReports(gateways ...int) { c.reportProxy.setCut(gateways) }
+// DropReports drops the reports of these gateways, and only these, from now on. Without arguments it drops none.
+func (c *Change) DropReports(gateways ...int) { c.reportProxy.setDropped(gateways) }
 
 // openLog opens the log that all controllers of the change append to.
 func (c *Change) openLog() (*os.File, error) {
 	return os.OpenFile(c.path("controller.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// RunController runs a controller of the change in this process until the change has ended or the context has.
+// RunController runs a controller of the change in this process until the change has finished or the context is done.
 func (c *Change) RunController(ctx context.Context) (rollout.State, error) {
 	log, err := c.openLog()
 	if err != nil {
 		return rollout.State{}, err
 	}
 	defer func() { _ = log.Close() }()
-	k, err := controller.Open(c.StateDir, c.CheckedPlan, slog.New(slog.NewTextHandler(log, nil)))
+	ctl, err := controller.Open(c.StateDir, c.CheckedPlan, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		return rollout.State{}, err
 	}
-	defer k.Close()
-	return k.Run(ctx)
+	defer ctl.Close()
+	return ctl.Run(ctx)
 }
 
-// StartController starts a controller as a process of the program, which ends with this process at the latest. The caller waits for
-// it. command starts the program; the arguments of a controller are added to it.
+// StartController starts a controller as a separate process, which the kernel kills if this process dies. The caller must
+// wait for it. command is the program's command line, to which the arguments of a controller are appended.
 func (c *Change) StartController(command []string, env []string) (*exec.Cmd, error) {
 	cmd := exec.Command(command[0], append(slices.Clone(command[1:]), "rollout", "start", c.PlanPath, "--state", c.StateDir)...)
 	cmd.Env = append(os.Environ(), env...)
@@ -179,13 +179,13 @@
 	return cmd, cmd.Start()
 }
 
-// RollingRestart is the rolling restart to compare with: each gateway in turn is restarted on the new version, and nothing
-// evaluates it.
-func (c *Change) RollingRestart(each time.Duration) error {
-	return controller.RollingRestart(c.StateDir, c.CheckedPlan, each)
+// RollingRestart restarts one gateway after the other on the new version without any analysis. It is the baseline to which
+// staged changes are compared.
+func (c *Change) RollingRestart(interval time.Duration) error {
+	return controller.RollingRestart(c.StateDir, c.CheckedPlan, interval)
 }
 
-// Close ends every process of the fleet, by its process ID, and everything else that NewChange started.
+// Close kills every process of the fleet, by its process ID, and stops everything else that NewChange has started.
 func (c *Change) Close() error {
 	var errs []error
 	for _, pid := range controller.FindProcesses(c.CheckedPlan.Fleet) {
--- a/internal/testbed/testfleet/changeplan.go
+++ b/internal/testbed/testfleet/changeplan.go
@@ -13,7 +13,8 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// changeOperator is the operator's file of either version: the fleet's name, the address for reports, and further sections.
+// changeOperator is the operator's file of both versions. Its arguments are the fleet's name, the address for reports, and
+// additional sections.
 const changeOperator = `[membership]
 fleet = "%s"
 interval_ms = 500
@@ -25,7 +26,7 @@
 report_ms = 250
 %s`
 
-// changePlan is the plan of the change, as the controller reads it.
+// changePlan is the template of the controller's plan; see planText.
 const changePlan = `name = "change-%d"
 fleet = "%s"
 listen = "%s"
@@ -64,7 +65,7 @@
 every_ms = 40
 `
 
-// writePlan writes both versions and the plan, and has the controller's own code check it.
+// writePlan writes the files of both versions and the plan, and checks the plan with the controller's own code.
 func (c *Change) writePlan() error {
 	configs, err := c.Fleet.WriteConfigs()
 	if err != nil {
@@ -91,8 +92,8 @@
 	return c.reportProxy.setController(listen)
 }
 
-// newProgram returns the path of the new version's program. For a change of settings alone it is the old one. Otherwise it
-// is a copy with a few bytes at its end, which nothing reads, so that the two differ.
+// newProgram returns the path of the new version's program. For a change of settings it is the old program. Otherwise it is
+// a copy with a few unused bytes appended, so that the two versions differ.
 func (c *Change) newProgram() (string, error) {
 	oldProgram := c.options.Program[0]
 	if c.options.Settings != "" {
@@ -106,7 +107,7 @@
 	return path, os.WriteFile(path, append(text, fmt.Sprintf("change %d", c.options.Seed)...), 0o755)
 }
 
-// Names of the operator's files in the folder of the change.
+// Names of the operator's files in the directory of the change.
 const (
 	oldOperatorFile = "old.toml"
 	newOperatorFile = "new.toml"
@@ -122,8 +123,8 @@
 	return write(newOperatorFile, c.options.Settings)
 }
 
-// planText is the plan for a controller that listens for reports at the address listen; configs names the gateways'
-// configurations.
+// planText returns the plan for a controller that receives reports at the address listen. configs is a glob pattern of the
+// gateways' configurations.
 func (c *Change) planText(listen, configs, newProgram string) string {
 	opt := c.options
 	newEnv := opt.Env
@@ -138,10 +139,10 @@
 		opt.MinWatchSeconds, opt.MaxWatchSeconds, statement)
 }
 
-// path is the path of a file in the folder of the change.
+// path returns the path of a file in the directory of the change.
 func (c *Change) path(name string) string { return filepath.Join(c.options.Dir, name) }
 
-// tomlStrings is the content of a TOML array of strings.
+// tomlStrings returns the elements of a TOML array of strings.
 func tomlStrings(list []string) string {
 	var quoted []string
 	for _, s := range list {
@@ -150,8 +151,8 @@
 	return strings.Join(quoted, ", ")
 }
 
-// freeUDPAddr returns an address with a free UDP port. On loopbackAddr hardly anybody else takes the port until the controller
-// listens there.
+// freeUDPAddr returns a free UDP port of addr, as host:port. On loopbackAddr it is unlikely that another program takes the
+// port before the controller listens there.
 func freeUDPAddr(addr netip.Addr) (string, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
 	if err != nil {
--- a/internal/testbed/testfleet/config.go
+++ b/internal/testbed/testfleet/config.go
@@ -8,13 +8,14 @@
 	"path/filepath"
 )
 
-// FleetName is the name of every fleet in the membership protocol.
+// FleetName is the fleet name that all test fleets use in the membership protocol.
 const FleetName = "rig"
 
-// defaultMaxDescriptors is how many descriptors a gateway may use where Options do not say.
+// defaultMaxDescriptors limits a gateway's file descriptors unless Options.MaxDescriptors is set.
 const defaultMaxDescriptors = 512
 
-// defaultSettings is the platform's settings object where Options have none: one class, and no figures of engines.
+// defaultSettings is the platform's settings object unless Options.Settings is set: one query class and no load reports of
+// engines. Its arguments are the number of gateways and the index of the gateway.
 const defaultSettings = `{"classes":[{"name":"lookup","objective":800000000,"give_up":4000000000,"repeat":"retryable","worth":1}],
 "family_info":{"cores_by_kind":[12],"threads_by_class":[1],"is_load":[false]},"models":["m"],"zones":["z"],
 "permissions":{"attempts_cap":4,"cancel":true,"conn_idle":30000000000,"connect_timeout":250000000,"max_open":20000,
@@ -23,11 +24,11 @@
 "rules":{"answer_slack":20000000,"drain_grace":2000000000,"free_resends":2,"extra_share":0.1,"ratio_span":5000000000},
 "siblings":%d,"self_index":%d,"tick":5000000}`
 
-// config writes the configuration of a gateway, as the platform would at this start, and returns its path.
+// config writes the configuration that the platform would provide if the gateway started now, and returns its path.
 func (f *Fleet) config(i int) (path string, err error) {
 	var peers []string
-	for _, p := range f.Relay.Addrs() {
-		peers = append(peers, p.String())
+	for _, addr := range f.Relay.Addrs() {
+		peers = append(peers, addr.String())
 	}
 	settings := fmt.Sprintf(defaultSettings, f.options.members(), i)
 	if f.options.Settings != nil {
@@ -51,7 +52,7 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// writeOperator writes the operator's file that all gateways share.
+// writeOperator writes the operator's file, which all gateways share.
 func (f *Fleet) writeOperator() error {
 	text := fmt.Sprintf("[membership]\nfleet = %q\n", FleetName)
 	if f.options.Interval > 0 {
--- a/internal/testbed/testfleet/discovery.go
+++ b/internal/testbed/testfleet/discovery.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// Engine is an entry of the engine list as the discovery server sends it.
+// Engine is an entry of the engine list in the discovery server's JSON format.
 type Engine struct {
 	Name        string `json:"instanceId"`
 	Addr        string `json:"hostPort"`
 	Zone        string `json:"zone"`
 	Kind        string `json:"machineType"`
 	State       string `json:"lifecycle"`
-	StartedAtMS int64  `json:"startedAtMs"` // Unix milliseconds of a late start, else 0
+	StartedAtMS int64  `json:"startedAtMs"` // Unix milliseconds; 0 unless the engine started during the test
 }
 
-// Times of a watch's connection.
+// Times of a watch connection.
 const (
-	heartbeatInterval   = time.Second      // between two lines with the resource version alone
-	watcherWriteTimeout = 10 * time.Second // a watch that reads nothing for so long is closed
+	heartbeatInterval   = time.Second      // interval of lines with only the resource version
+	watcherWriteTimeout = 10 * time.Second // closes the connection if the client does not read
 )
 
-// DiscoveryServer emulates the platform's: it serves the engine list as a watch of numbered events. Each watch has a
-// goroutine of its own, so that one that reads slowly delays no other.
+// DiscoveryServer emulates the platform's discovery server. It serves the engine list as a watch of numbered events. Each
+// watch has its own goroutine, so that a slow reader does not delay the others.
 type DiscoveryServer struct {
 	listener   net.Listener
 	mu         sync.Mutex
 	events     []json.RawMessage
 	changed    chan struct{} // closed when an event is added
 	conns      map[net.Conn]bool
-	sent       int64 // bytes, to all watches
+	sent       int64 // bytes sent to all watches
 	closed     bool
 	goroutines sync.WaitGroup
 }
 
-// NewDiscoveryServer starts a server on a free loopback port, whose first event names the engines. Close ends it.
+// NewDiscoveryServer starts a server on a free loopback port. Its first event lists the engines. Close stops it.
 func NewDiscoveryServer(engines []Engine) (*DiscoveryServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +54,7 @@
 // Addr returns the address that the server listens on.
 func (s *DiscoveryServer) Addr() string { return s.listener.Addr().String() }
 
-// rosterEvent is an event on the wire.
+// rosterEvent is the wire format of an event.
 type rosterEvent struct {
 	Number int    `json:"no"`
 	Roster roster `json:"roster"`
@@ -62,45 +62,45 @@
 
 type roster struct {
 	Generation int      `json:"generation"`
-	Reset      bool     `json:"reset"` // the list is complete: engines that it does not name have gone
+	Reset      bool     `json:"reset"` // the list is complete: engines that are not listed have been removed
 	Instances  []Engine `json:"instances"`
 }
 
-// Publish appends an event that names engines which have changed, and sends it to all connected watches.
+// Publish appends an event with changed engines and sends it to all connected watches.
 func (s *DiscoveryServer) Publish(engines []Engine) { s.appendEvent(engines, false) }
 
-// PublishFull appends an event that holds the full list, and sends it to all connected watches.
+// PublishFull appends an event with the complete engine list and sends it to all connected watches.
 func (s *DiscoveryServer) PublishFull(engines []Engine) { s.appendEvent(engines, true) }
 
-// appendEvent appends an event and wakes all watches.
+// appendEvent appends an event and notifies all watches.
 func (s *DiscoveryServer) appendEvent(engines []Engine, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	number := len(s.events) + 1
 	event, err := json.Marshal(rosterEvent{Number: number, Roster: roster{Generation: number, Reset: full, Instances: engines}})
 	if err != nil {
-		return // no engine fails to encode
+		return // cannot happen: an Engine always encodes
 	}
 	s.events = append(s.events, event)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// ResourceVersion returns the number of the last event.
+// ResourceVersion returns the number of the latest event.
 func (s *DiscoveryServer) ResourceVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(len(s.events))
 }
 
-// Traffic returns how many bytes have been sent to all watches, and how many watches are connected.
+// Traffic returns the number of bytes sent to all watches so far, and the number of connected watches.
 func (s *DiscoveryServer) Traffic() (bytes int64, watchers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sent, len(s.conns)
 }
 
-// Disconnect closes all watches; the gateways connect again.
+// Disconnect closes the connections of all watches. The gateways reconnect.
 func (s *DiscoveryServer) Disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,14 +109,14 @@
 	}
 }
 
-// InitialEvents returns the events so far in the form of a gateway's configuration.
+// InitialEvents returns all events so far in the format of a gateway's configuration.
 func (s *DiscoveryServer) InitialEvents() map[string]any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return map[string]any{"no": len(s.events), "items": s.events}
 }
 
-// Close ends the server and waits for its goroutines.
+// Close stops the server and waits for its goroutines.
 func (s *DiscoveryServer) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// register adds a watch to those that Close ends, unless the server is closed.
+// register registers a watch, so that Close closes it. It returns false if the server is already closed.
 func (s *DiscoveryServer) register(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +155,8 @@
 	return true
 }
 
-// serve sends a watch the events after the one it names, all later ones, and each second the latest resource version.
+// serve reads the resource version after which a watch starts, and sends it all later events and periodic heartbeats with the
+// latest resource version.
 func (s *DiscoveryServer) serve(conn net.Conn) {
 	defer s.goroutines.Done()
 	defer s.unregister(conn)
@@ -184,7 +185,7 @@
 	}
 }
 
-// unregister closes a watch.
+// unregister closes a watch and removes it.
 func (s *DiscoveryServer) unregister(conn net.Conn) {
 	_ = conn.Close()
 	s.mu.Lock()
@@ -192,7 +193,7 @@
 	delete(s.conns, conn)
 }
 
-// eventsAfter returns the events after the one with this number, and a channel that is closed when there is another.
+// eventsAfter returns the events after the one with this number, and a channel that is closed when the next event is added.
 func (s *DiscoveryServer) eventsAfter(number int) ([]json.RawMessage, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/testfleet/discovery_test.go
+++ b/internal/testbed/testfleet/discovery_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// openWatch returns a watch of the events after a number.
+// openWatch opens a watch that starts after the event with this number, and returns its reader.
 func openWatch(t *testing.T, server *DiscoveryServer, after int) *bufio.Reader {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.Addr())
@@ -22,7 +22,7 @@
 	return bufio.NewReader(conn)
 }
 
-// nextEvent returns the next line that holds an event.
+// nextEvent returns the next line that contains an event, skipping heartbeats.
 func nextEvent(t *testing.T, lines *bufio.Reader) string {
 	t.Helper()
 	for {
@@ -36,8 +36,9 @@
 	}
 }
 
-// A watch that reads nothing delays no other; one that was disconnected gets what it missed, the full list included.
-func TestWatchesAreIndependent(t *testing.T) {
+// A watch that does not read does not delay other watches. A watch that reconnects gets the events that it has missed, including a
+// complete list.
+func TestDiscoveryServerServesWatchesIndependently(t *testing.T) {
 	engines := make([]Engine, 2000)
 	for i := range engines {
 		engines[i] = Engine{Name: fmt.Sprintf("engine-%d", i), Addr: "127.0.0.1:1", State: "in_service"}
@@ -47,9 +48,9 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	openWatch(t, server, 0) // never read
+	openWatch(t, server, 0) // never reads
 	reading := openWatch(t, server, 1)
-	for range 20 { // more than a socket's buffers hold
+	for range 20 { // more data than the socket buffers hold
 		server.Publish(engines)
 	}
 	for number := 2; number <= 21; number++ {
@@ -63,9 +64,9 @@
 	}
 	server.PublishFull(engines[:1])
 	if line := nextEvent(t, openWatch(t, server, 21)); !strings.Contains(line, `"no":22`) || !strings.Contains(line, `"reset":true`) {
-		t.Errorf("%.80s", line)
+		t.Errorf("event 22: %.80s", line)
 	}
 	if sent, _ := server.Traffic(); server.ResourceVersion() != 22 || sent == 0 {
-		t.Errorf("last %d, %d bytes", server.ResourceVersion(), sent)
+		t.Errorf("resource version %d, %d bytes sent", server.ResourceVersion(), sent)
 	}
 }
--- a/internal/testbed/testfleet/doc.go
+++ b/internal/testbed/testfleet/doc.go
@@ -1,6 +1,6 @@
-// Package testfleet runs fleets of gateways, as processes of the program, on loopback. It owns the processes, a discovery
-// server, a pool of emulated engines, and a relay that every datagram between two gateways passes. It injects faults into
-// the processes by signals and into the network at the relay, plays scenarios of such faults, and rolls changes out with
-// the program's own controller. It ends only what it has started, and makes no decision of a gateway. The program's tests,
-// package scale/runner and cmd/fleettest use it.
+// Package testfleet runs fleets of gateway processes on loopback. It owns the processes, a discovery server, a pool of
+// emulated engines, and a relay that forwards all datagrams between gateways. It injects faults into the processes by
+// signals and into the network through the relay, runs scenarios of such faults, and rolls out changes with the program's
+// own controller. It ends only processes that it has started. The program's tests, package scale/runner and cmd/fleettest
+// use it.
 package testfleet
--- a/internal/testbed/testfleet/fleet.go
+++ b/internal/testbed/testfleet/fleet.go
@@ -15,41 +15,41 @@
 type Options struct {
 	Gateways            int
 	Seed                uint64
-	Dir                 string        // of configurations and logs, which exists
-	Command             []string      // command of a gateway
-	Env                 []string      // of the gateways, beside that of this process
-	Interval            time.Duration // of the membership protocol; 0 = its default
-	Link                Link          // between any two gateways
+	Dir                 string        // existing directory for configurations and logs
+	Command             []string      // command line of a gateway
+	Env                 []string      // environment variables of the gateways in addition to those of this process
+	Interval            time.Duration // interval of the membership protocol; 0 = its default
+	Link                Link          // default link between any two gateways
 	Engines             []Engine
 	Settings            func(gateways, self int) string // the platform's settings object, as JSON; nil = defaultSettings
-	Operator            string                          // further sections of the operator's file, as TOML
-	RemoteMembers       int                             // members that the caller runs, at RemoteAddrs
-	MaxDescriptors      int                             // descriptors that a gateway may use; 0 = defaultMaxDescriptors
-	WithoutOperatorFile bool                            // no operator's file: for versions of the program without membership
+	Operator            string                          // additional sections of the operator's file, as TOML
+	RemoteMembers       int                             // number of members that the caller runs at RemoteAddrs
+	MaxDescriptors      int                             // limit on a gateway's file descriptors; 0 = defaultMaxDescriptors
+	WithoutOperatorFile bool                            // no operator's file, for versions of the program without membership
 }
 
-// Fleet runs gateways as processes of the program, with the relay and the discovery server that they need. Its methods may
-// be called by several goroutines, but Reload.
+// Fleet runs gateway processes together with their relay and discovery server. All methods but Reload are safe for
+// concurrent use.
 type Fleet struct {
 	options      Options
 	Relay        *Relay
 	Discovery    *DiscoveryServer
 	gateways     []*gateway
 	operatorFile string
-	peerAddrs    []netip.AddrPort // where datagrams of peers arrive
-	clientAddrs  []netip.AddrPort // where clients connect
+	peerAddrs    []netip.AddrPort // UDP addresses that the members listen on for peers
+	clientAddrs  []netip.AddrPort // TCP addresses that the gateways listen on for clients
 	mu           sync.Mutex
 	changes      []StateChange
 }
 
-// members is how many members the membership protocol knows.
+// members returns the number of members in the membership protocol.
 func (o Options) members() int { return o.Gateways + o.RemoteMembers }
 
-// RemoteAddrs returns the addresses on which the remote members have to listen for datagrams. They reach a gateway at its
-// face at the relay, and each other directly.
+// RemoteAddrs returns the addresses on which the remote members must listen for datagrams. They send datagrams for a
+// gateway to its relay address, and datagrams for each other directly.
 func (f *Fleet) RemoteAddrs() []netip.AddrPort { return f.peerAddrs[f.options.Gateways:] }
 
-// New starts the relay and the discovery server of a fleet. Start and StartAll start its gateways, and Close ends them all.
+// New starts the relay and the discovery server of a fleet. Start and StartAll start its gateways. Close ends them all.
 func New(opt Options) (*Fleet, error) {
 	f := &Fleet{options: opt, operatorFile: filepath.Join(opt.Dir, "operator.toml")}
 	addr := loopbackAddr(opt.Seed)
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	f.peerAddrs = peerAddrs
-	f.Relay, err = NewRelay(addr, f.peerAddrs, opt.Seed) // takes its own ports while those of the gateways are reserved
+	f.Relay, err = NewRelay(addr, f.peerAddrs, opt.Seed) // binds its ports while the gateways' ports are still reserved
 	releasePorts(reserved)
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	return f, nil
 }
 
-// ClientAddrs returns the addresses on which the gateways serve clients, by number.
+// ClientAddrs returns the addresses on which the gateways accept clients, by gateway index.
 func (f *Fleet) ClientAddrs() (out []string) {
 	for _, a := range f.clientAddrs {
 		out = append(out, a.String())
@@ -96,8 +96,8 @@
 // Size returns the number of gateways.
 func (f *Fleet) Size() int { return len(f.gateways) }
 
-// WriteConfigs writes the configurations of all gateways and returns a glob pattern that matches them, for a fleet whose
-// processes a controller starts.
+// WriteConfigs writes the configurations of all gateways and returns a glob pattern that matches them. It serves fleets
+// whose processes are started by a controller.
 func (f *Fleet) WriteConfigs() (pattern string, err error) {
 	for i := range f.gateways {
 		if _, err := f.config(i); err != nil {
@@ -107,7 +107,7 @@
 	return filepath.Join(f.options.Dir, "n*.json"), nil
 }
 
-// Start starts a gateway that does not run.
+// Start starts a gateway that is not running.
 func (f *Fleet) Start(i int) error {
 	conf, err := f.config(i)
 	if err != nil {
@@ -127,7 +127,7 @@
 	f.changes = append(f.changes, change)
 }
 
-// StartAll starts the gateways that do not run and waits until all serve.
+// StartAll starts the gateways that are not running and waits until all are serving.
 func (f *Fleet) StartAll() error {
 	for i, g := range f.gateways {
 		if up, _, _ := g.state(); !up {
@@ -146,10 +146,10 @@
 	})
 }
 
-// stopTimeout bounds the wait for a process to end: a graceful shutdown takes 3.6 s at most.
+// stopTimeout bounds the wait for a process to exit. A graceful shutdown takes at most 3.6 s.
 const stopTimeout = 20 * time.Second
 
-// Kill kills a gateway and waits for its end.
+// Kill kills a gateway with SIGKILL and waits until it has exited.
 func (f *Fleet) Kill(i int) error {
 	if err := f.gateways[i].signal(syscall.SIGKILL); err != nil {
 		return err
@@ -157,7 +157,7 @@
 	return f.gateways[i].waitExit(stopTimeout)
 }
 
-// Terminate has a gateway shut down gracefully and waits for its end.
+// Terminate shuts a gateway down gracefully with SIGTERM and waits until it has exited.
 func (f *Fleet) Terminate(i int) error {
 	if err := f.gateways[i].signal(syscall.SIGTERM); err != nil {
 		return err
@@ -165,10 +165,10 @@
 	return f.gateways[i].waitExit(stopTimeout)
 }
 
-// Signal sends a gateway a signal and does not wait for its end.
+// Signal sends a signal to a gateway without waiting for an exit.
 func (f *Fleet) Signal(i int, s syscall.Signal) error { return f.gateways[i].signal(s) }
 
-// WaitExit waits for a gateway's end, and returns an error if it takes longer than the timeout or was no exit with code 0.
+// WaitExit waits until a gateway has exited. It returns an error after the timeout, or if the exit code is not 0.
 func (f *Fleet) WaitExit(i int, timeout time.Duration) error {
 	if err := f.gateways[i].waitExit(timeout); err != nil {
 		return err
@@ -176,19 +176,19 @@
 	return f.gateways[i].exitError()
 }
 
-// Pause stops a gateway with SIGSTOP; see Resume.
+// Pause suspends a gateway with SIGSTOP until Resume.
 func (f *Fleet) Pause(i int) error { return f.gateways[i].signal(syscall.SIGSTOP) }
 
-// Resume continues a paused gateway.
+// Resume resumes a paused gateway with SIGCONT.
 func (f *Fleet) Resume(i int) error { return f.gateways[i].signal(syscall.SIGCONT) }
 
-// Running reports whether a gateway runs, paused or not.
+// Running reports whether a gateway's process is running, including while it is paused.
 func (f *Fleet) Running(i int) bool {
 	up, _, _ := f.gateways[i].state()
 	return up
 }
 
-// PID returns the process ID of a gateway, or 0 if it does not run.
+// PID returns the process ID of a gateway, or 0 if it is not running.
 func (f *Fleet) PID(i int) int {
 	g := f.gateways[i]
 	g.mu.Lock()
@@ -199,13 +199,13 @@
 	return g.process.Process.Pid
 }
 
-// Ready reports whether a gateway runs and serves.
+// Ready reports whether a gateway is running and has logged that it is serving.
 func (f *Fleet) Ready(i int) bool {
 	_, ready, _ := f.gateways[i].state()
 	return ready
 }
 
-// EngineList returns the resource version of a gateway's engine list and how many engines it has.
+// EngineList returns the resource version of a gateway's engine list and the number of engines in it.
 func (f *Fleet) EngineList(i int) (version int64, engines int) {
 	g := f.gateways[i]
 	g.mu.Lock()
@@ -213,7 +213,7 @@
 	return g.version, g.engines
 }
 
-// MemberState returns a member's state in the view of a gateway: alive, dead or left.
+// MemberState returns the state of a member as seen by a gateway: alive, dead or left.
 func (f *Fleet) MemberState(viewer, member int) string {
 	g := f.gateways[viewer]
 	g.mu.Lock()
@@ -224,32 +224,32 @@
 	return g.view[member]
 }
 
-// StateChanges returns the changes that all gateways have logged from mark on, and the mark to continue from.
+// StateChanges returns the state changes that the gateways have logged since mark, and the mark for the next call.
 func (f *Fleet) StateChanges(mark int) ([]StateChange, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]StateChange(nil), f.changes[mark:]...), len(f.changes)
 }
 
-// CheckConverged returns nil if the view of every gateway that runs and serves matches the truth.
+// CheckConverged returns nil if every serving gateway that is not paused sees exactly the running gateways as alive.
 func (f *Fleet) CheckConverged() error {
 	for v, g := range f.gateways {
 		if up, ready, paused := g.state(); !up || !ready || paused {
 			continue
 		}
 		for i := range f.gateways {
-			if is := f.MemberState(v, i); (is == "alive") != f.Running(i) {
-				return fmt.Errorf("gateway %d holds %d %s, which runs: %v", v, i, is, f.Running(i))
+			if state := f.MemberState(v, i); (state == "alive") != f.Running(i) {
+				return fmt.Errorf("gateway %d sees gateway %d as %s, running: %v", v, i, state, f.Running(i))
 			}
 		}
 	}
 	return nil
 }
 
-// waitInterval is the time between two checks of Wait.
+// waitInterval is the interval between the checks in Wait.
 const waitInterval = 10 * time.Millisecond
 
-// Wait calls check until it returns nil. After the timeout it returns check's last error.
+// Wait calls check until it returns nil. After the timeout it returns the last error of check.
 func (f *Fleet) Wait(timeout time.Duration, check func() error) error {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(waitInterval) {
 		err := check()
@@ -257,12 +257,12 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("after %v: %w", timeout, err)
+			return fmt.Errorf("timed out after %v: %w", timeout, err)
 		}
 	}
 }
 
-// Alarms returns the log lines of failures of the program: panics, broken invariants, data races.
+// Alarms returns the log lines that report failures of the program itself: panics, broken invariants and data races.
 func (f *Fleet) Alarms() (out []string) {
 	for _, g := range f.gateways {
 		g.mu.Lock()
@@ -272,7 +272,7 @@
 	return out
 }
 
-// Close ends every process that the fleet started, by its process ID, and the relay and the discovery server.
+// Close kills every process that the fleet has started, by its process ID, and closes the relay and the discovery server.
 func (f *Fleet) Close() error {
 	var errs []error
 	for _, g := range f.gateways {
@@ -290,7 +290,7 @@
 	return errors.Join(errs...)
 }
 
-// Reload replaces the further sections of the operator's file and has every gateway that runs reload it.
+// Reload replaces the additional sections of the operator's file and has every running gateway reload it.
 func (f *Fleet) Reload(sections string) error {
 	f.options.Operator = sections
 	if err := f.writeOperator(); err != nil {
@@ -306,7 +306,7 @@
 	return nil
 }
 
-// Log returns what a gateway has logged so far; "" where it has no log.
+// Log returns the log of a gateway so far, or "" if it has none.
 func (f *Fleet) Log(i int) string {
 	text, err := os.ReadFile(f.logPath(i))
 	if err != nil {
--- a/internal/testbed/testfleet/gateway.go
+++ b/internal/testbed/testfleet/gateway.go
@@ -14,37 +14,37 @@
 	"time"
 )
 
-// StateChange is a member's change of state in the view of a gateway, as the gateway logged it.
+// StateChange is a change of a member's state that a gateway has logged.
 type StateChange struct {
-	At     time.Time
-	Viewer int
+	At     time.Time // when the log line was read
+	Viewer int       // gateway that logged the change
 	Member int
 	State  string // alive, dead or left; a suspect counts as alive
 }
 
-// gateway is one process of the program.
+// gateway is a gateway of the fleet and its current process.
 type gateway struct {
 	number  int
 	process *exec.Cmd
 	mu      sync.Mutex
-	view    []string // the state of each member, as this process has logged it
+	view    []string // state of each member as logged by the process
 	version int64    // resource version of the engine list
-	engines int      // in the engine list
-	ready   bool
-	up      bool
+	engines int      // number of engines in the engine list
+	ready   bool     // the process has logged that it is serving
+	up      bool     // the process is running
 	paused  bool
-	ended   chan struct{} // closed when the process has ended
-	exitErr error         // of the process that has ended: nil for exit code 0
-	alarms  []string      // log lines of failures: see isAlarm
+	ended   chan struct{} // closed when the process has exited
+	exitErr error         // error of the last exit; nil for exit code 0
+	alarms  []string      // log lines for which isAlarm is true
 }
 
-// startTimeout bounds the wait for a process to serve: it may start beside hundreds of others.
+// startTimeout bounds the wait until a process is serving. Hundreds of processes may be starting at the same time.
 const startTimeout = 60 * time.Second
 
-var errNotReady = errors.New("the gateway does not serve")
+var errNotReady = errors.New("not serving yet")
 
-// start starts the process and follows its log on a goroutine that ends with it. changed is called for each change in the
-// gateway's view; it must not call the gateway.
+// start starts the process and reads its log on a goroutine that ends when the process has exited. changed is called for
+// each state change of a member with g.mu held, so it must not call methods of the gateway.
 func (g *gateway) start(command, env []string, logPath string, members int, changed func(StateChange)) error {
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), env...)
-	// Should this process be killed, no gateway stays behind.
+	// The kernel kills the gateway if this process dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	stderr, err := cmd.StderrPipe()
 	if err == nil {
@@ -63,11 +63,11 @@
 		return fmt.Errorf("gateway %d: %w", g.number, err)
 	}
 	ended := g.reset(cmd, members)
-	go g.follow(cmd, stderr, log, ended, changed)
+	go g.readLog(cmd, stderr, log, ended, changed)
 	return nil
 }
 
-// reset sets the state of a process that has just started, and returns the channel to close at its end.
+// reset initializes the state for a process that has just started and returns the channel to close when it has exited.
 func (g *gateway) reset(cmd *exec.Cmd, members int) (ended chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,8 +82,8 @@
 	return g.ended
 }
 
-// follow copies the process's log and evaluates it until the process has ended.
-func (g *gateway) follow(cmd *exec.Cmd, stderr io.Reader, log io.WriteCloser, ended chan struct{}, changed func(StateChange)) {
+// readLog copies the process's log to the log file and evaluates each line until the process has exited.
+func (g *gateway) readLog(cmd *exec.Cmd, stderr io.Reader, log io.WriteCloser, ended chan struct{}, changed func(StateChange)) {
 	lines := bufio.NewScanner(stderr)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
@@ -99,10 +99,10 @@
 	close(ended)
 }
 
-// maxLogLine bounds a line of the log, in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// handleLine evaluates a line of the log.
+// handleLine updates the gateway's state from a log line.
 func (g *gateway) handleLine(text string, changed func(StateChange)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,17 +115,17 @@
 	case isAlarm(text):
 		g.alarms = append(g.alarms, text)
 	case strings.Contains(text, `msg="member changed"`):
-		g.recordMember(text, changed)
+		g.recordStateChange(text, changed)
 	}
 }
 
-// isAlarm reports whether a line of the log says that the program itself has failed.
+// isAlarm reports whether a log line reports a failure of the program itself.
 func isAlarm(text string) bool {
 	return strings.Contains(text, "panic") || strings.Contains(text, "invariant broken") || strings.Contains(text, "DATA RACE")
 }
 
-// recordMember records a member's new state; the lock is held.
-func (g *gateway) recordMember(text string, changed func(StateChange)) {
+// recordStateChange records the state change of a member that a log line reports. The caller holds g.mu.
+func (g *gateway) recordStateChange(text string, changed func(StateChange)) {
 	r, _ := ParseRecord(text)
 	member, err := strconv.Atoi(r.Fields["member"])
 	if err != nil || member < 0 || member >= len(g.view) {
@@ -139,24 +139,24 @@
 	changed(StateChange{At: time.Now(), Viewer: g.number, Member: member, State: state})
 }
 
-// recordEngineList records the engine list that a line reports; the lock is held.
+// recordEngineList records the version and size of the engine list that a log line reports. The caller holds g.mu.
 func (g *gateway) recordEngineList(text, versionKey string) {
 	r, _ := ParseRecord(text)
 	version, err := strconv.ParseInt(r.Fields[versionKey], 10, 64)
 	if err != nil || version < g.version {
-		return // the line about the start may follow that about the first event of the watch
+		return // "serving" may be logged after the first event of the watch, with the older version
 	}
 	if engines, err := strconv.Atoi(r.Fields["engines"]); err == nil {
 		g.version, g.engines = version, engines
 	}
 }
 
-// signal sends the process a signal; one that does not run is an error.
+// signal sends a signal to the process. It returns an error if the process is not running.
 func (g *gateway) signal(s syscall.Signal) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.up {
-		return fmt.Errorf("gateway %d: it does not run", g.number)
+		return fmt.Errorf("gateway %d: not running", g.number)
 	}
 	switch s {
 	case syscall.SIGSTOP:
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// waitExit waits for the end of the process; it is an error if that takes longer than the timeout.
+// waitExit waits until the process has exited. It returns an error after the timeout.
 func (g *gateway) waitExit(timeout time.Duration) error {
 	g.mu.Lock()
 	ended := g.ended
@@ -182,18 +182,18 @@
 	case <-ended:
 		return nil
 	case <-time.After(timeout):
-		return fmt.Errorf("gateway %d: it has not ended after %v", g.number, timeout)
+		return fmt.Errorf("gateway %d: still running after %v", g.number, timeout)
 	}
 }
 
-// exitError returns the error of the process that has ended, or nil if it exited with code 0.
+// exitError returns the error of the last exit, or nil for exit code 0.
 func (g *gateway) exitError() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.exitErr
 }
 
-// state reports whether the process runs, serves, and is paused.
+// state reports whether the process is running, whether it is serving, and whether it is paused.
 func (g *gateway) state() (up, ready, paused bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/testfleet/golden_test.go
+++ b/internal/testbed/testfleet/golden_test.go
@@ -8,8 +8,8 @@
 	"frostpier/internal/testutil"
 )
 
-// A scenario of an earlier version is read as before.
-func TestStoredScenarioIsRead(t *testing.T) {
+// ParseScenario reads a scenario file of an earlier version, and the keys of the file format have not changed.
+func TestParseScenarioReadsStoredFile(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("testdata/scenario.toml")
 	if err != nil {
--- a/internal/testbed/testfleet/play.go
+++ b/internal/testbed/testfleet/play.go
@@ -10,26 +10,26 @@
 // Result is the result of a step.
 type Result struct {
 	Step, Action       string
-	Gateways           int             // affected, over all repeats
-	DetectionTimes     []time.Duration // from the fault until the first other gateway logged it, sorted
-	DisseminationTimes []time.Duration // from then until all that run had, sorted
-	FalsePositives     int             // distinct members declared dead by unaffected gateways though they ran, unaffected too
-	ConvergenceTimes   []time.Duration // from the end of the fault until all views matched the truth, sorted
-	DatagramRate       float64         // a second that a gateway sent
-	ByteRate           float64         // of datagrams a second that a gateway sent
+	Gateways           int             // number of affected gateways, summed over all repetitions
+	DetectionTimes     []time.Duration // time from the fault until the first gateway logged it, sorted
+	DisseminationTimes []time.Duration // time from the first until the last gateway logged the fault, sorted
+	FalsePositives     int             // number of unaffected members that unaffected gateways declared dead
+	ConvergenceTimes   []time.Duration // time from the end of the fault until all views were correct, sorted
+	DatagramRate       float64         // datagrams per second sent by a gateway, on average
+	ByteRate           float64         // bytes of datagrams per second sent by a gateway, on average
 	Duration           time.Duration
 }
 
-// convergenceTimeout bounds every wait until the views of all gateways agree.
+// convergenceTimeout bounds each wait until the views of all gateways have converged.
 const convergenceTimeout = 5 * time.Minute
 
-// Play plays a scenario on a fleet whose gateways all serve, and calls note after each step. After an error it returns the
-// results of the steps before.
-func (f *Fleet) Play(s Scenario, note func(string)) ([]Result, error) {
+// Play runs a scenario on a fleet whose gateways are all serving, and calls progress after each step. After an error it
+// returns the results of the completed steps.
+func (f *Fleet) Play(s Scenario, progress func(string)) ([]Result, error) {
 	random := rand.New(rand.NewPCG(s.Seed, 9))
 	var out []Result
 	if err := f.Wait(convergenceTimeout, f.CheckConverged); err != nil {
-		return nil, fmt.Errorf("at the start: %w", err)
+		return nil, fmt.Errorf("before the first step: %w", err)
 	}
 	for i, step := range s.Steps {
 		r, err := f.playStep(step, random)
@@ -38,18 +38,18 @@
 		}
 		r.Step = fmt.Sprint(i + 1)
 		out = append(out, r)
-		note(fmt.Sprintf("step %d, %s: %d gateways, %v", i+1, step.Action, r.Gateways, r.Duration.Round(time.Second)))
+		progress(fmt.Sprintf("step %d, %s: %d gateways, %v", i+1, step.Action, r.Gateways, r.Duration.Round(time.Second)))
 	}
 	return out, nil
 }
 
-// playStep plays a step as often as it says.
+// playStep runs all repetitions of a step.
 func (f *Fleet) playStep(step Step, random *rand.Rand) (Result, error) {
 	r := Result{Action: step.Action}
 	start := time.Now()
 	datagramsBefore, bytesBefore := f.trafficSent()
 	for range max(1, step.Repeat) {
-		if err := f.playOnce(step, step.pick(f.Size(), random), &r); err != nil {
+		if err := f.playOnce(step, step.selectGateways(f.Size(), random), &r); err != nil {
 			return r, err
 		}
 	}
@@ -64,7 +64,7 @@
 	return r, nil
 }
 
-// trafficSent is how many datagrams and bytes all gateways have sent.
+// trafficSent returns how many datagrams and bytes all gateways have sent.
 func (f *Fleet) trafficSent() (datagrams, bytes int) {
 	for i := range f.Size() {
 		d, b := f.Relay.Sent(i)
@@ -76,11 +76,11 @@
 // fault is a fault whose detection by the gateways is measured.
 type fault struct {
 	affected []int
-	start    time.Time // zero = only false deaths are counted
-	mark     int       // of the state changes logged before
+	start    time.Time // zero = only false positives are counted
+	mark     int       // position in the state changes at which the fault starts
 }
 
-// playOnce injects a step's fault once and waits until the views of all gateways agree.
+// playOnce injects a step's fault once and waits until the views of all gateways have converged.
 func (f *Fleet) playOnce(step Step, affected []int, r *Result) error {
 	if step.Action == ActionQuiet {
 		affected = nil
@@ -93,7 +93,7 @@
 		if err := f.stop(step.Action, current, r); err != nil {
 			return err
 		}
-		current.start = time.Time{} // the changes logged from here on belong to the restart
+		current.start = time.Time{} // later changes are caused by the restart, so no detection is measured
 		_, current.mark = f.StateChanges(0)
 		if err := f.StartAll(); err != nil {
 			return err
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// stop ends the affected gateways, waits until the others agree on that, and records how they detected it.
+// stop stops the affected gateways, waits until the views of the others have converged, and records the detection times.
 func (f *Fleet) stop(action string, current fault, r *Result) error {
 	end := f.Kill
 	if action == ActionTerminate {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// inject injects a fault for the time of the step, and removes it. A network without a time stays.
+// inject injects a fault, waits for the duration of the step, and removes the fault. A network without a duration remains.
 func (f *Fleet) inject(step Step, affected []int) error {
 	duration := time.Duration(step.DurationS * float64(time.Second))
 	switch step.Action {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// dropDatagrams has the relay drop those datagrams of a gateway that the step's action names.
+// dropDatagrams makes the relay drop the datagrams of a gateway that the step's action affects.
 func (f *Fleet) dropDatagrams(step Step, gateway int) {
 	switch step.Action {
 	case ActionDropInbound:
@@ -169,7 +169,7 @@
 	}
 }
 
-// forEach calls do for each gateway until one fails.
+// forEach calls do for each gateway until one call fails.
 func forEach(gateways []int, do func(i int) error) error {
 	for _, i := range gateways {
 		if err := do(i); err != nil {
@@ -179,11 +179,11 @@
 	return nil
 }
 
-// recordDetections adds to the result what the gateways have logged since the fault.
+// recordDetections adds the detections that the gateways have logged since the fault to the result.
 func (f *Fleet) recordDetections(current fault, r *Result) {
 	changes, _ := f.StateChanges(current.mark)
 	first, last := map[int]time.Time{}, map[int]time.Time{}
-	falseDeaths := map[int]bool{}
+	falsePositives := map[int]bool{}
 	for _, change := range changes {
 		switch {
 		case change.State == "alive":
@@ -193,10 +193,10 @@
 			}
 			last[change.Member] = change.At
 		case change.State == "dead" && !slices.Contains(current.affected, change.Viewer):
-			falseDeaths[change.Member] = true
+			falsePositives[change.Member] = true
 		}
 	}
-	r.FalsePositives += len(falseDeaths)
+	r.FalsePositives += len(falsePositives)
 	if current.start.IsZero() {
 		return
 	}
--- a/internal/testbed/testfleet/pool.go
+++ b/internal/testbed/testfleet/pool.go
@@ -9,26 +9,26 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// Pool runs emulated engines and keeps their engine list. Its methods may be called by several goroutines, but for
-// PublishTo and Fallen.
+// Pool runs emulated engines and maintains their engine list. All methods but SetDiscoveryServer and Collapsed are safe for
+// concurrent use.
 type Pool struct {
 	mu             sync.Mutex
 	engines        []*emulator.Engine // running
 	list           []Engine
 	spec           emulator.Spec
 	clock          func() time.Duration
-	started        int              // engines so far
-	discovery      *DiscoveryServer // on which changes are published, once it is set
-	collapsedEnded int              // engines that collapsed and have ended
+	started        int              // number of engines started so far
+	discovery      *DiscoveryServer // where Publish publishes the engine list; nil = nowhere
+	collapsedEnded int              // number of killed engines that had collapsed
 }
 
-// Times of an emulated engine's load reports, much like the platform's.
+// Times of an emulated engine's load reports, similar to the platform's.
 const (
 	reportInterval = 400 * time.Millisecond
 	reportDelay    = 100 * time.Millisecond
 )
 
-// NewPool starts n engines with their full capacity. After an error none runs; otherwise the caller ends them with Close.
+// NewPool starts n warmed-up engines, which the caller ends with Close. After an error no engine is running.
 func NewPool(n int, spec emulator.Spec, clock func() time.Duration) (*Pool, error) {
 	p := &Pool{spec: spec, clock: clock}
 	for range n {
@@ -40,7 +40,7 @@
 	return p, nil
 }
 
-// add starts an engine and lists it. One that is warming up is listed with its start time.
+// add starts an engine and adds it to the engine list. The entry of an engine that warms up has its start time.
 func (p *Pool) add(warmingUp bool) error {
 	p.started++
 	name := fmt.Sprintf("s-%08x", 0x5eed0000+p.started*7919)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// EngineList returns the engine list to be published.
+// EngineList returns a copy of the engine list that Publish publishes.
 func (p *Pool) EngineList() []Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,14 +68,14 @@
 // SetDiscoveryServer sets the discovery server on which Publish publishes the engine list.
 func (p *Pool) SetDiscoveryServer(server *DiscoveryServer) { p.discovery = server }
 
-// Engines returns the engines that run.
+// Engines returns the running engines.
 func (p *Pool) Engines() []*emulator.Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.engines)
 }
 
-// Kill ends an engine as when its process dies. The engine list is not published.
+// Kill ends an engine as if its process had crashed. It does not publish the engine list.
 func (p *Pool) Kill(e *emulator.Engine) {
 	p.mu.Lock()
 	p.engines = slices.DeleteFunc(p.engines, func(o *emulator.Engine) bool { return o == e })
@@ -91,7 +91,7 @@
 	e.Close()
 }
 
-// Replace ends an engine and starts one that has to warm up. The engine list is not published.
+// Replace kills an engine and starts a new one that has to warm up. It does not publish the engine list.
 func (p *Pool) Replace(e *emulator.Engine) error {
 	p.Kill(e)
 	p.mu.Lock()
@@ -99,14 +99,14 @@
 	return p.add(true)
 }
 
-// Publish publishes the engine list on the discovery server.
+// Publish publishes the engine list on the discovery server, if one is set.
 func (p *Pool) Publish() {
 	if p.discovery != nil {
 		p.discovery.Publish(p.EngineList())
 	}
 }
 
-// Collapsed returns how many engines have collapsed under load while warming up.
+// Collapsed returns the number of engines that collapsed under load while warming up, including killed ones.
 func (p *Pool) Collapsed() int {
 	n := p.collapsedEnded
 	for _, e := range p.Engines() {
--- a/internal/testbed/testfleet/ports.go
+++ b/internal/testbed/testfleet/ports.go
@@ -7,14 +7,14 @@
 	"os"
 )
 
-// loopbackAddr is an address of the loopback network that other programs hardly use, so that the port of a killed gateway
-// is still free when it starts again.
+// loopbackAddr returns a loopback address that other programs are unlikely to use, so that the ports of a killed gateway
+// are still free when it restarts.
 func loopbackAddr(seed uint64) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{127, byte(64 + seed%128), byte(pid >> 8), byte(1 + pid%250)})
 }
 
-// reservePorts opens sockets on n free UDP ports. releasePorts frees them for the gateways that are to listen there.
+// reservePorts binds sockets to n free UDP ports. releasePorts frees them for the gateways that will listen there.
 func reservePorts(addr netip.Addr, n int) (reserved []*net.UDPConn, out []netip.AddrPort, err error) {
 	for range n {
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
@@ -28,7 +28,7 @@
 	return reserved, out, nil
 }
 
-// FreeAddr returns a free TCP address of the loopback network that a fleet with this seed uses.
+// FreeAddr returns a free TCP port on the loopback address that a fleet with this seed uses, as host:port.
 func FreeAddr(seed uint64) (string, error) {
 	addrs, err := freePorts(loopbackAddr(seed), 1)
 	if err != nil {
@@ -37,7 +37,8 @@
 	return addrs[0].String(), nil
 }
 
-// freePorts finds n free TCP ports. It keeps each open until it has found the last, so that none comes twice.
+// freePorts finds n distinct free TCP ports. It keeps each listener open until all are found, so that no port is returned
+// twice.
 func freePorts(addr netip.Addr, n int) (out []netip.AddrPort, err error) {
 	var reserved []net.Listener
 	defer func() {
--- a/internal/testbed/testfleet/record.go
+++ b/internal/testbed/testfleet/record.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Record is a line of a gateway's log. Fields has all keys, the message's too.
+// Record is a parsed line of a gateway's log. Fields holds all attributes, including time, level and msg.
 type Record struct {
 	Message string
 	Fields  map[string]string
 }
 
-// ParseRecord parses a line of log/slog's text handler; ok is false for any other line.
+// ParseRecord parses a line that slog's TextHandler has written. ok is false for any other line.
 func ParseRecord(line string) (r Record, ok bool) {
 	r.Fields = map[string]string{}
 	for rest := line; rest != ""; {
@@ -42,7 +42,7 @@
 	return r, r.Message != ""
 }
 
-// Number returns a field as a number; NaN where it is missing or none.
+// Number returns the value of a numeric field, or NaN if the field is missing or not numeric.
 func (r Record) Number(key string) float64 {
 	v, err := strconv.ParseFloat(r.Fields[key], 64)
 	if err != nil {
--- a/internal/testbed/testfleet/relay.go
+++ b/internal/testbed/testfleet/relay.go
@@ -12,37 +12,37 @@
 
 // Link describes the network from one gateway to another.
 type Link struct {
-	Cut       bool          // nothing arrives
-	Loss      float64       // share of datagrams lost
-	Duplicate float64       // share of datagrams duplicated
-	DelayMin  time.Duration // delays are uniform between the two, so that datagrams are reordered
+	Cut       bool          // drops all datagrams
+	Loss      float64       // fraction of datagrams lost
+	Duplicate float64       // fraction of datagrams duplicated
+	DelayMin  time.Duration // delays are uniformly distributed from DelayMin to DelayMax, which reorders datagrams
 	DelayMax  time.Duration
 }
 
-// Relay forwards datagrams between gateways. Each gateway has one face: the relay's address that the other gateways know it
-// by, and from which its datagrams arrive at them. So one socket for each gateway is enough to tell the ordered pair of a
-// datagram: the receiver by the face that it came to, the sender by the address that it came from.
+// Relay forwards datagrams between gateways. It has one socket per gateway, whose address is the gateway's relay address.
+// Other gateways send datagrams for the gateway to this address and receive the gateway's datagrams from it. The relay
+// identifies the receiver of a datagram by the socket on which it arrives, and the sender by its source address.
 type Relay struct {
-	faces            []*net.UDPConn
-	gatewayAddrs     []netip.AddrPort // on which each gateway listens
-	gatewayByAddr    map[netip.AddrPort]int
-	mu               sync.Mutex
-	defaultLink      Link
-	links            map[[2]int]Link
-	dropInbound      map[int]bool
-	dropOutbound     map[int]bool
-	side             map[int]int
-	random           *rand.Rand
-	sentDatagrams    []int
-	sentBytes        []int
-	deliveredBytes   []int // bytes forwarded to each gateway
-	longestDatagram  int
-	foreignDatagrams int
-	goroutines       sync.WaitGroup
+	sockets                []*net.UDPConn   // by gateway
+	gatewayAddrs           []netip.AddrPort // address on which each gateway listens
+	gatewayByAddr          map[netip.AddrPort]int
+	mu                     sync.Mutex
+	defaultLink            Link
+	links                  map[[2]int]Link
+	dropInbound            map[int]bool
+	dropOutbound           map[int]bool
+	partitionSide          map[int]int
+	random                 *rand.Rand
+	sentDatagrams          []int
+	sentBytes              []int
+	deliveredBytes         []int // by receiving gateway
+	longestDatagram        int   // bytes
+	unknownSenderDatagrams int
+	goroutines             sync.WaitGroup
 }
 
-// NewRelay opens a face for each gateway on free ports of addr and forwards datagrams until Close. The seed decides losses,
-// duplicates and delays.
+// NewRelay opens a socket for each gateway on a free port of addr and forwards datagrams until Close. The seed determines
+// losses, duplicates and delays.
 func NewRelay(addr netip.Addr, gatewayAddrs []netip.AddrPort, seed uint64) (*Relay, error) {
 	r := &Relay{
 		gatewayAddrs:   gatewayAddrs,
@@ -50,7 +50,7 @@
 		links:          map[[2]int]Link{},
 		dropInbound:    map[int]bool{},
 		dropOutbound:   map[int]bool{},
-		side:           map[int]int{},
+		partitionSide:  map[int]int{},
 		random:         rand.New(rand.NewPCG(seed, 5)),
 		sentDatagrams:  make([]int, len(gatewayAddrs)),
 		sentBytes:      make([]int, len(gatewayAddrs)),
@@ -58,113 +58,114 @@
 	}
 	for i, gatewayAddr := range gatewayAddrs {
 		r.gatewayByAddr[gatewayAddr] = i
-		face, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
+		socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, 0)))
 		if err != nil {
 			r.Close()
 			return nil, fmt.Errorf("relay: %w", err)
 		}
-		r.faces = append(r.faces, face)
+		r.sockets = append(r.sockets, socket)
 	}
-	for i, face := range r.faces {
+	for i, socket := range r.sockets {
 		r.goroutines.Add(1)
-		go r.receive(i, face)
+		go r.receive(i, socket)
 	}
 	return r, nil
 }
 
-// Addrs returns the face of each gateway: the peers in the gateways' configurations.
+// Addrs returns the relay address of each gateway, which the gateways' configurations list as peers.
 func (r *Relay) Addrs() (out []netip.AddrPort) {
-	for _, f := range r.faces {
-		out = append(out, f.LocalAddr().(*net.UDPAddr).AddrPort())
+	for _, s := range r.sockets {
+		out = append(out, s.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
 	return out
 }
 
-// Close closes the faces and waits for the relay's goroutines.
+// Close closes the sockets and waits for the relay's goroutines.
 func (r *Relay) Close() {
-	for _, f := range r.faces {
-		_ = f.Close()
+	for _, s := range r.sockets {
+		_ = s.Close()
 	}
 	r.goroutines.Wait()
 }
 
-// SetDefaultLink sets the link of all pairs for which Set has set none.
-func (r *Relay) SetDefaultLink(l Link) { r.locked(func() { r.defaultLink = l }) }
+// SetDefaultLink sets the link between all gateways for which SetLink has not set one.
+func (r *Relay) SetDefaultLink(l Link) { r.withLock(func() { r.defaultLink = l }) }
 
 // SetLink sets the link from one gateway to another.
-func (r *Relay) SetLink(from, to int, l Link) { r.locked(func() { r.links[[2]int{from, to}] = l }) }
+func (r *Relay) SetLink(from, to int, l Link) { r.withLock(func() { r.links[[2]int{from, to}] = l }) }
 
 // DropInbound starts or stops dropping all datagrams to a gateway.
-func (r *Relay) DropInbound(i int, on bool) { r.locked(func() { r.dropInbound[i] = on }) }
+func (r *Relay) DropInbound(i int, on bool) { r.withLock(func() { r.dropInbound[i] = on }) }
 
 // DropOutbound starts or stops dropping all datagrams from a gateway.
-func (r *Relay) DropOutbound(i int, on bool) { r.locked(func() { r.dropOutbound[i] = on }) }
+func (r *Relay) DropOutbound(i int, on bool) { r.withLock(func() { r.dropOutbound[i] = on }) }
 
-// SetPartitionSide puts a gateway on a side of a network partition, across which nothing passes. All start on side 0.
-func (r *Relay) SetPartitionSide(i, side int) { r.locked(func() { r.side[i] = side }) }
+// SetPartitionSide assigns a gateway to a side of a network partition. Datagrams between the sides are dropped. All gateways
+// start on side 0.
+func (r *Relay) SetPartitionSide(i, side int) { r.withLock(func() { r.partitionSide[i] = side }) }
 
-// Heal removes all faults but those of the link that Usual has set.
+// Heal removes all faults except those of the default link.
 func (r *Relay) Heal() {
-	r.locked(func() {
+	r.withLock(func() {
 		clear(r.links)
 		clear(r.dropInbound)
 		clear(r.dropOutbound)
-		clear(r.side)
+		clear(r.partitionSide)
 	})
 }
 
-// Sent returns how many datagrams and bytes a gateway has sent to the others.
+// Sent returns how many datagrams and bytes the relay has received from a gateway.
 func (r *Relay) Sent(i int) (datagrams, bytes int) {
-	r.locked(func() { datagrams, bytes = r.sentDatagrams[i], r.sentBytes[i] })
+	r.withLock(func() { datagrams, bytes = r.sentDatagrams[i], r.sentBytes[i] })
 	return datagrams, bytes
 }
 
-// DeliveredBytes returns how many bytes of datagrams have been forwarded to a gateway.
+// DeliveredBytes returns the number of bytes of datagrams forwarded to a gateway.
 func (r *Relay) DeliveredBytes(i int) (bytes int) {
-	r.locked(func() { bytes = r.deliveredBytes[i] })
+	r.withLock(func() { bytes = r.deliveredBytes[i] })
 	return bytes
 }
 
-// DatagramStats returns the length of the longest datagram, in bytes, and how many datagrams came from no gateway.
-func (r *Relay) DatagramStats() (longest, foreign int) {
-	r.locked(func() { longest, foreign = r.longestDatagram, r.foreignDatagrams })
-	return longest, foreign
+// DatagramStats returns the length of the longest datagram in bytes, and the number of datagrams from unknown senders.
+func (r *Relay) DatagramStats() (longest, unknownSender int) {
+	r.withLock(func() { longest, unknownSender = r.longestDatagram, r.unknownSenderDatagrams })
+	return longest, unknownSender
 }
 
-// locked calls do with the lock held.
-func (r *Relay) locked(do func()) {
+// withLock calls do while holding r.mu.
+func (r *Relay) withLock(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do()
 }
 
-// maxDatagram bounds a datagram, in bytes; gateways send far shorter ones.
+// maxDatagram is the size of the receive buffer in bytes. Gateways send far shorter datagrams.
 const maxDatagram = 2048
 
-// receive reads the datagrams that come to a gateway's face until Close.
-func (r *Relay) receive(to int, face *net.UDPConn) {
+// receive reads and forwards the datagrams for one gateway until Close.
+func (r *Relay) receive(to int, socket *net.UDPConn) {
 	defer r.goroutines.Done()
 	buf := make([]byte, maxDatagram)
 	for {
-		n, addr, err := face.ReadFromUDPAddrPort(buf)
+		n, addr, err := socket.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an ICMP message that a gateway does not listen
+			continue // ICMP port unreachable: the gateway is not listening
 		}
 		sender := netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 		r.forward(sender, to, append([]byte(nil), buf[:n]...))
 	}
 }
 
-// forward counts a datagram and delivers it, or not, as its link says.
+// forward counts a datagram and then delivers, duplicates or drops it according to its link.
 func (r *Relay) forward(sender netip.AddrPort, to int, datagram []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	from, known := r.gatewayByAddr[sender]
 	if !known {
-		r.foreignDatagrams++
+		r.unknownSenderDatagrams++
 		return
 	}
 	r.sentDatagrams[from]++
@@ -187,17 +188,17 @@
 	}
 }
 
-// link is the link of a pair with all faults; the lock is held.
+// link returns the link from one gateway to another including all injected faults. The caller holds r.mu.
 func (r *Relay) link(from, to int) Link {
 	link, set := r.links[[2]int{from, to}]
 	if !set {
 		link = r.defaultLink
 	}
-	link.Cut = link.Cut || r.dropInbound[to] || r.dropOutbound[from] || r.side[from] != r.side[to]
+	link.Cut = link.Cut || r.dropInbound[to] || r.dropOutbound[from] || r.partitionSide[from] != r.partitionSide[to]
 	return link
 }
 
-// delay draws the delay of a datagram; the lock is held.
+// delay returns a random delay for a datagram. The caller holds r.mu.
 func (r *Relay) delay(link Link) time.Duration {
 	if link.DelayMax <= link.DelayMin {
 		return link.DelayMin
@@ -205,9 +206,9 @@
 	return link.DelayMin + time.Duration(r.random.Int64N(int64(link.DelayMax-link.DelayMin)))
 }
 
-// deliver sends a datagram to its receiver, from the sender's face. A failed write is a lost datagram.
+// deliver sends a datagram to its receiver from the sender's relay address. A failed write counts as a lost datagram.
 func (r *Relay) deliver(from, to int, datagram []byte, delay time.Duration) {
-	write := func() { _, _ = r.faces[from].WriteToUDPAddrPort(datagram, r.gatewayAddrs[to]) }
+	write := func() { _, _ = r.sockets[from].WriteToUDPAddrPort(datagram, r.gatewayAddrs[to]) }
 	if delay <= 0 {
 		write()
 		return
--- a/internal/testbed/testfleet/reportproxy.go
+++ b/internal/testbed/testfleet/reportproxy.go
@@ -8,18 +8,18 @@
 	"frostpier/internal/control/rollout"
 )
 
-// reportProxyBuffer is the receive buffer of the proxy's socket, in bytes: whole fleets report at the same time.
+// reportProxyBuffer is the size of the socket's receive buffer in bytes, since whole fleets report at the same time.
 const reportProxyBuffer = 4 << 20
 
-// reportProxy forwards the gateways' reports to the controller, but for those of gateways that are cut off from it.
+// reportProxy forwards the gateways' rollout reports to the controller, except those of gateways whose reports are dropped.
 type reportProxy struct {
 	conn       *net.UDPConn
 	gateways   int
 	classes    int
 	mu         sync.Mutex
 	controller *net.UDPAddr // nil = not known yet
-	cut        map[int]bool
-	reported   map[int]bool
+	dropped    map[int]bool // gateways whose reports are dropped
+	reported   map[int]bool // gateways that have reported
 }
 
 // newReportProxy starts a proxy on a free loopback port; close ends it.
@@ -28,8 +28,8 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetReadBuffer(reportProxyBuffer) // with a smaller one reports are lost, as on any network
-	p := &reportProxy{conn: conn, gateways: gateways, classes: classes, cut: map[int]bool{}, reported: map[int]bool{}}
+	_ = conn.SetReadBuffer(reportProxyBuffer) // if it fails, some reports may be lost, as on a real network
+	p := &reportProxy{conn: conn, gateways: gateways, classes: classes, dropped: map[int]bool{}, reported: map[int]bool{}}
 	go p.serve()
 	return p, nil
 }
@@ -44,25 +44,25 @@
 	return err
 }
 
-// setCut drops the reports of these gateways, and forwards those of all others.
-func (p *reportProxy) setCut(gateways []int) {
+// setDropped drops the reports of these gateways from now on and forwards those of all others.
+func (p *reportProxy) setDropped(gateways []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	clear(p.cut)
+	clear(p.dropped)
 	for _, i := range gateways {
-		p.cut[i] = true
+		p.dropped[i] = true
 	}
 }
 
-// reporting is how many gateways have reported so far.
-func (p *reportProxy) reporting() int {
+// numReporting returns the number of gateways that have reported so far.
+func (p *reportProxy) numReporting() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.reported)
 }
 
 func (p *reportProxy) serve() {
-	buf := make([]byte, rollout.MaxReportBytes+1) // a report that fills it is too long to be valid
+	buf := make([]byte, rollout.MaxReportBytes+1) // one more byte, so that longer reports are recognized as invalid
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// forward sends a valid report on to the controller.
+// forward forwards a valid report to the controller.
 func (p *reportProxy) forward(datagram []byte) {
 	report, err := rollout.ParseReport(datagram, FleetName, p.gateways, p.classes)
 	if err != nil {
@@ -83,7 +83,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reported[report.Gateway] = true
-	if !p.cut[report.Gateway] && p.controller != nil {
+	if !p.dropped[report.Gateway] && p.controller != nil {
 		_, _ = p.conn.WriteToUDP(datagram, p.controller)
 	}
 }
--- a/internal/testbed/testfleet/scenario.go
+++ b/internal/testbed/testfleet/scenario.go
@@ -9,52 +9,52 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Scenario is an experiment with a fleet: a network, and steps that are played one after the other.
+// Scenario is a fault injection scenario for a fleet: a network and steps that are run one after the other.
 type Scenario struct {
 	Name       string  `toml:"name"`
 	Seed       uint64  `toml:"seed"`
 	Gateways   int     `toml:"gateways"`
-	IntervalMS int64   `toml:"interval_ms"` // of the membership protocol; 0 = its default
+	IntervalMS int64   `toml:"interval_ms"` // interval of the membership protocol; 0 = its default
 	Network    Network `toml:"network"`
 	Steps      []Step  `toml:"step"`
 }
 
 // Network describes the link between any two gateways.
 type Network struct {
-	Loss      float64  `toml:"loss"`     // share of datagrams lost
-	Duplicate float64  `toml:"double"`   // share of datagrams duplicated
-	DelayMS   [2]int64 `toml:"delay_ms"` // shortest, longest
+	Loss      float64  `toml:"loss"`     // fraction of datagrams lost
+	Duplicate float64  `toml:"double"`   // fraction of datagrams duplicated
+	DelayMS   [2]int64 `toml:"delay_ms"` // minimum and maximum delay
 }
 
-// Link returns the link that the relay uses.
+// Link converts the network to the relay's form.
 func (n Network) Link() Link {
 	return Link{Loss: n.Loss, Duplicate: n.Duplicate, DelayMin: time.Duration(n.DelayMS[0]) * time.Millisecond,
 		DelayMax: time.Duration(n.DelayMS[1]) * time.Millisecond}
 }
 
-// Step is one action. It names the gateways that it affects, or their number or share, of which the seed draws them.
+// Step is one action. It lists the affected gateways, or gives their number or share, and the seed selects them at random.
 type Step struct {
-	Action    string   `toml:"do"` // one of the actions below
+	Action    string   `toml:"do"` // one of the Action constants
 	Gateways  []int    `toml:"gateways"`
 	Count     int      `toml:"count"`
 	Share     float64  `toml:"share"`
-	From      int      `toml:"from"`    // of the action cut: the sender whose datagrams are dropped
-	DurationS float64  `toml:"for_s"`   // seconds
-	Repeat    int      `toml:"repeat"`  // times; 0 = once
-	Network   *Network `toml:"network"` // of the action network
+	From      int      `toml:"from"`    // for ActionCut: the sender whose datagrams are dropped
+	DurationS float64  `toml:"for_s"`   // duration in seconds
+	Repeat    int      `toml:"repeat"`  // number of times; 0 = once
+	Network   *Network `toml:"network"` // for ActionNetwork
 }
 
-// Actions of a step.
+// Actions of a step. Each waits at its end until the views of all gateways have converged.
 const (
-	ActionKill         = "kill"          // SIGKILL; waits until all views agree, then starts them again and waits once more
-	ActionTerminate    = "term"          // SIGTERM, likewise
-	ActionPause        = "pause"         // SIGSTOP for for_s, then SIGCONT; waits until all views agree
-	ActionDropInbound  = "drop_inbound"  // they get no datagrams for for_s; likewise
-	ActionDropOutbound = "drop_outbound" // what they send does not arrive for for_s; likewise
-	ActionCut          = "cut"           // what `from` sends does not arrive at them for for_s; likewise
-	ActionSplit        = "split"         // they are cut from all others for for_s; likewise
-	ActionNetwork      = "network"       // sets another network, for for_s or for good; likewise
-	ActionQuiet        = "quiet"         // nothing happens for for_s
+	ActionKill         = "kill"          // sends SIGKILL, waits for convergence, and restarts the affected gateways
+	ActionTerminate    = "term"          // as ActionKill, with SIGTERM
+	ActionPause        = "pause"         // sends SIGSTOP, and SIGCONT after for_s
+	ActionDropInbound  = "drop_inbound"  // drops all datagrams to the affected gateways for for_s
+	ActionDropOutbound = "drop_outbound" // drops all datagrams from the affected gateways for for_s
+	ActionCut          = "cut"           // drops datagrams from gateway `from` to the affected gateways for for_s
+	ActionSplit        = "split"         // partitions the affected gateways from all others for for_s
+	ActionNetwork      = "network"       // replaces the network for for_s, or permanently without for_s
+	ActionQuiet        = "quiet"         // injects no fault for for_s
 )
 
 // Bounds of a scenario.
@@ -65,15 +65,15 @@
 	maxRepeat   = 1000
 )
 
-// ScenarioError is a value of a scenario that is out of bounds, or a key that is unknown.
+// ScenarioError reports a value of a scenario that is out of bounds, or an unknown or missing key.
 type ScenarioError struct {
-	Step  int    // from 1; 0 = the key is outside of the steps
-	Key   string // as in the file; keys of a table stand behind its name, as in network.loss
-	Value any    // nil for an unknown key
-	Bound string // what the value has to be
+	Step  int    // number of the step, from 1; 0 = the key is not part of a step
+	Key   string // path of the key in the file, such as network.loss
+	Value any    // nil for an unknown or missing key
+	Bound string // the bound that the value violates, or the problem with the key
 }
 
-// Error names the step, the key, the value and the bound.
+// Error returns a message with the step, the key, the value and the bound.
 func (e *ScenarioError) Error() string {
 	where := "scenario"
 	if e.Step > 0 {
@@ -85,8 +85,8 @@
 	return fmt.Sprintf("%s: %s: %v is not %s", where, e.Key, e.Value, e.Bound)
 }
 
-// ParseScenario parses a scenario and validates it. It returns a *ScenarioError for an unknown key or a value out of
-// bounds, and the decoder's error for text that is not TOML.
+// ParseScenario parses and validates a scenario. It returns a *ScenarioError for an unknown key or a value out of bounds,
+// and the decoder's error for invalid TOML.
 func ParseScenario(text []byte) (Scenario, error) {
 	var s Scenario
 	meta, err := toml.Decode(string(text), &s)
@@ -107,7 +107,7 @@
 		return err
 	}
 	if len(s.Steps) == 0 {
-		return &ScenarioError{Key: "step", Bound: "there is none"}
+		return &ScenarioError{Key: "step", Bound: "at least one is required"}
 	}
 	for i, step := range s.Steps {
 		if err := step.validate(s.Gateways); err != nil {
@@ -118,26 +118,26 @@
 	return nil
 }
 
-// validate returns nil for a valid network. The concrete type lets a step add its number.
+// validate returns nil for a valid network. Its result type lets the caller set the number of the step.
 func (n Network) validate() *ScenarioError {
 	switch {
 	case n.Loss < 0 || n.Loss >= 1:
 		return &ScenarioError{Key: "network.loss", Value: n.Loss, Bound: "a share below 1"}
 	case n.Duplicate < 0 || n.Duplicate > 1:
-		return &ScenarioError{Key: "network.double", Value: n.Duplicate, Bound: "a share up to 1"}
+		return &ScenarioError{Key: "network.double", Value: n.Duplicate, Bound: "a share of at most 1"}
 	case n.DelayMS[0] < 0 || n.DelayMS[1] < n.DelayMS[0] || n.DelayMS[1] > maxDelayMS:
-		return &ScenarioError{Key: "network.delay_ms", Value: n.DelayMS, Bound: fmt.Sprintf("a range within 0 and %d", maxDelayMS)}
+		return &ScenarioError{Key: "network.delay_ms", Value: n.DelayMS, Bound: fmt.Sprintf("a range from 0 to %d", maxDelayMS)}
 	}
 	return nil
 }
 
-// Actions that need a time, and those that do not.
+// Actions that require for_s, and those that do not.
 var (
 	timedActions   = []string{ActionPause, ActionDropInbound, ActionDropOutbound, ActionCut, ActionSplit, ActionQuiet}
 	untimedActions = []string{ActionKill, ActionTerminate, ActionNetwork}
 )
 
-// validate checks a step of a scenario with so many gateways.
+// validate checks a step of a scenario with this number of gateways.
 func (s Step) validate(gateways int) *ScenarioError {
 	if err := s.validateAction(); err != nil {
 		return err
@@ -147,7 +147,7 @@
 	}
 	switch {
 	case slices.Contains(timedActions, s.Action) && !(s.DurationS > 0):
-		return &ScenarioError{Key: "for_s", Value: s.DurationS, Bound: "above 0, as " + s.Action + " needs"}
+		return &ScenarioError{Key: "for_s", Value: s.DurationS, Bound: "above 0, which " + s.Action + " requires"}
 	case s.Repeat < 0 || s.Repeat > maxRepeat:
 		return &ScenarioError{Key: "repeat", Value: s.Repeat, Bound: fmt.Sprintf("between 0 and %d", maxRepeat)}
 	case s.Action == ActionNetwork && s.Network == nil:
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// validateSelection checks which gateways the step affects. At least one is left unaffected by a number or a share.
+// validateSelection checks the selection of the affected gateways. A number or a share must leave at least one unaffected.
 func (s Step) validateSelection(gateways int) *ScenarioError {
 	known := fmt.Sprintf("between 0 and %d", gateways-1)
 	switch {
@@ -181,11 +181,11 @@
 	return nil
 }
 
-// pick returns the gateways that a step affects, of n; a number or a share is drawn.
-func (s Step) pick(n int, rnd *rand.Rand) []int {
+// selectGateways returns the gateways that a step affects in a fleet of n: those it lists, or a random selection.
+func (s Step) selectGateways(n int, random *rand.Rand) []int {
 	if len(s.Gateways) > 0 {
 		return s.Gateways
 	}
 	count := max(1, s.Count, int(s.Share*float64(n)))
-	return rnd.Perm(n)[:count]
+	return random.Perm(n)[:count]
 }
