--- a/internal/subsetdriver/doc.go
+++ b/internal/subsetdriver/doc.go
@@ -1,6 +1,7 @@
-// Package subsetdriver drives package subset in a running gateway.
+// Package subsetdriver applies package subset in a running gateway.
 //
-// It brings together the configuration, the zones that gateways send each other, what membership knows of the gateways, and the
-// gateway's engines. Updater is a state machine that is passed the time; Driver runs one on the gateway's event loop, which makes
-// all calls. The package starts no goroutine, and never chooses engines itself: package subset does.
+// It passes the configuration, the zones that gateways send each other and the membership state to the subset chooser, and
+// restricts the gateway to the chosen engines. Updater is a state machine that is passed the time. Driver runs an Updater on
+// the gateway's event loop, from which all calls come. The package starts no goroutine, and does not choose engines itself:
+// package subset does.
 package subsetdriver
--- a/internal/subsetdriver/driver.go
+++ b/internal/subsetdriver/driver.go
@@ -7,31 +7,31 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// Driver runs an Updater on a gateway's event loop. All calls have to come from the loop.
+// Driver runs an Updater on a gateway's event loop. All calls must come from this loop.
 type Driver struct {
 	*Updater
 	loop  *eventloop.Loop
 	timer *eventloop.Timer
 }
 
-// NewDriver returns a Driver whose Updater is off. Start has to be called before anything else.
-func NewDriver(place Location, loop *eventloop.Loop, engines Dispatcher, log *slog.Logger) *Driver {
-	return &Driver{Updater: New(place, engines, log), loop: loop}
+// NewDriver returns a Driver with subsets disabled. Start must be called before any other method.
+func NewDriver(location Location, loop *eventloop.Loop, dispatcher Dispatcher, log *slog.Logger) *Driver {
+	return &Driver{Updater: New(location, dispatcher, log), loop: loop}
 }
 
-// Start applies the first configuration; nil leaves subsets off until Configure.
+// Start applies the initial configuration. If it is nil, subsets are disabled until Configure enables them.
 func (d *Driver) Start(members Membership, config *subset.Config) {
 	d.Updater.Start(d.loop.Now(), members, config)
 	d.schedule()
 }
 
-// Configure changes the configuration; nil turns subsets off. An invalid configuration is logged and changes nothing.
+// Configure replaces the configuration. A nil configuration disables subsets. An invalid one is logged and changes nothing.
 func (d *Driver) Configure(config *subset.Config) {
 	d.Updater.Configure(d.loop.Now(), config)
 	d.schedule()
 }
 
-// schedule sets the timer of the next update, if subsets are on.
+// schedule sets the timer for the next update if subsets are enabled.
 func (d *Driver) schedule() {
 	d.timer.Stop()
 	if !d.Enabled() {
--- a/internal/subsetdriver/norace_test.go
+++ b/internal/subsetdriver/norace_test.go
@@ -2,4 +2,5 @@
 
 package subsetdriver
 
+// raceEnabled reports whether the race detector is enabled.
 const raceEnabled = false
--- a/internal/subsetdriver/race_test.go
+++ b/internal/subsetdriver/race_test.go
@@ -2,5 +2,5 @@
 
 package subsetdriver
 
-// raceEnabled reports whether the race detector runs, with which a test takes ten times as long.
+// raceEnabled reports whether the race detector is enabled, which makes the simulation ten times slower.
 const raceEnabled = true
--- a/internal/subsetdriver/updater.go
+++ b/internal/subsetdriver/updater.go
@@ -14,82 +14,82 @@
 	// Interval is the time between two updates of the subset.
 	Interval = time.Second
 
-	joinKnownShare  = 0.9              // share of the gateways in service whose zones must be known for a first subset
-	joinTimeout     = 15 * time.Second // after which a first subset is chosen with fewer
-	weightsInterval = 5 * time.Second  // between two comparisons with the subsets of all gateways
-	unknownZone     = -1               // stands for a zone that is not known, as in package subset
-	unknownWeight   = 0.5              // weight of a gateway whose subset is not known, as a receiver of load reports
+	minKnownZoneShare = 0.9              // share of the gateways in service whose zones must be known for the first subset
+	joinTimeout       = 15 * time.Second // after this time the first subset is chosen even if fewer zones are known
+	weightsInterval   = 5 * time.Second  // time between two updates of the weights of load report receivers
+	unknownZone       = -1               // zone of a gateway whose zone is unknown, as in package subset
+	unknownWeight     = 0.5              // weight of a load report receiver whose subset is unknown
 )
 
-// Dispatcher restricts a gateway to the engines of a subset. In the program it is a dispatcher.Dispatcher.
+// Dispatcher restricts a gateway to the engines of a subset. The program's implementation is dispatcher.Dispatcher.
 type Dispatcher interface {
-	// UseSubset restricts the gateway to the engines that the chooser selects; nil lifts the restriction.
+	// UseSubset restricts the gateway to the engines that the chooser selects; nil removes the restriction.
 	UseSubset(chooser *subset.Chooser)
-	// ConfigureSubset changes the settings of the subset. Invalid settings are an error and change nothing.
+	// ConfigureSubset changes the settings of the subset. If they are invalid, it changes nothing and returns an error.
 	ConfigureSubset(config subset.Config) error
 	// SetGateways sets the zones of the gateways, and which of them are in service.
 	SetGateways(gateways []subset.Gateway)
-	// TickSubset removes engines whose linger time has ended. It is called every second.
+	// TickSubset removes engines whose linger time has elapsed. It is called every second.
 	TickSubset()
-	// SubsetSize returns how many engines are listed, and how many of them are used.
+	// SubsetSize returns the number of listed engines and the number of those that the gateway uses.
 	SubsetSize() (listed, used int)
-	// SubsetActive reports whether fewer than all engines are used.
+	// SubsetActive reports whether the gateway uses fewer than all engines.
 	SubsetActive() bool
-	// SubsetOverlap returns the share of another gateway's subset that lies in the own one, 0 if it is not known.
+	// SubsetOverlap returns the share of another gateway's subset that is also in this gateway's subset, or 0 if unknown.
 	SubsetOverlap(gateway int) float64
 }
 
-// Membership is what membership knows of the gateways.
+// Membership provides the membership state of the gateways.
 type Membership interface {
 	// IsInService reports whether a gateway is in service.
 	IsInService(member int) bool
-	// StartTime returns the Unix time of a gateway's start.
+	// StartTime returns the Unix time at which a gateway started.
 	StartTime(member int) time.Duration
 }
 
-// Location is the place of a gateway in its fleet.
+// Location describes the position of a gateway in its fleet.
 type Location struct {
-	Number   int      // of the gateway, from 0
-	Gateways int      // configured ones
-	Zones    []string // names; empty = a fleet without zones
-	Zone     int      // index in Zones; out of range = not known
+	Number   int      // number of the gateway, from 0
+	Gateways int      // number of configured gateways
+	Zones    []string // names of the zones; empty = a fleet without zones
+	Zone     int      // index in Zones; out of range = unknown
 }
 
-// Updater keeps the subset of a gateway's engines up to date: from its configuration, the zones of the gateways, and
-// membership. It is not safe for concurrent use. Times are those of a clock that never runs backwards.
+// Updater keeps a gateway's subset up to date when its configuration, the zones of the gateways or the membership change. It
+// is not safe for concurrent use. The times that are passed to it must come from a monotonic clock.
 type Updater struct {
-	engines      Dispatcher
+	dispatcher   Dispatcher
 	members      Membership
 	zoneTable    *zonetable.Table
 	log          *slog.Logger
-	place        Location
-	config       *subset.Config   // in force; nil = every engine is used
-	joinDeadline time.Duration    // when a first subset is chosen at the latest
-	joined       bool             // a first subset is chosen
-	gateways     []subset.Gateway // as last set
-	weights      []float64        // of the gateways as receivers of load reports; nil = all alike
-	weightsAt    time.Duration    // when the weights are next computed
-	loggedSize   int              // of the subset, as last logged
+	location     Location
+	config       *subset.Config   // current configuration; nil = the gateway uses every engine
+	joinDeadline time.Duration    // latest time for the choice of the first subset
+	joined       bool             // the first subset has been chosen
+	gateways     []subset.Gateway // last value passed to Dispatcher.SetGateways
+	weights      []float64        // weights of the gateways as receivers of load reports; nil = equal weights
+	weightsAt    time.Duration    // time of the next update of the weights
+	loggedSize   int              // size of the subset when it was last logged
 }
 
-// New returns an Updater that is off. Start has to be called before anything else.
-func New(place Location, engines Dispatcher, log *slog.Logger) *Updater {
-	if len(place.Zones) == 0 {
-		place.Zones = []string{""} // a fleet without zones is one zone without a name
+// New returns an Updater with subsets disabled. Start must be called before any other method.
+func New(location Location, dispatcher Dispatcher, log *slog.Logger) *Updater {
+	if len(location.Zones) == 0 {
+		location.Zones = []string{""} // a fleet without zones has a single, unnamed zone
 	}
-	u := &Updater{engines: engines, log: log, place: place}
-	u.zoneTable = zonetable.New(place.Number, place.Gateways, place.Zones, u.zone(),
+	u := &Updater{dispatcher: dispatcher, log: log, location: location}
+	u.zoneTable = zonetable.New(location.Number, location.Gateways, location.Zones, u.zone(),
 		func(member int) time.Duration { return u.members.StartTime(member) })
 	return u
 }
 
-// Extension returns what carries the zones on membership's datagrams.
+// Extension returns the membership extension that exchanges zones with the other gateways.
 func (u *Updater) Extension() membership.Extension { return u.zoneTable }
 
-// ReceiveZones records the zones that another gateway sent. The next update of the subset uses them.
+// ReceiveZones stores the zones in a message from another gateway. The next update of the subset uses them.
 func (u *Updater) ReceiveZones(member int, body []byte) { u.zoneTable.Receive(member, body) }
 
-// Start applies the first configuration; nil leaves subsets off until Configure.
+// Start applies the initial configuration. If it is nil, subsets are disabled until Configure enables them.
 func (u *Updater) Start(now time.Duration, members Membership, config *subset.Config) {
 	u.members = members
 	u.Configure(now, config)
@@ -98,15 +98,15 @@
 // Enabled reports whether subsets are configured.
 func (u *Updater) Enabled() bool { return u.config != nil }
 
-// zone returns the own zone, unknownZone if the settings do not name it.
+// zone returns this gateway's zone, or unknownZone if it is not one of the zones in the settings.
 func (u *Updater) zone() int {
-	if zone := u.place.Zone; zone >= 0 && zone < len(u.place.Zones) {
+	if zone := u.location.Zone; zone >= 0 && zone < len(u.location.Zones) {
 		return zone
 	}
 	return unknownZone
 }
 
-// Configure changes the configuration; nil turns subsets off. An invalid configuration is logged and changes nothing.
+// Configure replaces the configuration. A nil configuration disables subsets. An invalid one is logged and changes nothing.
 func (u *Updater) Configure(now time.Duration, config *subset.Config) {
 	var err error
 	switch {
@@ -117,10 +117,10 @@
 	case u.config == nil:
 		err = u.enable(now, *config)
 	default:
-		err = u.engines.ConfigureSubset(*config)
+		err = u.dispatcher.ConfigureSubset(*config)
 	}
 	if err != nil {
-		u.log.Error("subset configuration not changed", "error", err)
+		u.log.Error("invalid subset configuration, keeping the old one", "error", err)
 		return
 	}
 	u.config = config
@@ -129,39 +129,40 @@
 }
 
 func (u *Updater) enable(now time.Duration, config subset.Config) error {
-	chooser, err := subset.New(config, u.place.Number, u.zone(), u.place.Gateways)
+	chooser, err := subset.New(config, u.location.Number, u.zone(), u.location.Gateways)
 	if err != nil {
 		return err
 	}
 	u.joinDeadline, u.joined, u.gateways = now+joinTimeout, false, nil
-	u.engines.UseSubset(chooser)
+	u.dispatcher.UseSubset(chooser)
 	return nil
 }
 
 func (u *Updater) disable() {
 	u.zoneTable.SetUsesSubset(false)
 	u.weights = nil
-	u.engines.UseSubset(nil)
+	u.dispatcher.UseSubset(nil)
 }
 
-// Tick updates the subset. It is called each Interval while subsets are configured.
+// Tick updates the subset. It must be called once per Interval while subsets are configured.
 func (u *Updater) Tick(now time.Duration) {
 	if u.config == nil {
 		return
 	}
-	listed, _ := u.engines.SubsetSize()
+	listed, _ := u.dispatcher.SubsetSize()
 	u.zoneTable.SetUsesSubset(listed > u.config.MinEngines)
 	u.updateGateways(now)
-	u.engines.TickSubset()
+	u.dispatcher.TickSubset()
 	u.updateWeights(now)
-	if _, used := u.engines.SubsetSize(); used != u.loggedSize {
+	if _, used := u.dispatcher.SubsetSize(); used != u.loggedSize {
 		u.loggedSize = used
 		u.log.Debug("subset size changed", "engines", listed, "subset", used)
 	}
 }
 
-// updateGateways sets which gateways are in service in which zones, if that has changed. At the start it waits until most
-// zones are known: before that, a gateway would choose nearly every engine, as if it were alone.
+// updateGateways passes the zones of the gateways, and which of them are in service, to the dispatcher if they have changed.
+// After the start it first waits until most zones are known, because a gateway that knows no others chooses nearly every
+// engine.
 func (u *Updater) updateGateways(now time.Duration) {
 	gateways := u.knownGateways()
 	u.joined = u.joined || enoughZonesKnown(gateways) || now >= u.joinDeadline
@@ -169,19 +170,19 @@
 		return
 	}
 	u.gateways = gateways
-	u.engines.SetGateways(gateways)
+	u.dispatcher.SetGateways(gateways)
 }
 
-// knownGateways returns what is known of the gateways, by their numbers.
+// knownGateways returns the known states of the gateways, indexed by number.
 func (u *Updater) knownGateways() []subset.Gateway {
-	gateways := make([]subset.Gateway, u.place.Gateways)
+	gateways := make([]subset.Gateway, u.location.Gateways)
 	for i := range gateways {
 		gateways[i] = subset.Gateway{Zone: u.zoneTable.Zone(i), InService: u.members.IsInService(i)}
 	}
 	return gateways
 }
 
-// enoughZonesKnown reports whether the zones of enough gateways in service are known for a first subset.
+// enoughZonesKnown reports whether enough gateways in service have a known zone to choose the first subset.
 func enoughZonesKnown(gateways []subset.Gateway) bool {
 	inService, known := 0, 0
 	for _, g := range gateways {
@@ -193,12 +194,13 @@
 			known++
 		}
 	}
-	return float64(known) >= joinKnownShare*float64(inService)
+	return float64(known) >= minKnownZoneShare*float64(inService)
 }
 
-// updateWeights sets the weights by which load reports are sent to the gateways that use the same engines.
+// updateWeights recomputes the weights of the gateways as receivers of load reports once per weightsInterval. A gateway's weight
+// is the overlap of its subset with this gateway's.
 func (u *Updater) updateWeights(now time.Duration) {
-	if !u.engines.SubsetActive() {
+	if !u.dispatcher.SubsetActive() {
 		u.weights = nil
 		return
 	}
@@ -208,12 +210,13 @@
 	u.weightsAt = now + weightsInterval
 	u.weights = make([]float64, len(u.gateways))
 	for i, g := range u.gateways {
-		u.weights[i] = u.engines.SubsetOverlap(i)
+		u.weights[i] = u.dispatcher.SubsetOverlap(i)
 		if g.Zone < 0 {
 			u.weights[i] = unknownWeight
 		}
 	}
 }
 
-// ReceiverWeights returns the weight of each gateway as the receiver of a datagram that carries extensions alone; nil = all alike.
+// ReceiverWeights returns the weights with which the receivers of datagrams that carry only extensions are chosen, by gateway.
+// A nil result means equal weights.
 func (u *Updater) ReceiverWeights() []float64 { return u.weights }
