--- a/internal/testutil/fixedseed/fixedseed.go
+++ b/internal/testutil/fixedseed/fixedseed.go
@@ -1,11 +1,11 @@
-// Package fixedseed makes rapid's property tests repeatable. Test files import it for its side effect: the seed is fixed, so that
-// every run draws the same cases, and no files of failed cases are written.
+// Package fixedseed makes property tests with rapid deterministic. Test files import it for its side effects: it sets a fixed seed, so
+// that every run generates the same cases, and prevents rapid from writing files with failed cases.
 package fixedseed
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // registers the flags
+	_ "pgregory.net/rapid" // registers the rapid.* flags
 )
 
 const seed = "1"
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -1,4 +1,4 @@
-// Package testutil holds the helpers that tests of several packages share. Only test files import it.
+// Package testutil provides helpers for the tests of several packages. Only test files import it.
 package testutil
 
 import (
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// updateVariable names the environment variable that makes Golden write its files instead of comparing.
-const updateVariable = "UPDATE_GOLDEN"
+// updateEnv is the environment variable that makes Golden write the files instead of comparing them.
+const updateEnv = "UPDATE_GOLDEN"
 
-// Golden fails the test unless got is equal, byte for byte, to the file testdata/name of its package. The files record the behavior
-// of an earlier version of the program; they are only updated when a change of that behavior is intended.
+// Golden fails the test unless got is byte-for-byte equal to the file testdata/name of the tested package. The files record the
+// behavior of an earlier version of the program. They are updated only when a change of that behavior is intended.
 func Golden(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
-	if os.Getenv(updateVariable) != "" {
+	if os.Getenv(updateEnv) != "" {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +40,7 @@
 	}
 }
 
-// lineAt returns line i, or a placeholder if there are fewer lines.
+// lineAt returns the line with index i, or a placeholder if there are fewer lines.
 func lineAt(lines [][]byte, i int) string {
 	if i >= len(lines) {
 		return "(no such line)"
--- a/internal/testutil/keys.go
+++ b/internal/testutil/keys.go
@@ -6,31 +6,32 @@
 	"strings"
 )
 
-// FieldKeys returns the keys under which an encoder that uses the struct tag reads and writes values of v's type: one a line, with
-// the kind of the value. Names of Go types do not appear, and names of Go fields only where there is no tag.
+// FieldKeys returns the paths of all keys that an encoder with this struct tag uses for values of v's type. Each line contains a path,
+// which starts with label, and the kind of its value. Names of Go types do not appear, and names of Go fields only if they have no tag,
+// so that tests detect a changed encoding but not a renamed field.
 func FieldKeys(tag, label string, v any) string {
 	var out strings.Builder
-	writeKeys(&out, tag, label, reflect.TypeOf(v))
+	appendFieldKeys(&out, tag, label, reflect.TypeOf(v))
 	return out.String()
 }
 
-func writeKeys(out *strings.Builder, tag, path string, t reflect.Type) {
+func appendFieldKeys(out *strings.Builder, tag, path string, t reflect.Type) {
 	switch t.Kind() {
 	case reflect.Pointer:
-		writeKeys(out, tag, path, t.Elem())
+		appendFieldKeys(out, tag, path, t.Elem())
 		return
 	case reflect.Slice, reflect.Array:
-		writeKeys(out, tag, path+"[]", t.Elem())
+		appendFieldKeys(out, tag, path+"[]", t.Elem())
 		return
 	case reflect.Map:
-		writeKeys(out, tag, path+"{}", t.Elem())
+		appendFieldKeys(out, tag, path+"{}", t.Elem())
 		return
 	case reflect.Struct:
 	default:
 		fmt.Fprintf(out, "%s %s\n", path, t.Kind())
 		return
 	}
-	if encodesItself(t) {
+	if isTextMarshaler(t) {
 		fmt.Fprintf(out, "%s text\n", path)
 		return
 	}
@@ -43,12 +44,12 @@
 		if key == "" {
 			key = field.Name
 		}
-		writeKeys(out, tag, path+"."+key, field.Type)
+		appendFieldKeys(out, tag, path+"."+key, field.Type)
 	}
 }
 
-// encodesItself reports whether values of the type are encoded as text by a method of their own.
-func encodesItself(t reflect.Type) bool {
+// isTextMarshaler reports whether the type or a pointer to it has a MarshalText method.
+func isTextMarshaler(t reflect.Type) bool {
 	_, ok := reflect.PointerTo(t).MethodByName("MarshalText")
 	return ok
 }
--- a/internal/testutil/nettest/engine.go
+++ b/internal/testutil/nettest/engine.go
@@ -16,10 +16,10 @@
 	"frostpier/policy"
 )
 
-// maxConns bounds the connections to an Engine that its test has not accepted yet.
+// maxConns is the maximum number of connections to an Engine that the test has not accepted yet.
 const maxConns = 64
 
-// Engine is a scripted engine of the platform: its test accepts the connections and reads and writes on them.
+// Engine is a scripted engine: the test accepts its connections, reads the requests and writes the responses.
 type Engine struct {
 	ID       string
 	t        testing.TB
@@ -31,7 +31,7 @@
 type EngineConn struct {
 	net.Conn
 	t      testing.TB
-	Reader *textproto.Reader // buffers what is read from Conn
+	Reader *textproto.Reader // buffered reader of Conn
 }
 
 // NewEngine starts an engine that is closed at the end of the test.
@@ -54,7 +54,7 @@
 			return
 		}
 		e.t.Cleanup(func() { _ = nc.Close() })
-		_ = nc.SetDeadline(time.Now().Add(Timeout)) // fails on a closed connection only
+		_ = nc.SetDeadline(time.Now().Add(Timeout)) // fails only if the connection is closed
 		e.conns <- &EngineConn{nc, e.t, textproto.NewReader(bufio.NewReader(nc))}
 	}
 }
@@ -62,32 +62,32 @@
 // Addr returns the engine's address.
 func (e *Engine) Addr() string { return e.listener.Addr().String() }
 
-// ListEntry returns the engine's entry in an engine list.
+// ListEntry returns an engine list entry for the engine with the given health.
 func (e *Engine) ListEntry(health policy.Health) core.ListedEngine {
 	return core.ListedEngine{Name: e.ID, Addr: e.Addr(), Zone: "z", Kind: "m", Health: health, Weight: 1}
 }
 
-// PendingConns returns how many connections the test has not accepted yet.
+// PendingConns returns the number of connections that the test has not accepted yet.
 func (e *Engine) PendingConns() int { return len(e.conns) }
 
-// Accept returns the engine's next connection.
+// Accept waits for the next connection to the engine and returns it.
 func (e *Engine) Accept() *EngineConn {
 	e.t.Helper()
 	select {
 	case c := <-e.conns:
 		return c
 	case <-time.After(Timeout):
-		e.t.Fatalf("engine %s: no connection", e.ID)
+		e.t.Fatalf("engine %s: timeout waiting for a connection", e.ID)
 		return nil
 	}
 }
 
-// ReadRequest reads the next request and returns its method and path.
+// ReadRequest reads the next HTTP request with its body and returns the method and path.
 func (c *EngineConn) ReadRequest() string {
 	c.t.Helper()
 	line, err := c.Reader.ReadLine()
 	if err != nil {
-		c.t.Fatalf("no request: %v", err)
+		c.t.Fatalf("reading a request: %v", err)
 	}
 	header, err := c.Reader.ReadMIMEHeader()
 	if err != nil {
@@ -100,12 +100,12 @@
 	return strings.TrimSuffix(line, " HTTP/1.1")
 }
 
-// ExpectClosed waits for the end of the connection, before which nothing may come.
+// ExpectClosed waits until the gateway closes the connection, and fails the test if any bytes arrive before.
 func (c *EngineConn) ExpectClosed() {
 	c.t.Helper()
 	n, err := c.Reader.R.Read(make([]byte, 1))
 	if n > 0 || err == nil {
-		c.t.Errorf("the engine received bytes before the end of the connection")
+		c.t.Errorf("the engine received bytes before the connection was closed")
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.t.Errorf("the connection was not closed")
--- a/internal/testutil/nettest/nettest.go
+++ b/internal/testutil/nettest/nettest.go
@@ -1,6 +1,6 @@
-// Package nettest helps tests that force an order of events on connections: it waits, without sleeping, until bytes have reached the
-// peer's kernel, and provides scripted engines. Only test files import it. Its functions fail the test and may be called on the
-// goroutine of the test, or on an event loop that the test holds.
+// Package nettest provides helpers for tests that depend on the order of events on connections: functions that wait, without sleeping,
+// until the peer's kernel has received sent data, and scripted engines. Only test files import it. Its functions fail the test on an
+// error and must be called on the test's goroutine, or on an event loop while the test's goroutine waits for the call.
 package nettest
 
 import (
@@ -16,17 +16,17 @@
 // Timeout is how long a helper waits before the test fails.
 const Timeout = 20 * time.Second
 
-// Eventually polls until done returns true. what names the condition in the message of a failure.
-func Eventually(t testing.TB, what string, done func() bool) {
+// Eventually polls done until it returns true, and fails the test after Timeout. condition describes done in the failure message.
+func Eventually(t testing.TB, condition string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !done(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("timeout waiting for: %s", what)
+			t.Fatalf("timeout waiting for: %s", condition)
 		}
 	}
 }
 
-// WaitDelivered waits until all that was sent on a TCP connection, its end included, has reached the peer's kernel.
+// WaitDelivered waits until the peer's kernel has acknowledged all data sent on a TCP connection, including a FIN.
 func WaitDelivered(t testing.TB, nc net.Conn) {
 	t.Helper()
 	raw, err := nc.(*net.TCPConn).SyscallConn()
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	Eventually(t, "sent bytes to be acknowledged", func() bool {
-		unacknowledged := 0 // bytes; the end of the connection counts as one
+		unacknowledged := 0 // bytes; a FIN counts as one byte
 		err := raw.Control(func(fd uintptr) { unacknowledged, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
 		if err != nil {
 			t.Fatal(err)
@@ -43,7 +43,7 @@
 	})
 }
 
-// CloseWrite half-closes a connection and waits until that has reached the peer's kernel.
+// CloseWrite closes the write side of a connection and waits until the peer's kernel has received the FIN.
 func CloseWrite(t testing.TB, nc net.Conn) {
 	t.Helper()
 	if err := nc.(*net.TCPConn).CloseWrite(); err != nil {
@@ -52,7 +52,7 @@
 	WaitDelivered(t, nc)
 }
 
-// Send writes a text and waits until it has reached the peer's kernel.
+// Send writes text to a connection and waits until the peer's kernel has received it.
 func Send(t testing.TB, nc net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(nc, text); err != nil {
--- a/internal/testutil/transcript/transcript.go
+++ b/internal/testutil/transcript/transcript.go
@@ -1,5 +1,5 @@
-// Package transcript formats the steps that state machines of attempts return, for golden files. The format does not depend on Go
-// names, so that renaming does not change a transcript. Only test files import it.
+// Package transcript formats the steps returned by the state machines of attempts for golden files. The format does not depend on Go
+// identifiers, so that renaming one does not change a transcript. Only test files import it.
 package transcript
 
 import (
@@ -9,17 +9,18 @@
 	"frostpier/internal/attempt"
 )
 
-// Steps returns a line with the name of the event and an indented line for each step. Bytes are quoted as Go strings.
+// Steps returns one line with the name of the event, followed by an indented line for each step. Bytes are formatted as quoted Go
+// strings.
 func Steps(event string, steps []attempt.Step) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s\n", event)
 	for _, s := range steps {
-		fmt.Fprintf(&out, "  %s\n", line(s))
+		fmt.Fprintf(&out, "  %s\n", formatStep(s))
 	}
 	return out.String()
 }
 
-func line(s attempt.Step) string {
+func formatStep(s attempt.Step) string {
 	switch s := s.(type) {
 	case attempt.Open:
 		return fmt.Sprintf("open %d new %v", s.Channel, s.Fresh)
