--- a/internal/control/loadreport/digest.go
+++ b/internal/control/loadreport/digest.go
@@ -38,7 +38,7 @@
 // maxLoad is the exclusive upper bound of a valid load, in queries. No engine runs this many.
 const maxLoad = 1 << 16
 
-// Report is the load of an engine at the time when it reported it.
+// Report is a load report of an engine.
 type Report struct {
 	Engine     uint64        // ID of the engine
 	Load       int           // running queries
@@ -70,7 +70,7 @@
 	Unlisted       uint64 // received reports on engines that are not listed
 	Expired        uint64 // received reports older than Lifetime
 	FromFuture     uint64 // received reports from the future: the clock of one of the gateways is wrong
-	Malformed      uint64 // messages that could not be decoded, and reports with a load out of range
+	Malformed      uint64 // malformed messages, and reports with a load out of range
 }
 
 // New returns a Digest with no engines.
--- a/internal/control/subset/chooser.go
+++ b/internal/control/subset/chooser.go
@@ -194,8 +194,8 @@
 }
 
 // InCore reports whether an engine is in the core of the subset, which the gateway shares with many others of its zone:
-// table groups should be kept warm on these engines. The engines outside the core replace core engines that are not
-// serving, are in the subset so that every engine is in at least one, or are about to be removed.
+// table groups should be kept warm on these engines. An engine outside the core replaces a core engine that is not serving,
+// is needed so that every engine is in at least one subset, or is about to be removed.
 func (c *Chooser) InCore(id uint64) bool { return c.members[id] }
 
 // IDs returns the subset in ascending order. The caller must not modify the slice, which is valid until the next method
--- a/internal/control/subset/demands.go
+++ b/internal/control/subset/demands.go
@@ -91,8 +91,8 @@
 }
 
 // failoverDemand returns the demand for engines whose own gateways are out of service. A gateway wants these in addition to
-// its other engines. Their number is to subsetSize as the number of uncovered engines is to that of covered engines, whose
-// own gateways are in service.
+// its other engines, and in the same proportion: it wants a share of subsetSize/covered of the serving ones, where covered is
+// the number of serving engines whose own gateways are in service.
 func (f *fleet) failoverDemand(uncovered *ring, covered int, owners positions) demand {
 	serving := uncovered.serving
 	if covered > 0 {
--- a/internal/control/zonetable/table.go
+++ b/internal/control/zonetable/table.go
@@ -96,7 +96,7 @@
 	return t.entries[gateway].zone
 }
 
-// setReportedByOther stores the zone that another gateway reported for this one, unless the gateway has reported its own.
+// setReportedByOther stores a gateway's zone as reported by another gateway, unless the gateway has reported its zone itself.
 func (t *Table) setReportedByOther(gateway, zone int) {
 	e := &t.entries[gateway]
 	if !e.selfReported && zone != unknownZone {
