--- a/internal/testbed/soak/request.go
+++ b/internal/testbed/soak/request.go
@@ -48,7 +48,7 @@
 	Budget        time.Duration // time in which its client expects the answer
 	IsRejected    bool          // every engine rejects its statement
 	Sent          time.Duration // when its last byte was sent, since the start of the clients
-	SentAfterTerm time.Duration // when it was sent, relative to SIGTERM; negative before
+	SentAfterTerm time.Duration // when it was sent, relative to SIGTERM; negative before SIGTERM
 	Latency       time.Duration // time from sending to the outcome
 	Outcome       Outcome
 	Duplicates    int // number of answers after the first
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -35,7 +35,7 @@
 
 const (
 	maxDescriptors = 1024
-	exitTimeout    = 10 * time.Second // after SIGKILL
+	exitTimeout    = 10 * time.Second // bounds the wait for the exit status of a process that has ended
 )
 
 // maxDescriptors returns the limit on a gateway's file descriptors. The MySQL listener reserves half of the clients' share, and
