--- a/internal/control/loadreport/digest.go
+++ b/internal/control/loadreport/digest.go
@@ -69,7 +69,7 @@
 	Applied        uint64 // received reports that were later than the known one
 	Unlisted       uint64 // received reports on engines that are not listed
 	Expired        uint64 // received reports older than Lifetime
-	FromFuture     uint64 // received reports from the future: the clock of one of the gateways is wrong
+	Ahead          uint64 // received reports from the future: the clock of one of the gateways is wrong
 	Malformed      uint64 // malformed messages, and reports with a load out of range
 }
 
--- a/internal/control/loadreport/digest_test.go
+++ b/internal/control/loadreport/digest_test.go
@@ -112,7 +112,7 @@
 	}{
 		"not listed":        {func(m *loadreportpb.Digest) { m.Engine[0] = 9 }, func(c Counts) uint64 { return c.Unlisted }},
 		"expired":           {func(m *loadreportpb.Digest) { m.Age[0] = 200 }, func(c Counts) uint64 { return c.Expired }},
-		"from the future":   {func(m *loadreportpb.Digest) { m.Base += 40 }, func(c Counts) uint64 { return c.FromFuture }},
+		"from the future":   {func(m *loadreportpb.Digest) { m.Base += 40 }, func(c Counts) uint64 { return c.Ahead }},
 		"load out of range": {func(m *loadreportpb.Digest) { m.Load[0] = 1 << 30 }, malformed},
 		"unequal lengths":   {func(m *loadreportpb.Digest) { m.Age = nil }, malformed},
 		"base out of range": {func(m *loadreportpb.Digest) { m.Base = 1 << 60 }, malformed},
--- a/internal/control/loadreport/message.go
+++ b/internal/control/loadreport/message.go
@@ -118,7 +118,7 @@
 	case load >= maxLoad:
 		d.counts.Malformed++
 	case at > now+maxClockSkew:
-		d.counts.FromFuture++
+		d.counts.Ahead++
 	case now-at > Lifetime:
 		d.counts.Expired++
 	case e.merge(int(load), at):
