--- a/internal/testbed/capacity/change.go
+++ b/internal/testbed/capacity/change.go
@@ -71,8 +71,8 @@
 	return total
 }
 
-// Overlap returns the share of configuration changes during which at least one gateway restarts, if changes and restarts
+// RestartOverlap returns the share of configuration changes during which at least one gateway restarts, if changes and restarts
 // are spread evenly over the day.
-func (t Target) Overlap() float64 {
+func (t Target) RestartOverlap() float64 {
 	return min(1, t.RestartsPerDay*t.ConfigurationWithin.Seconds()/(24*time.Hour).Seconds())
 }
--- a/internal/testbed/capacity/effect.go
+++ b/internal/testbed/capacity/effect.go
@@ -42,7 +42,7 @@
 	case ClientSide:
 		return m.clientEffect(state)
 	case Decisions:
-		cost := m.decisionCost(state.Engines, state.Statements)
+		cost := m.decisionCost(state.Engines, state.StatementsPerSecond)
 		return fmt.Sprintf("%s of a core with %.0f engines", formatPercent(cost.Processor), state.Engines)
 	case EngineSide:
 		return m.engineEffect(state)
@@ -64,7 +64,7 @@
 	case state.Phase == ZoneRecovered:
 		return "clients come back as they connect anew"
 	case moved > 0:
-		return fmt.Sprintf("%s connections move; %.0f at each other gateway", formatCount(moved), state.Clients)
+		return fmt.Sprintf("%s connections move; %.0f at each other gateway", formatCount(moved), state.ClientConnections)
 	}
 	return "none"
 }
@@ -76,7 +76,7 @@
 		connections := m.Target.Gateways * m.Target.Engines / m.Target.Regions
 		return fmt.Sprintf("those to the other region end: %s in all", formatCount(connections))
 	case state.Phase == ZoneRecovered:
-		gateways, engines := m.lostIn(ZoneLost)
+		gateways, engines := m.losses(ZoneLost)
 		connections := m.Target.Gateways*engines + gateways*state.Engines - gateways*engines
 		return fmt.Sprintf("%s are opened within seconds", formatCount(connections))
 	case state.Phase == Restart:
@@ -109,12 +109,12 @@
 
 func (m Model) discoveryEffect(state State) string {
 	list := m.estimate(ListBytes, m.Target.Engines)
-	gateways, engines := m.lostIn(state.Phase)
+	gateways, engines := m.losses(state.Phase)
 	switch state.Phase {
 	case Restart:
 		return formatBytes(list) + " to the gateway that starts, if its configuration holds no list"
 	case ZoneRecovered:
-		gateways, engines = m.lostIn(ZoneLost)
+		gateways, engines = m.losses(ZoneLost)
 		return fmt.Sprintf("%s to those that start, %s changes to all", formatBytes(list*gateways), formatCount(math.Ceil(engines)))
 	case RegionsPartitioned:
 		return fmt.Sprintf("the region without the server keeps its last list; a whole list to each after: %s",
@@ -129,7 +129,7 @@
 	switch role {
 	case Configuration:
 		if state.Phase == Restart {
-			return fmt.Sprintf("falls into %s of the changes; which file it reads is open", formatPercent(t.Overlap()))
+			return fmt.Sprintf("falls into %s of the changes; which file it reads is open", formatPercent(t.RestartOverlap()))
 		}
 		return "nothing tells who missed a change"
 	case StagedChange:
--- a/internal/testbed/capacity/fault.go
+++ b/internal/testbed/capacity/fault.go
@@ -4,12 +4,12 @@
 
 // State is the fleet in a phase, as a running gateway sees it.
 type State struct {
-	Phase      Phase
-	Frequency  string  // how often the phase occurs, as on the page
-	Gateways   float64 // running
-	Engines    float64 // reachable
-	Statements float64 // a second at a gateway
-	Clients    float64 // connections at a gateway
+	Phase               Phase
+	Frequency           string  // how often the phase occurs, as on the page
+	Gateways            float64 // running
+	Engines             float64 // reachable
+	StatementsPerSecond float64 // a second at a gateway
+	ClientConnections   float64 // connections at a gateway
 }
 
 // rackShare is the share of gateways and engines that stand in one rack. It is assumed, since the operators state none:
@@ -19,7 +19,7 @@
 // States returns the fleet in each phase.
 func (m Model) States() []State {
 	t := m.Target
-	full := State{Gateways: t.Gateways, Engines: t.Engines, Statements: t.StatementsPerGateway(), Clients: t.ClientsPerGateway()}
+	full := State{Gateways: t.Gateways, Engines: t.Engines, StatementsPerSecond: t.StatementsPerGateway(), ClientConnections: t.ClientsPerGateway()}
 	frequency := map[Phase]string{
 		Quiet:              "else",
 		Restart:            fmt.Sprintf("%s a day, one in %s", formatCount(t.RestartsPerDay), formatSeconds(daySeconds/t.RestartsPerDay)),
@@ -32,7 +32,7 @@
 	}
 	var states []State
 	for _, phase := range Phases() {
-		state := full.afterLossOf(m.lostIn(phase))
+		state := full.afterLoss(m.losses(phase))
 		if phase == RegionsPartitioned { // each region keeps its gateways, engines and clients
 			state = full
 			state.Gateways, state.Engines = t.Gateways/t.Regions, t.Engines/t.Regions
@@ -43,8 +43,8 @@
 	return states
 }
 
-// lostIn returns how many gateways and engines are lost in a phase.
-func (m Model) lostIn(phase Phase) (gateways, engines float64) {
+// losses returns how many gateways and engines are lost in a phase.
+func (m Model) losses(phase Phase) (gateways, engines float64) {
 	t := m.Target
 	switch phase {
 	case Restart:
@@ -59,21 +59,21 @@
 	return 0, 0
 }
 
-// afterLossOf returns the state after a loss: the load of the lost gateways is spread over the others.
-func (s State) afterLossOf(gateways, engines float64) State {
+// afterLoss returns the state after a loss: the load of the lost gateways is spread over the others.
+func (s State) afterLoss(gateways, engines float64) State {
 	share := s.Gateways / (s.Gateways - gateways)
-	return State{Gateways: s.Gateways - gateways, Engines: s.Engines - engines, Statements: s.Statements * share,
-		Clients: s.Clients * share}
+	return State{Gateways: s.Gateways - gateways, Engines: s.Engines - engines, StatementsPerSecond: s.StatementsPerSecond * share,
+		ClientConnections: s.ClientConnections * share}
 }
 
 // Peak is the cost of a state to a gateway, over its worst 10 s.
 type Peak struct {
 	State
-	Decisions          float64 // share of a core
+	DecisionProcessor  float64 // share of a core
 	Total              Cost    // without the clients' connections
-	WithClients        float64 // bytes of memory
-	Membership         float64 // bytes sent per second, without load reports
-	TopSender          float64 // bytes sent per second by the gateway that sends most, with load reports
+	MemoryWithClients  float64 // bytes of memory
+	MembershipBytes    float64 // bytes sent per second, without load reports
+	TopSenderBytes     float64 // bytes sent per second by the gateway that sends most, with load reports
 	SecondsOverBudget  float64 // how long the mean over 10 s exceeded the budget, with load reports
 	ConvergenceSeconds float64 // until all views agree; 0 = they differ by design
 	Verdicts           []Verdict
@@ -90,18 +90,18 @@
 
 func (m Model) peak(state State) Peak {
 	t, phase := m.Target, state.Phase
-	decision := m.decisionCost(state.Engines, state.Statements)
+	decision := m.decisionCost(state.Engines, state.StatementsPerSecond)
 	total := decision.Add(m.connectionCost(state.Engines)).Add(m.membershipCost(t.Gateways)).
 		Add(m.reportCost(t.Gateways, state.Engines))
 	quiet := m.estimate(PeakProcessorTime.SlopeName(Quiet), t.Gateways)
 	total.Processor += max(0, m.estimate(PeakProcessorTime.SlopeName(phase), t.Gateways)-quiet)
 	total.BytesPerSecond = m.estimate(PeakBytesWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond
 	peak := Peak{
-		State: state, Decisions: decision.Processor, Total: total,
-		WithClients:       total.Memory + m.clientCost(state.Clients).Memory,
-		Membership:        m.estimate(PeakBytes.SlopeName(phase), t.Gateways),
+		State: state, DecisionProcessor: decision.Processor, Total: total,
+		MemoryWithClients: total.Memory + m.clientCost(state.ClientConnections).Memory,
+		MembershipBytes:   m.estimate(PeakBytes.SlopeName(phase), t.Gateways),
 		SecondsOverBudget: m.secondsOverBudget(PeakBytesWithReports.SlopeName(phase), t.Gateways),
-		TopSender:         m.estimate(PeakTopSenderWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond,
+		TopSenderBytes:    m.estimate(PeakTopSenderWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond,
 	}
 	if phase != RegionsPartitioned {
 		peak.ConvergenceSeconds = m.estimate(ConvergenceSeconds.SlopeName(phase), t.Gateways)
@@ -110,7 +110,7 @@
 		compare("core", total.Processor, t.Processor),
 		compare("memory", total.Memory, t.MemoryBytes),
 		compare("bytes", total.BytesPerSecond, t.BytesPerSecond),
-		compare("bytes of one", peak.TopSender, t.BytesPerSecond),
+		compare("bytes of one", peak.TopSenderBytes, t.BytesPerSecond),
 	}
 	return peak
 }
--- a/internal/testbed/capacity/firstmeasurements.go
+++ b/internal/testbed/capacity/firstmeasurements.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// checkedTable returns the comparison of the first measurements with the slopes.
-func (m Model) checkedTable() Table {
+// firstMeasurementsTable returns the comparison of the first measurements with the slopes.
+func (m Model) firstMeasurementsTable() Table {
 	table := Table{Header: []string{"what", "first measured", "here, median", "here, least", "median over first"}}
 	for _, first := range firstMeasurements() {
 		slope := m.Result.Slope(first.slope)
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -20,11 +20,11 @@
 
 // DecisionSetup is the load under which decisions are measured.
 type DecisionSetup struct {
-	Engines  int
-	Gateways int           // in the settings
-	Rate     float64       // statements per second at this gateway
-	Duration time.Duration // of the measurement, in virtual time
-	Seed     uint64
+	Engines             int
+	Gateways            int           // in the settings
+	StatementsPerSecond float64       // statements per second at this gateway
+	Duration            time.Duration // of the measurement, in virtual time
+	Seed                uint64
 }
 
 // decisionSettings returns the settings of a fleet with one class of statements.
@@ -81,7 +81,7 @@
 	}
 	gateway.Handle(virtualEpoch, list)
 	d := &driver{module: decisionModule{gateway}, now: virtualEpoch}
-	return d.processorTimePerStatement(setup.Rate, setup.Duration)
+	return d.processorTimePerStatement(setup.StatementsPerSecond, setup.Duration)
 }
 
 // coreModule runs the core with the decision module.
@@ -135,5 +135,5 @@
 	}
 	gatewayCore.UpdateEngines(virtualEpoch, true, listed)
 	d := &driver{module: coreModule{gatewayCore}, now: virtualEpoch}
-	return d.processorTimePerStatement(setup.Rate, setup.Duration)
+	return d.processorTimePerStatement(setup.StatementsPerSecond, setup.Duration)
 }
--- a/internal/testbed/capacity/measure/faults.go
+++ b/internal/testbed/capacity/measure/faults.go
@@ -24,12 +24,12 @@
 type PhaseCost struct {
 	Phase              capacity.Phase
 	PeakBytes          float64 // sent per second, over 10 s
-	Burst              float64 // bytes sent per second, over 5 s
-	TopSender          float64 // bytes sent per second, over 10 s, by the gateway that sends most
+	PeakBurst          float64 // bytes sent per second, over 5 s
+	PeakTopSender      float64 // bytes sent per second, over 10 s, by the gateway that sends most
 	SecondsOverBudget  float64 // how long the mean over the last 10 s exceeded the budget
-	Settled            float64 // bytes sent per second in the last 10 s of the phase
-	Datagrams          float64 // sent per second, over 10 s
-	Processor          float64 // processor seconds per second, over 10 s, including the simulator
+	SettledBytes       float64 // bytes sent per second in the last 10 s of the phase
+	PeakDatagrams      float64 // sent per second, over 10 s
+	PeakProcessor      float64 // processor seconds per second, over 10 s, including the simulator
 	ConvergenceSeconds float64 // from the start of the phase until all views agreed; -1 = they did not
 }
 
@@ -157,7 +157,7 @@
 	burstSamples := int(burstWindow / sampleInterval)
 	for end := burstSamples; end < len(samples); end++ {
 		rate := bytesPerSecond(samples[end-burstSamples], samples[end], burstWindow) / running
-		cost.Burst = max(cost.Burst, rate)
+		cost.PeakBurst = max(cost.PeakBurst, rate)
 	}
 }
 
@@ -166,14 +166,14 @@
 	window := peakWindow.Seconds()
 	rate := bytesPerSecond(from, to, peakWindow) / running
 	c.PeakBytes = max(c.PeakBytes, rate)
-	c.Settled = rate
+	c.SettledBytes = rate
 	if rate > capacity.Expected().BytesPerSecond {
 		c.SecondsOverBudget += sampleInterval.Seconds()
 	}
-	c.Datagrams = max(c.Datagrams, float64(to.datagrams-from.datagrams)/window/running)
-	c.Processor = max(c.Processor, (to.processor-from.processor).Seconds()/window/running)
+	c.PeakDatagrams = max(c.PeakDatagrams, float64(to.datagrams-from.datagrams)/window/running)
+	c.PeakProcessor = max(c.PeakProcessor, (to.processor-from.processor).Seconds()/window/running)
 	for i := range to.bytes {
-		c.TopSender = max(c.TopSender, float64(to.bytes[i]-from.bytes[i])/window)
+		c.PeakTopSender = max(c.PeakTopSender, float64(to.bytes[i]-from.bytes[i])/window)
 	}
 }
 
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -14,11 +14,11 @@
 
 // FleetSetup describes a simulated fleet of gateways on a virtual clock.
 type FleetSetup struct {
-	Gateways int
-	Engines  int     // whose load reports gateways share; 0 = none
-	Reports  float64 // of random engines, per second at each gateway
-	Loss     float64 // share of datagrams lost
-	Seed     uint64
+	Gateways         int
+	Engines          int     // whose load reports gateways share; 0 = none
+	ReportsPerSecond float64 // of random engines, per second at each gateway
+	Loss             float64 // share of datagrams lost
+	Seed             uint64
 }
 
 // fleet runs membership at every gateway and, if there are engines, the sharing of load reports.
@@ -75,7 +75,7 @@
 
 // recordReports records the load reports of one interval at each running gateway, and schedules itself for the next.
 func (f *fleet) recordReports() {
-	perInterval := f.setup.Reports * reportInterval.Seconds()
+	perInterval := f.setup.ReportsPerSecond * reportInterval.Seconds()
 	for i, digest := range f.digests {
 		if digest == nil || !f.Members[i].Up {
 			continue
--- a/internal/testbed/capacity/measure/measure_test.go
+++ b/internal/testbed/capacity/measure/measure_test.go
@@ -11,7 +11,7 @@
 // Every statement of the measurements of decisions is served. The time that it takes depends on the machine and is not
 // checked.
 func TestDecisionsAreServed(t *testing.T) {
-	setup := DecisionSetup{Engines: 8, Gateways: 800, Rate: 200, Duration: 200 * time.Millisecond, Seed: 1}
+	setup := DecisionSetup{Engines: 8, Gateways: 800, StatementsPerSecond: 200, Duration: 200 * time.Millisecond, Seed: 1}
 	if _, err := Decision(setup); err != nil {
 		t.Errorf("decision module: %v", err)
 	}
@@ -23,12 +23,13 @@
 // In a small fleet all gateways know the load of all engines, by reports that are still valid; a run with the same seed
 // gives the same figures.
 func TestSharedReportsReachAllGateways(t *testing.T) {
-	setup := FleetSetup{Gateways: 12, Engines: 8, Reports: 6, Seed: 3}
+	setup := FleetSetup{Gateways: 12, Engines: 8, ReportsPerSecond: 6, Seed: 3}
 	first, err := SharedReports(setup)
-	if err != nil || first.KnownShare != 1 || first.Age <= 0 || first.Age > 5 {
+	if err != nil || first.KnownShare != 1 || first.AgeSeconds <= 0 || first.AgeSeconds > 5 {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	if second, err := SharedReports(setup); err != nil || second.KnownShare != first.KnownShare || second.Age != first.Age || second.Bytes != first.Bytes {
+	if second, err := SharedReports(setup); err != nil || second.KnownShare != first.KnownShare ||
+		second.AgeSeconds != first.AgeSeconds || second.BytesPerSecond != first.BytesPerSecond {
 		t.Errorf("%+v after %+v, %v", second, first, err)
 	}
 }
@@ -40,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	setup.Engines, setup.Reports = 8, 2
+	setup.Engines, setup.ReportsPerSecond = 8, 2
 	with, err := Faults(setup, false)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +53,7 @@
 		if agreed := alone[i].ConvergenceSeconds >= 0; agreed != (phase != capacity.RegionsPartitioned) {
 			t.Errorf("%s: agreed %v", phase, alone[i].ConvergenceSeconds)
 		}
-		if alone[i].PeakBytes <= 0 || with[i].PeakBytes <= alone[i].PeakBytes || alone[i].TopSender < alone[i].PeakBytes {
+		if alone[i].PeakBytes <= 0 || with[i].PeakBytes <= alone[i].PeakBytes || alone[i].PeakTopSender < alone[i].PeakBytes {
 			t.Errorf("%s: %+v, with load reports %+v", phase, alone[i], with[i])
 		}
 	}
--- a/internal/testbed/capacity/measure/membership.go
+++ b/internal/testbed/capacity/measure/membership.go
@@ -10,9 +10,9 @@
 
 // QuietCost is the cost of membership to a gateway without faults.
 type QuietCost struct {
-	Bytes     float64 // sent per second
-	Processor float64 // processor seconds per second, including the simulator
-	Memory    float64 // bytes of one member
+	BytesPerSecond float64 // sent per second
+	Processor      float64 // processor seconds per second, including the simulator
+	Memory         float64 // bytes of one member
 }
 
 // QuietMembership measures membership without faults or lost datagrams.
@@ -32,7 +32,7 @@
 	}
 	gatewaySeconds := float64(gateways) * quietTime.Seconds()
 	cost.Processor = (processorTime() - started).Seconds() / gatewaySeconds
-	cost.Bytes = float64(sum(f.SentBytes)-sentBefore) / gatewaySeconds
+	cost.BytesPerSecond = float64(sum(f.SentBytes)-sentBefore) / gatewaySeconds
 	runtime.KeepAlive(f)
 	return cost, nil
 }
--- a/internal/testbed/capacity/measure/memory.go
+++ b/internal/testbed/capacity/measure/memory.go
@@ -13,12 +13,12 @@
 // MemoryNeed returns an estimate of the memory that the measurements take at most, in bytes.
 func (o Options) MemoryNeed() int64 {
 	sizes, need := o.sizes(), 0
-	if o.runs(capacity.GroupMembership) || o.runs(capacity.GroupFaults) {
+	if o.selects(capacity.GroupMembership) || o.selects(capacity.GroupFaults) {
 		for _, gateways := range sizes.gateways {
 			need = max(need, fleetBytes(gateways, faultEngines))
 		}
 	}
-	if o.runs(capacity.GroupReports) {
+	if o.selects(capacity.GroupReports) {
 		for _, fleet := range sizes.fleets {
 			need = max(need, fleetBytes(fleet.gateways, fleet.engines))
 		}
@@ -39,5 +39,5 @@
 	return nil
 }
 
-// runs reports whether a group is measured.
-func (o Options) runs(group capacity.Group) bool { return o.Group == "" || o.Group == group }
+// selects reports whether a group is measured.
+func (o Options) selects(group capacity.Group) bool { return o.Group == "" || o.Group == group }
--- a/internal/testbed/capacity/measure/reports.go
+++ b/internal/testbed/capacity/measure/reports.go
@@ -11,40 +11,40 @@
 	reportSamples = 3                       // seconds that are measured
 )
 
-// Knowledge is what gateways know of engines by shared load reports, and what that costs.
-type Knowledge struct {
-	KnownShare float64 // share of engines of which a gateway holds an unexpired report, mean over gateways
-	Age        float64 // seconds, mean over the reports held
-	Processor  float64 // processor seconds per second and gateway, for membership, reports and their simulation
-	Bytes      float64 // sent per second and gateway, for membership and reports
+// ReportCoverage is what gateways know of engines by shared load reports, and what that costs.
+type ReportCoverage struct {
+	KnownShare     float64 // share of engines of which a gateway holds an unexpired report, mean over gateways
+	AgeSeconds     float64 // seconds, mean over the reports held
+	Processor      float64 // processor seconds per second and gateway, for membership, reports and their simulation
+	BytesPerSecond float64 // sent per second and gateway, for membership and reports
 }
 
 // SharedReports measures the sharing of load reports in a fleet without faults.
-func SharedReports(setup FleetSetup) (Knowledge, error) {
+func SharedReports(setup FleetSetup) (ReportCoverage, error) {
 	f, err := newFleet(setup)
 	if err != nil {
-		return Knowledge{}, err
+		return ReportCoverage{}, err
 	}
 	if err := f.Run(reportWarmUp); err != nil {
-		return Knowledge{}, err
+		return ReportCoverage{}, err
 	}
-	var measured Knowledge
+	var measured ReportCoverage
 	sentBefore, started := sum(f.SentBytes), processorTime()
 	for range reportSamples {
 		if err := f.Run(time.Second); err != nil {
-			return Knowledge{}, err
+			return ReportCoverage{}, err
 		}
 	}
 	gatewaySeconds := float64(setup.Gateways) * reportSamples
 	measured.Processor = (processorTime() - started).Seconds() / gatewaySeconds
-	measured.Bytes = float64(sum(f.SentBytes)-sentBefore) / gatewaySeconds
-	measured.KnownShare, measured.Age = f.knowledge()
+	measured.BytesPerSecond = float64(sum(f.SentBytes)-sentBefore) / gatewaySeconds
+	measured.KnownShare, measured.AgeSeconds = f.coverage()
 	return measured, nil
 }
 
-// knowledge returns the share of engines whose load is known, and the mean age of the reports in seconds, over all
+// coverage returns the share of engines whose load is known, and the mean age of the reports in seconds, over all
 // gateways.
-func (f *fleet) knowledge() (share, age float64) {
+func (f *fleet) coverage() (share, age float64) {
 	held := 0
 	for _, digest := range f.digests {
 		for i := range f.setup.Engines {
--- a/internal/testbed/capacity/measure/plan.go
+++ b/internal/testbed/capacity/measure/runner.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// plan is a run of the measurements.
-type plan struct {
+// runner is a run of the measurements.
+type runner struct {
 	Options
 	sizes
 	results collector
@@ -73,32 +73,32 @@
 
 // Slopes takes the selected measurements one after the other and returns their slopes. An error names the group.
 func Slopes(options Options) ([]capacity.Slope, error) {
-	p := &plan{Options: options, sizes: options.sizes(), results: collector{}}
+	r := &runner{Options: options, sizes: options.sizes(), results: collector{}}
 	measurements := map[capacity.Group]func() error{
-		capacity.GroupDecision:    p.decisions,
-		capacity.GroupReports:     p.reports,
-		capacity.GroupMembership:  p.membership,
-		capacity.GroupFaults:      p.faults,
-		capacity.GroupDiscovery:   p.discovery,
-		capacity.GroupConnections: p.connections,
-		capacity.GroupStaged:      p.staged,
+		capacity.GroupDecision:    r.decisions,
+		capacity.GroupReports:     r.reports,
+		capacity.GroupMembership:  r.membership,
+		capacity.GroupFaults:      r.faults,
+		capacity.GroupDiscovery:   r.discovery,
+		capacity.GroupConnections: r.connections,
+		capacity.GroupStaged:      r.staged,
 	}
 	for _, group := range capacity.Groups() {
-		if !p.runs(group) {
+		if !r.selects(group) {
 			continue
 		}
-		p.Logf("measures %s", group)
+		r.Logf("measures %s", group)
 		if err := measurements[group](); err != nil {
 			return nil, fmt.Errorf("%s: %w", group, err)
 		}
 	}
-	return p.results.slopes(), nil
+	return r.results.slopes(), nil
 }
 
-func (p *plan) decisions() error {
-	for run := range p.timed {
-		for _, engines := range p.sizes.decisions {
-			if err := p.decisionsAt(engines, p.Seed+uint64(run)); err != nil {
+func (r *runner) decisions() error {
+	for run := range r.timed {
+		for _, engines := range r.sizes.decisions {
+			if err := r.decisionsAt(engines, r.Seed+uint64(run)); err != nil {
 				return err
 			}
 		}
@@ -107,31 +107,31 @@
 }
 
 // decisionsAt measures decisions without and with the core.
-func (p *plan) decisionsAt(engines int, seed uint64) error {
+func (r *runner) decisionsAt(engines int, seed uint64) error {
 	target := capacity.Expected()
 	setup := DecisionSetup{
-		Engines:  engines,
-		Gateways: int(target.Gateways),
-		Rate:     target.StatementsPerGateway(),
-		Duration: decisionTime,
-		Seed:     seed,
+		Engines:             engines,
+		Gateways:            int(target.Gateways),
+		StatementsPerSecond: target.StatementsPerGateway(),
+		Duration:            decisionTime,
+		Seed:                seed,
 	}
 	alone, err := Decision(setup)
 	if err != nil {
 		return err
 	}
-	p.results.add(capacity.DecisionProcessor, engines, alone.Seconds(), "")
+	r.results.add(capacity.DecisionProcessor, engines, alone.Seconds(), "")
 	withCore, err := CoreDecision(setup)
 	if err != nil {
 		return err
 	}
-	p.results.add(capacity.CoreProcessor, engines, withCore.Seconds(), "")
+	r.results.add(capacity.CoreProcessor, engines, withCore.Seconds(), "")
 	return nil
 }
 
-func (p *plan) reports() error {
-	for _, size := range p.fleets {
-		if err := p.reportsAt(size); err != nil {
+func (r *runner) reports() error {
+	for _, size := range r.fleets {
+		if err := r.reportsAt(size); err != nil {
 			return err
 		}
 	}
@@ -139,53 +139,53 @@
 }
 
 // reportsAt measures shared load reports at the low and at the full rate.
-func (p *plan) reportsAt(size fleetSize) error {
-	setup := FleetSetup{Gateways: size.gateways, Engines: size.engines, Reports: lowReportRate, Seed: p.Seed}
+func (r *runner) reportsAt(size fleetSize) error {
+	setup := FleetSetup{Gateways: size.gateways, Engines: size.engines, ReportsPerSecond: lowReportRate, Seed: r.Seed}
 	low, err := SharedReports(setup)
 	if err != nil {
 		return err
 	}
-	setup.Reports = capacity.Expected().StatementsPerGateway()
+	setup.ReportsPerSecond = capacity.Expected().StatementsPerGateway()
 	full, err := SharedReports(setup)
 	if err != nil {
 		return err
 	}
 	note := fmt.Sprintf("%d gateways", size.gateways)
-	p.results.add(capacity.KnownAtLowRate, size.engines, low.KnownShare, note)
-	p.results.add(capacity.AgeAtLowRate, size.engines, low.Age, note)
-	p.results.add(capacity.KnownAtFullRate, size.engines, full.KnownShare, note)
-	p.results.add(capacity.AgeAtFullRate, size.engines, full.Age, note)
-	p.results.add(capacity.ReportsProcessor, size.engines, full.Processor, note)
-	p.results.add(capacity.ReportsBytes, size.engines, full.Bytes, note)
-	p.results.add(capacity.DigestMemory, size.engines, DigestMemory(size.engines), "")
+	r.results.add(capacity.KnownAtLowRate, size.engines, low.KnownShare, note)
+	r.results.add(capacity.AgeAtLowRate, size.engines, low.AgeSeconds, note)
+	r.results.add(capacity.KnownAtFullRate, size.engines, full.KnownShare, note)
+	r.results.add(capacity.AgeAtFullRate, size.engines, full.AgeSeconds, note)
+	r.results.add(capacity.ReportsProcessor, size.engines, full.Processor, note)
+	r.results.add(capacity.ReportsBytes, size.engines, full.BytesPerSecond, note)
+	r.results.add(capacity.DigestMemory, size.engines, DigestMemory(size.engines), "")
 	return nil
 }
 
-func (p *plan) membership() error {
-	for _, gateways := range p.gateways {
-		quiet, err := QuietMembership(gateways, p.Seed)
+func (r *runner) membership() error {
+	for _, gateways := range r.gateways {
+		quiet, err := QuietMembership(gateways, r.Seed)
 		if err != nil {
 			return err
 		}
-		p.results.add(capacity.MembershipBytes, gateways, quiet.Bytes, "")
-		p.results.add(capacity.MembershipProcessor, gateways, quiet.Processor, "")
-		p.results.add(capacity.MembershipMemory, gateways, quiet.Memory, "")
-		detection, err := Detection(gateways, p.kills, FaultLoss, p.Seed)
+		r.results.add(capacity.MembershipBytes, gateways, quiet.BytesPerSecond, "")
+		r.results.add(capacity.MembershipProcessor, gateways, quiet.Processor, "")
+		r.results.add(capacity.MembershipMemory, gateways, quiet.Memory, "")
+		detection, err := Detection(gateways, r.kills, FaultLoss, r.Seed)
 		if err != nil {
 			return err
 		}
-		note := fmt.Sprintf("%d kills", p.kills)
-		p.results.add(capacity.DetectionFirstMember, gateways, detection.FirstMember, note)
-		p.results.add(capacity.DetectionAllMembers, gateways, detection.AllMembers, note)
-		p.results.add(capacity.DetectionMax, gateways, detection.Max, note)
+		note := fmt.Sprintf("%d kills", r.kills)
+		r.results.add(capacity.DetectionFirstMember, gateways, detection.FirstMember, note)
+		r.results.add(capacity.DetectionAllMembers, gateways, detection.AllMembers, note)
+		r.results.add(capacity.DetectionMax, gateways, detection.Max, note)
 	}
 	return nil
 }
 
-func (p *plan) faults() error {
-	for run := range max(1, p.FaultRuns) {
-		for _, gateways := range p.gateways {
-			if err := p.faultsAt(gateways, p.Seed+uint64(run)); err != nil {
+func (r *runner) faults() error {
+	for run := range max(1, r.FaultRuns) {
+		for _, gateways := range r.gateways {
+			if err := r.faultsAt(gateways, r.Seed+uint64(run)); err != nil {
 				return err
 			}
 		}
@@ -194,62 +194,62 @@
 }
 
 // faultsAt runs the faults on a fleet without load reports, and on one with them.
-func (p *plan) faultsAt(gateways int, seed uint64) error {
+func (r *runner) faultsAt(gateways int, seed uint64) error {
 	setup := FleetSetup{Gateways: gateways, Loss: FaultLoss, Seed: seed}
 	alone, err := Faults(setup, true)
 	if err != nil {
 		return err
 	}
 	for _, cost := range alone {
-		p.addPhase(gateways, cost)
+		r.addPhase(gateways, cost)
 	}
-	setup.Engines, setup.Reports = faultEngines, faultReports
+	setup.Engines, setup.ReportsPerSecond = faultEngines, faultReports
 	withReports, err := Faults(setup, false)
 	if err != nil {
 		return err
 	}
 	for _, cost := range withReports {
-		p.results.addPeak(capacity.PeakBytesWithReports.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
-		p.results.add(capacity.PeakTopSenderWithReports.SlopeName(cost.Phase), gateways, cost.TopSender, "")
+		r.results.addPeak(capacity.PeakBytesWithReports.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
+		r.results.add(capacity.PeakTopSenderWithReports.SlopeName(cost.Phase), gateways, cost.PeakTopSender, "")
 	}
 	return nil
 }
 
 // addPhase adds the cost of a phase without load reports.
-func (p *plan) addPhase(gateways int, cost PhaseCost) {
+func (r *runner) addPhase(gateways int, cost PhaseCost) {
 	add := func(quantity capacity.PhaseQuantity, value float64) {
-		p.results.add(quantity.SlopeName(cost.Phase), gateways, value, "")
+		r.results.add(quantity.SlopeName(cost.Phase), gateways, value, "")
 	}
-	p.results.addPeak(capacity.PeakBytes.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
-	add(capacity.PeakBurst, cost.Burst)
-	add(capacity.PeakTopSender, cost.TopSender)
-	add(capacity.PeakDatagrams, cost.Datagrams)
-	add(capacity.PeakProcessorTime, cost.Processor)
-	add(capacity.SettledBytes, cost.Settled)
+	r.results.addPeak(capacity.PeakBytes.SlopeName(cost.Phase), gateways, cost.PeakBytes, cost.SecondsOverBudget)
+	add(capacity.PeakBurst, cost.PeakBurst)
+	add(capacity.PeakTopSender, cost.PeakTopSender)
+	add(capacity.PeakDatagrams, cost.PeakDatagrams)
+	add(capacity.PeakProcessorTime, cost.PeakProcessor)
+	add(capacity.SettledBytes, cost.SettledBytes)
 	if cost.Phase != capacity.RegionsPartitioned {
 		add(capacity.ConvergenceSeconds, cost.ConvergenceSeconds)
 	}
 }
 
-func (p *plan) discovery() error {
-	for range p.timed {
-		for _, engines := range p.lists {
+func (r *runner) discovery() error {
+	for range r.timed {
+		for _, engines := range r.lists {
 			cost, err := EngineList(engines, listRepeats)
 			if err != nil {
 				return err
 			}
-			p.results.add(capacity.ListBytes, engines, cost.Bytes, "")
-			p.results.add(capacity.ListParse, engines, cost.Parse, "")
-			p.results.add(capacity.ListApply, engines, cost.Apply, "")
-			p.results.add(capacity.ListMemory, engines, cost.Memory, "")
+			r.results.add(capacity.ListBytes, engines, cost.Bytes, "")
+			r.results.add(capacity.ListParse, engines, cost.Parse, "")
+			r.results.add(capacity.ListApply, engines, cost.Apply, "")
+			r.results.add(capacity.ListMemory, engines, cost.Memory, "")
 		}
 	}
 	return nil
 }
 
-func (p *plan) connections() error {
-	for range p.timed {
-		for _, count := range p.sizes.connections {
+func (r *runner) connections() error {
+	for range r.timed {
+		for _, count := range r.sizes.connections {
 			engine, err := EngineConnectionMemory(count)
 			if err != nil {
 				return err
@@ -258,22 +258,22 @@
 			if err != nil {
 				return err
 			}
-			p.results.add(capacity.EngineConnection, count, engine, "")
-			p.results.add(capacity.ClientConnection, count, client, "")
+			r.results.add(capacity.EngineConnection, count, engine, "")
+			r.results.add(capacity.ClientConnection, count, client, "")
 		}
 	}
 	return nil
 }
 
-func (p *plan) staged() error {
-	for range p.timed {
-		for _, gateways := range p.gateways {
+func (r *runner) staged() error {
+	for range r.timed {
+		for _, gateways := range r.gateways {
 			processor, length, err := StagedReports(gateways)
 			if err != nil {
 				return err
 			}
-			p.results.add(capacity.StagedReportBytes, gateways, float64(length), "a report a second")
-			p.results.add(capacity.StagedReportProcessor, gateways, processor.Seconds(), "")
+			r.results.add(capacity.StagedReportBytes, gateways, float64(length), "a report a second")
+			r.results.add(capacity.StagedReportProcessor, gateways, processor.Seconds(), "")
 		}
 	}
 	return nil
--- a/internal/testbed/capacity/model_test.go
+++ b/internal/testbed/capacity/model_test.go
@@ -66,7 +66,7 @@
 func TestStatesOfFaults(t *testing.T) {
 	m := New(resultOf(1))
 	for _, state := range m.States() {
-		total := state.Statements * state.Gateways
+		total := state.StatementsPerSecond * state.Gateways
 		if state.Phase == RegionsPartitioned {
 			total *= m.Target.Regions
 		}
@@ -75,7 +75,7 @@
 		}
 	}
 	zone := m.stateOf(ZoneLost)
-	if !nearlyEqual(zone.Gateways, 800*6.0/7) || !nearlyEqual(zone.Clients, 3500*7.0/6) {
+	if !nearlyEqual(zone.Gateways, 800*6.0/7) || !nearlyEqual(zone.ClientConnections, 3500*7.0/6) {
 		t.Errorf("%+v", zone)
 	}
 }
--- a/internal/testbed/capacity/outcome.go
+++ b/internal/testbed/capacity/outcome.go
@@ -10,21 +10,21 @@
 func (m Model) outcomeText() string {
 	ranking := m.Ranking()
 	first := ranking[0]
-	firstAlways := ranking[slices.IndexFunc(ranking, func(r RankedRequirement) bool { return r.When == Always })]
+	firstAlways := ranking[slices.IndexFunc(ranking, func(r RankedRequirement) bool { return r.Condition == Always })]
 	return strings.Join([]string{
-		fmt.Sprintf("- By size, \"%s\" is missed first: %s, from %s on.", first.Name, first.When, m.fleetSizeText(first)),
+		fmt.Sprintf("- By size, \"%s\" is missed first: %s, from %s on.", first.Name, first.Condition, m.fleetSizeText(first)),
 		fmt.Sprintf("- Of what is missed always, \"%s\" is first: from %s on.", firstAlways.Name, m.fleetSizeText(firstAlways)),
-		m.standingText(ranking),
+		m.steadyStateText(ranking),
 		m.faultText(),
 		m.subsetText(),
 	}, "\n") + "\n"
 }
 
-// standingText names the requirement that the target misses by the largest factor without a fault.
-func (m Model) standingText(ranking []RankedRequirement) string {
+// steadyStateText names the requirement that the target misses by the largest factor without a fault.
+func (m Model) steadyStateText(ranking []RankedRequirement) string {
 	worst := RankedRequirement{}
 	for _, requirement := range ranking {
-		if requirement.When == Always && requirement.AtTarget > worst.AtTarget {
+		if requirement.Condition == Always && requirement.AtTarget > worst.AtTarget {
 			worst = requirement
 		}
 	}
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -7,19 +7,19 @@
 
 // Names of the generated blocks, as in their markers on the page.
 const (
-	blockMachine       = "machine"
-	blockSlopes        = "slopes"
-	blockFaultSlopes   = "fault slopes"
-	blockRoles         = "roles"
-	blockPeaks         = "peaks"
-	blockEffects       = "effects"
-	blockPrimary       = "change of primary"
-	blockConfiguration = "change of configuration"
-	blockChecked       = "first measurements"
-	blockScale         = "scale runs"
-	blockRanking       = "ranking"
-	blockSubset        = "subset"
-	blockOutcome       = "outcome"
+	blockMachine           = "machine"
+	blockSlopes            = "slopes"
+	blockFaultSlopes       = "fault slopes"
+	blockRoles             = "roles"
+	blockPeaks             = "peaks"
+	blockEffects           = "effects"
+	blockPrimary           = "change of primary"
+	blockConfiguration     = "change of configuration"
+	blockFirstMeasurements = "first measurements"
+	blockScale             = "scale runs"
+	blockRanking           = "ranking"
+	blockSubset            = "subset"
+	blockOutcome           = "outcome"
 )
 
 // MarkerError reports a block whose markers are not on the page.
@@ -43,19 +43,19 @@
 		runs = scale.Table().Markdown()
 	}
 	return map[string]string{
-		blockMachine:       m.machineText(),
-		blockSlopes:        SlopeTable(m.withoutFaults()).Markdown(),
-		blockFaultSlopes:   m.faultSlopes().Markdown(),
-		blockRoles:         m.roleTable().Markdown(),
-		blockPeaks:         m.peakTable().Markdown(),
-		blockEffects:       m.effectTable().Markdown(),
-		blockPrimary:       m.primaryText(),
-		blockConfiguration: m.configurationText(),
-		blockChecked:       m.checkedTable().Markdown(),
-		blockScale:         runs,
-		blockRanking:       m.rankingText(),
-		blockSubset:        m.subsetTable().Markdown(),
-		blockOutcome:       m.outcomeText(),
+		blockMachine:           m.machineText(),
+		blockSlopes:            SlopeTable(m.withoutFaults()).Markdown(),
+		blockFaultSlopes:       m.faultSlopes().Markdown(),
+		blockRoles:             m.roleTable().Markdown(),
+		blockPeaks:             m.peakTable().Markdown(),
+		blockEffects:           m.effectTable().Markdown(),
+		blockPrimary:           m.primaryText(),
+		blockConfiguration:     m.configurationText(),
+		blockFirstMeasurements: m.firstMeasurementsTable().Markdown(),
+		blockScale:             runs,
+		blockRanking:           m.rankingText(),
+		blockSubset:            m.subsetTable().Markdown(),
+		blockOutcome:           m.outcomeText(),
 	}
 }
 
--- a/internal/testbed/capacity/pagetables.go
+++ b/internal/testbed/capacity/pagetables.go
@@ -114,13 +114,13 @@
 		string(peak.Phase),
 		peak.Frequency,
 		fmt.Sprintf("%.0f, %.0f", peak.Gateways, peak.Engines),
-		fmt.Sprintf("%.0f", peak.Statements),
-		formatPercent(peak.Decisions),
+		fmt.Sprintf("%.0f", peak.StatementsPerSecond),
+		formatPercent(peak.DecisionProcessor),
 		formatPercent(peak.Total.Processor),
-		formatBytes(peak.Total.Memory) + " / " + formatBytes(peak.WithClients),
-		formatBytesPerSecond(peak.Membership),
+		formatBytes(peak.Total.Memory) + " / " + formatBytes(peak.MemoryWithClients),
+		formatBytesPerSecond(peak.MembershipBytes),
 		formatBytesPerSecond(peak.Total.BytesPerSecond),
-		formatBytesPerSecond(peak.TopSender),
+		formatBytesPerSecond(peak.TopSenderBytes),
 		formatOrDash(peak.SecondsOverBudget, formatSeconds),
 		convergence,
 		formatFactors(peak.Verdicts),
@@ -163,7 +163,7 @@
 	limit := m.Target.ConfigurationWithin.Seconds()
 	return partTable(m.ConfigurationChangeParts()).Markdown() + fmt.Sprintf("\nNothing carries a configuration today. A change in stages takes 30 s "+
 		"for each stage at the least, %s times the %s for the whole. A restart falls into %s of the changes, if both come evenly.\n",
-		formatNumber(minWatchSeconds/limit), formatSeconds(limit), formatPercent(m.Target.Overlap()))
+		formatNumber(minWatchSeconds/limit), formatSeconds(limit), formatPercent(m.Target.RestartOverlap()))
 }
 
 // rankingText is the table of the requirements that are missed, and a line on those that are met.
@@ -183,8 +183,8 @@
 			met = append(met, fmt.Sprintf("%s (x%s)", ranked.Name, formatNumber(ranked.AtTarget)))
 			continue
 		}
-		table.Rows = append(table.Rows, []string{fmt.Sprint(place + 1), ranked.Name, string(ranked.When), m.fleetSizeText(ranked),
-			"x" + formatNumber(ranked.AtToday), "x" + formatNumber(ranked.AtTarget), ranked.Missing})
+		table.Rows = append(table.Rows, []string{fmt.Sprint(place + 1), ranked.Name, string(ranked.Condition), m.fleetSizeText(ranked),
+			"x" + formatNumber(ranked.AtCurrent), "x" + formatNumber(ranked.AtTarget), ranked.MissingMechanism})
 	}
 	return table.Markdown() + "\nKept at the target, with use over limit: " + strings.Join(met, "; ") + ".\n"
 }
--- a/internal/testbed/capacity/ranking.go
+++ b/internal/testbed/capacity/ranking.go
@@ -8,29 +8,29 @@
 // RankedRequirement is a requirement with the smallest fleet, on the way from today's to the target, that misses it.
 type RankedRequirement struct {
 	Requirement
-	Missed            bool    // on the way, at the target at the latest
-	Gateways, Engines float64 // the smallest fleet that misses it, or the target
-	AtToday, AtTarget float64 // use over limit
-	position          float64 // of that fleet, see fleetAt
+	Missed              bool    // on the way, at the target at the latest
+	Gateways, Engines   float64 // the smallest fleet that misses it, or the target
+	AtCurrent, AtTarget float64 // use over limit
+	position            float64 // of that fleet, see fleetAt
 }
 
 // fleetAt returns the fleet at a position on the way to the target: 0 is no fleet, 1 is today's and 2 the target. In
 // between the numbers of gateways and engines grow linearly.
 func (m Model) fleetAt(position float64) (gateways, engines float64) {
-	from, to := Today(), m.Target.Fleet
-	if position <= todayPosition {
+	from, to := CurrentFleet(), m.Target.Fleet
+	if position <= currentPosition {
 		return from.Gateways * position, from.Engines * position
 	}
-	fraction := position - todayPosition
+	fraction := position - currentPosition
 	return from.Gateways + fraction*(to.Gateways-from.Gateways), from.Engines + fraction*(to.Engines-from.Engines)
 }
 
 // The way to the target is searched in coarse steps, and the step in which a requirement is first missed by bisection.
 const (
-	todayPosition  = 1.0
-	targetPosition = 2.0
-	searchSteps    = 64
-	bisections     = 16
+	currentPosition = 1.0
+	targetPosition  = 2.0
+	searchSteps     = 64
+	bisections      = 16
 )
 
 // firstMissed returns the first position at which a requirement is missed; ok is false if the target meets it.
@@ -60,7 +60,7 @@
 	var list []RankedRequirement
 	for _, requirement := range m.Requirements() {
 		ranked := RankedRequirement{Requirement: requirement}
-		ranked.AtToday, ranked.AtTarget = requirement.Factor(m.fleetAt(todayPosition)), requirement.Factor(m.fleetAt(targetPosition))
+		ranked.AtCurrent, ranked.AtTarget = requirement.Factor(m.fleetAt(currentPosition)), requirement.Factor(m.fleetAt(targetPosition))
 		ranked.position, ranked.Missed = m.firstMissed(requirement.Factor)
 		ranked.Gateways, ranked.Engines = m.fleetAt(ranked.position)
 		list = append(list, ranked)
--- a/internal/testbed/capacity/requirement.go
+++ b/internal/testbed/capacity/requirement.go
@@ -1,21 +1,21 @@
 package capacity
 
-// When is when a requirement is missed.
-type When string
+// Condition is when a requirement is missed.
+type Condition string
 
 // The conditions.
 const (
-	Always    When = "always"
-	FaultOnly When = "in a fault only"
+	Always    Condition = "always"
+	FaultOnly Condition = "in a fault only"
 )
 
 // Requirement is a requirement that depends on the size of the fleet.
 type Requirement struct {
-	Name        string
-	When        When
-	Missing     string                                  // mechanism that would meet it; may be empty
-	Factor      func(gateways, engines float64) float64 // use over limit
-	MinGateways float64                                 // smallest size measured; 0 if the requirement does not depend on it
+	Name             string
+	Condition        Condition
+	MissingMechanism string                                  // mechanism that would meet it; may be empty
+	Factor           func(gateways, engines float64) float64 // use over limit
+	MinGateways      float64                                 // smallest size measured; 0 if the requirement does not depend on it
 }
 
 // Requirements returns all requirements that depend on the size of the fleet. Every gateway has the target's rate of
@@ -23,23 +23,23 @@
 func (m Model) Requirements() []Requirement {
 	t := m.Target
 	list := []Requirement{
-		{Name: "decisions within 4.1% of a core", When: Always, Missing: "subsets of engines",
+		{Name: "decisions within 4.1% of a core", Condition: Always, MissingMechanism: "subsets of engines",
 			Factor: func(_, engines float64) float64 {
 				return m.decisionCost(engines, t.StatementsPerGateway()).Processor / t.Processor
 			}},
-		{Name: "connections at an engine within 151 (assumed)", When: Always, Missing: "subsets of engines",
-			Factor: func(gateways, _ float64) float64 { return gateways / MySQLConnections }},
-		{Name: "0.95 of engines known, every answer brings a report", When: Always,
-			Missing: "subsets of engines, or a larger table",
-			Factor:  func(_, engines float64) float64 { return t.KnownShare / knownShare(engines) }},
-		{Name: "0.95 of engines known, 6 answers a second bring reports", When: Always, Missing: "subsets of engines",
+		{Name: "connections at an engine within 151 (assumed)", Condition: Always, MissingMechanism: "subsets of engines",
+			Factor: func(gateways, _ float64) float64 { return gateways / MySQLMaxConnections }},
+		{Name: "0.95 of engines known, every answer brings a report", Condition: Always,
+			MissingMechanism: "subsets of engines, or a larger table",
+			Factor:           func(_, engines float64) float64 { return t.KnownShare / knownShare(engines) }},
+		{Name: "0.95 of engines known, 6 answers a second bring reports", Condition: Always, MissingMechanism: "subsets of engines",
 			Factor: func(_, engines float64) float64 { return t.KnownShare / min(1, m.estimate(KnownAtLowRate, engines)) }},
-		{Name: "bytes in the quiet state within 3 KB/s", When: Always,
+		{Name: "bytes in the quiet state within 3 KB/s", Condition: Always,
 			Factor: func(gateways, _ float64) float64 {
 				return (m.estimate(PeakBytesWithReports.SlopeName(Quiet), gateways) + m.stagedCost(gateways).BytesPerSecond) / t.BytesPerSecond
 			}},
-		{Name: "memory within 256 MB, without clients' connections", When: Always, Factor: m.memoryFactor},
-		{Name: "a whole list received within 3 KB/s over 10 s", When: FaultOnly, Missing: "lists in parts, paced",
+		{Name: "memory within 256 MB, without clients' connections", Condition: Always, Factor: m.memoryFactor},
+		{Name: "a whole list received within 3 KB/s over 10 s", Condition: FaultOnly, MissingMechanism: "lists in parts, paced",
 			Factor: func(_, engines float64) float64 {
 				return m.estimate(ListBytes, engines) / peakWindowSeconds / t.BytesPerSecond
 			}},
@@ -55,8 +55,8 @@
 // peakRequirement requires that the peak of bytes in a phase, over 10 s, keeps to the budget.
 func (m Model) peakRequirement(phase Phase, quantity PhaseQuantity, description string) Requirement {
 	name := quantity.SlopeName(phase)
-	return Requirement{Name: string(phase) + ": 3 KB/s, " + description, When: FaultOnly,
-		Missing: "a bound on gossip in a mass suspicion", MinGateways: m.Result.Slope(name).MinSize(),
+	return Requirement{Name: string(phase) + ": 3 KB/s, " + description, Condition: FaultOnly,
+		MissingMechanism: "a bound on gossip in a mass suspicion", MinGateways: m.Result.Slope(name).MinSize(),
 		Factor: func(gateways, _ float64) float64 { return m.estimate(name, gateways) / m.Target.BytesPerSecond }}
 }
 
--- a/internal/testbed/capacity/role.go
+++ b/internal/testbed/capacity/role.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// MySQLConnections is the limit of connections that is assumed for an engine, since the operators state none: the
+// MySQLMaxConnections is the limit of connections that is assumed for an engine, since the operators state none: the
 // default of max_connections in MySQL 8.0.
-const MySQLConnections = 151
+const MySQLMaxConnections = 151
 
 // RoleName names a role: a part of the work of gateways and control machines.
 type RoleName string
@@ -74,7 +74,7 @@
 		formatCount(t.Engines*t.Gateways), formatCount(t.Gateways)),
 		Messages: fmt.Sprintf("%s statements a second on each", formatNumber(t.StatementsPerGateway()/t.Engines)),
 		Cost:     cost, Mechanism: "`enginepool.Pool`, one or more to each engine that is used",
-		Verdict: compare(fmt.Sprintf("%d connections at an engine (MySQL's default; assumed)", MySQLConnections), t.Gateways, MySQLConnections)}
+		Verdict: compare(fmt.Sprintf("%d connections at an engine (MySQL's default; assumed)", MySQLMaxConnections), t.Gateways, MySQLMaxConnections)}
 }
 
 func (m Model) membership() Role {
--- a/internal/testbed/capacity/subset.go
+++ b/internal/testbed/capacity/subset.go
@@ -20,7 +20,7 @@
 	return []SubsetRow{
 		{"processor of decisions", m.decisionCost(t.Engines, rate).Processor, m.decisionCost(SubsetSize, rate).Processor, "share of a core", t.Processor},
 		{"connections of a gateway", t.Engines, SubsetSize, "", t.Engines / 10},
-		{"connections at an engine", connections(t.Engines), connections(SubsetSize), "", MySQLConnections},
+		{"connections at an engine", connections(t.Engines), connections(SubsetSize), "", MySQLMaxConnections},
 		{"connections in all", t.Engines * t.Gateways, SubsetSize * t.Gateways, "", 0},
 		{"memory of connections to engines", m.connectionCost(t.Engines).Memory, m.connectionCost(SubsetSize).Memory, Bytes, 0},
 		{"processor of load reports", m.reportCost(t.Gateways, t.Engines).Processor, m.reportCost(t.Gateways, SubsetSize).Processor,
--- a/internal/testbed/capacity/table.go
+++ b/internal/testbed/capacity/table.go
@@ -28,8 +28,8 @@
 	return text.String()
 }
 
-// extrapolatedMark marks values that are extrapolated.
-const extrapolatedMark = " (extrapolated)"
+// extrapolatedSuffix marks values that are extrapolated.
+const extrapolatedSuffix = " (extrapolated)"
 
 // SlopeTable returns the table of all slopes: points, fit, residual, prediction at the target, and command.
 func SlopeTable(result Result) Table {
@@ -98,7 +98,7 @@
 	text := formatQuantity(estimate.Value, slope.Unit)
 	switch {
 	case estimate.Extrapolated:
-		return text + extrapolatedMark
+		return text + extrapolatedSuffix
 	case estimate.Measured:
 		return text + " (measured there)"
 	}
--- a/internal/testbed/capacity/target.go
+++ b/internal/testbed/capacity/target.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Today returns the largest fleet that has been operated, with the other properties of the target.
-func Today() Fleet {
+// CurrentFleet returns the largest fleet that has been operated, with the other properties of the target.
+func CurrentFleet() Fleet {
 	target := Expected().Fleet
 	target.Gateways, target.Engines = 300, 80
 	return target
