--- a/cmd/fleettest/demo.go
+++ b/cmd/fleettest/demo.go
@@ -59,7 +59,7 @@
 	start := clock()
 	stopFaults := c.scheduleFaults(f, pool, func() time.Duration { return clock() - start })
 	defer stopFaults()
-	clients.Play(traffic.Draw(c.duration()), nil)
+	clients.Run(traffic.Generate(c.duration()), nil)
 	outcomes, _ := clients.Outcomes(0)
 	fmt.Printf("\n%s", demoTable(outcomes, start).markdown())
 	return nil
@@ -68,9 +68,9 @@
 func (c *demoCommand) duration() time.Duration { return time.Duration(c.Seconds) * time.Second }
 
 func demoTraffic() emulator.Traffic {
-	t := emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: demoGateways, Skew: 0.5, Groups: 10, Zipf: 0.7, Estimate: 0.5,
+	t := emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: demoGateways, Skew: 0.5, Groups: 10, Zipf: 0.7, EstimateSigma: 0.5,
 		Seed: demoSeed}
-	t.Rate = t.RateFor(demoLoad, demoCores*demoEngines)
+	t.Rate = t.RateForLoad(demoLoad, demoCores*demoEngines)
 	return t
 }
 
@@ -123,7 +123,7 @@
 func demoTable(outcomes []emulator.Outcome, start time.Duration) table {
 	t := table{header: []string{"sent at, s", "queries", "served", "in time", "refused", "failed", "lost with a killed gateway", "look-ups ms (50 / 99)"}}
 	for k, r := range demoRows(outcomes, start) {
-		lost := r.verdicts[emulator.Lost] + r.verdicts[emulator.Unanswered] + r.verdicts[emulator.Unreached]
+		lost := r.verdicts[emulator.Lost] + r.verdicts[emulator.Unanswered] + r.verdicts[emulator.Unreachable]
 		t.rows = append(t.rows, []string{
 			fmt.Sprint(k * int(demoRowSpan/time.Second)),
 			fmt.Sprint(r.queries),
--- a/cmd/fleettest/distribution.go
+++ b/cmd/fleettest/distribution.go
@@ -64,14 +64,14 @@
 
 func (c *distributionCommand) traffic() emulator.Traffic {
 	t := emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: c.Gateways, Skew: c.Skew, Groups: c.Groups,
-		Zipf: 0.7, Estimate: 0.5, Seed: c.Seed}
-	t.Rate = t.RateFor(c.Load, c.Cores*float64(c.Engines))
+		Zipf: 0.7, EstimateSigma: 0.5, Seed: c.Seed}
+	t.Rate = t.RateForLoad(c.Load, c.Cores*float64(c.Engines))
 	return t
 }
 
 // requests draws the arrivals. In the case hot every second query reads the same table group.
 func (c *distributionCommand) requests(traffic emulator.Traffic) []emulator.Request {
-	requests := traffic.Draw(c.duration())
+	requests := traffic.Generate(c.duration())
 	if c.Case == "hot" {
 		for i := 0; i < len(requests); i += 2 {
 			requests[i].Query.Group = 0
@@ -123,7 +123,7 @@
 	logProgress("%s plays", name)
 	gateways := emulator.NewBaselineGateways(c.Gateways, policy, c.Seed, pool.Engines, clock)
 	defer gateways.Close()
-	result = c.playWatched(name, pool, nil, func() { gateways.Play(requests) })
+	result = c.playWatched(name, pool, nil, func() { gateways.Run(requests) })
 	result.outcomes, _ = gateways.Outcomes()
 	return result, nil
 }
@@ -148,7 +148,7 @@
 	logProgress("%s: %d gateways serve", name, c.Gateways)
 	clients := emulator.NewClients(f.ClientAddrs(), traffic.Classes, c.Seed, clock)
 	defer clients.Close()
-	result = c.playWatched(name, pool, f, func() { clients.Play(requests, nil) })
+	result = c.playWatched(name, pool, f, func() { clients.Run(requests, nil) })
 	result.outcomes, _ = clients.Outcomes(0)
 	return result, checkAlarms(f)
 }
--- a/cmd/fleettest/gateway.go
+++ b/cmd/fleettest/gateway.go
@@ -16,7 +16,7 @@
 
 // Run serves as the program does until SIGTERM; SIGHUP reloads the operator's file.
 func (gatewayCommand) Run() error {
-	hooks, err := emulator.Hooks()
+	hooks, err := emulator.FaultHooks()
 	if err != nil {
 		return err
 	}
--- a/cmd/frostpier/httpengine_test.go
+++ b/cmd/frostpier/httpengine_test.go
@@ -65,11 +65,11 @@
 	defer nc.Close()
 	r := textproto.NewReader(bufio.NewReader(nc))
 	for {
-		call, err := emulator.ReadCall(r)
+		call, err := emulator.ReadHTTPRequest(r)
 		if err != nil {
 			return
 		}
-		answer := e.respond(call.Method, call.Path, call.Head, call.Body)
+		answer := e.respond(call.Method, call.Path, call.Header, call.Body)
 		if answer == "" {
 			return
 		}
@@ -108,7 +108,7 @@
 	if method == "DELETE" {
 		e.deletedIDs[id] = true
 		e.inFlight[id] = 0
-		return emulator.Answer(204, "")
+		return emulator.FormatHTTPResponse(204, "")
 	}
 	e.mu.Unlock()
 	defer e.mu.Lock()
@@ -125,25 +125,25 @@
 	}
 	switch {
 	case body == "":
-		return emulator.Answer(500, "")
+		return emulator.FormatHTTPResponse(500, "")
 	case e.servesAll:
-		return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
+		return end(emulator.FormatHTTPResponse(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
 	case strings.Contains(body, "sleep"):
 		time.Sleep(30 * time.Millisecond) // a long poll, shorter than on the platform
-		return emulator.Answer(202, "", "X-Tell: done", "Figure: 0.5")
+		return emulator.FormatHTTPResponse(202, "", "X-Tell: done", "Figure: 0.5")
 	case strings.Contains(body, "full"):
-		return end(emulator.Answer(503, "", "X-No-Effect: 1", reportHeader))
+		return end(emulator.FormatHTTPResponse(503, "", "X-No-Effect: 1", reportHeader))
 	case strings.Contains(body, "fault"):
-		return end(emulator.Answer(500, "", reportHeader))
+		return end(emulator.FormatHTTPResponse(500, "", reportHeader))
 	case strings.Contains(body, "garbage") && first:
 		return "HTTP/1.1 nonsense\r\n\r\n"
 	case strings.Contains(body, "break") && first:
 		end("")
 		return ""
 	case strings.Contains(body, "pages") && page != "0":
-		return emulator.Answer(200, "page"+page+"\tx\ty\n", "Page-No: "+page)
+		return emulator.FormatHTTPResponse(200, "page"+page+"\tx\ty\n", "Page-No: "+page)
 	case strings.Contains(body, "pages"):
-		return end(emulator.Answer(200, "page0\tx\ty\n", "Page-Count: 3", reportHeader))
+		return end(emulator.FormatHTTPResponse(200, "page0\tx\ty\n", "Page-Count: 3", reportHeader))
 	}
-	return end(emulator.Answer(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
+	return end(emulator.FormatHTTPResponse(200, "a\tb\tc\n", "Page-Count: 1", reportHeader))
 }
--- a/cmd/frostpier/loadbalancing_test.go
+++ b/cmd/frostpier/loadbalancing_test.go
@@ -49,9 +49,9 @@
 	}
 	t.Cleanup(pool.Close)
 	s := &loadedFleet{pool: pool, duration: loadTestDuration, traffic: emulator.Traffic{
-		Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 1, Groups: 20, Zipf: 0.7, Estimate: 0.5, Seed: seed,
+		Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 1, Groups: 20, Zipf: 0.7, EstimateSigma: 0.5, Seed: seed,
 	}}
-	s.traffic.Rate = s.traffic.RateFor(load, coresPerEngine*loadTestEngines)
+	s.traffic.Rate = s.traffic.RateForLoad(load, coresPerEngine*loadTestEngines)
 	opt.Seed, opt.Engines = seed, pool.EngineList()
 	opt.Settings = func(n, self int) string { return emulator.Settings(s.traffic.Classes, n, self, coresPerEngine) }
 	s.testFleet = startFleetWith(t, opt)
@@ -65,7 +65,7 @@
 // of the load.
 func (s *loadedFleet) run(fault func()) (map[emulator.Verdict]int, testfleet.Balance) {
 	s.t.Helper()
-	requests := s.traffic.Draw(s.duration)
+	requests := s.traffic.Generate(s.duration)
 	stop, watched := make(chan struct{}), make(chan testfleet.Balance, 1)
 	go func() { watched <- s.pool.SampleBalance(stop) }()
 	if fault != nil {
@@ -73,7 +73,7 @@
 		defer timer.Stop()
 	}
 	_, mark := s.clients.Outcomes(0)
-	s.clients.Play(requests, nil)
+	s.clients.Run(requests, nil)
 	close(stop)
 	outcomes, _ := s.clients.Outcomes(mark)
 	verdicts := map[emulator.Verdict]int{}
--- a/cmd/frostpier/program_test.go
+++ b/cmd/frostpier/program_test.go
@@ -44,7 +44,7 @@
 
 // serveWithFaults runs the gateway with the faults that the environment selects, and logs at debug level.
 func serveWithFaults() error {
-	hooks, err := emulator.Hooks()
+	hooks, err := emulator.FaultHooks()
 	if err != nil {
 		return err
 	}
--- a/cmd/frostpier/subset_test.go
+++ b/cmd/frostpier/subset_test.go
@@ -30,8 +30,8 @@
 	}
 	t.Cleanup(pool.Close)
 	s := &loadedFleet{pool: pool, duration: subsetDuration, traffic: emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: subsetGateways,
-		Groups: 20, Zipf: 0.7, Estimate: 0.5, Seed: 31}}
-	s.traffic.Rate = s.traffic.RateFor(0.4, 2*subsetEngines)
+		Groups: 20, Zipf: 0.7, EstimateSigma: 0.5, Seed: 31}}
+	s.traffic.Rate = s.traffic.RateForLoad(0.4, 2*subsetEngines)
 	s.testFleet = startFleetWith(t, testfleet.Options{Gateways: subsetGateways, Seed: 31, Engines: pool.EngineList(), Operator: "\n[spread]\n",
 		Settings: func(n, self int) string { return emulator.Settings(s.traffic.Classes, n, self, 2) }})
 	pool.SetDiscoveryServer(s.Discovery)
--- a/cmd/frostpier/warmup_test.go
+++ b/cmd/frostpier/warmup_test.go
@@ -59,7 +59,7 @@
 			})
 			warmingUp := 0
 			for _, e := range s.pool.Engines() {
-				p := e.PeakPressure()
+				p := e.PeakWarmUpLoad()
 				if p.Limit == 0 {
 					continue
 				}
--- a/internal/testbed/emulator/baseline.go
+++ b/internal/testbed/emulator/baseline.go
@@ -69,8 +69,8 @@
 	return b
 }
 
-// Play sends the requests at their times and returns once all have ended.
-func (b *BaselineGateways) Play(requests []Request) {
+// Run sends the requests at their times and returns once all have ended.
+func (b *BaselineGateways) Run(requests []Request) {
 	start := b.clock()
 	for _, r := range requests {
 		time.Sleep(start + r.At - b.clock())
--- a/internal/testbed/emulator/call.go
+++ b/internal/testbed/emulator/call.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// Call is one HTTP request of a gateway to an engine.
-type Call struct {
+// HTTPRequest is one HTTP request of a gateway to an engine.
+type HTTPRequest struct {
 	Method, Path string
-	Head         textproto.MIMEHeader
+	Header       textproto.MIMEHeader
 	Body         string
 }
 
@@ -21,9 +21,9 @@
 
 var errContentLength = errors.New("content length out of range")
 
-// ReadCall reads the next request of a connection. It returns the error of the connection, or one about the
+// ReadHTTPRequest reads the next request of a connection. It returns the error of the connection, or one about the
 // Content-Length where that is no number from 0 to maxBodyBytes.
-func ReadCall(r *textproto.Reader) (c Call, err error) {
+func ReadHTTPRequest(r *textproto.Reader) (c HTTPRequest, err error) {
 	line, err := r.ReadLine()
 	if err != nil {
 		return c, err
@@ -31,11 +31,11 @@
 	method, rest, _ := strings.Cut(line, " ")
 	c.Method = method
 	c.Path, _, _ = strings.Cut(rest, " ")
-	if c.Head, err = r.ReadMIMEHeader(); err != nil {
+	if c.Header, err = r.ReadMIMEHeader(); err != nil {
 		return c, err
 	}
-	n, err := strconv.Atoi(c.Head.Get("Content-Length"))
-	if c.Head.Get("Content-Length") != "" && (err != nil || n < 0 || n > maxBodyBytes) {
+	n, err := strconv.Atoi(c.Header.Get("Content-Length"))
+	if c.Header.Get("Content-Length") != "" && (err != nil || n < 0 || n > maxBodyBytes) {
 		return c, errContentLength
 	}
 	body := make([]byte, n)
@@ -44,8 +44,8 @@
 	return c, err
 }
 
-// Answer formats an HTTP response: a status, a body and further header lines.
-func Answer(status int, body string, heads ...string) string {
+// FormatHTTPResponse formats an HTTP response: a status, a body and further header lines.
+func FormatHTTPResponse(status int, body string, heads ...string) string {
 	return fmt.Sprintf("HTTP/1.1 %d -\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body),
 		strings.Join(append(heads, ""), "\r\n"), body)
 }
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -79,8 +79,8 @@
 	return c
 }
 
-// Play sends the requests at their times and returns once all have ended. Once stop is closed it sends no more.
-func (c *Clients) Play(requests []Request, stop <-chan struct{}) {
+// Run sends the requests at their times and returns once all have ended. Once stop is closed it sends no more.
+func (c *Clients) Run(requests []Request, stop <-chan struct{}) {
 	start := c.clock()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -154,7 +154,7 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		c.serving[gateway] = false
-		c.complete(p, Unreached)
+		c.complete(p, Unreachable)
 		return
 	}
 	if c.conns[gateway] != k {
@@ -193,10 +193,10 @@
 		"rid":    r.ID,
 		"budget": r.Budget.Milliseconds(),
 		"est":    math.Round(r.Estimate*1e4) / 10, // milliseconds
-		"ram":    r.Query.NeedMB,
+		"ram":    r.Query.MemoryMB,
 		"blob":   base64.StdEncoding.EncodeToString([]byte(Statement(r.Query))),
 	}
-	if r.Query.Load {
+	if r.Query.IsDataLoad {
 		params["token"] = r.ID + r.ID
 	}
 	return json.Marshal(map[string]any{"jsonrpc": "2.0", "id": id, "method": c.classes[r.Class].Name, "params": params})
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -20,7 +20,7 @@
 	m.Start(q)
 	began := m.now
 	for {
-		at, changes := m.Next()
+		at, changes := m.NextChange()
 		if !changes {
 			return math.MaxInt64
 		}
@@ -43,7 +43,7 @@
 	for i := range 30 {
 		crowd = append(crowd, Query{ID: fmt.Sprint(i), Work: 5, Threads: 1, IO: 0.3, Group: 2})
 	}
-	heavy.NeedMB = 40_000
+	heavy.MemoryMB = 40_000
 	if elapsed := timeToFinish(newTestModel(false), q, crowd...); elapsed < 3*plain {
 		t.Errorf("beside 30 others on 8 cores it takes %v", elapsed)
 	}
@@ -58,7 +58,7 @@
 	if elapsed := timeToFinish(m, q); elapsed > plain*9/10 {
 		t.Errorf("with its group warm it takes %v", elapsed)
 	}
-	load := Query{ID: "l", Work: 2, Threads: 2, Group: 1, Load: true}
+	load := Query{ID: "l", Work: 2, Threads: 2, Group: 1, IsDataLoad: true}
 	first := load
 	first.ID = "first"
 	if elapsed := timeToFinish(newTestModel(false), load, first); elapsed < 2*time.Second-time.Millisecond {
@@ -112,8 +112,8 @@
 					break
 				}
 			} else if m.Start(Query{ID: id, Work: float64(rapid.IntRange(1, 3000).Draw(t, "work")) / 1000,
-				Threads: float64(rapid.IntRange(1, 4).Draw(t, "threads")), IO: 0.4, NeedMB: 500,
-				Group: rapid.IntRange(0, 5).Draw(t, "group"), Load: rapid.Bool().Draw(t, "load")}) {
+				Threads: float64(rapid.IntRange(1, 4).Draw(t, "threads")), IO: 0.4, MemoryMB: 500,
+				Group: rapid.IntRange(0, 5).Draw(t, "group"), IsDataLoad: rapid.Bool().Draw(t, "load")}) {
 				running[id] = true
 			}
 			if l := m.Load(); l.Queries != len(running) {
@@ -121,7 +121,7 @@
 			}
 		}
 		for range 10_000 {
-			at, changes := m.Next()
+			at, changes := m.NextChange()
 			if !changes {
 				break
 			}
@@ -135,14 +135,14 @@
 
 // A statement carries its query's cost. A seed decides the arrivals, whose number fits the rate.
 func TestTrafficIsDrawnBySeed(t *testing.T) {
-	tr := Traffic{Classes: DefaultClasses(), Rate: 100, Gateways: 5, Skew: 1, Groups: 10, Zipf: 0.7, Estimate: 0.5, Seed: 3}
-	a, b := tr.Draw(20*time.Second), tr.Draw(20*time.Second)
+	tr := Traffic{Classes: DefaultClasses(), Rate: 100, Gateways: 5, Skew: 1, Groups: 10, Zipf: 0.7, EstimateSigma: 0.5, Seed: 3}
+	a, b := tr.Generate(20*time.Second), tr.Generate(20*time.Second)
 	if len(a) < 1700 || len(a) > 2300 || !slices.Equal(a, b) {
 		t.Fatalf("%d arrivals, then %d", len(a), len(b))
 	}
 	for _, r := range a[:50] {
 		q, ok := ParseStatement(Statement(r.Query))
-		if !ok || q.Group != r.Query.Group || q.Load != r.Query.Load || math.Abs(q.Work-r.Query.Work) > 1e-3 {
+		if !ok || q.Group != r.Query.Group || q.IsDataLoad != r.Query.IsDataLoad || math.Abs(q.Work-r.Query.Work) > 1e-3 {
 			t.Fatalf("%+v came back as %+v", r.Query, q)
 		}
 	}
@@ -159,7 +159,7 @@
 	clock := func() time.Duration { return time.Since(began) }
 	var engines []*Engine
 	for i := range 2 {
-		e, err := Start(Options{Name: fmt.Sprint("e", i), Spec: DefaultSpec(8), ReportInterval: 20 * time.Millisecond}, clock)
+		e, err := StartEngine(Options{Name: fmt.Sprint("e", i), Spec: DefaultSpec(8), ReportInterval: 20 * time.Millisecond}, clock)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -169,8 +169,8 @@
 	tr := Traffic{Classes: DefaultClasses()[:1], Rate: 60, Gateways: 3, Groups: 4, Seed: 5}
 	d := NewBaselineGateways(3, MinReportedLoad, 1, func() []*Engine { return engines }, clock)
 	defer d.Close()
-	requests := tr.Draw(2 * time.Second)
-	d.Play(requests)
+	requests := tr.Generate(2 * time.Second)
+	d.Run(requests)
 	found, opened := d.Outcomes()
 	for _, o := range found {
 		if o.Verdict != Served {
--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -67,9 +67,9 @@
 	load Load
 }
 
-// Start starts an engine, which the caller ends with Close. All engines of a test share the clock. It returns an error
+// StartEngine starts an engine, which the caller ends with Close. All engines of a test share the clock. It returns an error
 // where the address cannot be listened on.
-func Start(options Options, clock func() time.Duration) (*Engine, error) {
+func StartEngine(options Options, clock func() time.Duration) (*Engine, error) {
 	addr := options.Addr
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -126,8 +126,8 @@
 // SetHung makes the engine accept every call and answer none, as one that hangs; or makes it answer again.
 func (e *Engine) SetHung(on bool) { e.locked(func() { e.silent = on }) }
 
-// Knows reports whether the engine runs a query, or has kept its result.
-func (e *Engine) Knows(id string) (known bool) {
+// HasQuery reports whether the engine runs a query, or has kept its result.
+func (e *Engine) HasQuery(id string) (known bool) {
 	e.locked(func() { known = e.queries[id] != nil })
 	return known
 }
@@ -145,9 +145,9 @@
 	return load, totals, collapsed
 }
 
-// PeakPressure returns the highest pressure on the engine while it was warming up.
-func (e *Engine) PeakPressure() (p Pressure) {
-	e.locked(func() { p = e.model.PeakPressure() })
+// PeakWarmUpLoad returns the highest pressure on the engine while it was warming up.
+func (e *Engine) PeakWarmUpLoad() (p WarmUpLoad) {
+	e.locked(func() { p = e.model.PeakWarmUpLoad() })
 	return p
 }
 
@@ -173,7 +173,7 @@
 	if e.timer != nil {
 		e.timer.Stop()
 	}
-	at, changes := e.model.Next()
+	at, changes := e.model.NextChange()
 	if !changes || e.closed {
 		return
 	}
--- a/internal/testbed/emulator/enginehttp.go
+++ b/internal/testbed/emulator/enginehttp.go
@@ -23,7 +23,7 @@
 	}()
 	r := textproto.NewReader(bufio.NewReaderSize(conn, 1024))
 	for {
-		call, err := ReadCall(r)
+		call, err := ReadHTTPRequest(r)
 		if err != nil {
 			return
 		}
@@ -39,7 +39,7 @@
 
 // handle answers one call. It waits where the protocol says so; false means that the connection is to be closed
 // without an answer.
-func (e *Engine) handle(c Call) (response string, ok bool) {
+func (e *Engine) handle(c HTTPRequest) (response string, ok bool) {
 	switch c.Method {
 	case http.MethodPost:
 		return e.handleSubmit(c)
@@ -50,8 +50,8 @@
 }
 
 // handleSubmit starts the query of a POST and waits for its end or the long poll's timeout.
-func (e *Engine) handleSubmit(c Call) (string, bool) {
-	id := c.Head.Get("X-Hop-Id")
+func (e *Engine) handleSubmit(c HTTPRequest) (string, bool) {
+	id := c.Header.Get("X-Hop-Id")
 	query, response := e.startQuery(id, c.Body)
 	if response != "" {
 		return response, true
@@ -67,7 +67,7 @@
 	e.finish(e.model.Advance(now))
 	query, ok := ParseStatement(statement)
 	if !ok || id == "" {
-		return nil, Answer(http.StatusInternalServerError, "", e.reportHeader())
+		return nil, FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader())
 	}
 	if e.queries[id] != nil && !e.queries[id].finished {
 		e.totals.Resubmitted++
@@ -76,7 +76,7 @@
 	e.totals.Arrived++
 	if !e.model.Start(query) {
 		e.totals.Rejected++
-		return nil, Answer(http.StatusServiceUnavailable, "", "X-No-Effect: 1", e.reportHeader())
+		return nil, FormatHTTPResponse(http.StatusServiceUnavailable, "", "X-No-Effect: 1", e.reportHeader())
 	}
 	q := &queryState{done: make(chan struct{}), lastPolled: now}
 	e.queries[id] = q
@@ -85,18 +85,18 @@
 }
 
 // handleCancel cancels the query that a DELETE names.
-func (e *Engine) handleCancel(c Call) (string, bool) {
+func (e *Engine) handleCancel(c HTTPRequest) (string, bool) {
 	id, _ := queryOfPath(c.Path)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.finish(e.model.Advance(e.clock()))
 	e.cancel(id)
 	e.scheduleAdvance()
-	return Answer(http.StatusNoContent, "", e.reportHeader()), !e.silent
+	return FormatHTTPResponse(http.StatusNoContent, "", e.reportHeader()), !e.silent
 }
 
 // handlePoll waits for the end of the query that a GET names.
-func (e *Engine) handlePoll(c Call) (string, bool) {
+func (e *Engine) handlePoll(c HTTPRequest) (string, bool) {
 	id, page := queryOfPath(c.Path)
 	e.mu.Lock()
 	now := e.clock()
@@ -104,7 +104,7 @@
 	q := e.queries[id]
 	if q == nil || page != "0" {
 		defer e.mu.Unlock()
-		return Answer(http.StatusInternalServerError, "", e.reportHeader()), !e.silent
+		return FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader()), !e.silent
 	}
 	q.lastPolled = now
 	e.mu.Unlock()
@@ -144,11 +144,11 @@
 	q.lastPolled = e.clock()
 	switch {
 	case e.queries[id] != q:
-		return Answer(http.StatusInternalServerError, "", e.reportHeader()), true
+		return FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader()), true
 	case !q.finished:
-		return Answer(http.StatusAccepted, "", e.reportHeader()), true
+		return FormatHTTPResponse(http.StatusAccepted, "", e.reportHeader()), true
 	}
-	return Answer(http.StatusOK, Rows(id), "Page-Count: 1", e.reportHeader()), true
+	return FormatHTTPResponse(http.StatusOK, Rows(id), "Page-Count: 1", e.reportHeader()), true
 }
 
 // reportHeader is the load report that each response carries; the lock is held.
@@ -157,5 +157,5 @@
 	if len(e.reports) > 0 && e.reports[0].at <= e.clock()-e.reportDelay {
 		load = e.reports[0].load
 	}
-	return fmt.Sprintf("X-Report: queue:0;inflight:%d;x0:%.2f;x1:%.2f", load.Queries, load.Granted, load.Reading)
+	return fmt.Sprintf("X-Report: queue:0;inflight:%d;x0:%.2f;x1:%.2f", load.Queries, load.MemoryShare, load.DiskShare)
 }
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -16,18 +16,18 @@
 
 // Faults that a version of the program can be given, as the table of a rollout names them.
 const (
-	CrashAtStart      = "crash-at-start"
-	HangAtStart       = "hang-at-start"
-	CrashAfterStart   = "crash-after-5s"
-	StallsLoop        = "slow"
-	RejectsClass      = "refuses-a-class"
-	CorruptsResponses = "spoils-one-in-50"
-	LeaksMemory       = "leaks"
+	CrashAtStart     = "crash-at-start"
+	HangAtStart      = "hang-at-start"
+	CrashAfterStart  = "crash-after-5s"
+	StallLoop        = "slow"
+	RejectClass      = "refuses-a-class"
+	CorruptResponses = "spoils-one-in-50"
+	LeakMemory       = "leaks"
 )
 
 // Faults lists all faults.
 func Faults() []string {
-	return []string{CrashAtStart, HangAtStart, CrashAfterStart, StallsLoop, RejectsClass, CorruptsResponses, LeaksMemory}
+	return []string{CrashAtStart, HangAtStart, CrashAfterStart, StallLoop, RejectClass, CorruptResponses, LeakMemory}
 }
 
 // Environment variables of a process that a test starts.
@@ -58,9 +58,9 @@
 // OwnerEnv is the environment of processes that are to exit soon after this one; see Hooks.
 func OwnerEnv() []string { return []string{fmt.Sprintf("%s=%d", ownerVar, os.Getpid())} }
 
-// Hooks returns the program's hooks for the fault that the environment names, and starts the faults that need none. A
+// FaultHooks returns the program's hooks for the fault that the environment names, and starts the faults that need none. A
 // fault that crashes or hangs the process at its start does not return. An unknown fault is an error.
-func Hooks() (program.Hooks, error) {
+func FaultHooks() (program.Hooks, error) {
 	if owner, err := strconv.Atoi(os.Getenv(ownerVar)); err == nil {
 		go exitWithOwner(owner)
 	}
@@ -72,13 +72,13 @@
 		select {}
 	case CrashAfterStart:
 		time.AfterFunc(crashDelay, func() { os.Exit(exitCrashed) })
-	case StallsLoop:
+	case StallLoop:
 		return program.Hooks{LoopStarted: func(l *eventloop.Loop) { go stallLoop(l) }}, nil
-	case RejectsClass:
+	case RejectClass:
 		return program.Hooks{ModifyHost: rejectClass}, nil
-	case CorruptsResponses:
+	case CorruptResponses:
 		return program.Hooks{}, startCorruptingProxy()
-	case LeaksMemory:
+	case LeakMemory:
 		go leakMemory()
 	default:
 		return program.Hooks{}, fmt.Errorf("%s: no fault %q", faultVar, fault)
--- a/internal/testbed/emulator/model.go
+++ b/internal/testbed/emulator/model.go
@@ -13,49 +13,49 @@
 
 // Spec describes an engine's machine. The zero value of CollapseWindow makes an engine that never collapses.
 type Spec struct {
-	Cores          float64
-	Knee           float64       // threads for each core; with more the throughput falls
-	ThrashExponent float64       // of that fall
-	Disks          float64       // threads that may read at once at full speed
-	MemoryMB       float64       // with more in use all queries slow down ...
-	PagingExponent float64       // ... by this power of memory in use over MemoryMB
-	WarmGroups     int           // table groups that stay in the cache: the last ones read
-	WarmGain       float64       // share of its reading that a query of a cached group saves
-	WarmUpShare    float64       // share of its capacity that an engine has at its start
-	WarmUpTime     time.Duration // until it has all of it
-	MaxQueries     int           // that run at once; a further one is rejected
-	CollapseFactor float64       // times its present capacity that an engine may be sent while warming up ...
-	CollapseWindow time.Duration // ... in this time; with more it collapses. 0 = never
+	Cores                float64
+	KneeThreadsPerCore   float64       // threads for each core; with more the throughput falls
+	ThrashExponent       float64       // of that fall
+	DiskThreads          float64       // threads that may read at once at full speed
+	MemoryMB             float64       // with more in use all queries slow down ...
+	PagingExponent       float64       // ... by this power of memory in use over MemoryMB
+	CachedGroups         int           // table groups that stay in the cache: the last ones read
+	CacheSaving          float64       // share of its reading that a query of a cached group saves
+	InitialCapacityShare float64       // share of its capacity that an engine has at its start
+	WarmUpDuration       time.Duration // until it has all of it
+	MaxQueries           int           // that run at once; a further one is rejected
+	CollapseFactor       float64       // times its present capacity that an engine may be sent while warming up ...
+	CollapseWindow       time.Duration // ... in this time; with more it collapses. 0 = never
 }
 
 // DefaultSpec returns an engine with so many cores, much as the platform's pages describe one.
 func DefaultSpec(cores float64) Spec {
 	return Spec{
-		Cores:          cores,
-		Knee:           1.7,
-		ThrashExponent: 0.65,
-		Disks:          cores * 0.6,
-		MemoryMB:       cores * 2048,
-		PagingExponent: 2.4,
-		WarmGroups:     4,
-		WarmGain:       0.55,
-		WarmUpShare:    0.35,
-		WarmUpTime:     12 * time.Second,
-		MaxQueries:     int(8 * cores),
-		CollapseFactor: 3,
-		CollapseWindow: 2 * time.Second,
+		Cores:                cores,
+		KneeThreadsPerCore:   1.7,
+		ThrashExponent:       0.65,
+		DiskThreads:          cores * 0.6,
+		MemoryMB:             cores * 2048,
+		PagingExponent:       2.4,
+		CachedGroups:         4,
+		CacheSaving:          0.55,
+		InitialCapacityShare: 0.35,
+		WarmUpDuration:       12 * time.Second,
+		MaxQueries:           int(8 * cores),
+		CollapseFactor:       3,
+		CollapseWindow:       2 * time.Second,
 	}
 }
 
 // Query is what one query costs an engine.
 type Query struct {
-	ID      string
-	Work    float64 // seconds on one thread at full speed
-	Threads float64
-	IO      float64 // share of the work that is reading
-	NeedMB  float64
-	Group   int  // the table group that it reads
-	Load    bool // it locks its group: further loads of the group wait for it
+	ID         string
+	Work       float64 // seconds on one thread at full speed
+	Threads    float64
+	IO         float64 // share of the work that is reading
+	MemoryMB   float64
+	Group      int  // the table group that it reads
+	IsDataLoad bool // it locks its group: further loads of the group wait for it
 }
 
 // runningQuery is a query that has not ended.
@@ -67,11 +67,11 @@
 
 // Load is an engine's load at one moment.
 type Load struct {
-	Queries int
-	Threads float64
-	Granted float64 // share of the memory in use, at most 1
-	Reading float64 // share of the disks in use, at most 1
-	Done    float64 // work done since the start, in seconds on one thread
+	Queries     int
+	Threads     float64
+	MemoryShare float64 // share of the memory in use, at most 1
+	DiskShare   float64 // share of the disks in use, at most 1
+	WorkDone    float64 // work done since the start, in seconds on one thread
 }
 
 // Model is the model of one engine. It has no clock: its caller advances it, never backwards, and synchronizes access.
@@ -86,12 +86,12 @@
 	done         float64
 	warmUpWork   []workSent // work sent while cold
 	collapsed    bool
-	peakPressure Pressure
+	peakPressure WarmUpLoad
 }
 
-// Pressure is the work that an engine was sent within CollapseWindow while warming up, and the work at which it may
+// WarmUpLoad is the work that an engine was sent within CollapseWindow while warming up, and the work at which it may
 // collapse, both in seconds on one thread.
-type Pressure struct{ Sent, Limit float64 }
+type WarmUpLoad struct{ Sent, Limit float64 }
 
 // workSent is the work of one query and when it was sent.
 type workSent struct {
@@ -119,10 +119,10 @@
 // warmUpFactor is the share of its capacity that the engine has now.
 func (m *Model) warmUpFactor() float64 {
 	since := m.now - m.started
-	if !m.warmingUp || since >= m.spec.WarmUpTime {
+	if !m.warmingUp || since >= m.spec.WarmUpDuration {
 		return 1
 	}
-	return m.spec.WarmUpShare + (1-m.spec.WarmUpShare)*float64(since)/float64(m.spec.WarmUpTime)
+	return m.spec.InitialCapacityShare + (1-m.spec.InitialCapacityShare)*float64(since)/float64(m.spec.WarmUpDuration)
 }
 
 // Start starts a query, or returns false if the engine is full, has collapsed or has too little memory for the query at any time. The
@@ -132,17 +132,17 @@
 		return false
 	}
 	m.recordWarmUpWork(q.Work) // rejected queries cost the engine something too
-	if len(m.running) >= m.spec.MaxQueries || q.NeedMB > m.spec.MemoryMB {
+	if len(m.running) >= m.spec.MaxQueries || q.MemoryMB > m.spec.MemoryMB {
 		return false
 	}
 	r := &runningQuery{Query: q, left: q.Work}
 	if at := slices.Index(m.warmGroups, q.Group); at >= 0 {
-		r.left *= 1 - q.IO*m.spec.WarmGain
+		r.left *= 1 - q.IO*m.spec.CacheSaving
 		m.warmGroups = slices.Delete(m.warmGroups, at, at+1)
 	}
 	m.warmGroups = slices.Insert(m.warmGroups, 0, q.Group)
-	if len(m.warmGroups) > m.spec.WarmGroups {
-		m.warmGroups = m.warmGroups[:m.spec.WarmGroups]
+	if len(m.warmGroups) > m.spec.CachedGroups {
+		m.warmGroups = m.warmGroups[:m.spec.CachedGroups]
 	}
 	m.running = append(m.running, r)
 	m.recomputeRates()
@@ -164,12 +164,12 @@
 	bears := m.spec.CollapseFactor * m.spec.Cores * m.warmUpFactor() * m.spec.CollapseWindow.Seconds()
 	m.collapsed = m.collapsed || sum > bears+3*math.Sqrt(bears)+3
 	if m.peakPressure.Limit == 0 || sum/bears > m.peakPressure.Sent/m.peakPressure.Limit {
-		m.peakPressure = Pressure{sum, bears}
+		m.peakPressure = WarmUpLoad{sum, bears}
 	}
 }
 
-// PeakPressure returns the highest pressure, relative to what the engine bears; zero if it was never warming up.
-func (m *Model) PeakPressure() Pressure { return m.peakPressure }
+// PeakWarmUpLoad returns the highest pressure, relative to what the engine bears; zero if it was never warming up.
+func (m *Model) PeakWarmUpLoad() WarmUpLoad { return m.peakPressure }
 
 // Cancel removes a query; an unknown one is ignored.
 func (m *Model) Cancel(id string) {
@@ -186,17 +186,17 @@
 // recomputeRates sets how fast each query runs until the next change.
 func (m *Model) recomputeRates() {
 	locks := m.groupLocks()
-	waits := func(r *runningQuery) bool { return r.Load && locks[r.Group] != r }
+	waits := func(r *runningQuery) bool { return r.IsDataLoad && locks[r.Group] != r }
 	var d demand
 	for _, r := range m.running {
-		d.memory += r.NeedMB
+		d.memory += r.MemoryMB
 		if !waits(r) {
 			d.cpu += r.Threads * (1 - r.IO)
 			d.io += r.Threads * r.IO
 		}
 	}
 	slowCPU := max(1, d.cpu/m.effectiveCores(d.cpu+d.io))
-	slowIO := max(1, d.io/m.spec.Disks)
+	slowIO := max(1, d.io/m.spec.DiskThreads)
 	paging := 1.0
 	if used := d.memory / m.spec.MemoryMB; used > 1 {
 		paging = math.Pow(used, m.spec.PagingExponent)
@@ -213,7 +213,7 @@
 func (m *Model) groupLocks() map[int]*runningQuery {
 	locks := map[int]*runningQuery{}
 	for _, r := range m.running {
-		if r.Load && locks[r.Group] == nil {
+		if r.IsDataLoad && locks[r.Group] == nil {
 			locks[r.Group] = r
 		}
 	}
@@ -224,7 +224,7 @@
 // programs take their share, and with more threads than the knee.
 func (m *Model) effectiveCores(threads float64) float64 {
 	cores := m.spec.Cores * (1 - m.stolenShare) * m.warmUpFactor()
-	if crowd := threads / (m.spec.Knee * m.spec.Cores); crowd > 1 {
+	if crowd := threads / (m.spec.KneeThreadsPerCore * m.spec.Cores); crowd > 1 {
 		cores *= math.Pow(crowd, -m.spec.ThrashExponent)
 	}
 	return cores
@@ -233,8 +233,8 @@
 // maxWarmUpStep bounds the time for which the capacity of an engine that warms up is taken as constant.
 const maxWarmUpStep = 250 * time.Millisecond
 
-// Next returns when the model has to be advanced at the latest; false while nothing runs.
-func (m *Model) Next() (time.Duration, bool) {
+// NextChange returns when the model has to be advanced at the latest; false while nothing runs.
+func (m *Model) NextChange() (time.Duration, bool) {
 	shortest := math.Inf(1) // seconds
 	for _, r := range m.running {
 		if r.rate > 0 {
@@ -257,7 +257,7 @@
 // Advance advances the model to now and returns the queries that have ended, in the order of their ends.
 func (m *Model) Advance(now time.Duration) (ended []string) {
 	for m.now < now {
-		at, changes := m.Next()
+		at, changes := m.NextChange()
 		if !changes || at > now {
 			at = now
 		}
@@ -290,12 +290,12 @@
 
 // Load returns the engine's load now.
 func (m *Model) Load() Load {
-	l := Load{Queries: len(m.running), Done: m.done}
+	l := Load{Queries: len(m.running), WorkDone: m.done}
 	for _, r := range m.running {
 		l.Threads += r.Threads
-		l.Granted += r.NeedMB / m.spec.MemoryMB
-		l.Reading += r.Threads * r.IO / m.spec.Disks
+		l.MemoryShare += r.MemoryMB / m.spec.MemoryMB
+		l.DiskShare += r.Threads * r.IO / m.spec.DiskThreads
 	}
-	l.Granted, l.Reading = min(1, l.Granted), min(1, l.Reading)
+	l.MemoryShare, l.DiskShare = min(1, l.MemoryShare), min(1, l.DiskShare)
 	return l
 }
--- a/internal/testbed/emulator/outcome.go
+++ b/internal/testbed/emulator/outcome.go
@@ -7,13 +7,13 @@
 
 // Verdicts of a request.
 const (
-	Served     Verdict = iota
-	Rejected           // rejected without effect: a retry is harmless
-	Failed             // any other error
-	Lost               // the connection ended without an answer
-	Corrupted          // answered with a result that no engine made for it
-	Unanswered         // no answer until answerSlack after the client's timeout
-	Unreached          // no gateway accepted a connection
+	Served      Verdict = iota
+	Rejected            // rejected without effect: a retry is harmless
+	Failed              // any other error
+	Lost                // the connection ended without an answer
+	Corrupted           // answered with a result that no engine made for it
+	Unanswered          // no answer until answerSlack after the client's timeout
+	Unreachable         // no gateway accepted a connection
 )
 
 // String names a verdict.
--- a/internal/testbed/emulator/statement.go
+++ b/internal/testbed/emulator/statement.go
@@ -11,11 +11,11 @@
 // Statement is the text of a query for an emulated engine, which reads from its comment what the query costs.
 func Statement(q Query) string {
 	load := 0
-	if q.Load {
+	if q.IsDataLoad {
 		load = 1
 	}
 	return fmt.Sprintf("SELECT a, b, c FROM survey_%d.answers /* work=%.4f threads=%.0f io=%.3f mb=%.0f load=%d group=%d */",
-		q.Group, q.Work, q.Threads, q.IO, q.NeedMB, load, q.Group)
+		q.Group, q.Work, q.Threads, q.IO, q.MemoryMB, load, q.Group)
 }
 
 // ParseStatement reads what Statement wrote; ok is false for any other text.
@@ -26,7 +26,7 @@
 	}
 	load := 0
 	n, err := fmt.Sscanf(strings.TrimSpace(strings.TrimSuffix(comment, "*/")), "work=%g threads=%g io=%g mb=%g load=%d group=%d",
-		&q.Work, &q.Threads, &q.IO, &q.NeedMB, &load, &q.Group)
-	q.Load = load == 1
+		&q.Work, &q.Threads, &q.IO, &q.MemoryMB, &load, &q.Group)
+	q.IsDataLoad = load == 1
 	return q, err == nil && n == 6 && q.Work > 0 && q.Threads > 0
 }
--- a/internal/testbed/emulator/traffic.go
+++ b/internal/testbed/emulator/traffic.go
@@ -13,26 +13,26 @@
 	Name             string
 	Share            float64 // of the queries
 	Work             float64 // mean, in seconds on one thread
-	CV               float64 // of the work: deviation over mean, lognormal
+	WorkCV           float64 // of the work: deviation over mean, lognormal
 	Threads          float64
 	IO               float64
-	MB               float64
+	MemoryMB         float64
 	Objective        time.Duration
 	ObjectiveStretch float64 // the objective grows by this times the query's work over its threads
 	Timeout          time.Duration
 	Weight           float64
-	Load             bool // its requests carry an idempotency key
+	IsDataLoad       bool // its requests carry an idempotency key
 }
 
 // DefaultClasses returns classes much like those of the platform's pages.
 func DefaultClasses() []Class {
 	return []Class{
-		{Name: "lookup", Share: 0.8, Work: 0.17, CV: 1, Threads: 1, IO: 0.3, MB: 200, Objective: 800 * time.Millisecond,
+		{Name: "lookup", Share: 0.8, Work: 0.17, WorkCV: 1, Threads: 1, IO: 0.3, MemoryMB: 200, Objective: 800 * time.Millisecond,
 			ObjectiveStretch: 2, Timeout: 4 * time.Second, Weight: 1},
-		{Name: "report", Share: 0.145, Work: 3, CV: 1.1, Threads: 4, IO: 0.45, MB: 1500, Objective: 3 * time.Second,
+		{Name: "report", Share: 0.145, Work: 3, WorkCV: 1.1, Threads: 4, IO: 0.45, MemoryMB: 1500, Objective: 3 * time.Second,
 			ObjectiveStretch: 2.5, Timeout: 15 * time.Second, Weight: 10},
-		{Name: "form-load", Share: 0.055, Work: 4, CV: 0.7, Threads: 2, IO: 0.5, MB: 1000, Objective: 4 * time.Second,
-			ObjectiveStretch: 2.5, Timeout: 20 * time.Second, Weight: 8, Load: true},
+		{Name: "form-load", Share: 0.055, Work: 4, WorkCV: 0.7, Threads: 2, IO: 0.5, MemoryMB: 1000, Objective: 4 * time.Second,
+			ObjectiveStretch: 2.5, Timeout: 20 * time.Second, Weight: 8, IsDataLoad: true},
 	}
 }
 
@@ -44,13 +44,13 @@
 			list, threads, loads = list+",", threads+",", loads+","
 		}
 		repeat := `"repeat":"retryable"`
-		if c.Load {
+		if c.IsDataLoad {
 			repeat = `"repeat":"dedup","group":"all","window":12000000000`
 		}
 		list += fmt.Sprintf(`{"name":%q,"objective":%d,"aim_stretch":%g,"give_up":%d,%s,"worth":%g}`,
 			c.Name, c.Objective, c.ObjectiveStretch, c.Timeout, repeat, c.Weight)
 		threads += fmt.Sprint(c.Threads)
-		loads += fmt.Sprint(c.Load)
+		loads += fmt.Sprint(c.IsDataLoad)
 	}
 	return fmt.Sprintf(`{"classes":[%s],
 "family_info":{"cores_by_kind":[%g],"size_mb":[%g],"threads_by_class":[%s],"is_load":[%s]},"models":["m"],"zones":["z"],
@@ -64,14 +64,14 @@
 
 // Traffic describes an open-loop workload: arrivals do not wait for answers.
 type Traffic struct {
-	Classes  []Class
-	Rate     float64 // queries a second, over all gateways
-	Gateways int
-	Skew     float64 // deviation of the gateways' shares over their mean
-	Groups   int     // table groups
-	Zipf     float64 // exponent of their popularity
-	Estimate float64 // deviation of the estimates' logarithm
-	Seed     uint64
+	Classes       []Class
+	Rate          float64 // queries a second, over all gateways
+	Gateways      int
+	Skew          float64 // deviation of the gateways' shares over their mean
+	Groups        int     // table groups
+	Zipf          float64 // exponent of their popularity
+	EstimateSigma float64 // deviation of the estimates' logarithm
+	Seed          uint64
 }
 
 // Request is one arrival.
@@ -86,8 +86,8 @@
 	Objective time.Duration
 }
 
-// RateFor returns the rate, in queries a second, at which the work that arrives is the share load of what the cores can do.
-func (t Traffic) RateFor(load, cores float64) float64 {
+// RateForLoad returns the rate, in queries a second, at which the work that arrives is the share load of what the cores can do.
+func (t Traffic) RateForLoad(load, cores float64) float64 {
 	work := 0.0
 	for _, c := range t.Classes {
 		work += c.Share * c.Work
@@ -95,8 +95,8 @@
 	return load * cores / work
 }
 
-// Draw returns the arrivals of a span, in order of time. The same seed gives the same arrivals.
-func (t Traffic) Draw(span time.Duration) (out []Request) {
+// Generate returns the arrivals of a span, in order of time. The same seed gives the same arrivals.
+func (t Traffic) Generate(span time.Duration) (out []Request) {
 	random := rand.New(rand.NewPCG(t.Seed, 31))
 	gateways := weightedSampler(t.Gateways, func(int) float64 { return lognormal(random, 1, t.Skew) })
 	groups := weightedSampler(max(1, t.Groups), func(i int) float64 { return math.Pow(float64(i+1), -t.Zipf) })
@@ -110,11 +110,11 @@
 		// The order of the draws decides the arrivals of a seed.
 		r := Request{At: at, Class: classes(random)}
 		class := t.Classes[r.Class]
-		work := max(minWork, lognormal(random, class.Work, class.CV))
+		work := max(minWork, lognormal(random, class.Work, class.WorkCV))
 		r.ID = randomID(random)
 		r.Gateway = gateways(random)
-		r.Estimate = work * math.Exp(t.Estimate*random.NormFloat64())
-		r.Query = Query{Work: work, Threads: class.Threads, IO: class.IO, NeedMB: class.MB, Group: groups(random), Load: class.Load}
+		r.Estimate = work * math.Exp(t.EstimateSigma*random.NormFloat64())
+		r.Query = Query{Work: work, Threads: class.Threads, IO: class.IO, MemoryMB: class.MemoryMB, Group: groups(random), IsDataLoad: class.IsDataLoad}
 		r.Budget = class.Timeout
 		r.Objective = class.Objective + time.Duration(class.ObjectiveStretch*work/class.Threads*float64(time.Second))
 		out = append(out, r)
--- a/internal/testbed/hollow/engine.go
+++ b/internal/testbed/hollow/engine.go
@@ -123,7 +123,7 @@
 	}()
 	calls := textproto.NewReader(bufio.NewReaderSize(conn, 1024))
 	for {
-		call, err := emulator.ReadCall(calls)
+		call, err := emulator.ReadHTTPRequest(calls)
 		if err != nil {
 			return
 		}
@@ -134,20 +134,20 @@
 }
 
 // handle returns the response to one call. It waits where the protocol says so.
-func (e *engine) handle(call emulator.Call) string {
+func (e *engine) handle(call emulator.HTTPRequest) string {
 	id, page, _ := strings.Cut(strings.TrimPrefix(call.Path, queryPath), "/")
 	switch {
 	case call.Method == http.MethodPost:
-		id = call.Head.Get("X-Hop-Id")
+		id = call.Header.Get("X-Hop-Id")
 		if id == "" {
-			return emulator.Answer(http.StatusInternalServerError, "", e.reportHeader())
+			return emulator.FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader())
 		}
 		e.submit(id)
 	case call.Method == http.MethodDelete:
 		e.forget(id)
-		return emulator.Answer(http.StatusNoContent, "", e.reportHeader())
+		return emulator.FormatHTTPResponse(http.StatusNoContent, "", e.reportHeader())
 	case page != "0":
-		return emulator.Answer(http.StatusInternalServerError, "", e.reportHeader())
+		return emulator.FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader())
 	}
 	return e.awaitResult(id)
 }
@@ -173,16 +173,16 @@
 	end, known := e.finishTimes[id]
 	e.mu.Unlock()
 	if !known {
-		return emulator.Answer(http.StatusInternalServerError, "", e.reportHeader())
+		return emulator.FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader())
 	}
 	if left := time.Until(end); left > longPollTimeout {
 		time.Sleep(longPollTimeout)
-		return emulator.Answer(http.StatusAccepted, "", e.reportHeader())
+		return emulator.FormatHTTPResponse(http.StatusAccepted, "", e.reportHeader())
 	} else if left > 0 {
 		time.Sleep(left)
 	}
 	e.served.Add(1)
-	return emulator.Answer(http.StatusOK, emulator.Rows(id), "Page-Count: 1", e.reportHeader())
+	return emulator.FormatHTTPResponse(http.StatusOK, emulator.Rows(id), "Page-Count: 1", e.reportHeader())
 }
 
 // reportHeader is the load report that each answer carries: how many statements run.
--- a/internal/testbed/hollow/gateway.go
+++ b/internal/testbed/hollow/gateway.go
@@ -67,12 +67,12 @@
 		cancel()
 		return nil, err
 	}
-	g.watch = enginewatch.New(g.loop, g, s.log, s.setup.Discovery, g.stream)
+	g.watch = enginewatch.New(g.loop, g, s.log, s.setup.DiscoveryAddr, g.stream)
 	go g.loop.Run(ctx)
 	g.loop.Do(func() {
 		g.membership.Start()
 		g.subset.Start(g.membership, s.setup.Subset)
-		g.watch.SetServer(s.setup.Discovery)
+		g.watch.SetServer(s.setup.DiscoveryAddr)
 		g.scheduleReport()
 	})
 	return g, nil
@@ -172,7 +172,7 @@
 	g.loop.Do(func() {
 		out.InService, _, _, _ = g.membership.Counts()
 		out.Fingerprint = scale.Fingerprint(len(g.host.setup.Peers), g.membership.IsInService)
-		out.Version, out.Engines = g.stream.ResourceVersion(), len(g.engines)
+		out.EngineListVersion, out.Engines = g.stream.ResourceVersion(), len(g.engines)
 		out.Used, out.Ready = len(g.reported), g.readyEngines()
 		if countKnown {
 			out.EnginesKnown = g.knownEngines()
--- a/internal/testbed/hollow/gatewayhost.go
+++ b/internal/testbed/hollow/gatewayhost.go
@@ -63,8 +63,8 @@
 
 // execute executes a command. All of its errors are joined in the reply.
 func (h *gatewayHost) execute(command GatewayCommand) (reply GatewayReply) {
-	switch command.Cut {
-	case CutRegions:
+	switch command.Partition {
+	case PartitionRegions:
 		h.shared.regions.cut.Store(true)
 	case HealRegions:
 		h.shared.regions.cut.Store(false)
@@ -80,8 +80,8 @@
 	if err := errors.Join(errs...); err != nil {
 		reply.Error = err.Error()
 	}
-	if command.Report {
-		reply.States = h.states(command.Known)
+	if command.ReportStates {
+		reply.States = h.states(command.CountKnown)
 	}
 	return reply
 }
--- a/internal/testbed/hollow/messages.go
+++ b/internal/testbed/hollow/messages.go
@@ -19,7 +19,7 @@
 	Seed             uint64           `json:"seed"`
 	Interval         time.Duration    `json:"interval"`           // of the membership protocol; 0 = its default
 	ReportsPerSecond float64          `json:"reports_per_second"` // load reports that each gateway makes up
-	Discovery        string           `json:"discovery"`          // address of the discovery server
+	DiscoveryAddr    string           `json:"discovery"`          // address of the discovery server
 	Peers            []netip.AddrPort `json:"peers"`              // of all members, by number, as the hollow ones reach them
 	Regions          []int            `json:"regions"`            // of all members, by number
 	Zones            []string         `json:"zones"`              // as the engine list names them
@@ -41,21 +41,21 @@
 
 // GatewayCommand is a command to a process of hollow gateways. Members that it does not name stay as they are.
 type GatewayCommand struct {
-	Start  []int     `json:"start,omitempty"` // members to start
-	Kill   []int     `json:"kill,omitempty"`  // members to stop at once
-	Leave  []int     `json:"leave,omitempty"` // members to stop after they have announced it
-	Cut    CutChange `json:"cut,omitempty"`
-	Report bool      `json:"report,omitempty"` // reply with the state of all members of the process
-	Known  bool      `json:"known,omitempty"`  // ... and with the number of engines whose load they know
+	Start        []int           `json:"start,omitempty"` // members to start
+	Kill         []int           `json:"kill,omitempty"`  // members to stop at once
+	Leave        []int           `json:"leave,omitempty"` // members to stop after they have announced it
+	Partition    PartitionChange `json:"cut,omitempty"`
+	ReportStates bool            `json:"report,omitempty"` // reply with the state of all members of the process
+	CountKnown   bool            `json:"known,omitempty"`  // ... and with the number of engines whose load they know
 }
 
-// CutChange changes whether datagrams pass between regions.
-type CutChange string
+// PartitionChange changes whether datagrams pass between regions.
+type PartitionChange string
 
 // Changes; the empty one is none.
 const (
-	CutRegions  CutChange = "cut"
-	HealRegions CutChange = "heal"
+	PartitionRegions PartitionChange = "cut"
+	HealRegions      PartitionChange = "heal"
 )
 
 // GatewayReply answers the setup and each GatewayCommand.
@@ -66,15 +66,15 @@
 
 // GatewayState is what a hollow gateway knows.
 type GatewayState struct {
-	Number       int    `json:"number"`
-	Up           bool   `json:"up"`
-	InService    int    `json:"in_service"`  // members, this one included
-	Fingerprint  uint64 `json:"fingerprint"` // of the members in service, as package scale works it out
-	Version      int64  `json:"version"`     // resource version of the engine list
-	Engines      int    `json:"engines"`     // in the engine list
-	Ready        int    `json:"ready"`       // of them, in service
-	Used         int    `json:"used"`        // of them, by this gateway
-	EnginesKnown int    `json:"engines_known"`
+	Number            int    `json:"number"`
+	Up                bool   `json:"up"`
+	InService         int    `json:"in_service"`  // members, this one included
+	Fingerprint       uint64 `json:"fingerprint"` // of the members in service, as package scale works it out
+	EngineListVersion int64  `json:"version"`     // resource version of the engine list
+	Engines           int    `json:"engines"`     // in the engine list
+	Ready             int    `json:"ready"`       // of them, in service
+	Used              int    `json:"used"`        // of them, by this gateway
+	EnginesKnown      int    `json:"engines_known"`
 }
 
 // EngineSetup is the first line to a process of hollow engines.
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -112,8 +112,8 @@
 	return replyError(reply.Error)
 }
 
-// Gateways sends a command to a process of hollow gateways and returns the states that the reply holds.
-func (p *Process) Gateways(ctx context.Context, command GatewayCommand) ([]GatewayState, error) {
+// SendGatewayCommand sends a command to a process of hollow gateways and returns the states that the reply holds.
+func (p *Process) SendGatewayCommand(ctx context.Context, command GatewayCommand) ([]GatewayState, error) {
 	var reply GatewayReply
 	if err := p.exchange(ctx, command, &reply); err != nil {
 		return nil, err
@@ -130,8 +130,8 @@
 	return reply.Addresses, replyError(reply.Error)
 }
 
-// Engines sends a command to a process of hollow engines.
-func (p *Process) Engines(ctx context.Context, command EngineCommand) (EngineReply, error) {
+// SendEngineCommand sends a command to a process of hollow engines.
+func (p *Process) SendEngineCommand(ctx context.Context, command EngineCommand) (EngineReply, error) {
 	var reply EngineReply
 	if err := p.exchange(ctx, command, &reply); err != nil {
 		return reply, err
--- a/internal/testbed/scale/runner/agreement.go
+++ b/internal/testbed/scale/runner/agreement.go
@@ -114,9 +114,9 @@
 		case state.Up != r.up[state.Number]:
 			return fmt.Errorf("%w: hollow gateway %d runs: %v", ErrNotAgreed, state.Number, state.Up)
 		case !state.Up:
-		case state.Version != version || state.Engines != engines:
+		case state.EngineListVersion != version || state.Engines != engines:
 			return fmt.Errorf("%w: hollow gateway %d has version %d of the engine list with %d engines, not %d with %d", ErrNotAgreed,
-				state.Number, state.Version, state.Engines, version, engines)
+				state.Number, state.EngineListVersion, state.Engines, version, engines)
 		case state.Fingerprint != fingerprints[r.plan.RegionOf(state.Number)]:
 			return fmt.Errorf("%w: hollow gateway %d has %d members in service, not the expected ones", ErrNotAgreed, state.Number, state.InService)
 		}
@@ -132,7 +132,7 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			replies[i], errs[i] = group.process.Gateways(ctx, hollow.GatewayCommand{Report: true, Known: countKnown})
+			replies[i], errs[i] = group.process.SendGatewayCommand(ctx, hollow.GatewayCommand{ReportStates: true, CountKnown: countKnown})
 		}()
 	}
 	done.Wait()
--- a/internal/testbed/scale/runner/engines.go
+++ b/internal/testbed/scale/runner/engines.go
@@ -66,7 +66,7 @@
 		if open {
 			command = hollow.EngineCommand{Open: indexes}
 		}
-		_, err := group.process.Engines(ctx, command)
+		_, err := group.process.SendEngineCommand(ctx, command)
 		errs = append(errs, err)
 	}
 	return errors.Join(errs...)
--- a/internal/testbed/scale/runner/members.go
+++ b/internal/testbed/scale/runner/members.go
@@ -25,7 +25,7 @@
 		group := &gatewayGroup{process: process}
 		r.gatewayGroups = append(r.gatewayGroups, group)
 		setup := hollow.GatewaySetup{Fleet: testfleet.FleetName, Seed: r.plan.Seed, Interval: r.options.Interval, Peers: peers,
-			ReportsPerSecond: r.options.ReportsPerSecond, Discovery: r.fleet.Discovery.Addr(), Regions: r.plan.RegionsOfMembers(),
+			ReportsPerSecond: r.options.ReportsPerSecond, DiscoveryAddr: r.fleet.Discovery.Addr(), Regions: r.plan.RegionsOfMembers(),
 			Zones: r.plan.ZoneNames(), Subset: r.subsetConfig()}
 		for k := first; k < end; k++ {
 			number := r.plan.Real + k
@@ -136,7 +136,7 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			_, errs[i] = group.process.Gateways(ctx, commandFor(own))
+			_, errs[i] = group.process.SendGatewayCommand(ctx, commandFor(own))
 		}()
 	}
 	done.Wait()
@@ -147,7 +147,7 @@
 func (r *Runner) setCut(ctx context.Context, cut bool) error {
 	change := hollow.HealRegions
 	if cut {
-		change = hollow.CutRegions
+		change = hollow.PartitionRegions
 		for member := range r.plan.Members() {
 			r.fleet.Relay.SetPartitionSide(member, r.plan.RegionOf(member))
 		}
@@ -155,5 +155,5 @@
 		r.fleet.Relay.Heal()
 	}
 	r.regionsCut = cut
-	return r.commandHollow(ctx, func([]int) hollow.GatewayCommand { return hollow.GatewayCommand{Cut: change} }, r.allHollow())
+	return r.commandHollow(ctx, func([]int) hollow.GatewayCommand { return hollow.GatewayCommand{Partition: change} }, r.allHollow())
 }
--- a/internal/testbed/scale/runner/settings.go
+++ b/internal/testbed/scale/runner/settings.go
@@ -27,7 +27,7 @@
 
 // lookupClass returns the one class of statements.
 func lookupClass() []emulator.Class {
-	return []emulator.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MB: 50, Objective: 800 * time.Millisecond,
+	return []emulator.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MemoryMB: 50, Objective: 800 * time.Millisecond,
 		Timeout: 4 * time.Second, Weight: 1}}
 }
 
--- a/internal/testbed/scale/runner/steps.go
+++ b/internal/testbed/scale/runner/steps.go
@@ -137,7 +137,7 @@
 		Zipf: 0.7, Seed: r.plan.Seed}
 	clients := emulator.NewClients(r.fleet.ClientAddrs(), traffic.Classes, r.plan.Seed, func() time.Duration { return time.Since(began) })
 	defer clients.Close()
-	clients.Play(traffic.Draw(r.plan.Quiet), ctx.Done())
+	clients.Run(traffic.Generate(r.plan.Quiet), ctx.Done())
 	outcomes, _ := clients.Outcomes(0)
 	served := 0
 	for _, outcome := range outcomes {
--- a/internal/testbed/soak/engines.go
+++ b/internal/testbed/soak/engines.go
@@ -56,7 +56,7 @@
 // received reports whether any engine has recently received the query with this ID.
 func (e *engines) received(id string) bool {
 	for _, engine := range e.all {
-		if engine.Knows(id) {
+		if engine.HasQuery(id) {
 			return true
 		}
 	}
--- a/internal/testbed/soak/platformclient.go
+++ b/internal/testbed/soak/platformclient.go
@@ -128,7 +128,7 @@
 		"budget": r.Budget.Milliseconds(),
 		"blob":   base64.StdEncoding.EncodeToString([]byte(randomStatement(c.random, class, r.IsRejected))),
 	}
-	if class.Load {
+	if class.IsDataLoad {
 		params["token"] = r.ID + r.ID
 	}
 	line, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": r.Number, "method": class.Name, "params": params})
@@ -148,12 +148,12 @@
 
 // randomStatement generates the text of a query.
 func randomStatement(random *rand.Rand, class emulator.Class, rejected bool) string {
-	q := emulator.Query{Work: shortWork * (0.2 + random.ExpFloat64()), Threads: 1, NeedMB: 1, Group: 1 + random.IntN(4), Load: class.Load}
+	q := emulator.Query{Work: shortWork * (0.2 + random.ExpFloat64()), Threads: 1, MemoryMB: 1, Group: 1 + random.IntN(4), IsDataLoad: class.IsDataLoad}
 	if random.IntN(longQueryOneIn) == 0 {
 		q.Work = longWork * (0.2 + min(maxLongFactor, random.ExpFloat64()))
 	}
 	if rejected {
-		q.NeedMB = rejectedMemory
+		q.MemoryMB = rejectedMemory
 	}
 	return emulator.Statement(q)
 }
--- a/internal/testbed/testfleet/change.go
+++ b/internal/testbed/testfleet/change.go
@@ -91,8 +91,8 @@
 		return err
 	}
 	c.traffic = emulator.Traffic{Classes: emulator.DefaultClasses(), Gateways: opt.Gateways, Skew: 0.5, Groups: opt.Engines * 3,
-		Zipf: 0.7, Estimate: 0.5, Seed: opt.Seed}
-	c.traffic.Rate = c.traffic.RateFor(opt.Load, opt.Cores*float64(opt.Engines))
+		Zipf: 0.7, EstimateSigma: 0.5, Seed: opt.Seed}
+	c.traffic.Rate = c.traffic.RateForLoad(opt.Load, opt.Cores*float64(opt.Engines))
 	if c.Fleet, err = New(Options{
 		Gateways: opt.Gateways,
 		Seed:     opt.Seed,
@@ -125,11 +125,11 @@
 
 // SendLoad makes the clients send requests for this duration, on a goroutine that StopClients waits for.
 func (c *Change) SendLoad(duration time.Duration) {
-	requests := c.traffic.Draw(duration)
+	requests := c.traffic.Generate(duration)
 	c.clientsDone.Add(1)
 	go func() {
 		defer c.clientsDone.Done()
-		c.Clients.Play(requests, c.stop)
+		c.Clients.Run(requests, c.stop)
 	}()
 }
 
--- a/internal/testbed/testfleet/changeplan.go
+++ b/internal/testbed/testfleet/changeplan.go
@@ -131,7 +131,7 @@
 	if opt.Fault != "" {
 		newEnv = append(slices.Clone(newEnv), emulator.FaultEnv(opt.Fault)...)
 	}
-	statement := emulator.Statement(emulator.Query{Work: 0.01, Threads: 1, IO: 0.1, NeedMB: 1, Group: 1})
+	statement := emulator.Statement(emulator.Query{Work: 0.01, Threads: 1, IO: 0.1, MemoryMB: 1, Group: 1})
 	args := tomlStrings(opt.Program[1:])
 	return fmt.Sprintf(changePlan, opt.Seed, FleetName, listen, c.reportProxy.addr(), configs, tomlStrings(opt.Stages),
 		opt.Program[0], args, tomlStrings(opt.Env), c.path(oldOperatorFile),
--- a/internal/testbed/testfleet/pool.go
+++ b/internal/testbed/testfleet/pool.go
@@ -44,7 +44,7 @@
 func (p *Pool) add(warmingUp bool) error {
 	p.started++
 	name := fmt.Sprintf("s-%08x", 0x5eed0000+p.started*7919)
-	e, err := emulator.Start(emulator.Options{Name: name, Spec: p.spec, WarmingUp: warmingUp, ReportInterval: reportInterval,
+	e, err := emulator.StartEngine(emulator.Options{Name: name, Spec: p.spec, WarmingUp: warmingUp, ReportInterval: reportInterval,
 		ReportDelay: reportDelay}, p.clock)
 	if err != nil {
 		return err
