--- a/cmd/frostpier/main.go
+++ b/cmd/frostpier/main.go
@@ -31,7 +31,7 @@
 	hup := make(chan os.Signal, 1) // must be handled: by default SIGHUP ends a process
 	signal.Notify(hup, syscall.SIGHUP)
 	if err := program.Run(ctx, hup, log, program.Hooks{}); err != nil {
-		log.Error("cannot serve", "error", err)
+		log.Error("startup failed, exiting", "error", err)
 		printError(err)
 		return exitError
 	}
--- a/internal/controller/checker.go
+++ b/internal/controller/checker.go
@@ -224,7 +224,7 @@
 func compareAnswer(line []byte, id int, expected string) (result rollout.CheckResults, reusable bool) {
 	var answer checkAnswer
 	if json.Unmarshal(line, &answer) != nil || answer.ID != id {
-		return rollout.CheckResults{Incorrect: 1}, false // not an answer to this query: the stream is out of step
+		return rollout.CheckResults{Incorrect: 1}, false // not an answer to this query: the stream is out of sync
 	}
 	if answer.Result == nil {
 		return rollout.CheckResults{Unserved: 1}, true
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,7 +23,7 @@
 	journalFileName       = "rollout.db"
 )
 
-// Controller executes one change until it has completed or is rolled back. Run owns its state.
+// Controller executes one change until it has completed or been rolled back. Run owns its state.
 type Controller struct {
 	log      *slog.Logger
 	dir      string
@@ -50,7 +50,7 @@
 // Error returns the text that operators see.
 func (e *ConflictError) Error() string { return fmt.Sprintf("change %q %s", e.Change, e.Reason) }
 
-// Open begins the plan's change, or resumes it if the journal has it as unfinished. The controller stores its state in dir. Open fails
+// Open begins the plan's change, or resumes it if it is unfinished in the journal. The controller stores its state in dir. Open fails
 // with ErrRunning while another controller has the journal open, and with a *ConflictError while another change is in progress.
 func Open(dir string, c CheckedPlan, log *slog.Logger) (_ *Controller, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -238,7 +238,7 @@
 	for _, a := range actions {
 		// No retry here: the state machine sees at the next tick that the action had no effect, and decides again.
 		if err := k.execute(a); err != nil && !errors.Is(err, errProcessEnded) {
-			k.log.Error("action failed", "action", fmt.Sprintf("%T", a), "error", err)
+			k.log.Error("action failed, will be retried if still needed", "action", fmt.Sprintf("%T", a), "error", err)
 		}
 	}
 	return nil
