--- a/cmd/fleettest/scale.go
+++ b/cmd/fleettest/scale.go
@@ -51,7 +51,7 @@
 	}
 	for _, plan := range plans {
 		run, playErr := c.play(ctx, plan)
-		fmt.Printf("%d real and %d hollow gateways, %d engines, seed %d\n\n%s\n", plan.Real, plan.Hollow, plan.Engines, plan.Seed,
+		fmt.Printf("%d real and %d hollow gateways, %d engines, seed %d\n\n%s\n", plan.RealGateways, plan.HollowGateways, plan.Engines, plan.Seed,
 			scaleTable(run.Steps).markdown())
 		if len(run.Steps) > 0 {
 			file.Runs = append(file.Runs, run)
@@ -65,7 +65,7 @@
 
 // plans returns the plan of each size. All are checked before the first is played.
 func (c *scaleCommand) plans() (out []scale.Plan, err error) {
-	machine, err := runner.ThisMachine()
+	machine, err := runner.LocalMachine()
 	if err != nil {
 		return nil, err
 	}
@@ -75,11 +75,11 @@
 			return nil, err
 		}
 	}
-	times := scale.DefaultTimes()
-	times.Quiet, times.Cut = time.Duration(c.Quiet)*time.Second, time.Duration(c.Cut)*time.Second
-	times.RestartsOver = time.Duration(c.Restart) * time.Second
+	times := scale.DefaultDurations()
+	times.QuietStep, times.MinPartition = time.Duration(c.Quiet)*time.Second, time.Duration(c.Cut)*time.Second
+	times.RestartPeriod = time.Duration(c.Restart) * time.Second
 	for _, hollowGateways := range c.Hollow {
-		sizes := scale.Sizes{Real: c.Real, Hollow: hollowGateways, Engines: c.Engines, Zones: c.Zones, Regions: c.Regions, Rate: c.Rate, Subset: c.Subset}
+		sizes := scale.Sizes{RealGateways: c.Real, HollowGateways: hollowGateways, Engines: c.Engines, Zones: c.Zones, Regions: c.Regions, StatementRate: c.Rate, SubsetMinEngines: c.Subset}
 		if err := errors.Join(sizes.Check(machine), times.Check()); err != nil {
 			return nil, err
 		}
@@ -105,13 +105,13 @@
 	fleet, err := runner.Start(ctx, runner.Options{Plan: plan, Dir: logs, Program: []string{program},
 		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
 		EngineDelay: time.Duration(c.Delay) * time.Millisecond, ReportsPerSecond: c.Reports,
-		Note: progressSince(time.Now())})
+		Progress: progressSince(time.Now())})
 	if err != nil {
 		return run, err
 	}
 	defer func() { err = errors.Join(err, fleet.Close()) }()
 	run, err = fleet.Play(ctx)
-	run.Facts.Options = c.options(plan)
+	run.Metadata.Options = c.options(plan)
 	return run, err
 }
 
@@ -122,8 +122,8 @@
 		steps = append(steps, string(step))
 	}
 	sizes := fmt.Sprintf("--real %d --hollow %d --engines %d --zones %d --regions %d --seed %d --subset %d",
-		plan.Real, plan.Hollow, plan.Engines, plan.Zones, plan.Regions, plan.Seed, plan.Subset)
-	load := fmt.Sprintf("--rate %g --reports %g --delay %d", plan.Rate, c.Reports, c.Delay)
+		plan.RealGateways, plan.HollowGateways, plan.Engines, plan.Zones, plan.Regions, plan.Seed, plan.SubsetMinEngines)
+	load := fmt.Sprintf("--rate %g --reports %g --delay %d", plan.StatementRate, c.Reports, c.Delay)
 	times := fmt.Sprintf("--quiet %d --cut %d --restarts-over %d", c.Quiet, c.Cut, c.Restart)
 	return strings.Join([]string{sizes, load, times, "--steps", strings.Join(steps, ",")}, " ")
 }
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -33,13 +33,13 @@
 // and final states are checked.
 func smallScale(t *testing.T, steps []scale.Step) runner.Options {
 	t.Helper()
-	sizes := scale.Sizes{Real: 8, Hollow: 100, Engines: 60, Zones: 4, Regions: 2, Rate: 5, Subset: 10}
-	times := scale.Times{Quiet: time.Second, RestartsOver: time.Second, AgreementTimeout: 2 * time.Minute}
+	sizes := scale.Sizes{RealGateways: 8, HollowGateways: 100, Engines: 60, Zones: 4, Regions: 2, StatementRate: 5, SubsetMinEngines: 10}
+	times := scale.Durations{QuietStep: time.Second, RestartPeriod: time.Second, ConvergenceTimeout: 2 * time.Minute}
 	self := os.Args[0]
 	return runner.Options{Plan: scale.NewPlan(sizes, times, steps, 7), Dir: t.TempDir(), Program: []string{self, "gateway"},
 		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
 		Environment: []string{asToolVariable + "=1"}, Interval: 500 * time.Millisecond, EngineDelay: 5 * time.Millisecond, ReportsPerSecond: 2,
-		Note: func(text string) { t.Log(text) }}
+		Progress: func(text string) { t.Log(text) }}
 }
 
 // Each part of a step ends once all gateways agree on the members and the engine list, or fails; at the end nothing is left
@@ -55,12 +55,12 @@
 	if closing := fleet.Close(); err != nil || closing != nil {
 		t.Fatal(err, closing)
 	}
-	checkEnded(t, processes, opt.Plan.Real+2)
+	checkEnded(t, processes, opt.Plan.RealGateways+2)
 	checkLogsEmpty(t, opt.Dir)
 	var names []string
 	for _, step := range run.Steps {
 		names = append(names, step.Name)
-		if step.RealGateways != 8 || step.HollowGateways != 100 || step.Engines != 60 || step.MeanBytesPerSecond <= 0 || step.ResidentMB <= 0 {
+		if step.RealGateways != 8 || step.HollowGateways != 100 || step.Engines != 60 || step.SentBytesPerSecond <= 0 || step.ResidentMB <= 0 {
 			t.Errorf("%+v", step)
 		}
 		if step.Name == string(scale.Loaded) && step.StatementsPerSecond <= 0 {
@@ -105,7 +105,7 @@
 // A run that is interrupted in the middle of a step ends with the context's error, and Close ends all.
 func TestInterruptedScaleEndsAll(t *testing.T) {
 	opt := smallScale(t, []scale.Step{scale.Quiet})
-	opt.Plan.Real, opt.Plan.Hollow, opt.Plan.Engines, opt.Plan.Times.Quiet = 2, 6, 4, time.Hour
+	opt.Plan.RealGateways, opt.Plan.HollowGateways, opt.Plan.Engines, opt.Plan.Durations.QuietStep = 2, 6, 4, time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	fleet, err := runner.Start(ctx, opt)
@@ -163,14 +163,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		step := scale.StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, MeanBytesPerSecond: 900}
+		step := scale.StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, SentBytesPerSecond: 900}
 		file.Runs = append(file.Runs, scale.Run{Steps: []scale.StepResult{step}})
 		if err := c.save(file); err != nil {
 			t.Fatal(err)
 		}
 	}
 	file, err := c.load()
-	if err != nil || len(file.Runs) != 2 || len(file.Slope("quiet")) != 2 || !slices.Equal(file.StepNames(), []string{"quiet"}) {
+	if err != nil || len(file.Runs) != 2 || len(file.ResultsBySize("quiet")) != 2 || !slices.Equal(file.StepNames(), []string{"quiet"}) {
 		t.Fatalf("%+v %v", file, err)
 	}
 	for _, name := range []string{"scale.md", "scale.csv", "scale-bytes.svg", "scale-known.svg"} {
--- a/cmd/fleettest/scaletable.go
+++ b/cmd/fleettest/scaletable.go
@@ -18,12 +18,12 @@
 		"engine list B/s", "connections", "all knew after s", "engines used", "of these known"}}
 	for _, s := range steps {
 		t.rows = append(t.rows, []string{s.Name, fmt.Sprint(s.RealGateways), fmt.Sprint(s.HollowGateways), fmt.Sprint(s.Engines),
-			fmt.Sprintf("%.0f", s.Seconds), fmt.Sprintf("%.1f", s.StatementsPerSecond), fmt.Sprintf("%.3f", s.StatementsServed),
-			fmt.Sprintf("%.3f / %.3f", s.ProcessorShare, s.ProcessorShareHighest), fmt.Sprintf("%.1f", s.ResidentMB),
-			fmt.Sprintf("%.0f", s.MeanBytesPerSecond), fmt.Sprintf("%.0f", s.HighestBytesPerSecond),
-			fmt.Sprintf("%.0f", s.ReceivedBytesPerSecond), fmt.Sprintf("%.0f", s.ReceivedHighest),
-			fmt.Sprintf("%.0f", s.ListBytesPerSecond), fmt.Sprintf("%.0f", s.Connections),
-			fmt.Sprintf("%.1f", s.SecondsUntilAllKnow), fmt.Sprintf("%.1f", s.EnginesUsed), fmt.Sprintf("%.2f", s.EnginesKnownShare)})
+			fmt.Sprintf("%.0f", s.Seconds), fmt.Sprintf("%.1f", s.StatementsPerSecond), fmt.Sprintf("%.3f", s.StatementsServedShare),
+			fmt.Sprintf("%.3f / %.3f", s.MeanCPUCores, s.MaxCPUCores), fmt.Sprintf("%.1f", s.ResidentMB),
+			fmt.Sprintf("%.0f", s.SentBytesPerSecond), fmt.Sprintf("%.0f", s.PeakSentBytesPerSecond),
+			fmt.Sprintf("%.0f", s.ReceivedBytesPerSecond), fmt.Sprintf("%.0f", s.PeakReceivedBytesPerSecond),
+			fmt.Sprintf("%.0f", s.EngineListBytesPerSecond), fmt.Sprintf("%.0f", s.Connections),
+			fmt.Sprintf("%.1f", s.ConvergenceSeconds), fmt.Sprintf("%.1f", s.EnginesUsed), fmt.Sprintf("%.2f", s.EnginesKnownShare)})
 	}
 	return t
 }
@@ -36,15 +36,15 @@
 
 var slopeCharts = []slopeChart{
 	{"scale-processor.svg", "Processor time of a real gateway", "share of a core",
-		func(s scale.StepResult) float64 { return s.ProcessorShare }},
+		func(s scale.StepResult) float64 { return s.MeanCPUCores }},
 	{"scale-memory.svg", "Resident memory of a real gateway, the largest", "MB",
 		func(s scale.StepResult) float64 { return s.ResidentMB }},
 	{"scale-bytes.svg", "Datagrams that a real gateway sends", "bytes a second",
-		func(s scale.StepResult) float64 { return s.MeanBytesPerSecond }},
+		func(s scale.StepResult) float64 { return s.SentBytesPerSecond }},
 	{"scale-peak.svg", "Datagrams that a real gateway sends, the highest over 10 s", "bytes a second",
-		func(s scale.StepResult) float64 { return s.HighestBytesPerSecond }},
+		func(s scale.StepResult) float64 { return s.PeakSentBytesPerSecond }},
 	{"scale-known.svg", "Time until all gateways know", "seconds",
-		func(s scale.StepResult) float64 { return s.SecondsUntilAllKnow }},
+		func(s scale.StepResult) float64 { return s.ConvergenceSeconds }},
 }
 
 // chartSlopes draws each chart into a file of the folder.
@@ -66,7 +66,7 @@
 	var lines []any
 	for _, step := range file.StepNames() {
 		var points plotter.XYs
-		for _, result := range file.Slope(step) {
+		for _, result := range file.ResultsBySize(step) {
 			points = append(points, plotter.XY{X: float64(result.Members()), Y: c.value(result)})
 		}
 		lines = append(lines, step, points)
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -50,8 +50,8 @@
 	return out
 }
 
-// RegionsOfMembers returns the region of each member, by number.
-func (s Sizes) RegionsOfMembers() []int {
+// MemberRegions returns the region of each member, by number.
+func (s Sizes) MemberRegions() []int {
 	out := make([]int, s.Members())
 	for i := range out {
 		out[i] = s.RegionOf(i)
--- a/internal/testbed/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -32,12 +32,12 @@
 // none, and for the step Loaded without a rate of statements.
 func ParseSteps(names []string, rate float64) ([]Step, error) {
 	if rate == 0 && slices.Contains(names, string(Loaded)) {
-		return nil, &ValueError{Option: "--rate", Value: "0", Want: "above 0, as the step loaded needs"}
+		return nil, &ValueError{Option: "--rate", Value: "0", Bounds: "above 0, as the step loaded needs"}
 	}
 	var out []Step
 	for _, name := range names {
 		if !slices.Contains(AllSteps(), Step(name)) {
-			return nil, &ValueError{Option: "--steps", Value: fmt.Sprintf("%q", name), Want: "one of " + stepNames()}
+			return nil, &ValueError{Option: "--steps", Value: fmt.Sprintf("%q", name), Bounds: "one of " + stepNames()}
 		}
 	}
 	for _, step := range AllSteps() {
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, &ValueError{Option: "--steps", Value: "none", Want: "one of " + stepNames()}
+		return nil, &ValueError{Option: "--steps", Value: "none", Bounds: "one of " + stepNames()}
 	}
 	return out, nil
 }
@@ -59,32 +59,32 @@
 	return strings.Join(names, ", ")
 }
 
-// Times are the times of a run. A step that waits until all gateways agree fails after Patience.
-type Times struct {
-	Quiet            time.Duration // length of the quiet and the loaded step
-	Cut              time.Duration // for how long regions are partitioned at least
-	RestartsOver     time.Duration // over which restarts are spread
-	Settle           time.Duration // for which a step is measured after all gateways agree
-	AgreementTimeout time.Duration // for any one wait
+// Durations are the times of a run. A step that waits until all gateways agree fails after Patience.
+type Durations struct {
+	QuietStep          time.Duration // length of the quiet and the loaded step
+	MinPartition       time.Duration // for how long regions are partitioned at least
+	RestartPeriod      time.Duration // over which restarts are spread
+	Settle             time.Duration // for which a step is measured after all gateways agree
+	ConvergenceTimeout time.Duration // for any one wait
 }
 
-// DefaultTimes returns the times of a full run.
-func DefaultTimes() Times {
-	return Times{Quiet: 30 * time.Second, Cut: 2 * time.Minute, RestartsOver: 100 * time.Second, Settle: 10 * time.Second,
-		AgreementTimeout: 3 * time.Minute}
+// DefaultDurations returns the times of a full run.
+func DefaultDurations() Durations {
+	return Durations{QuietStep: 30 * time.Second, MinPartition: 2 * time.Minute, RestartPeriod: 100 * time.Second, Settle: 10 * time.Second,
+		ConvergenceTimeout: 3 * time.Minute}
 }
 
 // maxStepTime is the longest time that an operator may set.
 const maxStepTime = 30 * time.Minute
 
 // Check returns a *ValueError for times out of bounds.
-func (t Times) Check() error {
+func (t Durations) Check() error {
 	for _, one := range []struct {
 		option string
 		value  time.Duration
-	}{{"--quiet", t.Quiet}, {"--cut", t.Cut}, {"--restarts-over", t.RestartsOver}} {
+	}{{"--quiet", t.QuietStep}, {"--cut", t.MinPartition}, {"--restarts-over", t.RestartPeriod}} {
 		if one.value < time.Second || one.value > maxStepTime {
-			return &ValueError{Option: one.option, Value: one.value.String(), Want: "between 1 s and " + maxStepTime.String()}
+			return &ValueError{Option: one.option, Value: one.value.String(), Bounds: "between 1 s and " + maxStepTime.String()}
 		}
 	}
 	return nil
@@ -101,26 +101,26 @@
 // Plan is what a run does. All that is random in it is drawn from its seed.
 type Plan struct {
 	Sizes
-	Times
-	Seed     uint64
-	Steps    []Step
-	Restart  []int // members, in the order in which they restart
-	Lost     []int // members whose machines fail
-	LostZone int   // that fails
-	Changed  []int // engines that are drained and replaced
+	Durations
+	Seed            uint64
+	Steps           []Step
+	RestartOrder    []int // members, in the order in which they restart
+	FailedMembers   []int // members whose machines fail
+	FailedZone      int   // that fails
+	ReplacedEngines []int // engines that are drained and replaced
 }
 
 // NewPlan draws a plan: the same one for the same seed and sizes. Without a rate of statements it leaves out the step Loaded.
-func NewPlan(sizes Sizes, times Times, steps []Step, seed uint64) Plan {
+func NewPlan(sizes Sizes, times Durations, steps []Step, seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 53))
-	if sizes.Rate == 0 {
+	if sizes.StatementRate == 0 {
 		steps = slices.DeleteFunc(slices.Clone(steps), func(s Step) bool { return s == Loaded })
 	}
-	p := Plan{Sizes: sizes, Times: times, Seed: seed, Steps: steps}
-	p.Restart = drawMembers(random, sizes, restartCount(sizes.Members()))
-	p.Lost = drawMembers(random, sizes, min(machinesLost, sizes.Members()-1))
-	p.LostZone = random.IntN(sizes.Zones)
-	p.Changed = random.Perm(sizes.Engines)[:max(1, int(changedShare*float64(sizes.Engines)))]
+	p := Plan{Sizes: sizes, Durations: times, Seed: seed, Steps: steps}
+	p.RestartOrder = drawMembers(random, sizes, restartCount(sizes.Members()))
+	p.FailedMembers = drawMembers(random, sizes, min(machinesLost, sizes.Members()-1))
+	p.FailedZone = random.IntN(sizes.Zones)
+	p.ReplacedEngines = random.Perm(sizes.Engines)[:max(1, int(changedShare*float64(sizes.Engines)))]
 	return p
 }
 
@@ -132,7 +132,7 @@
 // drawMembers draws distinct members. The first is a real gateway, so that each fault affects the program itself.
 func drawMembers(random *rand.Rand, sizes Sizes, count int) []int {
 	out := random.Perm(sizes.Members())
-	first := slices.IndexFunc(out, func(member int) bool { return member < sizes.Real })
+	first := slices.IndexFunc(out, func(member int) bool { return member < sizes.RealGateways })
 	out[0], out[first] = out[first], out[0]
 	return out[:count]
 }
--- a/internal/testbed/scale/rate.go
+++ b/internal/testbed/scale/rate.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// PeakSpan is the shortest span over which a peak rate is measured.
-const PeakSpan = 10 * time.Second
+// PeakWindow is the shortest span over which a peak rate is measured.
+const PeakWindow = 10 * time.Second
 
 // Sample is the value of a counter at a time.
 type Sample struct {
 	At    time.Duration
-	Total float64
+	Value float64
 }
 
 // Rate returns a counter's growth a second over all samples; 0 where there are fewer than two.
@@ -24,10 +24,10 @@
 func PeakRate(samples []Sample) float64 {
 	peak, first, found := 0.0, 0, false
 	for last := range samples {
-		for first+1 < last && samples[last].At-samples[first+1].At >= PeakSpan {
+		for first+1 < last && samples[last].At-samples[first+1].At >= PeakWindow {
 			first++
 		}
-		if samples[last].At-samples[first].At < PeakSpan {
+		if samples[last].At-samples[first].At < PeakWindow {
 			continue
 		}
 		peak, found = max(peak, rateBetween(samples[first], samples[last])), true
@@ -42,5 +42,5 @@
 	if b.At <= a.At {
 		return 0
 	}
-	return (b.Total - a.Total) / (b.At - a.At).Seconds()
+	return (b.Value - a.Value) / (b.At - a.At).Seconds()
 }
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -9,25 +9,25 @@
 // StepResult is what was measured of the real gateways in one step. Bytes are the payload of datagrams as the relay counted
 // them, sent by a real gateway unless the name says otherwise.
 type StepResult struct {
-	Name                   string  `json:"name"`
-	RealGateways           int     `json:"real_gateways"`
-	HollowGateways         int     `json:"hollow_gateways"`
-	Engines                int     `json:"engines"`
-	Seconds                float64 `json:"seconds"`                               // length of the step
-	StatementsPerSecond    float64 `json:"statements_per_second"`                 // that clients sent each real gateway
-	StatementsServed       float64 `json:"statements_served_share"`               // of them; 0 where none was sent
-	ProcessorShare         float64 `json:"processor_share"`                       // of a core, mean over the real gateways
-	ProcessorShareHighest  float64 `json:"processor_share_highest"`               // of the busiest of them
-	ResidentMB             float64 `json:"resident_mb"`                           // of the largest of them, at its peak
-	MeanBytesPerSecond     float64 `json:"mean_bytes_per_second"`                 // sent, mean over the real gateways
-	HighestBytesPerSecond  float64 `json:"highest_bytes_per_second_10s"`          // sent by any of them over 10 s
-	ReceivedBytesPerSecond float64 `json:"received_bytes_per_second"`             // mean over the real gateways
-	ReceivedHighest        float64 `json:"received_highest_bytes_per_second_10s"` // by any of them over 10 s
-	ListBytesPerSecond     float64 `json:"list_bytes_per_second"`                 // that the discovery server sent a watch, mean
-	Connections            float64 `json:"connections"`                           // TCP connections of a real gateway at the end, mean
-	SecondsUntilAllKnow    float64 `json:"seconds_until_all_know"`                // 0 where nothing changed
-	EnginesUsed            float64 `json:"engines_used"`                          // ready ones, mean over hollow gateways
-	EnginesKnownShare      float64 `json:"engines_known_share"`                   // of them, whose load is known; mean over hollow gateways
+	Name                       string  `json:"name"`
+	RealGateways               int     `json:"real_gateways"`
+	HollowGateways             int     `json:"hollow_gateways"`
+	Engines                    int     `json:"engines"`
+	Seconds                    float64 `json:"seconds"`                               // length of the step
+	StatementsPerSecond        float64 `json:"statements_per_second"`                 // that clients sent each real gateway
+	StatementsServedShare      float64 `json:"statements_served_share"`               // of them; 0 where none was sent
+	MeanCPUCores               float64 `json:"processor_share"`                       // of a core, mean over the real gateways
+	MaxCPUCores                float64 `json:"processor_share_highest"`               // of the busiest of them
+	ResidentMB                 float64 `json:"resident_mb"`                           // of the largest of them, at its peak
+	SentBytesPerSecond         float64 `json:"mean_bytes_per_second"`                 // sent, mean over the real gateways
+	PeakSentBytesPerSecond     float64 `json:"highest_bytes_per_second_10s"`          // sent by any of them over 10 s
+	ReceivedBytesPerSecond     float64 `json:"received_bytes_per_second"`             // mean over the real gateways
+	PeakReceivedBytesPerSecond float64 `json:"received_highest_bytes_per_second_10s"` // by any of them over 10 s
+	EngineListBytesPerSecond   float64 `json:"list_bytes_per_second"`                 // that the discovery server sent a watch, mean
+	Connections                float64 `json:"connections"`                           // TCP connections of a real gateway at the end, mean
+	ConvergenceSeconds         float64 `json:"seconds_until_all_know"`                // 0 where nothing changed
+	EnginesUsed                float64 `json:"engines_used"`                          // ready ones, mean over hollow gateways
+	EnginesKnownShare          float64 `json:"engines_known_share"`                   // of them, whose load is known; mean over hollow gateways
 }
 
 // EngineUsage is how the hollow gateways use the engines, as means over the gateways.
@@ -36,27 +36,27 @@
 	KnownShare float64 // share of them whose load it knows
 }
 
-// Facts are the conditions of a run.
-type Facts struct {
-	Cores            int     `json:"cores"`
-	MemoryMB         int     `json:"memory_mb"`
-	GoVersion        string  `json:"go_version"`
-	Seed             uint64  `json:"seed"`
-	Subset           int     `json:"subset_least,omitempty"` // engines that a gateway uses at least; 0 = all
-	LoadAtStart      float64 `json:"load_average_at_start"`  // over a minute
-	LoadAtEnd        float64 `json:"load_average_at_end"`
-	Zones            int     `json:"zones"`
-	Regions          int     `json:"regions"`
-	EngineDelayMS    float64 `json:"engine_delay_ms"`
-	ReportsPerSecond float64 `json:"reports_per_second"` // load reports that each hollow gateway makes up
-	DateUTC          string  `json:"date_utc"`
-	Options          string  `json:"options"` // of cmd/fleettest that reproduce the run
+// RunMetadata are the conditions of a run.
+type RunMetadata struct {
+	Cores              int     `json:"cores"`
+	MemoryMB           int     `json:"memory_mb"`
+	GoVersion          string  `json:"go_version"`
+	Seed               uint64  `json:"seed"`
+	SubsetMinEngines   int     `json:"subset_least,omitempty"` // engines that a gateway uses at least; 0 = all
+	LoadAverageAtStart float64 `json:"load_average_at_start"`  // over a minute
+	LoadAverageAtEnd   float64 `json:"load_average_at_end"`
+	Zones              int     `json:"zones"`
+	Regions            int     `json:"regions"`
+	EngineDelayMS      float64 `json:"engine_delay_ms"`
+	ReportsPerSecond   float64 `json:"reports_per_second"` // load reports that each hollow gateway makes up
+	DateUTC            string  `json:"date_utc"`
+	Options            string  `json:"options"` // of cmd/fleettest that reproduce the run
 }
 
 // Run is the result of one run.
 type Run struct {
-	Facts Facts        `json:"facts"`
-	Steps []StepResult `json:"steps"`
+	Metadata RunMetadata  `json:"facts"`
+	Steps    []StepResult `json:"steps"`
 }
 
 // File is the content of a result file.
@@ -82,8 +82,8 @@
 	return f, nil
 }
 
-// Slope returns the results of one step, sorted by the size of the fleet.
-func (f File) Slope(step string) (out []StepResult) {
+// ResultsBySize returns the results of one step, sorted by the size of the fleet.
+func (f File) ResultsBySize(step string) (out []StepResult) {
 	for _, run := range f.Runs {
 		for _, result := range run.Steps {
 			if result.Name == step {
--- a/internal/testbed/scale/runner/agreement.go
+++ b/internal/testbed/scale/runner/agreement.go
@@ -16,14 +16,14 @@
 // they do.
 const agreementInterval = 250 * time.Millisecond
 
-// ErrNotAgreed is the error of a step after which the views of some gateways do not match the truth.
-var ErrNotAgreed = errors.New("not all gateways agree")
+// ErrNotConverged is the error of a step after which the views of some gateways do not match the truth.
+var ErrNotConverged = errors.New("not all gateways agree")
 
 // waitAgreed waits until every gateway that runs has exactly the members in service that it can reach, and the latest engine
 // list. It returns how long that took.
 func (r *Runner) waitAgreed(ctx context.Context, what string) (time.Duration, error) {
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, r.plan.AgreementTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.plan.ConvergenceTimeout)
 	defer cancel()
 	tick := time.NewTicker(agreementInterval)
 	defer tick.Stop()
@@ -32,7 +32,7 @@
 		if err == nil {
 			return time.Since(start), nil
 		}
-		if !errors.Is(err, ErrNotAgreed) {
+		if !errors.Is(err, ErrNotConverged) {
 			return 0, fmt.Errorf("%s: %w", what, err)
 		}
 		select {
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkAgreed returns nil if all gateways agree, and otherwise an ErrNotAgreed that names one which does not.
+// checkAgreed returns nil if all gateways agree, and otherwise an ErrNotConverged that names one which does not.
 func (r *Runner) checkAgreed(ctx context.Context) error {
 	if err := r.checkReal(); err != nil {
 		return err
@@ -72,7 +72,7 @@
 
 // checkReal checks the gateways that are processes of the program.
 func (r *Runner) checkReal() error {
-	for viewer := range r.plan.Real {
+	for viewer := range r.plan.RealGateways {
 		if !r.up[viewer] {
 			continue
 		}
@@ -85,16 +85,16 @@
 
 func (r *Runner) checkRealGateway(viewer int) error {
 	if !r.fleet.Ready(viewer) {
-		return fmt.Errorf("%w: gateway %d does not serve", ErrNotAgreed, viewer)
+		return fmt.Errorf("%w: gateway %d does not serve", ErrNotConverged, viewer)
 	}
 	version, engines := r.expectedEngineList()
 	if v, n := r.fleet.EngineList(viewer); v != version || n != engines {
-		return fmt.Errorf("%w: gateway %d has version %d of the engine list with %d engines, not %d with %d", ErrNotAgreed,
+		return fmt.Errorf("%w: gateway %d has version %d of the engine list with %d engines, not %d with %d", ErrNotConverged,
 			viewer, v, n, version, engines)
 	}
 	for member := range r.plan.Members() {
 		if view := r.fleet.MemberState(viewer, member); (view == "alive") != r.shouldServe(viewer, member) {
-			return fmt.Errorf("%w: in the view of gateway %d member %d is %s, which runs: %v", ErrNotAgreed,
+			return fmt.Errorf("%w: in the view of gateway %d member %d is %s, which runs: %v", ErrNotConverged,
 				viewer, member, view, r.up[member])
 		}
 	}
@@ -106,19 +106,19 @@
 	version, engines := r.expectedEngineList()
 	fingerprints := make([]uint64, r.plan.Regions)
 	for region := range fingerprints {
-		viewer := slices.Index(r.plan.RegionsOfMembers(), region)
+		viewer := slices.Index(r.plan.MemberRegions(), region)
 		fingerprints[region] = scale.Fingerprint(r.plan.Members(), func(member int) bool { return r.shouldServe(viewer, member) })
 	}
 	for _, state := range states {
 		switch {
 		case state.Up != r.up[state.Number]:
-			return fmt.Errorf("%w: hollow gateway %d runs: %v", ErrNotAgreed, state.Number, state.Up)
+			return fmt.Errorf("%w: hollow gateway %d runs: %v", ErrNotConverged, state.Number, state.Up)
 		case !state.Up:
 		case state.EngineListVersion != version || state.Engines != engines:
-			return fmt.Errorf("%w: hollow gateway %d has version %d of the engine list with %d engines, not %d with %d", ErrNotAgreed,
+			return fmt.Errorf("%w: hollow gateway %d has version %d of the engine list with %d engines, not %d with %d", ErrNotConverged,
 				state.Number, state.EngineListVersion, state.Engines, version, engines)
 		case state.Fingerprint != fingerprints[r.plan.RegionOf(state.Number)]:
-			return fmt.Errorf("%w: hollow gateway %d has %d members in service, not the expected ones", ErrNotAgreed, state.Number, state.InService)
+			return fmt.Errorf("%w: hollow gateway %d has %d members in service, not the expected ones", ErrNotConverged, state.Number, state.InService)
 		}
 	}
 	return nil
--- a/internal/testbed/scale/runner/machine.go
+++ b/internal/testbed/scale/runner/machine.go
@@ -8,8 +8,8 @@
 	"frostpier/internal/testbed/scale"
 )
 
-// ThisMachine describes the machine that this process runs on. It returns an error where /proc or the limits cannot be read.
-func ThisMachine() (scale.Machine, error) {
+// LocalMachine describes the machine that this process runs on. It returns an error where /proc or the limits cannot be read.
+func LocalMachine() (scale.Machine, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return scale.Machine{}, fmt.Errorf("memory of the machine: %w", err)
--- a/internal/testbed/scale/runner/members.go
+++ b/internal/testbed/scale/runner/members.go
@@ -17,7 +17,7 @@
 	listen, peers := r.fleet.RemoteAddrs(), r.hollowPeers()
 	processes := r.plan.HollowProcesses()
 	for i := range processes {
-		first, end := i*r.plan.Hollow/processes, (i+1)*r.plan.Hollow/processes
+		first, end := i*r.plan.HollowGateways/processes, (i+1)*r.plan.HollowGateways/processes
 		process, err := r.startProcess(r.options.HollowGateways, fmt.Sprintf("hollow-%d.log", i))
 		if err != nil {
 			return err
@@ -25,10 +25,10 @@
 		group := &gatewayGroup{process: process}
 		r.gatewayGroups = append(r.gatewayGroups, group)
 		setup := hollow.GatewaySetup{Fleet: testfleet.FleetName, Seed: r.plan.Seed, Interval: r.options.Interval, Peers: peers,
-			ReportsPerSecond: r.options.ReportsPerSecond, DiscoveryAddr: r.fleet.Discovery.Addr(), Regions: r.plan.RegionsOfMembers(),
+			ReportsPerSecond: r.options.ReportsPerSecond, DiscoveryAddr: r.fleet.Discovery.Addr(), Regions: r.plan.MemberRegions(),
 			Zones: r.plan.ZoneNames(), Subset: r.subsetConfig()}
 		for k := first; k < end; k++ {
-			number := r.plan.Real + k
+			number := r.plan.RealGateways + k
 			group.members = append(group.members, number)
 			setup.Members = append(setup.Members, hollow.Member{Number: number, Zone: r.plan.ZoneOf(number), Listen: listen[k]})
 		}
@@ -43,11 +43,11 @@
 // drops their datagrams, and each other directly.
 func (r *Runner) hollowPeers() []netip.AddrPort {
 	faces := r.fleet.Relay.Addrs()
-	return append(slices.Clone(faces[:r.plan.Real]), r.fleet.RemoteAddrs()...)
+	return append(slices.Clone(faces[:r.plan.RealGateways]), r.fleet.RemoteAddrs()...)
 }
 
 func (r *Runner) allHollow() (out []int) {
-	for member := r.plan.Real; member < r.plan.Members(); member++ {
+	for member := r.plan.RealGateways; member < r.plan.Members(); member++ {
 		out = append(out, member)
 	}
 	return out
@@ -107,7 +107,7 @@
 // divideMembers divides members into real and hollow ones.
 func (r *Runner) divideMembers(members []int) (realOnes, hollowOnes []int) {
 	for _, member := range members {
-		if member < r.plan.Real {
+		if member < r.plan.RealGateways {
 			realOnes = append(realOnes, member)
 		} else {
 			hollowOnes = append(hollowOnes, member)
--- a/internal/testbed/scale/runner/runner.go
+++ b/internal/testbed/scale/runner/runner.go
@@ -29,7 +29,7 @@
 	Interval         time.Duration     // of the membership protocol; 0 = its default
 	EngineDelay      time.Duration     // until a hollow engine's answer
 	ReportsPerSecond float64           // load reports that each hollow gateway makes up
-	Note             func(text string) // called after each part of a step
+	Progress         func(text string) // called after each part of a step
 }
 
 // Runner runs a fleet of real and hollow gateways with hollow engines. Its methods are called by one goroutine.
@@ -63,7 +63,7 @@
 // Start starts a run and returns once all gateways agree on the members and the engine list. It returns a *scale.LimitError
 // for a plan that does not fit the machine. After an error nothing is left running; otherwise the caller calls Close.
 func Start(ctx context.Context, opt Options) (r *Runner, err error) {
-	machine, err := ThisMachine()
+	machine, err := LocalMachine()
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 			r = nil
 		}
 	}()
-	startCtx, cancel := context.WithTimeout(ctx, opt.Plan.AgreementTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, opt.Plan.ConvergenceTimeout)
 	defer cancel()
 	if err := r.startEngines(startCtx); err != nil {
 		return r, err
@@ -94,7 +94,7 @@
 	if _, err := r.waitAgreed(ctx, "start"); err != nil {
 		return r, err
 	}
-	r.sampler = startSampler(r.fleet, r.plan.Real)
+	r.sampler = startSampler(r.fleet, r.plan.RealGateways)
 	return r, nil
 }
 
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	r.fleet, err = testfleet.New(testfleet.Options{Gateways: r.plan.Real, RemoteMembers: r.plan.Hollow, Seed: r.plan.Seed, Dir: r.options.Dir,
+	r.fleet, err = testfleet.New(testfleet.Options{Gateways: r.plan.RealGateways, RemoteMembers: r.plan.HollowGateways, Seed: r.plan.Seed, Dir: r.options.Dir,
 		Command: r.options.Program, Env: r.options.Environment, Interval: r.options.Interval, Engines: slices.Clone(r.engineList),
 		Operator: operator, MaxDescriptors: r.plan.SocketLimit(), Settings: r.settings})
 	return err
@@ -112,7 +112,7 @@
 
 // startReal starts the real gateways and waits until they serve.
 func (r *Runner) startReal(ctx context.Context) error {
-	for i := range r.plan.Real {
+	for i := range r.plan.RealGateways {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 
 // PIDs returns the process IDs of the processes that the runner has started and that have not ended.
 func (r *Runner) PIDs() (out []int) {
-	for i := range r.plan.Real {
+	for i := range r.plan.RealGateways {
 		if pid := r.fleet.PID(i); pid > 0 {
 			out = append(out, pid)
 		}
--- a/internal/testbed/scale/runner/sampler.go
+++ b/internal/testbed/scale/runner/sampler.go
@@ -166,26 +166,26 @@
 		processor := scale.Rate(samplesOf(span, func(r reading) float64 { return r.processor[i] }))
 		sent := samplesOf(span, func(r reading) float64 { return r.sent[i] })
 		received := samplesOf(span, func(r reading) float64 { return r.received[i] })
-		out.ProcessorShare += processor * share
-		out.ProcessorShareHighest = max(out.ProcessorShareHighest, processor)
-		out.MeanBytesPerSecond += scale.Rate(sent) * share
-		out.HighestBytesPerSecond = max(out.HighestBytesPerSecond, scale.PeakRate(sent))
+		out.MeanCPUCores += processor * share
+		out.MaxCPUCores = max(out.MaxCPUCores, processor)
+		out.SentBytesPerSecond += scale.Rate(sent) * share
+		out.PeakSentBytesPerSecond = max(out.PeakSentBytesPerSecond, scale.PeakRate(sent))
 		out.ReceivedBytesPerSecond += scale.Rate(received) * share
-		out.ReceivedHighest = max(out.ReceivedHighest, scale.PeakRate(received))
+		out.PeakReceivedBytesPerSecond = max(out.PeakReceivedBytesPerSecond, scale.PeakRate(received))
 		out.Connections += float64(tcpConnections(s.pids[i])) * share
 		for _, r := range span {
 			out.ResidentMB = max(out.ResidentMB, r.resident[i]/(1<<20))
 		}
 	}
 	watchers := max(1, span[len(span)-1].watchers)
-	out.ListBytesPerSecond = scale.Rate(samplesOf(span, func(r reading) float64 { return r.discoveryBytes })) / float64(watchers)
+	out.EngineListBytesPerSecond = scale.Rate(samplesOf(span, func(r reading) float64 { return r.discoveryBytes })) / float64(watchers)
 	return out
 }
 
 // samplesOf returns the samples of one counter.
 func samplesOf(span []reading, counter func(reading) float64) (out []scale.Sample) {
 	for _, r := range span {
-		out = append(out, scale.Sample{At: r.at, Total: counter(r)})
+		out = append(out, scale.Sample{At: r.at, Value: counter(r)})
 	}
 	return out
 }
--- a/internal/testbed/scale/runner/settings.go
+++ b/internal/testbed/scale/runner/settings.go
@@ -60,11 +60,11 @@
 
 // subsetConfig returns the subset configuration of hollow gateways; nil where every gateway uses all engines.
 func (r *Runner) subsetConfig() *subset.Config {
-	if r.plan.Subset == 0 {
+	if r.plan.SubsetMinEngines == 0 {
 		return nil
 	}
 	config := subset.DefaultConfig()
-	config.MinEngines, config.Regions = r.plan.Subset, r.plan.ZonesByRegion()
+	config.MinEngines, config.Regions = r.plan.SubsetMinEngines, r.plan.ZonesByRegion()
 	return &config
 }
 
@@ -77,8 +77,8 @@
 // operator returns the sections of the real gateways' operator's file, with the same subset configuration.
 func (r *Runner) operator() (string, error) {
 	var sections operatorSections
-	if r.plan.Subset > 0 {
-		least := int64(r.plan.Subset)
+	if r.plan.SubsetMinEngines > 0 {
+		least := int64(r.plan.SubsetMinEngines)
 		sections.Subset = &settings.Subset{MinEngines: &least, Regions: r.regionNames()}
 	}
 	var text strings.Builder
--- a/internal/testbed/scale/runner/steps.go
+++ b/internal/testbed/scale/runner/steps.go
@@ -29,7 +29,7 @@
 
 // Play plays the plan's steps and returns their results. After an error it returns those of the steps before.
 func (r *Runner) Play(ctx context.Context) (scale.Run, error) {
-	run := scale.Run{Facts: r.facts()}
+	run := scale.Run{Metadata: r.facts()}
 	for _, step := range r.plan.Steps {
 		results, err := r.playStep(ctx, step)
 		run.Steps = append(run.Steps, results...)
@@ -40,13 +40,13 @@
 	if alarms := r.fleet.Alarms(); len(alarms) > 0 {
 		return run, fmt.Errorf("in the gateways' logs: %s", alarms[0])
 	}
-	run.Facts.LoadAtEnd = LoadAverage()
+	run.Metadata.LoadAverageAtEnd = LoadAverage()
 	return run, nil
 }
 
-func (r *Runner) facts() scale.Facts {
-	return scale.Facts{Subset: r.plan.Subset, Cores: runtime.NumCPU(), MemoryMB: int(r.machine.MemoryBytes >> 20), GoVersion: runtime.Version(),
-		Seed: r.plan.Seed, LoadAtStart: LoadAverage(), Zones: r.plan.Zones, Regions: r.plan.Regions,
+func (r *Runner) facts() scale.RunMetadata {
+	return scale.RunMetadata{SubsetMinEngines: r.plan.SubsetMinEngines, Cores: runtime.NumCPU(), MemoryMB: int(r.machine.MemoryBytes >> 20), GoVersion: runtime.Version(),
+		Seed: r.plan.Seed, LoadAverageAtStart: LoadAverage(), Zones: r.plan.Zones, Regions: r.plan.Regions,
 		EngineDelayMS: float64(r.options.EngineDelay) / float64(time.Millisecond), ReportsPerSecond: r.options.ReportsPerSecond,
 		DateUTC: time.Now().UTC().Format(time.RFC3339)}
 }
@@ -87,7 +87,7 @@
 		if err != nil {
 			return out, err
 		}
-		r.options.Note(fmt.Sprintf("%s: %.0f s, all knew after %.1f s", part.name, result.Seconds, result.SecondsUntilAllKnow))
+		r.options.Progress(fmt.Sprintf("%s: %.0f s, all knew after %.1f s", part.name, result.Seconds, result.ConvergenceSeconds))
 		out = append(out, result)
 	}
 	return out, nil
@@ -108,9 +108,9 @@
 	result := r.sampler.summarize(from, r.sampler.sample())
 	engines, err := r.engineUsage(ctx)
 	result.EnginesUsed, result.EnginesKnownShare = engines.Used, engines.KnownShare
-	result.Name, result.SecondsUntilAllKnow = p.name, played.allKnow.Seconds()
-	result.RealGateways, result.HollowGateways, result.Engines = r.plan.Real, r.plan.Hollow, r.plan.Engines
-	result.StatementsPerSecond, result.StatementsServed = played.statements, played.served
+	result.Name, result.ConvergenceSeconds = p.name, played.allKnow.Seconds()
+	result.RealGateways, result.HollowGateways, result.Engines = r.plan.RealGateways, r.plan.HollowGateways, r.plan.Engines
+	result.StatementsPerSecond, result.StatementsServedShare = played.statements, played.served
 	return result, err
 }
 
@@ -127,17 +127,17 @@
 }
 
 func (r *Runner) quiet(ctx context.Context) (partResult, error) {
-	return partResult{}, sleep(ctx, r.plan.Quiet)
+	return partResult{}, sleep(ctx, r.plan.QuietStep)
 }
 
 // loaded has clients send statements to the real gateways.
 func (r *Runner) loaded(ctx context.Context) (partResult, error) {
 	began := time.Now()
-	traffic := emulator.Traffic{Classes: lookupClass(), Rate: r.plan.Rate * float64(r.plan.Real), Gateways: r.plan.Real, Groups: 200,
+	traffic := emulator.Traffic{Classes: lookupClass(), Rate: r.plan.StatementRate * float64(r.plan.RealGateways), Gateways: r.plan.RealGateways, Groups: 200,
 		Zipf: 0.7, Seed: r.plan.Seed}
 	clients := emulator.NewClients(r.fleet.ClientAddrs(), traffic.Classes, r.plan.Seed, func() time.Duration { return time.Since(began) })
 	defer clients.Close()
-	clients.Run(traffic.Generate(r.plan.Quiet), ctx.Done())
+	clients.Run(traffic.Generate(r.plan.QuietStep), ctx.Done())
 	outcomes, _ := clients.Outcomes(0)
 	served := 0
 	for _, outcome := range outcomes {
@@ -145,20 +145,20 @@
 			served++
 		}
 	}
-	perSecond := float64(len(outcomes)) / float64(r.plan.Real) / r.plan.Quiet.Seconds()
+	perSecond := float64(len(outcomes)) / float64(r.plan.RealGateways) / r.plan.QuietStep.Seconds()
 	return partResult{statements: perSecond, served: float64(served) / float64(max(1, len(outcomes)))}, ctx.Err()
 }
 
 // restarts restarts members gracefully, in waves over the time of the step.
 func (r *Runner) restarts(ctx context.Context) (partResult, error) {
-	began, todo := time.Now(), r.plan.Restart
+	began, todo := time.Now(), r.plan.RestartOrder
 	for done := 0; done < len(todo); {
 		if err := ctx.Err(); err != nil {
 			return partResult{}, err
 		}
 		due := len(todo)
-		if passed := time.Since(began); passed < r.plan.RestartsOver {
-			due = 1 + int(float64(len(todo)-1)*passed.Seconds()/r.plan.RestartsOver.Seconds())
+		if passed := time.Since(began); passed < r.plan.RestartPeriod {
+			due = 1 + int(float64(len(todo)-1)*passed.Seconds()/r.plan.RestartPeriod.Seconds())
 		}
 		if due == done {
 			if err := sleep(ctx, agreementInterval); err != nil {
@@ -183,14 +183,14 @@
 }
 
 func (r *Runner) loseMachines(ctx context.Context) (partResult, error) {
-	if err := r.killMembers(ctx, r.plan.Lost); err != nil {
+	if err := r.killMembers(ctx, r.plan.FailedMembers); err != nil {
 		return partResult{}, err
 	}
 	return r.waitAllKnow(ctx, "machines lost")
 }
 
 func (r *Runner) startMachines(ctx context.Context) (partResult, error) {
-	if err := r.startMembers(ctx, r.plan.Lost); err != nil {
+	if err := r.startMembers(ctx, r.plan.FailedMembers); err != nil {
 		return partResult{}, err
 	}
 	return r.waitAllKnow(ctx, "machines back")
@@ -204,11 +204,11 @@
 
 // loseZone kills a zone's gateways and engines; the engine list is published immediately.
 func (r *Runner) loseZone(ctx context.Context) (partResult, error) {
-	engines := r.plan.EnginesIn(r.plan.LostZone)
+	engines := r.plan.EnginesIn(r.plan.FailedZone)
 	if err := r.setEngines(ctx, engines, false); err != nil {
 		return partResult{}, err
 	}
-	if err := r.killMembers(ctx, r.plan.MembersIn(r.plan.LostZone)); err != nil {
+	if err := r.killMembers(ctx, r.plan.MembersIn(r.plan.FailedZone)); err != nil {
 		return partResult{}, err
 	}
 	r.publish(engines, terminated, 0)
@@ -217,12 +217,12 @@
 
 // startZone starts the zone's gateways and engines again; the engines warm up.
 func (r *Runner) startZone(ctx context.Context) (partResult, error) {
-	engines := r.plan.EnginesIn(r.plan.LostZone)
+	engines := r.plan.EnginesIn(r.plan.FailedZone)
 	if err := r.setEngines(ctx, engines, true); err != nil {
 		return partResult{}, err
 	}
 	r.publish(engines, inService, time.Now().UnixMilli())
-	if err := r.startMembers(ctx, r.plan.MembersIn(r.plan.LostZone)); err != nil {
+	if err := r.startMembers(ctx, r.plan.MembersIn(r.plan.FailedZone)); err != nil {
 		return partResult{}, err
 	}
 	return r.waitAllKnow(ctx, "zone back")
@@ -238,7 +238,7 @@
 	if err != nil {
 		return partResult{}, err
 	}
-	return partition, sleep(ctx, r.plan.Cut-time.Since(began))
+	return partition, sleep(ctx, r.plan.MinPartition-time.Since(began))
 }
 
 func (r *Runner) healRegions(ctx context.Context) (partResult, error) {
@@ -256,7 +256,7 @@
 		if state == inService {
 			startedMS = time.Now().UnixMilli()
 		}
-		r.publish(r.plan.Changed, state, startedMS)
+		r.publish(r.plan.ReplacedEngines, state, startedMS)
 		published, err := r.waitAllKnow(ctx, "engines "+state)
 		if err != nil {
 			return partResult{}, err
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -11,14 +11,14 @@
 
 var (
 	machine  = Machine{MemoryBytes: 24 << 30, Descriptors: 20_000}
-	fullSize = Sizes{Real: 24, Hollow: 776, Engines: 1100, Zones: 7, Regions: 2}
+	fullSize = Sizes{RealGateways: 24, HollowGateways: 776, Engines: 1100, Zones: 7, Regions: 2}
 )
 
 func TestSizesThatDoNotFitNameOptionAndLimit(t *testing.T) {
 	if err := fullSize.Check(machine); err != nil {
 		t.Fatal(err)
 	}
-	need := fullSize.Need(machine)
+	need := fullSize.Requirements(machine)
 	if need.Processes >= MaxProcesses || need.MemoryBytes > machine.MemoryBytes/2 || need.Descriptors > machine.Descriptors {
 		t.Fatalf("%+v", need)
 	}
@@ -26,39 +26,39 @@
 		sizes   Sizes
 		machine Machine
 	}{
-		"--real":    {Sizes{Real: 199, Hollow: 1, Engines: 10, Zones: 1, Regions: 1}, Machine{1 << 40, 20_000}},
-		"--hollow":  {Sizes{Real: 2, Hollow: 798, Engines: 1100, Zones: 7, Regions: 2}, Machine{1 << 30, 20_000}},
+		"--real":    {Sizes{RealGateways: 199, HollowGateways: 1, Engines: 10, Zones: 1, Regions: 1}, Machine{1 << 40, 20_000}},
+		"--hollow":  {Sizes{RealGateways: 2, HollowGateways: 798, Engines: 1100, Zones: 7, Regions: 2}, Machine{1 << 30, 20_000}},
 		"--engines": {fullSize, Machine{24 << 30, 1024}},
 	} {
 		t.Run(option, func(t *testing.T) {
 			var limit *LimitError
-			if err := c.sizes.Check(c.machine); !errors.As(err, &limit) || limit.Option != option || limit.Need <= limit.Have {
+			if err := c.sizes.Check(c.machine); !errors.As(err, &limit) || limit.Option != option || limit.Required <= limit.Available {
 				t.Error(err)
 			}
 		})
 	}
 	var value *ValueError
 	nan := fullSize
-	nan.Rate = math.NaN()
+	nan.StatementRate = math.NaN()
 	if err := nan.Check(machine); !errors.As(err, &value) || value.Option != "--rate" {
 		t.Error(err)
 	}
 }
 
 func TestPlanFollowsItsSeed(t *testing.T) {
-	a, b := NewPlan(fullSize, DefaultTimes(), AllSteps(), 5), NewPlan(fullSize, DefaultTimes(), AllSteps(), 5)
-	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Restart, NewPlan(fullSize, DefaultTimes(), AllSteps(), 6).Restart) {
+	a, b := NewPlan(fullSize, DefaultDurations(), AllSteps(), 5), NewPlan(fullSize, DefaultDurations(), AllSteps(), 5)
+	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.RestartOrder, NewPlan(fullSize, DefaultDurations(), AllSteps(), 6).RestartOrder) {
 		t.Error("the seed does not determine the plan")
 	}
-	if len(a.Restart) != 330 || len(a.Lost) != 3 || len(a.Changed) != 55 || slices.Contains(a.Steps, Loaded) {
-		t.Errorf("%d restarts, %d machines, %d engines, %v", len(a.Restart), len(a.Lost), len(a.Changed), a.Steps)
+	if len(a.RestartOrder) != 330 || len(a.FailedMembers) != 3 || len(a.ReplacedEngines) != 55 || slices.Contains(a.Steps, Loaded) {
+		t.Errorf("%d restarts, %d machines, %d engines, %v", len(a.RestartOrder), len(a.FailedMembers), len(a.ReplacedEngines), a.Steps)
 	}
-	if a.Restart[0] >= fullSize.Real || a.Lost[0] >= fullSize.Real {
+	if a.RestartOrder[0] >= fullSize.RealGateways || a.FailedMembers[0] >= fullSize.RealGateways {
 		t.Error("a fault affects no real gateway")
 	}
-	sorted := slices.Clone(a.Restart)
+	sorted := slices.Clone(a.RestartOrder)
 	slices.Sort(sorted)
-	if len(slices.Compact(sorted)) != len(a.Restart) {
+	if len(slices.Compact(sorted)) != len(a.RestartOrder) {
 		t.Error("a member restarts twice")
 	}
 }
@@ -88,7 +88,7 @@
 	var samples []Sample
 	total := 0.0
 	for second := range 60 {
-		samples = append(samples, Sample{At: time.Duration(second) * time.Second, Total: total})
+		samples = append(samples, Sample{At: time.Duration(second) * time.Second, Value: total})
 		total += 100
 		if second >= 20 && second < 30 {
 			total += 400
@@ -107,9 +107,9 @@
 
 func TestResultsSurviveTheFile(t *testing.T) {
 	step := func(hollow int) StepResult {
-		return StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, MeanBytesPerSecond: float64(hollow)}
+		return StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, SentBytesPerSecond: float64(hollow)}
 	}
-	in := File{Runs: []Run{{Facts: Facts{Cores: 8, Seed: 3}, Steps: []StepResult{step(392)}}, {Steps: []StepResult{step(92), {Name: "list"}}}}}
+	in := File{Runs: []Run{{Metadata: RunMetadata{Cores: 8, Seed: 3}, Steps: []StepResult{step(392)}}, {Steps: []StepResult{step(92), {Name: "list"}}}}}
 	text, err := in.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 	if err != nil || !reflect.DeepEqual(in, out) {
 		t.Fatalf("%+v %v", out, err)
 	}
-	if slope := out.Slope("quiet"); len(slope) != 2 || slope[0].Members() != 100 || slope[1].Members() != 400 {
+	if slope := out.ResultsBySize("quiet"); len(slope) != 2 || slope[0].Members() != 100 || slope[1].Members() != 400 {
 		t.Errorf("%+v", slope)
 	}
 	if _, err := DecodeFile([]byte("{")); err == nil {
--- a/internal/testbed/scale/sizes.go
+++ b/internal/testbed/scale/sizes.go
@@ -8,17 +8,17 @@
 
 // Sizes are the sizes of a run.
 type Sizes struct {
-	Real    int     // gateways that are processes of the program
-	Hollow  int     // gateways of package hollow
-	Engines int     // hollow engines
-	Zones   int     // of gateways and engines
-	Regions int     // that the zones are in
-	Rate    float64 // statements a second that each real gateway is sent in the step "loaded"
-	Subset  int     // engines that a gateway uses at least; 0 = every gateway uses all
+	RealGateways     int     // gateways that are processes of the program
+	HollowGateways   int     // gateways of package hollow
+	Engines          int     // hollow engines
+	Zones            int     // of gateways and engines
+	Regions          int     // that the zones are in
+	StatementRate    float64 // statements a second that each real gateway is sent in the step "loaded"
+	SubsetMinEngines int     // engines that a gateway uses at least; 0 = every gateway uses all
 }
 
 // Members returns the number of gateways, real and hollow.
-func (s Sizes) Members() int { return s.Real + s.Hollow }
+func (s Sizes) Members() int { return s.RealGateways + s.HollowGateways }
 
 // Machine describes the machine of a run.
 type Machine struct {
@@ -62,10 +62,10 @@
 )
 
 // HollowProcesses returns how many processes run the hollow gateways.
-func (s Sizes) HollowProcesses() int { return ceilDiv(s.Hollow, HollowPerProcess) }
+func (s Sizes) HollowProcesses() int { return ceilDiv(s.HollowGateways, HollowPerProcess) }
 
 // connectionsPerEngine is how many connections the real gateways together may open to an engine.
-func (s Sizes) connectionsPerEngine() int { return int(engineConnections*float64(s.Real)) + 1 }
+func (s Sizes) connectionsPerEngine() int { return int(engineConnections*float64(s.RealGateways)) + 1 }
 
 // EngineProcesses returns how many processes run the hollow engines, so that none runs out of descriptors.
 func (s Sizes) EngineProcesses(m Machine) int {
@@ -80,58 +80,58 @@
 // SocketLimit returns how many descriptors a real gateway's configuration allows: enough for connections to all engines.
 func (s Sizes) SocketLimit() int { return 512 + 2*s.Engines }
 
-// Need is what a run needs.
-type Need struct {
+// Requirements is what a run needs.
+type Requirements struct {
 	Processes   int
 	MemoryBytes uint64
 	Descriptors uint64 // of the process that needs most
 }
 
-// Need returns what a run of these sizes needs on this machine.
-func (s Sizes) Need(m Machine) Need {
+// Requirements returns what a run of these sizes needs on this machine.
+func (s Sizes) Requirements(m Machine) Requirements {
 	members, engines := uint64(s.Members()), uint64(s.Engines)
 	hollowProcesses, engineProcesses := s.HollowProcesses(), s.EngineProcesses(m)
 	connections := engines * uint64(s.connectionsPerEngine())
-	memory := uint64(s.Real)*realBytes +
+	memory := uint64(s.RealGateways)*realBytes +
 		uint64(hollowProcesses+engineProcesses+toolProcesses)*processBytes +
-		uint64(s.Hollow)*(hollowBytes+members*hollowPerMember+engines*hollowPerEngine) +
+		uint64(s.HollowGateways)*(hollowBytes+members*hollowPerMember+engines*hollowPerEngine) +
 		engines*engineBytes + connections*connectionBytes +
 		members*(relayPerMember+engines*watcherPerEngine)
-	processes := s.Real + hollowProcesses + engineProcesses + toolProcesses
-	return Need{Processes: processes, MemoryBytes: memory, Descriptors: s.maxDescriptors(m, processes)}
+	processes := s.RealGateways + hollowProcesses + engineProcesses + toolProcesses
+	return Requirements{Processes: processes, MemoryBytes: memory, Descriptors: s.maxDescriptors(m, processes)}
 }
 
 // maxDescriptors is how many descriptors the process with most of them needs.
 func (s Sizes) maxDescriptors(m Machine, processes int) uint64 {
-	tool := s.Members()*facesAndWatchers + processes*pipesPerProcess + s.Real
-	hollow := min(s.Hollow, HollowPerProcess) * hollowDescriptors
+	tool := s.Members()*facesAndWatchers + processes*pipesPerProcess + s.RealGateways
+	hollow := min(s.HollowGateways, HollowPerProcess) * hollowDescriptors
 	engines := ceilDiv(s.Engines*(1+s.connectionsPerEngine()), max(1, s.EngineProcesses(m)))
 	return uint64(max(tool, hollow, engines, s.SocketLimit()) + spareDescriptors)
 }
 
 // LimitError is a run that does not fit the machine.
 type LimitError struct {
-	Option string // to lower, as on the command line
-	Limit  string // that the run would exceed
-	Need   uint64
-	Have   uint64
+	Option    string // to lower, as on the command line
+	Resource  string // that the run would exceed
+	Required  uint64
+	Available uint64
 }
 
 // Error names the option, what the run needs, and the limit.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("%s: the run would need %d, and the limit is %d (%s)", e.Option, e.Need, e.Have, e.Limit)
+	return fmt.Sprintf("%s: the run would need %d, and the limit is %d (%s)", e.Option, e.Required, e.Available, e.Resource)
 }
 
 // ValueError is an option whose value is out of bounds.
 type ValueError struct {
 	Option string
 	Value  string
-	Want   string
+	Bounds string
 }
 
 // Error names the option, its value and the bounds.
 func (e *ValueError) Error() string {
-	return fmt.Sprintf("%s: %s is not %s", e.Option, e.Value, e.Want)
+	return fmt.Sprintf("%s: %s is not %s", e.Option, e.Value, e.Bounds)
 }
 
 // Check returns a *ValueError for sizes that are out of bounds, and a *LimitError for those that do not fit the machine.
@@ -139,24 +139,24 @@
 	if err := s.checkValues(); err != nil {
 		return err
 	}
-	need := s.Need(m)
+	need := s.Requirements(m)
 	memory := uint64(memoryShare * float64(m.MemoryBytes))
 	if need.Processes > MaxProcesses {
-		return &LimitError{Option: "--real", Limit: "processes of a run", Need: uint64(need.Processes), Have: MaxProcesses}
+		return &LimitError{Option: "--real", Resource: "processes of a run", Required: uint64(need.Processes), Available: MaxProcesses}
 	}
 	if need.MemoryBytes > memory {
-		return &LimitError{Option: s.largestOption(), Limit: "half of the machine's memory, bytes", Need: need.MemoryBytes, Have: memory}
+		return &LimitError{Option: s.largestOption(), Resource: "half of the machine's memory, bytes", Required: need.MemoryBytes, Available: memory}
 	}
 	if limit := uint64(descriptorShare * float64(m.Descriptors)); need.Descriptors > limit {
-		return &LimitError{Option: s.largestDescriptorOption(), Limit: "four fifths of the descriptor limit", Need: need.Descriptors, Have: limit}
+		return &LimitError{Option: s.largestDescriptorOption(), Resource: "four fifths of the descriptor limit", Required: need.Descriptors, Available: limit}
 	}
 	return nil
 }
 
 // largestOption is the option that costs most memory.
 func (s Sizes) largestOption() string {
-	hollow := s.Hollow * (hollowBytes + s.Members()*hollowPerMember + s.Engines*hollowPerEngine)
-	if s.Real*realBytes >= hollow {
+	hollow := s.HollowGateways * (hollowBytes + s.Members()*hollowPerMember + s.Engines*hollowPerEngine)
+	if s.RealGateways*realBytes >= hollow {
 		return "--real"
 	}
 	return "--hollow"
@@ -176,8 +176,8 @@
 		value    int
 		min, max int
 	}{
-		{"--real", s.Real, 1, MaxMembers},
-		{"--hollow", s.Hollow, 0, MaxMembers},
+		{"--real", s.RealGateways, 1, MaxMembers},
+		{"--hollow", s.HollowGateways, 0, MaxMembers},
 		{"--real and --hollow together", s.Members(), 2, MaxMembers},
 		{"--engines", s.Engines, 1, MaxEngines},
 		{"--zones", s.Zones, 1, min(s.Members(), s.Engines)},
@@ -185,14 +185,14 @@
 	}
 	for _, r := range ranges {
 		if r.value < r.min || r.value > r.max {
-			return &ValueError{Option: r.option, Value: fmt.Sprint(r.value), Want: fmt.Sprintf("between %d and %d", r.min, r.max)}
+			return &ValueError{Option: r.option, Value: fmt.Sprint(r.value), Bounds: fmt.Sprintf("between %d and %d", r.min, r.max)}
 		}
 	}
-	if s.Subset < 0 || s.Subset > MaxEngines {
-		return &ValueError{Option: "--subset", Value: fmt.Sprint(s.Subset), Want: fmt.Sprintf("between 0 and %d", MaxEngines)}
+	if s.SubsetMinEngines < 0 || s.SubsetMinEngines > MaxEngines {
+		return &ValueError{Option: "--subset", Value: fmt.Sprint(s.SubsetMinEngines), Bounds: fmt.Sprintf("between 0 and %d", MaxEngines)}
 	}
-	if !(s.Rate >= 0 && s.Rate <= MaxRate) {
-		return &ValueError{Option: "--rate", Value: fmt.Sprint(s.Rate), Want: fmt.Sprintf("between 0 and %d", MaxRate)}
+	if !(s.StatementRate >= 0 && s.StatementRate <= MaxRate) {
+		return &ValueError{Option: "--rate", Value: fmt.Sprint(s.StatementRate), Bounds: fmt.Sprintf("between 0 and %d", MaxRate)}
 	}
 	return nil
 }
