--- a/internal/testbed/scale/fingerprint.go
+++ b/internal/testbed/scale/fingerprint.go
@@ -2,15 +2,15 @@
 
 import "hash/fnv"
 
-// Fingerprint returns a hash of the members in service, by which the views of two gateways can be compared.
-func Fingerprint(members int, serves func(member int) bool) uint64 {
+// Fingerprint returns a hash of the set of members in service. It is used to compare the views of two gateways.
+func Fingerprint(members int, inService func(member int) bool) uint64 {
 	hash := fnv.New64a()
 	for member := range members {
 		state := byte(0)
-		if serves(member) {
+		if inService(member) {
 			state = 1
 		}
-		hash.Write([]byte{state}) // a hash returns no error
+		hash.Write([]byte{state}) // never returns an error, see hash.Hash
 	}
 	return hash.Sum64()
 }
--- a/internal/testbed/scale/golden_test.go
+++ b/internal/testbed/scale/golden_test.go
@@ -7,8 +7,8 @@
 	"frostpier/internal/testutil"
 )
 
-// A result file of an earlier version is read, and written again as it was.
-func TestStoredResultsAreRead(t *testing.T) {
+// Checks that a result file of an earlier version decodes and encodes to the same text, and that the JSON names are unchanged.
+func TestStoredResultFileRoundTrips(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("testdata/results.json")
 	if err != nil {
--- a/internal/testbed/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Step is a step of a run.
+// Step is a step of a run, under its name in the option --steps and in result files.
 type Step string
 
-// Steps, in the order in which they are played.
+// Steps, in the order in which they are run.
 const (
-	Quiet     Step = "quiet"     // nothing happens
-	Loaded    Step = "loaded"    // clients send statements, and nothing else happens
-	Restarts  Step = "restarts"  // graceful restarts, spread over time
-	Machines  Step = "machines"  // machines fail, and recover
-	Zone      Step = "zone"      // a zone's gateways and engines fail, and recover; the engines warm up
-	Regions   Step = "regions"   // regions are partitioned, and heal
-	List      Step = "list"      // the engine list changes
-	Reconnect Step = "reconnect" // every watch reconnects and gets the full engine list
+	Quiet     Step = "quiet"     // no client traffic and no faults
+	Loaded    Step = "loaded"    // client traffic without faults
+	Restarts  Step = "restarts"  // graceful restarts of gateways, spread over time
+	Machines  Step = "machines"  // the machines of some gateways fail and recover
+	Zone      Step = "zone"      // the gateways and engines of a zone fail and recover; the engines warm up
+	Regions   Step = "regions"   // a network partition between the regions, and its end
+	List      Step = "list"      // engines are drained, removed and added again
+	Reconnect Step = "reconnect" // every watch of the discovery server reconnects and receives the full engine list
 )
 
-// AllSteps returns all steps in the order in which they are played.
+// AllSteps returns all steps in the order in which they are run.
 func AllSteps() []Step {
 	return []Step{Quiet, Loaded, Restarts, Machines, Zone, Regions, List, Reconnect}
 }
 
-// ParseSteps returns the named steps in the order in which they are played. It returns a *ValueError for unknown names, for
-// none, and for the step Loaded without a rate of statements.
+// ParseSteps returns the named steps in the order in which they are run. It returns a *ValueError if a name is unknown, if
+// there are no names, or if the step Loaded has a statement rate of 0.
 func ParseSteps(names []string, rate float64) ([]Step, error) {
 	if rate == 0 && slices.Contains(names, string(Loaded)) {
-		return nil, &ValueError{Option: "--rate", Value: "0", Bounds: "above 0, as the step loaded needs"}
+		return nil, &ValueError{Option: "--rate", Value: "0", Bounds: "above 0, which the step loaded requires"}
 	}
 	var out []Step
 	for _, name := range names {
@@ -59,77 +59,77 @@
 	return strings.Join(names, ", ")
 }
 
-// Durations are the times of a run. A step that waits until all gateways agree fails after Patience.
+// Durations are the durations of the steps of a run.
 type Durations struct {
-	QuietStep          time.Duration // length of the quiet and the loaded step
-	MinPartition       time.Duration // for how long regions are partitioned at least
-	RestartPeriod      time.Duration // over which restarts are spread
-	Settle             time.Duration // for which a step is measured after all gateways agree
-	ConvergenceTimeout time.Duration // for any one wait
+	QuietStep          time.Duration // length of the steps Quiet and Loaded
+	MinPartition       time.Duration // minimum length of the partition between regions
+	RestartPeriod      time.Duration // period over which the restarts are spread
+	Settle             time.Duration // how long a step is still measured after the fleet has converged
+	ConvergenceTimeout time.Duration // timeout of each wait for the fleet to converge; the step then fails
 }
 
-// DefaultDurations returns the times of a full run.
+// DefaultDurations returns the durations of a full run.
 func DefaultDurations() Durations {
 	return Durations{QuietStep: 30 * time.Second, MinPartition: 2 * time.Minute, RestartPeriod: 100 * time.Second, Settle: 10 * time.Second,
 		ConvergenceTimeout: 3 * time.Minute}
 }
 
-// maxStepTime is the longest time that an operator may set.
-const maxStepTime = 30 * time.Minute
+// maxStepDuration is the upper bound of the durations that are set by options.
+const maxStepDuration = 30 * time.Minute
 
-// Check returns a *ValueError for times out of bounds.
-func (t Durations) Check() error {
-	for _, one := range []struct {
+// Check returns a *ValueError for the first duration that is out of bounds.
+func (d Durations) Check() error {
+	for _, setting := range []struct {
 		option string
 		value  time.Duration
-	}{{"--quiet", t.QuietStep}, {"--cut", t.MinPartition}, {"--restarts-over", t.RestartPeriod}} {
-		if one.value < time.Second || one.value > maxStepTime {
-			return &ValueError{Option: one.option, Value: one.value.String(), Bounds: "between 1 s and " + maxStepTime.String()}
+	}{{"--quiet", d.QuietStep}, {"--cut", d.MinPartition}, {"--restarts-over", d.RestartPeriod}} {
+		if setting.value < time.Second || setting.value > maxStepDuration {
+			return &ValueError{Option: setting.option, Value: setting.value.String(), Bounds: "between 1 s and " + maxStepDuration.String()}
 		}
 	}
 	return nil
 }
 
-// Faults of a day in production, which are scaled to the size of a run.
+// Faults that the production fleet has in a day. The number of restarts is scaled to the size of the fleet in a run.
 const (
-	restartsPerDay    = 330
-	referenceGateways = 800 // gateways of the fleet that sees restartsPerDay
-	machinesLost      = 3
-	changedShare      = 0.05 // of the engines that are drained and replaced at once
+	restartsPerDay     = 330
+	productionGateways = 800 // size of the fleet that has restartsPerDay
+	failedMachines     = 3
+	replacedShare      = 0.05 // share of the engines that are drained and replaced at the same time
 )
 
-// Plan is what a run does. All that is random in it is drawn from its seed.
+// Plan is the sequence of steps of a run and the targets of its faults. All random choices are derived from the seed.
 type Plan struct {
 	Sizes
 	Durations
 	Seed            uint64
 	Steps           []Step
-	RestartOrder    []int // members, in the order in which they restart
-	FailedMembers   []int // members whose machines fail
-	FailedZone      int   // that fails
-	ReplacedEngines []int // engines that are drained and replaced
+	RestartOrder    []int // indexes of the members that restart, in order
+	FailedMembers   []int // indexes of the members whose machines fail
+	FailedZone      int   // index of the zone that fails
+	ReplacedEngines []int // indexes of the engines that are drained and replaced
 }
 
-// NewPlan draws a plan: the same one for the same seed and sizes. Without a rate of statements it leaves out the step Loaded.
-func NewPlan(sizes Sizes, times Durations, steps []Step, seed uint64) Plan {
+// NewPlan returns a random plan, which depends only on the arguments. It omits the step Loaded if the statement rate is 0.
+func NewPlan(sizes Sizes, durations Durations, steps []Step, seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 53))
 	if sizes.StatementRate == 0 {
 		steps = slices.DeleteFunc(slices.Clone(steps), func(s Step) bool { return s == Loaded })
 	}
-	p := Plan{Sizes: sizes, Durations: times, Seed: seed, Steps: steps}
+	p := Plan{Sizes: sizes, Durations: durations, Seed: seed, Steps: steps}
 	p.RestartOrder = drawMembers(random, sizes, restartCount(sizes.Members()))
-	p.FailedMembers = drawMembers(random, sizes, min(machinesLost, sizes.Members()-1))
+	p.FailedMembers = drawMembers(random, sizes, min(failedMachines, sizes.Members()-1))
 	p.FailedZone = random.IntN(sizes.Zones)
-	p.ReplacedEngines = random.Perm(sizes.Engines)[:max(1, int(changedShare*float64(sizes.Engines)))]
+	p.ReplacedEngines = random.Perm(sizes.Engines)[:max(1, int(replacedShare*float64(sizes.Engines)))]
 	return p
 }
 
-// restartCount is the fleet's part of the restarts of a day, at least one.
+// restartCount returns the number of restarts: those of a day in production, scaled to the fleet's size, and at least one.
 func restartCount(members int) int {
-	return min(members, max(1, (members*restartsPerDay+referenceGateways/2)/referenceGateways))
+	return min(members, max(1, (members*restartsPerDay+productionGateways/2)/productionGateways))
 }
 
-// drawMembers draws distinct members. The first is a real gateway, so that each fault affects the program itself.
+// drawMembers returns random distinct members. The first is a real gateway, so that each fault affects the program itself.
 func drawMembers(random *rand.Rand, sizes Sizes, count int) []int {
 	out := random.Perm(sizes.Members())
 	first := slices.IndexFunc(out, func(member int) bool { return member < sizes.RealGateways })
--- a/internal/testbed/scale/rate.go
+++ b/internal/testbed/scale/rate.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// PeakWindow is the shortest span over which a peak rate is measured.
+// PeakWindow is the minimum length of the window over which a peak rate is measured.
 const PeakWindow = 10 * time.Second
 
-// Sample is the value of a counter at a time.
+// Sample is the value of a counter at a point in time.
 type Sample struct {
 	At    time.Duration
 	Value float64
 }
 
-// Rate returns a counter's growth a second over all samples; 0 where there are fewer than two.
+// Rate returns the rate of a counter per second, over all samples. It returns 0 for fewer than two samples.
 func Rate(samples []Sample) float64 {
 	if len(samples) < 2 {
 		return 0
@@ -19,8 +19,8 @@
 	return rateBetween(samples[0], samples[len(samples)-1])
 }
 
-// PeakRate returns a counter's highest growth a second over any span of at least PeakSpan. Where the samples cover less it
-// is the rate over all of them.
+// PeakRate returns the highest rate of a counter per second, over any window of at least PeakWindow. If the samples cover a
+// shorter time, it returns the rate over all of them.
 func PeakRate(samples []Sample) float64 {
 	peak, first, found := 0.0, 0, false
 	for last := range samples {
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -6,51 +6,51 @@
 	"slices"
 )
 
-// StepResult is what was measured of the real gateways in one step. Bytes are the payload of datagrams as the relay counted
-// them, sent by a real gateway unless the name says otherwise.
+// StepResult holds the measurements of the real gateways in one step. Sent and received bytes are the payload of datagrams,
+// as counted by the relay. Means and maxima are over the real gateways, unless stated otherwise.
 type StepResult struct {
 	Name                       string  `json:"name"`
 	RealGateways               int     `json:"real_gateways"`
 	HollowGateways             int     `json:"hollow_gateways"`
 	Engines                    int     `json:"engines"`
 	Seconds                    float64 `json:"seconds"`                               // length of the step
-	StatementsPerSecond        float64 `json:"statements_per_second"`                 // that clients sent each real gateway
-	StatementsServedShare      float64 `json:"statements_served_share"`               // of them; 0 where none was sent
-	MeanCPUCores               float64 `json:"processor_share"`                       // of a core, mean over the real gateways
-	MaxCPUCores                float64 `json:"processor_share_highest"`               // of the busiest of them
-	ResidentMB                 float64 `json:"resident_mb"`                           // of the largest of them, at its peak
-	SentBytesPerSecond         float64 `json:"mean_bytes_per_second"`                 // sent, mean over the real gateways
-	PeakSentBytesPerSecond     float64 `json:"highest_bytes_per_second_10s"`          // sent by any of them over 10 s
-	ReceivedBytesPerSecond     float64 `json:"received_bytes_per_second"`             // mean over the real gateways
-	PeakReceivedBytesPerSecond float64 `json:"received_highest_bytes_per_second_10s"` // by any of them over 10 s
-	EngineListBytesPerSecond   float64 `json:"list_bytes_per_second"`                 // that the discovery server sent a watch, mean
-	Connections                float64 `json:"connections"`                           // TCP connections of a real gateway at the end, mean
-	ConvergenceSeconds         float64 `json:"seconds_until_all_know"`                // 0 where nothing changed
-	EnginesUsed                float64 `json:"engines_used"`                          // ready ones, mean over hollow gateways
-	EnginesKnownShare          float64 `json:"engines_known_share"`                   // of them, whose load is known; mean over hollow gateways
+	StatementsPerSecond        float64 `json:"statements_per_second"`                 // sent by clients to each real gateway
+	StatementsServedShare      float64 `json:"statements_served_share"`               // share of the statements that were served; 0 if none was sent
+	MeanCPUCores               float64 `json:"processor_share"`                       // mean processor time per second, in cores
+	MaxCPUCores                float64 `json:"processor_share_highest"`               // the same for the busiest real gateway
+	ResidentMB                 float64 `json:"resident_mb"`                           // maximum resident memory of any real gateway
+	SentBytesPerSecond         float64 `json:"mean_bytes_per_second"`                 // mean
+	PeakSentBytesPerSecond     float64 `json:"highest_bytes_per_second_10s"`          // maximum over any 10 s of any real gateway
+	ReceivedBytesPerSecond     float64 `json:"received_bytes_per_second"`             // mean
+	PeakReceivedBytesPerSecond float64 `json:"received_highest_bytes_per_second_10s"` // maximum over any 10 s of any real gateway
+	EngineListBytesPerSecond   float64 `json:"list_bytes_per_second"`                 // sent by the discovery server, mean over the watches
+	Connections                float64 `json:"connections"`                           // mean number of TCP connections at the end of the step
+	ConvergenceSeconds         float64 `json:"seconds_until_all_know"`                // time until the fleet converged; 0 if nothing changed
+	EnginesUsed                float64 `json:"engines_used"`                          // see EngineUsage
+	EnginesKnownShare          float64 `json:"engines_known_share"`                   // see EngineUsage
 }
 
-// EngineUsage is how the hollow gateways use the engines, as means over the gateways.
+// EngineUsage is the usage of engines by hollow gateways, as means over the hollow gateways.
 type EngineUsage struct {
-	Used       float64 // ready engines that a gateway uses
-	KnownShare float64 // share of them whose load it knows
+	Used       float64 // number of ready engines that a gateway uses
+	KnownShare float64 // share of the used engines whose load the gateway knows
 }
 
-// RunMetadata are the conditions of a run.
+// RunMetadata describes the machine, the time and the parameters of a run.
 type RunMetadata struct {
 	Cores              int     `json:"cores"`
 	MemoryMB           int     `json:"memory_mb"`
 	GoVersion          string  `json:"go_version"`
 	Seed               uint64  `json:"seed"`
-	SubsetMinEngines   int     `json:"subset_least,omitempty"` // engines that a gateway uses at least; 0 = all
-	LoadAverageAtStart float64 `json:"load_average_at_start"`  // over a minute
+	SubsetMinEngines   int     `json:"subset_least,omitempty"` // minimum size of a gateway's engine subset; 0 = all engines
+	LoadAverageAtStart float64 `json:"load_average_at_start"`  // load average over one minute
 	LoadAverageAtEnd   float64 `json:"load_average_at_end"`
 	Zones              int     `json:"zones"`
 	Regions            int     `json:"regions"`
 	EngineDelayMS      float64 `json:"engine_delay_ms"`
-	ReportsPerSecond   float64 `json:"reports_per_second"` // load reports that each hollow gateway makes up
+	ReportsPerSecond   float64 `json:"reports_per_second"` // load reports generated by each hollow gateway
 	DateUTC            string  `json:"date_utc"`
-	Options            string  `json:"options"` // of cmd/fleettest that reproduce the run
+	Options            string  `json:"options"` // command line options that repeat the run
 }
 
 // Run is the result of one run.
@@ -73,7 +73,7 @@
 	return append(text, '\n'), nil
 }
 
-// DecodeFile decodes a result file. It returns an error for text that is not JSON of its form.
+// DecodeFile decodes a result file. The error wraps that of the JSON decoder.
 func DecodeFile(text []byte) (File, error) {
 	var f File
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -82,7 +82,7 @@
 	return f, nil
 }
 
-// ResultsBySize returns the results of one step, sorted by the size of the fleet.
+// ResultsBySize returns the results of one step from all runs, sorted by the size of the fleet.
 func (f File) ResultsBySize(step string) (out []StepResult) {
 	for _, run := range f.Runs {
 		for _, result := range run.Steps {
@@ -95,10 +95,10 @@
 	return out
 }
 
-// Members returns the size of the fleet.
+// Members returns the number of gateways in the fleet, real and hollow.
 func (r StepResult) Members() int { return r.RealGateways + r.HollowGateways }
 
-// StepNames returns the names of all steps, in the order of their first results.
+// StepNames returns the names of all steps, in the order in which they first occur.
 func (f File) StepNames() (out []string) {
 	for _, run := range f.Runs {
 		for _, result := range run.Steps {
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -14,13 +14,14 @@
 	fullSize = Sizes{RealGateways: 24, HollowGateways: 776, Engines: 1100, Zones: 7, Regions: 2}
 )
 
-func TestSizesThatDoNotFitNameOptionAndLimit(t *testing.T) {
+// Checks that Sizes.Check accepts the full size, and that its error otherwise has the option to lower and the exceeded limit.
+func TestCheckNamesOptionAndLimit(t *testing.T) {
 	if err := fullSize.Check(machine); err != nil {
 		t.Fatal(err)
 	}
-	need := fullSize.Requirements(machine)
-	if need.Processes >= MaxProcesses || need.MemoryBytes > machine.MemoryBytes/2 || need.Descriptors > machine.Descriptors {
-		t.Fatalf("%+v", need)
+	required := fullSize.Requirements(machine)
+	if required.Processes >= MaxProcesses || required.MemoryBytes > machine.MemoryBytes/2 || required.Descriptors > machine.Descriptors {
+		t.Fatalf("%+v", required)
 	}
 	for option, c := range map[string]struct {
 		sizes   Sizes
@@ -45,7 +46,8 @@
 	}
 }
 
-func TestPlanFollowsItsSeed(t *testing.T) {
+// Checks that a plan depends on its seed only, and that each fault affects the expected number of members and a real gateway.
+func TestNewPlanIsDeterministic(t *testing.T) {
 	a, b := NewPlan(fullSize, DefaultDurations(), AllSteps(), 5), NewPlan(fullSize, DefaultDurations(), AllSteps(), 5)
 	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.RestartOrder, NewPlan(fullSize, DefaultDurations(), AllSteps(), 6).RestartOrder) {
 		t.Error("the seed does not determine the plan")
@@ -54,7 +56,7 @@
 		t.Errorf("%d restarts, %d machines, %d engines, %v", len(a.RestartOrder), len(a.FailedMembers), len(a.ReplacedEngines), a.Steps)
 	}
 	if a.RestartOrder[0] >= fullSize.RealGateways || a.FailedMembers[0] >= fullSize.RealGateways {
-		t.Error("a fault affects no real gateway")
+		t.Error("restarts or machine failures do not affect a real gateway")
 	}
 	sorted := slices.Clone(a.RestartOrder)
 	slices.Sort(sorted)
@@ -63,8 +65,9 @@
 	}
 }
 
-// Every member and engine has one zone, and every zone one region; members and engines are spread evenly over zones.
-func TestZonesShareMembersAndEngines(t *testing.T) {
+// Checks that each member and engine is in exactly one zone, that each zone is in one region, and that the zones have about
+// the same size.
+func TestZonesPartitionMembersAndEngines(t *testing.T) {
 	members, engines, regions := 0, 0, map[int]bool{}
 	for zone := range fullSize.Zones {
 		m, e := fullSize.MembersIn(zone), fullSize.EnginesIn(zone)
@@ -74,7 +77,7 @@
 		}
 		for _, member := range m {
 			if fullSize.RegionOf(member) != fullSize.RegionOf(m[0]) {
-				t.Errorf("zone %d lies in two regions", zone)
+				t.Errorf("zone %d is in two regions", zone)
 			}
 		}
 		regions[fullSize.RegionOf(m[0])] = true
@@ -84,7 +87,7 @@
 	}
 }
 
-func TestPeakIsTheHighestOverTenSeconds(t *testing.T) {
+func TestPeakRateIsMaximumOverWindow(t *testing.T) {
 	var samples []Sample
 	total := 0.0
 	for second := range 60 {
@@ -95,17 +98,17 @@
 		}
 	}
 	if got := PeakRate(samples); got != 500 {
-		t.Errorf("peak %g", got)
+		t.Errorf("peak rate is %g, want 500", got)
 	}
 	if got := PeakRate(samples[:5]); got != 100 {
-		t.Errorf("of a short span: %g", got)
+		t.Errorf("peak rate of samples shorter than PeakWindow is %g, want 100", got)
 	}
 	if got := Rate(samples[:1]); got != 0 {
-		t.Errorf("of one sample: %g", got)
+		t.Errorf("rate of one sample is %g, want 0", got)
 	}
 }
 
-func TestResultsSurviveTheFile(t *testing.T) {
+func TestFileEncodingRoundTrips(t *testing.T) {
 	step := func(hollow int) StepResult {
 		return StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, SentBytesPerSecond: float64(hollow)}
 	}
@@ -118,10 +121,10 @@
 	if err != nil || !reflect.DeepEqual(in, out) {
 		t.Fatalf("%+v %v", out, err)
 	}
-	if slope := out.ResultsBySize("quiet"); len(slope) != 2 || slope[0].Members() != 100 || slope[1].Members() != 400 {
-		t.Errorf("%+v", slope)
+	if results := out.ResultsBySize("quiet"); len(results) != 2 || results[0].Members() != 100 || results[1].Members() != 400 {
+		t.Errorf("%+v", results)
 	}
 	if _, err := DecodeFile([]byte("{")); err == nil {
-		t.Error("half a file was read")
+		t.Error("no error for a truncated file")
 	}
 }
--- a/internal/testbed/scale/sizes.go
+++ b/internal/testbed/scale/sizes.go
@@ -1,20 +1,20 @@
-// Package scale plans runs of fleets at the size of production. It owns the sizes that fit a machine, the layout of
-// members and engines in zones, the plan of a run with its faults, the rates of samples, and the format of the results.
-// It does no input or output: package scale/runner plays the plans, and cmd/fleettest takes the options and keeps the
-// results.
+// Package scale plans runs of fleets at the size of production. It computes what a run requires of the machine, assigns
+// members and engines to zones, generates the plan of a run with its faults, computes rates from samples, and defines the
+// format of the results. It does no input or output: package scale/runner executes the plans, and cmd/fleettest parses the
+// options and stores the results.
 package scale
 
 import "fmt"
 
-// Sizes are the sizes of a run.
+// Sizes are the sizes of the fleet in a run.
 type Sizes struct {
-	RealGateways     int     // gateways that are processes of the program
-	HollowGateways   int     // gateways of package hollow
-	Engines          int     // hollow engines
-	Zones            int     // of gateways and engines
-	Regions          int     // that the zones are in
-	StatementRate    float64 // statements a second that each real gateway is sent in the step "loaded"
-	SubsetMinEngines int     // engines that a gateway uses at least; 0 = every gateway uses all
+	RealGateways     int     // number of gateways that are processes of the program
+	HollowGateways   int     // number of gateways of package hollow
+	Engines          int     // number of hollow engines
+	Zones            int     // number of zones that the gateways and engines are assigned to
+	Regions          int     // number of regions that the zones are assigned to
+	StatementRate    float64 // statements per second that clients send to each real gateway in the step Loaded
+	SubsetMinEngines int     // minimum size of a gateway's engine subset; 0 = all engines
 }
 
 // Members returns the number of gateways, real and hollow.
@@ -22,149 +22,154 @@
 
 // Machine describes the machine of a run.
 type Machine struct {
-	MemoryBytes uint64 // of the machine
-	Descriptors uint64 // limit for one process
+	MemoryBytes uint64 // total memory
+	Descriptors uint64 // limit on the file descriptors of a process
 }
 
-// Bounds of a run, whatever the machine.
+// Bounds of a run.
 const (
 	MaxProcesses    = 200
-	MaxMembers      = 4096 // as package membership takes
+	MaxMembers      = 4096 // limit of package membership
 	MaxEngines      = 10_000
-	MaxRate         = 2_000 // statements a second and real gateway
-	memoryShare     = 0.5   // of the machine's memory that a run may use
-	descriptorShare = 0.8   // of the descriptor limit that a process may need
-	toolProcesses   = 1     // the tool itself: relay, discovery server, clients
+	MaxRate         = 2_000 // statements per second to each real gateway
+	memoryShare     = 0.5   // share of the machine's memory that a run may use
+	descriptorShare = 0.8   // share of its descriptor limit that a process may use
+	toolProcesses   = 1     // the tool itself, with the relay, the discovery server and the clients
 )
 
-// What the parts of a run need, rounded up from measurements. Memory is in bytes.
+// Resources that a run requires, rounded up from measurements. Memory is in bytes.
 const (
-	realBytes         = 96 << 20  // a gateway process before 1,100 engines and 800 members
-	processBytes      = 24 << 20  // a process of hollow parts, before any part
-	hollowBytes       = 512 << 10 // a hollow gateway, before its tables
-	hollowPerMember   = 400       // and for each member in its tables
-	hollowPerEngine   = 400       // and for each engine
-	engineBytes       = 16 << 10  // a hollow engine
-	connectionBytes   = 24 << 10  // a connection at a hollow engine or a client
-	relayPerMember    = 16 << 10  // a face of the relay and a watcher of the discovery server
-	watcherPerEngine  = 512       // an event on its way to a watcher
-	engineConnections = 1.25      // connections that a gateway may hold to an engine, its urgent share included
-	spareDescriptors  = 64        // files, pipes and the runtime's own
-	facesAndWatchers  = 2         // descriptors of the tool for a member
-	pipesPerProcess   = 4
-	hollowDescriptors = 3 // socket, watch, and a dial under way
+	gatewayBytes                = 96 << 20  // a gateway process with 1,100 engines and 800 members
+	hollowProcessBytes          = 24 << 20  // a process of hollow gateways or engines that has none yet
+	hollowGatewayBytes          = 512 << 10 // a hollow gateway without its tables
+	hollowBytesPerMember        = 400       // a member in the tables of a hollow gateway
+	hollowBytesPerEngine        = 400       // an engine in the tables of a hollow gateway
+	engineBytes                 = 16 << 10  // a hollow engine
+	connectionBytes             = 24 << 10  // a connection at a hollow engine or a client
+	relayBytesPerMember         = 16 << 10  // a relay address and a watch of the discovery server
+	watchBytesPerEngine         = 512       // an event in the send queue of a watch
+	connectionsPerGateway       = 1.25      // a gateway's connections to an engine, including those reserved for urgent queries
+	otherDescriptors            = 64        // files, pipes and descriptors of the Go runtime
+	descriptorsPerMember        = 2         // relay socket and watch connection in the tool
+	pipesPerProcess             = 4
+	descriptorsPerHollowGateway = 3 // socket, watch connection, and a connection attempt
 )
 
-// How many hollow gateways and engines share a process.
+// Numbers of hollow gateways and engines that share a process.
 const (
 	HollowPerProcess  = 200
 	enginesPerProcess = 550
 )
 
-// HollowProcesses returns how many processes run the hollow gateways.
+// HollowProcesses returns the number of processes that run the hollow gateways.
 func (s Sizes) HollowProcesses() int { return ceilDiv(s.HollowGateways, HollowPerProcess) }
 
-// connectionsPerEngine is how many connections the real gateways together may open to an engine.
-func (s Sizes) connectionsPerEngine() int { return int(engineConnections*float64(s.RealGateways)) + 1 }
+// connectionsPerEngine returns the number of connections that all real gateways together may open to an engine.
+func (s Sizes) connectionsPerEngine() int {
+	return int(connectionsPerGateway*float64(s.RealGateways)) + 1
+}
 
-// EngineProcesses returns how many processes run the hollow engines, so that none runs out of descriptors.
+// EngineProcesses returns the number of processes that run the hollow engines. It is large enough that each process stays
+// within the descriptor limit.
 func (s Sizes) EngineProcesses(m Machine) int {
-	available := max(1, int(descriptorShare*float64(m.Descriptors))-spareDescriptors)
+	available := max(1, int(descriptorShare*float64(m.Descriptors))-otherDescriptors)
 	byDescriptors := ceilDiv(s.Engines*(1+s.connectionsPerEngine()), available)
 	return max(byDescriptors, ceilDiv(s.Engines, enginesPerProcess))
 }
 
-// ceilDiv is n over by, rounded up.
-func ceilDiv(n, by int) int { return (n + by - 1) / by }
+// ceilDiv returns n divided by divisor, rounded up.
+func ceilDiv(n, divisor int) int { return (n + divisor - 1) / divisor }
 
-// SocketLimit returns how many descriptors a real gateway's configuration allows: enough for connections to all engines.
+// SocketLimit returns the descriptor limit in a real gateway's configuration. It allows connections to all engines.
 func (s Sizes) SocketLimit() int { return 512 + 2*s.Engines }
 
-// Requirements is what a run needs.
+// Requirements are the resources that a run requires.
 type Requirements struct {
 	Processes   int
 	MemoryBytes uint64
-	Descriptors uint64 // of the process that needs most
+	Descriptors uint64 // maximum over the processes
 }
 
-// Requirements returns what a run of these sizes needs on this machine.
+// Requirements returns the resources that a run of these sizes requires. The number of processes depends on the machine's
+// descriptor limit.
 func (s Sizes) Requirements(m Machine) Requirements {
 	members, engines := uint64(s.Members()), uint64(s.Engines)
 	hollowProcesses, engineProcesses := s.HollowProcesses(), s.EngineProcesses(m)
 	connections := engines * uint64(s.connectionsPerEngine())
-	memory := uint64(s.RealGateways)*realBytes +
-		uint64(hollowProcesses+engineProcesses+toolProcesses)*processBytes +
-		uint64(s.HollowGateways)*(hollowBytes+members*hollowPerMember+engines*hollowPerEngine) +
+	memory := uint64(s.RealGateways)*gatewayBytes +
+		uint64(hollowProcesses+engineProcesses+toolProcesses)*hollowProcessBytes +
+		uint64(s.HollowGateways)*(hollowGatewayBytes+members*hollowBytesPerMember+engines*hollowBytesPerEngine) +
 		engines*engineBytes + connections*connectionBytes +
-		members*(relayPerMember+engines*watcherPerEngine)
+		members*(relayBytesPerMember+engines*watchBytesPerEngine)
 	processes := s.RealGateways + hollowProcesses + engineProcesses + toolProcesses
 	return Requirements{Processes: processes, MemoryBytes: memory, Descriptors: s.maxDescriptors(m, processes)}
 }
 
-// maxDescriptors is how many descriptors the process with most of them needs.
+// maxDescriptors returns the highest number of descriptors that any process requires.
 func (s Sizes) maxDescriptors(m Machine, processes int) uint64 {
-	tool := s.Members()*facesAndWatchers + processes*pipesPerProcess + s.RealGateways
-	hollow := min(s.HollowGateways, HollowPerProcess) * hollowDescriptors
+	tool := s.Members()*descriptorsPerMember + processes*pipesPerProcess + s.RealGateways
+	hollow := min(s.HollowGateways, HollowPerProcess) * descriptorsPerHollowGateway
 	engines := ceilDiv(s.Engines*(1+s.connectionsPerEngine()), max(1, s.EngineProcesses(m)))
-	return uint64(max(tool, hollow, engines, s.SocketLimit()) + spareDescriptors)
+	return uint64(max(tool, hollow, engines, s.SocketLimit()) + otherDescriptors)
 }
 
-// LimitError is a run that does not fit the machine.
+// LimitError reports a run that requires more of a resource than the machine has.
 type LimitError struct {
-	Option    string // to lower, as on the command line
-	Resource  string // that the run would exceed
+	Option    string // command line option whose value should be lowered
+	Resource  string
 	Required  uint64
 	Available uint64
 }
 
-// Error names the option, what the run needs, and the limit.
+// Error returns a message with the option, the required amount and the limit.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("%s: the run would need %d, and the limit is %d (%s)", e.Option, e.Required, e.Available, e.Resource)
+	return fmt.Sprintf("%s: the run requires %d, limit %d (%s)", e.Option, e.Required, e.Available, e.Resource)
 }
 
-// ValueError is an option whose value is out of bounds.
+// ValueError reports a command line option whose value is out of bounds.
 type ValueError struct {
 	Option string
 	Value  string
-	Bounds string
+	Bounds string // completes "must be"
 }
 
-// Error names the option, its value and the bounds.
+// Error returns a message with the option, its value and the bounds.
 func (e *ValueError) Error() string {
-	return fmt.Sprintf("%s: %s is not %s", e.Option, e.Value, e.Bounds)
+	return fmt.Sprintf("%s: %s: must be %s", e.Option, e.Value, e.Bounds)
 }
 
-// Check returns a *ValueError for sizes that are out of bounds, and a *LimitError for those that do not fit the machine.
+// Check returns a *ValueError if a size is out of bounds, and a *LimitError if the machine lacks a required resource.
 func (s Sizes) Check(m Machine) error {
 	if err := s.checkValues(); err != nil {
 		return err
 	}
-	need := s.Requirements(m)
+	required := s.Requirements(m)
 	memory := uint64(memoryShare * float64(m.MemoryBytes))
-	if need.Processes > MaxProcesses {
-		return &LimitError{Option: "--real", Resource: "processes of a run", Required: uint64(need.Processes), Available: MaxProcesses}
+	if required.Processes > MaxProcesses {
+		return &LimitError{Option: "--real", Resource: "processes", Required: uint64(required.Processes), Available: MaxProcesses}
 	}
-	if need.MemoryBytes > memory {
-		return &LimitError{Option: s.largestOption(), Resource: "half of the machine's memory, bytes", Required: need.MemoryBytes, Available: memory}
+	if required.MemoryBytes > memory {
+		return &LimitError{Option: s.memoryOption(), Resource: "bytes of memory, half of the machine's", Required: required.MemoryBytes, Available: memory}
 	}
-	if limit := uint64(descriptorShare * float64(m.Descriptors)); need.Descriptors > limit {
-		return &LimitError{Option: s.largestDescriptorOption(), Resource: "four fifths of the descriptor limit", Required: need.Descriptors, Available: limit}
+	if limit := uint64(descriptorShare * float64(m.Descriptors)); required.Descriptors > limit {
+		return &LimitError{Option: s.descriptorOption(), Resource: "descriptors of a process, 80 % of the limit", Required: required.Descriptors,
+			Available: limit}
 	}
 	return nil
 }
 
-// largestOption is the option that costs most memory.
-func (s Sizes) largestOption() string {
-	hollow := s.HollowGateways * (hollowBytes + s.Members()*hollowPerMember + s.Engines*hollowPerEngine)
-	if s.RealGateways*realBytes >= hollow {
+// memoryOption returns the option that contributes most to the required memory.
+func (s Sizes) memoryOption() string {
+	hollow := s.HollowGateways * (hollowGatewayBytes + s.Members()*hollowBytesPerMember + s.Engines*hollowBytesPerEngine)
+	if s.RealGateways*gatewayBytes >= hollow {
 		return "--real"
 	}
 	return "--hollow"
 }
 
-// largestDescriptorOption is the option that costs most descriptors.
-func (s Sizes) largestDescriptorOption() string {
-	if s.Members()*facesAndWatchers > s.SocketLimit() {
+// descriptorOption returns the option that contributes most to the required descriptors.
+func (s Sizes) descriptorOption() string {
+	if s.Members()*descriptorsPerMember > s.SocketLimit() {
 		return "--hollow"
 	}
 	return "--engines"
