--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,4 +1,5 @@
-// Package layers checks the layered architecture that docs/ARCHITECTURE.md describes: a package must not import one of a higher layer.
+// Package layers checks the layered architecture that docs/ARCHITECTURE.md describes: a package must not import one of a higher layer. It also
+// checks that the pages name only paths, tests, identifiers and log messages that exist.
 package layers
 
 import (
