--- a/internal/testbed/capacity/definitions.go
+++ b/internal/testbed/capacity/definitions.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// What the size of a slope counts.
+// Values of Slope.SizeOf, which say what the size of a slope counts.
 const (
 	Engines     = "engines"
 	Gateways    = "gateways"
@@ -12,14 +12,14 @@
 // Units of slopes.
 const (
 	Seconds          = "s"
-	SecondsPerSecond = "s/s" // processor time over wall time, a share of a core
+	SecondsPerSecond = "s/s" // processor time per wall-clock time, the share of a core
 	Bytes            = "bytes"
 	BytesPerSecond   = "bytes/s"
 	PerSecond        = "1/s"
 	Share            = "share"
 )
 
-// Group is a group of measurements that can be run alone.
+// Group is a group of measurements that can be run separately.
 type Group string
 
 // The groups.
@@ -38,25 +38,25 @@
 	return []Group{GroupDecision, GroupReports, GroupMembership, GroupFaults, GroupDiscovery, GroupConnections, GroupStaged}
 }
 
-// Definition defines a slope that is to be measured.
+// Definition defines a slope to measure.
 type Definition struct {
 	Group  Group
 	Name   string
-	Unit   string // one of the units, as Seconds
-	SizeOf string // what the size counts, as Engines
-	Form   Form   // of the curve that is fitted
+	Unit   string // Seconds or another unit
+	SizeOf string // what the size counts: Engines, Gateways or Connections
+	Form   Form   // of the fitted curve
 }
 
-// Command returns the command that measures the slope again.
+// Command returns the command line that measures the slope.
 func (d Definition) Command() string {
 	text := fmt.Sprintf("bin/fleettest slopes --only %s", d.Group)
 	if d.Group == GroupReports || d.Group == GroupMembership || d.Group == GroupFaults {
-		text += " --memory-mb 768" // for the tables of 800 gateways in one process
+		text += " --memory-mb 768" // for the membership tables of 800 gateways in one process
 	}
 	return text
 }
 
-// Definitions returns all slopes, in the order of result files.
+// Definitions returns the definitions of all slopes, in the order of result files.
 func Definitions() []Definition {
 	list := []Definition{
 		{GroupDecision, DecisionProcessor, Seconds, Engines, Linear},
@@ -89,8 +89,8 @@
 	return list
 }
 
-// phaseDefinitions returns the slopes of a phase. Without a fault, and after one has settled, gossip costs a gateway the
-// same in a fleet of any size, so those curves are flat.
+// phaseDefinitions returns the definitions of the slopes of a phase. Without a fault, and after the fleet has settled, the
+// cost of gossip to a gateway does not depend on the size of the fleet, so those slopes are flat.
 func phaseDefinitions(phase Phase) (list []Definition) {
 	units := map[PhaseQuantity]string{PeakDatagrams: PerSecond, PeakProcessorTime: SecondsPerSecond, ConvergenceSeconds: Seconds}
 	for _, quantity := range PhaseQuantities(phase) {
--- a/internal/testbed/capacity/doc.go
+++ b/internal/testbed/capacity/doc.go
@@ -1,8 +1,9 @@
-// Package capacity is the model behind docs/operators/CAPACITY.md. It holds the fleet that operators expect, estimates what each
-// part of the program costs there from slopes that were measured at several sizes, and ranks the requirements by the
-// fleet size at which each is missed first.
+// Package capacity is the capacity model that generates the tables of docs/operators/CAPACITY.md. It defines the fleet that
+// operators expect, estimates what each part of the program costs at that size, and ranks the requirements by the smallest
+// fleet that misses them.
 //
-// A slope is a quantity measured at several sizes with the curve fitted to it. Package measure takes the measurements;
-// `fleettest slopes` and `fleettest capacity` read and write the files. This package does no input or output, reads no
-// clock and keeps no state: its values may be used from any goroutine as long as none changes them.
+// The estimates are derived from slopes. A slope is a quantity measured at several sizes, with a curve fitted to it.
+// Package measure takes the measurements; `fleettest slopes` and `fleettest capacity` read and write the files. This
+// package does no I/O, reads no clock and has no global state. Its values are safe for concurrent use as long as no
+// goroutine modifies them.
 package capacity
--- a/internal/testbed/capacity/effect.go
+++ b/internal/testbed/capacity/effect.go
@@ -5,12 +5,13 @@
 	"math"
 )
 
-// effectPhases returns the phases that have a column of effects. Healing is described with the partition.
+// effectPhases returns the phases that have a column in the table of effects. The column of RegionsPartitioned also covers
+// PartitionHealed.
 func effectPhases() []Phase {
 	return []Phase{MachineLost, Restart, RackLost, ZoneLost, ZoneRecovered, RegionsPartitioned}
 }
 
-// effectTable returns the effect of each fault on each role.
+// effectTable returns a table of the effect of each fault on each role.
 func (m Model) effectTable() Table {
 	table := Table{Header: []string{"role"}}
 	for _, phase := range effectPhases() {
@@ -26,7 +27,7 @@
 	return table
 }
 
-// stateOf returns the state of a phase.
+// stateOf returns the state of the fleet in a phase.
 func (m Model) stateOf(phase Phase) State {
 	for _, state := range m.States() {
 		if state.Phase == phase {
@@ -62,9 +63,9 @@
 	case state.Phase == RegionsPartitioned:
 		return "clients stay within their region"
 	case state.Phase == ZoneRecovered:
-		return "clients come back as they connect anew"
+		return "clients return as they reconnect"
 	case moved > 0:
-		return fmt.Sprintf("%s connections move; %.0f at each other gateway", formatCount(moved), state.ClientConnections)
+		return fmt.Sprintf("%s connections move; %.0f at each remaining gateway", formatCount(moved), state.ClientConnections)
 	}
 	return "none"
 }
@@ -74,15 +75,15 @@
 	switch {
 	case state.Phase == RegionsPartitioned:
 		connections := m.Target.Gateways * m.Target.Engines / m.Target.Regions
-		return fmt.Sprintf("those to the other region end: %s in all", formatCount(connections))
+		return fmt.Sprintf("connections to the other region close: %s in total", formatCount(connections))
 	case state.Phase == ZoneRecovered:
 		gateways, engines := m.losses(ZoneLost)
 		connections := m.Target.Gateways*engines + gateways*state.Engines - gateways*engines
-		return fmt.Sprintf("%s are opened within seconds", formatCount(connections))
+		return fmt.Sprintf("%s connections are opened within seconds", formatCount(connections))
 	case state.Phase == Restart:
-		return fmt.Sprintf("%s are opened anew", formatCount(state.Engines))
+		return fmt.Sprintf("%s connections are reopened", formatCount(state.Engines))
 	}
-	return fmt.Sprintf("%s end at each gateway", formatCount(math.Ceil(lost)))
+	return fmt.Sprintf("connections closed at each gateway: %s", formatCount(math.Ceil(lost)))
 }
 
 func (m Model) membershipEffect(state State) string {
@@ -90,19 +91,19 @@
 	text := fmt.Sprintf("%s at the peak", formatBytesPerSecond(m.estimate(PeakBytes.SlopeName(state.Phase), gateways)))
 	if state.Phase == RegionsPartitioned {
 		healing := m.estimate(PeakBytes.SlopeName(PartitionHealed), gateways)
-		return fmt.Sprintf("%s, %s when healed; each side counts the other as dead", text, formatBytesPerSecond(healing))
+		return fmt.Sprintf("%s, %s after healing; each side considers the other dead", text, formatBytesPerSecond(healing))
 	}
 	return text + ", all agree after " + formatSeconds(m.estimate(ConvergenceSeconds.SlopeName(state.Phase), gateways))
 }
 
 func (m Model) reportEffect(state State) string {
 	bytes := m.estimate(PeakBytesWithReports.SlopeName(state.Phase), m.Target.Gateways)
-	peak := fmt.Sprintf("%s with membership at the peak", formatBytesPerSecond(bytes))
+	peak := fmt.Sprintf("%s at the peak, including membership", formatBytesPerSecond(bytes))
 	switch state.Phase {
 	case RegionsPartitioned:
-		return "none of the other region's engines; " + peak
+		return "no reports of the other region's engines; " + peak
 	case Restart, ZoneRecovered:
-		return "a gateway that starts knows none for some seconds"
+		return "a starting gateway has no reports for some seconds"
 	}
 	return peak
 }
@@ -112,50 +113,53 @@
 	gateways, engines := m.losses(state.Phase)
 	switch state.Phase {
 	case Restart:
-		return formatBytes(list) + " to the gateway that starts, if its configuration holds no list"
+		return formatBytes(list) + " to the starting gateway, if its configuration has no list"
 	case ZoneRecovered:
 		gateways, engines = m.losses(ZoneLost)
-		return fmt.Sprintf("%s to those that start, %s changes to all", formatBytes(list*gateways), formatCount(math.Ceil(engines)))
+		return fmt.Sprintf("%s to the starting gateways, %s changed lines to all gateways", formatBytes(list*gateways),
+			formatCount(math.Ceil(engines)))
 	case RegionsPartitioned:
-		return fmt.Sprintf("the region without the server keeps its last list; a whole list to each after: %s",
+		return fmt.Sprintf("the region without the server keeps its last list; afterwards a full list to each of its gateways: %s",
 			formatBytes(list*m.Target.Gateways/m.Target.Regions))
 	}
-	return fmt.Sprintf("changed lines to each of %.0f gateways, of some 165 B: %s", m.Target.Gateways-gateways, formatCount(math.Ceil(engines)))
+	return fmt.Sprintf("changed lines of about 165 B to each of %.0f gateways: %s", m.Target.Gateways-gateways, formatCount(math.Ceil(engines)))
 }
 
-// controlEffect describes the effect on roles of control machines, most of which the program does not have.
+// controlEffect describes the effect on the roles of control machines. The program implements few of them.
 func (m Model) controlEffect(role RoleName, state State) string {
 	t := m.Target
 	switch role {
 	case Configuration:
 		if state.Phase == Restart {
-			return fmt.Sprintf("falls into %s of the changes; which file it reads is open", formatPercent(t.RestartOverlap()))
+			return fmt.Sprintf("overlaps with %s of the changes; whether the gateway reads the old or the new file is undefined",
+				formatPercent(t.RestartOverlap()))
 		}
-		return "nothing tells who missed a change"
+		return "nothing detects gateways that missed a change"
 	case StagedChange:
 		if state.Phase == RegionsPartitioned {
-			return "holds: too little is known of the other region"
+			return "holds: too few reports from the other region"
 		}
-		return "a change under way holds, or goes on once they report again"
+		return "a change in progress holds, or continues once the gateways report again"
 	case Primaries:
 		if state.Phase == Restart || state.Phase == ZoneRecovered {
 			return "none"
 		}
-		return fmt.Sprintf("%s of the engines' primaries have to change; nothing does it", formatPercent(1-state.Engines/t.Engines))
+		return fmt.Sprintf("%s of the engines' primaries have to change; no mechanism does so", formatPercent(1-state.Engines/t.Engines))
 	}
 	return m.quorumEffect(state)
 }
 
-// quorumEffect describes which majority of the control machines remains, if they are spread evenly over zones and regions.
+// quorumEffect describes whether a majority of the control machines remains, if they are spread evenly over zones and
+// regions.
 func (m Model) quorumEffect(state State) string {
 	machines := m.Target.ControlMachines
 	switch state.Phase {
 	case ZoneLost:
-		return fmt.Sprintf("%.0f of %.0f left: a majority", machines-1, machines)
+		return fmt.Sprintf("%.0f of %.0f remain: a majority", machines-1, machines)
 	case RegionsPartitioned:
 		return fmt.Sprintf("%.0f on each side: no majority on either", machines/m.Target.Regions)
 	case MachineLost, RackLost:
-		return fmt.Sprintf("at most one of %.0f: a majority is left", machines)
+		return fmt.Sprintf("at most one of %.0f lost: a majority remains", machines)
 	}
 	return "none"
 }
--- a/internal/testbed/capacity/fault.go
+++ b/internal/testbed/capacity/fault.go
@@ -2,33 +2,33 @@
 
 import "fmt"
 
-// State is the fleet in a phase, as a running gateway sees it.
+// State describes the fleet in a phase.
 type State struct {
 	Phase               Phase
-	Frequency           string  // how often the phase occurs, as on the page
-	Gateways            float64 // running
-	Engines             float64 // reachable
-	StatementsPerSecond float64 // a second at a gateway
-	ClientConnections   float64 // connections at a gateway
+	Frequency           string  // how often the phase occurs, as printed on the page
+	Gateways            float64 // running gateways that can reach each other
+	Engines             float64 // engines that a gateway can reach
+	StatementsPerSecond float64 // per gateway
+	ClientConnections   float64 // per gateway
 }
 
-// rackShare is the share of gateways and engines that stand in one rack. It is assumed, since the operators state none:
-// 20 of 800 gateways and 28 of 1,100 engines.
+// rackShare is the share of gateways and engines in one rack: 20 of 800 gateways and 28 of 1,100 engines. It is assumed,
+// because the operators specify none.
 const rackShare = 1.0 / 40
 
-// States returns the fleet in each phase.
+// States returns the state of the fleet in each phase.
 func (m Model) States() []State {
 	t := m.Target
 	full := State{Gateways: t.Gateways, Engines: t.Engines, StatementsPerSecond: t.StatementsPerGateway(), ClientConnections: t.ClientsPerGateway()}
 	frequency := map[Phase]string{
-		Quiet:              "else",
-		Restart:            fmt.Sprintf("%s a day, one in %s", formatCount(t.RestartsPerDay), formatSeconds(daySeconds/t.RestartsPerDay)),
+		Quiet:              "otherwise",
+		Restart:            fmt.Sprintf("%s a day, one every %s", formatCount(t.RestartsPerDay), formatSeconds(daySeconds/t.RestartsPerDay)),
 		MachineLost:        fmt.Sprintf("%s a day", formatCount(t.MachinesPerDay)),
-		RackLost:           "each month or two",
+		RackLost:           "every month or two",
 		ZoneLost:           "every other month",
-		ZoneRecovered:      "after each of these",
-		RegionsPartitioned: fmt.Sprintf("now and then, for %s min", formatCount(t.RegionsApart.Minutes())),
-		PartitionHealed:    "after each of these",
+		ZoneRecovered:      "after each loss of a zone",
+		RegionsPartitioned: fmt.Sprintf("occasionally, for %s min", formatCount(t.RegionsApart.Minutes())),
+		PartitionHealed:    "after each partition",
 	}
 	var states []State
 	for _, phase := range Phases() {
@@ -43,7 +43,7 @@
 	return states
 }
 
-// losses returns how many gateways and engines are lost in a phase.
+// losses returns the numbers of gateways and engines that are lost in a phase.
 func (m Model) losses(phase Phase) (gateways, engines float64) {
 	t := m.Target
 	switch phase {
@@ -59,28 +59,28 @@
 	return 0, 0
 }
 
-// afterLoss returns the state after a loss: the load of the lost gateways is spread over the others.
+// afterLoss returns the state after the loss of gateways and engines. The load of the lost gateways is spread evenly over
+// the remaining ones.
 func (s State) afterLoss(gateways, engines float64) State {
 	share := s.Gateways / (s.Gateways - gateways)
 	return State{Gateways: s.Gateways - gateways, Engines: s.Engines - engines, StatementsPerSecond: s.StatementsPerSecond * share,
 		ClientConnections: s.ClientConnections * share}
 }
 
-// Peak is the cost of a state to a gateway, over its worst 10 s.
+// Peak is the cost of a state at one gateway, in the 10 s in which it is highest.
 type Peak struct {
 	State
-	DecisionProcessor  float64 // share of a core
-	Total              Cost    // without the clients' connections
-	MemoryWithClients  float64 // bytes of memory
+	DecisionProcessor  float64 // share of a core used by decisions
+	Total              Cost    // without client connections
+	MemoryWithClients  float64 // bytes of memory including client connections
 	MembershipBytes    float64 // bytes sent per second, without load reports
 	TopSenderBytes     float64 // bytes sent per second by the gateway that sends most, with load reports
-	SecondsOverBudget  float64 // how long the mean over 10 s exceeded the budget, with load reports
-	ConvergenceSeconds float64 // until all views agree; 0 = they differ by design
+	SecondsOverBudget  float64 // how long the 10 s average of bytes exceeded the budget, with load reports
+	ConvergenceSeconds float64 // until all membership views agree; 0 = they differ by design
 	Verdicts           []Verdict
 }
 
-// Peaks returns all states with their costs. The peaks of membership were measured with as many gateways as the target
-// has.
+// Peaks returns all states with their costs. The peaks of membership were measured with the target's number of gateways.
 func (m Model) Peaks() (peaks []Peak) {
 	for _, state := range m.States() {
 		peaks = append(peaks, m.peak(state))
--- a/internal/testbed/capacity/format.go
+++ b/internal/testbed/capacity/format.go
@@ -23,7 +23,7 @@
 	return formatNumber(value)
 }
 
-// formatSeconds formats a time in seconds as us, ms or s.
+// formatSeconds formats a duration in seconds as us, ms or s.
 func formatSeconds(value float64) string {
 	switch {
 	case value < 1e-3:
@@ -34,7 +34,7 @@
 	return formatNumber(value) + " s"
 }
 
-// formatBytes formats a number of bytes as B, KB or MB, in powers of ten.
+// formatBytes formats a number of bytes as B, KB or MB, where 1 KB is 1000 bytes.
 func formatBytes(value float64) string {
 	switch {
 	case value >= 1e6:
@@ -45,12 +45,12 @@
 	return formatNumber(value) + " B"
 }
 
-// formatCount formats a number rounded to an integer.
+// formatCount formats a number as an integer.
 func formatCount(value float64) string { return fmt.Sprintf("%.0f", value) }
 
 func formatPercent(share float64) string { return formatNumber(100*share) + "%" }
 
-// significantDigits is how many digits formatNumber keeps.
+// significantDigits is the number of digits that formatNumber keeps.
 const significantDigits = 3
 
 // formatNumber formats a number with three significant digits, without an exponent or trailing zeros.
@@ -67,7 +67,7 @@
 	return strings.TrimRight(strings.TrimRight(text, "0"), ".")
 }
 
-// formatOrDash formats a value that is not 0, and 0 as a dash.
+// formatOrDash formats a value, and 0 as a dash.
 func formatOrDash(value float64, format func(float64) string) string {
 	if value == 0 {
 		return "-"
--- a/internal/testbed/capacity/golden_test.go
+++ b/internal/testbed/capacity/golden_test.go
@@ -7,7 +7,8 @@
 	"frostpier/internal/testutil"
 )
 
-// A result file of an earlier version decodes, and encodes to the same bytes.
+// TestStoredSlopesAreRead checks that a result file of an earlier version decodes, that it encodes to the same bytes, and
+// that the JSON keys of Result are unchanged.
 func TestStoredSlopesAreRead(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("testdata/slopes.json")
--- a/internal/testbed/capacity/measure/connections.go
+++ b/internal/testbed/capacity/measure/connections.go
@@ -16,20 +16,21 @@
 	"frostpier/policy"
 )
 
-// MaxConnections limits the connections of a measurement. Both ends are in this process, so each connection takes two
-// descriptors.
+// MaxConnections is the maximum number of connections in a measurement. Both ends are in this process, so each connection
+// uses two file descriptors.
 const MaxConnections = 2500
 
 const (
-	reservedDescriptors = 200 // for everything but the measured connections
+	reservedDescriptors = 200 // file descriptors for everything but the measured connections
 	connectTimeout      = 10 * time.Second
 	eventLoopMemory     = 64 << 20               // bytes that the event loop may buffer
-	settleDelay         = 200 * time.Millisecond // in which goroutines of closed connections end
+	settleDelay         = 200 * time.Millisecond // wait until the goroutines of closed connections have exited
 	concurrentConnects  = 50
 	maxPingResponse     = 512 // bytes
 )
 
-// checkDescriptors returns an error if the process may not open the two ends of that many connections.
+// checkDescriptors returns an error if the number of connections exceeds MaxConnections, or if the process may not open
+// enough file descriptors for both ends of them.
 func checkDescriptors(connections int) error {
 	if connections > MaxConnections {
 		return &ConnectionLimitError{Requested: connections, Limit: MaxConnections}
@@ -45,18 +46,18 @@
 	return nil
 }
 
-// discardHandler ignores everything that a connection receives.
+// discardHandler ignores all events of a connection.
 type discardHandler struct{}
 
-// Data ignores bytes received.
+// Data ignores received data.
 func (discardHandler) Data([]byte) {}
 
-// Closed ignores the end of the connection.
+// Closed ignores the close of the connection.
 func (discardHandler) Closed(error) {}
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// startLoop starts an event loop; stop ends it.
+// startLoop starts an event loop, which runs until stop is called.
 func startLoop() (loop *eventloop.Loop, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	loop = eventloop.New(time.Now(), eventLoopMemory)
@@ -64,8 +65,8 @@
 	return loop, cancel
 }
 
-// EngineConnectionMemory returns the memory of one idle connection of an enginepool.Pool, in bytes, as the mean over
-// that many connections. It counts heap and stacks of both ends, and not what the kernel holds.
+// EngineConnectionMemory returns the memory use in bytes of an idle connection of an enginepool.Pool, as the mean over the
+// given number of connections. It includes the heap and the stacks of both ends, but not kernel memory.
 func EngineConnectionMemory(connections int) (float64, error) {
 	if err := checkDescriptors(connections); err != nil {
 		return 0, err
@@ -92,7 +93,7 @@
 	return (after - before) / float64(connections), nil
 }
 
-// openIdleConnections opens connections and releases them to the pool. It returns once the server has accepted all.
+// openIdleConnections opens connections, releases them to the pool, and waits until the server has accepted all of them.
 func openIdleConnections(loop *eventloop.Loop, pool *enginepool.Pool, server *idleServer, connections int) error {
 	conns, err := openConnections(loop, pool, server.addr(), connections)
 	if err != nil {
@@ -106,7 +107,8 @@
 	return waitFor(func() bool { return server.count() == connections })
 }
 
-// openConnections opens one connection to each of that many engines at one address, concurrentConnects at a time.
+// openConnections opens one connection to each of the given number of engines, which share one address. It opens up to
+// concurrentConnects connections at a time.
 func openConnections(loop *eventloop.Loop, pool *enginepool.Pool, addr string, connections int) ([]*enginepool.Conn, error) {
 	type result struct {
 		conn *enginepool.Conn
@@ -134,9 +136,9 @@
 	return conns, nil
 }
 
-// ClientConnectionMemory returns the memory of one idle client connection of a frontend.PlatformListener after its first
-// request, in bytes, as the mean over that many connections. It counts heap and stacks of both ends, and not what the
-// kernel holds.
+// ClientConnectionMemory returns the memory use in bytes of a client connection of a frontend.PlatformListener that is idle
+// after its first request, as the mean over the given number of connections. It includes the heap and the stacks of both
+// ends, but not kernel memory.
 func ClientConnectionMemory(connections int) (float64, error) {
 	if err := checkDescriptors(connections); err != nil {
 		return 0, err
@@ -166,7 +168,7 @@
 	return (after - before) / float64(connections), nil
 }
 
-// listenOnFreePort makes the listener serve on a free port and returns the address.
+// listenOnFreePort starts the listener on a free port of the loopback interface and returns the address.
 func listenOnFreePort(listener *frontend.PlatformListener) (string, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -179,7 +181,8 @@
 	return addr, listener.Serve(addr)
 }
 
-// openClients opens connections and has one ping answered on each. It returns those that are open also with an error.
+// openClients opens connections and completes one ping request on each. On an error it also returns the connections that
+// are already open.
 func openClients(addr string, connections int) (conns []net.Conn, err error) {
 	response := make([]byte, maxPingResponse)
 	for range connections {
@@ -195,7 +198,7 @@
 	return conns, nil
 }
 
-// ping sends a ping request and reads the response into a buffer.
+// ping sends a ping request and reads the response into the given buffer.
 func ping(conn net.Conn, response []byte) error {
 	if err := conn.SetDeadline(time.Now().Add(connectTimeout)); err != nil {
 		return err
@@ -207,14 +210,14 @@
 	return err
 }
 
-// closeAll closes connections whose measurement is over, so errors do not matter.
+// closeAll closes connections. It ignores errors, because the measurement is complete.
 func closeAll(conns []net.Conn) {
 	for _, conn := range conns {
 		_ = conn.Close()
 	}
 }
 
-// waitFor waits until a condition holds, for connectTimeout at most.
+// waitFor waits until a condition holds. It returns errConnectTimeout after connectTimeout.
 func waitFor(condition func() bool) error {
 	for deadline := time.Now().Add(connectTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -7,23 +7,23 @@
 	"frostpier/policy"
 )
 
-// Conditions of the measurements of decisions.
+// Conditions of the decision measurements.
 const (
 	TableGroups       = 200
 	ResponseTime      = 100 * time.Millisecond
 	engineCores       = 32
 	engineMemoryMB    = 65536
 	decisionTick      = 5 * time.Millisecond
-	decisionWarmUp    = 3 * time.Second // virtual time before anything is counted, in which the module learns response times
+	decisionWarmUp    = 3 * time.Second // virtual time before the measurement, in which the module learns response times
 	statementDeadline = 5 * time.Second
 )
 
-// DecisionSetup is the load under which decisions are measured.
+// DecisionSetup describes the load under which decisions are measured.
 type DecisionSetup struct {
 	Engines             int
-	Gateways            int           // in the settings
-	StatementsPerSecond float64       // statements per second at this gateway
-	Duration            time.Duration // of the measurement, in virtual time
+	Gateways            int           // number of gateways in the settings
+	StatementsPerSecond float64       // at this gateway
+	Duration            time.Duration // virtual time
 	Seed                uint64
 }
 
@@ -40,13 +40,13 @@
 	}
 }
 
-// tableGroupStride is a prime, so that consecutive statements use different table groups.
+// tableGroupStride is a prime number, so that consecutive statements use different table groups.
 const tableGroupStride = 7919
 
-// tableGroup spreads statements evenly over the table groups.
+// tableGroup returns the table group of a statement. It spreads statements evenly over the groups.
 func tableGroup(number int) int { return number * tableGroupStride % TableGroups }
 
-// decisionModule runs the decision module alone.
+// decisionModule is the decision module without the core.
 type decisionModule struct{ gateway *policy.Gateway }
 
 func (m decisionModule) submit(now time.Duration, number int) []followUp {
@@ -68,8 +68,8 @@
 	return followUps
 }
 
-// Decision measures the processor time of one statement in the decision module: its arrival, the choice of an engine, the
-// end of its attempt, and its share of the module's timers.
+// Decision measures the processor time of one statement in the decision module: its arrival, the selection of an engine,
+// the end of its attempt, and its share of the module's timers.
 func Decision(setup DecisionSetup) (perStatement time.Duration, err error) {
 	gateway, err := policy.New(decisionSettings(setup.Gateways), setup.Seed)
 	if err != nil {
@@ -84,10 +84,10 @@
 	return d.processorTimePerStatement(setup.StatementsPerSecond, setup.Duration)
 }
 
-// coreModule runs the core with the decision module.
+// coreModule is the core with the decision module.
 type coreModule struct{ core *core.Core }
 
-// attemptEnd is the end of an attempt that the core has started.
+// attemptEnd is the event that an attempt of the core has ended.
 type attemptEnd struct {
 	id      core.ID
 	attempt int
@@ -122,7 +122,7 @@
 	return followUps
 }
 
-// CoreDecision measures the same as Decision through the core, which tracks queries and attempts.
+// CoreDecision measures the same as Decision, but through the core, which also tracks queries and attempts.
 func CoreDecision(setup DecisionSetup) (perStatement time.Duration, err error) {
 	gatewayCore, err := newCore()
 	if err != nil {
--- a/internal/testbed/capacity/measure/detection.go
+++ b/internal/testbed/capacity/measure/detection.go
@@ -6,18 +6,18 @@
 	"frostpier/internal/control/membership/simulation"
 )
 
-// killInterval is the time between two kills.
+// killInterval is the virtual time between two kills.
 const killInterval = 30 * time.Second
 
-// DetectionTimes is how long membership took to detect that single gateways were killed, in seconds.
+// DetectionTimes holds the times in seconds that membership needed to detect that a gateway was killed.
 type DetectionTimes struct {
-	FirstMember float64 // median, from the kill until the first member declared it dead
-	AllMembers  float64 // median, from then until every member did
-	Max         float64 // longest, from the kill until every member did
+	FirstMember float64 // median time from the kill until the first member declared the gateway dead
+	AllMembers  float64 // median time from then until all members had declared it dead
+	Max         float64 // upper bound of the time from the kill until all members had declared it dead
 }
 
-// Detection measures membership's detection times: it kills that many gateways one after the other on a virtual clock,
-// with the given share of datagrams lost.
+// Detection measures the detection times of membership. It kills the given number of gateways one after the other on a
+// virtual clock; loss is the probability that a datagram is lost.
 func Detection(gateways, kills int, loss float64, seed uint64) (DetectionTimes, error) {
 	figures, err := simulation.MeasureKills(simulation.Setup{Members: gateways, Seed: seed, Loss: loss, StartSpread: time.Second,
 		StepsPerCheck: 1 << 30}, kills, killInterval)
--- a/internal/testbed/capacity/measure/discovery.go
+++ b/internal/testbed/capacity/measure/discovery.go
@@ -14,22 +14,22 @@
 	"frostpier/internal/settings"
 )
 
-// ListCost is the cost of a full list of engines to a gateway.
+// ListCost is the cost of a full list of engines at one gateway.
 type ListCost struct {
 	Bytes  float64 // on the wire
-	Parse  float64 // processor seconds: bytes to lines
-	Apply  float64 // processor seconds: lines into core and decision module
-	Memory float64 // bytes that core and decision module hold afterwards
+	Parse  float64 // CPU seconds to parse the list
+	Apply  float64 // CPU seconds to apply the list to core and decision module
+	Memory float64 // bytes used by core and decision module afterwards
 }
 
-// engineKind is the only machine type.
+// engineKind is the only machine type in the list.
 const engineKind = "m"
 
 func engineName(i int) string { return fmt.Sprintf("engine-%04d", i) }
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// engineList returns a full list as the discovery server sends it, in the event with that number.
+// engineList returns the event with the given number, in which the discovery server sends a full list.
 func engineList(number, engines int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"no":%d,"roster":{"reset":true,"instances":[`, number)
@@ -45,7 +45,7 @@
 	return []byte(text.String())
 }
 
-// newCore returns the core of a gateway with the target's settings.
+// newCore returns the core of a gateway in a fleet of the target's size.
 func newCore() (*core.Core, error) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	host := settings.Host{MaxRetryAfter: time.Second, MachineTypes: []string{engineKind}, MaxPending: 20_000, Policy: decisionSettings(800)}
@@ -56,8 +56,8 @@
 	return core.New(host, 1, log, invariant.New(log))
 }
 
-// EngineList measures the cost of a full list. It applies the list that many times, as a watcher does that reconnects,
-// and returns the mean.
+// EngineList measures the cost of a full list. It applies the list the given number of times, as a reconnecting watcher
+// does, and returns the mean.
 func EngineList(engines, repeats int) (ListCost, error) {
 	before := liveMemory()
 	gatewayCore, err := newCore()
--- a/internal/testbed/capacity/measure/doc.go
+++ b/internal/testbed/capacity/measure/doc.go
@@ -1,7 +1,7 @@
-// Package measure takes the measurements behind docs/operators/CAPACITY.md, one size of the fleet at a time. They run in one process
-// with seeded random numbers, on a virtual clock wherever the measured code has one.
+// Package measure takes the measurements for docs/operators/CAPACITY.md. They run in this process with seeded random
+// numbers, and on a virtual clock where the measured code supports one.
 //
-// Slopes runs whole groups of measurements; the other functions are single measurements. They must be called one after
-// the other, since each reads the processor time or the memory of the whole process. The package writes no files and
-// makes no estimates: package capacity does what follows from the measurements.
+// Slopes runs groups of measurements at several sizes; the other functions take one measurement at one size. They must not
+// run concurrently, because each reads the processor time or the memory of the whole process. The package writes no files
+// and makes no estimates; package capacity derives these from the measurements.
 package measure
--- a/internal/testbed/capacity/measure/driver.go
+++ b/internal/testbed/capacity/measure/driver.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// followUp is an event that a module causes: it is due after a delay.
+// followUp is an event that a module schedules after a delay.
 type followUp struct {
 	delay        time.Duration
 	event        any
-	isAttemptEnd bool // else the event is a timer
+	isAttemptEnd bool // true for the end of an attempt, false for a timer
 }
 
-// module is what decides on statements: the decision module alone, or the core with it.
+// module is the measured code: the decision module alone, or the core with the decision module.
 type module interface {
 	// submit handles the arrival of a statement.
 	submit(now time.Duration, number int) []followUp
-	// handle handles an event that an earlier call returned.
+	// handle handles an event that an earlier call of submit or handle returned.
 	handle(now time.Duration, event any) []followUp
 }
 
@@ -23,14 +23,14 @@
 	event any
 }
 
-// driver submits statements to a module on a virtual clock and delivers the events that follow.
+// driver submits statements to a module on a virtual clock and delivers the events that the module schedules.
 type driver struct {
 	module      module
 	now         time.Duration
-	attemptEnds []scheduled // in order of time, since all attempts take the same time
-	timers      []scheduled // unordered: there are few
+	attemptEnds []scheduled // in order of time, because all attempts have the same duration
+	timers      []scheduled // unordered, because there are few
 	sent        int         // attempts sent
-	completed   int         // attempts ended
+	completed   int         // attempts completed
 }
 
 func (d *driver) schedule(followUps []followUp) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// runUntil delivers all events that are due by a time, and advances the clock to it.
+// runUntil delivers all events that are due by the end time and advances the clock to it.
 func (d *driver) runUntil(end time.Duration) {
 	for {
 		next, ok := d.nextEvent(end)
@@ -58,8 +58,8 @@
 	}
 }
 
-// nextEvent removes and returns the event that is due first; ok is false if none is due by end. Of two events at the same
-// time the end of an attempt is first.
+// nextEvent removes and returns the earliest event. The result ok is false if no event is due by the end time. If a timer
+// and the end of an attempt are due at the same time, the latter comes first.
 func (d *driver) nextEvent(end time.Duration) (next scheduled, ok bool) {
 	timer := d.nextTimer()
 	hasTimer := timer >= 0 && d.timers[timer].at <= end
@@ -77,7 +77,7 @@
 	return scheduled{}, false
 }
 
-// nextTimer returns the index of the timer that is due first, or -1 if there is none.
+// nextTimer returns the index of the earliest timer, or -1 if there is none.
 func (d *driver) nextTimer() int {
 	first := -1
 	for i := range d.timers {
@@ -88,8 +88,8 @@
 	return first
 }
 
-// submitLoad submits statements at a constant rate per second. They are numbered from first; it returns the number after
-// the last.
+// submitLoad submits statements at a constant rate per second. It numbers them consecutively starting with first, and
+// returns the number for the next statement.
 func (d *driver) submitLoad(first int, rate float64, duration time.Duration) (next int) {
 	start, count := d.now, int(rate*duration.Seconds())
 	for i := range count {
@@ -99,8 +99,8 @@
 	return first + count
 }
 
-// processorTimePerStatement submits a load after a warm-up and returns the mean processor time of a statement, from its
-// arrival to its end. It returns an *IncompleteError if a statement was not sent and completed exactly once.
+// processorTimePerStatement submits a load after a warm-up and returns the mean processor time per statement, from arrival
+// to completion. It returns an *IncompleteError unless every statement was sent and completed exactly once.
 func (d *driver) processorTimePerStatement(rate float64, duration time.Duration) (time.Duration, error) {
 	next := d.submitLoad(1, rate, decisionWarmUp)
 	completedBefore, started := d.completed, processorTime()
--- a/internal/testbed/capacity/measure/faults.go
+++ b/internal/testbed/capacity/measure/faults.go
@@ -6,43 +6,43 @@
 	"frostpier/internal/testbed/capacity"
 )
 
-// Conditions of the fault runs. A rack holds one in rackCount of the gateways, a zone one in zoneCount.
+// Conditions of the fault runs. The gateways are spread evenly over rackCount racks and zoneCount zones.
 const (
 	rackCount      = 40
 	zoneCount      = 7
 	startupTime    = 30 * time.Second
 	sampleInterval = time.Second
-	peakWindow     = 10 * time.Second // window of the budget's peaks
-	burstWindow    = 5 * time.Second  // window of the first measurements, see package capacity
+	peakWindow     = 10 * time.Second // averaging window to which the budget applies
+	burstWindow    = 5 * time.Second  // averaging window of the first measurements, see package capacity
 
-	// FaultLoss is the share of datagrams lost in all phases.
+	// FaultLoss is the probability that a datagram is lost, in all phases.
 	FaultLoss = 0.05
 )
 
-// PhaseCost is the cost of a phase to a running gateway. Unless a comment says otherwise, figures are the mean over running
-// gateways in the window of the phase in which it is highest.
+// PhaseCost is the cost of a phase at one running gateway. Unless a comment says otherwise, a figure is the mean over all
+// running gateways, in the window of the phase in which this mean is highest.
 type PhaseCost struct {
 	Phase              capacity.Phase
 	PeakBytes          float64 // sent per second, over 10 s
 	PeakBurst          float64 // bytes sent per second, over 5 s
 	PeakTopSender      float64 // bytes sent per second, over 10 s, by the gateway that sends most
-	SecondsOverBudget  float64 // how long the mean over the last 10 s exceeded the budget
+	SecondsOverBudget  float64 // how long the 10 s average of bytes exceeded the budget
 	SettledBytes       float64 // bytes sent per second in the last 10 s of the phase
 	PeakDatagrams      float64 // sent per second, over 10 s
-	PeakProcessor      float64 // processor seconds per second, over 10 s, including the simulator
-	ConvergenceSeconds float64 // from the start of the phase until all views agreed; -1 = they did not
+	PeakProcessor      float64 // CPU seconds per second, over 10 s, including the simulator
+	ConvergenceSeconds float64 // from the start of the phase until all membership views agreed; -1 = never
 }
 
-// phasePlan is how a phase begins and how long it lasts.
+// phasePlan defines how a phase begins and how long it lasts.
 type phasePlan struct {
 	phase        capacity.Phase
 	begin        func(f *fleet)
-	fullDuration time.Duration // until the fleet has settled
-	peakDuration time.Duration // until the peak has passed
-	partitioned  bool          // the views of the members differ by design
+	fullDuration time.Duration // long enough for the fleet to settle
+	peakDuration time.Duration // long enough to include the traffic peak
+	partitioned  bool          // the membership views differ by design
 }
 
-// phasePlans returns the plans of all phases in their order.
+// phasePlans returns the plans of all phases in the order of capacity.Phases.
 func phasePlans() []phasePlan {
 	const second = time.Second
 	return []phasePlan{
@@ -57,21 +57,21 @@
 	}
 }
 
-// restartOne stops a gateway gracefully and starts it 5 s later.
+// restartOne stops the last gateway gracefully and starts it again 5 s later.
 func restartOne(f *fleet) {
 	last := f.setup.Gateways - 1
 	f.Leave(last)
 	f.After(5*time.Second, func() { f.Start(last, 0) })
 }
 
-// killFirst kills one in divisor of the gateways, those with the lowest numbers.
+// killFirst kills the first 1/divisor of the gateways.
 func (f *fleet) killFirst(divisor int) {
 	for i := range f.setup.Gateways / divisor {
 		f.Kill(i)
 	}
 }
 
-// startStopped starts all gateways that do not run.
+// startStopped starts all gateways that are not running.
 func (f *fleet) startStopped() {
 	for i := range f.Members {
 		if !f.Members[i].Up {
@@ -86,8 +86,8 @@
 	f.Drops = func(from, to int) bool { return (from < half) != (to < half) }
 }
 
-// Faults runs all phases on one fleet and returns the cost of each. A phase lasts until the fleet has settled if full is
-// set, else until its peak has passed.
+// Faults runs all phases on one fleet and returns the cost of each. If full is set, a phase lasts until the fleet has
+// settled, otherwise until its traffic peak has passed.
 func Faults(setup FleetSetup, full bool) ([]PhaseCost, error) {
 	f, err := newFleet(setup)
 	if err != nil {
@@ -111,10 +111,10 @@
 	return costs, nil
 }
 
-// sample is a reading of counters.
+// sample holds the cumulative counters of a fleet at one time.
 type sample struct {
 	bytes     []int // sent, by gateway
-	datagrams int   // sent by all gateways
+	datagrams int   // sent by all gateways together
 	processor time.Duration
 }
 
@@ -126,7 +126,7 @@
 	}
 }
 
-// runPhase runs a phase and samples it at every sampleInterval.
+// runPhase runs a phase and reads the counters every sampleInterval.
 func (f *fleet) runPhase(plan phasePlan, duration time.Duration) (PhaseCost, error) {
 	plan.begin(f)
 	cost := PhaseCost{Phase: plan.phase, ConvergenceSeconds: -1}
@@ -177,12 +177,12 @@
 	}
 }
 
-// bytesPerSecond returns what all gateways together sent between two samples.
+// bytesPerSecond returns the bytes per second that all gateways together sent between two samples.
 func bytesPerSecond(from, to sample, window time.Duration) float64 {
 	return float64(sum(to.bytes)-sum(from.bytes)) / window.Seconds()
 }
 
-// upCount returns how many gateways run.
+// upCount returns the number of running gateways.
 func (f *fleet) upCount() (count int) {
 	for i := range f.Members {
 		if f.Members[i].Up {
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -15,17 +15,17 @@
 // FleetSetup describes a simulated fleet of gateways on a virtual clock.
 type FleetSetup struct {
 	Gateways         int
-	Engines          int     // whose load reports gateways share; 0 = none
-	ReportsPerSecond float64 // of random engines, per second at each gateway
-	Loss             float64 // share of datagrams lost
+	Engines          int     // engines whose load reports gateways share; 0 disables load reports
+	ReportsPerSecond float64 // load reports of random engines that each gateway records
+	Loss             float64 // probability that a datagram is lost
 	Seed             uint64
 }
 
-// fleet runs membership at every gateway and, if there are engines, the sharing of load reports.
+// fleet simulates membership at every gateway and, if there are engines, the sharing of load reports.
 type fleet struct {
 	*simulation.Fleet
 	setup   FleetSetup
-	digests []*loadreport.Digest // by gateway, of its current incarnation
+	digests []*loadreport.Digest // of the current incarnation of each gateway
 	random  *rand.Rand
 }
 
@@ -44,8 +44,8 @@
 	return f, nil
 }
 
-// newDetector returns a gateway's membership as internal/program configures it: load reports are piggybacked on its
-// datagrams, and it sends further datagrams for them at loadreport.Interval.
+// newDetector returns the membership of a gateway, configured as in internal/program: load reports are piggybacked on its
+// datagrams, and it sends additional datagrams for them at loadreport.Interval.
 func (f *fleet) newDetector(config membership.Config) (simulation.Detector, error) {
 	if f.setup.Engines > 0 {
 		digest := newDigest(f.setup.Engines)
@@ -55,7 +55,7 @@
 	return membership.New(config)
 }
 
-// newDigest returns a digest that knows all engines and the load of none.
+// newDigest returns a digest that contains the ids of all engines but no load reports.
 func newDigest(engines int) *loadreport.Digest {
 	digest, numbers := loadreport.New(), make([]uint64, engines)
 	for i := range numbers {
@@ -65,7 +65,7 @@
 	return digest
 }
 
-// handleEvent passes load reports that a gateway received to its digest.
+// handleEvent passes the load reports that a gateway receives to its digest.
 func (f *fleet) handleEvent(at int, event membership.Event) error {
 	if event.Kind == membership.ExtensionReceived && event.ExtensionKind == loadreport.ExtensionKind {
 		f.digests[at].Receive(f.Now, event.Body)
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// recordReports records the load reports of one interval at each running gateway, and schedules itself for the next.
+// recordReports records the load reports of one interval at each running gateway, and schedules itself for the next one.
 func (f *fleet) recordReports() {
 	perInterval := f.setup.ReportsPerSecond * reportInterval.Seconds()
 	for i, digest := range f.digests {
@@ -87,7 +87,7 @@
 	f.After(reportInterval, f.recordReports)
 }
 
-// randomRound rounds up or down at random such that the mean of its results is the given value.
+// randomRound rounds a value up or down at random, such that the expected result is the given value.
 func (f *fleet) randomRound(mean float64) int {
 	rounded := int(mean)
 	if f.random.Float64() < mean-float64(rounded) {
--- a/internal/testbed/capacity/measure/idleserver.go
+++ b/internal/testbed/capacity/measure/idleserver.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// idleServer accepts connections and keeps them open without reading.
+// idleServer accepts connections and keeps them open without reading from them.
 type idleServer struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -37,14 +37,14 @@
 
 func (s *idleServer) addr() string { return s.listener.Addr().String() }
 
-// count returns how many connections were accepted.
+// count returns the number of accepted connections.
 func (s *idleServer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// close ends the server. Its measurement is over, so errors do not matter.
+// close closes the listener and all connections. It ignores errors, because the measurement is complete.
 func (s *idleServer) close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
--- a/internal/testbed/capacity/measure/membership.go
+++ b/internal/testbed/capacity/measure/membership.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// quietTime is how long membership without faults is measured.
+// quietTime is the duration of the measurement of membership without faults.
 const quietTime = time.Minute
 
-// QuietCost is the cost of membership to a gateway without faults.
+// QuietCost is the cost of membership without faults at one gateway.
 type QuietCost struct {
 	BytesPerSecond float64 // sent per second
-	Processor      float64 // processor seconds per second, including the simulator
-	Memory         float64 // bytes of one member
+	Processor      float64 // CPU seconds per second, including the simulator
+	Memory         float64 // bytes
 }
 
-// QuietMembership measures membership without faults or lost datagrams.
+// QuietMembership measures the cost of membership without faults and without datagram loss.
 func QuietMembership(gateways int, seed uint64) (QuietCost, error) {
 	before := liveMemory()
 	f, err := newFleet(FleetSetup{Gateways: gateways, Seed: seed})
--- a/internal/testbed/capacity/measure/process.go
+++ b/internal/testbed/capacity/measure/process.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// virtualEpoch is the start of virtual clocks, as time since the Unix epoch.
+// virtualEpoch is the initial time of virtual clocks, as the duration since the Unix epoch.
 const virtualEpoch = 1_800_000_000 * time.Second
 
-// engineNumber returns the id of an engine. Load reports carry half of an id, so both halves are unique.
+// engineNumber returns the id of an engine. Load reports contain only one half of the id, so both halves are unique.
 func engineNumber(i int) uint64 { return uint64(i+1)<<32 | uint64(i+1) }
 
-// processorTime returns the user and system time that this process has used. Measurements must therefore run one after
-// the other; the load of other programs affects them little. It is 0 if the system does not report it.
+// processorTime returns the user and system CPU time of this process, or 0 if it is unavailable. It covers all goroutines,
+// so measurements must not run concurrently. The load of other programs has little effect on it.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -22,8 +22,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// liveMemory returns the memory in use after a garbage collection, heap and goroutine stacks, in bytes. It collects
-// twice, since objects with finalizers survive the first collection.
+// liveMemory returns the bytes of heap and goroutine stacks in use after a garbage collection. It runs the collector
+// twice, because objects with finalizers survive the first collection.
 func liveMemory() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/testbed/capacity/measure/reports.go
+++ b/internal/testbed/capacity/measure/reports.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Times of the measurement of load reports.
+// Durations of the measurement of load reports.
 const (
-	reportWarmUp  = 8050 * time.Millisecond // virtual time: longer than a report is valid, and between two report intervals
-	reportSamples = 3                       // seconds that are measured
+	reportWarmUp  = 8050 * time.Millisecond // virtual time: longer than the validity of a report, and not a multiple of the report interval
+	reportSamples = 3                       // measured seconds
 )
 
-// ReportCoverage is what gateways know of engines by shared load reports, and what that costs.
+// ReportCoverage says how many load reports of engines the gateways hold, how old these are, and what sharing them costs.
 type ReportCoverage struct {
-	KnownShare     float64 // share of engines of which a gateway holds an unexpired report, mean over gateways
-	AgeSeconds     float64 // seconds, mean over the reports held
-	Processor      float64 // processor seconds per second and gateway, for membership, reports and their simulation
-	BytesPerSecond float64 // sent per second and gateway, for membership and reports
+	KnownShare     float64 // share of engines for which a gateway holds an unexpired report, mean over gateways
+	AgeSeconds     float64 // mean over the unexpired reports of all gateways
+	Processor      float64 // CPU seconds per second and gateway, for membership, reports and the simulator
+	BytesPerSecond float64 // sent per gateway, for membership and reports
 }
 
-// SharedReports measures the sharing of load reports in a fleet without faults.
+// SharedReports measures the coverage and the cost of shared load reports in a fleet without faults.
 func SharedReports(setup FleetSetup) (ReportCoverage, error) {
 	f, err := newFleet(setup)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return measured, nil
 }
 
-// coverage returns the share of engines whose load is known, and the mean age of the reports in seconds, over all
-// gateways.
+// coverage returns the share of engines for which gateways hold an unexpired load report, and the mean age of these reports
+// in seconds, over all gateways.
 func (f *fleet) coverage() (share, age float64) {
 	held := 0
 	for _, digest := range f.digests {
@@ -57,7 +57,7 @@
 	return float64(held) / float64(f.setup.Engines*f.setup.Gateways), age / float64(max(1, held))
 }
 
-// DigestMemory returns the memory of one digest that holds a report of that many engines, in bytes.
+// DigestMemory returns the memory use in bytes of a digest that holds one report of each of the given number of engines.
 func DigestMemory(engines int) float64 {
 	const copies = 20
 	before := liveMemory()
--- a/internal/testbed/capacity/measure/runner.go
+++ b/internal/testbed/capacity/measure/runner.go
@@ -7,38 +7,38 @@
 	"frostpier/internal/testbed/capacity"
 )
 
-// Options select the measurements of a run.
+// Options selects the measurements of a run.
 type Options struct {
 	Seed      uint64
 	Quick     bool                        // smaller sizes, one run each
-	Group     capacity.Group              // the one group to measure; "" = all
-	FaultRuns int                         // fault runs at each size; at least one is made
-	Logf      func(text string, a ...any) // reports progress, as fmt.Printf does
+	Group     capacity.Group              // group to measure; "" = all groups
+	FaultRuns int                         // number of fault runs at each size; 0 means 1
+	Logf      func(text string, a ...any) // reports progress; arguments as for fmt.Printf
 }
 
 // Conditions of the measurements.
 const (
-	lowReportRate  = 6 // load reports per second and gateway, as in the simulator's days
+	lowReportRate  = 6 // load reports per second and gateway, as in the simulated days
 	faultEngines   = 30
 	faultReports   = 2 // load reports per second and gateway: enough to fill every datagram
-	timedRuns      = 3 // of measurements that read processor time or memory
+	timedRuns      = 3 // runs of each measurement that reads processor time or memory
 	detectionKills = 10
 	listRepeats    = 20
-	decisionTime   = time.Second // virtual
+	decisionTime   = time.Second // virtual time
 )
 
 // fleetSize is the size of a simulated fleet.
 type fleetSize struct{ gateways, engines int }
 
-// sizes are the sizes at which a run measures.
+// sizes holds the sizes at which a run measures, and the numbers of repetitions.
 type sizes struct {
-	decisions   []int // engines
-	lists       []int // engines
+	decisions   []int // numbers of engines for the decision measurements
+	lists       []int // numbers of engines for the discovery measurements
 	gateways    []int
 	connections []int
 	fleets      []fleetSize
-	timed       int // runs of timed measurements
-	kills       int
+	timed       int // runs of each measurement that reads processor time or memory
+	kills       int // gateways killed in the detection measurement
 }
 
 func (o Options) sizes() sizes {
@@ -64,14 +64,14 @@
 	}
 }
 
-// runner is a run of the measurements.
+// runner runs the selected measurements and collects their results.
 type runner struct {
 	Options
 	sizes
 	results collector
 }
 
-// Slopes takes the selected measurements one after the other and returns their slopes. An error names the group.
+// Slopes runs the selected measurements sequentially and returns their slopes. Errors are prefixed with the group.
 func Slopes(options Options) ([]capacity.Slope, error) {
 	r := &runner{Options: options, sizes: options.sizes(), results: collector{}}
 	measurements := map[capacity.Group]func() error{
@@ -87,7 +87,7 @@
 		if !r.selects(group) {
 			continue
 		}
-		r.Logf("measures %s", group)
+		r.Logf("measuring %s", group)
 		if err := measurements[group](); err != nil {
 			return nil, fmt.Errorf("%s: %w", group, err)
 		}
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// decisionsAt measures decisions without and with the core.
+// decisionsAt measures decisions with the given number of engines, without and with the core.
 func (r *runner) decisionsAt(engines int, seed uint64) error {
 	target := capacity.Expected()
 	setup := DecisionSetup{
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// reportsAt measures shared load reports at the low and at the full rate.
+// reportsAt measures shared load reports in a fleet of the given size, at the low and at the full rate.
 func (r *runner) reportsAt(size fleetSize) error {
 	setup := FleetSetup{Gateways: size.gateways, Engines: size.engines, ReportsPerSecond: lowReportRate, Seed: r.Seed}
 	low, err := SharedReports(setup)
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// faultsAt runs the faults on a fleet without load reports, and on one with them.
+// faultsAt measures all fault phases in a fleet without load reports, and in one with load reports.
 func (r *runner) faultsAt(gateways int, seed uint64) error {
 	setup := FleetSetup{Gateways: gateways, Loss: FaultLoss, Seed: seed}
 	alone, err := Faults(setup, true)
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// addPhase adds the cost of a phase without load reports.
+// addPhase adds the cost of a phase that was measured without load reports.
 func (r *runner) addPhase(gateways int, cost PhaseCost) {
 	add := func(quantity capacity.PhaseQuantity, value float64) {
 		r.results.add(quantity.SlopeName(cost.Phase), gateways, value, "")
--- a/internal/testbed/capacity/measure/series.go
+++ b/internal/testbed/capacity/measure/series.go
@@ -8,15 +8,15 @@
 
 // series collects the measurements of one slope.
 type series struct {
-	values     map[float64][]float64 // of the runs, by size
-	notes      map[float64]string
-	overBudget map[float64]float64 // longest time over the budget in seconds, by size
+	values     map[float64][]float64 // one value per run, by size
+	notes      map[float64]string    // by size
+	overBudget map[float64]float64   // longest time over the budget in seconds, by size
 }
 
-// collector collects the series of all slopes, by name.
+// collector holds the series of all slopes by slope name.
 type collector map[string]*series
 
-// add adds the value of one run at one size.
+// add adds the value of one run at the given size.
 func (c collector) add(name string, size int, value float64, note string) {
 	s := c[name]
 	if s == nil {
@@ -28,14 +28,14 @@
 	s.notes[at] = note
 }
 
-// addPeak adds a peak of bytes, with the seconds for which the budget was exceeded.
+// addPeak adds a peak of bytes per second, with the number of seconds for which the budget was exceeded.
 func (c collector) addPeak(name string, size int, value, over float64) {
 	c.add(name, size, value, "")
 	at := float64(size)
 	c[name].overBudget[at] = max(c[name].overBudget[at], over)
 }
 
-// points returns the medians of the runs in the order of sizes.
+// points returns one point per size, ordered by size. Its value is the median of the runs.
 func (s *series) points() (points []capacity.Point) {
 	for size, values := range s.values {
 		slices.Sort(values)
@@ -53,7 +53,7 @@
 	return points
 }
 
-// slopes returns the slopes that were measured, in the order of their definitions.
+// slopes returns the measured slopes in the order of capacity.Definitions.
 func (c collector) slopes() (slopes []capacity.Slope) {
 	for _, definition := range capacity.Definitions() {
 		s := c[definition.Name]
--- a/internal/testbed/capacity/measure/staged.go
+++ b/internal/testbed/capacity/measure/staged.go
@@ -13,8 +13,8 @@
 	stagedRounds  = 50
 )
 
-// StagedReports measures the processor time in which the controller of a staged change parses one report of each gateway,
-// and the length of a report in bytes.
+// StagedReports measures the processor time that the controller of a staged change needs to parse one report from each
+// gateway, and the length of a report in bytes.
 func StagedReports(gateways int) (processor time.Duration, length int, err error) {
 	texts := make([][]byte, gateways)
 	for i := range texts {
--- a/internal/testbed/capacity/model.go
+++ b/internal/testbed/capacity/model.go
@@ -6,16 +6,16 @@
 type Model struct {
 	Target Target
 	Result Result
-	fitted map[string]fittedSlope // by name
+	fitted map[string]fittedSlope // by slope name
 }
 
-// fittedSlope caches the curve of a slope: the ranking evaluates it thousands of times.
+// fittedSlope caches the fitted curve of a slope, because the ranking evaluates it thousands of times.
 type fittedSlope struct {
 	slope Slope
 	curve Fit
 }
 
-// New returns the model of the expected fleet. The result must have all slopes, as DecodeResult ensures.
+// New returns a model of the expected fleet. The result must contain all slopes of Definitions, which DecodeResult checks.
 func New(result Result) Model {
 	m := Model{Target: Expected(), Result: result, fitted: map[string]fittedSlope{}}
 	for _, slope := range result.Slopes {
@@ -30,8 +30,8 @@
 	return fitted.slope.estimate(fitted.curve, size).Value
 }
 
-// secondsOverBudget returns for how many seconds a peak of bytes exceeded the budget, at a size that was measured; 0 at
-// any other size.
+// secondsOverBudget returns for how many seconds the network traffic of the named slope exceeded the budget at a measured
+// size, and 0 for a size that was not measured.
 func (m Model) secondsOverBudget(name string, size float64) float64 {
 	for _, point := range m.Result.Slope(name).Points {
 		if point.Size == size {
@@ -41,7 +41,7 @@
 	return 0
 }
 
-// Cost is what a part of the program costs one gateway.
+// Cost is the resource use of a part of the program at one gateway.
 type Cost struct {
 	Processor      float64 // share of a core
 	Memory         float64 // bytes
@@ -53,29 +53,30 @@
 	return Cost{c.Processor + other.Processor, c.Memory + other.Memory, c.BytesPerSecond + other.BytesPerSecond}
 }
 
-// decisionCost is the cost of core and decision module with that many engines, at a rate of statements a second.
+// decisionCost returns the cost of core and decision module with the given number of engines, at the given number of
+// statements per second.
 func (m Model) decisionCost(engines, statements float64) Cost {
 	return Cost{Processor: m.estimate(CoreProcessor, engines) * statements, Memory: m.estimate(ListMemory, engines)}
 }
 
-// connectionCost is the cost of one idle connection to each engine.
+// connectionCost returns the cost of one idle connection to each engine.
 func (m Model) connectionCost(engines float64) Cost {
 	return Cost{Memory: engines * m.estimate(EngineConnection, engines)}
 }
 
-// clientCost is the cost of idle client connections. They carry statements and are no part of control, so the page shows
-// totals with and without them.
+// clientCost returns the cost of idle client connections. They carry statements and are not part of the control plane, so
+// the page shows totals with and without them.
 func (m Model) clientCost(clients float64) Cost {
 	return Cost{Memory: clients * m.estimate(ClientConnection, clients)}
 }
 
-// membershipCost is the cost of membership without faults.
+// membershipCost returns the cost of membership without faults.
 func (m Model) membershipCost(gateways float64) Cost {
 	return Cost{Processor: m.estimate(MembershipProcessor, gateways), Memory: m.estimate(MembershipMemory, gateways),
 		BytesPerSecond: m.estimate(MembershipBytes, gateways)}
 }
 
-// reportCost is the cost of shared load reports beyond that of membership, on whose datagrams they are piggybacked.
+// reportCost returns the cost of shared load reports without that of membership, on whose datagrams they are piggybacked.
 func (m Model) reportCost(gateways, engines float64) Cost {
 	membership := m.membershipCost(gateways)
 	return Cost{Processor: max(0, m.estimate(ReportsProcessor, engines)-membership.Processor),
@@ -83,11 +84,11 @@
 		BytesPerSecond: max(0, m.estimate(ReportsBytes, engines)-membership.BytesPerSecond)}
 }
 
-// stagedCost is the cost of the reports to the controller of a staged change, one a second.
+// stagedCost returns the cost of the reports that a gateway sends to the controller of a staged change, one per second.
 func (m Model) stagedCost(gateways float64) Cost {
 	return Cost{BytesPerSecond: m.estimate(StagedReportBytes, gateways)}
 }
 
-// knownShare is the share of engines whose load is known if every response carries a report: then only the size of the
-// report table limits it.
+// knownShare returns the share of engines whose load is known if every response carries a report. Only the size of the
+// report table limits it then.
 func knownShare(engines float64) float64 { return min(1, loadreport.MaxEngines/engines) }
--- a/internal/testbed/capacity/names.go
+++ b/internal/testbed/capacity/names.go
@@ -1,7 +1,7 @@
 package capacity
 
-// Names of the slopes in result files and on the page. Those of a phase are built by PhaseQuantity.SlopeName. Low rate is
-// 6 load reports a second at a gateway, full rate is one with every response.
+// Names of the slopes in result files and on the page. PhaseQuantity.SlopeName returns those of the fault phases. At the
+// low rate a gateway receives 6 load reports per second, at the full rate one with every response.
 const (
 	DecisionProcessor     = "decision: processor time of a statement"
 	CoreProcessor         = "core and decision: processor time of a statement"
@@ -28,7 +28,7 @@
 	StagedReportProcessor = "staged change: processor time of the controller to read a report of each gateway"
 )
 
-// Phase is a phase of a fault run: the fleet without a fault, in one, or after it.
+// Phase is a phase of a fault run: before, during or after a fault.
 type Phase string
 
 // The phases.
@@ -43,16 +43,16 @@
 	PartitionHealed    Phase = "regions healed"
 )
 
-// Phases returns all phases in the order in which a run goes through them.
+// Phases returns all phases in the order of a fault run.
 func Phases() []Phase {
 	return []Phase{Quiet, Restart, MachineLost, RackLost, ZoneLost, ZoneRecovered, RegionsPartitioned, PartitionHealed}
 }
 
-// PhaseQuantity is a quantity that is measured in each phase: of membership alone, or with load reports piggybacked on
-// its datagrams.
+// PhaseQuantity is a quantity that is measured in each phase, for membership alone or for membership with load reports
+// piggybacked on its datagrams.
 type PhaseQuantity string
 
-// The quantities. Rates are the mean over gateways unless the name says otherwise.
+// The quantities. Rates are means over all gateways unless the name says otherwise.
 const (
 	PeakBytes                PhaseQuantity = "bytes a second, highest over 10 s"
 	PeakBurst                PhaseQuantity = "bytes a second, highest over 5 s"
@@ -70,8 +70,8 @@
 	return "membership, " + string(phase) + ": " + string(q)
 }
 
-// PhaseQuantities returns the quantities that have a slope in a phase. While regions are partitioned the views of their
-// members differ by design, so there is no time of convergence.
+// PhaseQuantities returns the quantities that are measured in a phase. While the regions are partitioned, the membership
+// views of their gateways differ by design, so this phase has no ConvergenceSeconds.
 func PhaseQuantities(phase Phase) []PhaseQuantity {
 	list := []PhaseQuantity{PeakBytes, PeakBurst, PeakTopSender, PeakDatagrams, PeakProcessorTime, SettledBytes,
 		PeakBytesWithReports, PeakTopSenderWithReports}
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Names of the generated blocks, as in their markers on the page.
+// Names of the generated blocks, as used in their markers on the page.
 const (
 	blockMachine           = "machine"
 	blockSlopes            = "slopes"
@@ -22,21 +22,21 @@
 	blockOutcome           = "outcome"
 )
 
-// MarkerError reports a block whose markers are not on the page.
+// MarkerError reports that a marker of a block is missing on the page.
 type MarkerError struct {
 	Block  string // name of the block
-	Marker string // the marker that is missing
+	Marker string // the missing marker
 }
 
-// Error names the block and the marker.
+// Error returns the names of the block and the marker.
 func (e *MarkerError) Error() string {
 	return fmt.Sprintf("block %q: marker %q is not on the page", e.Block, e.Marker)
 }
 
-// NotMeasured replaces the table of the scale runs if there is no result file.
+// NotMeasured is the text of the block of scale runs if there is no result file.
 const NotMeasured = "Not yet measured.\n"
 
-// Blocks returns the text of every generated block by name; scale is nil if there are no scale runs.
+// Blocks returns the text of every generated block by name. The argument scale is nil if there are no scale runs.
 func (m Model) Blocks(scale *ScaleResult) map[string]string {
 	runs := NotMeasured
 	if scale != nil {
@@ -62,7 +62,7 @@
 func beginMarker(name string) string { return fmt.Sprintf("<!-- begin %s -->\n", name) }
 func endMarker(name string) string   { return fmt.Sprintf("<!-- end %s -->\n", name) }
 
-// Fill returns the page with the text of every block between its markers. The error is a *MarkerError.
+// Fill returns the page with the text of every block inserted between its markers. The error is a *MarkerError.
 func Fill(page string, blocks map[string]string) (string, error) {
 	for name, text := range blocks {
 		filled, err := fillBlock(page, name, text)
@@ -87,16 +87,16 @@
 	return before + begin + "\n" + text + "\n" + end + after, nil
 }
 
-// machineText describes the run of the measurements and names the slopes that are extrapolated.
+// machineText describes the measurement run and names the slopes that are extrapolated.
 func (m Model) machineText() string {
 	machine := m.Result.Machine
-	return fmt.Sprintf("Measured on %s in %.0f s: %d cores, %s, %s, seed %d. Load average over a minute %.1f before and %.1f "+
+	return fmt.Sprintf("Measured on %s in %.0f s: %d cores, %s, %s, seed %d. One-minute load average %.1f before and %.1f "+
 		"after: the machine was shared with other work, so processor times are those of a busy machine.\n\nSlopes that are extrapolated to the target: %s.\n",
 		machine.MeasuredDay, machine.Seconds, machine.Cores, machine.System, machine.GoVersion, m.Result.Seed, machine.LoadBefore,
 		machine.LoadAfter, m.extrapolated())
 }
 
-// extrapolated names the slopes whose estimate at the target is extrapolated.
+// extrapolated returns the names of the slopes whose estimate for the target is extrapolated, or "none".
 func (m Model) extrapolated() string {
 	var names []string
 	for _, slope := range m.Result.Slopes {
--- a/internal/testbed/capacity/pagetables.go
+++ b/internal/testbed/capacity/pagetables.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// withoutFaults returns the result without the slopes of phases, which have a table of their own.
+// withoutFaults returns the result without the slopes of fault phases, which are shown in a separate table.
 func (m Model) withoutFaults() Result {
 	result := m.Result
 	result.Slopes = nil
@@ -17,7 +17,7 @@
 	return result
 }
 
-// shownQuantities returns the quantities of phases that the page shows; the others are in the result file only.
+// shownQuantities returns the phase quantities that the page shows. The others are only in the result file.
 func shownQuantities() []PhaseQuantity {
 	return []PhaseQuantity{PeakBurst, PeakBytes, PeakTopSender, PeakBytesWithReports, PeakTopSenderWithReports, SettledBytes, ConvergenceSeconds}
 }
@@ -63,7 +63,7 @@
 	return table
 }
 
-// totalRow compares the total of all roles, without client connections, with the budget.
+// totalRow returns a row that compares the total of all roles, without client connections, with the budget.
 func (m Model) totalRow() []string {
 	t, total := m.Target, m.QuietTotal()
 	verdicts := []Verdict{
@@ -72,7 +72,7 @@
 		compare("bytes", total.BytesPerSecond, t.BytesPerSecond),
 	}
 	return []string{
-		"**all but the client side**",
+		"**total without the client side**",
 		"",
 		"",
 		formatPercent(total.Processor),
@@ -88,7 +88,7 @@
 		"state",
 		"how often",
 		"gateways, engines",
-		"statements/s a gateway",
+		"statements/s per gateway",
 		"processor: decisions",
 		"processor: all control",
 		"memory without / with clients",
@@ -97,7 +97,7 @@
 		"bytes/s of the gateway that sends most",
 		"over 3 KB/s for",
 		"all agree after",
-		"use over budget: core, memory, bytes in the mean, bytes of the one that sends most",
+		"use over budget: core, memory, mean bytes, bytes of the gateway that sends most",
 	}}
 	for _, peak := range m.Peaks() {
 		table.Rows = append(table.Rows, peakRow(peak))
@@ -127,7 +127,7 @@
 	}
 }
 
-// formatFactors lists the factors of several verdicts; those that miss are bold.
+// formatFactors lists the factors of several verdicts, with those over the limit in bold.
 func formatFactors(verdicts []Verdict) string {
 	var list []string
 	for _, verdict := range verdicts {
@@ -153,20 +153,20 @@
 	median, longest := m.MembershipDetection()
 	withSwitching := median + drainSeconds + dialSeconds
 	limit := m.Target.PrimaryWithin.Seconds()
-	return partTable(m.PrimaryChangeParts()).Markdown() + fmt.Sprintf("\nNothing carries a change of primary today. If detection and telling were "+
-		"membership's, they alone would take %s (median; %s at the longest of the kills measured), and with the switching %s of the %s: "+
-		"misses by %sx. The seconds of the sketch are settings and arithmetic, not results.\n", formatSeconds(median), formatSeconds(longest),
+	return partTable(m.PrimaryChangeParts()).Markdown() + fmt.Sprintf("\nNo mechanism performs a change of primary today. If membership did detection and "+
+		"telling, these alone would take %s (median; %s for the slowest of the measured kills), and together with switching %s of the %s: "+
+		"misses by %sx. The seconds in the sketch are settings and arithmetic, not measurements.\n", formatSeconds(median), formatSeconds(longest),
 		formatSeconds(withSwitching), formatSeconds(limit), formatNumber(withSwitching/limit))
 }
 
 func (m Model) configurationText() string {
 	limit := m.Target.ConfigurationWithin.Seconds()
-	return partTable(m.ConfigurationChangeParts()).Markdown() + fmt.Sprintf("\nNothing carries a configuration today. A change in stages takes 30 s "+
-		"for each stage at the least, %s times the %s for the whole. A restart falls into %s of the changes, if both come evenly.\n",
+	return partTable(m.ConfigurationChangeParts()).Markdown() + fmt.Sprintf("\nNo mechanism distributes a configuration today. A staged change takes at least "+
+		"30 s per stage, %s times the %s allowed for the whole change. A restart overlaps with %s of the changes, if both are spread evenly over the day.\n",
 		formatNumber(minWatchSeconds/limit), formatSeconds(limit), formatPercent(m.Target.RestartOverlap()))
 }
 
-// rankingText is the table of the requirements that are missed, and a line on those that are met.
+// rankingText returns the table of the requirements that are missed, and a line that lists those that are met.
 func (m Model) rankingText() string {
 	table := Table{Header: []string{
 		"place",
@@ -175,7 +175,7 @@
 		"from (gateways x engines)",
 		"factor at 300 x 80",
 		"factor at 800 x 1,100",
-		"what is missing",
+		"missing mechanism",
 	}}
 	var met []string
 	for place, ranked := range m.Ranking() {
@@ -186,14 +186,14 @@
 		table.Rows = append(table.Rows, []string{fmt.Sprint(place + 1), ranked.Name, string(ranked.Condition), m.fleetSizeText(ranked),
 			"x" + formatNumber(ranked.AtCurrent), "x" + formatNumber(ranked.AtTarget), ranked.MissingMechanism})
 	}
-	return table.Markdown() + "\nKept at the target, with use over limit: " + strings.Join(met, "; ") + ".\n"
+	return table.Markdown() + "\nMet at the target, with use over limit: " + strings.Join(met, "; ") + ".\n"
 }
 
-// fleetSizeText is the smallest fleet that misses a requirement. Below the smallest size measured the curve is not
-// trusted.
+// fleetSizeText formats the size of the smallest fleet that misses a requirement. Below the smallest measured size the
+// curve is not reliable, so it gives only that size as a bound.
 func (m Model) fleetSizeText(ranked RankedRequirement) string {
 	if ranked.Gateways < ranked.MinGateways {
-		return fmt.Sprintf("under %s gateways, the smallest measured", formatCount(ranked.MinGateways))
+		return fmt.Sprintf("below %s gateways, the smallest measured size", formatCount(ranked.MinGateways))
 	}
 	return fmt.Sprintf("%.0f x %.0f", ranked.Gateways, ranked.Engines)
 }
--- a/internal/testbed/capacity/ranking.go
+++ b/internal/testbed/capacity/ranking.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// RankedRequirement is a requirement with the smallest fleet, on the way from today's to the target, that misses it.
+// RankedRequirement is a requirement with the smallest fleet that misses it, among those on the growth path to the target,
+// see fleetAt.
 type RankedRequirement struct {
 	Requirement
-	Missed              bool    // on the way, at the target at the latest
-	Gateways, Engines   float64 // the smallest fleet that misses it, or the target
-	AtCurrent, AtTarget float64 // use over limit
-	position            float64 // of that fleet, see fleetAt
+	Missed              bool    // by a fleet on the path, which includes the target
+	Gateways, Engines   float64 // of the smallest fleet that misses it, or of the target if none does
+	AtCurrent, AtTarget float64 // use divided by limit
+	position            float64 // of that fleet on the path
 }
 
-// fleetAt returns the fleet at a position on the way to the target: 0 is no fleet, 1 is today's and 2 the target. In
-// between the numbers of gateways and engines grow linearly.
+// fleetAt returns the size of the fleet at a position on the growth path: 0 is an empty fleet, 1 is the current fleet and 2
+// the target. In between, the numbers of gateways and engines grow linearly.
 func (m Model) fleetAt(position float64) (gateways, engines float64) {
 	from, to := CurrentFleet(), m.Target.Fleet
 	if position <= currentPosition {
@@ -25,7 +26,7 @@
 	return from.Gateways + fraction*(to.Gateways-from.Gateways), from.Engines + fraction*(to.Engines-from.Engines)
 }
 
-// The way to the target is searched in coarse steps, and the step in which a requirement is first missed by bisection.
+// firstMissed searches the growth path in coarse steps, and then bisects the first step in which a requirement is missed.
 const (
 	currentPosition = 1.0
 	targetPosition  = 2.0
@@ -33,7 +34,8 @@
 	bisections      = 16
 )
 
-// firstMissed returns the first position at which a requirement is missed; ok is false if the target meets it.
+// firstMissed returns the first position on the growth path at which a requirement is missed. The result ok is false if no
+// fleet on the path misses it.
 func (m Model) firstMissed(factor func(gateways, engines float64) float64) (position float64, ok bool) {
 	isMissed := func(position float64) bool { return factor(m.fleetAt(position)) > 1 }
 	for step := 1; step <= searchSteps; step++ {
@@ -54,8 +56,8 @@
 	return targetPosition, false
 }
 
-// Ranking returns the requirements in the order in which they are missed on the way to the target. Those that the target
-// meets come last.
+// Ranking returns the requirements in the order in which they are missed as the fleet grows to the target. Requirements
+// that are met are last.
 func (m Model) Ranking() []RankedRequirement {
 	var list []RankedRequirement
 	for _, requirement := range m.Requirements() {
@@ -74,7 +76,7 @@
 	return list
 }
 
-// missedFirst is the sort key that puts missed requirements first.
+// missedFirst returns a sort key that orders missed requirements before met ones.
 func missedFirst(missed bool) int {
 	if missed {
 		return 0
--- a/internal/testbed/capacity/requirement.go
+++ b/internal/testbed/capacity/requirement.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Condition is when a requirement is missed.
+// Condition says in which state of the fleet a requirement applies.
 type Condition string
 
 // The conditions.
@@ -13,13 +13,13 @@
 type Requirement struct {
 	Name             string
 	Condition        Condition
-	MissingMechanism string                                  // mechanism that would meet it; may be empty
-	Factor           func(gateways, engines float64) float64 // use over limit
-	MinGateways      float64                                 // smallest size measured; 0 if the requirement does not depend on it
+	MissingMechanism string                                  // mechanism that would meet it, or ""
+	Factor           func(gateways, engines float64) float64 // use divided by limit
+	MinGateways      float64                                 // smallest measured size of the underlying slope; 0 = no lower bound
 }
 
-// Requirements returns all requirements that depend on the size of the fleet. Every gateway has the target's rate of
-// statements, whatever the size.
+// Requirements returns all requirements that depend on the size of the fleet. They assume the target's rate of statements
+// at every gateway, at all sizes of the fleet.
 func (m Model) Requirements() []Requirement {
 	t := m.Target
 	list := []Requirement{
@@ -27,19 +27,19 @@
 			Factor: func(_, engines float64) float64 {
 				return m.decisionCost(engines, t.StatementsPerGateway()).Processor / t.Processor
 			}},
-		{Name: "connections at an engine within 151 (assumed)", Condition: Always, MissingMechanism: "subsets of engines",
+		{Name: "connections per engine within 151 (assumed)", Condition: Always, MissingMechanism: "subsets of engines",
 			Factor: func(gateways, _ float64) float64 { return gateways / MySQLMaxConnections }},
-		{Name: "0.95 of engines known, every answer brings a report", Condition: Always,
+		{Name: "0.95 of engines known, every response carries a report", Condition: Always,
 			MissingMechanism: "subsets of engines, or a larger table",
 			Factor:           func(_, engines float64) float64 { return t.KnownShare / knownShare(engines) }},
-		{Name: "0.95 of engines known, 6 answers a second bring reports", Condition: Always, MissingMechanism: "subsets of engines",
+		{Name: "0.95 of engines known, 6 responses a second carry reports", Condition: Always, MissingMechanism: "subsets of engines",
 			Factor: func(_, engines float64) float64 { return t.KnownShare / min(1, m.estimate(KnownAtLowRate, engines)) }},
 		{Name: "bytes in the quiet state within 3 KB/s", Condition: Always,
 			Factor: func(gateways, _ float64) float64 {
 				return (m.estimate(PeakBytesWithReports.SlopeName(Quiet), gateways) + m.stagedCost(gateways).BytesPerSecond) / t.BytesPerSecond
 			}},
-		{Name: "memory within 256 MB, without clients' connections", Condition: Always, Factor: m.memoryFactor},
-		{Name: "a whole list received within 3 KB/s over 10 s", Condition: FaultOnly, MissingMechanism: "lists in parts, paced",
+		{Name: "memory within 256 MB, without client connections", Condition: Always, Factor: m.memoryFactor},
+		{Name: "a full list received within 3 KB/s over 10 s", Condition: FaultOnly, MissingMechanism: "lists in parts, paced",
 			Factor: func(_, engines float64) float64 {
 				return m.estimate(ListBytes, engines) / peakWindowSeconds / t.BytesPerSecond
 			}},
@@ -52,15 +52,15 @@
 	return list
 }
 
-// peakRequirement requires that the peak of bytes in a phase, over 10 s, keeps to the budget.
+// peakRequirement returns the requirement that the 10 s peak of bytes in a phase stays within the budget.
 func (m Model) peakRequirement(phase Phase, quantity PhaseQuantity, description string) Requirement {
 	name := quantity.SlopeName(phase)
 	return Requirement{Name: string(phase) + ": 3 KB/s, " + description, Condition: FaultOnly,
-		MissingMechanism: "a bound on gossip in a mass suspicion", MinGateways: m.Result.Slope(name).MinSize(),
+		MissingMechanism: "a limit on gossip while many members are suspected", MinGateways: m.Result.Slope(name).MinSize(),
 		Factor: func(gateways, _ float64) float64 { return m.estimate(name, gateways) / m.Target.BytesPerSecond }}
 }
 
-// memoryFactor is the use of memory over the budget, without client connections.
+// memoryFactor returns the memory use without client connections, divided by the budget.
 func (m Model) memoryFactor(gateways, engines float64) float64 {
 	memory := m.decisionCost(engines, 0).Add(m.connectionCost(engines)).Add(m.membershipCost(gateways)).
 		Add(m.reportCost(gateways, engines)).Memory
--- a/internal/testbed/capacity/result.go
+++ b/internal/testbed/capacity/result.go
@@ -6,15 +6,15 @@
 	"fmt"
 )
 
-// Machine describes the machine and the run of the measurements.
+// Machine describes the machine and the measurement run.
 type Machine struct {
 	Cores       int     `json:"cores"`
 	GoVersion   string  `json:"go_version"`
 	System      string  `json:"system"`
-	LoadBefore  float64 `json:"load_before"` // load average over a minute, when the run began
-	LoadAfter   float64 `json:"load_after"`
-	Seconds     float64 `json:"seconds"` // that the run took
-	Quick       bool    `json:"quick"`   // fewer runs and smaller sizes
+	LoadBefore  float64 `json:"load_before"` // one-minute load average at the start of the run
+	LoadAfter   float64 `json:"load_after"`  // one-minute load average at the end of the run
+	Seconds     float64 `json:"seconds"`     // duration of the run
+	Quick       bool    `json:"quick"`       // fewer runs and smaller sizes
 	MeasuredDay string  `json:"measured_day"`
 }
 
@@ -25,7 +25,7 @@
 	Slopes  []Slope `json:"slopes"`
 }
 
-// Encode returns the result as JSON with each slope on a line of its own, so that differences between files can be read.
+// Encode returns the result as JSON with one line per slope, so that diffs between result files are readable.
 func (r Result) Encode() ([]byte, error) {
 	machine, err := json.Marshal(r.Machine)
 	if err != nil {
@@ -48,13 +48,13 @@
 	return text.Bytes(), nil
 }
 
-// MissingSlopeError reports a result that lacks a slope of Definitions.
+// MissingSlopeError reports that a result lacks a slope of Definitions.
 type MissingSlopeError struct{ Slope string }
 
-// Error names the slope.
+// Error returns the name of the missing slope.
 func (e *MissingSlopeError) Error() string { return fmt.Sprintf("slopes: %q is missing", e.Slope) }
 
-// DecodeResult decodes and validates a result. The error is a *SlopeError, a *MissingSlopeError, or wraps that of the
+// DecodeResult decodes and validates a result. The error is a *SlopeError, a *MissingSlopeError, or wraps an error of the
 // JSON decoder.
 func DecodeResult(text []byte) (Result, error) {
 	var result Result
@@ -85,7 +85,8 @@
 	return Slope{}, false
 }
 
-// Slope returns the slope of a name, or an empty one. A result of DecodeResult has all slopes of Definitions.
+// Slope returns the slope with the given name, or an empty one if there is none. A result of DecodeResult has all slopes of
+// Definitions.
 func (r Result) Slope(name string) Slope {
 	slope, _ := r.find(name)
 	return slope
--- a/internal/testbed/capacity/role.go
+++ b/internal/testbed/capacity/role.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// MySQLMaxConnections is the limit of connections that is assumed for an engine, since the operators state none: the
-// default of max_connections in MySQL 8.0.
+// MySQLMaxConnections is the assumed connection limit of an engine, because the operators specify none. It is the default
+// of max_connections in MySQL 8.0.
 const MySQLMaxConnections = 151
 
-// RoleName names a role: a part of the work of gateways and control machines.
+// RoleName names a role.
 type RoleName string
 
-// The roles, in the order of issue 23.
+// The roles, in the order of issue 23, which specifies the target fleet.
 const (
 	ClientSide     RoleName = "client side"
 	Decisions      RoleName = "decisions"
@@ -23,7 +23,8 @@
 	ControlMachine RoleName = "the six control machines"
 )
 
-// Role is a role with its cost to a gateway of the target fleet, without faults. The texts stand on the page.
+// Role is a function of gateways or control machines, such as membership, with its cost at one gateway of the target fleet
+// without faults. The text fields are printed on the page.
 type Role struct {
 	Name      RoleName
 	State     string
@@ -43,38 +44,38 @@
 	t := m.Target
 	cost := m.clientCost(t.ClientsPerGateway())
 	return Role{Name: ClientSide, State: fmt.Sprintf("%s connections", formatCount(t.ClientsPerGateway())),
-		Messages: fmt.Sprintf("%s statements and answers a second; their bytes are not control", formatCount(t.StatementsPerGateway())),
+		Messages: fmt.Sprintf("%s statements and responses a second; their bytes are not control traffic", formatCount(t.StatementsPerGateway())),
 		Cost:     cost,
 		Mechanism: fmt.Sprintf("`frontend.PlatformListener`; `limits.sockets` of %s or more",
 			formatCount(t.ClientsPerGateway()/clientSocketShare)),
-		Verdict: compare("256 MB, by connections at rest", cost.Memory, t.MemoryBytes)}
+		Verdict: compare("256 MB, for idle connections", cost.Memory, t.MemoryBytes)}
 }
 
-// clientSocketShare is the share of limits.sockets that is reserved for clients, see internal/program.
+// clientSocketShare is the share of limits.sockets that is reserved for client connections, see internal/program.
 const clientSocketShare = 0.4
 
 func (m Model) decisions() Role {
 	t := m.Target
 	cost := m.decisionCost(t.Engines, t.StatementsPerGateway())
 	each := m.estimate(CoreProcessor, t.Engines)
-	return Role{Name: Decisions, State: fmt.Sprintf("%s engines, 200 table groups, %s statements out", formatCount(t.Engines),
+	return Role{Name: Decisions, State: fmt.Sprintf("%s engines, 200 table groups, %s statements in flight", formatCount(t.Engines),
 		formatNumber(t.StatementsPerGateway()*responseSeconds)),
 		Messages: fmt.Sprintf("%s statements a second at %s each", formatCount(t.StatementsPerGateway()), formatSeconds(each)),
-		Cost:     cost, Mechanism: "`policy` and `internal/core`; each statement looks at every engine",
+		Cost:     cost, Mechanism: "`policy` and `internal/core`; each statement evaluates every engine",
 		Verdict: compare("4.1% of a core", cost.Processor, t.Processor)}
 }
 
-// responseSeconds is the response time of engines in the measurements of decisions.
+// responseSeconds is the response time of engines in the decision measurements, see measure.ResponseTime.
 const responseSeconds = 0.1
 
 func (m Model) engineSide() Role {
 	t := m.Target
 	cost := m.connectionCost(t.Engines)
-	return Role{Name: EngineSide, State: fmt.Sprintf("%s connections a gateway, %s in all, %s at an engine", formatCount(t.Engines),
+	return Role{Name: EngineSide, State: fmt.Sprintf("%s connections per gateway, %s in total, %s per engine", formatCount(t.Engines),
 		formatCount(t.Engines*t.Gateways), formatCount(t.Gateways)),
-		Messages: fmt.Sprintf("%s statements a second on each", formatNumber(t.StatementsPerGateway()/t.Engines)),
-		Cost:     cost, Mechanism: "`enginepool.Pool`, one or more to each engine that is used",
-		Verdict: compare(fmt.Sprintf("%d connections at an engine (MySQL's default; assumed)", MySQLMaxConnections), t.Gateways, MySQLMaxConnections)}
+		Messages: fmt.Sprintf("%s statements a second on each connection", formatNumber(t.StatementsPerGateway()/t.Engines)),
+		Cost:     cost, Mechanism: "`enginepool.Pool`, one or more connections to each engine in use",
+		Verdict: compare(fmt.Sprintf("%d connections per engine (MySQL's default; assumed)", MySQLMaxConnections), t.Gateways, MySQLMaxConnections)}
 }
 
 func (m Model) membership() Role {
@@ -82,16 +83,16 @@
 	cost := m.membershipCost(t.Gateways)
 	return Role{Name: Membership, State: fmt.Sprintf("%s members", formatCount(t.Gateways)),
 		Messages: "one datagram a second", Cost: cost, Mechanism: "SWIM with Lifeguard, `internal/control/membership`",
-		Verdict: compare("3 KB/s in the quiet state; see the faults", cost.BytesPerSecond, t.BytesPerSecond)}
+		Verdict: compare("3 KB/s in the quiet state; for faults see below", cost.BytesPerSecond, t.BytesPerSecond)}
 }
 
 func (m Model) loadReports() Role {
 	t := m.Target
 	knownAtLowRate := m.estimate(KnownAtLowRate, t.Engines)
 	known := knownShare(t.Engines)
-	return Role{Name: LoadReports, State: fmt.Sprintf("%s of the engines known, %s old (%s if only 6 answers a second brought reports)",
+	return Role{Name: LoadReports, State: fmt.Sprintf("%s of the engines known, reports %s old (%s known if only 6 responses a second carried reports)",
 		formatNumber(m.estimate(KnownAtFullRate, t.Engines)), formatSeconds(m.estimate(AgeAtFullRate, t.Engines)), formatNumber(knownAtLowRate)),
-		Messages: "3.3 datagrams a second of its own, and every membership datagram filled to 256 bytes",
+		Messages: "3.3 datagrams a second for reports alone; membership datagrams are filled to 256 bytes",
 		Cost:     m.reportCost(t.Gateways, t.Engines), Mechanism: "`internal/control/loadreport`, a table of 1,024 engines",
 		Verdict: compare("0.95 of the engines known", t.KnownShare, known)}
 }
@@ -100,22 +101,22 @@
 	t := m.Target
 	bytes := m.estimate(ListBytes, t.Engines)
 	processor := m.estimate(ListParse, t.Engines) + m.estimate(ListApply, t.Engines)
-	return Role{Name: Discovery, State: fmt.Sprintf("a list of %s; the server is the platform's, not the project's", formatBytes(bytes)),
-		Messages: fmt.Sprintf("a line a second; a whole list takes %s of processor time; %s for all watchers", formatSeconds(processor),
+	return Role{Name: Discovery, State: fmt.Sprintf("a list of %s; the server belongs to the platform, not to this project", formatBytes(bytes)),
+		Messages: fmt.Sprintf("one line a second; a full list takes %s of processor time; %s for all watchers", formatSeconds(processor),
 			formatBytes(bytes*t.Gateways)),
-		Mechanism: "`internal/protocol/discovery`: numbered events, asked for after the last one seen",
-		Verdict:   compare("3 KB/s over 10 s, received, where a reconnection brings a whole list", bytes/peakWindowSeconds, t.BytesPerSecond)}
+		Mechanism: "`internal/protocol/discovery`: numbered events; a watcher resumes after the last event that it received",
+		Verdict:   compare("3 KB/s over 10 s, received, when a reconnect transfers a full list", bytes/peakWindowSeconds, t.BytesPerSecond)}
 }
 
-// peakWindowSeconds is the window over which peaks are averaged.
+// peakWindowSeconds is the length of the window over which traffic peaks are averaged.
 const peakWindowSeconds = 10
 
 func (m Model) configuration() Role {
 	t := m.Target
 	return Role{Name: Configuration, State: "a file on each machine",
-		Messages: fmt.Sprintf("one change in %s, %s deliveries a day", formatSeconds(daySeconds/t.ConfigurationsPerDay),
+		Messages: fmt.Sprintf("one change every %s, %s deliveries a day", formatSeconds(daySeconds/t.ConfigurationsPerDay),
 			formatCount(t.ConfigurationsPerDay*t.Gateways)),
-		Mechanism: "SIGHUP on a file that something else has to lay", Verdict: absentVerdict("in force everywhere within 14 s")}
+		Mechanism: "SIGHUP, to reload a file that another tool has to install", Verdict: absentVerdict("in force everywhere within 14 s")}
 }
 
 const daySeconds = 86_400
@@ -127,25 +128,26 @@
 		Messages: fmt.Sprintf("a report a second; %s/s and %s of a core at the controller", formatBytes(cost.BytesPerSecond*t.Gateways),
 			formatPercent(m.estimate(StagedReportProcessor, t.Gateways))),
 		Cost: cost, Mechanism: "`internal/control/rollout`, `internal/controller`: gateways on the controller's own machine only",
-		Verdict: compare("14 s, by one stage's least watch of 30 s", minWatchSeconds, t.ConfigurationWithin.Seconds())}
+		Verdict: compare("14 s, because a stage is watched for at least 30 s", minWatchSeconds, t.ConfigurationWithin.Seconds())}
 }
 
-// minWatchSeconds is the default of watch.least_s in a rollout plan, see docs/operators/ROLLOUT.md.
+// minWatchSeconds is the default of watch.least_s, the minimum time for which a rollout plan watches a stage. See
+// docs/operators/ROLLOUT.md.
 const minWatchSeconds = 30
 
 func (m Model) primaries() Role {
-	return Role{Name: Primaries, State: "none: no part of the program knows a primary",
+	return Role{Name: Primaries, State: "none: the program does not track primaries",
 		Messages:  fmt.Sprintf("%s changes a day", formatCount(m.Target.PrimariesPerDay)),
-		Mechanism: "none", Verdict: absentVerdict("each change over within 7 s")}
+		Mechanism: "none", Verdict: absentVerdict("each change complete within 7 s")}
 }
 
 func (m Model) controlMachines() Role {
 	return Role{Name: ControlMachine, State: "none: no part of the program runs there", Messages: "none",
-		Mechanism: "none; in two regions no majority outlives the loss of either, see below",
-		Verdict:   absentVerdict("a quorum that outlives a zone and a region's loss")}
+		Mechanism: "none; with two regions no majority survives the loss of either, see below",
+		Verdict:   absentVerdict("a quorum that survives the loss of a zone or a region")}
 }
 
-// QuietTotal returns the cost of all roles together without faults and without client connections.
+// QuietTotal returns the total cost of all roles without faults and without client connections.
 func (m Model) QuietTotal() (total Cost) {
 	for _, role := range m.Roles() {
 		if role.Name != ClientSide {
--- a/internal/testbed/capacity/scale.go
+++ b/internal/testbed/capacity/scale.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ScaleStep is the measurement of one step of `fleettest scale`, from its real processes.
+// ScaleStep holds the measurements of one step of `fleettest scale`, taken from its real gateway processes.
 type ScaleStep struct {
 	Name                  string  `json:"name"`
 	RealGateways          int     `json:"real_gateways"`
@@ -18,11 +18,11 @@
 	HighestBytesPerSecond float64 `json:"highest_bytes_per_second_10s"`
 	Connections           float64 `json:"connections"`
 	SecondsUntilAllKnow   float64 `json:"seconds_until_all_know"`
-	EnginesUsed           float64 `json:"engines_used"`        // by a hollow gateway, mean; 0 in older files, which lack it
-	EnginesKnownShare     float64 `json:"engines_known_share"` // of these, by load reports
+	EnginesUsed           float64 `json:"engines_used"`        // mean over hollow gateways; 0 in older files, which lack it
+	EnginesKnownShare     float64 `json:"engines_known_share"` // share of the engines in use whose load is known
 }
 
-// ScaleResult is the part of the file of `fleettest scale` that the page shows; other fields are ignored.
+// ScaleResult is the part of a result file of `fleettest scale` that the page shows. Other fields are ignored.
 type ScaleResult struct {
 	Runs []struct {
 		Facts struct {
@@ -32,7 +32,7 @@
 	} `json:"runs"`
 }
 
-// DecodeScale decodes the file. The error wraps that of the JSON decoder.
+// DecodeScale decodes a result file of `fleettest scale`. The error wraps that of the JSON decoder.
 func DecodeScale(text []byte) (ScaleResult, error) {
 	var result ScaleResult
 	if err := json.Unmarshal(text, &result); err != nil {
@@ -41,7 +41,7 @@
 	return result, nil
 }
 
-// Table returns a table with a row for every step of every run.
+// Table returns a table with one row for each step of each run.
 func (r ScaleResult) Table() Table {
 	table := Table{Header: []string{
 		"run",
@@ -49,7 +49,7 @@
 		"step",
 		"gateways: real, hollow",
 		"engines",
-		"statements/s a real gateway",
+		"statements/s per real gateway",
 		"processor",
 		"resident MB",
 		"bytes/s, mean",
@@ -67,7 +67,7 @@
 	return table
 }
 
-// row returns the step as a row of the table.
+// row returns the table row of the step.
 func (s ScaleStep) row(run, subset int) []string {
 	return []string{
 		fmt.Sprint(run),
@@ -87,7 +87,7 @@
 	}
 }
 
-// formatSubsetSize formats the smallest size of subsets in a run.
+// formatSubsetSize formats the minimum subset size of a run; 0 means that subsetting is off.
 func formatSubsetSize(minimum int) string {
 	if minimum == 0 {
 		return "off"
--- a/internal/testbed/capacity/slope.go
+++ b/internal/testbed/capacity/slope.go
@@ -8,19 +8,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Form is the form of the curve that is fitted to a slope's points.
+// Form is the form of the curve that is fitted to the points of a slope.
 type Form string
 
 // The forms.
 const (
 	Flat   Form = "flat"   // a constant
-	Linear Form = "linear" // base + rate * size, by least squares of the relative deviations
-	Power  Form = "power"  // base * size^rate, by least squares of the logarithms
+	Linear Form = "linear" // base + rate * size, least squares of the relative deviations
+	Power  Form = "power"  // base * size^rate, least squares of the logarithms
 )
 
 const (
-	minSizes            = 4 // number of sizes that a slope needs
-	extrapolationFactor = 3 // an estimate beyond this multiple of the largest size measured is extrapolated
+	minSizes            = 4 // number of different sizes that a slope must have
+	extrapolationFactor = 3 // estimates for more than this multiple of the largest measured size count as extrapolated
 )
 
 // Point is the measurement at one size.
@@ -30,8 +30,8 @@
 	Min               float64 `json:"least"`
 	Max               float64 `json:"most"`
 	Runs              int     `json:"runs"`
-	SecondsOverBudget float64 `json:"over,omitempty"` // for peaks of bytes: how long the budget was exceeded, the longest of the runs
-	Note              string  `json:"note,omitempty"` // conditions that differ between the points
+	SecondsOverBudget float64 `json:"over,omitempty"` // for network traffic: how long it exceeded the budget, longest of the runs
+	Note              string  `json:"note,omitempty"` // conditions of this point that differ from those of other points
 }
 
 // Slope is a quantity measured at several sizes.
@@ -41,7 +41,7 @@
 	SizeOf  string  `json:"size_of"` // what the size counts
 	Form    Form    `json:"form"`
 	Points  []Point `json:"points"`
-	Command string  `json:"command"` // measures the slope again
+	Command string  `json:"command"` // command line that measures the slope
 }
 
 // Fit is a curve fitted to the points of a slope.
@@ -54,11 +54,11 @@
 // Estimate is the value of a slope at a size.
 type Estimate struct {
 	Value        float64
-	Measured     bool // at that very size, so Value is a measurement
-	Extrapolated bool // beyond three times the largest size measured
+	Measured     bool // Value was measured at this size
+	Extrapolated bool // the size is more than three times the largest measured size
 }
 
-// Reasons for which a slope cannot be fitted; a SlopeError wraps one of them.
+// Reasons why a slope cannot be fitted. A SlopeError wraps one of them.
 var (
 	errInsufficientSizes = fmt.Errorf("fewer than %d sizes", minSizes)
 	errUnknownForm       = errors.New("unknown form")
@@ -68,17 +68,17 @@
 // SlopeError reports a slope that cannot be fitted.
 type SlopeError struct {
 	Slope string // name
-	Value any    // the number of sizes, the form or the point that is out of bounds
+	Value any    // the number of sizes, the form or the point that is invalid
 	Err   error
 }
 
-// Error names the slope, the bound and the value.
+// Error returns the name of the slope, the reason and the invalid value.
 func (e *SlopeError) Error() string { return fmt.Sprintf("slope %q: %v: %+v", e.Slope, e.Err, e.Value) }
 
 // Unwrap returns the reason.
 func (e *SlopeError) Unwrap() error { return e.Err }
 
-// Validate returns a *SlopeError for a slope that cannot be fitted.
+// Validate returns a *SlopeError if the slope cannot be fitted.
 func (s Slope) Validate() error {
 	sizes := map[float64]bool{}
 	for _, point := range s.Points {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Fit fits a curve of the slope's form. All forms weigh relative deviations, so that small sizes count as much as large
-// ones.
+// Fit fits a curve of the slope's form to the points. Linear and power fits minimize relative deviations, so that small
+// sizes weigh as much as large ones.
 func (s Slope) Fit() Fit {
 	var sizes, values, weights []float64
 	for _, point := range s.Points {
@@ -136,7 +136,7 @@
 	return math.Sqrt(squares / float64(len(sizes)))
 }
 
-// ValueAt returns the value of the curve at a size.
+// ValueAt returns the value of the curve at the given size.
 func (f Fit) ValueAt(size float64) float64 {
 	switch f.Form {
 	case Linear:
@@ -147,7 +147,7 @@
 	return f.Base
 }
 
-// String returns the curve as a formula in n, the size.
+// String returns the curve as a formula in the size n.
 func (f Fit) String() string {
 	switch f.Form {
 	case Linear:
@@ -158,7 +158,7 @@
 	return fmt.Sprintf("%.3g", f.Base)
 }
 
-// MaxSize returns the largest size measured.
+// MaxSize returns the largest measured size.
 func (s Slope) MaxSize() (size float64) {
 	for _, point := range s.Points {
 		size = max(size, point.Size)
@@ -166,7 +166,7 @@
 	return size
 }
 
-// MinSize returns the smallest size measured.
+// MinSize returns the smallest measured size.
 func (s Slope) MinSize() float64 {
 	size := math.Inf(1)
 	for _, point := range s.Points {
@@ -175,7 +175,7 @@
 	return size
 }
 
-// minAt returns the smallest value of the runs at a size that was measured, else 0.
+// minAt returns the smallest value of the runs at a measured size, and 0 for a size that was not measured.
 func (s Slope) minAt(size float64) float64 {
 	for _, point := range s.Points {
 		if point.Size == size {
@@ -185,8 +185,9 @@
 	return 0
 }
 
-// EstimateAt returns the value of the slope at a size: the measurement if there is one; between two measured sizes the
-// interpolation of their points, or the curve of a flat slope; elsewhere the curve.
+// EstimateAt estimates the value of the slope at the given size. It returns the measurement at a measured size, interpolates
+// between the neighboring points at a size between two measured ones unless the slope is flat, and uses the fitted curve
+// otherwise.
 func (s Slope) EstimateAt(size float64) Estimate { return s.estimate(s.Fit(), size) }
 
 func (s Slope) estimate(fit Fit, size float64) Estimate {
@@ -202,7 +203,8 @@
 	return Estimate{Value: fit.ValueAt(size), Extrapolated: size > extrapolationFactor*s.MaxSize()}
 }
 
-// neighbors returns the measured points next below and above a size; between is false if one of them does not exist.
+// neighbors returns the nearest measured points below and above a size. The result between is false if one of them does
+// not exist.
 func (s Slope) neighbors(size float64) (below, above Point, between bool) {
 	for _, point := range s.Points {
 		if point.Size < size && (below.Size == 0 || point.Size > below.Size) {
@@ -215,7 +217,7 @@
 	return below, above, below.Size > 0 && above.Size > 0
 }
 
-// interpolate interpolates linearly between two points, for a power on logarithmic axes.
+// interpolate interpolates linearly between two points, on logarithmic axes if the slope has the form Power.
 func (s Slope) interpolate(below, above Point, size float64) float64 {
 	if s.Form == Power {
 		fraction := math.Log(size/below.Size) / math.Log(above.Size/below.Size)
--- a/internal/testbed/capacity/slope_test.go
+++ b/internal/testbed/capacity/slope_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// pointsOn returns points of a curve at four sizes.
+// pointsOn returns the points of a curve at four sizes.
 func pointsOn(curve func(size float64) float64) (points []Point) {
 	for _, size := range []float64{10, 80, 300, 1100} {
 		points = append(points, Point{Size: size, Value: curve(size), Runs: 1})
@@ -16,7 +16,7 @@
 
 func nearlyEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9*math.Max(1, math.Abs(b)) }
 
-// A fit to points on a curve of its form is that curve, without residual.
+// TestFitRecoversCurve checks that fitting points of a curve yields this curve, with a residual of 0.
 func TestFitRecoversCurve(t *testing.T) {
 	for form, curve := range map[Form]func(float64) float64{
 		Flat:   func(float64) float64 { return 42 },
@@ -30,59 +30,60 @@
 			}
 			fit := slope.Fit()
 			if !nearlyEqual(fit.ValueAt(550), curve(550)) || fit.Residual > 1e-9 {
-				t.Errorf("%v at 550, not %v; residual %v", fit.ValueAt(550), curve(550), fit.Residual)
+				t.Errorf("value %v at size 550, want %v; residual %v, want 0", fit.ValueAt(550), curve(550), fit.Residual)
 			}
 		})
 	}
 }
 
-// The residual is the root mean square of relative deviations: two points 10% above and two 10% below a constant.
-func TestResidual(t *testing.T) {
+// TestFitResidual checks that the residual is the root mean square of the relative deviations, for points 10% above and
+// below a constant.
+func TestFitResidual(t *testing.T) {
 	slope := Slope{Form: Flat, Points: []Point{{Size: 1, Value: 110}, {Size: 2, Value: 90}, {Size: 3, Value: 110}, {Size: 4, Value: 90}}}
 	if got := slope.Fit().Residual; !nearlyEqual(got, 0.1) {
-		t.Errorf("residual %v", got)
+		t.Errorf("residual %v, want 0.1", got)
 	}
 }
 
-// Measurements and interpolations between them take precedence over the curve; beyond three times the largest size an
-// estimate is marked as extrapolated.
-func TestEstimates(t *testing.T) {
+// TestEstimateAtPrefersMeasurements checks that measured and interpolated values take precedence over the curve, and that
+// estimates beyond three times the largest measured size are marked as extrapolated.
+func TestEstimateAtPrefersMeasurements(t *testing.T) {
 	points := pointsOn(func(size float64) float64 { return size })
 	points[1].Value = 160 // off the curve
 	slope := Slope{Form: Linear, Points: points}
 	if e := slope.EstimateAt(80); e.Value != 160 || !e.Measured || e.Extrapolated {
-		t.Errorf("%+v at a measured size", e)
+		t.Errorf("estimate %+v at a measured size, want the measured 160", e)
 	}
-	if e := slope.EstimateAt(190); e.Value != 230 || e.Measured || e.Extrapolated { // half way from 160 at 80 to 300 at 300
-		t.Errorf("%+v between measured sizes", e)
+	if e := slope.EstimateAt(190); e.Value != 230 || e.Measured || e.Extrapolated { // halfway between the value 160 at size 80 and 300 at size 300
+		t.Errorf("estimate %+v between measured sizes, want the interpolated 230", e)
 	}
 	if e := slope.EstimateAt(3300); e.Measured || e.Extrapolated {
-		t.Errorf("%+v at three times the largest size", e)
+		t.Errorf("estimate %+v at three times the largest size, want a value from the curve, not extrapolated", e)
 	}
 	if e := slope.EstimateAt(3301); !e.Extrapolated {
-		t.Errorf("%+v beyond it", e)
+		t.Errorf("estimate %+v beyond three times the largest size, want it marked as extrapolated", e)
 	}
 }
 
-// Between two points a power is interpolated on logarithmic axes, even where its curve lies above both points; a flat slope
-// uses its curve.
-func TestInterpolation(t *testing.T) {
+// TestEstimateAtInterpolates checks that a power slope is interpolated on logarithmic axes between two points, even where
+// its curve is above both points, and that a flat slope uses its curve.
+func TestEstimateAtInterpolates(t *testing.T) {
 	bounded := []Point{{Size: 100, Value: 800}, {Size: 200, Value: 2500}, {Size: 400, Value: 2600}, {Size: 800, Value: 2600}}
 	power := Slope{Form: Power, Points: bounded}
 	if e := power.EstimateAt(700); !nearlyEqual(e.Value, 2600) || power.Fit().ValueAt(700) < 2800 {
-		t.Errorf("%+v, by the curve %v", e, power.Fit().ValueAt(700))
+		t.Errorf("power slope at 700: estimate %+v, want 2600; curve %v, want at least 2800", e, power.Fit().ValueAt(700))
 	}
 	if e := power.EstimateAt(200 * math.Sqrt2); !nearlyEqual(e.Value, math.Sqrt(2500*2600)) {
-		t.Errorf("%+v", e)
+		t.Errorf("power slope between 200 and 400: estimate %+v, want the geometric mean of both values", e)
 	}
 	flat := Slope{Form: Flat, Points: bounded}
 	if e := flat.EstimateAt(300); !nearlyEqual(e.Value, flat.Fit().ValueAt(300)) {
-		t.Errorf("%+v, by the curve %v", e, flat.Fit().ValueAt(300))
+		t.Errorf("flat slope at 300: estimate %+v, want %v from the curve", e, flat.Fit().ValueAt(300))
 	}
 }
 
-// Slopes that cannot be fitted are rejected with the reason and the value.
-func TestInvalidSlopesAreRejected(t *testing.T) {
+// TestValidateRejectsInvalidSlopes checks the reason and the value in the error for each kind of invalid slope.
+func TestValidateRejectsInvalidSlopes(t *testing.T) {
 	good := pointsOn(func(size float64) float64 { return size })
 	zero := append([]Point(nil), good...)
 	zero[2].Value = 0
@@ -102,10 +103,10 @@
 			err := c.slope.Validate()
 			var invalid *SlopeError
 			if !errors.Is(err, c.reason) || !errors.As(err, &invalid) || invalid.Slope != "s" {
-				t.Fatalf("error %v, want %v", err, c.reason)
+				t.Fatalf("error %v, want a SlopeError for slope s that wraps %q", err, c.reason)
 			}
 			if c.value != nil && invalid.Value != c.value {
-				t.Errorf("value %v, want %v", invalid.Value, c.value)
+				t.Errorf("value %v in the error, want %v", invalid.Value, c.value)
 			}
 		})
 	}
--- a/internal/testbed/capacity/table.go
+++ b/internal/testbed/capacity/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Table is a table of docs/operators/CAPACITY.md.
+// Table is a table on the page docs/operators/CAPACITY.md.
 type Table struct {
 	Header []string
 	Rows   [][]string
@@ -28,10 +28,10 @@
 	return text.String()
 }
 
-// extrapolatedSuffix marks values that are extrapolated.
+// extrapolatedSuffix marks extrapolated values.
 const extrapolatedSuffix = " (extrapolated)"
 
-// SlopeTable returns the table of all slopes: points, fit, residual, prediction at the target, and command.
+// SlopeTable returns a table of all slopes with their points, fit, residual, estimate for the target and command.
 func SlopeTable(result Result) Table {
 	table := Table{Header: []string{"slope", "measured at", "runs at each", "spread", "fit", "residual", "at the target", "command"}}
 	target := Expected()
@@ -44,14 +44,14 @@
 			formatSpread(slope),
 			fit.String() + " " + slope.Unit,
 			formatPercent(fit.Residual),
-			formatPrediction(slope, estimate),
+			formatEstimate(slope, estimate),
 			"`" + slope.Command + "`",
 		})
 	}
 	return table
 }
 
-// sizeOf returns the target's size for a slope. Connections are those of one gateway.
+// sizeOf returns the size at which a slope is evaluated for the target. For connections it is the number at one gateway.
 func (t Target) sizeOf(slope Slope) float64 {
 	switch {
 	case slope.SizeOf == Engines, slope.Name == EngineConnection:
@@ -70,7 +70,7 @@
 	return strings.Join(list, ", ") + " (" + slope.SizeOf + ")"
 }
 
-// formatRuns formats how many runs the points have.
+// formatRuns formats the number of runs per point, as a range if it differs between the points.
 func formatRuns(slope Slope) string {
 	lowest, highest := slope.Points[0].Runs, slope.Points[0].Runs
 	for _, point := range slope.Points {
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("%d to %d", lowest, highest)
 }
 
-// formatSpread formats the largest ratio between runs of one size.
+// formatSpread formats the largest ratio between the runs of one size, and a ratio of 1 as a dash.
 func formatSpread(slope Slope) string {
 	worst := 1.0
 	for _, point := range slope.Points {
@@ -94,7 +94,7 @@
 	return "x" + formatNumber(worst)
 }
 
-func formatPrediction(slope Slope, estimate Estimate) string {
+func formatEstimate(slope Slope, estimate Estimate) string {
 	text := formatQuantity(estimate.Value, slope.Unit)
 	switch {
 	case estimate.Extrapolated:
--- a/internal/testbed/capacity/target.go
+++ b/internal/testbed/capacity/target.go
@@ -16,16 +16,16 @@
 // ClientsPerGateway returns the mean number of client connections of a gateway.
 func (f Fleet) ClientsPerGateway() float64 { return f.ClientConnections / f.Gateways }
 
-// Budget limits what a gateway spends on control, which is everything but the statements and their results. The limits
-// hold for peaks too.
+// Budget limits the resources that a gateway may use for the control plane, which is everything but statements and their
+// results. The limits also apply to peaks.
 type Budget struct {
 	Processor       float64 // share of a core
 	MemoryBytes     float64
 	BytesPerSecond  float64 // sent
-	ControlMachines float64
+	ControlMachines float64 // in the whole fleet
 }
 
-// Changes are the rates of changes of the fleet, and the time within which each must be in force everywhere.
+// Changes holds the rates of changes to the fleet, and the time within which a change must be in force everywhere.
 type Changes struct {
 	ConfigurationsPerDay float64
 	ConfigurationWithin  time.Duration
@@ -33,20 +33,20 @@
 	PrimaryWithin        time.Duration
 }
 
-// Faults are the rates of faults.
+// Faults holds the rates of faults.
 type Faults struct {
 	MachinesPerDay, RestartsPerDay float64
 	RacksPerMonth, ZonesPerMonth   float64
-	RegionsApart                   time.Duration // length of a partition between regions; its rate is not known
+	RegionsApart                   time.Duration // duration of a partition between regions, whose rate is unknown
 }
 
-// Target is a fleet with all its requirements.
+// Target is a fleet with its requirements.
 type Target struct {
 	Fleet
 	Budget
 	Changes
 	Faults
-	KnownShare float64 // required share of engines of which a gateway holds an unexpired load report
+	KnownShare float64 // required share of engines for which a gateway has an unexpired load report
 }
 
 // Expected returns the fleet that operators expect within two years (issue 23).
@@ -63,7 +63,7 @@
 	}
 }
 
-// CurrentFleet returns the largest fleet that has been operated, with the other properties of the target.
+// CurrentFleet returns the size of the largest fleet in operation so far, with the load of the target.
 func CurrentFleet() Fleet {
 	target := Expected().Fleet
 	target.Gateways, target.Engines = 300, 80
--- a/internal/testbed/capacity/verdict.go
+++ b/internal/testbed/capacity/verdict.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// Status is the result of comparing a use with a requirement.
+// Status is the result of comparing a resource use with a requirement.
 type Status string
 
 // The statuses.
 const (
-	Fits   Status = "fits" // the use is at most the limit
-	Misses Status = "misses"
-	Absent Status = "absent" // the program has nothing for the requirement
+	Fits   Status = "fits"   // the use is within the limit
+	Misses Status = "misses" // the use exceeds the limit
+	Absent Status = "absent" // the program has no mechanism for the requirement
 )
 
-// Verdict is a status with the measure that it is based on.
+// Verdict is a status with the figures that it is based on.
 type Verdict struct {
 	Status      Status
-	Factor      float64 // use over limit; 0 if absent
+	Factor      float64 // use divided by limit; 0 if absent
 	Requirement string
 }
 
-// compare returns the verdict on a use with the given limit.
+// compare returns the verdict on a resource use with the given limit.
 func compare(requirement string, use, limit float64) Verdict {
 	status := Fits
 	if use > limit {
@@ -28,10 +28,10 @@
 	return Verdict{status, use / limit, requirement}
 }
 
-// absentVerdict returns the verdict on a requirement that the program has nothing for.
+// absentVerdict returns the verdict on a requirement for which the program has no mechanism.
 func absentVerdict(requirement string) Verdict { return Verdict{Absent, 0, requirement} }
 
-// String returns the verdict as it stands on the page.
+// String returns the verdict as printed on the page.
 func (v Verdict) String() string {
 	switch v.Status {
 	case Fits:
