--- a/internal/testbed/emulator/baseline.go
+++ b/internal/testbed/emulator/baseline.go
@@ -14,17 +14,18 @@
 	"time"
 )
 
-// BaselinePolicy is how baseline gateways balance load over the engines.
+// BaselinePolicy is the load balancing policy of baseline gateways.
 type BaselinePolicy uint8
 
-// Policies that gateways are compared with.
+// Load balancing policies that the program's own policy is compared with.
 const (
-	RandomEngine    BaselinePolicy = iota
-	MinReportedLoad                // fewest queries: those of the latest report seen, plus the own ones in flight
+	RandomEngine    BaselinePolicy = iota // a uniformly random engine
+	MinReportedLoad                       // the engine with the fewest queries: those in its latest load report plus the gateway's own in flight
 )
 
-// BaselineGateways are gateways without admission control, queue or retries: each query is sent to an engine at once. A
-// gateway sees only the load reports in its own answers. It reuses connections for as long as the program's gateways do.
+// BaselineGateways are gateways without admission control, queues or retries: each query is sent to an engine
+// immediately. A gateway sees only the load reports in the responses that it receives itself. It reuses idle connections
+// for as long as the program's gateways do.
 type BaselineGateways struct {
 	policy            BaselinePolicy
 	engines           func() []*Engine
@@ -36,7 +37,7 @@
 	inFlight          sync.WaitGroup
 }
 
-// baselineGateway is the state of one gateway. Its maps are keyed by the engine's name.
+// baselineGateway is the state of one gateway. Its maps are keyed by engine name.
 type baselineGateway struct {
 	random       *rand.Rand
 	reportedLoad map[string]int
@@ -51,10 +52,11 @@
 	lastUsed time.Duration
 }
 
-// connIdleTimeout is how long an idle connection may be used again.
+// connIdleTimeout is how long a connection may stay idle and still be reused.
 const connIdleTimeout = 10 * time.Second
 
-// NewBaselineGateways returns so many gateways. The seed decides their random choices; engines lists those that run.
+// NewBaselineGateways returns the given number of gateways. The seed determines their random choices; engines returns the
+// running engines.
 func NewBaselineGateways(gateways int, policy BaselinePolicy, seed uint64, engines func() []*Engine,
 	clock func() time.Duration) *BaselineGateways {
 	b := &BaselineGateways{policy: policy, engines: engines, clock: clock, gateways: make([]baselineGateway, gateways)}
@@ -69,7 +71,7 @@
 	return b
 }
 
-// Run sends the requests at their times and returns once all have ended.
+// Run sends each request at its arrival time and returns when all have completed.
 func (b *BaselineGateways) Run(requests []Request) {
 	start := b.clock()
 	for _, r := range requests {
@@ -80,14 +82,14 @@
 	b.inFlight.Wait()
 }
 
-// Outcomes returns the outcomes of all requests so far, and how many connections were opened for them.
+// Outcomes returns the outcomes of all completed requests, and the number of connections opened so far.
 func (b *BaselineGateways) Outcomes() (outcomes []Outcome, connections int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Outcome(nil), b.outcomes...), b.connectionsOpened
 }
 
-// chooseEngine returns the engine that a gateway sends its next query to, or nil where none runs; the lock is held.
+// chooseEngine returns the engine for a gateway's next query, or nil if no engine is running. The caller holds the lock.
 func (b *BaselineGateways) chooseEngine(g *baselineGateway) *Engine {
 	engines := b.engines()
 	if len(engines) == 0 {
@@ -97,7 +99,7 @@
 	if b.policy == RandomEngine {
 		return best
 	}
-	first := g.random.IntN(len(engines)) // so that ties do not all fall to one engine
+	first := g.random.IntN(len(engines)) // a random start, so that ties are spread over the engines
 	for k := range engines {
 		if e := engines[(first+k)%len(engines)]; g.load(e) < g.load(best) {
 			best = e
@@ -106,10 +108,10 @@
 	return best
 }
 
-// load is how many queries the gateway believes to be at an engine.
+// load returns the gateway's estimate of the number of queries at an engine.
 func (g *baselineGateway) load(e *Engine) int { return g.reportedLoad[e.Name()] + g.inFlight[e.Name()] }
 
-// send carries a request from its arrival to its outcome.
+// send sends a request to an engine and records the outcome.
 func (b *BaselineGateways) send(r Request) {
 	defer b.inFlight.Done()
 	g := &b.gateways[r.Gateway]
@@ -132,9 +134,10 @@
 	b.mu.Unlock()
 }
 
-// execute runs a query on an engine. It polls until the query has ended, or cancels it at the client's timeout.
+// execute runs a query on an engine. It polls until the query ends, or until the client's timeout, when it cancels the
+// query.
 func (b *BaselineGateways) execute(g *baselineGateway, e *Engine, r Request, start time.Duration) Verdict {
-	c, err := b.connection(g, e)
+	c, err := b.acquireConn(g, e)
 	if err != nil {
 		return Failed
 	}
@@ -147,39 +150,39 @@
 		}
 		b.recordReport(g, e, resp)
 		if resp.code != http.StatusAccepted {
-			b.release(g, e, c)
+			b.releaseConn(g, e, c)
 			return resp.verdict(r)
 		}
 		if b.clock()-start >= r.Budget {
 			_, _ = c.roundTrip(fmt.Sprintf("DELETE %s%s HTTP/1.1\r\nHost: e\r\n\r\n", queryPath, r.ID))
-			b.release(g, e, c)
+			b.releaseConn(g, e, c)
 			return Failed
 		}
 		request = fmt.Sprintf("GET %s%s/0 HTTP/1.1\r\nHost: e\r\n\r\n", queryPath, r.ID)
 	}
 }
 
-// submitRequest is the HTTP request that starts a query.
+// submitRequest returns the HTTP request that submits a query.
 func submitRequest(r Request) string {
 	statement := Statement(r.Query)
 	header := fmt.Sprintf("X-Hop-Id: %s\r\nX-Sort: c%d\r\nX-Budget: %d\r\n", r.ID, r.Class, r.Budget.Milliseconds())
 	return fmt.Sprintf("POST /v2/q HTTP/1.1\r\nHost: e\r\n%sContent-Length: %d\r\n\r\n%s", header, len(statement), statement)
 }
 
-// recordReport keeps the load report of a response, if it carries one.
+// recordReport stores the load report of a response, if there is one.
 func (b *BaselineGateways) recordReport(g *baselineGateway, e *Engine, resp response) {
-	queries, ok := reportedInFlight(resp.header)
+	inFlight, ok := reportedInFlight(resp.header)
 	if !ok {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	g.reportedLoad[e.Name()] = queries
+	g.reportedLoad[e.Name()] = inFlight
 }
 
-// connection returns an idle connection to an engine, or a new one.
-func (b *BaselineGateways) connection(g *baselineGateway, e *Engine) (*engineConn, error) {
-	if c := b.reuse(g, e); c != nil {
+// acquireConn returns an idle connection to an engine, or opens one.
+func (b *BaselineGateways) acquireConn(g *baselineGateway, e *Engine) (*engineConn, error) {
+	if c := b.takeIdle(g, e); c != nil {
 		return c, nil
 	}
 	conn, err := net.DialTimeout("tcp", e.Addr(), dialTimeout)
@@ -189,9 +192,9 @@
 	return &engineConn{conn: conn, reader: textproto.NewReader(bufio.NewReaderSize(conn, 1024))}, nil
 }
 
-// reuse returns the connection to an engine that was idle for the shortest time, and closes those idle for too long; nil
-// means that a connection has to be opened.
-func (b *BaselineGateways) reuse(g *baselineGateway, e *Engine) *engineConn {
+// takeIdle returns the most recently used idle connection to an engine, and closes expired ones. If there is none, it
+// returns nil and counts the connection that the caller then opens.
+func (b *BaselineGateways) takeIdle(g *baselineGateway, e *Engine) *engineConn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for idle := g.idle[e.Name()]; len(idle) > 0; idle = g.idle[e.Name()] {
@@ -206,8 +209,8 @@
 	return nil
 }
 
-// release makes a connection idle.
-func (b *BaselineGateways) release(g *baselineGateway, e *Engine, c *engineConn) {
+// releaseConn returns a connection to the idle pool.
+func (b *BaselineGateways) releaseConn(g *baselineGateway, e *Engine, c *engineConn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c.lastUsed = b.clock()
@@ -227,14 +230,14 @@
 	}
 }
 
-// response is the response of an engine.
+// response is an HTTP response of an engine.
 type response struct {
 	code   int
 	header textproto.MIMEHeader
 	body   string
 }
 
-// verdict is what a final response means for a request.
+// verdict returns the verdict on a request that got this final response.
 func (r response) verdict(request Request) Verdict {
 	switch {
 	case r.code == http.StatusOK && r.body == Rows(request.ID):
@@ -269,11 +272,11 @@
 	return resp, err
 }
 
-// statusCode reads the code of a status line.
+// statusCode parses the status code of an HTTP status line.
 func statusCode(line string) (int, error) {
 	fields := strings.Fields(line)
 	if len(fields) < 2 {
-		return 0, fmt.Errorf("status line %q", line)
+		return 0, fmt.Errorf("status line %q has no status code", line)
 	}
 	code, err := strconv.Atoi(fields[1])
 	if err != nil {
@@ -282,7 +285,7 @@
 	return code, nil
 }
 
-// reportedInFlight is the number of queries in a response's load report; false where there is none.
+// reportedInFlight returns the number of queries in a response's load report; false if there is none.
 func reportedInFlight(header textproto.MIMEHeader) (int, bool) {
 	for field := range strings.SplitSeq(header.Get("X-Report"), ";") {
 		if text, found := strings.CutPrefix(field, "inflight:"); found {
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// answerSlack is how long after its timeout a request may still be answered.
+// answerSlack is how long clients wait for an answer beyond a request's timeout.
 const answerSlack = 500 * time.Millisecond
 
-// Clients are open-loop clients: they send requests at the times that the traffic gives, over one connection to each
-// gateway, and record every outcome. A gateway that fails its health check gets no requests until it passes one.
+// Clients are open-loop clients: they send requests at the arrival times of the workload, over one connection to each
+// gateway, and record every outcome. A gateway that fails a health check gets no requests until it passes one.
 type Clients struct {
 	addrs        []string
 	clock        func() time.Duration
@@ -30,37 +30,37 @@
 	healthChecks sync.WaitGroup
 }
 
-// clientConn is the connection to a gateway.
+// clientConn is a connection to a gateway.
 type clientConn struct {
 	conn     net.Conn
 	lastID   int
 	pending  map[int]*pendingRequest
-	answered map[int]*Outcome // recent ones, to count second answers
+	answered map[int]*Outcome // recently answered requests by ID, to count duplicate answers
 }
 
-// pendingRequest is a request, or a health check, that has no answer yet.
+// pendingRequest is a request or health check that is waiting for its answer.
 type pendingRequest struct {
 	request Request
 	outcome *Outcome
 	timer   *time.Timer
-	ping    bool
-	retried bool // sent a second time, since its connection was closed at once
+	ping    bool // a health check
+	retried bool // sent a second time, because its connection closed right after it was sent
 	sent    time.Duration
 }
 
 // Limits of a connection to a gateway.
 const (
-	pingInterval      = 500 * time.Millisecond // between two health checks of a gateway
-	unansweredPings   = 2                      // with more a gateway is out of service: it accepts connections and never answers
-	maxPendingPings   = 5                      // with so many no further one is sent
-	dialTimeout       = time.Second
-	closeRaceWindow   = 50 * time.Millisecond // a request sent less than this before its connection closed is retried
-	answersRemembered = 1000                  // for each connection
-	maxReplyBytes     = 1 << 20
+	pingInterval       = 500 * time.Millisecond // between health checks of a gateway
+	maxUnansweredPings = 2                      // with more, a gateway is out of service: it accepts connections but does not answer
+	maxPendingPings    = 5                      // no further health check is sent while this many are pending
+	dialTimeout        = time.Second
+	closeRaceWindow    = 50 * time.Millisecond // a request sent less than this before its connection closes is retried
+	maxAnsweredPerConn = 1000                  // answered requests remembered for each connection
+	maxReplyBytes      = 1 << 20
 )
 
-// NewClients makes clients of the gateways at the addresses and starts their health checks, which Close ends. The seed
-// decides which other gateway serves a request whose own is out of service.
+// NewClients returns clients of the gateways at these addresses and starts the health checks, which Close stops. The seed
+// determines which other gateway gets a request whose preferred gateway is out of service.
 func NewClients(addrs []string, classes []Class, seed uint64, clock func() time.Duration) *Clients {
 	c := &Clients{
 		addrs:   addrs,
@@ -79,7 +79,8 @@
 	return c
 }
 
-// Run sends the requests at their times and returns once all have ended. Once stop is closed it sends no more.
+// Run sends each request at its arrival time and returns when all have completed. When stop is closed, it sends no further
+// requests.
 func (c *Clients) Run(requests []Request, stop <-chan struct{}) {
 	start := c.clock()
 	timer := time.NewTimer(0)
@@ -99,7 +100,7 @@
 	c.inFlight.Wait()
 }
 
-// Close ends the health checks and all connections.
+// Close stops the health checks and closes all connections.
 func (c *Clients) Close() {
 	close(c.closing)
 	c.mu.Lock()
@@ -112,21 +113,22 @@
 	c.healthChecks.Wait()
 }
 
-// Outcomes returns the outcomes of the requests that have ended, from mark on, and the mark to continue from.
-func (c *Clients) Outcomes(mark int) ([]Outcome, int) {
+// Outcomes returns the outcomes of completed requests from index from on, and the index for the next call.
+func (c *Clients) Outcomes(from int) ([]Outcome, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Outcome
-	for _, o := range c.outcomes[mark:] {
+	for _, o := range c.outcomes[from:] {
 		out = append(out, *o)
 	}
 	return out, len(c.outcomes)
 }
 
-// chooseGateway returns the request's own gateway, or while that is out of service any other; the lock is held.
-func (c *Clients) chooseGateway(own int) int {
-	if c.serving[own] {
-		return own
+// chooseGateway returns the preferred gateway, or a random gateway in service while that one is out of service. The caller
+// holds the lock.
+func (c *Clients) chooseGateway(preferred int) int {
+	if c.serving[preferred] {
+		return preferred
 	}
 	first := c.random.IntN(len(c.serving))
 	for k := range c.serving {
@@ -134,10 +136,10 @@
 			return i
 		}
 	}
-	return own
+	return preferred
 }
 
-// send sends a request; the lock is not held during a dial.
+// send sends a request to a gateway. It does not hold the lock while dialing.
 func (c *Clients) send(r Request) {
 	c.inFlight.Add(1)
 	c.mu.Lock()
@@ -147,9 +149,9 @@
 	c.transmit(gateway, p)
 }
 
-// transmit writes a request to a gateway, over a new connection where there is none.
+// transmit writes a request to a gateway, and opens a connection if there is none.
 func (c *Clients) transmit(gateway int, p *pendingRequest) {
-	k, err := c.connection(gateway)
+	k, err := c.getOrDial(gateway)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
@@ -158,13 +160,13 @@
 		return
 	}
 	if c.conns[gateway] != k {
-		// The connection ended between the two locks. Its pending requests have been dealt with, so that nobody would
-		// find this one there.
+		// The connection closed while the lock was released, and its pending requests have already been handled, so
+		// adding this request to them would leave it without an outcome until its timeout.
 		c.retryOnce(gateway, p)
 		return
 	}
 	id := k.lastID + 1
-	line, err := c.requestLine(id, p.request)
+	line, err := c.encodeRequest(id, p.request)
 	k.lastID = id
 	if err != nil {
 		c.complete(p, Failed)
@@ -174,10 +176,10 @@
 	if p.timer == nil {
 		p.timer = c.startTimeout(k, id, p)
 	}
-	_, _ = k.conn.Write(append(line, '\n')) // a failed write shows as the end of the connection
+	_, _ = k.conn.Write(append(line, '\n')) // after a failed write, readReplies sees the connection close
 }
 
-// retryOnce sends a request a second time; one that has been is lost. The lock is held.
+// retryOnce sends a request a second time, or records it as lost if it has been retried before. The caller holds the lock.
 func (c *Clients) retryOnce(gateway int, p *pendingRequest) {
 	if p.retried {
 		c.complete(p, Lost)
@@ -187,8 +189,8 @@
 	go c.transmit(gateway, p)
 }
 
-// requestLine is a request as the gateways' JSON-RPC protocol has it, without the line's end.
-func (c *Clients) requestLine(id int, r Request) ([]byte, error) {
+// encodeRequest encodes a request in the gateways' JSON-RPC protocol, without the trailing newline.
+func (c *Clients) encodeRequest(id int, r Request) ([]byte, error) {
 	params := map[string]any{
 		"rid":    r.ID,
 		"budget": r.Budget.Milliseconds(),
@@ -202,7 +204,7 @@
 	return json.Marshal(map[string]any{"jsonrpc": "2.0", "id": id, "method": c.classes[r.Class].Name, "params": params})
 }
 
-// startTimeout starts the timer that ends a request without an answer.
+// startTimeout starts the timer after which a request counts as unanswered.
 func (c *Clients) startTimeout(k *clientConn, id int, p *pendingRequest) *time.Timer {
 	return time.AfterFunc(p.request.Budget+answerSlack, func() {
 		c.mu.Lock()
@@ -214,7 +216,7 @@
 	})
 }
 
-// complete records the outcome of a request; the lock is held.
+// complete records the outcome of a request. The caller holds the lock.
 func (c *Clients) complete(p *pendingRequest, verdict Verdict) {
 	if p.timer != nil {
 		p.timer.Stop()
@@ -227,8 +229,8 @@
 	c.inFlight.Done()
 }
 
-// connection returns the connection to a gateway, a new one where there is none.
-func (c *Clients) connection(gateway int) (*clientConn, error) {
+// getOrDial returns the connection to a gateway, and opens one if there is none.
+func (c *Clients) getOrDial(gateway int) (*clientConn, error) {
 	c.mu.Lock()
 	k := c.conns[gateway]
 	c.mu.Unlock()
@@ -251,7 +253,7 @@
 	return k, nil
 }
 
-// reply is a line of a gateway.
+// reply is a JSON-RPC response of a gateway.
 type reply struct {
 	ID     int `json:"id"`
 	Result *struct {
@@ -263,10 +265,11 @@
 	} `json:"error"`
 }
 
-// codeRejected is the JSON-RPC error code of a request that was rejected without effect.
+// codeRejected is the JSON-RPC error code of a request that was rejected without side effects.
 const codeRejected = -32008
 
-// readReplies handles a gateway's lines until its connection ends.
+// readReplies handles the replies of a gateway until the connection closes, then retries the requests that the close raced
+// with.
 func (c *Clients) readReplies(gateway int, k *clientConn) {
 	lines := bufio.NewScanner(k.conn)
 	lines.Buffer(make([]byte, 0, 4096), maxReplyBytes)
@@ -283,8 +286,8 @@
 	}
 }
 
-// dropConnection ends what is pending on a connection that has closed, and returns the requests to send again: those
-// that were on their way when it closed.
+// dropConnection completes the pending requests of a closed connection and returns the ones to retry: those sent within
+// closeRaceWindow before the close.
 func (c *Clients) dropConnection(gateway int, k *clientConn) (retries []*pendingRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -306,7 +309,7 @@
 	return retries
 }
 
-// handleReply handles a line of a gateway, which err says could not be decoded; the lock is held.
+// handleReply handles a reply of a gateway; err is the error of decoding it. The caller holds the lock.
 func (c *Clients) handleReply(gateway int, k *clientConn, r reply, err error) {
 	p := k.pending[r.ID]
 	if p == nil || err != nil {
@@ -321,11 +324,11 @@
 		return
 	}
 	k.answered[r.ID] = p.outcome
-	delete(k.answered, r.ID-answersRemembered)
+	delete(k.answered, r.ID-maxAnsweredPerConn)
 	c.complete(p, verdictOf(r, p.request))
 }
 
-// verdictOf compares a reply with what the request is to be answered with.
+// verdictOf returns the verdict on a request that got this reply.
 func verdictOf(r reply, request Request) Verdict {
 	switch {
 	case r.Error != nil && r.Error.Code == codeRejected:
--- a/internal/testbed/emulator/corruptproxy.go
+++ b/internal/testbed/emulator/corruptingproxy.go
@@ -12,25 +12,25 @@
 	"frostpier/internal/settings"
 )
 
-// corruptEvery is how many results pass for each one that the proxy changes.
+// corruptEvery is the number of results of which the proxy corrupts one.
 const corruptEvery = 50
 
-// The start of a result in a line of the client protocol, as it is and with characters put before the result.
+// The start of a result in a line of the client protocol: unchanged, and with characters inserted before the result.
 const (
 	resultField    = `"blob":"`
 	corruptedField = `"blob":"c3Bv`
 )
 
-// corruptingProxy stands between the clients and the gateway of this process and changes one result in corruptEvery.
-// The gateway's own counters know nothing of it: only the clients can tell.
+// corruptingProxy relays between clients and the gateway of this process, and corrupts one result in corruptEvery. The
+// gateway's own counters do not show the fault; only clients can detect it.
 type corruptingProxy struct {
 	listener net.Listener
 	gateway  string // the address on which the gateway listens
 	results  atomic.Int64
 }
 
-// startCorruptingProxy listens on the address of the gateway's configuration and moves the gateway, by GW_LISTEN, to
-// another one. The proxy runs until the process ends.
+// startCorruptingProxy listens on the gateway's configured address, and sets GW_LISTEN so that the gateway listens on
+// another. The proxy runs until the process exits.
 func startCorruptingProxy() error {
 	public, err := configuredAddr()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// configuredAddr is the address on which the gateway of this process is configured to serve clients.
+// configuredAddr returns the address for clients in the configuration of this process's gateway.
 func configuredAddr() (string, error) {
 	text, err := os.ReadFile(os.Getenv("GW_CONFIG"))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return config.Listen, nil
 }
 
-// freeAddr is a loopback address with a TCP port that is free.
+// freeAddr returns a loopback address with a free TCP port.
 func freeAddr() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// proxy connects a client with the gateway until either closes.
+// proxy relays between a client and the gateway until either closes its connection.
 func (p *corruptingProxy) proxy(client net.Conn) {
 	defer func() { _ = client.Close() }()
 	gateway, err := net.Dial("tcp", p.gateway)
@@ -99,7 +99,7 @@
 	p.copyLines(client, gateway)
 }
 
-// copyLines passes the gateway's lines on to the client, some of them changed.
+// copyLines forwards the gateway's lines to the client, and corrupts some of them.
 func (p *corruptingProxy) copyLines(client io.Writer, gateway io.Reader) {
 	lines := bufio.NewReader(gateway)
 	for {
@@ -113,7 +113,7 @@
 	}
 }
 
-// corrupt changes a line that holds a result, if its turn has come.
+// corrupt returns the line, with its result corrupted if it holds the next result to corrupt.
 func (p *corruptingProxy) corrupt(line string) string {
 	if !strings.Contains(line, resultField) {
 		return line
--- a/internal/testbed/emulator/corruptproxy_test.go
+++ b/internal/testbed/emulator/corruptingproxy_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// The proxy changes each 50th result, and no line without a result.
-func TestCorruptingProxyChangesOneResultIn50(t *testing.T) {
+// Checks that the proxy corrupts every 50th result and no line without a result.
+func TestCorruptingProxyCorruptsEvery50thResult(t *testing.T) {
 	const result, ping = `{"id":1,"result":{"blob":"cm93"}}`, `{"id":2,"result":{"serving":true}}`
 	const corrupted = `{"id":1,"result":{"blob":"c3Bvcm93"}}`
 	var p corruptingProxy
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -12,8 +12,8 @@
 	_ "frostpier/internal/testutil/fixedseed"
 )
 
-// timeToFinish is how long one query takes at an engine, after others began there.
-func timeToFinish(m *Model, q Query, others ...Query) time.Duration {
+// queryDuration returns how long a query takes on an engine that already runs other queries.
+func queryDuration(m *Model, q Query, others ...Query) time.Duration {
 	for _, o := range others {
 		m.Start(o)
 	}
@@ -32,47 +32,48 @@
 
 func newTestModel(warmingUp bool) *Model { return NewModel(DefaultSpec(8), time.Second, warmingUp) }
 
-// Whatever slows a query in production slows it in the model.
-func TestModelSlowsDown(t *testing.T) {
+// Checks that concurrent queries, warm-up, memory overcommit, table group locks and CPU steal slow a query down, and that a
+// cached table group speeds it up.
+func TestModelQueryDuration(t *testing.T) {
 	q := Query{ID: "q", Work: 1, Threads: 1, IO: 0.3, Group: 1}
-	plain := timeToFinish(newTestModel(false), q)
+	plain := queryDuration(newTestModel(false), q)
 	if d := plain - time.Second; d < 0 || d > time.Millisecond {
-		t.Fatalf("alone it takes %v", plain)
+		t.Fatalf("on an idle engine the query takes %v", plain)
 	}
 	crowd, heavy := []Query{}, q
 	for i := range 30 {
 		crowd = append(crowd, Query{ID: fmt.Sprint(i), Work: 5, Threads: 1, IO: 0.3, Group: 2})
 	}
 	heavy.MemoryMB = 40_000
-	if elapsed := timeToFinish(newTestModel(false), q, crowd...); elapsed < 3*plain {
-		t.Errorf("beside 30 others on 8 cores it takes %v", elapsed)
+	if elapsed := queryDuration(newTestModel(false), q, crowd...); elapsed < 3*plain {
+		t.Errorf("with 30 concurrent queries on 8 cores the query takes %v", elapsed)
 	}
-	if elapsed := timeToFinish(newTestModel(true), q, crowd[:8]...); elapsed < 3*plain/2 {
-		t.Errorf("at an engine that warms up with 8 others it takes %v", elapsed)
+	if elapsed := queryDuration(newTestModel(true), q, crowd[:8]...); elapsed < 3*plain/2 {
+		t.Errorf("with 8 concurrent queries on an engine that is warming up, the query takes %v", elapsed)
 	}
-	if elapsed := timeToFinish(newTestModel(false), heavy); elapsed < 2*plain {
-		t.Errorf("with more memory than there is it takes %v", elapsed)
+	if elapsed := queryDuration(newTestModel(false), heavy); elapsed < 2*plain {
+		t.Errorf("with more memory than the engine has, the query takes %v", elapsed)
 	}
 	m := newTestModel(false)
 	m.Start(Query{ID: "w", Work: 0.1, Threads: 1, IO: 0.3, Group: 1})
-	if elapsed := timeToFinish(m, q); elapsed > plain*9/10 {
-		t.Errorf("with its group warm it takes %v", elapsed)
+	if elapsed := queryDuration(m, q); elapsed > plain*9/10 {
+		t.Errorf("with its table group cached the query takes %v", elapsed)
 	}
 	load := Query{ID: "l", Work: 2, Threads: 2, Group: 1, IsDataLoad: true}
 	first := load
 	first.ID = "first"
-	if elapsed := timeToFinish(newTestModel(false), load, first); elapsed < 2*time.Second-time.Millisecond {
-		t.Errorf("a load beside another of its group takes %v", elapsed)
+	if elapsed := queryDuration(newTestModel(false), load, first); elapsed < 2*time.Second-time.Millisecond {
+		t.Errorf("with another data load of its table group running, a data load takes %v", elapsed)
 	}
 	m = newTestModel(false)
 	m.SetStolenShare(m.now, 0.75)
-	if elapsed := timeToFinish(m, q, crowd[:4]...); elapsed < 3*plain/2 {
-		t.Errorf("on a quarter of the machine it takes %v", elapsed)
+	if elapsed := queryDuration(m, q, crowd[:4]...); elapsed < 3*plain/2 {
+		t.Errorf("with three quarters of the cores stolen the query takes %v", elapsed)
 	}
 }
 
-// An engine that is sent far more than it can do collapses while it warms up, and not afterwards.
-func TestWarmingUpEngineCollapses(t *testing.T) {
+// Checks that an engine sent far more work than its capacity collapses while it is warming up, and not afterwards.
+func TestModelCollapsesOnlyWhileWarmingUp(t *testing.T) {
 	for _, warmingUp := range []bool{true, false} {
 		t.Run(fmt.Sprintf("warming up %v", warmingUp), func(t *testing.T) {
 			m := newTestModel(warmingUp)
@@ -86,16 +87,16 @@
 	}
 }
 
-// Whatever queries start and are cancelled, every query that is not cancelled ends exactly once.
+// Checks with random starts and cancellations that every query that is not cancelled ends exactly once.
 func TestModelEndsEachQueryOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewModel(DefaultSpec(4), 0, rapid.Bool().Draw(t, "cold"))
+		m := NewModel(DefaultSpec(4), 0, rapid.Bool().Draw(t, "warming up"))
 		running, ended := map[string]bool{}, map[string]int{}
 		record := func(ids []string) {
 			for _, id := range ids {
 				ended[id]++
 				if !running[id] || ended[id] > 1 {
-					t.Fatalf("%s ended %d times, running %v", id, ended[id], running[id])
+					t.Fatalf("query %s ended %d times; it was running: %v", id, ended[id], running[id])
 				}
 				delete(running, id)
 			}
@@ -105,7 +106,7 @@
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			record(m.Advance(now))
 			id := fmt.Sprint(i)
-			if rapid.IntRange(0, 4).Draw(t, "what") == 0 && len(running) > 0 {
+			if rapid.IntRange(0, 4).Draw(t, "action") == 0 && len(running) > 0 {
 				for id := range running {
 					m.Cancel(id)
 					delete(running, id)
@@ -117,7 +118,7 @@
 				running[id] = true
 			}
 			if l := m.Load(); l.Queries != len(running) {
-				t.Fatalf("the model runs %d queries, not %d", l.Queries, len(running))
+				t.Fatalf("the model reports %d running queries, want %d", l.Queries, len(running))
 			}
 		}
 		for range 10_000 {
@@ -128,32 +129,33 @@
 			record(m.Advance(at))
 		}
 		if len(running) > 0 {
-			t.Fatalf("%d queries never ended", len(running))
+			t.Fatalf("%d queries did not end", len(running))
 		}
 	})
 }
 
-// A statement carries its query's cost. A seed decides the arrivals, whose number fits the rate.
-func TestTrafficIsDrawnBySeed(t *testing.T) {
+// Checks that a seed determines the arrivals, that their number matches the rate, and that the cost of a query survives
+// formatting and parsing of its statement.
+func TestTrafficIsDeterministicAndStatementsRoundTrip(t *testing.T) {
 	tr := Traffic{Classes: DefaultClasses(), Rate: 100, Gateways: 5, Skew: 1, Groups: 10, Zipf: 0.7, EstimateSigma: 0.5, Seed: 3}
 	a, b := tr.Generate(20*time.Second), tr.Generate(20*time.Second)
 	if len(a) < 1700 || len(a) > 2300 || !slices.Equal(a, b) {
-		t.Fatalf("%d arrivals, then %d", len(a), len(b))
+		t.Fatalf("generated %d arrivals, then %d", len(a), len(b))
 	}
 	for _, r := range a[:50] {
 		q, ok := ParseStatement(Statement(r.Query))
 		if !ok || q.Group != r.Query.Group || q.IsDataLoad != r.Query.IsDataLoad || math.Abs(q.Work-r.Query.Work) > 1e-3 {
-			t.Fatalf("%+v came back as %+v", r.Query, q)
+			t.Fatalf("%+v was parsed as %+v", r.Query, q)
 		}
 	}
 	for _, text := range []string{"", "SELECT 1", "/* work=x */", "/* work=-1 threads=1 io=0 mb=1 load=0 group=1 */"} {
 		if _, ok := ParseStatement(text); ok {
-			t.Errorf("%q was read", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
-// Baseline gateways and engines speak the platform's protocol with each other: each query arrives and is served once.
+// Checks that each query of baseline gateways arrives at an engine once and is served.
 func TestEngineServesOverHTTP(t *testing.T) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
@@ -174,7 +176,7 @@
 	found, opened := d.Outcomes()
 	for _, o := range found {
 		if o.Verdict != Served {
-			t.Fatalf("%v after %v", o.Verdict, o.Latency)
+			t.Fatalf("request %v after %v", o.Verdict, o.Latency)
 		}
 	}
 	arrived := 0
@@ -183,6 +185,6 @@
 		arrived += f.Arrived
 	}
 	if len(found) != len(requests) || arrived != len(requests) || opened == 0 || opened > len(requests) {
-		t.Errorf("%d requests, %d answers, %d arrived, %d connections", len(requests), len(found), arrived, opened)
+		t.Errorf("%d requests: %d outcomes, %d arrived at engines, %d connections opened", len(requests), len(found), arrived, opened)
 	}
 }
--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -11,20 +11,20 @@
 // Options configure an emulated engine.
 type Options struct {
 	Name           string
-	Addr           string // to listen on; "" = a free port of 127.0.0.1
+	Addr           string // listen address; "" = a free port of 127.0.0.1
 	Spec           Spec
 	WarmingUp      bool
-	ReportInterval time.Duration // between two refreshes of the load report
-	ReportDelay    time.Duration // from a refresh until answers carry it
+	ReportInterval time.Duration // between refreshes of the load report
+	ReportDelay    time.Duration // from a refresh until responses carry the refreshed report
 }
 
 // Times of the platform's protocol.
 const (
-	longPollTimeout = 250 * time.Millisecond // a poll of a query that runs is answered after this
-	pollLease       = 2 * time.Second        // a query that nobody has polled for this long is cancelled
-	resultRetention = 10 * time.Second       // a result can be polled again for this long
-	sweepInterval   = 500 * time.Millisecond // between two looks for expired queries, where there is no report interval
-	acceptBackoff   = 50 * time.Millisecond  // after an accept that failed
+	longPollTimeout = 250 * time.Millisecond // after this, a poll is answered though its query is still running
+	pollLease       = 2 * time.Second        // a query that is not polled for this long is cancelled
+	resultRetention = 10 * time.Second       // how long after its last poll a result is kept
+	sweepInterval   = 500 * time.Millisecond // between checks for expired queries, if no report interval is configured
+	acceptBackoff   = 50 * time.Millisecond  // after a failed accept
 )
 
 // Engine serves a Model over the platform's HTTP protocol.
@@ -37,8 +37,8 @@
 	queries     map[string]*queryState
 	conns       map[net.Conn]bool
 	reports     []loadSnapshot // oldest first
-	timer       *time.Timer    // for the model's next change
-	silent      bool           // it accepts calls and answers none, as an engine that hangs
+	timer       *time.Timer    // fires at the model's next change
+	hung        bool           // accepts requests but does not answer any
 	reportDelay time.Duration
 	closed      bool
 	totals      Totals
@@ -46,29 +46,29 @@
 	closing     chan struct{}
 }
 
-// Totals count what an engine has seen since its start.
+// Totals are counters since an engine's start, and its number of open connections.
 type Totals struct {
-	Arrived     int // queries
-	Rejected    int // of them, since the engine was full
-	Conns       int // connections open now
-	Resubmitted int // queries submitted again while they were running
+	Arrived     int // queries received
+	Rejected    int // of Arrived; because the engine was full, had collapsed or had too little memory
+	Conns       int // connections currently open
+	Resubmitted int // of Arrived; submitted while a query with the same ID was running
 }
 
-// queryState is a query that the engine runs, or whose result can still be polled.
+// queryState is the state of a query that is running or whose result is retained.
 type queryState struct {
 	finished   bool
-	done       chan struct{} // closed at the end
+	done       chan struct{} // closed when the query ends
 	lastPolled time.Duration
 }
 
-// loadSnapshot is a load report and when it was taken.
+// loadSnapshot is a load report and the time when it was taken.
 type loadSnapshot struct {
 	at   time.Duration
 	load Load
 }
 
-// StartEngine starts an engine, which the caller ends with Close. All engines of a test share the clock. It returns an error
-// where the address cannot be listened on.
+// StartEngine starts an engine, which the caller stops with Close. All engines of a test share the clock. It returns an
+// error if it cannot listen on the address.
 func StartEngine(options Options, clock func() time.Duration) (*Engine, error) {
 	addr := options.Addr
 	if addr == "" {
@@ -94,13 +94,13 @@
 	return e, nil
 }
 
-// Name is the engine's name in the engine list.
+// Name returns the engine's name in the engine list.
 func (e *Engine) Name() string { return e.options.Name }
 
-// Addr is the address that the engine listens on.
+// Addr returns the address on which the engine listens.
 func (e *Engine) Addr() string { return e.listener.Addr().String() }
 
-// Close ends the engine and waits for its goroutines. Its connections are reset, as when a process dies.
+// Close stops the engine and waits for its goroutines. It resets the engine's connections, as a crash of the process would.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	if e.closed {
@@ -115,7 +115,7 @@
 	}
 	for conn := range e.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset is what a process that dies leaves
+			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
 		_ = conn.Close()
 	}
@@ -123,43 +123,43 @@
 	e.goroutines.Wait()
 }
 
-// SetHung makes the engine accept every call and answer none, as one that hangs; or makes it answer again.
-func (e *Engine) SetHung(on bool) { e.locked(func() { e.silent = on }) }
+// SetHung sets whether the engine hangs: it then accepts requests but does not answer any.
+func (e *Engine) SetHung(on bool) { e.withLock(func() { e.hung = on }) }
 
-// HasQuery reports whether the engine runs a query, or has kept its result.
+// HasQuery reports whether the engine runs a query or retains its result.
 func (e *Engine) HasQuery(id string) (known bool) {
-	e.locked(func() { known = e.queries[id] != nil })
+	e.withLock(func() { known = e.queries[id] != nil })
 	return known
 }
 
-// SetReportDelay sets how old a load report is before answers carry it.
-func (e *Engine) SetReportDelay(d time.Duration) { e.locked(func() { e.reportDelay = d }) }
+// SetReportDelay sets the age from which responses carry a load report.
+func (e *Engine) SetReportDelay(d time.Duration) { e.withLock(func() { e.reportDelay = d }) }
 
-// Load returns the engine's present load, its totals, and whether it has collapsed under load while warming up.
+// Load returns the engine's current load, its totals, and whether it has collapsed from overload while warming up.
 func (e *Engine) Load() (load Load, totals Totals, collapsed bool) {
-	e.locked(func() {
-		e.finish(e.model.Advance(e.clock()))
+	e.withLock(func() {
+		e.markFinished(e.model.Advance(e.clock()))
 		load, totals, collapsed = e.model.Load(), e.totals, e.model.Collapsed()
 		totals.Conns = len(e.conns)
 	})
 	return load, totals, collapsed
 }
 
-// PeakWarmUpLoad returns the highest pressure on the engine while it was warming up.
+// PeakWarmUpLoad returns the highest load on the engine while it was warming up, relative to the limit at that time.
 func (e *Engine) PeakWarmUpLoad() (p WarmUpLoad) {
-	e.locked(func() { p = e.model.PeakWarmUpLoad() })
+	e.withLock(func() { p = e.model.PeakWarmUpLoad() })
 	return p
 }
 
-// locked calls do with the lock held.
-func (e *Engine) locked(do func()) {
+// withLock calls f with the lock held.
+func (e *Engine) withLock(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	do()
+	f()
 }
 
-// finish marks queries as finished and wakes the calls that wait for them; the lock is held.
-func (e *Engine) finish(ids []string) {
+// markFinished marks queries as finished and wakes the requests that wait for them. The caller holds the lock.
+func (e *Engine) markFinished(ids []string) {
 	for _, id := range ids {
 		if q := e.queries[id]; q != nil && !q.finished {
 			q.finished = true
@@ -168,7 +168,7 @@
 	}
 }
 
-// scheduleAdvance sets the timer for the model's next change; the lock is held.
+// scheduleAdvance sets the timer for the model's next change. The caller holds the lock.
 func (e *Engine) scheduleAdvance() {
 	if e.timer != nil {
 		e.timer.Stop()
@@ -178,8 +178,8 @@
 		return
 	}
 	e.timer = time.AfterFunc(at-e.clock(), func() {
-		e.locked(func() {
-			e.finish(e.model.Advance(e.clock()))
+		e.withLock(func() {
+			e.markFinished(e.model.Advance(e.clock()))
 			e.scheduleAdvance()
 		})
 	})
@@ -200,9 +200,9 @@
 			return
 		case <-tick.C:
 		}
-		e.locked(func() {
+		e.withLock(func() {
 			now := e.clock()
-			e.finish(e.model.Advance(now))
+			e.markFinished(e.model.Advance(now))
 			e.refreshReport(now)
 			e.expireQueries(now)
 			e.scheduleAdvance()
@@ -210,7 +210,8 @@
 	}
 }
 
-// refreshReport adds a load report and drops those that a newer one supersedes; the lock is held.
+// refreshReport adds a load report, and drops reports older than the newest one that may be sent. The caller holds the
+// lock.
 func (e *Engine) refreshReport(now time.Duration) {
 	e.reports = append(e.reports, loadSnapshot{now, e.model.Load()})
 	for len(e.reports) > 1 && e.reports[1].at <= now-e.reportDelay {
@@ -218,7 +219,7 @@
 	}
 }
 
-// expireQueries forgets old results and cancels queries that nobody polls; the lock is held.
+// expireQueries removes expired results and cancels queries whose poll lease has expired. The caller holds the lock.
 func (e *Engine) expireQueries(now time.Duration) {
 	for id, q := range e.queries {
 		idle := now - q.lastPolled
@@ -231,16 +232,16 @@
 	}
 }
 
-// cancel ends a query without a result and forgets it; the lock is held.
+// cancel stops and removes a query. The caller holds the lock.
 func (e *Engine) cancel(id string) {
 	if q := e.queries[id]; q != nil {
 		e.model.Cancel(id)
-		e.finish([]string{id})
+		e.markFinished([]string{id})
 		delete(e.queries, id)
 	}
 }
 
-// accept serves each connection on a goroutine of its own, until Close.
+// accept serves each connection on a separate goroutine, until Close.
 func (e *Engine) accept() {
 	defer e.goroutines.Done()
 	for {
@@ -249,7 +250,8 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// Most likely no descriptor is left: retrying at once would keep the cores from those that could free one.
+			// Most likely the process is out of file descriptors. Retrying immediately would take CPU time from the goroutines
+			// that could free one.
 			time.Sleep(acceptBackoff)
 			continue
 		}
--- a/internal/testbed/emulator/enginehttp.go
+++ b/internal/testbed/emulator/enginehttp.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// queryPath prefixes the path of a call that concerns one query: it is followed by the query's ID and a page number.
+// queryPath is the prefix of the path of a request about one query. The query's ID and a page number follow it.
 const queryPath = "/v2/q/"
 
-// serveConn answers the calls of a connection, one after the other, until either side closes it.
+// serveConn answers the requests of a connection sequentially, until either side closes it.
 func (e *Engine) serveConn(conn net.Conn) {
 	defer e.goroutines.Done()
 	defer func() {
 		_ = conn.Close()
-		e.locked(func() { delete(e.conns, conn) })
+		e.withLock(func() { delete(e.conns, conn) })
 	}()
 	r := textproto.NewReader(bufio.NewReaderSize(conn, 1024))
 	for {
-		call, err := ReadHTTPRequest(r)
+		request, err := ReadHTTPRequest(r)
 		if err != nil {
 			return
 		}
-		response, ok := e.handle(call)
+		response, ok := e.handle(request)
 		if !ok {
 			return
 		}
@@ -37,34 +37,34 @@
 	}
 }
 
-// handle answers one call. It waits where the protocol says so; false means that the connection is to be closed
-// without an answer.
-func (e *Engine) handle(c HTTPRequest) (response string, ok bool) {
-	switch c.Method {
+// handle returns the response to a request, after the wait that the protocol's long poll requires. false means that the
+// connection is to be closed without a response.
+func (e *Engine) handle(r HTTPRequest) (response string, ok bool) {
+	switch r.Method {
 	case http.MethodPost:
-		return e.handleSubmit(c)
+		return e.handleSubmit(r)
 	case http.MethodDelete:
-		return e.handleCancel(c)
+		return e.handleCancel(r)
 	}
-	return e.handlePoll(c)
+	return e.handlePoll(r)
 }
 
-// handleSubmit starts the query of a POST and waits for its end or the long poll's timeout.
-func (e *Engine) handleSubmit(c HTTPRequest) (string, bool) {
-	id := c.Header.Get("X-Hop-Id")
-	query, response := e.startQuery(id, c.Body)
+// handleSubmit starts the query of a POST request and waits until it ends or the long poll times out.
+func (e *Engine) handleSubmit(r HTTPRequest) (string, bool) {
+	id := r.Header.Get("X-Hop-Id")
+	query, response := e.startQuery(id, r.Body)
 	if response != "" {
 		return response, true
 	}
 	return e.awaitQuery(id, query)
 }
 
-// startQuery starts the query, or returns the response that rejects it.
+// startQuery starts a query, or returns the response that rejects it.
 func (e *Engine) startQuery(id, statement string) (_ *queryState, rejection string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock()
-	e.finish(e.model.Advance(now))
+	e.markFinished(e.model.Advance(now))
 	query, ok := ParseStatement(statement)
 	if !ok || id == "" {
 		return nil, FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader())
@@ -84,40 +84,40 @@
 	return q, ""
 }
 
-// handleCancel cancels the query that a DELETE names.
-func (e *Engine) handleCancel(c HTTPRequest) (string, bool) {
-	id, _ := queryOfPath(c.Path)
+// handleCancel cancels the query of a DELETE request.
+func (e *Engine) handleCancel(r HTTPRequest) (string, bool) {
+	id, _ := parseQueryPath(r.Path)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.finish(e.model.Advance(e.clock()))
+	e.markFinished(e.model.Advance(e.clock()))
 	e.cancel(id)
 	e.scheduleAdvance()
-	return FormatHTTPResponse(http.StatusNoContent, "", e.reportHeader()), !e.silent
+	return FormatHTTPResponse(http.StatusNoContent, "", e.reportHeader()), !e.hung
 }
 
-// handlePoll waits for the end of the query that a GET names.
-func (e *Engine) handlePoll(c HTTPRequest) (string, bool) {
-	id, page := queryOfPath(c.Path)
+// handlePoll waits until the query of a GET request ends or the long poll times out.
+func (e *Engine) handlePoll(r HTTPRequest) (string, bool) {
+	id, page := parseQueryPath(r.Path)
 	e.mu.Lock()
 	now := e.clock()
-	e.finish(e.model.Advance(now))
+	e.markFinished(e.model.Advance(now))
 	q := e.queries[id]
 	if q == nil || page != "0" {
 		defer e.mu.Unlock()
-		return FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader()), !e.silent
+		return FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader()), !e.hung
 	}
 	q.lastPolled = now
 	e.mu.Unlock()
 	return e.awaitQuery(id, q)
 }
 
-// queryOfPath is the ID and the page number in the path of a call.
-func queryOfPath(path string) (id, page string) {
+// parseQueryPath returns the query ID and the page number in the path of a request.
+func parseQueryPath(path string) (id, page string) {
 	id, page, _ = strings.Cut(strings.TrimPrefix(path, queryPath), "/")
 	return id, page
 }
 
-// awaitQuery waits for the end of a query, though no longer than the long poll's timeout, and answers the call.
+// awaitQuery waits until a query ends or the long poll times out, and returns the response.
 func (e *Engine) awaitQuery(id string, q *queryState) (string, bool) {
 	timeout := time.NewTimer(longPollTimeout)
 	defer timeout.Stop()
@@ -127,13 +127,13 @@
 	case <-e.closing:
 		return "", false
 	}
-	return e.pollResponse(id, q)
+	return e.statusResponse(id, q)
 }
 
-// pollResponse reports a query: its result, that it still runs, or that the engine does not know it.
-func (e *Engine) pollResponse(id string, q *queryState) (string, bool) {
+// statusResponse returns a query's result, or a response that it is still running or not known to the engine.
+func (e *Engine) statusResponse(id string, q *queryState) (string, bool) {
 	e.mu.Lock()
-	silent := e.silent
+	silent := e.hung
 	e.mu.Unlock()
 	if silent { // a hung engine keeps its connections open
 		<-e.closing
@@ -151,7 +151,7 @@
 	return FormatHTTPResponse(http.StatusOK, Rows(id), "Page-Count: 1", e.reportHeader()), true
 }
 
-// reportHeader is the load report that each response carries; the lock is held.
+// reportHeader returns the load report header of a response. The caller holds the lock.
 func (e *Engine) reportHeader() string {
 	var load Load
 	if len(e.reports) > 0 && e.reports[0].at <= e.clock()-e.reportDelay {
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -14,7 +14,7 @@
 	"frostpier/policy"
 )
 
-// Faults that a version of the program can be given, as the table of a rollout names them.
+// Faults that can be injected into a version of the program, by the names used in rollout reports.
 const (
 	CrashAtStart     = "crash-at-start"
 	HangAtStart      = "hang-at-start"
@@ -25,18 +25,18 @@
 	LeakMemory       = "leaks"
 )
 
-// Faults lists all faults.
+// Faults returns the names of all faults.
 func Faults() []string {
 	return []string{CrashAtStart, HangAtStart, CrashAfterStart, StallLoop, RejectClass, CorruptResponses, LeakMemory}
 }
 
-// Environment variables of a process that a test starts.
+// Environment variables of processes that a test starts.
 const (
 	faultVar = "FLEETTEST_FAULT"
-	ownerVar = "FLEETTEST_OWNER" // the process that started the fleet: its end ends all processes of the fleet
+	ownerVar = "FLEETTEST_OWNER" // PID of the process that started the fleet; the fleet's processes exit after it
 )
 
-// Strength of the faults.
+// Parameters of the faults.
 const (
 	stallDuration = 300 * time.Millisecond
 	stallInterval = 350 * time.Millisecond
@@ -46,20 +46,21 @@
 	crashDelay    = 5 * time.Second
 )
 
-// Exit codes of a process that a fault or its owner's end has ended.
+// Exit codes of a process that exits because of a fault, or because its owner has exited.
 const (
 	exitCrashed   = 3
 	exitOwnerGone = 4
 )
 
-// FaultEnv is the environment that gives a process a fault; see Hooks.
+// FaultEnv returns the environment that injects a fault into a process; see FaultHooks.
 func FaultEnv(fault string) []string { return []string{faultVar + "=" + fault} }
 
-// OwnerEnv is the environment of processes that are to exit soon after this one; see Hooks.
+// OwnerEnv returns the environment of processes that exit soon after this one does; see FaultHooks.
 func OwnerEnv() []string { return []string{fmt.Sprintf("%s=%d", ownerVar, os.Getpid())} }
 
-// FaultHooks returns the program's hooks for the fault that the environment names, and starts the faults that need none. A
-// fault that crashes or hangs the process at its start does not return. An unknown fault is an error.
+// FaultHooks returns the program's hooks for the fault that the environment names. A fault that needs no hook starts
+// immediately; one that crashes or hangs the process at its start does not return. An unknown fault is an error. If the
+// environment names an owner process, FaultHooks also makes this process exit soon after it.
 func FaultHooks() (program.Hooks, error) {
 	if owner, err := strconv.Atoi(os.Getenv(ownerVar)); err == nil {
 		go exitWithOwner(owner)
@@ -81,7 +82,7 @@
 	case LeakMemory:
 		go leakMemory()
 	default:
-		return program.Hooks{}, fmt.Errorf("%s: no fault %q", faultVar, fault)
+		return program.Hooks{}, fmt.Errorf("%s: unknown fault %q", faultVar, fault)
 	}
 	return program.Hooks{}, nil
 }
@@ -93,18 +94,19 @@
 	}
 }
 
-// rejectClass allows the first class of large queries on no kind of engine, so that the program rejects it.
+// rejectClass allows no machine type for the first class of queries with more than 2 threads, so that the program rejects
+// queries of that class.
 func rejectClass(h *settings.Host) {
 	i := slices.IndexFunc(h.Policy.Classes, func(c policy.Class) bool { return c.Threads > 2 })
 	h.Policy.Classes[max(0, i)].RestrictMachineTypes = true
 }
 
-// leakMemory allocates memory and keeps it.
+// leakMemory allocates memory repeatedly and never frees it.
 func leakMemory() {
 	var leaked [][]byte
 	for range time.Tick(leakInterval) {
 		block := make([]byte, leakBytes)
-		for i := 0; i < len(block); i += pageBytes { // only pages that are written to become resident
+		for i := 0; i < len(block); i += pageBytes { // only pages that have been written become resident
 			block[i] = 1
 		}
 		leaked = append(leaked, block)
@@ -112,7 +114,7 @@
 	}
 }
 
-// exitWithOwner exits soon after the process that started the fleet has ended.
+// exitWithOwner exits within about a second after the process that started the fleet has exited.
 func exitWithOwner(owner int) {
 	for range time.Tick(time.Second) {
 		if syscall.Kill(owner, 0) == syscall.ESRCH {
--- a/internal/testbed/emulator/healthcheck.go
+++ b/internal/testbed/emulator/healthcheck.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Serving reports whether a gateway passed its last health check.
+// Serving reports whether clients consider a gateway in service: it passed its latest health check and was reachable since.
 func (c *Clients) Serving(i int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.serving[i]
 }
 
-// checkHealth pings a gateway until Close.
+// checkHealth sends health checks to a gateway until Close.
 func (c *Clients) checkHealth(gateway int) {
 	defer c.healthChecks.Done()
 	tick := time.NewTicker(pingInterval)
@@ -27,9 +27,10 @@
 	}
 }
 
-// ping sends a gateway a health check. One that cannot be reached, or leaves several unanswered, is out of service.
+// ping sends a health check to a gateway. A gateway that cannot be reached, or that has more than maxUnansweredPings
+// unanswered health checks, is out of service.
 func (c *Clients) ping(gateway int) {
-	k, err := c.connection(gateway)
+	k, err := c.getOrDial(gateway)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
@@ -37,7 +38,7 @@
 		return
 	}
 	pending := k.pendingPings()
-	if pending > unansweredPings {
+	if pending > maxUnansweredPings {
 		c.serving[gateway] = false
 	}
 	if pending < maxPendingPings {
@@ -47,7 +48,7 @@
 	}
 }
 
-// pendingPings is how many health checks have no answer yet; the clients' lock is held.
+// pendingPings returns the number of unanswered health checks. The caller holds the clients' lock.
 func (k *clientConn) pendingPings() (count int) {
 	for _, p := range k.pending {
 		if p.ping {
--- a/internal/testbed/emulator/call.go
+++ b/internal/testbed/emulator/httprequest.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// HTTPRequest is one HTTP request of a gateway to an engine.
+// HTTPRequest is a request of a gateway to an engine.
 type HTTPRequest struct {
 	Method, Path string
 	Header       textproto.MIMEHeader
 	Body         string
 }
 
-// maxBodyBytes bounds the body of a call, in bytes: no statement of emulated clients comes near it.
+// maxBodyBytes limits the size of a request body, far above that of any statement of emulated clients.
 const maxBodyBytes = 1 << 20
 
 var errContentLength = errors.New("content length out of range")
 
-// ReadHTTPRequest reads the next request of a connection. It returns the error of the connection, or one about the
-// Content-Length where that is no number from 0 to maxBodyBytes.
+// ReadHTTPRequest reads the next request from a connection. It returns a read error, or errContentLength if the
+// Content-Length is not a number from 0 to maxBodyBytes.
 func ReadHTTPRequest(r *textproto.Reader) (c HTTPRequest, err error) {
 	line, err := r.ReadLine()
 	if err != nil {
@@ -44,8 +44,8 @@
 	return c, err
 }
 
-// FormatHTTPResponse formats an HTTP response: a status, a body and further header lines.
-func FormatHTTPResponse(status int, body string, heads ...string) string {
+// FormatHTTPResponse returns an HTTP response with a status code, a body and additional header lines.
+func FormatHTTPResponse(status int, body string, headers ...string) string {
 	return fmt.Sprintf("HTTP/1.1 %d -\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body),
-		strings.Join(append(heads, ""), "\r\n"), body)
+		strings.Join(append(headers, ""), "\r\n"), body)
 }
--- a/internal/testbed/emulator/model.go
+++ b/internal/testbed/emulator/model.go
@@ -1,8 +1,9 @@
-// Package emulator emulates the platform's query engines and their clients on loopback: a small model of an engine, a
-// server that puts the model behind the platform's HTTP protocol, open-loop clients, baseline gateways to compare with,
-// and faults that a version of the program can be given. The queries of a model share its cores and disks fluidly, as
-// the platform's pages describe; its figures are no measurements. The package starts no processes of the program and
-// decides nothing for a gateway. The program's tests, package testfleet and cmd/fleettest use it.
+// Package emulator emulates the platform's query engines and their clients on loopback. It contains a fluid model of an
+// engine, a server that exposes the model over the platform's HTTP protocol, open-loop clients, baseline gateways for
+// comparison, and faults that can be injected into a version of the program. The queries of a model share its cores and
+// disks, as the platform's documentation describes; the model's parameters are assumptions, not measurements. The package
+// starts no processes of the program and makes no decisions for a gateway. The program's tests, packages soak and testfleet
+// and cmd/fleettest use it.
 package emulator
 
 import (
@@ -11,24 +12,25 @@
 	"time"
 )
 
-// Spec describes an engine's machine. The zero value of CollapseWindow makes an engine that never collapses.
+// Spec describes the capacity of an engine. An engine whose CollapseWindow is zero never collapses.
 type Spec struct {
 	Cores                float64
-	KneeThreadsPerCore   float64       // threads for each core; with more the throughput falls
-	ThrashExponent       float64       // of that fall
-	DiskThreads          float64       // threads that may read at once at full speed
-	MemoryMB             float64       // with more in use all queries slow down ...
-	PagingExponent       float64       // ... by this power of memory in use over MemoryMB
-	CachedGroups         int           // table groups that stay in the cache: the last ones read
-	CacheSaving          float64       // share of its reading that a query of a cached group saves
-	InitialCapacityShare float64       // share of its capacity that an engine has at its start
-	WarmUpDuration       time.Duration // until it has all of it
-	MaxQueries           int           // that run at once; a further one is rejected
-	CollapseFactor       float64       // times its present capacity that an engine may be sent while warming up ...
-	CollapseWindow       time.Duration // ... in this time; with more it collapses. 0 = never
+	KneeThreadsPerCore   float64       // threads per core, above which the throughput falls
+	ThrashExponent       float64       // exponent of the throughput loss above the knee
+	DiskThreads          float64       // threads that can read concurrently at full speed
+	MemoryMB             float64       // with more in use, all queries slow down ...
+	PagingExponent       float64       // ... by (memory in use / MemoryMB) to this power
+	CachedGroups         int           // number of table groups in the cache: the most recently read ones
+	CacheSaving          float64       // share of its read work that a query of a cached group saves
+	InitialCapacityShare float64       // share of its capacity that an engine has when it starts warming up
+	WarmUpDuration       time.Duration // until it has its full capacity
+	MaxQueries           int           // concurrent queries; further ones are rejected
+	CollapseFactor       float64       // work that an engine may be sent while warming up, in multiples of its current capacity ...
+	CollapseWindow       time.Duration // ... over this window; with much more it collapses. 0 = never
 }
 
-// DefaultSpec returns an engine with so many cores, much as the platform's pages describe one.
+// DefaultSpec returns the spec of an engine with this number of cores, similar to the engines in the platform's
+// documentation.
 func DefaultSpec(cores float64) Spec {
 	return Spec{
 		Cores:                cores,
@@ -47,65 +49,66 @@
 	}
 }
 
-// Query is what one query costs an engine.
+// Query is a query with its cost to an engine.
 type Query struct {
 	ID         string
 	Work       float64 // seconds on one thread at full speed
 	Threads    float64
-	IO         float64 // share of the work that is reading
+	IO         float64 // share of the work that is reads
 	MemoryMB   float64
-	Group      int  // the table group that it reads
-	IsDataLoad bool // it locks its group: further loads of the group wait for it
+	Group      int  // table group that it reads
+	IsDataLoad bool // locks its table group: other data loads of the group wait for it
 }
 
-// runningQuery is a query that has not ended.
+// runningQuery is a query that is running or waits for the lock of its table group.
 type runningQuery struct {
 	Query
-	left float64 // work still to be done, in seconds on one thread
-	rate float64 // work done in a second; 0 while it waits for another load
+	remaining float64 // remaining work, in seconds on one thread
+	rate      float64 // work done per second; 0 while it waits for another data load
 }
 
-// Load is an engine's load at one moment.
+// Load is an engine's load at a point in time.
 type Load struct {
-	Queries     int
-	Threads     float64
+	Queries     int     // running or waiting for a lock
+	Threads     float64 // of these queries
 	MemoryShare float64 // share of the memory in use, at most 1
 	DiskShare   float64 // share of the disks in use, at most 1
 	WorkDone    float64 // work done since the start, in seconds on one thread
 }
 
-// Model is the model of one engine. It has no clock: its caller advances it, never backwards, and synchronizes access.
+// Model is a model of one engine. It has no clock: the caller advances its time, never backwards, and synchronizes access.
 type Model struct {
 	spec         Spec
-	stolenShare  float64 // share of the machine that other programs take
+	stolenShare  float64 // share of the cores that other programs use
 	started      time.Duration
 	warmingUp    bool
 	now          time.Duration
 	running      []*runningQuery
-	warmGroups   []int // table groups, the last read first
+	cachedGroups []int // cached table groups, the most recently read first
 	done         float64
-	warmUpWork   []workSent // work sent while cold
+	warmUpWork   []submittedWork // work sent within CollapseWindow while warming up
 	collapsed    bool
 	peakPressure WarmUpLoad
 }
 
-// WarmUpLoad is the work that an engine was sent within CollapseWindow while warming up, and the work at which it may
-// collapse, both in seconds on one thread.
+// WarmUpLoad is the work that an engine was sent within CollapseWindow while warming up, and the work above which it may
+// collapse. Both are in seconds on one thread.
 type WarmUpLoad struct{ Sent, Limit float64 }
 
-// workSent is the work of one query and when it was sent.
-type workSent struct {
+// submittedWork is the work of a query and the time when it was sent.
+type submittedWork struct {
 	at   time.Duration
 	work float64
 }
 
-// NewModel returns an engine that starts at now. One that is not warming up has its full capacity at once.
+// NewModel returns the model of an engine that starts at now. An engine that is not warming up has its full capacity from
+// the start.
 func NewModel(spec Spec, now time.Duration, warmingUp bool) *Model {
 	return &Model{spec: spec, now: now, started: now, warmingUp: warmingUp}
 }
 
-// SetStolenShare advances the model to now and sets the share of the machine, from 0 to 1, that other programs take. It
-// returns the queries that ended by now.
+// SetStolenShare advances the model to now and sets the share of the cores, from 0 to 1, that other programs use from then
+// on. It returns the queries that ended by now.
 func (m *Model) SetStolenShare(now time.Duration, share float64) []string {
 	ended := m.Advance(now)
 	m.stolenShare = share
@@ -113,10 +116,10 @@
 	return ended
 }
 
-// Collapsed reports whether the engine, while warming up, was sent more than it bears. It then rejects every query.
+// Collapsed reports whether the engine has collapsed from overload while warming up. It then rejects every query.
 func (m *Model) Collapsed() bool { return m.collapsed }
 
-// warmUpFactor is the share of its capacity that the engine has now.
+// warmUpFactor returns the share of its full capacity that the engine has now.
 func (m *Model) warmUpFactor() float64 {
 	since := m.now - m.started
 	if !m.warmingUp || since >= m.spec.WarmUpDuration {
@@ -125,69 +128,70 @@
 	return m.spec.InitialCapacityShare + (1-m.spec.InitialCapacityShare)*float64(since)/float64(m.spec.WarmUpDuration)
 }
 
-// Start starts a query, or returns false if the engine is full, has collapsed or has too little memory for the query at any time. The
-// caller has advanced the model to now.
+// Start starts a query. It returns false if the engine is full, has collapsed, or has less memory in total than the query
+// needs. The caller must have advanced the model to now.
 func (m *Model) Start(q Query) bool {
 	if m.collapsed {
 		return false
 	}
-	m.recordWarmUpWork(q.Work) // rejected queries cost the engine something too
+	m.recordWarmUpWork(q.Work) // rejected queries also load the engine
 	if len(m.running) >= m.spec.MaxQueries || q.MemoryMB > m.spec.MemoryMB {
 		return false
 	}
-	r := &runningQuery{Query: q, left: q.Work}
-	if at := slices.Index(m.warmGroups, q.Group); at >= 0 {
-		r.left *= 1 - q.IO*m.spec.CacheSaving
-		m.warmGroups = slices.Delete(m.warmGroups, at, at+1)
+	r := &runningQuery{Query: q, remaining: q.Work}
+	if at := slices.Index(m.cachedGroups, q.Group); at >= 0 {
+		r.remaining *= 1 - q.IO*m.spec.CacheSaving
+		m.cachedGroups = slices.Delete(m.cachedGroups, at, at+1)
 	}
-	m.warmGroups = slices.Insert(m.warmGroups, 0, q.Group)
-	if len(m.warmGroups) > m.spec.CachedGroups {
-		m.warmGroups = m.warmGroups[:m.spec.CachedGroups]
+	m.cachedGroups = slices.Insert(m.cachedGroups, 0, q.Group)
+	if len(m.cachedGroups) > m.spec.CachedGroups {
+		m.cachedGroups = m.cachedGroups[:m.spec.CachedGroups]
 	}
 	m.running = append(m.running, r)
 	m.recomputeRates()
 	return true
 }
 
-// recordWarmUpWork adds a query's work to what the engine was sent while warming up, and decides whether it collapses.
+// recordWarmUpWork adds a query's work to the work that the engine was sent while warming up, and updates collapsed.
 func (m *Model) recordWarmUpWork(work float64) {
 	if m.spec.CollapseWindow <= 0 || m.warmUpFactor() >= 1 {
 		return
 	}
-	m.warmUpWork = append(m.warmUpWork, workSent{m.now, work})
-	m.warmUpWork = slices.DeleteFunc(m.warmUpWork, func(c workSent) bool { return c.at < m.now-m.spec.CollapseWindow })
+	m.warmUpWork = append(m.warmUpWork, submittedWork{m.now, work})
+	m.warmUpWork = slices.DeleteFunc(m.warmUpWork, func(c submittedWork) bool { return c.at < m.now-m.spec.CollapseWindow })
 	sum := 0.0
 	for _, c := range m.warmUpWork {
 		sum += c.work
 	}
-	// The operators' rule: an engine collapses at more than N + 3 * sqrt(N) + 3 queries of mean work. Here N is in work.
-	bears := m.spec.CollapseFactor * m.spec.Cores * m.warmUpFactor() * m.spec.CollapseWindow.Seconds()
-	m.collapsed = m.collapsed || sum > bears+3*math.Sqrt(bears)+3
-	if m.peakPressure.Limit == 0 || sum/bears > m.peakPressure.Sent/m.peakPressure.Limit {
-		m.peakPressure = WarmUpLoad{sum, bears}
+	// The operators' rule is that an engine collapses at more than N + 3 * sqrt(N) + 3 queries of mean work. Here N is
+	// measured in work instead of queries.
+	limit := m.spec.CollapseFactor * m.spec.Cores * m.warmUpFactor() * m.spec.CollapseWindow.Seconds()
+	m.collapsed = m.collapsed || sum > limit+3*math.Sqrt(limit)+3
+	if m.peakPressure.Limit == 0 || sum/limit > m.peakPressure.Sent/m.peakPressure.Limit {
+		m.peakPressure = WarmUpLoad{sum, limit}
 	}
 }
 
-// PeakWarmUpLoad returns the highest pressure, relative to what the engine bears; zero if it was never warming up.
+// PeakWarmUpLoad returns the load with the highest ratio to its limit; zero if no work was recorded during warm-up.
 func (m *Model) PeakWarmUpLoad() WarmUpLoad { return m.peakPressure }
 
-// Cancel removes a query; an unknown one is ignored.
+// Cancel removes a query. An unknown ID is ignored.
 func (m *Model) Cancel(id string) {
 	m.running = slices.DeleteFunc(m.running, func(r *runningQuery) bool { return r.ID == id })
 	m.recomputeRates()
 }
 
-// demand is what the queries that make progress ask of the machine.
-type demand struct {
+// resourceDemand is the demand of the running queries on an engine's resources.
+type resourceDemand struct {
 	cpu, io float64 // threads
-	memory  float64 // MB, of the waiting queries too
+	memory  float64 // MB, including queries that wait for a lock
 }
 
-// recomputeRates sets how fast each query runs until the next change.
+// recomputeRates updates the rate of each query, which holds until the next change.
 func (m *Model) recomputeRates() {
-	locks := m.groupLocks()
+	locks := m.lockHolders()
 	waits := func(r *runningQuery) bool { return r.IsDataLoad && locks[r.Group] != r }
-	var d demand
+	var d resourceDemand
 	for _, r := range m.running {
 		d.memory += r.MemoryMB
 		if !waits(r) {
@@ -209,8 +213,8 @@
 	}
 }
 
-// groupLocks is the load that holds the lock of each table group: the first of those that run.
-func (m *Model) groupLocks() map[int]*runningQuery {
+// lockHolders returns the data load that holds the lock of each table group: the one that started first.
+func (m *Model) lockHolders() map[int]*runningQuery {
 	locks := map[int]*runningQuery{}
 	for _, r := range m.running {
 		if r.IsDataLoad && locks[r.Group] == nil {
@@ -220,25 +224,25 @@
 	return locks
 }
 
-// effectiveCores is how many cores' work the engine does with so many threads: less while it warms up, while other
-// programs take their share, and with more threads than the knee.
+// effectiveCores returns the number of cores whose work the engine does with this number of threads. It decreases during
+// warm-up, while other programs use part of the cores, and with more threads per core than KneeThreadsPerCore.
 func (m *Model) effectiveCores(threads float64) float64 {
 	cores := m.spec.Cores * (1 - m.stolenShare) * m.warmUpFactor()
-	if crowd := threads / (m.spec.KneeThreadsPerCore * m.spec.Cores); crowd > 1 {
-		cores *= math.Pow(crowd, -m.spec.ThrashExponent)
+	if oversubscription := threads / (m.spec.KneeThreadsPerCore * m.spec.Cores); oversubscription > 1 {
+		cores *= math.Pow(oversubscription, -m.spec.ThrashExponent)
 	}
 	return cores
 }
 
-// maxWarmUpStep bounds the time for which the capacity of an engine that warms up is taken as constant.
+// maxWarmUpStep limits the time for which the capacity of an engine that is warming up is treated as constant.
 const maxWarmUpStep = 250 * time.Millisecond
 
-// NextChange returns when the model has to be advanced at the latest; false while nothing runs.
+// NextChange returns the time by which the model must be advanced; false if no query makes progress.
 func (m *Model) NextChange() (time.Duration, bool) {
 	shortest := math.Inf(1) // seconds
 	for _, r := range m.running {
 		if r.rate > 0 {
-			shortest = min(shortest, r.left/r.rate)
+			shortest = min(shortest, r.remaining/r.rate)
 		}
 	}
 	if math.IsInf(shortest, 1) {
@@ -251,10 +255,10 @@
 	return m.now + wait, true
 }
 
-// doneTolerance is the work, in seconds on one thread, below which a query counts as done: rounding leaves some.
+// doneTolerance is the remaining work, in seconds on one thread, at which a query counts as done; it absorbs rounding errors.
 const doneTolerance = 1e-9
 
-// Advance advances the model to now and returns the queries that have ended, in the order of their ends.
+// Advance advances the model to now and returns the queries that ended, in the order in which they ended.
 func (m *Model) Advance(now time.Duration) (ended []string) {
 	for m.now < now {
 		at, changes := m.NextChange()
@@ -270,16 +274,16 @@
 	return ended
 }
 
-// advanceTo does the work until at, with the rates unchanged, and removes the queries that have ended.
+// advanceTo advances the model to at with constant rates, and removes and returns the queries that ended.
 func (m *Model) advanceTo(at time.Duration) (ended []string) {
 	elapsed := (at - m.now).Seconds()
 	m.now = at
 	for _, r := range m.running {
-		m.done += min(r.left, r.rate*elapsed)
-		r.left -= r.rate * elapsed
+		m.done += min(r.remaining, r.rate*elapsed)
+		r.remaining -= r.rate * elapsed
 	}
 	m.running = slices.DeleteFunc(m.running, func(r *runningQuery) bool {
-		done := r.left <= doneTolerance
+		done := r.remaining <= doneTolerance
 		if done {
 			ended = append(ended, r.ID)
 		}
@@ -288,7 +292,7 @@
 	return ended
 }
 
-// Load returns the engine's load now.
+// Load returns the engine's current load.
 func (m *Model) Load() Load {
 	l := Load{Queries: len(m.running), WorkDone: m.done}
 	for _, r := range m.running {
--- a/internal/testbed/emulator/mysqlengine.go
+++ b/internal/testbed/emulator/mysqlengine.go
@@ -14,47 +14,48 @@
 
 // Constants of the MySQL client/server protocol.
 const (
-	mysqlHeaderBytes  = 4
-	mysqlQuit         = 0x01
-	mysqlQuery        = 0x03
-	mysqlPing         = 0x0e
-	mysqlNoSuchThread = 1094 // ER_NO_SUCH_THREAD
-	mysqlInterrupted  = 1317 // ER_QUERY_INTERRUPTED
-	mysqlUnknown      = 1047 // ER_UNKNOWN_COM_ERROR
+	mysqlHeaderBytes         = 4
+	mysqlComQuit             = 0x01
+	mysqlComQuery            = 0x03
+	mysqlComPing             = 0x0e
+	mysqlErrNoSuchThread     = 1094 // ER_NO_SUCH_THREAD
+	mysqlErrQueryInterrupted = 1317 // ER_QUERY_INTERRUPTED
+	mysqlErrUnknownCommand   = 1047 // ER_UNKNOWN_COM_ERROR
 
 	// Status of OK and EOF packets: autocommit, no warnings.
 	mysqlOK  = "\x00\x00\x00\x02\x00\x00\x00"
 	mysqlEOF = "\xfe\x00\x00\x02\x00"
 	// Protocol::ColumnDefinition41 of a VARCHAR named c.
 	mysqlColumn = "\x03def\x00\x00\x00\x01c\x00\x0c\x2d\x00\xff\x00\x00\x00\xfd\x00\x00\x00\x00\x00"
-	// Protocol::HandshakeV10 around the thread id: protocol 4.1 without TLS and without CLIENT_DEPRECATE_EOF.
+	// Protocol::HandshakeV10 before and after the thread ID: protocol 4.1 without TLS and without CLIENT_DEPRECATE_EOF.
 	mysqlHandshakeHead = "\x0a5.7.0\x00"
 	mysqlHandshakeTail = "abcdefgh\x00\xff\xf7\x2d\x02\x00\xff\x80\x15" + "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" +
 		"ijklmnopqrst\x00mysql_native_password\x00"
 )
 
-// MySQLEngine is an emulated engine that speaks MySQL: text queries and KILL QUERY, with any login. A query made by MySQLStatement
-// takes the time that it names and returns one row with its ID; any other returns an OK packet.
+// MySQLEngine is an emulated engine that speaks the MySQL protocol. It accepts any login and supports text queries and KILL
+// QUERY. A query from MySQLStatement takes the specified time and returns one row with its ID; any other query returns an OK
+// packet.
 type MySQLEngine struct {
 	listener   net.Listener
 	mu         sync.Mutex
 	conns      map[net.Conn]bool
-	running    map[uint32]chan struct{} // by thread id; closed to kill its query
-	received   map[string]bool          // IDs of queries
+	running    map[uint32]chan struct{} // by thread ID; closed to kill the thread's query
+	received   map[string]bool          // by query ID
 	lastThread uint32
 	closed     bool
 	goroutines sync.WaitGroup
 }
 
-// MySQLStatement returns the text of a query that takes a time and returns its ID.
+// MySQLStatement returns the text of a query that takes this time and returns MySQLRow(id).
 func MySQLStatement(id string, duration time.Duration) string {
 	return fmt.Sprintf("SELECT '%s' /* ms=%d */", id, duration.Milliseconds())
 }
 
-// MySQLRow is the row that the query with this ID returns.
+// MySQLRow returns the row of the result of the query with this ID.
 func MySQLRow(id string) string { return "row " + id }
 
-// StartMySQL starts an engine on a free loopback port, which the caller ends with Close.
+// StartMySQL starts an engine on a free loopback port. The caller stops it with Close.
 func StartMySQL() (*MySQLEngine, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,17 +67,17 @@
 	return e, nil
 }
 
-// Addr is the address that the engine listens on.
+// Addr returns the address on which the engine listens.
 func (e *MySQLEngine) Addr() string { return e.listener.Addr().String() }
 
-// Received reports whether the engine was sent a query.
+// Received reports whether the engine has received the query with this ID.
 func (e *MySQLEngine) Received(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.received[id]
 }
 
-// Close ends the engine and waits for its goroutines.
+// Close stops the engine, closes its connections and waits for its goroutines.
 func (e *MySQLEngine) Close() {
 	_ = e.listener.Close()
 	e.mu.Lock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// register adds a connection to those that Close ends, unless the engine is closed.
+// register adds a connection to those that Close closes, and assigns its thread ID; false if the engine is closed.
 func (e *MySQLEngine) register(conn net.Conn) (thread uint32, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,7 +122,7 @@
 	return e.lastThread, true
 }
 
-// serve accepts any login and handles commands until either side closes the connection.
+// serve accepts any login and executes commands until either side closes the connection.
 func (e *MySQLEngine) serve(conn net.Conn, thread uint32) {
 	defer e.goroutines.Done()
 	defer func() {
@@ -139,7 +140,7 @@
 	_, _ = io.WriteString(conn, mysqlPacket(2, mysqlOK))
 	for {
 		command, err := readMySQLPacket(in)
-		if err != nil || len(command) == 0 || command[0] == mysqlQuit {
+		if err != nil || len(command) == 0 || command[0] == mysqlComQuit {
 			return
 		}
 		if _, err := io.WriteString(conn, e.respond(thread, command)); err != nil {
@@ -148,18 +149,18 @@
 	}
 }
 
-// respond returns the packets of the response to a command.
+// respond executes a command and returns the packets of the response.
 func (e *MySQLEngine) respond(thread uint32, command []byte) string {
 	switch command[0] {
-	case mysqlPing:
+	case mysqlComPing:
 		return mysqlResponse(mysqlOK)
-	case mysqlQuery:
+	case mysqlComQuery:
 		return e.query(thread, string(command[1:]))
 	}
-	return mysqlResponse(mysqlError(mysqlUnknown, "unknown command"))
+	return mysqlResponse(mysqlError(mysqlErrUnknownCommand, "unknown command"))
 }
 
-// query runs a text query.
+// query executes a text query and returns the packets of the response.
 func (e *MySQLEngine) query(thread uint32, text string) string {
 	var killed uint32
 	if n, _ := fmt.Sscanf(text, "KILL QUERY %d", &killed); n == 1 {
@@ -172,13 +173,13 @@
 		return mysqlResponse(mysqlOK)
 	}
 	if !e.run(thread, id, time.Duration(milliseconds)*time.Millisecond) {
-		return mysqlResponse(mysqlError(mysqlInterrupted, "query execution was interrupted"))
+		return mysqlResponse(mysqlError(mysqlErrQueryInterrupted, "query execution was interrupted"))
 	}
 	row := MySQLRow(id)
 	return mysqlResponse("\x01", mysqlColumn, mysqlEOF, string([]byte{byte(len(row))})+row, mysqlEOF)
 }
 
-// run waits for as long as a query takes, and reports whether it was not killed.
+// run waits for the duration of a query, and returns false if the query is killed.
 func (e *MySQLEngine) run(thread uint32, id string, duration time.Duration) bool {
 	stop := make(chan struct{})
 	e.mu.Lock()
@@ -199,21 +200,21 @@
 	return !killed
 }
 
-// kill kills the query that a thread runs.
+// kill kills a thread's query and returns the packets of the response to KILL QUERY.
 func (e *MySQLEngine) kill(thread uint32) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	stop := e.running[thread]
 	if stop == nil {
-		return mysqlResponse(mysqlError(mysqlNoSuchThread, "unknown thread id"))
+		return mysqlResponse(mysqlError(mysqlErrNoSuchThread, "unknown thread id"))
 	}
 	delete(e.running, thread)
 	close(stop)
 	return mysqlResponse(mysqlOK)
 }
 
-// errMySQLPacket is returned for a packet that is too large for any statement of the test bed.
-var errMySQLPacket = errors.New("MySQL packet too large")
+// errMySQLPacketTooLarge is the error of a packet larger than maxBodyBytes, which no statement of the test bed reaches.
+var errMySQLPacketTooLarge = errors.New("MySQL packet too large")
 
 // readMySQLPacket reads the payload of a packet.
 func readMySQLPacket(r io.Reader) ([]byte, error) {
@@ -223,7 +224,7 @@
 	}
 	size := int(head[0]) | int(head[1])<<8 | int(head[2])<<16
 	if size > maxBodyBytes {
-		return nil, errMySQLPacket
+		return nil, errMySQLPacketTooLarge
 	}
 	payload := make([]byte, size)
 	_, err := io.ReadFull(r, payload)
@@ -245,7 +246,7 @@
 	return b.String()
 }
 
-// mysqlError is the payload of an ERR packet.
+// mysqlError returns the payload of an ERR packet.
 func mysqlError(code uint16, text string) string {
 	return "\xff" + string(binary.LittleEndian.AppendUint16(nil, code)) + "#HY000" + text
 }
--- a/internal/testbed/emulator/mysqlengine_test.go
+++ b/internal/testbed/emulator/mysqlengine_test.go
@@ -10,8 +10,8 @@
 	"github.com/go-sql-driver/mysql"
 )
 
-// A standard client gets the row of its query, and a query that is killed ends with the error that servers have for it.
-func TestMySQLEngine(t *testing.T) {
+// Checks with a standard client that a query returns its row, and that a killed query fails with ER_QUERY_INTERRUPTED.
+func TestMySQLEngineReturnsRowsAndKillsQueries(t *testing.T) {
 	e, err := StartMySQL()
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	var killed *mysql.MySQLError
-	if err := <-ended; !errors.As(err, &killed) || killed.Number != mysqlInterrupted {
-		t.Fatalf("%v, want error %d", err, mysqlInterrupted)
+	if err := <-ended; !errors.As(err, &killed) || killed.Number != mysqlErrQueryInterrupted {
+		t.Fatalf("%v, want error %d", err, mysqlErrQueryInterrupted)
 	}
 }
--- a/internal/testbed/emulator/outcome.go
+++ b/internal/testbed/emulator/outcome.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Verdict is the result of a request, as its client saw it.
+// Verdict is the result of a request as seen by its client.
 type Verdict uint8
 
 // Verdicts of a request.
 const (
 	Served      Verdict = iota
-	Rejected            // rejected without effect: a retry is harmless
+	Rejected            // rejected without side effects, so that a retry is safe
 	Failed              // any other error
-	Lost                // the connection ended without an answer
-	Corrupted           // answered with a result that no engine made for it
+	Lost                // the connection closed before an answer
+	Corrupted           // answered with a wrong result
 	Unanswered          // no answer until answerSlack after the client's timeout
 	Unreachable         // no gateway accepted a connection
 )
 
-// String names a verdict.
+// String returns the name of a verdict in reports.
 func (v Verdict) String() string {
 	return [...]string{"served", "refused", "failed", "lost", "spoilt", "unanswered", "unreached", ""}[v&7]
 }
 
-// Outcome is how a request ended.
+// Outcome describes how a request ended.
 type Outcome struct {
-	At               time.Duration // when it was sent, by the clients' clock
+	At               time.Duration // when it was sent, by the clock of the clients
 	Gateway          int
 	Class            int
 	Verdict          Verdict
--- a/internal/testbed/emulator/statement.go
+++ b/internal/testbed/emulator/statement.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// Rows is the result of the query with this ID, by which a client can tell whether it got its own, complete and unchanged.
+// Rows returns the result of the query with this ID. A client compares it with its answer to detect a wrong or incomplete
+// result.
 func Rows(id string) string { return "row\t" + id + "\tof 1\n" }
 
-// Statement is the text of a query for an emulated engine, which reads from its comment what the query costs.
+// Statement returns the text of a query. A comment in the text tells an emulated engine the cost of the query.
 func Statement(q Query) string {
 	load := 0
 	if q.IsDataLoad {
@@ -18,7 +19,7 @@
 		q.Group, q.Work, q.Threads, q.IO, q.MemoryMB, load, q.Group)
 }
 
-// ParseStatement reads what Statement wrote; ok is false for any other text.
+// ParseStatement parses a text that Statement returned; ok is false for any other text.
 func ParseStatement(text string) (q Query, ok bool) {
 	_, comment, found := strings.Cut(text, "/*")
 	if !found {
--- a/internal/testbed/emulator/traffic.go
+++ b/internal/testbed/emulator/traffic.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Class is a class of queries.
+// Class describes the queries of a class in the workload.
 type Class struct {
 	Name             string
-	Share            float64 // of the queries
+	Share            float64 // of the queries, as a weight relative to the other classes
 	Work             float64 // mean, in seconds on one thread
-	WorkCV           float64 // of the work: deviation over mean, lognormal
+	WorkCV           float64 // coefficient of variation of the work, which is lognormal
 	Threads          float64
 	IO               float64
 	MemoryMB         float64
 	Objective        time.Duration
-	ObjectiveStretch float64 // the objective grows by this times the query's work over its threads
+	ObjectiveStretch float64 // times the query's work per thread, added to the objective
 	Timeout          time.Duration
 	Weight           float64
-	IsDataLoad       bool // its requests carry an idempotency key
+	IsDataLoad       bool // data loads lock their table group, and their requests carry an idempotency key
 }
 
-// DefaultClasses returns classes much like those of the platform's pages.
+// DefaultClasses returns classes similar to those in the platform's documentation.
 func DefaultClasses() []Class {
 	return []Class{
 		{Name: "lookup", Share: 0.8, Work: 0.17, WorkCV: 1, Threads: 1, IO: 0.3, MemoryMB: 200, Objective: 800 * time.Millisecond,
@@ -36,7 +36,7 @@
 	}
 }
 
-// Settings returns the platform's settings object, as JSON, for the gateway with the number self.
+// Settings returns the platform's settings object, as JSON, for the gateway with number self.
 func Settings(classes []Class, gateways, self int, cores float64) string {
 	list, threads, loads := "", "", ""
 	for i, c := range classes {
@@ -62,31 +62,32 @@
 "siblings":%d,"self_index":%d,"tick":5000000}`, list, cores, cores*2048, threads, loads, gateways, self)
 }
 
-// Traffic describes an open-loop workload: arrivals do not wait for answers.
+// Traffic describes an open-loop workload: arrivals do not depend on earlier answers.
 type Traffic struct {
 	Classes       []Class
-	Rate          float64 // queries a second, over all gateways
+	Rate          float64 // queries per second, summed over all gateways
 	Gateways      int
-	Skew          float64 // deviation of the gateways' shares over their mean
+	Skew          float64 // coefficient of variation of the gateways' shares
 	Groups        int     // table groups
-	Zipf          float64 // exponent of their popularity
-	EstimateSigma float64 // deviation of the estimates' logarithm
+	Zipf          float64 // exponent of the table groups' popularity
+	EstimateSigma float64 // standard deviation of the logarithm of an estimate's error
 	Seed          uint64
 }
 
-// Request is one arrival.
+// Request is an arrival of the workload.
 type Request struct {
-	At        time.Duration
+	At        time.Duration // since the start of the workload
 	Gateway   int
 	Class     int
 	ID        string
 	Query     Query
-	Estimate  float64 // seconds
-	Budget    time.Duration
-	Objective time.Duration
+	Estimate  float64       // of the query's work, in seconds on one thread
+	Budget    time.Duration // until the client's timeout
+	Objective time.Duration // latency objective
 }
 
-// RateForLoad returns the rate, in queries a second, at which the work that arrives is the share load of what the cores can do.
+// RateForLoad returns the rate, in queries per second, at which the arriving work is the fraction load of the capacity of
+// the cores.
 func (t Traffic) RateForLoad(load, cores float64) float64 {
 	work := 0.0
 	for _, c := range t.Classes {
@@ -95,8 +96,8 @@
 	return load * cores / work
 }
 
-// Generate returns the arrivals of a span, in order of time. The same seed gives the same arrivals.
-func (t Traffic) Generate(span time.Duration) (out []Request) {
+// Generate returns the arrivals during this time, in order. The same seed gives the same arrivals.
+func (t Traffic) Generate(duration time.Duration) (out []Request) {
 	random := rand.New(rand.NewPCG(t.Seed, 31))
 	gateways := weightedSampler(t.Gateways, func(int) float64 { return lognormal(random, 1, t.Skew) })
 	groups := weightedSampler(max(1, t.Groups), func(i int) float64 { return math.Pow(float64(i+1), -t.Zipf) })
@@ -104,10 +105,10 @@
 	at := time.Duration(0)
 	for {
 		at += time.Duration(random.ExpFloat64() / t.Rate * float64(time.Second))
-		if at >= span {
+		if at >= duration {
 			return out
 		}
-		// The order of the draws decides the arrivals of a seed.
+		// A change in the order of the random draws changes the arrivals for a seed.
 		r := Request{At: at, Class: classes(random)}
 		class := t.Classes[r.Class]
 		work := max(minWork, lognormal(random, class.Work, class.WorkCV))
@@ -121,10 +122,10 @@
 	}
 }
 
-// minWork is the least work of a query, in seconds on one thread.
+// minWork is the minimum work of a query, in seconds on one thread.
 const minWork = 0.005
 
-// randomID draws the ID of a request.
+// randomID returns a random request ID.
 func randomID(random *rand.Rand) string {
 	var id [8]byte
 	for i := range id {
@@ -133,13 +134,14 @@
 	return hex.EncodeToString(id[:])
 }
 
-// lognormal draws a number from the distribution with this mean and coefficient of variation.
+// lognormal returns a random number from the lognormal distribution with this mean and coefficient of variation.
 func lognormal(random *rand.Rand, mean, cv float64) float64 {
 	s2 := math.Log(1 + cv*cv)
 	return mean * math.Exp(math.Sqrt(s2)*random.NormFloat64()-s2/2)
 }
 
-// weightedSampler returns a function that draws numbers from 0 to n-1 by weight.
+// weightedSampler returns a function that returns random numbers from 0 to n-1, with probabilities proportional to their
+// weights.
 func weightedSampler(n int, weight func(int) float64) func(*rand.Rand) int {
 	sums, sum := make([]float64, n), 0.0
 	for i := range sums {
