--- a/cmd/fleettest/scale.go
+++ b/cmd/fleettest/scale.go
@@ -110,7 +110,7 @@
 		return run, err
 	}
 	defer func() { err = errors.Join(err, fleet.Close()) }()
-	run, err = fleet.Play(ctx)
+	run, err = fleet.Run(ctx)
 	run.Metadata.Options = c.options(plan)
 	return run, err
 }
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run, err := fleet.Play(context.Background())
+	run, err := fleet.Run(context.Background())
 	processes := fleet.PIDs()
 	if closing := fleet.Close(); err != nil || closing != nil {
 		t.Fatal(err, closing)
@@ -114,7 +114,7 @@
 	}
 	processes := fleet.PIDs()
 	time.AfterFunc(100*time.Millisecond, cancel)
-	_, err = fleet.Play(ctx)
+	_, err = fleet.Run(ctx)
 	if closing := fleet.Close(); !errors.Is(err, context.Canceled) || closing != nil {
 		t.Fatal(err, closing)
 	}
--- a/internal/testbed/scale/runner/engines.go
+++ b/internal/testbed/scale/runner/engines.go
@@ -12,13 +12,14 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// engineAddress is the loopback address of a process of engines: outside of the range that package testfleet uses.
+// engineAddress returns the loopback address of a process of hollow engines. It is outside the range that package testfleet
+// uses.
 func engineAddress(process int) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{127, byte(32 + process%32), byte(pid >> 8), byte(1 + pid%250)})
 }
 
-// startEngines starts the processes of hollow engines and makes the engine list.
+// startEngines starts the processes of hollow engines and builds the engine list.
 func (r *Runner) startEngines(ctx context.Context) error {
 	processes := r.plan.EngineProcesses(r.machine)
 	for i := range processes {
@@ -41,8 +42,8 @@
 	return nil
 }
 
-// publish sets the state of engines in the engine list and publishes it. startedMS is the time of their start in Unix
-// milliseconds, or 0.
+// publish sets the state and start time of engines in the engine list and publishes the change. startedMS is in Unix
+// milliseconds; 0 means that the engines have no start time.
 func (r *Runner) publish(engines []int, state string, startedMS int64) {
 	var changed []testfleet.Engine
 	for _, number := range engines {
@@ -52,8 +53,8 @@
 	r.fleet.Discovery.Publish(changed)
 }
 
-// setEngines closes engines, or opens them again at their addresses.
-func (r *Runner) setEngines(ctx context.Context, engines []int, open bool) error {
+// setEnginesOpen closes engines, or reopens them at their previous addresses.
+func (r *Runner) setEnginesOpen(ctx context.Context, engines []int, open bool) error {
 	var errs []error
 	for _, group := range r.engineGroups {
 		var indexes []int
--- a/internal/testbed/scale/runner/machine.go
+++ b/internal/testbed/scale/runner/machine.go
@@ -8,7 +8,7 @@
 	"frostpier/internal/testbed/scale"
 )
 
-// LocalMachine describes the machine that this process runs on. It returns an error where /proc or the limits cannot be read.
+// LocalMachine returns the memory of the machine that this process runs on, and the descriptor limit of this process.
 func LocalMachine() (scale.Machine, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -25,7 +25,7 @@
 	return scale.Machine{MemoryBytes: kilobytes << 10, Descriptors: limit.Cur}, nil
 }
 
-// LoadAverage returns the machine's load average over the last minute; 0 where it cannot be read.
+// LoadAverage returns the machine's load average over the last minute, or 0 if it cannot be read.
 func LoadAverage() (load float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/testbed/scale/runner/members.go
+++ b/internal/testbed/scale/runner/members.go
@@ -12,8 +12,8 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// startHollow starts the processes of hollow gateways, and the gateways in them.
-func (r *Runner) startHollow(ctx context.Context) error {
+// startHollowGateways starts the processes of hollow gateways, sets them up, and starts the gateways in them.
+func (r *Runner) startHollowGateways(ctx context.Context) error {
 	listen, peers := r.fleet.RemoteAddrs(), r.hollowPeers()
 	processes := r.plan.HollowProcesses()
 	for i := range processes {
@@ -39,13 +39,14 @@
 	return r.startMembers(ctx, r.allHollow())
 }
 
-// hollowPeers returns the addresses at which hollow gateways reach all members: the real ones by the relay, which counts and
-// drops their datagrams, and each other directly.
+// hollowPeers returns the addresses to which hollow gateways send datagrams for each member. Datagrams to real gateways pass
+// through the relay, which counts them and drops those between partitioned regions; hollow gateways reach each other directly.
 func (r *Runner) hollowPeers() []netip.AddrPort {
-	faces := r.fleet.Relay.Addrs()
-	return append(slices.Clone(faces[:r.plan.RealGateways]), r.fleet.RemoteAddrs()...)
+	relayAddrs := r.fleet.Relay.Addrs()
+	return append(slices.Clone(relayAddrs[:r.plan.RealGateways]), r.fleet.RemoteAddrs()...)
 }
 
+// allHollow returns the indexes of all hollow gateways.
 func (r *Runner) allHollow() (out []int) {
 	for member := r.plan.RealGateways; member < r.plan.Members(); member++ {
 		out = append(out, member)
@@ -53,79 +54,79 @@
 	return out
 }
 
-// startMembers starts members, real or hollow, that do not run.
+// startMembers starts members, real or hollow, that are not running.
 func (r *Runner) startMembers(ctx context.Context, members []int) error {
-	realOnes, hollowOnes := r.divideMembers(members)
-	for _, member := range realOnes {
+	realMembers, hollowMembers := r.splitMembers(members)
+	for _, member := range realMembers {
 		if err := r.fleet.Start(member); err != nil {
 			return err
 		}
 	}
-	if err := r.commandHollow(ctx, func(own []int) hollow.GatewayCommand { return hollow.GatewayCommand{Start: own} }, hollowOnes); err != nil {
+	if err := r.sendToHollow(ctx, func(own []int) hollow.GatewayCommand { return hollow.GatewayCommand{Start: own} }, hollowMembers); err != nil {
 		return err
 	}
-	r.setUp(members, true)
+	r.setRunning(members, true)
 	return nil
 }
 
-// killMembers kills members, all at the same time.
+// killMembers kills members concurrently.
 func (r *Runner) killMembers(ctx context.Context, members []int) error {
-	realOnes, hollowOnes := r.divideMembers(members)
-	err := r.concurrently(realOnes, r.fleet.Kill, func() error {
-		return r.commandHollow(ctx, func(own []int) hollow.GatewayCommand { return hollow.GatewayCommand{Kill: own} }, hollowOnes)
+	realMembers, hollowMembers := r.splitMembers(members)
+	err := r.runConcurrently(realMembers, r.fleet.Kill, func() error {
+		return r.sendToHollow(ctx, func(own []int) hollow.GatewayCommand { return hollow.GatewayCommand{Kill: own} }, hollowMembers)
 	})
-	r.setUp(members, false)
+	r.setRunning(members, false)
 	return err
 }
 
-// stopMembers has members shut down gracefully, all at the same time, and waits for their end.
+// stopMembers shuts members down gracefully and concurrently, and waits until they have stopped.
 func (r *Runner) stopMembers(ctx context.Context, members []int) error {
-	realOnes, hollowOnes := r.divideMembers(members)
-	err := r.concurrently(realOnes, r.fleet.Terminate, func() error {
-		return r.commandHollow(ctx, func(own []int) hollow.GatewayCommand { return hollow.GatewayCommand{Leave: own} }, hollowOnes)
+	realMembers, hollowMembers := r.splitMembers(members)
+	err := r.runConcurrently(realMembers, r.fleet.Terminate, func() error {
+		return r.sendToHollow(ctx, func(own []int) hollow.GatewayCommand { return hollow.GatewayCommand{Leave: own} }, hollowMembers)
 	})
-	r.setUp(members, false)
+	r.setRunning(members, false)
 	return err
 }
 
-// concurrently calls each for every real gateway, and rest for the hollow ones, all at the same time.
-func (r *Runner) concurrently(realOnes []int, each func(int) error, rest func() error) error {
-	errs := make([]error, len(realOnes)+1)
+// runConcurrently calls forReal for each real gateway and forHollow once for all hollow gateways, all concurrently.
+func (r *Runner) runConcurrently(realMembers []int, forReal func(int) error, forHollow func() error) error {
+	errs := make([]error, len(realMembers)+1)
 	var done sync.WaitGroup
-	for i, member := range realOnes {
+	for i, member := range realMembers {
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			errs[i] = each(member)
+			errs[i] = forReal(member)
 		}()
 	}
-	errs[len(realOnes)] = rest()
+	errs[len(realMembers)] = forHollow()
 	done.Wait()
 	return errors.Join(errs...)
 }
 
-// divideMembers divides members into real and hollow ones.
-func (r *Runner) divideMembers(members []int) (realOnes, hollowOnes []int) {
+// splitMembers splits members into real and hollow ones.
+func (r *Runner) splitMembers(members []int) (realMembers, hollowMembers []int) {
 	for _, member := range members {
 		if member < r.plan.RealGateways {
-			realOnes = append(realOnes, member)
+			realMembers = append(realMembers, member)
 		} else {
-			hollowOnes = append(hollowOnes, member)
+			hollowMembers = append(hollowMembers, member)
 		}
 	}
-	return realOnes, hollowOnes
+	return realMembers, hollowMembers
 }
 
-// setUp records whether members run.
-func (r *Runner) setUp(members []int, up bool) {
+// setRunning records whether members are running.
+func (r *Runner) setRunning(members []int, running bool) {
 	for _, member := range members {
-		r.up[member] = up
+		r.running[member] = running
 	}
 }
 
-// commandHollow sends each process of hollow gateways a command about those of the members that it runs, all at the same
-// time.
-func (r *Runner) commandHollow(ctx context.Context, commandFor func(own []int) hollow.GatewayCommand, members []int) error {
+// sendToHollow concurrently sends a command to each process that runs any of the hollow gateways in members. commandFor
+// returns the command for the members of one process.
+func (r *Runner) sendToHollow(ctx context.Context, commandFor func(own []int) hollow.GatewayCommand, members []int) error {
 	errs := make([]error, len(r.gatewayGroups))
 	var done sync.WaitGroup
 	for i, group := range r.gatewayGroups {
@@ -143,10 +144,10 @@
 	return errors.Join(errs...)
 }
 
-// setCut partitions the regions, or heals the partition. The discovery server reaches all members either way.
-func (r *Runner) setCut(ctx context.Context, cut bool) error {
+// setPartition partitions the regions or heals the partition. The discovery server remains reachable by all members.
+func (r *Runner) setPartition(ctx context.Context, partitioned bool) error {
 	change := hollow.HealRegions
-	if cut {
+	if partitioned {
 		change = hollow.PartitionRegions
 		for member := range r.plan.Members() {
 			r.fleet.Relay.SetPartitionSide(member, r.plan.RegionOf(member))
@@ -154,6 +155,6 @@
 	} else {
 		r.fleet.Relay.Heal()
 	}
-	r.regionsCut = cut
-	return r.commandHollow(ctx, func([]int) hollow.GatewayCommand { return hollow.GatewayCommand{Partition: change} }, r.allHollow())
+	r.partitioned = partitioned
+	return r.sendToHollow(ctx, func([]int) hollow.GatewayCommand { return hollow.GatewayCommand{Partition: change} }, r.allHollow())
 }
--- a/internal/testbed/scale/runner/sampler.go
+++ b/internal/testbed/scale/runner/sampler.go
@@ -13,44 +13,44 @@
 
 const (
 	sampleInterval = time.Second
-	ticksPerSecond = 100 // of /proc/PID/stat's times, on every Linux that Go runs on
-	fixedSockets   = 2   // of a real gateway: the clients' listener and the peers' socket
+	ticksPerSecond = 100 // unit of the times in /proc/PID/stat on every Linux that Go supports
+	otherSockets   = 2   // sockets of a real gateway that are not connections: the TCP listener and the UDP socket
 )
 
-// sampler samples the real gateways once a second: processor time and resident memory from /proc, datagrams from the relay,
-// and the traffic of the discovery server.
+// sampler takes a reading of the real gateways once a second: processor time and resident memory from /proc, datagram bytes
+// from the relay, and the traffic of the discovery server.
 type sampler struct {
-	fleet            *testfleet.Fleet
-	start            time.Time
-	mu               sync.Mutex
-	pids             []int     // at the last reading
-	ticks            []float64 // processor time of that process, at the last reading
-	processorSeconds []float64 // of each gateway, over all of its processes
-	readings         []reading
-	closing          chan struct{}
-	goroutines       sync.WaitGroup
+	fleet      *testfleet.Fleet
+	start      time.Time
+	mu         sync.Mutex
+	pids       []int     // process of each gateway at the last reading
+	ticks      []float64 // processor time of that process at the last reading
+	cpuSeconds []float64 // processor time of each gateway, over all processes that it has had
+	readings   []reading
+	closing    chan struct{}
+	goroutines sync.WaitGroup
 }
 
-// reading holds the counters of each real gateway at one time.
+// reading holds the counters of the real gateways at a point in time. Slices are by gateway index.
 type reading struct {
 	at             time.Duration
-	processor      []float64 // seconds
-	resident       []float64 // bytes
-	sent           []float64 // bytes of datagrams
-	received       []float64 // likewise
-	discoveryBytes float64   // sent to all watches, in bytes
+	cpuSeconds     []float64
+	resident       []float64 // resident memory, in bytes
+	sent           []float64 // datagram bytes
+	received       []float64 // datagram bytes
+	discoveryBytes float64   // total sent to all watches
 	watchers       int
 }
 
-// startSampler starts to sample the gateways of a fleet; stop ends it.
+// startSampler starts to take readings of the real gateways of a fleet. stop ends it.
 func startSampler(fleet *testfleet.Fleet, gateways int) *sampler {
 	s := &sampler{
-		fleet:            fleet,
-		start:            time.Now(),
-		pids:             make([]int, gateways),
-		ticks:            make([]float64, gateways),
-		processorSeconds: make([]float64, gateways),
-		closing:          make(chan struct{}),
+		fleet:      fleet,
+		start:      time.Now(),
+		pids:       make([]int, gateways),
+		ticks:      make([]float64, gateways),
+		cpuSeconds: make([]float64, gateways),
+		closing:    make(chan struct{}),
 	}
 	s.goroutines.Add(1)
 	go s.run()
@@ -85,7 +85,7 @@
 		pid := s.fleet.PID(i)
 		s.addTicks(i, pid)
 		_, sent := s.fleet.Relay.Sent(i)
-		now.processor = append(now.processor, s.processorSeconds[i])
+		now.cpuSeconds = append(now.cpuSeconds, s.cpuSeconds[i])
 		now.resident = append(now.resident, residentBytes(pid))
 		now.sent = append(now.sent, float64(sent))
 		now.received = append(now.received, float64(s.fleet.Relay.DeliveredBytes(i)))
@@ -96,26 +96,26 @@
 	return len(s.readings) - 1
 }
 
-// addTicks adds the processor time of a gateway since the last reading. What a process spends between its last reading and
-// its end is not counted.
+// addTicks adds the processor time of a gateway since the last reading. Time that a process uses between its last reading and
+// its exit is not counted.
 func (s *sampler) addTicks(i, pid int) {
-	ticks := processorTicks(pid)
+	ticks := cpuTicks(pid)
 	if pid != s.pids[i] {
 		s.pids[i], s.ticks[i] = pid, 0
 	}
 	if ticks > s.ticks[i] {
-		s.processorSeconds[i] += (ticks - s.ticks[i]) / ticksPerSecond
+		s.cpuSeconds[i] += (ticks - s.ticks[i]) / ticksPerSecond
 		s.ticks[i] = ticks
 	}
 }
 
-// processorTicks returns the processor time of a process in clock ticks, user and system; 0 where there is no process.
-func processorTicks(pid int) float64 {
+// cpuTicks returns the user and system time of a process in clock ticks, or 0 if there is no such process.
+func cpuTicks(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	_, fields, _ := strings.Cut(string(text), ") ") // the name of the process, which comes before, may have spaces
+	_, fields, _ := strings.Cut(string(text), ") ") // skips the process name, which may contain spaces
 	var user, system float64
 	values := strings.Fields(fields)
 	const userField, systemField = 11, 12
@@ -127,18 +127,18 @@
 	return user + system
 }
 
-// residentBytes returns the resident memory of a process; 0 where there is no process.
+// residentBytes returns the resident memory of a process, or 0 if there is no such process.
 func residentBytes(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
-	var all, resident float64
-	_, _ = fmt.Sscan(string(text), &all, &resident)
+	var total, resident float64
+	_, _ = fmt.Sscan(string(text), &total, &resident)
 	return resident * float64(os.Getpagesize())
 }
 
-// tcpConnections returns how many TCP connections a gateway's process has open.
+// tcpConnections returns the number of open TCP connections of a real gateway's process.
 func tcpConnections(pid int) int {
 	dir := fmt.Sprintf("/proc/%d/fd", pid)
 	entries, err := os.ReadDir(dir)
@@ -151,23 +151,23 @@
 			sockets++
 		}
 	}
-	return max(0, sockets-fixedSockets)
+	return max(0, sockets-otherSockets)
 }
 
-// summarize returns what two readings and those between them come to.
-func (s *sampler) summarize(from, to int) (out scale.StepResult) {
+// summarize returns the rates and maxima over the readings from index first to last.
+func (s *sampler) summarize(first, last int) (out scale.StepResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	span := s.readings[from : to+1]
+	span := s.readings[first : last+1]
 	gateways := len(s.pids)
 	out.Seconds = (span[len(span)-1].at - span[0].at).Seconds()
 	for i := range gateways {
 		share := float64(1) / float64(gateways)
-		processor := scale.Rate(samplesOf(span, func(r reading) float64 { return r.processor[i] }))
+		cores := scale.Rate(samplesOf(span, func(r reading) float64 { return r.cpuSeconds[i] }))
 		sent := samplesOf(span, func(r reading) float64 { return r.sent[i] })
 		received := samplesOf(span, func(r reading) float64 { return r.received[i] })
-		out.MeanCPUCores += processor * share
-		out.MaxCPUCores = max(out.MaxCPUCores, processor)
+		out.MeanCPUCores += cores * share
+		out.MaxCPUCores = max(out.MaxCPUCores, cores)
 		out.SentBytesPerSecond += scale.Rate(sent) * share
 		out.PeakSentBytesPerSecond = max(out.PeakSentBytesPerSecond, scale.PeakRate(sent))
 		out.ReceivedBytesPerSecond += scale.Rate(received) * share
@@ -182,7 +182,7 @@
 	return out
 }
 
-// samplesOf returns the samples of one counter.
+// samplesOf returns the samples of one counter from a sequence of readings.
 func samplesOf(span []reading, counter func(reading) float64) (out []scale.Sample) {
 	for _, r := range span {
 		out = append(out, scale.Sample{At: r.at, Value: counter(r)})
--- a/internal/testbed/scale/runner/settings.go
+++ b/internal/testbed/scale/runner/settings.go
@@ -14,7 +14,7 @@
 	"frostpier/internal/testbed/scale"
 )
 
-// States and the machine type in the engine list.
+// Lifecycle states and the machine type of engines in the engine list.
 const (
 	inService   = "in_service"
 	terminating = "terminating"
@@ -22,33 +22,33 @@
 	engineKind  = "m"
 )
 
-// engineCores is how many cores the settings say that an engine has.
+// engineCores is the number of cores of an engine according to the settings.
 const engineCores = 12
 
-// lookupClass returns the one class of statements.
+// lookupClass returns the only class of queries that clients send.
 func lookupClass() []emulator.Class {
 	return []emulator.Class{{Name: "lookup", Share: 1, Work: 0.05, Threads: 1, IO: 0.3, MemoryMB: 50, Objective: 800 * time.Millisecond,
 		Timeout: 4 * time.Second, Weight: 1}}
 }
 
-// zonePlacement is the part of the platform's settings that says where a gateway is.
+// zonePlacement is the part of the platform's settings that has the zones and a gateway's own zone.
 type zonePlacement struct {
 	Zones []string `json:"zones"`
 	Zone  int      `json:"zone"`
 }
 
-// settings returns the platform's settings of a real gateway: those of package emulator with the zones of the plan.
+// settings returns the platform's settings of a real gateway: those of package emulator, extended by the zones of the plan.
 func (r *Runner) settings(gateways, self int) string {
 	text := emulator.Settings(lookupClass(), gateways, self, engineCores)
-	where := zonePlacement{Zone: r.plan.ZoneOf(self), Zones: r.plan.ZoneNames()}
+	placement := zonePlacement{Zone: r.plan.ZoneOf(self), Zones: r.plan.ZoneNames()}
 	object := map[string]json.RawMessage{}
 	if json.Unmarshal([]byte(text), &object) != nil {
-		return text // never: they are an object
+		return text // unreachable: the settings are a JSON object
 	}
-	zones, zonesErr := json.Marshal(where.Zones)
-	zone, zoneErr := json.Marshal(where.Zone)
+	zones, zonesErr := json.Marshal(placement.Zones)
+	zone, zoneErr := json.Marshal(placement.Zone)
 	if zonesErr != nil || zoneErr != nil {
-		return text // never: names and numbers encode
+		return text // unreachable: strings and integers can be encoded
 	}
 	object["zones"], object["zone"] = zones, zone
 	out, err := json.Marshal(object)
@@ -58,7 +58,7 @@
 	return string(out)
 }
 
-// subsetConfig returns the subset configuration of hollow gateways; nil where every gateway uses all engines.
+// subsetConfig returns the subset configuration of hollow gateways, or nil if every gateway uses all engines.
 func (r *Runner) subsetConfig() *subset.Config {
 	if r.plan.SubsetMinEngines == 0 {
 		return nil
@@ -68,13 +68,14 @@
 	return &config
 }
 
-// operatorSections are the sections of the operator's file beside the membership section.
+// operatorSections are the sections of the operator's file in addition to the membership section.
 type operatorSections struct {
 	Spread settings.Spread  `toml:"spread"`
 	Subset *settings.Subset `toml:"subset,omitempty"`
 }
 
-// operator returns the sections of the real gateways' operator's file, with the same subset configuration.
+// operator returns the additional sections of the operator's file for real gateways, with the same subset configuration as
+// that of hollow gateways.
 func (r *Runner) operator() (string, error) {
 	var sections operatorSections
 	if r.plan.SubsetMinEngines > 0 {
@@ -88,7 +89,7 @@
 	return "\n" + text.String(), nil
 }
 
-// regionNames returns the names of the zones of each region.
+// regionNames returns the zone names of each region.
 func (r *Runner) regionNames() (regions [][]string) {
 	for _, zones := range r.plan.ZonesByRegion() {
 		var names []string
--- a/internal/testbed/scale/runner/steps.go
+++ b/internal/testbed/scale/runner/steps.go
@@ -10,7 +10,7 @@
 	"frostpier/internal/testbed/scale"
 )
 
-// Names of the parts of steps that have two.
+// Names of the parts of steps that have two parts: the fault and the recovery. They are stored in result files.
 const (
 	machinesLost  = "machines-lost"
 	machinesBack  = "machines-back"
@@ -20,33 +20,33 @@
 	regionsHealed = "regions-healed"
 )
 
-// partResult is what a part of a step yields beside the sampler's measurements.
-type partResult struct {
-	allKnow    time.Duration // until all gateways agreed; 0 where nothing changed
-	statements float64       // a second that clients sent each real gateway
-	served     float64       // share of them
+// partOutcome holds the measurements of a part of a step that are not made by the sampler.
+type partOutcome struct {
+	convergence time.Duration // time until the fleet converged; 0 if nothing changed
+	statements  float64       // statements per second that clients sent to each real gateway
+	served      float64       // share of the statements that were served
 }
 
-// Play plays the plan's steps and returns their results. After an error it returns those of the steps before.
-func (r *Runner) Play(ctx context.Context) (scale.Run, error) {
-	run := scale.Run{Metadata: r.facts()}
+// Run runs the plan's steps and returns their results. After an error it returns the results of the completed parts.
+func (r *Runner) Run(ctx context.Context) (scale.Run, error) {
+	run := scale.Run{Metadata: r.metadata()}
 	for _, step := range r.plan.Steps {
-		results, err := r.playStep(ctx, step)
+		results, err := r.runStep(ctx, step)
 		run.Steps = append(run.Steps, results...)
 		if err != nil {
 			return run, fmt.Errorf("step %s: %w", step, err)
 		}
 	}
 	if alarms := r.fleet.Alarms(); len(alarms) > 0 {
-		return run, fmt.Errorf("in the gateways' logs: %s", alarms[0])
+		return run, fmt.Errorf("unexpected line in a gateway's log: %s", alarms[0])
 	}
 	run.Metadata.LoadAverageAtEnd = LoadAverage()
 	return run, nil
 }
 
-func (r *Runner) facts() scale.RunMetadata {
-	return scale.RunMetadata{SubsetMinEngines: r.plan.SubsetMinEngines, Cores: runtime.NumCPU(), MemoryMB: int(r.machine.MemoryBytes >> 20), GoVersion: runtime.Version(),
-		Seed: r.plan.Seed, LoadAverageAtStart: LoadAverage(), Zones: r.plan.Zones, Regions: r.plan.Regions,
+func (r *Runner) metadata() scale.RunMetadata {
+	return scale.RunMetadata{SubsetMinEngines: r.plan.SubsetMinEngines, Cores: runtime.NumCPU(), MemoryMB: int(r.machine.MemoryBytes >> 20),
+		GoVersion: runtime.Version(), Seed: r.plan.Seed, LoadAverageAtStart: LoadAverage(), Zones: r.plan.Zones, Regions: r.plan.Regions,
 		EngineDelayMS: float64(r.options.EngineDelay) / float64(time.Millisecond), ReportsPerSecond: r.options.ReportsPerSecond,
 		DateUTC: time.Now().UTC().Format(time.RFC3339)}
 }
@@ -54,8 +54,8 @@
 // part is a part of a step that is measured separately.
 type part struct {
 	name    string
-	play    func(context.Context) (partResult, error)
-	settles bool // it is measured for a while longer than it plays
+	run     func(context.Context) (partOutcome, error)
+	settles bool // measured for Durations.Settle longer than it runs
 }
 
 // parts returns the parts of a step.
@@ -68,11 +68,11 @@
 	case scale.Restarts:
 		return []part{{string(step), r.restarts, true}}
 	case scale.Machines:
-		return []part{{machinesLost, r.loseMachines, true}, {machinesBack, r.startMachines, true}}
+		return []part{{machinesLost, r.failMachines, true}, {machinesBack, r.recoverMachines, true}}
 	case scale.Zone:
-		return []part{{zoneLost, r.loseZone, true}, {zoneBack, r.startZone, true}}
+		return []part{{zoneLost, r.failZone, true}, {zoneBack, r.recoverZone, true}}
 	case scale.Regions:
-		return []part{{regionsCut, r.cutRegions, true}, {regionsHealed, r.healRegions, true}}
+		return []part{{regionsCut, r.partitionRegions, true}, {regionsHealed, r.healRegions, true}}
 	case scale.List:
 		return []part{{string(step), r.changeList, true}}
 	case scale.Reconnect:
@@ -81,22 +81,22 @@
 	return nil
 }
 
-func (r *Runner) playStep(ctx context.Context, step scale.Step) (out []scale.StepResult, err error) {
+func (r *Runner) runStep(ctx context.Context, step scale.Step) (out []scale.StepResult, err error) {
 	for _, part := range r.parts(step) {
-		result, err := r.playPart(ctx, part)
+		result, err := r.runPart(ctx, part)
 		if err != nil {
 			return out, err
 		}
-		r.options.Progress(fmt.Sprintf("%s: %.0f s, all knew after %.1f s", part.name, result.Seconds, result.ConvergenceSeconds))
+		r.options.Progress(fmt.Sprintf("%s: %.0f s, converged after %.1f s", part.name, result.Seconds, result.ConvergenceSeconds))
 		out = append(out, result)
 	}
 	return out, nil
 }
 
-// playPart plays a part of a step, and measures from its start until it has settled.
-func (r *Runner) playPart(ctx context.Context, p part) (scale.StepResult, error) {
+// runPart runs a part of a step and measures from its start until it has settled.
+func (r *Runner) runPart(ctx context.Context, p part) (scale.StepResult, error) {
 	from := r.sampler.sample()
-	played, err := p.play(ctx)
+	outcome, err := p.run(ctx)
 	if err != nil {
 		return scale.StepResult{}, err
 	}
@@ -108,13 +108,13 @@
 	result := r.sampler.summarize(from, r.sampler.sample())
 	engines, err := r.engineUsage(ctx)
 	result.EnginesUsed, result.EnginesKnownShare = engines.Used, engines.KnownShare
-	result.Name, result.ConvergenceSeconds = p.name, played.allKnow.Seconds()
+	result.Name, result.ConvergenceSeconds = p.name, outcome.convergence.Seconds()
 	result.RealGateways, result.HollowGateways, result.Engines = r.plan.RealGateways, r.plan.HollowGateways, r.plan.Engines
-	result.StatementsPerSecond, result.StatementsServedShare = played.statements, played.served
+	result.StatementsPerSecond, result.StatementsServedShare = outcome.statements, outcome.served
 	return result, err
 }
 
-// sleep waits, or returns the context's error once that has ended.
+// sleep pauses for the given time. It returns the context's error if the context ends earlier.
 func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -126,12 +126,12 @@
 	}
 }
 
-func (r *Runner) quiet(ctx context.Context) (partResult, error) {
-	return partResult{}, sleep(ctx, r.plan.QuietStep)
+func (r *Runner) quiet(ctx context.Context) (partOutcome, error) {
+	return partOutcome{}, sleep(ctx, r.plan.QuietStep)
 }
 
-// loaded has clients send statements to the real gateways.
-func (r *Runner) loaded(ctx context.Context) (partResult, error) {
+// loaded sends statements from clients to the real gateways.
+func (r *Runner) loaded(ctx context.Context) (partOutcome, error) {
 	began := time.Now()
 	traffic := emulator.Traffic{Classes: lookupClass(), Rate: r.plan.StatementRate * float64(r.plan.RealGateways), Gateways: r.plan.RealGateways, Groups: 200,
 		Zipf: 0.7, Seed: r.plan.Seed}
@@ -146,33 +146,33 @@
 		}
 	}
 	perSecond := float64(len(outcomes)) / float64(r.plan.RealGateways) / r.plan.QuietStep.Seconds()
-	return partResult{statements: perSecond, served: float64(served) / float64(max(1, len(outcomes)))}, ctx.Err()
+	return partOutcome{statements: perSecond, served: float64(served) / float64(max(1, len(outcomes)))}, ctx.Err()
 }
 
-// restarts restarts members gracefully, in waves over the time of the step.
-func (r *Runner) restarts(ctx context.Context) (partResult, error) {
-	began, todo := time.Now(), r.plan.RestartOrder
-	for done := 0; done < len(todo); {
+// restarts restarts members gracefully, in waves that are spread over RestartPeriod.
+func (r *Runner) restarts(ctx context.Context) (partOutcome, error) {
+	began, members := time.Now(), r.plan.RestartOrder
+	for done := 0; done < len(members); {
 		if err := ctx.Err(); err != nil {
-			return partResult{}, err
+			return partOutcome{}, err
 		}
-		due := len(todo)
+		due := len(members)
 		if passed := time.Since(began); passed < r.plan.RestartPeriod {
-			due = 1 + int(float64(len(todo)-1)*passed.Seconds()/r.plan.RestartPeriod.Seconds())
+			due = 1 + int(float64(len(members)-1)*passed.Seconds()/r.plan.RestartPeriod.Seconds())
 		}
 		if due == done {
-			if err := sleep(ctx, agreementInterval); err != nil {
-				return partResult{}, err
+			if err := sleep(ctx, convergenceCheckInterval); err != nil {
+				return partOutcome{}, err
 			}
 			continue
 		}
-		if err := r.restartWave(ctx, todo[done:due]); err != nil {
-			return partResult{}, err
+		if err := r.restartWave(ctx, members[done:due]); err != nil {
+			return partOutcome{}, err
 		}
 		done = due
 	}
-	allKnow, err := r.waitAgreed(ctx, "after the restarts")
-	return partResult{allKnow: allKnow}, err
+	convergence, err := r.waitConverged(ctx, "restarts")
+	return partOutcome{convergence: convergence}, err
 }
 
 func (r *Runner) restartWave(ctx context.Context, members []int) error {
@@ -182,93 +182,93 @@
 	return r.startMembers(ctx, members)
 }
 
-func (r *Runner) loseMachines(ctx context.Context) (partResult, error) {
+func (r *Runner) failMachines(ctx context.Context) (partOutcome, error) {
 	if err := r.killMembers(ctx, r.plan.FailedMembers); err != nil {
-		return partResult{}, err
+		return partOutcome{}, err
 	}
-	return r.waitAllKnow(ctx, "machines lost")
+	return r.awaitConvergence(ctx, "machine failures")
 }
 
-func (r *Runner) startMachines(ctx context.Context) (partResult, error) {
+func (r *Runner) recoverMachines(ctx context.Context) (partOutcome, error) {
 	if err := r.startMembers(ctx, r.plan.FailedMembers); err != nil {
-		return partResult{}, err
+		return partOutcome{}, err
 	}
-	return r.waitAllKnow(ctx, "machines back")
+	return r.awaitConvergence(ctx, "recovery of the machines")
 }
 
-// waitAllKnow waits until all gateways agree.
-func (r *Runner) waitAllKnow(ctx context.Context, what string) (partResult, error) {
-	allKnow, err := r.waitAgreed(ctx, what)
-	return partResult{allKnow: allKnow}, err
+// awaitConvergence waits until the fleet has converged after the event.
+func (r *Runner) awaitConvergence(ctx context.Context, event string) (partOutcome, error) {
+	convergence, err := r.waitConverged(ctx, event)
+	return partOutcome{convergence: convergence}, err
 }
 
-// loseZone kills a zone's gateways and engines; the engine list is published immediately.
-func (r *Runner) loseZone(ctx context.Context) (partResult, error) {
+// failZone closes a zone's engines, kills its gateways, and then publishes that the engines have terminated.
+func (r *Runner) failZone(ctx context.Context) (partOutcome, error) {
 	engines := r.plan.EnginesIn(r.plan.FailedZone)
-	if err := r.setEngines(ctx, engines, false); err != nil {
-		return partResult{}, err
+	if err := r.setEnginesOpen(ctx, engines, false); err != nil {
+		return partOutcome{}, err
 	}
 	if err := r.killMembers(ctx, r.plan.MembersIn(r.plan.FailedZone)); err != nil {
-		return partResult{}, err
+		return partOutcome{}, err
 	}
 	r.publish(engines, terminated, 0)
-	return r.waitAllKnow(ctx, "zone lost")
+	return r.awaitConvergence(ctx, "zone failure")
 }
 
-// startZone starts the zone's gateways and engines again; the engines warm up.
-func (r *Runner) startZone(ctx context.Context) (partResult, error) {
+// recoverZone restarts the zone's engines and gateways. The engines are published with a new start time, so that they warm up.
+func (r *Runner) recoverZone(ctx context.Context) (partOutcome, error) {
 	engines := r.plan.EnginesIn(r.plan.FailedZone)
-	if err := r.setEngines(ctx, engines, true); err != nil {
-		return partResult{}, err
+	if err := r.setEnginesOpen(ctx, engines, true); err != nil {
+		return partOutcome{}, err
 	}
 	r.publish(engines, inService, time.Now().UnixMilli())
 	if err := r.startMembers(ctx, r.plan.MembersIn(r.plan.FailedZone)); err != nil {
-		return partResult{}, err
+		return partOutcome{}, err
 	}
-	return r.waitAllKnow(ctx, "zone back")
+	return r.awaitConvergence(ctx, "recovery of the zone")
 }
 
-// cutRegions partitions the regions for the time of the step.
-func (r *Runner) cutRegions(ctx context.Context) (partResult, error) {
+// partitionRegions partitions the regions, waits for convergence, and returns once MinPartition has passed.
+func (r *Runner) partitionRegions(ctx context.Context) (partOutcome, error) {
 	began := time.Now()
-	if err := r.setCut(ctx, true); err != nil {
-		return partResult{}, err
+	if err := r.setPartition(ctx, true); err != nil {
+		return partOutcome{}, err
 	}
-	partition, err := r.waitAllKnow(ctx, "regions cut")
+	partition, err := r.awaitConvergence(ctx, "partition of the regions")
 	if err != nil {
-		return partResult{}, err
+		return partOutcome{}, err
 	}
 	return partition, sleep(ctx, r.plan.MinPartition-time.Since(began))
 }
 
-func (r *Runner) healRegions(ctx context.Context) (partResult, error) {
-	if err := r.setCut(ctx, false); err != nil {
-		return partResult{}, err
+func (r *Runner) healRegions(ctx context.Context) (partOutcome, error) {
+	if err := r.setPartition(ctx, false); err != nil {
+		return partOutcome{}, err
 	}
-	return r.waitAllKnow(ctx, "regions healed")
+	return r.awaitConvergence(ctx, "end of the partition")
 }
 
-// changeList drains some engines, removes them, and adds them again, to warm up. The time until all know is that of the
-// slowest of the three events.
-func (r *Runner) changeList(ctx context.Context) (slowest partResult, err error) {
+// changeList drains some engines, removes them, and adds them again with a new start time, so that they warm up. The result
+// has the longest convergence time of the three changes.
+func (r *Runner) changeList(ctx context.Context) (slowest partOutcome, err error) {
 	for _, state := range []string{terminating, terminated, inService} {
 		startedMS := int64(0)
 		if state == inService {
 			startedMS = time.Now().UnixMilli()
 		}
 		r.publish(r.plan.ReplacedEngines, state, startedMS)
-		published, err := r.waitAllKnow(ctx, "engines "+state)
+		published, err := r.awaitConvergence(ctx, "engines in state "+state)
 		if err != nil {
-			return partResult{}, err
+			return partOutcome{}, err
 		}
-		slowest.allKnow = max(slowest.allKnow, published.allKnow)
+		slowest.convergence = max(slowest.convergence, published.convergence)
 	}
 	return slowest, nil
 }
 
-// reconnect disconnects all watches and publishes the full engine list.
-func (r *Runner) reconnect(ctx context.Context) (partResult, error) {
+// reconnect disconnects all watches and publishes the full engine list, which they receive when they reconnect.
+func (r *Runner) reconnect(ctx context.Context) (partOutcome, error) {
 	r.fleet.Discovery.Disconnect()
 	r.fleet.Discovery.PublishFull(r.engineList)
-	return r.waitAllKnow(ctx, "watchers connected again")
+	return r.awaitConvergence(ctx, "reconnection of the watches")
 }
