--- a/internal/testbed/scale/golden_test.go
+++ b/internal/testbed/scale/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 // Checks that a result file of an earlier version decodes and encodes to the same text, and that the JSON names are unchanged.
-func TestStoredResultFileRoundTrips(t *testing.T) {
+func TestStoredResultsAreRead(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("testdata/results.json")
 	if err != nil {
