--- a/internal/testbed/hollow/engine.go
+++ b/internal/testbed/hollow/engine.go
@@ -17,32 +17,32 @@
 
 // Times of the platform's protocol.
 const (
-	longPollTimeout = 250 * time.Millisecond // a poll of a statement that runs is answered after this
-	resultRetention = 10 * time.Second       // a result can be polled again for this long
+	longPollTimeout = 250 * time.Millisecond // after this, a poll is answered though its statement is still running
+	resultRetention = 10 * time.Second       // how long a result is kept for further polls
 )
 
-// queryPath prefixes the path of a call that concerns one statement: its ID and a page number follow.
+// queryPath is the prefix of the path of a request about one statement. The statement's ID and a page number follow it.
 const queryPath = "/v2/q/"
 
-// engine is a hollow engine: every statement takes the same time, and its result is that of package emulator.
+// engine is a hollow engine: every statement takes the same time, and its result is emulator.Rows.
 type engine struct {
 	delay       time.Duration
 	served      *atomic.Int64
 	mu          sync.Mutex
-	listener    net.Listener         // nil while it is closed
-	addr        string               // where it listens, the same after each start
+	listener    net.Listener         // nil while the engine is closed
+	addr        string               // listen address, the same after the engine is reopened
 	finishTimes map[string]time.Time // by statement ID
 	conns       map[net.Conn]bool
 	goroutines  sync.WaitGroup
 }
 
-// newEngine starts an engine, which counts the statements that it has answered in served.
+// newEngine starts an engine that counts the results that it returns in served.
 func newEngine(addr string, delay time.Duration, served *atomic.Int64) (*engine, error) {
 	e := &engine{delay: delay, served: served, addr: addr, finishTimes: map[string]time.Time{}, conns: map[net.Conn]bool{}}
 	return e, e.open()
 }
 
-// open starts to listen, unless the engine does already.
+// open starts the listener, unless the engine is already open.
 func (e *engine) open() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// close ends the engine as when its process dies: its connections are reset and its statements are lost.
+// close stops the engine as a crash of its process would: its connections are reset and its statements are lost.
 func (e *engine) close() {
 	e.mu.Lock()
 	if e.listener != nil {
@@ -77,14 +77,14 @@
 	e.goroutines.Wait()
 }
 
-// connections is how many connections are open.
-func (e *engine) connections() int {
+// openConns returns the number of open connections.
+func (e *engine) openConns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.conns)
 }
 
-// accept serves each connection on a goroutine of its own until the listener is closed.
+// accept serves each connection on a separate goroutine, until the listener is closed.
 func (e *engine) accept(ln net.Listener) {
 	defer e.goroutines.Done()
 	for {
@@ -100,7 +100,7 @@
 	}
 }
 
-// register adds a connection to those that close resets, unless its listener has been closed meanwhile.
+// register adds a connection to those that close resets, unless its listener has been closed in the meantime.
 func (e *engine) register(ln net.Listener, conn net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,7 +112,7 @@
 	return true
 }
 
-// serve answers the calls of a connection, one after the other.
+// serve answers the requests of a connection sequentially, until either side closes it.
 func (e *engine) serve(conn net.Conn) {
 	defer e.goroutines.Done()
 	defer func() {
@@ -121,30 +121,30 @@
 		delete(e.conns, conn)
 		e.mu.Unlock()
 	}()
-	calls := textproto.NewReader(bufio.NewReaderSize(conn, 1024))
+	reader := textproto.NewReader(bufio.NewReaderSize(conn, 1024))
 	for {
-		call, err := emulator.ReadHTTPRequest(calls)
+		request, err := emulator.ReadHTTPRequest(reader)
 		if err != nil {
 			return
 		}
-		if _, err := io.WriteString(conn, e.handle(call)); err != nil {
+		if _, err := io.WriteString(conn, e.handle(request)); err != nil {
 			return
 		}
 	}
 }
 
-// handle returns the response to one call. It waits where the protocol says so.
-func (e *engine) handle(call emulator.HTTPRequest) string {
-	id, page, _ := strings.Cut(strings.TrimPrefix(call.Path, queryPath), "/")
+// handle returns the response to a request, after the wait that the protocol's long poll requires.
+func (e *engine) handle(request emulator.HTTPRequest) string {
+	id, page, _ := strings.Cut(strings.TrimPrefix(request.Path, queryPath), "/")
 	switch {
-	case call.Method == http.MethodPost:
-		id = call.Header.Get("X-Hop-Id")
+	case request.Method == http.MethodPost:
+		id = request.Header.Get("X-Hop-Id")
 		if id == "" {
 			return emulator.FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader())
 		}
 		e.submit(id)
-	case call.Method == http.MethodDelete:
-		e.forget(id)
+	case request.Method == http.MethodDelete:
+		e.remove(id)
 		return emulator.FormatHTTPResponse(http.StatusNoContent, "", e.reportHeader())
 	case page != "0":
 		return emulator.FormatHTTPResponse(http.StatusInternalServerError, "", e.reportHeader())
@@ -152,22 +152,22 @@
 	return e.awaitResult(id)
 }
 
-// submit starts a statement.
+// submit starts a statement and schedules its removal.
 func (e *engine) submit(id string) {
 	e.mu.Lock()
 	e.finishTimes[id] = time.Now().Add(e.delay)
 	e.mu.Unlock()
-	time.AfterFunc(e.delay+resultRetention, func() { e.forget(id) })
+	time.AfterFunc(e.delay+resultRetention, func() { e.remove(id) })
 }
 
-// forget removes a statement, whether it has ended or not.
-func (e *engine) forget(id string) {
+// remove removes a statement, whether or not it is still running.
+func (e *engine) remove(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.finishTimes, id)
 }
 
-// awaitResult waits for a statement's end, though no longer than the long poll's timeout, and returns the response.
+// awaitResult waits until a statement ends or the long poll times out, and returns the response.
 func (e *engine) awaitResult(id string) string {
 	e.mu.Lock()
 	end, known := e.finishTimes[id]
@@ -185,7 +185,7 @@
 	return emulator.FormatHTTPResponse(http.StatusOK, emulator.Rows(id), "Page-Count: 1", e.reportHeader())
 }
 
-// reportHeader is the load report that each answer carries: how many statements run.
+// reportHeader returns the load report header of a response: the number of running statements.
 func (e *engine) reportHeader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/testbed/hollow/enginehost.go
+++ b/internal/testbed/hollow/enginehost.go
@@ -15,8 +15,9 @@
 	served  atomic.Int64
 }
 
-// ServeEngines runs hollow engines as the lines of in say: an EngineSetup, then EngineCommands. It writes an EngineReply to
-// out for each. At the end of in it closes all engines and returns nil; a line that cannot be decoded is an error.
+// ServeEngines runs hollow engines. It reads JSON messages from in, an EngineSetup followed by EngineCommands, and writes an
+// EngineReply to out for each. At the end of in it closes all engines and returns nil; a message that cannot be decoded is
+// an error.
 func ServeEngines(in io.Reader, out io.Writer) error {
 	commands, replies := json.NewDecoder(in), json.NewEncoder(out)
 	var setup EngineSetup
@@ -41,7 +42,7 @@
 	}
 }
 
-// open starts all engines and returns their addresses.
+// open starts the engines and replies with their addresses.
 func (h *engineHost) open(setup EngineSetup) (reply EngineReply) {
 	for range setup.Engines {
 		e, err := newEngine(netip.AddrPortFrom(setup.Listen, 0).String(), setup.Delay, &h.served)
@@ -55,16 +56,16 @@
 	return reply
 }
 
-// execute executes a command; engines that the host does not have are ignored.
+// execute executes a command. Unknown engines are ignored.
 func (h *engineHost) execute(command EngineCommand) (reply EngineReply) {
 	var errs []error
 	for _, index := range command.Close {
-		if h.valid(index) {
+		if h.hasEngine(index) {
 			h.engines[index].close()
 		}
 	}
 	for _, index := range command.Open {
-		if h.valid(index) {
+		if h.hasEngine(index) {
 			errs = append(errs, h.engines[index].open())
 		}
 	}
@@ -72,13 +73,13 @@
 		reply.Error = err.Error()
 	}
 	for _, e := range h.engines {
-		reply.Connections += e.connections()
+		reply.Connections += e.openConns()
 	}
 	reply.Served = h.served.Load()
 	return reply
 }
 
-func (h *engineHost) valid(index int) bool { return index >= 0 && index < len(h.engines) }
+func (h *engineHost) hasEngine(index int) bool { return index >= 0 && index < len(h.engines) }
 
 func (h *engineHost) closeAll() {
 	for _, e := range h.engines {
--- a/internal/testbed/hollow/gatewayhost.go
+++ b/internal/testbed/hollow/gatewayhost.go
@@ -10,21 +10,23 @@
 	"time"
 )
 
-// leaveDuration is how long a gateway that leaves goes on answering, so that the others learn of it from itself.
+// leaveDuration is the time between a gateway's announcement that it leaves and its stop. The announcement has to reach the
+// other members before that.
 const leaveDuration = time.Second
 
-// ErrUnknownMember is the error of a command that names a member which the process does not run.
-var ErrUnknownMember = errors.New("no member of this process")
+// ErrUnknownMember is the error of a command for a member that is not assigned to the process.
+var ErrUnknownMember = errors.New("member is not assigned to this process")
 
 // gatewayHost runs the hollow gateways of a process.
 type gatewayHost struct {
-	shared  *hostConfig
-	members map[int]Member // by number
-	running map[int]*gateway
+	shared  *sharedConfig
+	members map[int]Member   // by number
+	running map[int]*gateway // by number
 }
 
-// ServeGateways runs hollow gateways as the lines of in say: a GatewaySetup, then GatewayCommands. It writes a GatewayReply
-// to out for each. At the end of in it stops all gateways and returns nil; a line that cannot be decoded is an error.
+// ServeGateways runs hollow gateways. It reads JSON messages from in, a GatewaySetup followed by GatewayCommands, and writes
+// a GatewayReply to out for each. At the end of in it stops all gateways and returns nil; a message that cannot be decoded
+// is an error.
 func ServeGateways(in io.Reader, out io.Writer) error {
 	commands, replies := json.NewDecoder(in), json.NewEncoder(out)
 	var setup GatewaySetup
@@ -50,7 +52,7 @@
 }
 
 func newGatewayHost(setup GatewaySetup) *gatewayHost {
-	h := &gatewayHost{members: map[int]Member{}, running: map[int]*gateway{}, shared: &hostConfig{setup: setup,
+	h := &gatewayHost{members: map[int]Member{}, running: map[int]*gateway{}, shared: &sharedConfig{setup: setup,
 		regions: &regions{byMember: setup.Regions}, members: map[netip.AddrPort]int{}, log: slog.New(slog.DiscardHandler)}}
 	for number, peer := range setup.Peers {
 		h.shared.members[peer] = number
@@ -61,13 +63,13 @@
 	return h
 }
 
-// execute executes a command. All of its errors are joined in the reply.
+// execute executes a command. The reply contains all errors.
 func (h *gatewayHost) execute(command GatewayCommand) (reply GatewayReply) {
 	switch command.Partition {
 	case PartitionRegions:
-		h.shared.regions.cut.Store(true)
+		h.shared.regions.partitioned.Store(true)
 	case HealRegions:
-		h.shared.regions.cut.Store(false)
+		h.shared.regions.partitioned.Store(false)
 	}
 	var errs []error
 	for _, number := range command.Kill {
@@ -86,11 +88,11 @@
 	return reply
 }
 
-// start starts a member, unless it runs.
+// start starts a member, unless it is running.
 func (h *gatewayHost) start(number int) error {
 	member, known := h.members[number]
 	if !known {
-		return fmt.Errorf("start %d: %w", number, ErrUnknownMember)
+		return fmt.Errorf("start member %d: %w", number, ErrUnknownMember)
 	}
 	if h.running[number] != nil {
 		return nil
@@ -103,10 +105,10 @@
 	return nil
 }
 
-// stop stops a member at once, if it runs.
+// stop stops a member immediately, if it is running.
 func (h *gatewayHost) stop(number int) error {
 	if _, known := h.members[number]; !known {
-		return fmt.Errorf("stop %d: %w", number, ErrUnknownMember)
+		return fmt.Errorf("stop member %d: %w", number, ErrUnknownMember)
 	}
 	if running := h.running[number]; running != nil {
 		running.stop()
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// leave has members announce that they leave, and stops them a little later.
+// leave makes members announce that they leave, and stops them after leaveDuration.
 func (h *gatewayHost) leave(numbers []int) error {
 	if len(numbers) == 0 {
 		return nil
@@ -133,7 +135,7 @@
 	return errors.Join(errs...)
 }
 
-// states is the state of all members; countKnown as in gateway.state.
+// states returns the states of all members. For countKnown see gateway.state.
 func (h *gatewayHost) states(countKnown bool) (out []GatewayState) {
 	for _, member := range h.shared.setup.Members {
 		running := h.running[member.Number]
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// scriptedSocket returns datagrams from a list of senders and records the receivers of those written.
+// scriptedSocket reads datagrams from a list of senders and records the receivers of written datagrams.
 type scriptedSocket struct {
 	from    []netip.AddrPort
 	written []netip.AddrPort
@@ -36,27 +36,27 @@
 
 func (s *scriptedSocket) Close() error { return nil }
 
-// While regions are partitioned, datagrams pass only within a region, in both directions; once healed, all pass.
-func TestCutDropsBetweenRegions(t *testing.T) {
+// Checks that during a partition, sent and received datagrams pass only within a region, and that after it all pass.
+func TestPartitionSocketDropsDatagramsBetweenRegions(t *testing.T) {
 	self, near, far := netip.MustParseAddrPort("127.1.0.1:1"), netip.MustParseAddrPort("127.1.0.1:2"), netip.MustParseAddrPort("127.1.0.1:3")
 	inner := &scriptedSocket{from: []netip.AddrPort{far, near, far}}
 	partition := &regions{byMember: []int{0, 0, 1}}
-	socket := &regionSocket{Socket: inner, regions: partition, self: 0, members: map[netip.AddrPort]int{self: 0, near: 1, far: 2}}
-	partition.cut.Store(true)
+	socket := &partitionSocket{Socket: inner, regions: partition, self: 0, members: map[netip.AddrPort]int{self: 0, near: 1, far: 2}}
+	partition.partitioned.Store(true)
 	for _, to := range []netip.AddrPort{near, far} {
 		if n, err := socket.WriteToUDPAddrPort([]byte("x"), to); n != 1 || err != nil {
 			t.Error(n, err)
 		}
 	}
 	if len(inner.written) != 1 || inner.written[0] != near {
-		t.Errorf("sent to %v", inner.written)
+		t.Errorf("datagrams were sent to %v", inner.written)
 	}
 	if _, from, err := socket.ReadFromUDPAddrPort(nil); from != near || err != nil {
-		t.Errorf("received from %v, %v", from, err)
+		t.Errorf("received a datagram from %v, error %v", from, err)
 	}
-	partition.cut.Store(false)
+	partition.partitioned.Store(false)
 	if _, from, err := socket.ReadFromUDPAddrPort(nil); from != far || err != nil {
-		t.Errorf("after the heal from %v, %v", from, err)
+		t.Errorf("after the partition healed, received a datagram from %v, error %v", from, err)
 	}
 }
 
@@ -81,9 +81,9 @@
 	return answer.StatusCode, string(body)
 }
 
-// An engine answers a statement after its delay, and polls before that with 202; it forgets a cancelled statement, and listens on
-// the same address after it was closed.
-func TestEngineAnswersAfterItsDelay(t *testing.T) {
+// Checks that an engine answers a statement after its delay and earlier polls with status 202, that it removes a cancelled
+// statement, and that it listens on the same address when it is reopened.
+func TestEngineRespondsAfterDelayAndReopens(t *testing.T) {
 	var served atomic.Int64
 	const delay = 400 * time.Millisecond
 	e, err := newEngine("127.0.0.1:0", delay, &served)
@@ -93,41 +93,41 @@
 	defer e.close()
 	began := time.Now()
 	if status, _ := roundTrip(t, e.addr, "POST", "/v2/q", "a"); status != http.StatusAccepted {
-		t.Errorf("status %d of a statement that runs", status)
+		t.Errorf("status %d for a running statement", status)
 	}
 	for status, body := 0, ""; status != http.StatusOK; {
 		status, body = roundTrip(t, e.addr, "GET", "/v2/q/a/0", "")
 		if status == http.StatusOK && body != "row\ta\tof 1\n" {
-			t.Errorf("result %q", body)
+			t.Errorf("got result %q", body)
 		}
 		if time.Since(began) > 20*time.Second {
-			t.Fatal("the statement does not end")
+			t.Fatal("the statement did not end")
 		}
 	}
 	if passed := time.Since(began); passed < delay || served.Load() != 1 {
 		t.Errorf("answered after %v, %d served", passed, served.Load())
 	}
 	if status, _ := roundTrip(t, e.addr, "DELETE", "/v2/q/a", ""); status != http.StatusNoContent {
-		t.Errorf("status %d of a statement given up", status)
+		t.Errorf("status %d for the cancellation of a statement", status)
 	}
 	if status, _ := roundTrip(t, e.addr, "GET", "/v2/q/a/0", ""); status != http.StatusInternalServerError {
-		t.Errorf("status %d of a statement that is not known", status)
+		t.Errorf("status %d for an unknown statement", status)
 	}
 	addr := e.addr
 	e.close()
 	if conn, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
 		conn.Close()
-		t.Error("a closed engine listens")
+		t.Error("a closed engine accepts connections")
 	}
 	if err := e.open(); err != nil || e.addr != addr {
 		t.Fatal(e.addr, err)
 	}
 	if status, _ := roundTrip(t, addr, "POST", "/v2/q", "b"); status != http.StatusAccepted {
-		t.Errorf("status %d after the engine is back", status)
+		t.Errorf("status %d after the engine was reopened", status)
 	}
 }
 
-// A process of hollow gateways ends with its input, and rejects members that it does not run.
+// Checks that a gateway host rejects commands for unknown members, and that it returns at the end of its input.
 func TestGatewayHostRejectsUnknownMembers(t *testing.T) {
 	g := newGatewayHost(GatewaySetup{Members: []Member{{Number: 3}}})
 	if reply := g.execute(GatewayCommand{Start: []int{4}}); !strings.Contains(reply.Error, ErrUnknownMember.Error()) {
--- a/internal/testbed/hollow/messages.go
+++ b/internal/testbed/hollow/messages.go
@@ -1,8 +1,9 @@
-// Package hollow runs gateways and engines without their main work, many to a process, so that one machine can hold a
-// fleet of hundreds. A hollow gateway runs the project's own membership, load reports and discovery watch over real
-// sockets; it serves no clients and makes no decisions. A hollow engine answers the platform's protocol after a fixed
-// delay. A process of either kind reads commands as JSON lines from standard input and answers each on standard output.
-// Package scale/runner is the parent's side, by way of Process; cmd/fleettest has the commands of the processes.
+// Package hollow runs hollow gateways and engines: processes that each host many gateways or engines without their main
+// work, so that one machine can run a fleet of hundreds. A hollow gateway runs the program's membership, load report and
+// discovery code over real sockets, but serves no clients and makes no scheduling decisions. A hollow engine speaks the
+// platform's protocol and answers each statement after a fixed delay. A process of either kind reads commands as JSON lines
+// from standard input and replies to each on standard output. Package scale/runner starts and controls the processes with
+// Process; cmd/fleettest contains the hidden commands that they run.
 package hollow
 
 import (
@@ -13,18 +14,18 @@
 	"frostpier/internal/subsetdriver"
 )
 
-// GatewaySetup is the first line to a process of hollow gateways.
+// GatewaySetup is the first message to a process of hollow gateways.
 type GatewaySetup struct {
-	Fleet            string           `json:"fleet"` // the fleet's name, as in the operator's file
+	Fleet            string           `json:"fleet"` // name of the fleet, as in the operator's file
 	Seed             uint64           `json:"seed"`
-	Interval         time.Duration    `json:"interval"`           // of the membership protocol; 0 = its default
-	ReportsPerSecond float64          `json:"reports_per_second"` // load reports that each gateway makes up
+	Interval         time.Duration    `json:"interval"`           // probe interval of the membership protocol; 0 = its default
+	ReportsPerSecond float64          `json:"reports_per_second"` // synthetic load reports of each gateway
 	DiscoveryAddr    string           `json:"discovery"`          // address of the discovery server
-	Peers            []netip.AddrPort `json:"peers"`              // of all members, by number, as the hollow ones reach them
-	Regions          []int            `json:"regions"`            // of all members, by number
-	Zones            []string         `json:"zones"`              // as the engine list names them
-	Subset           *subset.Config   `json:"subset,omitempty"`   // nil = every engine is used
-	Members          []Member         `json:"members"`            // those that this process runs
+	Peers            []netip.AddrPort `json:"peers"`              // addresses of all members, by number, as seen by hollow gateways
+	Regions          []int            `json:"regions"`            // regions of all members, by number
+	Zones            []string         `json:"zones"`              // names of the zones, as in the engine list
+	Subset           *subset.Config   `json:"subset,omitempty"`   // nil = all engines are used
+	Members          []Member         `json:"members"`            // members assigned to this process
 }
 
 // Member is a hollow gateway: its number, its zone, and the address on which it listens for its peers.
@@ -34,66 +35,67 @@
 	Listen netip.AddrPort `json:"listen"`
 }
 
-// place returns the position of a member in its fleet.
-func (s GatewaySetup) place(member Member) subsetdriver.Location {
+// location returns the location of a member in its fleet.
+func (s GatewaySetup) location(member Member) subsetdriver.Location {
 	return subsetdriver.Location{Number: member.Number, Gateways: len(s.Peers), Zones: s.Zones, Zone: member.Zone}
 }
 
-// GatewayCommand is a command to a process of hollow gateways. Members that it does not name stay as they are.
+// GatewayCommand is a command to a process of hollow gateways. It does not affect members that it does not name.
 type GatewayCommand struct {
 	Start        []int           `json:"start,omitempty"` // members to start
-	Kill         []int           `json:"kill,omitempty"`  // members to stop at once
-	Leave        []int           `json:"leave,omitempty"` // members to stop after they have announced it
+	Kill         []int           `json:"kill,omitempty"`  // members to stop immediately, without an announcement
+	Leave        []int           `json:"leave,omitempty"` // members to stop after they announced that they leave
 	Partition    PartitionChange `json:"cut,omitempty"`
-	ReportStates bool            `json:"report,omitempty"` // reply with the state of all members of the process
-	CountKnown   bool            `json:"known,omitempty"`  // ... and with the number of engines whose load they know
+	ReportStates bool            `json:"report,omitempty"` // reply with the states of all members of the process
+	CountKnown   bool            `json:"known,omitempty"`  // with ReportStates: also count the engines whose load is known
 }
 
-// PartitionChange changes whether datagrams pass between regions.
+// PartitionChange starts or ends a network partition between the regions.
 type PartitionChange string
 
-// Changes; the empty one is none.
+// Changes of a partition. The empty PartitionChange changes nothing.
 const (
 	PartitionRegions PartitionChange = "cut"
 	HealRegions      PartitionChange = "heal"
 )
 
-// GatewayReply answers the setup and each GatewayCommand.
+// GatewayReply is the reply to the setup and to each GatewayCommand.
 type GatewayReply struct {
 	Error  string         `json:"error,omitempty"`
 	States []GatewayState `json:"states,omitempty"`
 }
 
-// GatewayState is what a hollow gateway knows.
+// GatewayState is the state of a hollow gateway with its view of the fleet. Of a gateway that is not running, only Number is
+// set.
 type GatewayState struct {
-	Number            int    `json:"number"`
-	Up                bool   `json:"up"`
-	InService         int    `json:"in_service"`  // members, this one included
-	Fingerprint       uint64 `json:"fingerprint"` // of the members in service, as package scale works it out
-	EngineListVersion int64  `json:"version"`     // resource version of the engine list
-	Engines           int    `json:"engines"`     // in the engine list
-	Ready             int    `json:"ready"`       // of them, in service
-	Used              int    `json:"used"`        // of them, by this gateway
-	EnginesKnown      int    `json:"engines_known"`
+	Number               int    `json:"number"`
+	Running              bool   `json:"up"`
+	InService            int    `json:"in_service"`  // number of members in service, including this one
+	Fingerprint          uint64 `json:"fingerprint"` // of the members in service, see scale.Fingerprint
+	EngineListVersion    int64  `json:"version"`     // resource version
+	Engines              int    `json:"engines"`     // number of listed engines
+	ReadyEngines         int    `json:"ready"`       // listed engines that are ready
+	UsedEngines          int    `json:"used"`        // ready engines in this gateway's subset
+	EnginesWithKnownLoad int    `json:"engines_known"`
 }
 
-// EngineSetup is the first line to a process of hollow engines.
+// EngineSetup is the first message to a process of hollow engines.
 type EngineSetup struct {
-	Listen  netip.Addr    `json:"listen"` // the engines listen on free ports of this address
+	Listen  netip.Addr    `json:"listen"` // address on whose free ports the engines listen
 	Engines int           `json:"engines"`
-	Delay   time.Duration `json:"delay"` // until a statement's answer
+	Delay   time.Duration `json:"delay"` // from a statement's submission to its result
 }
 
 // EngineCommand is a command to a process of hollow engines.
 type EngineCommand struct {
-	Close []int `json:"close,omitempty"` // engines to close, by their index in the process
-	Open  []int `json:"open,omitempty"`  // engines to open again at their former addresses
+	Close []int `json:"close,omitempty"` // indices of the engines to close
+	Open  []int `json:"open,omitempty"`  // indices of the engines to reopen, at their previous addresses
 }
 
-// EngineReply answers the setup and each EngineCommand.
+// EngineReply is the reply to the setup and to each EngineCommand.
 type EngineReply struct {
 	Error       string   `json:"error,omitempty"`
-	Addresses   []string `json:"addresses,omitempty"` // of all engines, after the setup alone
-	Connections int      `json:"connections"`         // that are open
-	Served      int64    `json:"served"`              // statements answered so far
+	Addresses   []string `json:"addresses,omitempty"` // of all engines; only in the reply to the setup
+	Connections int      `json:"connections"`         // open connections of all engines
+	Served      int64    `json:"served"`              // results returned so far
 }
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -13,31 +13,32 @@
 	"time"
 )
 
-// ErrReply is an error that a process of hollow gateways or engines has replied.
-var ErrReply = errors.New("a process of hollow parts reports")
+// ErrReply is returned if the reply of a hollow process contains an error.
+var ErrReply = errors.New("hollow process reported an error")
 
-// exitTimeout is how long a process whose input was closed may run on before it is killed.
+// exitTimeout is the time for a process to exit after its input is closed, before it is killed.
 const exitTimeout = 10 * time.Second
 
-// Process is the parent's side of a process of hollow gateways or engines. One command runs at a time.
+// Process is a child process that runs hollow gateways or engines. It executes one command at a time.
 type Process struct {
 	cmd     *exec.Cmd
 	in      *os.File
 	out     *os.File
-	mu      sync.Mutex // one command at a time
+	mu      sync.Mutex // held during an exchange
 	replies *json.Decoder
-	ended   chan struct{}
+	ended   chan struct{} // closed when the process has exited
 }
 
-// StartProcess starts a process, which Close ends. What it writes to standard error goes to log.
+// StartProcess starts a process, which Close stops. Its standard error is written to log.
 func StartProcess(command, environment []string, log io.Writer) (*Process, error) {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), environment...)
 	cmd.Stderr = log
-	// Should this process be killed, the child ends too. An interrupt of the terminal reaches this process alone, which then
-	// ends the child.
+	// If this process is killed, the kernel kills the child too. An interrupt from the terminal reaches only this process,
+	// which then stops the child.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	// Own pipes in place of exec's: they take deadlines, and Wait does not close the one that a reply is read from.
+	// os.Pipe instead of the pipes of exec.Cmd: its files support deadlines, and Wait does not close the one from which
+	// replies are read.
 	childIn, in, err := os.Pipe()
 	if err != nil {
 		return nil, fmt.Errorf("hollow process: %w", err)
@@ -66,7 +67,7 @@
 // PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Ended reports whether the process has ended.
+// Ended reports whether the process has exited.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.ended:
@@ -76,14 +77,14 @@
 	}
 }
 
-// exchange sends a line and reads its reply; the context's deadline bounds both.
+// exchange sends a message and reads the reply. The context's deadline and cancellation apply to both.
 func (p *Process) exchange(ctx context.Context, request, reply any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("hollow process: %w", err)
 	}
-	// A read that times out leaves half a reply behind, so that every later exchange with the process fails as well.
+	// A read that times out may leave a partial reply, after which every further exchange with the process fails.
 	deadline, _ := ctx.Deadline()
 	p.setDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { p.setDeadline(time.Now()) })
@@ -97,13 +98,13 @@
 	return nil
 }
 
-// setDeadline bounds reads and writes of both pipes; the zero time bounds neither.
+// setDeadline sets the deadline of writes to the process and reads from it. The zero time removes the deadline.
 func (p *Process) setDeadline(at time.Time) {
 	_ = p.in.SetWriteDeadline(at)
 	_ = p.out.SetReadDeadline(at)
 }
 
-// SetUpGateways sends the setup of hollow gateways. None of them runs yet.
+// SetUpGateways sends the setup of hollow gateways. It does not start any of them.
 func (p *Process) SetUpGateways(ctx context.Context, setup GatewaySetup) error {
 	var reply GatewayReply
 	if err := p.exchange(ctx, setup, &reply); err != nil {
@@ -112,7 +113,7 @@
 	return replyError(reply.Error)
 }
 
-// SendGatewayCommand sends a command to a process of hollow gateways and returns the states that the reply holds.
+// SendGatewayCommand sends a command to a process of hollow gateways and returns the states in the reply.
 func (p *Process) SendGatewayCommand(ctx context.Context, command GatewayCommand) ([]GatewayState, error) {
 	var reply GatewayReply
 	if err := p.exchange(ctx, command, &reply); err != nil {
@@ -121,7 +122,7 @@
 	return reply.States, replyError(reply.Error)
 }
 
-// SetUpEngines sends the setup of hollow engines and returns the addresses of the engines, which run from then on.
+// SetUpEngines sends the setup of hollow engines, which starts them, and returns their addresses.
 func (p *Process) SetUpEngines(ctx context.Context, setup EngineSetup) ([]string, error) {
 	var reply EngineReply
 	if err := p.exchange(ctx, setup, &reply); err != nil {
@@ -130,7 +131,7 @@
 	return reply.Addresses, replyError(reply.Error)
 }
 
-// SendEngineCommand sends a command to a process of hollow engines.
+// SendEngineCommand sends a command to a process of hollow engines and returns the reply.
 func (p *Process) SendEngineCommand(ctx context.Context, command EngineCommand) (EngineReply, error) {
 	var reply EngineReply
 	if err := p.exchange(ctx, command, &reply); err != nil {
@@ -139,7 +140,7 @@
 	return reply, replyError(reply.Error)
 }
 
-// replyError is the error of a reply; nil for an empty text.
+// replyError returns the error of a reply; nil if the text is empty.
 func replyError(text string) error {
 	if text == "" {
 		return nil
@@ -147,7 +148,7 @@
 	return fmt.Errorf("%w: %s", ErrReply, text)
 }
 
-// Close closes the process's input, on which it ends, and kills it if that takes too long.
+// Close closes the input of the process, which makes it exit, and kills it if it has not exited after exitTimeout.
 func (p *Process) Close() error {
 	_ = p.in.Close()
 	defer func() { _ = p.out.Close() }()
--- a/internal/testbed/hollow/regions.go
+++ b/internal/testbed/hollow/regions.go
@@ -7,33 +7,36 @@
 	"frostpier/internal/transport/datagram"
 )
 
-// regions knows which members can reach each other. While regions are partitioned, a datagram between two of them is
-// dropped both where it is sent and where it arrives, so that both directions between hollow and real members are cut.
+// regions emulates a network partition between regions. During the partition, hollow members drop datagrams between regions
+// both when sending and when receiving, so that both directions between hollow and real members are interrupted.
 type regions struct {
-	byMember []int // of each member
-	cut      atomic.Bool
+	byMember    []int // region of each member
+	partitioned atomic.Bool
 }
 
-func (r *regions) separated(a, b int) bool { return r.cut.Load() && r.byMember[a] != r.byMember[b] }
+// separated reports whether the partition separates two members.
+func (r *regions) separated(a, b int) bool {
+	return r.partitioned.Load() && r.byMember[a] != r.byMember[b]
+}
 
-// regionSocket is a member's socket that drops datagrams between regions that are partitioned.
-type regionSocket struct {
+// partitionSocket is the socket of a member. During a partition it drops datagrams from and to other regions.
+type partitionSocket struct {
 	datagram.Socket
 	regions *regions
 	self    int
-	members map[netip.AddrPort]int // by address
+	members map[netip.AddrPort]int // member numbers by address
 }
 
-// WriteToUDPAddrPort sends a datagram, or drops it as the network would: without an error.
-func (s *regionSocket) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
+// WriteToUDPAddrPort sends a datagram. It drops it without an error, as a network would, if the receiver is separated.
+func (s *partitionSocket) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
 	if member, known := s.members[to]; known && s.regions.separated(s.self, member) {
 		return len(b), nil
 	}
 	return s.Socket.WriteToUDPAddrPort(b, to)
 }
 
-// ReadFromUDPAddrPort waits for the next datagram that is not dropped.
-func (s *regionSocket) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
+// ReadFromUDPAddrPort returns the next datagram whose sender is not separated, and drops others.
+func (s *partitionSocket) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	for {
 		n, from, err := s.Socket.ReadFromUDPAddrPort(b)
 		if err != nil {
--- a/internal/testbed/hollow/subset.go
+++ b/internal/testbed/hollow/subset.go
@@ -4,39 +4,40 @@
 	"frostpier/internal/control/subset"
 )
 
-// subsetEngines restricts the load reports that a hollow gateway keeps to the engines of its subset.
-type subsetEngines struct {
+// subsetDispatcher implements subsetdriver.Dispatcher: it restricts the load reports that a hollow gateway keeps to the
+// engines in its subset.
+type subsetDispatcher struct {
 	gateway *gateway
-	chooser *subset.Chooser // nil = every engine is used
+	chooser *subset.Chooser // nil = all engines are used
 }
 
 // UseSubset restricts the load reports to the engines that the chooser selects; nil lifts the restriction.
-func (s *subsetEngines) UseSubset(chooser *subset.Chooser) {
+func (s *subsetDispatcher) UseSubset(chooser *subset.Chooser) {
 	s.chooser = chooser
 	s.updateEngines()
 }
 
 // ConfigureSubset changes the settings of the subset. Invalid settings are an error and change nothing.
-func (s *subsetEngines) ConfigureSubset(config subset.Config) error {
+func (s *subsetDispatcher) ConfigureSubset(config subset.Config) error {
 	err := s.chooser.Configure(s.gateway.loop.Now(), config)
-	s.apply()
+	s.applyChange()
 	return err
 }
 
 // SetGateways sets the zones of the gateways, and which of them are in service.
-func (s *subsetEngines) SetGateways(gateways []subset.Gateway) {
+func (s *subsetDispatcher) SetGateways(gateways []subset.Gateway) {
 	s.chooser.SetGateways(s.gateway.loop.Now(), gateways)
-	s.apply()
+	s.applyChange()
 }
 
 // TickSubset removes engines whose linger time has ended.
-func (s *subsetEngines) TickSubset() {
+func (s *subsetDispatcher) TickSubset() {
 	s.chooser.Tick(s.gateway.loop.Now())
-	s.apply()
+	s.applyChange()
 }
 
-// SubsetSize is how many engines are listed, and how many of them are used.
-func (s *subsetEngines) SubsetSize() (listed, used int) {
+// SubsetSize returns how many engines are listed, and how many of them are used.
+func (s *subsetDispatcher) SubsetSize() (listed, used int) {
 	listed = len(s.gateway.engines)
 	if s.chooser == nil {
 		return listed, listed
@@ -45,20 +46,20 @@
 }
 
 // SubsetActive reports whether fewer than all engines are used.
-func (s *subsetEngines) SubsetActive() bool { return s.chooser != nil && !s.chooser.UsesAll() }
+func (s *subsetDispatcher) SubsetActive() bool { return s.chooser != nil && !s.chooser.UsesAll() }
 
-// SubsetOverlap is the share of another gateway's subset that lies in the own one.
-func (s *subsetEngines) SubsetOverlap(gateway int) float64 {
+// SubsetOverlap returns the share of another gateway's subset that is also in this gateway's subset.
+func (s *subsetDispatcher) SubsetOverlap(gateway int) float64 {
 	if s.chooser == nil {
 		return 1
 	}
 	return s.chooser.Overlap(gateway)
 }
 
-// updateEngines passes the list of engines to the chooser. To a hollow gateway no engine is warming up.
-func (s *subsetEngines) updateEngines() {
+// updateEngines passes the listed engines to the chooser. A hollow gateway does not track warm-up of engines.
+func (s *subsetDispatcher) updateEngines() {
 	if s.chooser == nil {
-		s.gateway.updateReported()
+		s.gateway.updateTrackedEngines()
 		return
 	}
 	engines := make([]subset.Engine, 0, len(s.gateway.engines))
@@ -66,18 +67,18 @@
 		engines = append(engines, engine)
 	}
 	s.chooser.SetEngines(s.gateway.loop.Now(), engines)
-	s.chooser.Changed() // ignored: the engines' readiness may have changed though the subset has not
-	s.gateway.updateReported()
+	s.chooser.Changed() // the result is ignored: readiness of engines may have changed even if the subset has not
+	s.gateway.updateTrackedEngines()
 }
 
-// apply updates the engines whose load reports are kept, if the subset has changed.
-func (s *subsetEngines) apply() {
+// applyChange updates the tracked engines if the subset has changed.
+func (s *subsetDispatcher) applyChange() {
 	if s.chooser.Changed() {
-		s.gateway.updateReported()
+		s.gateway.updateTrackedEngines()
 	}
 }
 
-// uses reports whether an engine is used.
-func (s *subsetEngines) uses(engine uint64) bool {
+// uses reports whether the gateway uses an engine.
+func (s *subsetDispatcher) uses(engine uint64) bool {
 	return s.chooser == nil || s.chooser.Contains(engine)
 }
--- a/internal/testbed/scale/runner/convergence.go
+++ b/internal/testbed/scale/runner/convergence.go
@@ -113,9 +113,9 @@
 	}
 	for _, state := range states {
 		switch {
-		case state.Up != r.running[state.Number]:
-			return fmt.Errorf("%w: hollow gateway %d is running: %v, want %v", ErrNotConverged, state.Number, state.Up, r.running[state.Number])
-		case !state.Up:
+		case state.Running != r.running[state.Number]:
+			return fmt.Errorf("%w: hollow gateway %d is running: %v, want %v", ErrNotConverged, state.Number, state.Running, r.running[state.Number])
+		case !state.Running:
 		case state.EngineListVersion != version || state.Engines != engines:
 			return fmt.Errorf("%w: hollow gateway %d has version %d of the engine list with %d engines, want version %d with %d", ErrNotConverged,
 				state.Number, state.EngineListVersion, state.Engines, version, engines)
@@ -151,12 +151,12 @@
 	}
 	running, known, used := 0, 0, 0
 	for _, state := range states {
-		if !state.Up {
+		if !state.Running {
 			continue
 		}
 		running++
-		known += state.EnginesKnown
-		used += state.Used
+		known += state.EnginesWithKnownLoad
+		used += state.UsedEngines
 	}
 	return scale.EngineUsage{Used: float64(used) / float64(max(1, running)), KnownShare: float64(known) / float64(max(1, used))}, nil
 }
