--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -20,7 +20,7 @@
 
 // Times of the platform's protocol.
 const (
-	longPollTimeout = 250 * time.Millisecond // after this, a poll is answered though its query is still running
+	longPollTimeout = 250 * time.Millisecond // after this, a poll is answered even if its query is still running
 	pollLease       = 2 * time.Second        // a query that is not polled for this long is cancelled
 	resultRetention = 10 * time.Second       // how long after its last poll a result is kept
 	sweepInterval   = 500 * time.Millisecond // between checks for expired queries, if no report interval is configured
--- a/internal/testbed/emulator/enginehttp.go
+++ b/internal/testbed/emulator/enginehttp.go
@@ -133,9 +133,9 @@
 // statusResponse returns a query's result, or a response that it is still running or not known to the engine.
 func (e *Engine) statusResponse(id string, q *queryState) (string, bool) {
 	e.mu.Lock()
-	silent := e.hung
+	hung := e.hung
 	e.mu.Unlock()
-	if silent { // a hung engine keeps its connections open
+	if hung { // a hung engine keeps its connections open
 		<-e.closing
 		return "", false
 	}
--- a/internal/testbed/hollow/engine.go
+++ b/internal/testbed/hollow/engine.go
@@ -17,7 +17,7 @@
 
 // Times of the platform's protocol.
 const (
-	longPollTimeout = 250 * time.Millisecond // after this, a poll is answered though its statement is still running
+	longPollTimeout = 250 * time.Millisecond // after this, a poll is answered even if its statement is still running
 	resultRetention = 10 * time.Second       // how long a result is kept for further polls
 )
 
--- a/internal/testbed/hollow/gatewayhost.go
+++ b/internal/testbed/hollow/gatewayhost.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// leaveDuration is the time between a gateway's announcement that it leaves and its stop. The announcement has to reach the
-// other members before that.
+// leaveDuration is how long a leaving gateway keeps running after its announcement, so that the other members receive the
+// announcement from the gateway itself.
 const leaveDuration = time.Second
 
 // ErrUnknownMember is the error of a command for a member that is not assigned to the process.
