--- a/cmd/fleettest/account.go
+++ b/cmd/fleettest/account.go
@@ -14,23 +14,24 @@
 )
 
 type accountCommand struct {
-	Logs string `arg:"" type:"existingdir" help:"The folder with the gateways' logs, written with FROSTPIER_DEBUG=1."`
-	Out  string `default:"found/fleettest/account" help:"The tables, without an ending."`
+	Logs string `arg:"" type:"existingdir" help:"Directory of the gateways' logs, written with FROSTPIER_DEBUG=1."`
+	Out  string `default:"found/fleettest/account" help:"Path of the Markdown file with the tables, without its extension."`
 }
 
-// attempt is an attempt of a request, with what its gateway knew of the engine when it chose it. Times are in milliseconds.
+// attempt is an attempt of a request, with the state of the engine as its gateway knew it when it chose the engine. Times are in
+// milliseconds.
 type attempt struct {
-	sentAt       float64
-	ownThreads   float64 // in flight at the engine, of the gateway itself
-	otherThreads float64 // of all other gateways, as the load reports say
-	target       float64 // concurrency target of the engine; 0 = not known
-	reportAge    float64 // of the latest load report; below 0 = there was none
-	engine       string
-	threads      float64 // of the attempt
-	window       float64
-	utilization  float64
-	endedAt      float64 // 0 = not in the logs
-	outcome      string
+	sentAt        float64
+	localThreads  float64 // threads in flight at the engine for this gateway
+	peerThreads   float64 // threads in flight at the engine for all other gateways, according to the load reports
+	target        float64 // concurrency target of the engine; 0 = unknown
+	reportAgeMS   float64 // age of the latest load report; negative = there was none
+	engine        string
+	threads       float64 // threads that an attempt of its class uses
+	window        float64 // total threads that the gateway may have in flight
+	overloadRatio float64 // estimated ratio of the fleet's load to the load above which the window decreases
+	endedAt       float64 // 0 = the logs have no end of the attempt
+	outcome       string
 }
 
 // answer is the final answer to a request.
@@ -39,23 +40,23 @@
 	verdict string
 }
 
-// account is what the logs of all gateways say together.
-type account struct {
+// logAnalysis collects the records from the logs of all gateways.
+type logAnalysis struct {
 	gateways        int
-	start           float64 // of the first record, in milliseconds
+	start           float64 // time of the earliest record, in milliseconds
 	attempts        []*attempt
-	answered        map[string]int     // by verdict and whether an attempt was made
-	rejectedBy      map[string]int     // requests answered without an attempt, by the guard that queued them last
-	queuedByGuard   map[string]float64 // seconds
-	queuedByClass   map[string]float64 // seconds
-	firstQueueTimes []float64          // milliseconds until a request's first attempt
+	answered        map[string]int     // number of requests, by verdict and whether an attempt was made
+	rejectedBy      map[string]int     // number of requests answered without an attempt, by the guard that last queued them
+	queuedByGuard   map[string]float64 // total queueing time in seconds, by guard
+	queuedByClass   map[string]float64 // total queueing time in seconds, by class
+	firstQueueTimes []float64          // queueing times before first attempts, in milliseconds
 	answers         []answer
-	queuedAt        []float64 // time of each record of a queued request
-	outcomes        map[string]int
+	queuedAt        []float64      // times of the records of queued requests, in milliseconds
+	outcomes        map[string]int // number of attempts, by outcome
 }
 
-func newAccount() *account {
-	return &account{
+func newLogAnalysis() *logAnalysis {
+	return &logAnalysis{
 		answered:      map[string]int{},
 		rejectedBy:    map[string]int{},
 		queuedByGuard: map[string]float64{},
@@ -64,12 +65,12 @@
 	}
 }
 
-var errNoRecords = errors.New("no records of decisions: were the gateways started with FROSTPIER_DEBUG=1?")
+var errNoRecords = errors.New("no decision records in the logs: start the gateways with FROSTPIER_DEBUG=1")
 
-// Run reads all logs below the folder, prints the tables and writes them to a file. It returns errNoRecords where there is
-// no attempt in the logs.
+// Run reads all logs in the directory and its subdirectories, prints the tables and writes them to a file. It returns
+// errNoRecords if there is no attempt in the logs.
 func (c *accountCommand) Run() error {
-	a := newAccount()
+	a := newLogAnalysis()
 	err := filepath.WalkDir(c.Logs, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return err
@@ -90,8 +91,8 @@
 	return os.WriteFile(c.Out+".md", []byte(text), 0o644)
 }
 
-// readFile adds one gateway's log.
-func (a *account) readFile(path string) error {
+// readFile adds the log of one gateway.
+func (a *logAnalysis) readFile(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -100,23 +101,23 @@
 	return a.read(file)
 }
 
-// logReader reads one gateway's log into an account.
+// logReader adds the log of one gateway to a logAnalysis.
 type logReader struct {
-	*account
-	inFlight map[string]*attempt // attempts without an end, by request and attempt number
-	serving  bool                // the log says that the gateway served
+	*logAnalysis
+	inFlight map[string]*attempt // attempts in flight, by request and attempt number
+	serving  bool                // whether the log records that the gateway was serving
 }
 
 const (
 	maxLogLine = 4 << 20 // bytes
 
-	// queueRecordSeconds is the time between two records of a queued request.
-	queueRecordSeconds = 0.1
+	// queueRecordInterval is the time between two records of a queued request, in seconds.
+	queueRecordInterval = 0.1
 )
 
-// read adds the log of one gateway; lines that are no records are skipped.
-func (a *account) read(log io.Reader) error {
-	r := logReader{account: a, inFlight: map[string]*attempt{}}
+// read adds the log of one gateway. Lines that are not log records are skipped.
+func (a *logAnalysis) read(log io.Reader) error {
+	r := logReader{logAnalysis: a, inFlight: map[string]*attempt{}}
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
@@ -145,8 +146,8 @@
 		r.endAttempt(at, record)
 	case "request held":
 		r.queuedAt = append(r.queuedAt, at)
-		r.queuedByGuard[record.Fields["why"]] += queueRecordSeconds
-		r.queuedByClass[record.Fields["class"]] += queueRecordSeconds
+		r.queuedByGuard[record.Fields["why"]] += queueRecordInterval
+		r.queuedByClass[record.Fields["class"]] += queueRecordInterval
 	case "request answered":
 		r.addAnswer(at, record)
 	}
@@ -158,15 +159,15 @@
 
 func (r *logReader) addAttempt(at float64, record testfleet.Record) {
 	t := &attempt{
-		sentAt:       at,
-		ownThreads:   record.Number("own"),
-		otherThreads: record.Number("others"),
-		target:       record.Number("target"),
-		reportAge:    record.Number("age_ms"),
-		engine:       record.Fields["engine"],
-		threads:      max(1, record.Number("threads")),
-		window:       record.Number("window"),
-		utilization:  record.Number("strain"),
+		sentAt:        at,
+		localThreads:  record.Number("own"),
+		peerThreads:   record.Number("others"),
+		target:        record.Number("target"),
+		reportAgeMS:   record.Number("age_ms"),
+		engine:        record.Fields["engine"],
+		threads:       max(1, record.Number("threads")),
+		window:        record.Number("window"),
+		overloadRatio: record.Number("strain"),
 	}
 	r.attempts = append(r.attempts, t)
 	r.inFlight[attemptKey(record)] = t
--- a/cmd/fleettest/account_test.go
+++ b/cmd/fleettest/account_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// The account of two gateways' logs compares the second one's estimate of an engine's load with what the first had in flight
-// there. Rejected requests count for the guard that queued them last, and lines that are no records are skipped.
-func TestAccount(t *testing.T) {
+// Checks the tables from the logs of two gateways: the second gateway's estimate of an engine's load is compared with the
+// attempts that the first has in flight there, rejected requests are counted by the guard that last queued them, and lines that
+// are not log records are skipped.
+func TestAccountTables(t *testing.T) {
 	dir := t.TempDir()
 	logs := map[string]string{
 		"n0.log": `time=x level=INFO msg=serving name=n0
@@ -46,6 +47,6 @@
 		}
 	}
 	if err := (&accountCommand{Logs: t.TempDir(), Out: out}).Run(); err == nil {
-		t.Error("no records, and no error")
+		t.Error("no error for an empty log directory")
 	}
 }
--- a/cmd/fleettest/capacity_test.go
+++ b/cmd/fleettest/capacity_test.go
@@ -14,33 +14,34 @@
 	scaleResults   = "../../scenarios/scale-results.json"
 )
 
-// The page's tables and totals, worked out again from the committed files, are those that stand on it.
-func TestCapacityPageIsWhatItsFilesComeTo(t *testing.T) {
+// Checks that the tables and totals on the capacity page are those that follow from the committed result files.
+func TestCapacityPageMatchesResultFiles(t *testing.T) {
 	page, err := os.ReadFile(capacityPage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	filled, err := filledPage(string(page), capacitySlopes, scaleResults)
+	filled, err := fillPage(string(page), capacitySlopes, scaleResults)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if filled != string(page) {
-		t.Errorf("docs/operators/CAPACITY.md differs from its files: run bin/fleettest capacity\n%s", firstDifference(filled, string(page)))
+		t.Errorf("docs/operators/CAPACITY.md does not match the result files: run bin/fleettest capacity\n%s", firstDifference(filled, string(page)))
 	}
 }
 
+// firstDifference returns the first line of want that differs from got.
 func firstDifference(want, got string) string {
 	wanted, lines := strings.Split(want, "\n"), strings.Split(got, "\n")
 	for i, line := range wanted {
 		if i >= len(lines) || lines[i] != line {
-			return "wanted: " + line
+			return "want: " + line
 		}
 	}
-	return "more lines than wanted"
+	return "more lines than expected"
 }
 
-// The committed slopes come from a full run, and a change of any one of them shows on the page.
-func TestEverySlopeShowsOnThePage(t *testing.T) {
+// Checks that the committed slopes come from a full run, and that the page depends on each of them.
+func TestEverySlopeAffectsCapacityPage(t *testing.T) {
 	text, err := os.ReadFile(capacitySlopes)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +53,7 @@
 	if result.Machine.Quick {
 		t.Error("the committed slopes come from a quick run")
 	}
-	before := blocksOf(result)
+	before := pageBlocks(result)
 	for i, slope := range result.Slopes {
 		points := slope.Points
 		changed := append([]capacity.Point(nil), points...)
@@ -60,23 +61,23 @@
 			changed[k].Value *= 1.5
 		}
 		result.Slopes[i].Points = changed
-		if !shownElsewhere(slope.Name) && blocksOf(result) == before {
-			t.Errorf("%q half as large again changes nothing on the page", slope.Name)
+		if !notOnPage(slope.Name) && pageBlocks(result) == before {
+			t.Errorf("raising %q by half does not change the page", slope.Name)
 		}
 		result.Slopes[i].Points = points
 	}
 }
 
-// shownElsewhere are quantities of the phases that stand in the result file alone.
-func shownElsewhere(name string) bool {
+// notOnPage reports whether a slope is one of the quantities of phases that are in the result file, but not on the page.
+func notOnPage(name string) bool {
 	return strings.Contains(name, string(capacity.PeakDatagrams)) || strings.Contains(name, string(capacity.PeakProcessorTime))
 }
 
-func blocksOf(result capacity.Result) string {
+func pageBlocks(result capacity.Result) string {
 	var text strings.Builder
 	blocks := capacity.New(result).Blocks(nil)
-	for _, definition := range []string{"slopes", "fault slopes", "roles", "peaks", "ranking"} {
-		text.WriteString(blocks[definition])
+	for _, block := range []string{"slopes", "fault slopes", "roles", "peaks", "ranking"} {
+		text.WriteString(blocks[block])
 	}
 	return text.String()
 }
--- a/cmd/fleettest/chart.go
+++ b/cmd/fleettest/chart.go
@@ -13,7 +13,7 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// chartExtension is the file name extension of a chart; it decides the format.
+// chartExtension is the file name extension of charts, which determines their format.
 const chartExtension = ".svg"
 
 // Size of a chart.
@@ -22,28 +22,27 @@
 	chartHeight = 10 * vg.Centimeter
 )
 
-// chartViews draws how many members are in service in the gateways' views over time: in the view with most, and in that
-// with fewest.
-func chartViews(path string, members int, start time.Time, changes []testfleet.StateChange) error {
+// chartServiceViews draws the number of members in service over time: the highest and the lowest number in any gateway's view.
+func chartServiceViews(path string, members int, start time.Time, changes []testfleet.StateChange) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%d gateways: members held to be in service", members)
+	p.Title.Text = fmt.Sprintf("%d gateways: members in service in the gateways' views", members)
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "members"
 	p.Y.Min = 0
-	fullest, emptiest := viewLines(members, start, changes)
-	if err := plotutil.AddLines(p, "in the fullest view", fullest, "in the emptiest view", emptiest); err != nil {
+	highest, lowest := serviceViewLines(members, start, changes)
+	if err := plotutil.AddLines(p, "highest of all views", highest, "lowest of all views", lowest); err != nil {
 		return err
 	}
 	p.Legend.YOffs = 5
 	return p.Save(chartWidth, chartHeight, path)
 }
 
-// viewLines returns the number of members in service over time, in the view with most and in that with fewest.
-func viewLines(members int, start time.Time, changes []testfleet.StateChange) (fullest, emptiest plotter.XYs) {
-	outOfService := make([]map[int]bool, members) // by viewer
+// serviceViewLines returns the highest and the lowest number of members in service in any gateway's view, over time.
+func serviceViewLines(members int, start time.Time, changes []testfleet.StateChange) (highest, lowest plotter.XYs) {
+	outOfService := make([]map[int]bool, members) // members by viewer
 	for i := range outOfService {
 		outOfService[i] = map[int]bool{}
 	}
-	fullest, emptiest = plotter.XYs{{X: 0, Y: float64(members)}}, plotter.XYs{{X: 0, Y: float64(members)}}
+	highest, lowest = plotter.XYs{{X: 0, Y: float64(members)}}, plotter.XYs{{X: 0, Y: float64(members)}}
 	for _, change := range changes {
 		if change.State == "alive" {
 			delete(outOfService[change.Viewer], change.Member)
@@ -55,29 +54,29 @@
 			fewestOut, mostOut = min(fewestOut, len(out)), max(mostOut, len(out))
 		}
 		x := change.At.Sub(start).Seconds()
-		fullest = append(fullest, plotter.XY{X: x, Y: float64(members - fewestOut)})
-		emptiest = append(emptiest, plotter.XY{X: x, Y: float64(members - mostOut)})
+		highest = append(highest, plotter.XY{X: x, Y: float64(members - fewestOut)})
+		lowest = append(lowest, plotter.XY{X: x, Y: float64(members - mostOut)})
 	}
-	return fullest, emptiest
+	return highest, lowest
 }
 
-// chartDetection draws detection times over the size of the fleet.
+// chartDetection draws detection and dissemination times over the size of the fleet.
 func chartDetection(path string, rows []membershipRow) error {
 	p := plot.New()
-	p.Title.Text = "A kill: when it is told"
+	p.Title.Text = "Detection of a killed member"
 	p.X.Label.Text, p.Y.Label.Text = "members", "seconds after the kill"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Y.Min = 0
-	var median, late, all plotter.XYs
+	var median, p99, all plotter.XYs
 	for _, r := range rows {
 		x := float64(r.members)
 		first := simulation.Quantile(r.kills.DetectionTimes, 0.5).Seconds()
 		median = append(median, plotter.XY{X: x, Y: first})
-		late = append(late, plotter.XY{X: x, Y: simulation.Quantile(r.kills.DetectionTimes, 0.99).Seconds()})
+		p99 = append(p99, plotter.XY{X: x, Y: simulation.Quantile(r.kills.DetectionTimes, 0.99).Seconds()})
 		all = append(all, plotter.XY{X: x, Y: first + simulation.Quantile(r.kills.DisseminationTimes, 0.5).Seconds()})
 	}
-	if err := plotutil.AddLinePoints(p, "first told, median", median, "first told, 99th percentile", late,
-		"all told, median", all); err != nil {
+	if err := plotutil.AddLinePoints(p, "detected by the first member, median", median, "detected by the first member, 99th percentile", p99,
+		"known to all members, median", all); err != nil {
 		return err
 	}
 	p.Legend.Top = true
--- a/cmd/fleettest/demo.go
+++ b/cmd/fleettest/demo.go
@@ -14,8 +14,8 @@
 )
 
 type demoCommand struct {
-	Program string `default:"bin/frostpier" type:"existingfile" help:"The program."`
-	Seconds int    `default:"30" help:"How long clients send."`
+	Program string `default:"bin/frostpier" type:"existingfile" help:"Path of the frostpier binary."`
+	Seconds int    `default:"30" help:"Seconds for which clients send queries."`
 }
 
 const (
@@ -24,12 +24,12 @@
 	demoCores    = 8
 	demoLoad     = 0.6
 	demoSeed     = 1
-	listDelay    = time.Second     // until the engine list says that an engine has gone
-	demoRowSpan  = 5 * time.Second // of a row of the table
+	listDelay    = time.Second     // time from an engine's failure until it is removed from the engine list
+	demoRowSpan  = 5 * time.Second // time that a row of the table covers
 )
 
-// Run shows what the program does: clients send queries, which gateways balance over engines. On the way an engine is
-// killed, and then a gateway.
+// Run demonstrates the program: clients send queries, which gateways balance over engines. Meanwhile an engine is killed, and
+// later a gateway.
 func (c *demoCommand) Run() (err error) {
 	dir, err := os.MkdirTemp("", "frostpier-demo-")
 	if err != nil {
@@ -52,7 +52,7 @@
 	if err := f.StartAll(); err != nil {
 		return err
 	}
-	fmt.Printf("%d gateways serve before %d stand-in engines of %d cores; clients send %.0f queries a second for %d s.\n", demoGateways,
+	fmt.Printf("%d gateways balance %d emulated engines with %d cores each; clients send %.0f queries per second for %d s.\n", demoGateways,
 		demoEngines, demoCores, traffic.Rate, c.Seconds)
 	clients := emulator.NewClients(f.ClientAddrs(), traffic.Classes, demoSeed, clock)
 	defer clients.Close()
@@ -74,7 +74,7 @@
 	return t
 }
 
-// newFleet prepares the gateways, with their configurations and logs in the folder.
+// newFleet returns a fleet whose gateways are not started yet, with their configurations and logs in dir.
 func (c *demoCommand) newFleet(dir string, traffic emulator.Traffic, pool *testfleet.Pool) (*testfleet.Fleet, error) {
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
@@ -91,7 +91,7 @@
 	})
 }
 
-// scheduleFaults kills an engine after a third of the time and a gateway after two thirds, unless stop is called before.
+// scheduleFaults kills an engine after a third of the duration and a gateway after two thirds, unless stop is called earlier.
 func (c *demoCommand) scheduleFaults(f *testfleet.Fleet, pool *testfleet.Pool, elapsed func() time.Duration) (stop func()) {
 	third := c.duration() / 3
 	engine := time.AfterFunc(third, func() {
@@ -112,16 +112,17 @@
 	}
 }
 
-// demoRow sums up the queries that were sent within demoRowSpan.
+// demoRow has the counts of the queries that were sent within one demoRowSpan.
 type demoRow struct {
 	queries, inTime int
 	verdicts        map[emulator.Verdict]int
 	lookups         *hdrhistogram.Histogram
 }
 
-// demoTable shows what became of the queries, by when they were sent.
+// demoTable shows the outcomes of the queries, by the time when they were sent.
 func demoTable(outcomes []emulator.Outcome, start time.Duration) table {
-	t := table{header: []string{"sent at, s", "queries", "served", "in time", "refused", "failed", "lost with a killed gateway", "look-ups ms (50 / 99)"}}
+	t := table{header: []string{"sent at, s", "queries", "served", "within objective", "rejected", "failed", "lost or unanswered",
+		"lookup latency, ms (p50 / p99)"}}
 	for k, r := range demoRows(outcomes, start) {
 		lost := r.verdicts[emulator.Lost] + r.verdicts[emulator.Unanswered] + r.verdicts[emulator.Unreachable]
 		t.rows = append(t.rows, []string{
--- a/cmd/fleettest/distribution.go
+++ b/cmd/fleettest/distribution.go
@@ -14,50 +14,50 @@
 
 // distributionCommand is the subcommand spread: it compares how evenly versions of the program spread load over engines.
 type distributionCommand struct {
-	Gateways    int            `default:"24" help:"Gateways."`
-	Engines     int            `default:"8" help:"Stand-in engines, all of one kind."`
-	Cores       float64        `default:"10" help:"Cores of an engine."`
-	Load        float64        `default:"0.7" help:"Work that clients ask for, over what the engines' cores can do."`
-	Seconds     int            `default:"40" help:"How long clients send."`
-	Groups      int            `default:"0" help:"Table groups; 0 = 2.5 an engine."`
-	Skew        float64        `default:"1" help:"Deviation of the gateways' shares of the traffic over their mean."`
+	Gateways    int            `default:"24" help:"Number of gateways."`
+	Engines     int            `default:"8" help:"Number of emulated engines, all of one machine type."`
+	Cores       float64        `default:"10" help:"Cores per engine."`
+	Load        float64        `default:"0.7" help:"Work offered by the clients, as a share of the capacity of the engines' cores."`
+	Seconds     int            `default:"40" help:"Seconds for which clients send queries."`
+	Groups      int            `default:"0" help:"Number of table groups; 0 = 2.5 per engine."`
+	Skew        float64        `default:"1" help:"Coefficient of variation of the gateways' shares of the traffic."`
 	Case        string         `default:"calm" enum:"calm,hot,lost,release,reports,cut,herd" help:"${load_case_help}"`
 	Program     []string       `default:"now=bin/frostpier" help:"Programs to compare, as name=path."`
-	Bare        []string       `help:"Of these programs, by name, gateways get no operator's file: for versions from before membership."`
-	SubsetFloor map[string]int `name:"least" help:"Of these programs, by name, gateways get a section [subset] with this floor of engines, as name=least."`
-	Baselines   bool           `name:"plain" default:"true" negatable:"" help:"Compare with plain gateways too: random, and least reported load."`
-	Seed        uint64         `default:"1" help:"Of all chance."`
-	Out         string         `default:"found/fleettest" help:"The folder for tables and logs."`
+	Bare        []string       `help:"Names of the programs that are run without an operator's file, for versions without membership."`
+	SubsetFloor map[string]int `name:"least" help:"Programs that are run with a section [subset], and the value of its key least, as name=least."`
+	Baselines   bool           `name:"plain" default:"true" negatable:"" help:"Compare with two baselines too: random engine, and least reported load."`
+	Seed        uint64         `default:"1" help:"Seed of the random choices."`
+	Out         string         `default:"found/fleettest" help:"Directory for tables and logs."`
 }
 
-// versionResult is the result of one version.
+// versionResult is the result of one version of the program or one baseline.
 type versionResult struct {
 	name      string
 	outcomes  []emulator.Outcome
 	balance   testfleet.Balance
-	collapsed int // engines
+	collapsed int // number of engines that collapsed, see testfleet.Pool.Collapsed
 }
 
-// Times of the cases.
+// Durations of the faults.
 const (
-	faultDelay      = 10 * time.Second // from the start of a run to its fault
-	releaseDuration = 7 * time.Second  // in which the engines are replaced
-	lateReports     = 5 * time.Second
-	herdDowntime    = 4 * time.Second // of a gateway
+	faultDelay        = 10 * time.Second // time from the start of a run until its fault
+	replacementPeriod = 7 * time.Second  // an engine is replaced every replacementPeriod / number of engines
+	reportDelay       = 5 * time.Second  // delay of load reports in the case reports
+	restartDowntime   = 4 * time.Second  // time from a gateway's kill until its restart
 )
 
-// Run plays each version on the same arrivals, one after the other, and keeps a table of the results.
+// Run runs each version with the same arrivals, one after the other, and saves a table of the results.
 func (c *distributionCommand) Run() error {
 	if c.Groups == 0 {
 		c.Groups = c.Engines * 5 / 2
 	}
 	traffic := c.traffic()
-	results, err := c.playAll(traffic)
+	results, err := c.runVersions(traffic)
 	if err != nil {
 		return err
 	}
 	t := c.table(results)
-	fmt.Printf("%d gateways, %d engines of %g cores, %.0f queries a second (load %.2f), %s, seed %d\n\n%s", c.Gateways, c.Engines,
+	fmt.Printf("%d gateways, %d engines with %g cores each, %.0f queries per second (load %.2f), case %s, seed %d\n\n%s", c.Gateways, c.Engines,
 		c.Cores, traffic.Rate, c.Load, c.Case, c.Seed, t.markdown())
 	return t.saveIn(c.Out, fmt.Sprintf("spread-%s-%d", c.Case, c.Gateways))
 }
@@ -69,7 +69,7 @@
 	return t
 }
 
-// requests draws the arrivals. In the case hot every second query reads the same table group.
+// requests generates the arrivals. In the case hot every second query reads table group 0.
 func (c *distributionCommand) requests(traffic emulator.Traffic) []emulator.Request {
 	requests := traffic.Generate(c.duration())
 	if c.Case == "hot" {
@@ -82,15 +82,15 @@
 
 func (c *distributionCommand) duration() time.Duration { return time.Duration(c.Seconds) * time.Second }
 
-// playAll plays all versions of the program, and the baselines.
-func (c *distributionCommand) playAll(traffic emulator.Traffic) (results []versionResult, err error) {
+// runVersions runs all versions of the program and the baselines.
+func (c *distributionCommand) runVersions(traffic emulator.Traffic) (results []versionResult, err error) {
 	requests := c.requests(traffic)
 	for _, version := range c.Program {
 		name, path, found := strings.Cut(version, "=")
 		if !found {
-			return nil, fmt.Errorf("--program: %q is not name=path", version)
+			return nil, fmt.Errorf("--program: %q: must be name=path", version)
 		}
-		result, err := c.playProgram(name, path, traffic, requests)
+		result, err := c.runProgram(name, path, traffic, requests)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
@@ -102,8 +102,8 @@
 	for _, baseline := range []struct {
 		name   string
 		policy emulator.BaselinePolicy
-	}{{"random", emulator.RandomEngine}, {"least reported", emulator.MinReportedLoad}} {
-		result, err := c.playBaseline(baseline.name, baseline.policy, requests)
+	}{{"random", emulator.RandomEngine}, {"least reported load", emulator.MinReportedLoad}} {
+		result, err := c.runBaseline(baseline.name, baseline.policy, requests)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", baseline.name, err)
 		}
@@ -112,24 +112,24 @@
 	return results, nil
 }
 
-// playBaseline plays baseline gateways.
-func (c *distributionCommand) playBaseline(name string, policy emulator.BaselinePolicy, requests []emulator.Request) (result versionResult, err error) {
+// runBaseline runs gateways with a baseline policy.
+func (c *distributionCommand) runBaseline(name string, policy emulator.BaselinePolicy, requests []emulator.Request) (result versionResult, err error) {
 	clock := startClock()
 	pool, err := testfleet.NewPool(c.Engines, emulator.DefaultSpec(c.Cores), clock)
 	if err != nil {
 		return result, err
 	}
 	defer pool.Close()
-	logProgress("%s plays", name)
+	logProgress("%s: running", name)
 	gateways := emulator.NewBaselineGateways(c.Gateways, policy, c.Seed, pool.Engines, clock)
 	defer gateways.Close()
-	result = c.playWatched(name, pool, nil, func() { gateways.Run(requests) })
+	result = c.measure(name, pool, nil, func() { gateways.Run(requests) })
 	result.outcomes, _ = gateways.Outcomes()
 	return result, nil
 }
 
-// playProgram plays gateways of a version of the program.
-func (c *distributionCommand) playProgram(name, path string, traffic emulator.Traffic, requests []emulator.Request) (result versionResult, err error) {
+// runProgram runs gateways of one version of the program.
+func (c *distributionCommand) runProgram(name, path string, traffic emulator.Traffic, requests []emulator.Request) (result versionResult, err error) {
 	clock := startClock()
 	pool, err := testfleet.NewPool(c.Engines, emulator.DefaultSpec(c.Cores), clock)
 	if err != nil {
@@ -145,18 +145,18 @@
 	if err := f.StartAll(); err != nil {
 		return result, err
 	}
-	logProgress("%s: %d gateways serve", name, c.Gateways)
+	logProgress("%s: %d gateways serving", name, c.Gateways)
 	clients := emulator.NewClients(f.ClientAddrs(), traffic.Classes, c.Seed, clock)
 	defer clients.Close()
-	result = c.playWatched(name, pool, f, func() { clients.Run(requests, nil) })
+	result = c.measure(name, pool, f, func() { clients.Run(requests, nil) })
 	result.outcomes, _ = clients.Outcomes(0)
 	return result, checkAlarms(f)
 }
 
-// newFleet prepares a fleet of gateways of a version, with an empty folder for its logs.
+// newFleet returns a fleet of gateways of one version, which are not started yet. The directory of its logs is emptied.
 func (c *distributionCommand) newFleet(name, path string, traffic emulator.Traffic, pool *testfleet.Pool) (*testfleet.Fleet, error) {
 	logs := filepath.Join(c.Out, "spread-"+name+"-logs")
-	if err := emptyFolder(logs); err != nil {
+	if err := resetDir(logs); err != nil {
 		return nil, err
 	}
 	program, err := filepath.Abs(path)
@@ -176,7 +176,7 @@
 	})
 }
 
-// operatorSections are the sections of a version's operator's file beside the membership section.
+// operatorSections returns the sections of a version's operator's file in addition to the membership section.
 func (c *distributionCommand) operatorSections(name string) string {
 	text := "\n[spread]\n"
 	if floor, found := c.SubsetFloor[name]; found {
@@ -185,15 +185,15 @@
 	return text
 }
 
-// playWatched plays the traffic and injects the fault of the case. It watches the engines for as long as clients send.
-func (c *distributionCommand) playWatched(name string, pool *testfleet.Pool, f *testfleet.Fleet, play func()) versionResult {
+// measure calls sendTraffic and injects the fault of the case. It samples the balance of the engines while clients send queries.
+func (c *distributionCommand) measure(name string, pool *testfleet.Pool, f *testfleet.Fleet, sendTraffic func()) versionResult {
 	stop, balance := make(chan struct{}), make(chan testfleet.Balance, 1)
 	go func() { balance <- pool.SampleBalance(stop) }()
 	fault := time.AfterFunc(faultDelay, func() { c.injectFault(pool, f) })
 	defer fault.Stop()
 	end := time.AfterFunc(c.duration(), func() { close(stop) })
 	defer end.Stop()
-	play()
+	sendTraffic()
 	return versionResult{name: name, balance: <-balance, collapsed: pool.Collapsed()}
 }
 
@@ -207,7 +207,7 @@
 		replaceEngines(pool, engines)
 	case "reports":
 		for _, e := range engines {
-			e.SetReportDelay(lateReports)
+			e.SetReportDelay(reportDelay)
 		}
 	case "cut":
 		if f != nil {
@@ -215,31 +215,31 @@
 		}
 	case "herd":
 		if f != nil {
-			restartHerd(f)
+			restartMostGateways(f)
 		}
 	}
 }
 
-// replaceEngines replaces six in ten engines, one after the other.
+// replaceEngines replaces 60 % of the engines, one after the other.
 func replaceEngines(pool *testfleet.Pool, engines []*emulator.Engine) {
 	for k, e := range engines[:len(engines)*6/10] {
-		time.AfterFunc(time.Duration(k)*releaseDuration/time.Duration(len(engines)), func() {
+		time.AfterFunc(time.Duration(k)*replacementPeriod/time.Duration(len(engines)), func() {
 			if err := pool.Replace(e); err != nil {
-				logProgress("replacement: %v", err)
+				logProgress("replace engine: %v", err)
 			}
 			pool.Publish()
 		})
 	}
 }
 
-// restartHerd kills seven in ten gateways at the same time and starts them again.
-func restartHerd(f *testfleet.Fleet) {
+// restartMostGateways kills 70 % of the gateways at the same time and restarts each after restartDowntime.
+func restartMostGateways(f *testfleet.Fleet) {
 	for i := range f.Size() * 7 / 10 {
 		go func() {
-			_ = f.Kill(i) // a gateway that has not ended cannot be started, which is logged
-			time.Sleep(herdDowntime)
+			_ = f.Kill(i) // if this fails, Start returns an error
+			time.Sleep(restartDowntime)
 			if err := f.Start(i); err != nil {
-				logProgress("start: %v", err)
+				logProgress("restart gateway: %v", err)
 			}
 		}()
 	}
--- a/cmd/fleettest/distributiontable.go
+++ b/cmd/fleettest/distributiontable.go
@@ -9,35 +9,36 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// Classes of emulator.DefaultClasses whose latencies the table shows.
+// Indexes of the classes in emulator.DefaultClasses whose latencies the table shows.
 const (
 	lookupClass = 0
 	reportClass = 1
 )
 
-// outcomeSummary sums up the outcomes of one version.
+// outcomeSummary has the counts of the outcomes of one version.
 type outcomeSummary struct {
 	queries   int
 	served    int
 	rejected  int
 	failed    int
-	lost      int // or unanswered, or no gateway reached
-	corrupted int // or answered twice
-	weight    float64
-	inTime    float64 // weight of the queries served within their latency objective
-	latencies []*hdrhistogram.Histogram
+	lost      int                       // lost, unanswered, or no gateway accepted the connection
+	corrupted int                       // answered with a wrong result, or more than once
+	weight    float64                   // sum of the priority weights of all queries
+	inTime    float64                   // sum of the weights of the queries served within their latency objective
+	latencies []*hdrhistogram.Histogram // by class
 }
 
-// newLatencies returns a histogram of latencies, from a microsecond to a minute.
+// newLatencies returns a histogram of latencies from one microsecond to one minute.
 func newLatencies() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 }
 
-// recordLatency adds a latency. One beyond the histogram's range, longer than any client waits, is left out.
+// recordLatency adds a latency. It ignores latencies beyond the histogram's range, which exceed the clients' timeouts.
 func recordLatency(h *hdrhistogram.Histogram, latency time.Duration) {
 	_ = h.RecordValue(latency.Microseconds())
 }
 
+// summarize returns the summary of all outcomes.
 func summarize(outcomes []emulator.Outcome, classes []emulator.Class) outcomeSummary {
 	s := outcomeSummary{queries: len(outcomes)}
 	for range classes {
@@ -73,17 +74,17 @@
 	}
 }
 
-// share is a count's share of the queries.
+// share formats a count as a share of the queries.
 func (s *outcomeSummary) share(count int) string {
 	return fmt.Sprintf("%.3f", float64(count)/s.queriesOrOne())
 }
 
 func (s *outcomeSummary) queriesOrOne() float64 { return float64(max(1, s.queries)) }
 
-// quantiles formats the median and the 99th percentile of a class's latencies, in a unit of so many microseconds.
-func (s *outcomeSummary) quantiles(class int, unit float64) string {
+// quantiles formats the median and the 99th percentile of a class's latencies, in units of microsPerUnit microseconds.
+func (s *outcomeSummary) quantiles(class int, microsPerUnit float64) string {
 	at := func(q float64) string {
-		return fmt.Sprintf("%.3g", float64(s.latencies[class].ValueAtQuantile(q))/unit)
+		return fmt.Sprintf("%.3g", float64(s.latencies[class].ValueAtQuantile(q))/microsPerUnit)
 	}
 	return at(50) + " / " + at(99)
 }
@@ -95,9 +96,10 @@
 )
 
 func (c *distributionCommand) table(results []versionResult) table {
-	t := table{header: []string{"version", "worth in time", "served", "refused", "failed", "lost or unanswered", "spoilt or twice",
-		"look-ups ms (50 / 99)", "reports s (50 / 99)", "most over mean (mean / 95th)", "under half of the mean for s",
-		"most over its part in 0.5 s", "threads a core", "connections at most", "queries sent a query", "turned away", "engines fallen"}}
+	t := table{header: []string{"version", "weight within objective", "served", "rejected", "failed", "lost or unanswered",
+		"corrupted or duplicate", "lookup latency, ms (p50 / p99)", "report latency, s (p50 / p99)", "engine load, max / mean (mean / p95)",
+		"longest time below half of the mean load, s", "arrivals in 0.5 s, max / mean (p99.9)", "threads per core", "max connections",
+		"engine arrivals per query", "rejected by engines", "engines collapsed"}}
 	classes := emulator.DefaultClasses()
 	for _, r := range results {
 		s, b := summarize(r.outcomes, classes), r.balance
--- a/cmd/fleettest/gateway.go
+++ b/cmd/fleettest/gateway.go
@@ -11,10 +11,10 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// gatewayCommand is the program with the fault that the environment names: a bad version of it.
+// gatewayCommand runs the program with the fault that the environment variable FLEETTEST_FAULT names, as a faulty version of it.
 type gatewayCommand struct{}
 
-// Run serves as the program does until SIGTERM; SIGHUP reloads the operator's file.
+// Run runs a gateway until SIGTERM. SIGHUP reloads the operator's file.
 func (gatewayCommand) Run() error {
 	hooks, err := emulator.FaultHooks()
 	if err != nil {
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -11,8 +11,8 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// A small measurement ends in a table of its sizes, as CSV and Markdown, and a chart.
-func TestSimulateKeepsItsResults(t *testing.T) {
+// Checks that a small simulation writes a table with a row per size, as CSV and Markdown, and a chart.
+func TestSimulateWritesTableAndChart(t *testing.T) {
 	dir := t.TempDir()
 	c := simulateCommand{Sizes: []int{10, 20}, Kills: 8, Hours: 0.2, Loss: 0.1, Seed: 1, Out: dir}
 	if err := c.Run(); err != nil {
@@ -34,21 +34,23 @@
 	}
 }
 
-func TestReplayPlaysItsSeeds(t *testing.T) {
+// Checks that the random runs of a range of seeds violate no invariant.
+func TestReplayRunsSeeds(t *testing.T) {
 	c := replayCommand{From: 3, Runs: 4}
 	if err := c.Run(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestChartOfViews(t *testing.T) {
+// Checks the chart of the gateways' views and a row of the table for the results of a scenario.
+func TestChartAndTableOfScenario(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "views.svg")
 	start := time.Now()
 	changes := []testfleet.StateChange{
 		{At: start.Add(time.Second), Viewer: 0, Member: 1, State: "dead"},
 		{At: start.Add(2 * time.Second), Viewer: 0, Member: 1, State: "alive"},
 	}
-	if err := chartViews(path, 3, start, changes); err != nil {
+	if err := chartServiceViews(path, 3, start, changes); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || !strings.Contains(string(text), "<svg") {
@@ -60,8 +62,8 @@
 	}
 }
 
-// The scenarios that the README names are ones that the tool takes.
-func TestScenariosAreValid(t *testing.T) {
+// Checks that the committed scenario files can be parsed.
+func TestScenarioFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
--- a/cmd/fleettest/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -14,26 +14,26 @@
 )
 
 type rolloutCommand struct {
-	Gateways    int           `default:"30" help:"Gateways of a fleet."`
-	Engines     int           `default:"8" help:"Stand-in engines."`
-	Cores       float64       `default:"8" help:"Cores of an engine."`
-	Load        float64       `default:"0.6" help:"Work that clients ask for, over what the engines' cores can do."`
-	Seeds       int           `default:"20" help:"Plays of each kind of change."`
-	Kinds       []string      `help:"Kinds of change; all where none is named. good is a good one."`
+	Gateways    int           `default:"30" help:"Number of gateways in a fleet."`
+	Engines     int           `default:"8" help:"Number of emulated engines."`
+	Cores       float64       `default:"8" help:"Cores per engine."`
+	Load        float64       `default:"0.6" help:"Work offered by the clients, as a share of the capacity of the engines' cores."`
+	Seeds       int           `default:"20" help:"Number of runs for each kind of change."`
+	Kinds       []string      `help:"Kinds of change: faults of the new version, or good for none. Default: all."`
 	Stages      []string      `default:"1,20%,100%" help:"Stages of the plans."`
-	MinWatch    float64       `name:"least" default:"15" help:"Shortest watch of a stage, in seconds."`
-	Parallel    int           `name:"together" default:"2" help:"Fleets that play at a time."`
-	Plain       bool          `help:"A plain rolling restart in the rollout's place."`
-	MaxDuration time.Duration `name:"most" default:"6m" help:"The longest play."`
-	Out         string        `default:"found/fleettest" help:"The folder for tables and logs."`
+	MinWatch    float64       `name:"least" default:"15" help:"Minimum analysis window of a stage, in seconds."`
+	Parallel    int           `name:"together" default:"2" help:"Number of fleets that run at the same time."`
+	Plain       bool          `help:"Use a plain rolling restart instead of a staged rollout."`
+	MaxDuration time.Duration `name:"most" default:"6m" help:"Timeout of a run."`
+	Out         string        `default:"found/fleettest" help:"Directory for tables and logs."`
 }
 
 const (
 	goodKind = "good" // a change without a fault
 
-	phaseRolled rollout.Phase = "rolled" // of a rolling restart, which has no phases of its own
+	phaseRollingRestart rollout.Phase = "rolled" // result of a rolling restart, which has no phases
 
-	maxWatchFactor  = 8 // longest watch of a stage over the shortest
+	maxWatchFactor  = 8 // ratio of the maximum to the minimum analysis window of a stage
 	rollingInterval = time.Second
 )
 
@@ -44,21 +44,21 @@
 	stage      int
 	duration   time.Duration
 	verdicts   map[emulator.Verdict]int
-	twice      int // answers after the first
-	harmed     int // queries; see harmed
-	firstStage int // queries at gateways of the first stage
-	queries    int
+	duplicates int // answers after the first answer to a query
+	affected   int // queries that the change affected, see the function affected
+	firstStage int // queries at the gateways of the first stage
+	queries    int // all queries
 	reason     string
 	err        error
 }
 
-// Run plays each kind of change so often, and keeps a table of the results.
+// Run rolls out each kind of change with each seed, and saves a table of the results.
 func (c *rolloutCommand) Run() error {
 	kinds := c.Kinds
 	if len(kinds) == 0 {
 		kinds = append(emulator.Faults(), goodKind)
 	}
-	results, err := c.playAll(kinds)
+	results, err := c.runChanges(kinds)
 	if err != nil {
 		return err
 	}
@@ -79,38 +79,38 @@
 	return nil
 }
 
-// playAll plays all changes, some at the same time. A change that fails has its error in its result.
-func (c *rolloutCommand) playAll(kinds []string) ([]rolloutResult, error) {
+// runChanges rolls out all changes, Parallel of them at a time. The error of a run is in its result.
+func (c *rolloutCommand) runChanges(kinds []string) ([]rolloutResult, error) {
 	results := make([]rolloutResult, len(kinds)*c.Seeds)
 	var jobs []func() error
 	for _, kind := range kinds {
 		for k := range c.Seeds {
 			result, seed := &results[len(jobs)], uint64(1+k)
 			jobs = append(jobs, func() error {
-				*result = c.play(kind, seed)
+				*result = c.runOne(kind, seed)
 				result.log(seed)
 				return nil
 			})
 		}
 	}
-	return results, runAll(max(1, c.Parallel), jobs)
+	return results, runJobs(max(1, c.Parallel), jobs)
 }
 
 // log writes a line about the result to standard error.
 func (r *rolloutResult) log(seed uint64) {
-	logProgress("%s, seed %d: %s in stage %d after %.0f s; %d of %d harmed; %s %v", r.kind, seed, r.phase, r.stage+1,
-		r.duration.Seconds(), r.harmed, r.queries, r.reason, r.err)
+	logProgress("%s, seed %d: %s in stage %d after %.0f s; %d of %d affected; %s %v", r.kind, seed, r.phase, r.stage+1,
+		r.duration.Seconds(), r.affected, r.queries, r.reason, r.err)
 }
 
-// play plays one change with a fleet of its own.
-func (c *rolloutCommand) play(kind string, seed uint64) rolloutResult {
+// runOne rolls out one change on a new fleet.
+func (c *rolloutCommand) runOne(kind string, seed uint64) rolloutResult {
 	r := rolloutResult{kind: kind, verdicts: map[emulator.Verdict]int{}}
-	r.err = c.playChange(&r, seed)
+	r.err = c.runChange(&r, seed)
 	return r
 }
 
-// playChange starts a fleet, rolls the change out under load, and ends the fleet.
-func (c *rolloutCommand) playChange(r *rolloutResult, seed uint64) (err error) {
+// runChange starts a fleet, rolls the change out under load, and stops the fleet.
+func (c *rolloutCommand) runChange(r *rolloutResult, seed uint64) (err error) {
 	dir, err := os.MkdirTemp("", "frostpier-rollout-")
 	if err != nil {
 		return err
@@ -125,22 +125,22 @@
 		return err
 	}
 	defer func() {
-		if closing := change.Close(); err == nil {
-			err = closing
+		if closeErr := change.Close(); err == nil {
+			err = closeErr
 		}
 	}()
 	change.SendLoad(c.MaxDuration)
 	start := time.Now()
-	err = c.rollOut(change, r)
+	err = c.apply(change, r)
 	r.duration = time.Since(start)
 	r.addOutcomes(change.StopClients(), change.CheckedPlan.Plan.StageGateways(c.Gateways)[0], c.Plain)
 	if running := controller.FindProcesses(change.CheckedPlan.Fleet); r.phase == rollout.RolledBack && slices.Contains(running, 0) {
-		return fmt.Errorf("%s, seed %d: a gateway does not run after the return", r.kind, seed)
+		return fmt.Errorf("%s, seed %d: a gateway is not running after the rollback", r.kind, seed)
 	}
 	return err
 }
 
-// changeOptions are the options of a change, whose gateways are processes of this tool.
+// changeOptions returns the options of a change. Its gateways are processes of this tool, which run the command gateway.
 func (c *rolloutCommand) changeOptions(kind string, seed uint64, dir string) (testfleet.ChangeOptions, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -166,10 +166,10 @@
 	}, nil
 }
 
-// rollOut carries a change out, by its stages or as a rolling restart.
-func (c *rolloutCommand) rollOut(change *testfleet.Change, r *rolloutResult) error {
+// apply applies a change in stages or by a rolling restart.
+func (c *rolloutCommand) apply(change *testfleet.Change, r *rolloutResult) error {
 	if c.Plain {
-		r.phase = phaseRolled
+		r.phase = phaseRollingRestart
 		return change.RollingRestart(rollingInterval)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.MaxDuration)
@@ -179,25 +179,26 @@
 	return err
 }
 
-// addOutcomes counts what became of the clients' queries; firstStage has the gateways of the first stage.
+// addOutcomes counts the outcomes of the clients' queries. firstStage has the indexes of the gateways in the first stage.
 func (r *rolloutResult) addOutcomes(outcomes []emulator.Outcome, firstStage []int, rolling bool) {
 	for _, o := range outcomes {
 		r.verdicts[o.Verdict]++
 		r.queries++
-		r.twice += o.DuplicateAnswers
+		r.duplicates += o.DuplicateAnswers
 		inFirstStage := slices.Contains(firstStage, o.Gateway)
 		if inFirstStage {
 			r.firstStage++
 		}
-		if harmed(o, inFirstStage || rolling) {
-			r.harmed++
+		if affected(o, inFirstStage || rolling) {
+			r.affected++
 		}
 	}
 }
 
-// harmed reports whether a query was lost, failed, answered wrongly or not at all; or, at a gateway that had the new
-// version from the start, rejected or served after its latency objective.
-func harmed(o emulator.Outcome, newVersion bool) bool {
+// affected reports whether a change affected a query: any query that was lost, failed, unanswered or answered with a wrong
+// result; and at a gateway that had the new version from the start, also one that was rejected or served too late for its
+// latency objective.
+func affected(o emulator.Outcome, newVersion bool) bool {
 	switch o.Verdict {
 	case emulator.Served, emulator.Rejected:
 		return !o.InTime && newVersion
--- a/cmd/fleettest/rollouttable.go
+++ b/cmd/fleettest/rollouttable.go
@@ -9,30 +9,30 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// rolloutSummary sums up the results of one kind of change. Failed plays are left out.
+// rolloutSummary has the sums of the results of one kind of change. It does not include runs that ended with an error.
 type rolloutSummary struct {
-	plays, stoppedFirst, stoppedLater, completed int
-	harmed, queries, firstStage                  int
-	lost, corrupted, twice                       int
-	durations                                    []time.Duration
+	runs, rolledBackInFirst, rolledBackLater, completed int
+	affected, queries, firstStage                       int
+	lost, corrupted, duplicates                         int
+	durations                                           []time.Duration
 }
 
 func (s *rolloutSummary) add(r rolloutResult) {
-	s.plays++
+	s.runs++
 	switch {
 	case r.phase == rollout.RolledBack && r.stage == 0:
-		s.stoppedFirst++
+		s.rolledBackInFirst++
 	case r.phase == rollout.RolledBack:
-		s.stoppedLater++
-	case r.phase == rollout.Done || r.phase == phaseRolled:
+		s.rolledBackLater++
+	case r.phase == rollout.Done || r.phase == phaseRollingRestart:
 		s.completed++
 	}
-	s.harmed += r.harmed
+	s.affected += r.affected
 	s.queries += r.queries
 	s.firstStage += r.firstStage
 	s.lost += r.verdicts[emulator.Lost] + r.verdicts[emulator.Unanswered]
 	s.corrupted += r.verdicts[emulator.Corrupted]
-	s.twice += r.twice
+	s.duplicates += r.duplicates
 	s.durations = append(s.durations, r.duration)
 }
 
@@ -42,22 +42,22 @@
 	queries := float64(max(1, s.queries))
 	return []string{
 		kind,
-		fmt.Sprint(s.plays),
-		fmt.Sprint(s.stoppedFirst),
-		fmt.Sprint(s.stoppedLater),
+		fmt.Sprint(s.runs),
+		fmt.Sprint(s.rolledBackInFirst),
+		fmt.Sprint(s.rolledBackLater),
 		fmt.Sprint(s.completed),
 		medianAndMax(s.durations),
-		fmt.Sprintf("%.4f", float64(s.harmed)/queries),
+		fmt.Sprintf("%.4f", float64(s.affected)/queries),
 		fmt.Sprintf("%.3f", float64(s.firstStage)/queries),
 		fmt.Sprint(s.lost),
 		fmt.Sprint(s.corrupted),
-		fmt.Sprint(s.twice),
+		fmt.Sprint(s.duplicates),
 	}
 }
 
 func (c *rolloutCommand) table(kinds []string, results []rolloutResult) table {
-	t := table{header: []string{"change", "plays", "stopped in the first stage", "stopped later", "went through", "s to the end (median / most)",
-		"queries harmed, share of all", "share of the first stage in all", "lost or unanswered", "spoilt", "answered twice"}}
+	t := table{header: []string{"change", "runs", "rolled back in the first stage", "rolled back later", "completed", "duration, s (median / max)",
+		"share of queries affected", "share of queries at the first stage", "lost or unanswered", "corrupted", "duplicate answers"}}
 	for _, kind := range kinds {
 		var s rolloutSummary
 		for _, r := range results {
--- a/cmd/fleettest/run.go
+++ b/cmd/fleettest/run.go
@@ -11,17 +11,17 @@
 )
 
 type runCommand struct {
-	Scenario string `arg:"" type:"existingfile" help:"The scenario, a TOML file."`
-	Program  string `default:"bin/frostpier" type:"existingfile" help:"The program."`
-	Gateways int    `help:"So many gateways in place of the scenario's."`
-	Seed     uint64 `help:"This seed in place of the scenario's."`
-	Out      string `default:"found/fleettest" help:"The folder for tables, the chart and the logs."`
+	Scenario string `arg:"" type:"existingfile" help:"Path of the scenario, a TOML file."`
+	Program  string `default:"bin/frostpier" type:"existingfile" help:"Path of the frostpier binary."`
+	Gateways int    `help:"Number of gateways; overrides that of the scenario."`
+	Seed     uint64 `help:"Seed; overrides that of the scenario."`
+	Out      string `default:"found/fleettest" help:"Directory for the table, the chart and the logs."`
 }
 
-// maxDatagram is the longest datagram that gateways may send, in bytes.
+// maxDatagram is the maximum size of the datagrams that gateways may send, in bytes.
 const maxDatagram = 256
 
-// Run plays the scenario, prints its table, and keeps the table, a chart and the gateways' logs.
+// Run runs the scenario, prints a table of its results, and saves the table, a chart and the gateways' logs.
 func (c *runCommand) Run() (err error) {
 	scenario, err := c.readScenario()
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
 	start := time.Now()
-	results, err := playScenario(f, scenario, progressSince(start))
+	results, err := runScenario(f, scenario, progressSince(start))
 	if err != nil {
 		return err
 	}
@@ -45,10 +45,10 @@
 		return err
 	}
 	changes, _ := f.StateChanges(0)
-	return chartViews(base+chartExtension, scenario.Gateways, start, changes)
+	return chartServiceViews(base+chartExtension, scenario.Gateways, start, changes)
 }
 
-// readScenario reads the scenario with the size and the seed of the command.
+// readScenario reads the scenario and applies the options --gateways and --seed.
 func (c *runCommand) readScenario() (testfleet.Scenario, error) {
 	text, err := os.ReadFile(c.Scenario)
 	if err != nil {
@@ -67,9 +67,9 @@
 	return scenario, nil
 }
 
-// newFleet prepares the fleet of a scenario, with an empty folder for its logs.
+// newFleet returns the fleet of a scenario, whose gateways are not started yet. The directory of its logs is emptied.
 func (c *runCommand) newFleet(scenario testfleet.Scenario, logs string) (*testfleet.Fleet, error) {
-	if err := emptyFolder(logs); err != nil {
+	if err := resetDir(logs); err != nil {
 		return nil, err
 	}
 	program, err := filepath.Abs(c.Program)
@@ -86,12 +86,13 @@
 	})
 }
 
-// playScenario starts the gateways and plays the scenario. An alarm in a log or a datagram that is too long is an error.
-func playScenario(f *testfleet.Fleet, scenario testfleet.Scenario, progress func(string)) ([]testfleet.Result, error) {
+// runScenario starts the gateways and runs the scenario. It returns an error if a gateway's log has an alarm, see checkAlarms, or
+// if a datagram was larger than maxDatagram.
+func runScenario(f *testfleet.Fleet, scenario testfleet.Scenario, progress func(string)) ([]testfleet.Result, error) {
 	if err := f.StartAll(); err != nil {
 		return nil, err
 	}
-	progress(fmt.Sprintf("%d gateways serve", scenario.Gateways))
+	progress(fmt.Sprintf("%d gateways serving", scenario.Gateways))
 	results, err := f.Play(scenario, progress)
 	if err != nil {
 		return nil, err
@@ -100,7 +101,7 @@
 		return nil, err
 	}
 	if longest, _ := f.Relay.DatagramStats(); longest > maxDatagram {
-		return nil, fmt.Errorf("a datagram of %d bytes", longest)
+		return nil, fmt.Errorf("a datagram has %d bytes, limit %d", longest, maxDatagram)
 	}
 	return results, nil
 }
--- a/cmd/fleettest/scale.go
+++ b/cmd/fleettest/scale.go
@@ -17,27 +17,27 @@
 )
 
 type scaleCommand struct {
-	Program string   `default:"bin/frostpier" type:"existingfile" help:"The program."`
-	Real    int      `default:"24" help:"Gateways that are processes of the program."`
-	Hollow  []int    `default:"776" help:"Hollow gateways beside them; several sizes are played one after the other."`
-	Engines int      `default:"1100" help:"Hollow engines."`
-	Zones   int      `default:"7" help:"Zones of gateways and engines."`
-	Regions int      `default:"2" help:"Regions that the zones lie in."`
-	Steps   []string `help:"Steps to play, of: quiet, loaded, restarts, machines, zone, regions, list, reconnect. Default: all."`
-	Rate    float64  `help:"Statements a second that each real gateway is sent in the step loaded; 0 leaves that step out."`
-	Subset  int      `help:"Engines that a gateway uses, at the least; 0: every gateway uses all engines."`
-	Reports float64  `default:"6" help:"Reports of engines' load a second that each hollow gateway makes up."`
-	Delay   int      `default:"20" help:"Milliseconds until a hollow engine's answer."`
-	Quiet   int      `default:"30" help:"Seconds of the steps quiet and loaded."`
-	Cut     int      `default:"120" help:"Seconds for which regions are cut from each other, at the least."`
-	Restart int      `name:"restarts-over" default:"100" help:"Seconds over which planned restarts are spread."`
-	Seed    uint64   `default:"1" help:"Of all chance."`
-	Out     string   `default:"found/fleettest" help:"The folder for tables, charts and logs."`
-	Results string   `help:"The structured result file; default: scale-results.json in the folder."`
-	Add     bool     `help:"Keep the runs that the result file holds, and add to them."`
+	Program string   `default:"bin/frostpier" type:"existingfile" help:"Path of the frostpier binary."`
+	Real    int      `default:"24" help:"Number of gateways that are processes of the program."`
+	Hollow  []int    `default:"776" help:"Number of hollow gateways; several numbers are run one after the other."`
+	Engines int      `default:"1100" help:"Number of hollow engines."`
+	Zones   int      `default:"7" help:"Number of zones that the gateways and engines are assigned to."`
+	Regions int      `default:"2" help:"Number of regions that the zones are assigned to."`
+	Steps   []string `help:"Steps to run, of: quiet, loaded, restarts, machines, zone, regions, list, reconnect. Default: all."`
+	Rate    float64  `help:"Statements per second that clients send to each real gateway in the step loaded; 0 omits that step."`
+	Subset  int      `help:"Minimum number of engines that a gateway uses; 0 = all engines."`
+	Reports float64  `default:"6" help:"Load reports of engines that each hollow gateway generates per second."`
+	Delay   int      `default:"20" help:"Milliseconds until a hollow engine answers."`
+	Quiet   int      `default:"30" help:"Duration of the steps quiet and loaded, in seconds."`
+	Cut     int      `default:"120" help:"Minimum duration of the partition between regions, in seconds."`
+	Restart int      `name:"restarts-over" default:"100" help:"Seconds over which the graceful restarts are spread."`
+	Seed    uint64   `default:"1" help:"Seed of the random choices."`
+	Out     string   `default:"found/fleettest" help:"Directory for tables, charts and logs."`
+	Results string   `help:"Path of the JSON result file; default: scale-results.json in the directory."`
+	Add     bool     `help:"Add the runs to those in the result file instead of replacing them."`
 }
 
-// Run plays each size, prints its table, and keeps tables, charts and the structured results.
+// Run runs the plan of each size, prints its table, and saves tables, charts and the result file.
 func (c *scaleCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -50,20 +50,20 @@
 		return err
 	}
 	for _, plan := range plans {
-		run, playErr := c.play(ctx, plan)
+		run, runErr := c.runPlan(ctx, plan)
 		fmt.Printf("%d real and %d hollow gateways, %d engines, seed %d\n\n%s\n", plan.RealGateways, plan.HollowGateways, plan.Engines, plan.Seed,
 			scaleTable(run.Steps).markdown())
 		if len(run.Steps) > 0 {
 			file.Runs = append(file.Runs, run)
 		}
-		if err := errors.Join(playErr, c.save(file)); err != nil {
+		if err := errors.Join(runErr, c.save(file)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// plans returns the plan of each size. All are checked before the first is played.
+// plans returns the plan of each size. All sizes are checked before the first plan is run.
 func (c *scaleCommand) plans() (out []scale.Plan, err error) {
 	machine, err := runner.LocalMachine()
 	if err != nil {
@@ -75,21 +75,22 @@
 			return nil, err
 		}
 	}
-	times := scale.DefaultDurations()
-	times.QuietStep, times.MinPartition = time.Duration(c.Quiet)*time.Second, time.Duration(c.Cut)*time.Second
-	times.RestartPeriod = time.Duration(c.Restart) * time.Second
+	durations := scale.DefaultDurations()
+	durations.QuietStep, durations.MinPartition = time.Duration(c.Quiet)*time.Second, time.Duration(c.Cut)*time.Second
+	durations.RestartPeriod = time.Duration(c.Restart) * time.Second
 	for _, hollowGateways := range c.Hollow {
-		sizes := scale.Sizes{RealGateways: c.Real, HollowGateways: hollowGateways, Engines: c.Engines, Zones: c.Zones, Regions: c.Regions, StatementRate: c.Rate, SubsetMinEngines: c.Subset}
-		if err := errors.Join(sizes.Check(machine), times.Check()); err != nil {
+		sizes := scale.Sizes{RealGateways: c.Real, HollowGateways: hollowGateways, Engines: c.Engines, Zones: c.Zones, Regions: c.Regions,
+			StatementRate: c.Rate, SubsetMinEngines: c.Subset}
+		if err := errors.Join(sizes.Check(machine), durations.Check()); err != nil {
 			return nil, err
 		}
-		out = append(out, scale.NewPlan(sizes, times, steps, c.Seed))
+		out = append(out, scale.NewPlan(sizes, durations, steps, c.Seed))
 	}
 	return out, nil
 }
 
-// play starts a fleet, plays the plan on it, and ends it. After an error it returns what has been measured before.
-func (c *scaleCommand) play(ctx context.Context, plan scale.Plan) (run scale.Run, err error) {
+// runPlan starts a fleet, runs the plan and stops the fleet. After an error it returns the measurements made before.
+func (c *scaleCommand) runPlan(ctx context.Context, plan scale.Plan) (run scale.Run, err error) {
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
 		return run, err
@@ -99,7 +100,7 @@
 		return run, err
 	}
 	logs := filepath.Join(c.Out, fmt.Sprintf("scale-%d-logs", plan.Members()))
-	if err := emptyFolder(logs); err != nil {
+	if err := resetDir(logs); err != nil {
 		return run, err
 	}
 	fleet, err := runner.Start(ctx, runner.Options{Plan: plan, Dir: logs, Program: []string{program},
@@ -115,7 +116,7 @@
 	return run, err
 }
 
-// options returns the options of the command that reproduce a run.
+// options returns the command line options that repeat a run.
 func (c *scaleCommand) options(plan scale.Plan) string {
 	var steps []string
 	for _, step := range plan.Steps {
@@ -135,7 +136,7 @@
 	return filepath.Join(c.Out, "scale-results.json")
 }
 
-// load returns the content of the result file, if the new runs are to be added to it.
+// load returns the content of the result file if the new runs are added to it, and otherwise an empty file.
 func (c *scaleCommand) load() (scale.File, error) {
 	if !c.Add {
 		return scale.File{}, nil
@@ -150,7 +151,7 @@
 	return scale.DecodeFile(text)
 }
 
-// save writes the structured results, a table of all runs, and a chart of each step's slope.
+// save writes the result file, a table of all runs, and the charts.
 func (c *scaleCommand) save(file scale.File) error {
 	text, err := file.Encode()
 	if err != nil {
@@ -169,7 +170,7 @@
 	if err := scaleTable(all).save(filepath.Join(c.Out, "scale")); err != nil {
 		return err
 	}
-	return chartSlopes(c.Out, file)
+	return drawScaleCharts(c.Out, file)
 }
 
 // Names of the hidden commands that run hollow gateways and engines.
@@ -178,14 +179,14 @@
 	hollowEnginesName  = "hollow-engines"
 )
 
-// hollowGatewaysCommand runs hollow gateways as the lines on standard input say.
+// hollowGatewaysCommand runs hollow gateways that are controlled by commands on standard input.
 type hollowGatewaysCommand struct{}
 
-// Run serves until standard input ends.
+// Run runs hollow gateways until standard input is closed.
 func (hollowGatewaysCommand) Run() error { return hollow.ServeGateways(os.Stdin, os.Stdout) }
 
-// hollowEnginesCommand runs hollow engines as the lines on standard input say.
+// hollowEnginesCommand runs hollow engines that are controlled by commands on standard input.
 type hollowEnginesCommand struct{}
 
-// Run serves until standard input ends.
+// Run runs hollow engines until standard input is closed.
 func (hollowEnginesCommand) Run() error { return hollow.ServeEngines(os.Stdin, os.Stdout) }
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-// Without -tags debug alone: with both CI would take too long.
+// These tests run only without -tags debug: CI would take too long if it ran them with and without the tag.
 
 package main
 
@@ -19,43 +19,44 @@
 	"frostpier/internal/testbed/scale/runner"
 )
 
-// asToolVariable makes the test binary run as the tool, whose hidden commands run gateways, real and hollow, and engines.
-const asToolVariable = "FLEETLAB_AS_TOOL"
+// runAsToolEnv is the environment variable that makes the test binary run as the tool. Its hidden commands run real gateways,
+// hollow gateways and hollow engines.
+const runAsToolEnv = "FLEETTEST_AS_TOOL"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asToolVariable) == "" {
+	if os.Getenv(runAsToolEnv) == "" {
 		os.Exit(m.Run())
 	}
 	main()
 }
 
-// smallScale returns the options of a run that is small enough for CI. Its times are short and its timeouts long: only counts
-// and final states are checked.
-func smallScale(t *testing.T, steps []scale.Step) runner.Options {
+// smallRunOptions returns the options of a run that is small enough for CI. Its steps are short and its timeouts long, since the
+// tests check only counts and final states.
+func smallRunOptions(t *testing.T, steps []scale.Step) runner.Options {
 	t.Helper()
 	sizes := scale.Sizes{RealGateways: 8, HollowGateways: 100, Engines: 60, Zones: 4, Regions: 2, StatementRate: 5, SubsetMinEngines: 10}
-	times := scale.Durations{QuietStep: time.Second, RestartPeriod: time.Second, ConvergenceTimeout: 2 * time.Minute}
+	durations := scale.Durations{QuietStep: time.Second, RestartPeriod: time.Second, ConvergenceTimeout: 2 * time.Minute}
 	self := os.Args[0]
-	return runner.Options{Plan: scale.NewPlan(sizes, times, steps, 7), Dir: t.TempDir(), Program: []string{self, "gateway"},
+	return runner.Options{Plan: scale.NewPlan(sizes, durations, steps, 7), Dir: t.TempDir(), Program: []string{self, "gateway"},
 		HollowGateways: []string{self, hollowGatewaysName}, HollowEngines: []string{self, hollowEnginesName},
-		Environment: []string{asToolVariable + "=1"}, Interval: 500 * time.Millisecond, EngineDelay: 5 * time.Millisecond, ReportsPerSecond: 2,
+		Environment: []string{runAsToolEnv + "=1"}, Interval: 500 * time.Millisecond, EngineDelay: 5 * time.Millisecond, ReportsPerSecond: 2,
 		Progress: func(text string) { t.Log(text) }}
 }
 
-// Each part of a step ends once all gateways agree on the members and the engine list, or fails; at the end nothing is left
+// Checks that the fleet converges after each part of each step, that the results are complete, and that no process is left
 // running.
-func TestSmallScaleAgreesAfterEachStep(t *testing.T) {
-	opt := smallScale(t, scale.AllSteps())
+func TestScaleRunConvergesAfterEachStep(t *testing.T) {
+	opt := smallRunOptions(t, scale.AllSteps())
 	fleet, err := runner.Start(context.Background(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	run, err := fleet.Run(context.Background())
 	processes := fleet.PIDs()
-	if closing := fleet.Close(); err != nil || closing != nil {
-		t.Fatal(err, closing)
+	if closeErr := fleet.Close(); err != nil || closeErr != nil {
+		t.Fatal(err, closeErr)
 	}
-	checkEnded(t, processes, opt.Plan.RealGateways+2)
+	checkExited(t, processes, opt.Plan.RealGateways+2)
 	checkLogsEmpty(t, opt.Dir)
 	var names []string
 	for _, step := range run.Steps {
@@ -69,24 +70,25 @@
 	}
 	want := "quiet loaded restarts machines-lost machines-back zone-lost zone-back regions-cut regions-healed list reconnect"
 	if got := strings.Join(names, " "); got != want {
-		t.Errorf("read %s, want %s", got, want)
+		t.Errorf("results of the steps %s, want %s", got, want)
 	}
 }
 
-// checkEnded fails if any of the processes still runs.
-func checkEnded(t *testing.T, processes []int, want int) {
+// checkExited reports an error if any of the processes is still running, or if their number is not as expected.
+func checkExited(t *testing.T, processes []int, want int) {
 	t.Helper()
 	if len(processes) != want {
 		t.Errorf("%d processes, want %d", len(processes), want)
 	}
 	for _, pid := range processes {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("process %d is left: %v", pid, err)
+			t.Errorf("process %d is still running: %v", pid, err)
 		}
 	}
 }
 
-// checkLogsEmpty fails if a process of hollow gateways or engines has written anything: a panic, a data race, an error.
+// checkLogsEmpty reports an error if a process of hollow gateways or engines has logged anything, such as a panic, a data race or
+// an error.
 func checkLogsEmpty(t *testing.T, dir string) {
 	t.Helper()
 	for _, pattern := range []string{"hollow-*.log", "engines-*.log"} {
@@ -102,9 +104,10 @@
 	}
 }
 
-// A run that is interrupted in the middle of a step ends with the context's error, and Close ends all.
-func TestInterruptedScaleEndsAll(t *testing.T) {
-	opt := smallScale(t, []scale.Step{scale.Quiet})
+// Checks that a run that is cancelled in the middle of a step returns the context's error, and that Close then stops all
+// processes.
+func TestScaleRunStopsProcessesWhenInterrupted(t *testing.T) {
+	opt := smallRunOptions(t, []scale.Step{scale.Quiet})
 	opt.Plan.RealGateways, opt.Plan.HollowGateways, opt.Plan.Engines, opt.Plan.Durations.QuietStep = 2, 6, 4, time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -115,16 +118,16 @@
 	processes := fleet.PIDs()
 	time.AfterFunc(100*time.Millisecond, cancel)
 	_, err = fleet.Run(ctx)
-	if closing := fleet.Close(); !errors.Is(err, context.Canceled) || closing != nil {
-		t.Fatal(err, closing)
+	if closeErr := fleet.Close(); !errors.Is(err, context.Canceled) || closeErr != nil {
+		t.Fatal(err, closeErr)
 	}
-	checkEnded(t, processes, 4)
+	checkExited(t, processes, 4)
 }
 
-// Sizes that do not fit are rejected before anything is started, with an error that names the option.
-func TestScaleRejectsWhatDoesNotFit(t *testing.T) {
-	good := scaleCommand{Program: "x", Real: 8, Hollow: []int{100}, Engines: 60, Zones: 4, Regions: 2, Quiet: 1, Cut: 1, Restart: 1, Out: t.TempDir()}
-	if _, err := good.plans(); err != nil {
+// Checks that option values out of bounds are rejected before any process is started, with an error that names the option.
+func TestScaleRejectsOptionsOutOfBounds(t *testing.T) {
+	valid := scaleCommand{Program: "x", Real: 8, Hollow: []int{100}, Engines: 60, Zones: 4, Regions: 2, Quiet: 1, Cut: 1, Restart: 1, Out: t.TempDir()}
+	if _, err := valid.plans(); err != nil {
 		t.Fatal(err)
 	}
 	for option, change := range map[string]func(*scaleCommand){
@@ -140,7 +143,7 @@
 		"--restarts-over": func(c *scaleCommand) { c.Restart = 0 },
 	} {
 		t.Run(option, func(t *testing.T) {
-			changed := good
+			changed := valid
 			change(&changed)
 			err := changed.Run()
 			var limit *scale.LimitError
@@ -150,13 +153,13 @@
 			}
 		})
 	}
-	if entries, err := os.ReadDir(good.Out); err != nil || len(entries) > 0 {
-		t.Error("something was started:", entries, err)
+	if entries, err := os.ReadDir(valid.Out); err != nil || len(entries) > 0 {
+		t.Error("the output directory is not empty:", entries, err)
 	}
 }
 
-// Results go to tables, charts and the structured file, which can be added to.
-func TestScaleKeepsItsResults(t *testing.T) {
+// Checks that save writes tables, charts and the result file, and that runs can be added to a result file.
+func TestScaleWritesTablesChartsAndResults(t *testing.T) {
 	c := scaleCommand{Out: t.TempDir(), Add: true}
 	for _, hollow := range []int{92, 192} {
 		file, err := c.load()
--- a/cmd/fleettest/scaletable.go
+++ b/cmd/fleettest/scaletable.go
@@ -13,9 +13,9 @@
 
 // scaleTable shows the results of steps.
 func scaleTable(steps []scale.StepResult) table {
-	t := table{header: []string{"step", "real gateways", "hollow gateways", "engines", "seconds", "statements a s",
-		"served", "share of a core (mean / highest)", "resident MB", "sent B/s", "highest over 10 s", "received B/s", "highest over 10 s",
-		"engine list B/s", "connections", "all knew after s", "engines used", "of these known"}}
+	t := table{header: []string{"step", "real gateways", "hollow gateways", "engines", "duration, s", "statements/s",
+		"share served", "CPU cores (mean / max)", "resident MB", "sent B/s", "sent B/s, max over 10 s", "received B/s",
+		"received B/s, max over 10 s", "engine list B/s", "connections", "convergence, s", "engines used", "share with known load"}}
 	for _, s := range steps {
 		t.rows = append(t.rows, []string{s.Name, fmt.Sprint(s.RealGateways), fmt.Sprint(s.HollowGateways), fmt.Sprint(s.Engines),
 			fmt.Sprintf("%.0f", s.Seconds), fmt.Sprintf("%.1f", s.StatementsPerSecond), fmt.Sprintf("%.3f", s.StatementsServedShare),
@@ -28,37 +28,37 @@
 	return t
 }
 
-// slopeChart is the chart of one figure of each step over the size of the fleet.
-type slopeChart struct {
+// scaleChart is a chart of one measurement over the size of the fleet, with a line for each step.
+type scaleChart struct {
 	file, title, unit string
 	value             func(scale.StepResult) float64
 }
 
-var slopeCharts = []slopeChart{
-	{"scale-processor.svg", "Processor time of a real gateway", "share of a core",
+var scaleCharts = []scaleChart{
+	{"scale-processor.svg", "CPU usage of a real gateway, mean", "cores",
 		func(s scale.StepResult) float64 { return s.MeanCPUCores }},
-	{"scale-memory.svg", "Resident memory of a real gateway, the largest", "MB",
+	{"scale-memory.svg", "Resident memory of a real gateway, maximum", "MB",
 		func(s scale.StepResult) float64 { return s.ResidentMB }},
-	{"scale-bytes.svg", "Datagrams that a real gateway sends", "bytes a second",
+	{"scale-bytes.svg", "Datagram bytes sent by a real gateway, mean", "bytes per second",
 		func(s scale.StepResult) float64 { return s.SentBytesPerSecond }},
-	{"scale-peak.svg", "Datagrams that a real gateway sends, the highest over 10 s", "bytes a second",
+	{"scale-peak.svg", "Datagram bytes sent by a real gateway, maximum over 10 s", "bytes per second",
 		func(s scale.StepResult) float64 { return s.PeakSentBytesPerSecond }},
-	{"scale-known.svg", "Time until all gateways know", "seconds",
+	{"scale-known.svg", "Convergence time", "seconds",
 		func(s scale.StepResult) float64 { return s.ConvergenceSeconds }},
 }
 
-// chartSlopes draws each chart into a file of the folder.
-func chartSlopes(folder string, file scale.File) error {
-	for _, chart := range slopeCharts {
-		if err := chart.draw(filepath.Join(folder, chart.file), file); err != nil {
+// drawScaleCharts writes all charts to files in a directory.
+func drawScaleCharts(dir string, file scale.File) error {
+	for _, chart := range scaleCharts {
+		if err := chart.draw(filepath.Join(dir, chart.file), file); err != nil {
 			return fmt.Errorf("%s: %w", chart.file, err)
 		}
 	}
 	return nil
 }
 
-// draw draws a line for each step.
-func (c slopeChart) draw(path string, file scale.File) error {
+// draw writes the chart to a file.
+func (c scaleChart) draw(path string, file scale.File) error {
 	p := plot.New()
 	p.Title.Text = c.title
 	p.X.Label.Text, p.Y.Label.Text = "gateways", c.unit
--- a/cmd/fleettest/simulate.go
+++ b/cmd/fleettest/simulate.go
@@ -12,39 +12,39 @@
 )
 
 type simulateCommand struct {
-	Sizes []int   `default:"10,30,100,300,1000" help:"Members of the fleets."`
-	Kills int     `default:"400" help:"Kills for each size."`
-	Hours float64 `default:"100" help:"Process-hours with pauses, for each size."`
-	Loss  float64 `default:"0.1" help:"Share of datagrams lost."`
-	Seed  uint64  `default:"1" help:"The first seed."`
-	Out   string  `default:"found/fleettest" help:"The folder for tables and the chart."`
+	Sizes []int   `default:"10,30,100,300,1000" help:"Numbers of members in the simulated fleets."`
+	Kills int     `default:"400" help:"Number of kills for each size."`
+	Hours float64 `default:"100" help:"Simulated process-hours with pauses, for each size."`
+	Loss  float64 `default:"0.1" help:"Probability that a datagram is lost."`
+	Seed  uint64  `default:"1" help:"First seed."`
+	Out   string  `default:"found/fleettest" help:"Directory for the table and the chart."`
 }
 
-// Times of the simulations.
+// Parameters of the simulations.
 const (
-	killInterval   = 30 * time.Second // between a kill and the start after it
-	pauseInterval  = 30 * time.Second // in which each member pauses once on average
-	maxPause       = 2 * time.Second
-	steadyTime     = time.Minute
-	checkInterval  = 1000 // steps between two checks of a node's invariants
-	seedsPerSize   = 4    // of the lossy simulations
-	heartbeatRate  = 1    // heartbeats a second that a member of the baseline sends: the protocol's datagrams in the steady state
-	missedForDeath = 3    // silent rounds after which the baseline declares a death
+	killInterval     = 30 * time.Second // time from a kill until the restart of the member
+	pauseInterval    = 30 * time.Second // mean time between two pauses of a member
+	maxPause         = 2 * time.Second
+	steadyDuration   = time.Minute
+	stepsPerCheck    = 1000 // steps between two checks of a node's invariants
+	seedsPerSize     = 4    // seeds of the simulations with datagram loss, for each size
+	heartbeatRate    = 1    // heartbeats per second of a baseline member, which is the rate of the protocol's datagrams in the steady state
+	missedHeartbeats = 3    // missed rounds after which the baseline declares a member dead
 )
 
-// membershipRow has the figures of one size of the fleet.
+// membershipRow has the results for one size of the fleet.
 type membershipRow struct {
 	members               int
 	steady, kills, pauses simulation.Results
 	heartbeatPauses       simulation.Results
 }
 
-// newHeartbeatDetector returns the baseline that the protocol is compared with.
+// newHeartbeatDetector returns the baseline that the membership protocol is compared with.
 func newHeartbeatDetector(c membership.Config) (simulation.Detector, error) {
-	return simulation.NewHeartbeatDetector(c, heartbeatRate, missedForDeath), nil
+	return simulation.NewHeartbeatDetector(c, heartbeatRate, missedHeartbeats), nil
 }
 
-// Run simulates each size, on all cores, and keeps a table and a chart of the results.
+// Run simulates fleets of each size, on all cores, and saves a table and a chart of the results.
 func (c *simulateCommand) Run() error {
 	rows := make([]membershipRow, len(c.Sizes))
 	var jobs []func() error
@@ -52,7 +52,7 @@
 		rows[k].members = members
 		jobs = append(jobs, c.jobs(&rows[k])...)
 	}
-	if err := runAll(runtime.GOMAXPROCS(0), jobs); err != nil {
+	if err := runJobs(runtime.GOMAXPROCS(0), jobs); err != nil {
 		return err
 	}
 	t := simulationTable(rows)
@@ -64,7 +64,7 @@
 	return chartDetection(filepath.Join(c.Out, name+chartExtension), rows)
 }
 
-// jobs are the simulations of one size. They may run at the same time.
+// jobs returns the simulations of one size, which may run concurrently.
 func (c *simulateCommand) jobs(row *membershipRow) []func() error {
 	var mu sync.Mutex
 	add := func(sum *simulation.Results, f simulation.Results, err error) error {
@@ -73,11 +73,11 @@
 		*sum = sum.Merge(f)
 		return err
 	}
-	lossy := simulation.Setup{Members: row.members, Loss: c.Loss, StepsPerCheck: checkInterval, StartSpread: time.Second}
+	lossy := simulation.Setup{Members: row.members, Loss: c.Loss, StepsPerCheck: stepsPerCheck, StartSpread: time.Second}
 	jobs := []func() error{func() (err error) {
 		lossless := lossy
 		lossless.Loss, lossless.Seed = 0, c.Seed
-		row.steady, err = simulation.MeasureSteadyState(lossless, steadyTime)
+		row.steady, err = simulation.MeasureSteadyState(lossless, steadyDuration)
 		return err
 	}}
 	duration := time.Duration(c.Hours / seedsPerSize / float64(row.members) * float64(time.Hour))
@@ -101,12 +101,13 @@
 }
 
 type replayCommand struct {
-	From  uint64 `default:"0" help:"The first seed."`
-	Runs  uint64 `default:"1000" help:"How many seeds."`
-	Every int    `default:"0" help:"Steps between two checks of a node's rules; 0 = a twentieth of the members."`
+	From  uint64 `default:"0" help:"First seed."`
+	Runs  uint64 `default:"1000" help:"Number of seeds."`
+	Every int    `default:"0" help:"Steps between two checks of a node's invariants; 0 = a twentieth of the number of members."`
 }
 
-// Run plays the runs. A seed that violates an invariant is named in the error, and replays identically.
+// Run runs the random test of each seed. The error names each seed that violates an invariant; a run with the same seed fails
+// in the same way.
 func (c *replayCommand) Run() error {
 	var jobs []func() error
 	steps, mu, began := 0, sync.Mutex{}, time.Now()
@@ -127,7 +128,7 @@
 			return err
 		})
 	}
-	err := runAll(runtime.GOMAXPROCS(0), jobs)
+	err := runJobs(runtime.GOMAXPROCS(0), jobs)
 	fmt.Printf("%d runs, %d steps, %v\n", c.Runs, steps, time.Since(began).Round(time.Second))
 	return err
 }
--- a/cmd/fleettest/slopes.go
+++ b/cmd/fleettest/slopes.go
@@ -14,12 +14,12 @@
 )
 
 type slopesCommand struct {
-	Out    string `default:"scenarios/capacity-slopes.json" help:"The result file."`
+	Out    string `default:"scenarios/capacity-slopes.json" help:"Path of the result file."`
 	Only   string `default:"" enum:",decision,reports,membership,faults,discovery,connections,staged" help:"${slope_group_help}"`
-	Quick  bool   `help:"Smaller sizes and one run each: some seconds. The page needs a full run."`
-	Memory int64  `name:"memory-mb" default:"256" help:"What the measurements may hold, in MB; a full run says how much it needs."`
-	Faults int    `default:"1" help:"Runs of the faults at each size, with seeds that follow each other."`
-	Seed   uint64 `default:"1" help:"Of all chance."`
+	Quick  bool   `help:"Measure small sizes with one run each, within some seconds. The page needs a full run."`
+	Memory int64  `name:"memory-mb" default:"256" help:"Memory limit of the measurements in MB. If a run needs more, it fails with the required amount."`
+	Faults int    `default:"1" help:"Number of fault runs at each size, with consecutive seeds."`
+	Seed   uint64 `default:"1" help:"Seed of the random choices."`
 }
 
 // Run measures the slopes and writes the result file.
@@ -51,7 +51,7 @@
 	return os.WriteFile(c.Out, text, 0o644)
 }
 
-// thisMachine describes the machine, as far as it matters to timings.
+// thisMachine describes the machine that the slopes are measured on.
 func thisMachine() capacity.Machine {
 	return capacity.Machine{Cores: runtime.NumCPU(), GoVersion: runtime.Version(),
 		System: runtime.GOOS + "/" + runtime.GOARCH, MeasuredDay: time.Now().UTC().Format(time.DateOnly)}
--- a/cmd/fleettest/soak.go
+++ b/cmd/fleettest/soak.go
@@ -13,17 +13,17 @@
 )
 
 type soakCommand struct {
-	Program  string `default:"bin/frostpier" type:"existingfile" help:"The program."`
-	Seeds    string `default:"1-10" help:"The first and the last seed, as in 1-50, or one seed."`
-	Gateways int    `default:"1" help:"Gateways of a run."`
-	Parallel int    `name:"together" default:"1" help:"Runs that play at a time."`
-	Out      string `default:"found/fleettest" help:"The folder for the table, and for the logs of runs that break a rule."`
+	Program  string `default:"bin/frostpier" type:"existingfile" help:"Path of the frostpier binary."`
+	Seeds    string `default:"1-10" help:"Range of seeds, such as 1-50, or one seed."`
+	Gateways int    `default:"1" help:"Number of gateways in a run."`
+	Parallel int    `name:"together" default:"1" help:"Number of runs at the same time."`
+	Out      string `default:"found/fleettest" help:"Directory for the table, and for the logs of runs with violations."`
 }
 
-// errSoakFailed is returned if a run has broken a rule.
-var errSoakFailed = errors.New("a planned stop has broken a rule")
+// errSoakFailed is the error of a run in which a check has failed.
+var errSoakFailed = errors.New("the graceful shutdown violated a requirement")
 
-// Run plays a planned stop for each seed, and keeps a table of the results.
+// Run runs a graceful shutdown under load for each seed, and saves a table of the results.
 func (c *soakCommand) Run() error {
 	first, last, err := c.seedRange()
 	if err != nil {
@@ -37,11 +37,11 @@
 	var jobs []func() error
 	for i := range results {
 		jobs = append(jobs, func() (err error) {
-			results[i], err = c.play(program, first+uint64(i))
+			results[i], err = c.runSeed(program, first+uint64(i))
 			return err
 		})
 	}
-	failed := runAll(max(1, c.Parallel), jobs)
+	failed := runJobs(max(1, c.Parallel), jobs)
 	t := soakTable(results)
 	fmt.Print(t.markdown())
 	return errors.Join(failed, t.saveIn(c.Out, fmt.Sprintf("soak-%d-%s", c.Gateways, c.Seeds)))
@@ -58,15 +58,15 @@
 		last, err = strconv.ParseUint(to, 10, 64)
 	}
 	if err != nil || last < first {
-		return 0, 0, fmt.Errorf("--seeds %q: neither a seed nor two, as in 1-50", c.Seeds)
+		return 0, 0, fmt.Errorf("--seeds %q: must be one seed or a range, such as 1-50", c.Seeds)
 	}
 	return first, last, nil
 }
 
-// play plays one seed, and says what broke a rule and how to play it again.
-func (c *soakCommand) play(program string, seed uint64) (soak.Result, error) {
+// runSeed runs the scenario of one seed. If a check fails, it prints the violations and the command that repeats the run.
+func (c *soakCommand) runSeed(program string, seed uint64) (soak.Result, error) {
 	dir := filepath.Join(c.Out, fmt.Sprintf("soak-%d", seed))
-	if err := emptyFolder(dir); err != nil {
+	if err := resetDir(dir); err != nil {
 		return soak.Result{}, err
 	}
 	scenario := soak.NewScenario(seed, c.Gateways)
@@ -82,6 +82,6 @@
 	for _, p := range problems {
 		fmt.Fprintln(os.Stderr, "  ", p)
 	}
-	fmt.Fprintf(os.Stderr, "   logs in %s; again: fleettest soak --seeds %d --gateways %d\n", dir, seed, c.Gateways)
+	fmt.Fprintf(os.Stderr, "   logs are in %s; repeat with: fleettest soak --seeds %d --gateways %d\n", dir, seed, c.Gateways)
 	return result, fmt.Errorf("seed %d: %w", seed, errSoakFailed)
 }
--- a/cmd/fleettest/soaktable.go
+++ b/cmd/fleettest/soaktable.go
@@ -7,25 +7,26 @@
 	"frostpier/internal/testbed/soak"
 )
 
-// soakTable shows the results of planned stops, a row for each.
+// soakTable shows the results of graceful shutdowns, with a row for each seed. Columns of outcomes have the names that
+// soak.Outcome.String returns.
 func soakTable(results []soak.Result) table {
 	t := table{header: []string{"seed", "clients", "MySQL", "disturbance", "requests", "served", "rejected", "failed", "aborted", "crossed",
-		"cut by kill", "lost (sent before SIGTERM / to 0.7 s / later)", "lost at kill", "late", "corrupted", "answered twice", "exit",
-		"s after SIGTERM"}}
+		"cut by kill", "lost (sent before SIGTERM / up to 0.7 s after / later)", "lost at kill", "late", "corrupted", "answered twice", "exit",
+		"last exit, s after SIGTERM"}}
 	for _, r := range results {
-		ends := r.CountOutcomes()
+		counts := r.CountOutcomes()
 		t.rows = append(t.rows, []string{
 			fmt.Sprint(r.Scenario.Seed), fmt.Sprint(r.Scenario.Clients), fmt.Sprint(r.Scenario.MySQLClients), r.Scenario.Disturbance.String(),
-			fmt.Sprint(len(r.Requests)), fmt.Sprint(ends[soak.Served]), fmt.Sprint(ends[soak.Rejected]), fmt.Sprint(ends[soak.Failed]),
-			fmt.Sprint(ends[soak.Aborted]), fmt.Sprint(ends[soak.RacedClose]), fmt.Sprint(ends[soak.CutByKill]), lossesByTime(r),
-			fmt.Sprint(ends[soak.LostAtKill]), fmt.Sprint(ends[soak.Late]), fmt.Sprint(ends[soak.Corrupted]), fmt.Sprint(answeredTwice(r)),
+			fmt.Sprint(len(r.Requests)), fmt.Sprint(counts[soak.Served]), fmt.Sprint(counts[soak.Rejected]), fmt.Sprint(counts[soak.Failed]),
+			fmt.Sprint(counts[soak.Aborted]), fmt.Sprint(counts[soak.RacedClose]), fmt.Sprint(counts[soak.CutByKill]), lossesByTime(r),
+			fmt.Sprint(counts[soak.LostAtKill]), fmt.Sprint(counts[soak.Late]), fmt.Sprint(counts[soak.Corrupted]), fmt.Sprint(answeredTwice(r)),
 			exitText(r.Exits), lastExit(r.Exits),
 		})
 	}
 	return t
 }
 
-// lossesByTime counts the lost requests by when they were sent.
+// lossesByTime formats the numbers of lost requests, by the time when they were sent.
 func lossesByTime(r soak.Result) string {
 	var before, early, late int
 	for _, request := range r.Requests {
@@ -42,6 +43,7 @@
 	return fmt.Sprintf("%d / %d / %d", before, early, late)
 }
 
+// answeredTwice returns the number of requests with more than one answer.
 func answeredTwice(r soak.Result) (n int) {
 	for _, request := range r.Requests {
 		if request.Duplicates > 0 {
@@ -51,17 +53,15 @@
 	return n
 }
 
-// exitText sums up how the gateways ended.
+// exitText formats the number of gateways that failed, or else of those that were killed, or else 0.
 func exitText(exits []soak.Exit) string {
-	var byItself, killed, failed int
+	var killed, failed int
 	for _, e := range exits {
 		switch {
 		case e.Err != nil:
 			failed++
 		case e.Killed:
 			killed++
-		default:
-			byItself++
 		}
 	}
 	switch {
@@ -73,7 +73,7 @@
 	return "0"
 }
 
-// lastExit returns when the last gateway ended after its SIGTERM, in seconds.
+// lastExit formats the longest time from a gateway's SIGTERM until its exit, in seconds.
 func lastExit(exits []soak.Exit) string {
 	longest := time.Duration(0)
 	for _, e := range exits {
--- a/cmd/fleettest/table.go
+++ b/cmd/fleettest/table.go
@@ -13,7 +13,7 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// table is a table of results, which is kept as CSV and as Markdown.
+// table is a table of results, which is saved as CSV and as Markdown.
 type table struct {
 	header []string
 	rows   [][]string
@@ -31,12 +31,12 @@
 	return b.String()
 }
 
-// saveIn writes the table to a folder, which is made where there is none.
-func (t table) saveIn(folder, name string) error {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+// saveIn writes the table to files in a directory, which it creates if necessary.
+func (t table) saveIn(dir, name string) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	return t.save(filepath.Join(folder, name))
+	return t.save(filepath.Join(dir, name))
 }
 
 // save writes the table to base.md and base.csv.
@@ -52,10 +52,10 @@
 	return errors.Join(err, file.Close())
 }
 
-// seconds formats a time in seconds.
+// seconds formats a duration in seconds.
 func seconds(d time.Duration) string { return fmt.Sprintf("%.1f", d.Seconds()) }
 
-// medianAndMax formats the median and the maximum of sorted times, in seconds.
+// medianAndMax formats the median and the maximum of sorted durations, in seconds.
 func medianAndMax(sorted []time.Duration) string {
 	if len(sorted) == 0 {
 		return "-"
@@ -63,11 +63,10 @@
 	return seconds(simulation.Quantile(sorted, 0.5)) + " / " + seconds(sorted[len(sorted)-1])
 }
 
-// resultTable shows the results of a scenario's steps.
+// resultTable shows the results of a scenario, with a row for each step.
 func resultTable(results []testfleet.Result) table {
-	t := table{header: []string{"step", "does", "gateways", "first told after s (median / most)",
-		"all told s later (median / most)", "told dead without need", "views agree s after the fault (median / most)",
-		"datagrams a gateway and s", "bytes a gateway and s"}}
+	t := table{header: []string{"step", "fault", "affected gateways", "detection, s (median / max)", "dissemination, s (median / max)",
+		"false positives", "convergence after the fault, s (median / max)", "datagrams/s per gateway", "bytes/s per gateway"}}
 	for _, r := range results {
 		t.rows = append(t.rows, []string{r.Step, r.Action, fmt.Sprint(r.Gateways), medianAndMax(r.DetectionTimes), medianAndMax(r.DisseminationTimes),
 			fmt.Sprint(r.FalsePositives), medianAndMax(r.ConvergenceTimes), fmt.Sprintf("%.2f", r.DatagramRate), fmt.Sprintf("%.0f", r.ByteRate)})
@@ -75,11 +74,10 @@
 	return t
 }
 
-// simulationTable shows the results of a simulation, a row for each size of the fleet.
+// simulationTable shows the results of the simulations, with a row for each size of the fleet.
 func simulationTable(rows []membershipRow) table {
-	t := table{header: []string{"members", "datagrams a member and s", "bytes a member and s", "kills",
-		"first told after s (median / 99th)", "all told s later (median / most)", "not told to all", "false deaths in h",
-		"by heartbeats"}}
+	t := table{header: []string{"members", "datagrams/s per member", "bytes/s per member", "kills", "detection, s (median / p99)",
+		"dissemination, s (median / max)", "missed kills", "false positives in process-hours", "false positives with heartbeats"}}
 	for _, r := range rows {
 		t.rows = append(t.rows, []string{fmt.Sprint(r.members), fmt.Sprintf("%.2f", r.steady.DatagramRate),
 			fmt.Sprintf("%.1f", r.steady.ByteRate), fmt.Sprint(r.kills.Kills),
