--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -58,7 +58,7 @@
 	}
 	rows := resultTable([]testfleet.Result{{Step: "1", Action: "kill", DetectionTimes: []time.Duration{time.Second, 3 * time.Second}}}).rows
 	if rows[0][3] != "3.0 / 3.0" || rows[0][4] != "-" {
-		t.Fatalf("%v", rows)
+		t.Fatalf("row is %v, want detection times \"3.0 / 3.0\" and dissemination times \"-\"", rows[0])
 	}
 }
 
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -149,7 +149,7 @@
 			var limit *scale.LimitError
 			var value *scale.ValueError
 			if !errors.As(err, &limit) && !errors.As(err, &value) || !strings.Contains(err.Error(), option) {
-				t.Error(err)
+				t.Errorf("error is %v, want a *scale.LimitError or *scale.ValueError that names %s", err, option)
 			}
 		})
 	}
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -21,7 +21,7 @@
 	}
 	required := fullSize.Requirements(machine)
 	if required.Processes >= MaxProcesses || required.MemoryBytes > machine.MemoryBytes/2 || required.Descriptors > machine.Descriptors {
-		t.Fatalf("%+v", required)
+		t.Fatalf("requirements of the full size exceed the machine: %+v", required)
 	}
 	for option, c := range map[string]struct {
 		sizes   Sizes
@@ -34,7 +34,7 @@
 		t.Run(option, func(t *testing.T) {
 			var limit *LimitError
 			if err := c.sizes.Check(c.machine); !errors.As(err, &limit) || limit.Option != option || limit.Required <= limit.Available {
-				t.Error(err)
+				t.Errorf("error is %v, want a *LimitError for %s that requires more than is available", err, option)
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 	nan := fullSize
 	nan.StatementRate = math.NaN()
 	if err := nan.Check(machine); !errors.As(err, &value) || value.Option != "--rate" {
-		t.Error(err)
+		t.Errorf("error is %v, want a *ValueError for --rate", err)
 	}
 }
 
