--- a/internal/subsetdriver/fleet_test.go
+++ b/internal/subsetdriver/fleet_test.go
@@ -217,7 +217,7 @@
 }
 
 func (g *simGateway) SubsetSize() (listed, used int)    { return len(g.fleet.engines), len(g.used) }
-func (g *simGateway) SubsetActive() bool                { return !g.chooser.UsesAll() }
+func (g *simGateway) UsesSubset() bool                  { return !g.chooser.UsesAll() }
 func (g *simGateway) SubsetOverlap(gateway int) float64 { return g.chooser.Overlap(gateway) }
 
 // Simulated fleets: a small one for CI, and one of the size that is expected in production. Both have more gateways than a zone
--- a/internal/subsetdriver/updater.go
+++ b/internal/subsetdriver/updater.go
@@ -33,8 +33,8 @@
 	TickSubset()
 	// SubsetSize returns the number of listed engines and the number of those that the gateway uses.
 	SubsetSize() (listed, used int)
-	// SubsetActive reports whether the gateway uses fewer than all engines.
-	SubsetActive() bool
+	// UsesSubset reports whether the gateway uses fewer than all engines.
+	UsesSubset() bool
 	// SubsetOverlap returns the share of another gateway's subset that is also in this gateway's subset, or 0 if unknown.
 	SubsetOverlap(gateway int) float64
 }
@@ -200,7 +200,7 @@
 // updateWeights recomputes the weights of the gateways as receivers of load reports once per weightsInterval. A gateway's weight
 // is the overlap of its subset with this gateway's.
 func (u *Updater) updateWeights(now time.Duration) {
-	if !u.dispatcher.SubsetActive() {
+	if !u.dispatcher.UsesSubset() {
 		u.weights = nil
 		return
 	}
--- a/internal/testbed/hollow/subset.go
+++ b/internal/testbed/hollow/subset.go
@@ -45,8 +45,8 @@
 	return listed, len(s.chooser.IDs())
 }
 
-// SubsetActive reports whether fewer than all engines are used.
-func (s *subsetDispatcher) SubsetActive() bool { return s.chooser != nil && !s.chooser.UsesAll() }
+// UsesSubset reports whether fewer than all engines are used.
+func (s *subsetDispatcher) UsesSubset() bool { return s.chooser != nil && !s.chooser.UsesAll() }
 
 // SubsetOverlap returns the share of another gateway's subset that is also in this gateway's subset.
 func (s *subsetDispatcher) SubsetOverlap(gateway int) float64 {
--- a/internal/transport/dispatcher/subset.go
+++ b/internal/transport/dispatcher/subset.go
@@ -27,8 +27,8 @@
 // SubsetSize returns the number of listed engines, without removed ones, and the number of those that the gateway uses.
 func (d *Dispatcher) SubsetSize() (listed, used int) { return d.Core.SubsetSize() }
 
-// SubsetActive reports whether the gateway uses fewer than all engines.
-func (d *Dispatcher) SubsetActive() bool { return d.Core.UsesSubset() }
+// UsesSubset reports whether the gateway uses fewer than all engines.
+func (d *Dispatcher) UsesSubset() bool { return d.Core.UsesSubset() }
 
 // SubsetOverlap returns the share of another gateway's subset, from 0 to 1, that is also in this gateway's subset, as far as it is known.
 func (d *Dispatcher) SubsetOverlap(gateway int) float64 { return d.Core.SubsetOverlap(gateway) }
