--- a/internal/control/rollout/golden_test.go
+++ b/internal/control/rollout/golden_test.go
@@ -38,7 +38,7 @@
 			{TargetVersion: NewVersion, Step: Starting, StartedVersion: NewVersion, Since: time.Second, PID: 7},
 			{TargetVersion: OldVersion, Step: Steady},
 		}}
-	text, err := json.MarshalIndent([]any{state, Verdict{Worse: true, Conclusive: true, Reason: "w"}, VersionID{1, 2}}, "", " ")
+	text, err := json.MarshalIndent([]any{state, Verdict{Regressed: true, Conclusive: true, Reason: "w"}, VersionID{1, 2}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/rollout/judge.go
+++ b/internal/control/rollout/judge.go
@@ -11,9 +11,9 @@
 	incorrectResultRatio = 5.0 // ratio of the new gateways' share of incorrect results to the old ones' above which a stage is rolled back
 )
 
-// Verdict is the result of evaluating a stage. The verdict is inconclusive if neither Worse nor Conclusive is set.
+// Verdict is the result of evaluating a stage. The verdict is inconclusive if neither Regressed nor Conclusive is set.
 type Verdict struct {
-	Worse      bool   `json:"Worse"`  // the new version has regressed
+	Regressed  bool   `json:"Worse"`  // the new version has regressed
 	Conclusive bool   `json:"Enough"` // enough data shows that it has not
 	Reason     string `json:"Why"`    // the regression, or why there is no conclusion yet
 }
@@ -27,10 +27,10 @@
 		return Verdict{Reason: "no reports of both new and old gateways to compare"}
 	}
 	if reason := j.incorrectResultsReason(newSamples, oldSamples); reason != "" {
-		return Verdict{Worse: true, Reason: reason}
+		return Verdict{Regressed: true, Reason: reason}
 	}
 	if reason := j.excessMemoryReason(newSamples, oldSamples); reason != "" {
-		return Verdict{Worse: true, Reason: reason}
+		return Verdict{Regressed: true, Reason: reason}
 	}
 	all := metrics()
 	alpha := j.FalseAlarmProbability / float64(stages*len(all)*(len(classNames)+1))
@@ -40,7 +40,7 @@
 		for k, m := range all {
 			c := compare(newSamples, oldSamples, classesOf(class, clientClasses), m)
 			if c.exceeds(j.AllowedRegression, alpha) {
-				return Verdict{Worse: true, Reason: c.describe(name, m.name)}
+				return Verdict{Regressed: true, Reason: c.describe(name, m.name)}
 			}
 			if k == notInTimeMetric && inconclusive == "" {
 				inconclusive = j.inconclusiveReason(c, class, name, m.name)
--- a/internal/control/rollout/stage.go
+++ b/internal/control/rollout/stage.go
@@ -79,7 +79,7 @@
 	watched := now - m.state.Since
 	m.verdict = m.evaluateSamples(samples)
 	switch {
-	case m.verdict.Worse:
+	case m.verdict.Regressed:
 		m.rollBack(now, m.verdict.Reason)
 		return
 	case silentNew > 0 && watched > seconds(m.plan.Change.ReportTimeoutSeconds) && m.reportsReliable(now):
@@ -136,7 +136,7 @@
 		incorrect += s.Checks.Incorrect
 	}
 	if incorrect >= minIncorrectResults {
-		return Verdict{Worse: true, Reason: fmt.Sprintf("%d incorrect check results", incorrect)}
+		return Verdict{Regressed: true, Reason: fmt.Sprintf("%d incorrect check results", incorrect)}
 	}
 	return Verdict{Conclusive: len(samples) > 0, Reason: "no old gateways left to compare with"}
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -33,7 +33,7 @@
 	}
 	s := statusOf(c.Name, c.State)
 	s.Running, s.History, s.Error = true, c.History, "e"
-	s.Verdict = rollout.Verdict{Worse: true, Conclusive: true, Reason: "why"}
+	s.Verdict = rollout.Verdict{Regressed: true, Conclusive: true, Reason: "why"}
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
 		t.Fatal(err)
