--- a/internal/transport/dispatcher/attempt.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -21,7 +21,7 @@
 	addr       string
 	machine    attempt.StateMachine
 	relay      func([]byte)
-	channels   [2]*channel // by attempt.Channel; nil if not in use
+	channels   [2]*channel // indexed by attempt.Channel; nil if not in use
 	timers     map[attempt.Timer]*eventloop.Timer
 }
 
--- a/internal/transport/dispatcher/dispatcher.go
+++ b/internal/transport/dispatcher/dispatcher.go
@@ -49,8 +49,8 @@
 type request struct {
 	client        Client
 	attempt       Attempt          // nil if none is in flight
-	attemptNumber int              // of the latest attempt
-	timeout       *eventloop.Timer // of the latest attempt
+	attemptNumber int              // number of the latest attempt
+	timeout       *eventloop.Timer // fires when the latest attempt times out
 	replied       bool             // true also after the client has cancelled the request
 }
 
@@ -69,7 +69,7 @@
 // Bounds of the margin between the core's deadline for a request and the client's.
 const (
 	minDeadlineMargin      = 60 * time.Millisecond
-	maxDeadlineMarginShare = 0.25 // of the client's remaining time
+	maxDeadlineMarginShare = 0.25 // largest margin, as a share of the client's remaining time
 )
 
 // coreTimeBudget returns the part of a client's remaining time that the core may use. The loop's lag is subtracted twice: the request may
@@ -118,7 +118,7 @@
 
 // MaySend is called before the first byte of an attempt is sent, or with resend set before the attempt is sent again. It returns how long
 // the attempt may take and whether it may be sent at all. Nothing is sent if the client has closed its connection, and nothing is resent
-// while input from the client is pending, since it may contain a cancellation. Both are looked up with PeekInput, since the data may still
+// while input from the client is pending, since it may contain a cancellation. Both are checked with PeekInput, since the data may still
 // be in the socket or queued for the loop.
 func (d *Dispatcher) MaySend(id core.ID, attempt int, resend bool) (time.Duration, bool) {
 	r := d.requests[id]
--- a/internal/transport/enginepool/conn.go
+++ b/internal/transport/enginepool/conn.go
@@ -10,14 +10,14 @@
 type Conn struct {
 	*eventloop.Conn // nil while the dial is in progress
 
-	// ProtocolState is state of the connection that the attempts' state machines keep from one use to the next.
+	// ProtocolState is the protocol state of the connection. It is kept for the next attempt that uses the connection.
 	ProtocolState any
 
 	pool            *Pool
 	key             endpointKey
 	stale           bool              // the engine was removed or its address changed: not to be reused
-	handler         eventloop.Handler // of the attempt that uses the connection; nil if there is none
-	releasedAt      time.Duration     // on the loop's clock
+	handler         eventloop.Handler // handler of the attempt that uses the connection; nil if no attempt uses it
+	releasedAt      time.Duration     // time of the last Release, on the loop's clock
 	onDrainDelayEnd func()            // called at the end of a reserved connection's drain delay; nil if it is not reserved
 	timer           *eventloop.Timer  // idle timeout or drain delay
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// isReusable reports whether the connection is open and has neither bytes nor EOF to be read.
+// isReusable reports whether the connection is open and has neither unread bytes nor EOF.
 func (c *Conn) isReusable() bool {
 	pending, eof := c.Peek()
 	return !pending && !eof && c.IsOpen()
--- a/internal/transport/enginepool/pool.go
+++ b/internal/transport/enginepool/pool.go
@@ -16,7 +16,7 @@
 const (
 	writeLimit         = 4 << 20               // bytes queued for an engine: one query with its statement is always smaller
 	idleTimeoutDivisor = 3                     // idle connections are closed after 1/3 of the engines' idle timeout
-	defaultDrainDelay  = 25 * time.Millisecond // some engines send a duplicate response several milliseconds later
+	defaultDrainDelay  = 25 * time.Millisecond // some engines send a duplicate several milliseconds after the response
 )
 
 // Budget is the number of file descriptors that a pool may use: Max for any request, and Urgent more for requests that must not wait.
@@ -40,12 +40,12 @@
 
 	conns   map[*Conn]bool          // all connections, dials included
 	inUse   int                     // descriptors in use, dials included
-	idle    map[endpointKey][]*Conn // in order of release
+	idle    map[endpointKey][]*Conn // idle connections, least recently released first
 	waiters []*request              // requests that wait for a descriptor, in order of arrival
 }
 
-// New returns a Pool of at most budget connections; the urgent ones are for cancellations. engineIdleTimeout is the time after which
-// engines close idle connections.
+// New returns a Pool that uses at most budget descriptors, the urgent ones only for cancellations. engineIdleTimeout is the time after
+// which engines close idle connections.
 func New(loop *eventloop.Loop, log *slog.Logger, dialTimeout, engineIdleTimeout time.Duration, budget Budget) *Pool {
 	return &Pool{
 		loop:        loop,
@@ -77,7 +77,7 @@
 }
 
 // Invalidate closes all connections to an engine that was removed or whose address changed: idle ones now, those in use when they are
-// released, and those being dialed once the dial has completed and no request uses them.
+// released, and those being dialed once the dial is complete and no request uses them.
 func (p *Pool) Invalidate(engine policy.EngineID) {
 	for c := range p.conns {
 		c.stale = c.stale || c.key.engine == engine
--- a/internal/transport/enginepool/pool_test.go
+++ b/internal/transport/enginepool/pool_test.go
@@ -103,7 +103,7 @@
 	loop.Do(first.Release)
 	loop.Do(func() {
 		if p.Invalidate(1); p.inUse != 1 || first.IsOpen() {
-			t.Errorf("after Invalidate(1), %d descriptors are in use and the connection's open state is %t, want 1 and false", p.inUse, first.IsOpen())
+			t.Errorf("after Invalidate(1): %d descriptors in use and IsOpen() = %t, want 1 and false", p.inUse, first.IsOpen())
 		}
 	})
 }
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -146,8 +146,8 @@
 // closeWrite shuts down the sending side; it is called by the writer. The connection is closed only after the peer has closed its side
 // too: closing a socket that has unread bytes sends a reset, and the peer could lose data that was sent before it.
 func (c *Conn) closeWrite() {
-	half, ok := c.nc.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := c.nc.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		c.loop.Post(c.Close)
 		return
 	}
--- a/internal/transport/frontend/client_races_test.go
+++ b/internal/transport/frontend/client_races_test.go
@@ -123,9 +123,8 @@
 	})
 }
 
-// During a stop, a request that is read together with the abort of the last open query is answered, although the abort makes the gateway
-// idle and idle connections are closed then. When the idle check ran in the middle of the read, it closed the connection, and the response
-// to the request was dropped.
+// During a stop, a request that arrives in the same read as the abort of the last open query is answered. The idle check once ran in the
+// middle of the read: after the abort it found the gateway idle and closed the connection, so that the response was dropped.
 func TestStopAnswersRequestReadWithLastAbort(t *testing.T) {
 	f := newFixture(t, 4) // without engines, so that requests stay queued
 	nc, c := f.connectPaused()
@@ -285,7 +284,7 @@
 				return ended
 			})
 			nettest.Send(t, nc, ping)
-			expectLine(t, in, `"serving"`) // without an earlier line
+			expectLine(t, in, `"serving"`) // the first line read: no response to the query precedes it
 		})
 	}
 }
@@ -321,7 +320,7 @@
 			})
 			in := bufio.NewReader(nc)
 			nettest.Send(t, nc, ping)
-			expectLine(t, in, `"serving"`) // without a response to the aborted query
+			expectLine(t, in, `"serving"`) // the first line read: no response to the aborted query precedes it
 		})
 	}
 }
@@ -357,7 +356,7 @@
 				}
 			}
 			if descriptors > f.lingering.limit {
-				t.Errorf("%d connections are being closed, of at most %d", descriptors, f.lingering.limit)
+				t.Errorf("%d connections are being closed, want at most %d", descriptors, f.lingering.limit)
 			}
 		})
 	}
--- a/internal/transport/frontend/listener_races_test.go
+++ b/internal/transport/frontend/listener_races_test.go
@@ -125,7 +125,8 @@
 	return l, nc
 }
 
-// Connections that the kernel has accepted before the MySQL listener is closed, because of a stop or of a change of the master, are served.
+// Connections that the kernel has accepted before the MySQL listener is closed are served, whether it is closed because the gateway stops
+// or because another gateway becomes master.
 func TestAcceptedMySQLConnectionsAreServedAfterStopAccepting(t *testing.T) {
 	loop, p := newPool(t, 1)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/transport/frontend/mysql.go
+++ b/internal/transport/frontend/mysql.go
@@ -25,9 +25,9 @@
 type MySQLConfig struct {
 	Listen         string                    // address to listen on
 	MaxConns       int                       // maximum number of open client connections
-	Accounts       map[string]*mysql.Account // of clients, by user name
-	EngineUser     string                    // for logins at engines
-	EnginePassword string                    // for logins at engines
+	Accounts       map[string]*mysql.Account // accounts of clients, by user name
+	EngineUser     string                    // user name of the gateway's account on engines
+	EnginePassword string                    // password of the gateway's account on engines
 	EnginePort     string                    // MySQL port of engines that are not in EngineAddrs
 	EngineAddrs    map[string]string         // MySQL addresses by engine name
 }
@@ -41,7 +41,7 @@
 	log          *slog.Logger
 	config       MySQLConfig
 	ln           net.Listener // nil while not listening
-	lastThreadID uint32       // connection ID in MySQL's protocol
+	lastThreadID uint32       // thread ID (MySQL connection ID) of the newest connection
 	retryTimer   *eventloop.Timer
 	loginTimeout time.Duration
 }
--- a/internal/transport/frontend/mysql_client.go
+++ b/internal/transport/frontend/mysql_client.go
@@ -15,7 +15,7 @@
 	conn       *eventloop.Conn
 	machine    *mysql.ServerConn
 	query      *mysql.Query // the open query, or nil
-	id         core.ID      // of the open query
+	id         core.ID      // ID of the open query
 	attempt    *dispatcher.AttemptDriver
 	loginTimer *eventloop.Timer
 	paused     bool // reading the engine's response is paused, since the client reads too slowly
--- a/internal/transport/frontend/platform_client.go
+++ b/internal/transport/frontend/platform_client.go
@@ -26,7 +26,7 @@
 	responded   bool // a response was written since the last input
 
 	idleSince time.Duration
-	idleTimer *eventloop.Timer // running until the first request, and then while no query is open
+	idleTimer *eventloop.Timer // runs until the first request, and after that while no query is open
 
 	incompleteBytes int              // bytes received of an incomplete line
 	lineTimer       *eventloop.Timer // timeout for the rest of that line; nil if there is none
--- a/internal/transport/frontend/platform_eviction.go
+++ b/internal/transport/frontend/platform_eviction.go
@@ -38,7 +38,7 @@
 const (
 	idleWithoutQuery evictionPriority = iota // hundreds of them may be opened at once
 	idleAfterQuery
-	recentWithoutQuery   // its requests were answered
+	recentWithoutQuery   // all its requests were answered
 	recentAfterQuery     // the client can send its next query on a new connection
 	recentWithoutRequest // new: its first request may be in transit and would be lost
 )
--- a/internal/transport/frontend/platform_test.go
+++ b/internal/transport/frontend/platform_test.go
@@ -63,8 +63,7 @@
 	}
 }
 
-// expectClosed waits until a connection is closed or reset, without any byte before that. what names the connection in the message of a
-// failure.
+// expectClosed waits until a connection is closed or reset, without any byte before that. what names the connection in failure messages.
 func expectClosed(t *testing.T, what string, nc net.Conn) {
 	t.Helper()
 	if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -164,7 +163,7 @@
 	})
 }
 
-// A listener with the maximum of connections evicts an idle one to accept a new one, and a response queued on the evicted connection is
+// A listener at its connection limit evicts an idle connection to accept a new one, and a response queued on the evicted connection is
 // still written. In a recorded run, 43 responses were lost that way.
 func TestFullListenerEvictsIdleConnections(t *testing.T) {
 	l := newPlatformListener(t, 1, 1<<20, time.Hour)
