--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -11,7 +11,7 @@
 
 // StartAttempt starts an attempt. The host must call MaySend before it sends the first byte.
 type StartAttempt struct {
-	ID      ID
+	ID      RequestID
 	Attempt int // index among the request's attempts
 	Engine  Engine
 	Timeout time.Duration
@@ -20,14 +20,14 @@
 // CancelAttempt cancels an attempt. The host must report AttemptEnded once it is certain that the engine no longer
 // executes it.
 type CancelAttempt struct {
-	ID      ID
+	ID      RequestID
 	Attempt int // index among the request's attempts
 }
 
 // Reply is the one final reply to a request. A Reply with the verdict Served is only returned by the AttemptEnded call
 // that reported the complete response.
 type Reply struct {
-	ID               ID
+	ID               RequestID
 	Verdict          Verdict
 	RetryAfter       time.Duration // how long the client should wait; only set for a rejection
 	DeadlineExceeded bool          // the client's deadline has passed or is a few ticks away
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -22,7 +22,7 @@
 // engine list may have moved it and given its former address to another engine, the client's deadline may have passed,
 // or the attempt may have been cancelled. resend is set if the query was sent before and the engine does not seem to
 // have read it.
-func (c *Core) MaySend(now time.Duration, id ID, n int, resend bool) (left time.Duration, ok bool) {
+func (c *Core) MaySend(now time.Duration, id RequestID, n int, resend bool) (left time.Duration, ok bool) {
 	r := c.requests[id]
 	if r == nil || n >= len(r.attempts) {
 		return 0, false
@@ -46,7 +46,7 @@
 }
 
 // onlyAttemptInFlight checks the invariant that every other attempt of the request has ended.
-func (c *Core) onlyAttemptInFlight(id ID, r *request, n int) bool {
+func (c *Core) onlyAttemptInFlight(id RequestID, r *request, n int) bool {
 	for i, other := range r.attempts {
 		if !c.invariants.Check(i == n || other.ended, "a request has at most one attempt in flight", "request", id) {
 			return false
@@ -57,7 +57,7 @@
 
 // moduleAllows reports whether the module still allows the attempt. The retry budget may have been used up, or the
 // deduplication window may have ended, since the module requested the attempt.
-func (c *Core) moduleAllows(now time.Duration, id ID, n int, resend bool) bool {
+func (c *Core) moduleAllows(now time.Duration, id RequestID, n int, resend bool) bool {
 	if resend {
 		return c.module.ReserveResend(now, id, n)
 	}
@@ -66,7 +66,7 @@
 
 // AttemptEnded reports the end of an attempt. The host must be certain that the engine no longer executes it. fields is
 // the load report in the response; nil = none.
-func (c *Core) AttemptEnded(now time.Duration, id ID, n int, outcome policy.Outcome, fields []ReportField) []Action {
+func (c *Core) AttemptEnded(now time.Duration, id RequestID, n int, outcome policy.Outcome, fields []ReportField) []Action {
 	r := c.requests[id]
 	known := r != nil && n < len(r.attempts) && !r.attempts[n].ended
 	if !c.invariants.Check(known, "an attempt ends only once", "request", id, "attempt", n) {
@@ -94,7 +94,7 @@
 }
 
 // replyForOutcome returns the final reply if the outcome of an attempt determines it; otherwise the module decides.
-func (c *Core) replyForOutcome(now time.Duration, id ID, r *request, outcome policy.Outcome) []Action {
+func (c *Core) replyForOutcome(now time.Duration, id RequestID, r *request, outcome policy.Outcome) []Action {
 	switch {
 	case r.replied:
 		return nil
@@ -108,7 +108,7 @@
 
 // ResponseStarted reports that the host is about to send the first part of an attempt's response to the client. From then
 // on the request is not retried and does not time out. wanted is false if the client no longer wants the response.
-func (c *Core) ResponseStarted(now time.Duration, id ID, n int) (wanted bool, actions []Action) {
+func (c *Core) ResponseStarted(now time.Duration, id RequestID, n int) (wanted bool, actions []Action) {
 	r := c.requests[id]
 	if r == nil || r.replied || n >= len(r.attempts) || r.attempts[n].ended {
 		return false, nil
@@ -121,12 +121,12 @@
 }
 
 // Progress reports an attempt's progress according to its engine: done is the completed share of the work, 0 to 1.
-func (c *Core) Progress(now time.Duration, id ID, n int, done float64) []Action {
+func (c *Core) Progress(now time.Duration, id RequestID, n int, done float64) []Action {
 	return c.dispatch(now, policy.Progress{ID: id, Attempt: n, Done: done})
 }
 
 // ResponseOverdue reports that an engine has not sent an attempt's response in the expected time.
-func (c *Core) ResponseOverdue(now time.Duration, id ID, n int) []Action {
+func (c *Core) ResponseOverdue(now time.Duration, id RequestID, n int) []Action {
 	return c.dispatch(now, policy.ResponseOverdue{ID: id, Attempt: n})
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -33,9 +33,9 @@
 	host         settings.Host
 	log          *slog.Logger
 	invariants   *invariant.Monitor
-	requests     map[ID]*request
+	requests     map[RequestID]*request
 	activeNames  map[string]bool // names of the requests that are pending or have an attempt in flight
-	lastID       ID              // the ID assigned last
+	lastID       RequestID       // the ID assigned last
 	pending      int             // requests without a final reply
 	inFlight     int             // attempts that have not ended
 	engines      map[policy.EngineID]*Engine
@@ -64,7 +64,7 @@
 	}
 	c := &Core{
 		module: module, host: host, log: log, invariants: invariants,
-		requests:          map[ID]*request{},
+		requests:          map[RequestID]*request{},
 		activeNames:       map[string]bool{},
 		engines:           map[policy.EngineID]*Engine{},
 		classes:           map[string]int{},
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -39,7 +39,7 @@
 
 // listedEngine returns an engine list entry with the given name and health.
 func listedEngine(name string, h policy.Health) ListedEngine {
-	return ListedEngine{Name: name, Addr: name + ":1", Zone: "z", Kind: "m", Health: h, Weight: 1}
+	return ListedEngine{Name: name, Addr: name + ":1", Zone: "z", MachineType: "m", Health: h, Weight: 1}
 }
 
 // firstAction returns the first action of type A, and fails the test if there is none.
@@ -151,7 +151,7 @@
 	if gone, _ := c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
 		t.Fatalf("returned for a full list: %+v", gone)
 	}
-	reused := ListedEngine{Name: "c", Addr: "a:1", Zone: "z", Kind: "m", Health: policy.Ready}
+	reused := ListedEngine{Name: "c", Addr: "a:1", Zone: "z", MachineType: "m", Health: policy.Ready}
 	if gone, _ := c.UpdateEngines(startTime, false, []ListedEngine{reused, listedEngine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
 		t.Fatalf("returned for a reused address: %+v", gone)
 	}
--- a/internal/core/decisionlog.go
+++ b/internal/core/decisionlog.go
@@ -24,7 +24,7 @@
 
 // logAttemptDecision logs the module's estimate of the engine that it selected for an attempt. The attribute own includes
 // the threads of this attempt.
-func (c *Core) logAttemptDecision(now time.Duration, id ID, n int) {
+func (c *Core) logAttemptDecision(now time.Duration, id RequestID, n int) {
 	if !c.debugEnabled() {
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // logAttemptEnd logs the outcome of an attempt.
-func (c *Core) logAttemptEnd(now time.Duration, id ID, n int, outcome policy.Outcome) {
+func (c *Core) logAttemptEnd(now time.Duration, id RequestID, n int, outcome policy.Outcome) {
 	if !c.debugEnabled() {
 		return
 	}
@@ -57,7 +57,7 @@
 }
 
 // logReply logs the final reply to a request.
-func (c *Core) logReply(now time.Duration, id ID, r *request, v Verdict) {
+func (c *Core) logReply(now time.Duration, id RequestID, r *request, v Verdict) {
 	if !c.debugEnabled() {
 		return
 	}
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -31,11 +31,11 @@
 
 // ListedEngine is an entry of the engine list.
 type ListedEngine struct {
-	Name, Addr, Zone, Kind string
-	Cell                   int
-	Health                 policy.Health
-	Weight                 float64
-	Started                time.Duration // when the engine started, since the Unix epoch; 0 = long ago
+	Name, Addr, Zone, MachineType string
+	Cell                          int
+	Health                        policy.Health
+	Weight                        float64
+	Started                       time.Duration // when the engine started, since the Unix epoch; 0 = long ago
 }
 
 // UpdateEngines applies an engine list: the full list, or only the entries that changed. It returns the engines that are
@@ -89,7 +89,7 @@
 func (c *Core) updateEngine(now time.Duration, e *Engine, entry ListedEngine) {
 	e.Addr, e.Health, e.updatedAt = entry.Addr, entry.Health, now
 	e.info = policy.EngineInfo{
-		ID: e.ID, Zone: indexOf(c.host.Zones, entry.Zone), MachineType: indexOf(c.host.MachineTypes, entry.Kind), Cell: entry.Cell,
+		ID: e.ID, Zone: indexOf(c.host.Zones, entry.Zone), MachineType: indexOf(c.host.MachineTypes, entry.MachineType), Cell: entry.Cell,
 		Health: entry.Health, Scale: entry.Weight, Started: entry.Started,
 	}
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -18,13 +18,13 @@
 	core       *Core
 	invariants *invariant.Monitor
 	now        time.Duration
-	ids        []ID
-	replies    map[ID]int // number of final replies; a cancellation counts as one
-	inFlight   map[ID]StartAttempt
+	ids        []RequestID
+	replies    map[RequestID]int // number of final replies; a cancellation counts as one
+	inFlight   map[RequestID]StartAttempt
 }
 
 func newModelRun(t *rapid.T, c *Core, invariants *invariant.Monitor) *modelRun {
-	return &modelRun{t: t, core: c, invariants: invariants, now: startTime, replies: map[ID]int{}, inFlight: map[ID]StartAttempt{}}
+	return &modelRun{t: t, core: c, invariants: invariants, now: startTime, replies: map[RequestID]int{}, inFlight: map[RequestID]StartAttempt{}}
 }
 
 func (m *modelRun) execute(actions []Action) {
@@ -155,14 +155,14 @@
 	}
 }
 
-func (m *modelRun) cancel(id ID) {
+func (m *modelRun) cancel(id RequestID) {
 	if m.replies[id] == 0 {
 		m.replies[id]++
 		m.execute(m.core.Cancel(m.now, id))
 	}
 }
 
-func (m *modelRun) endAttemptIfInFlight(id ID) {
+func (m *modelRun) endAttemptIfInFlight(id RequestID) {
 	if s, inFlight := m.inFlight[id]; inFlight {
 		m.endAttempt(s)
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -6,8 +6,8 @@
 	"frostpier/policy"
 )
 
-// ID identifies a request; Submit assigns it.
-type ID = policy.RequestID
+// RequestID identifies a request; Submit assigns it.
+type RequestID = policy.RequestID
 
 // Verdict is the kind of a final reply.
 type Verdict uint8
@@ -52,7 +52,7 @@
 
 // Submit accepts a query and assigns an ID to it. A query with the name of an active request fails, since engines could
 // not distinguish the two: progress updates or the end of one would be attributed to the other.
-func (c *Core) Submit(now time.Duration, q Query) (ID, []Action) {
+func (c *Core) Submit(now time.Duration, q Query) (RequestID, []Action) {
 	c.lastID++
 	id := c.lastID
 	r := &request{class: q.Class, submittedAt: now, deadline: now + q.Remaining, objective: c.latencyObjective(q)}
@@ -94,7 +94,7 @@
 }
 
 // Cancel reports that the client no longer wants a reply. Attempts in flight are cancelled.
-func (c *Core) Cancel(now time.Duration, id ID) []Action {
+func (c *Core) Cancel(now time.Duration, id RequestID) []Action {
 	r := c.requests[id]
 	if r == nil || r.replied {
 		return nil
@@ -111,7 +111,7 @@
 }
 
 // cancelAttempts returns a CancelAttempt for each attempt in flight.
-func (r *request) cancelAttempts(id ID) (cancels []Action) {
+func (r *request) cancelAttempts(id RequestID) (cancels []Action) {
 	for n, a := range r.attempts {
 		if !a.ended {
 			cancels = append(cancels, CancelAttempt{ID: id, Attempt: n})
@@ -131,14 +131,14 @@
 }
 
 // replyDirectly gives a request its final reply without an event to the module, and returns the reply as the only action.
-func (c *Core) replyDirectly(now time.Duration, id ID, v Verdict, retryAfter time.Duration) []Action {
+func (c *Core) replyDirectly(now time.Duration, id RequestID, v Verdict, retryAfter time.Duration) []Action {
 	c.actions = nil
 	c.reply(now, id, v, retryAfter)
 	return c.actions
 }
 
 // reply adds the one final reply to a request to the actions.
-func (c *Core) reply(now time.Duration, id ID, v Verdict, retryAfter time.Duration) {
+func (c *Core) reply(now time.Duration, id RequestID, v Verdict, retryAfter time.Duration) {
 	r := c.requests[id]
 	if !c.invariants.Check(r != nil && !r.replied, "a request gets only one final reply", "request", id) {
 		return
@@ -156,7 +156,7 @@
 }
 
 // removeIfDone removes a request that has its final reply and no attempt in flight.
-func (c *Core) removeIfDone(id ID, r *request) {
+func (c *Core) removeIfDone(id RequestID, r *request) {
 	if r.replied && r.inFlight == 0 {
 		delete(c.requests, id)
 		delete(c.activeNames, r.name)
--- a/internal/core/sharing.go
+++ b/internal/core/sharing.go
@@ -12,7 +12,7 @@
 	if c.subset != nil {
 		c.subset.nextSharingCount = now + sharingCountInterval
 	}
-	state := policy.GatewaysInService{Count: c.sharingGateways(), Subset: c.UsesSubset()}
+	state := policy.GatewaysInService{Count: c.sharingGateways(), UsesSubset: c.UsesSubset()}
 	if state == c.lastInService {
 		return nil
 	}
--- a/internal/core/subset_model_test.go
+++ b/internal/core/subset_model_test.go
@@ -123,7 +123,7 @@
 	plain, subsetted      *Core
 	plainSent, subsetSent *eventRecorder
 	now                   time.Duration
-	ids                   []ID
+	ids                   []RequestID
 	newChooser            func() *subset.Chooser
 }
 
@@ -191,7 +191,7 @@
 }
 
 func (d *differentialRun) submit() {
-	ids := map[*Core]ID{}
+	ids := map[*Core]RequestID{}
 	d.handleInBoth("submit", func(c *Core) (actions []Action) {
 		ids[c], actions = c.Submit(d.now, testQuery)
 		return actions
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -232,8 +232,8 @@
 			overflow++
 		}
 	}
-	if overflow == 0 || !c.lastInService.Subset {
-		t.Fatalf("%d overflow engines, subset in use: %v", overflow, c.lastInService.Subset)
+	if overflow == 0 || !c.lastInService.UsesSubset {
+		t.Fatalf("%d overflow engines, subset in use: %v", overflow, c.lastInService.UsesSubset)
 	}
 	c.UseSubset(startTime+2*sharingCountInterval, nil)
 	for id := range c.engines {
@@ -241,7 +241,7 @@
 			t.Errorf("engine %x was sent after the subset was lifted as %+v", id, info)
 		}
 	}
-	if c.lastInService.Subset {
+	if c.lastInService.UsesSubset {
 		t.Error("the module was not sent that the subset was lifted")
 	}
 }
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -28,7 +28,7 @@
 // fleetLocation returns this gateway's number and zone in its fleet, from the settings.
 func fleetLocation(host settings.Host) subsetdriver.Location {
 	return subsetdriver.Location{
-		Number: host.Policy.GatewayIndex, Gateways: host.Policy.Gateways,
+		GatewayIndex: host.Policy.GatewayIndex, Gateways: host.Policy.Gateways,
 		Zones: host.Zones, Zone: host.Policy.Zone,
 	}
 }
--- a/internal/protocol/discovery/event.go
+++ b/internal/protocol/discovery/event.go
@@ -114,14 +114,14 @@
 		return core.ListedEngine{}, e.invalid("hostPort", e.Addr, "not empty while in service")
 	}
 	return core.ListedEngine{
-		Name:    e.ID,
-		Addr:    e.Addr,
-		Zone:    e.Zone,
-		Kind:    e.Kind,
-		Cell:    e.Cell,
-		Health:  health,
-		Weight:  e.Weight,
-		Started: time.Duration(e.Started) * time.Millisecond,
+		Name:        e.ID,
+		Addr:        e.Addr,
+		Zone:        e.Zone,
+		MachineType: e.Kind,
+		Cell:        e.Cell,
+		Health:      health,
+		Weight:      e.Weight,
+		Started:     time.Duration(e.Started) * time.Millisecond,
 	}, nil
 }
 
--- a/internal/protocol/discovery/golden_test.go
+++ b/internal/protocol/discovery/golden_test.go
@@ -22,7 +22,7 @@
 			fmt.Fprintf(&out, "  version %d full %v\n", e.ResourceVersion, e.Full)
 			for _, l := range e.Engines {
 				fmt.Fprintf(&out, "  engine %s %s zone %s kind %s cell %d health %d started %v\n",
-					l.Name, l.Addr, l.Zone, l.Kind, l.Cell, l.Health, l.Started)
+					l.Name, l.Addr, l.Zone, l.MachineType, l.Cell, l.Health, l.Started)
 			}
 		}
 		fmt.Fprintf(&out, "  error %v, request %q\n", err != nil, s.Request())
--- a/internal/subsetdriver/fleet_test.go
+++ b/internal/subsetdriver/fleet_test.go
@@ -66,7 +66,7 @@
 // locationOf returns the location of a gateway. Gateways are assigned to the zones in turn by their numbers.
 func (f *simFleet) locationOf(number int) Location {
 	zones := []string{"a", "b", "c", "d", "e", "f", "g"}[:f.setup.zones]
-	return Location{Number: number, Gateways: f.setup.gateways, Zones: zones, Zone: number % len(zones)}
+	return Location{GatewayIndex: number, Gateways: f.setup.gateways, Zones: zones, Zone: number % len(zones)}
 }
 
 func (f *simFleet) config() *subset.Config {
--- a/internal/subsetdriver/updater.go
+++ b/internal/subsetdriver/updater.go
@@ -49,10 +49,10 @@
 
 // Location describes the position of a gateway in its fleet.
 type Location struct {
-	Number   int      // number of the gateway, from 0
-	Gateways int      // number of configured gateways
-	Zones    []string // names of the zones; empty = a fleet without zones
-	Zone     int      // index in Zones; out of range = unknown
+	GatewayIndex int      // index of the gateway, from 0
+	Gateways     int      // number of configured gateways
+	Zones        []string // names of the zones; empty = a fleet without zones
+	Zone         int      // index in Zones; out of range = unknown
 }
 
 // Updater keeps a gateway's subset up to date when its configuration, the zones of the gateways or the membership change. It
@@ -78,7 +78,7 @@
 		location.Zones = []string{""} // a fleet without zones has a single, unnamed zone
 	}
 	u := &Updater{dispatcher: dispatcher, log: log, location: location}
-	u.zoneTable = zonetable.New(location.Number, location.Gateways, location.Zones, u.zone(),
+	u.zoneTable = zonetable.New(location.GatewayIndex, location.Gateways, location.Zones, u.zone(),
 		func(member int) time.Duration { return u.members.StartTime(member) })
 	return u
 }
@@ -129,7 +129,7 @@
 }
 
 func (u *Updater) enable(now time.Duration, config subset.Config) error {
-	chooser, err := subset.New(config, u.location.Number, u.zone(), u.location.Gateways)
+	chooser, err := subset.New(config, u.location.GatewayIndex, u.zone(), u.location.Gateways)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -89,7 +89,7 @@
 
 // attemptEnd is the event that an attempt of the core has ended.
 type attemptEnd struct {
-	id      core.ID
+	id      core.RequestID
 	attempt int
 }
 
@@ -130,7 +130,7 @@
 	}
 	listed := make([]core.ListedEngine, setup.Engines)
 	for i := range listed {
-		listed[i] = core.ListedEngine{Name: engineName(i), Addr: "10.0.0.1:1", Zone: zoneName(0), Kind: engineKind,
+		listed[i] = core.ListedEngine{Name: engineName(i), Addr: "10.0.0.1:1", Zone: zoneName(0), MachineType: engineKind,
 			Health: policy.Ready, Weight: 1}
 	}
 	gatewayCore.UpdateEngines(virtualEpoch, true, listed)
--- a/internal/testbed/hollow/messages.go
+++ b/internal/testbed/hollow/messages.go
@@ -37,7 +37,7 @@
 
 // location returns the location of a member in its fleet.
 func (s GatewaySetup) location(member Member) subsetdriver.Location {
-	return subsetdriver.Location{Number: member.Number, Gateways: len(s.Peers), Zones: s.Zones, Zone: member.Zone}
+	return subsetdriver.Location{GatewayIndex: member.Number, Gateways: len(s.Peers), Zones: s.Zones, Zone: member.Zone}
 }
 
 // GatewayCommand is a command to a process of hollow gateways. It does not affect members that it does not name.
--- a/internal/testutil/nettest/engine.go
+++ b/internal/testutil/nettest/engine.go
@@ -64,7 +64,7 @@
 
 // ListEntry returns an engine list entry for the engine with the given health.
 func (e *Engine) ListEntry(health policy.Health) core.ListedEngine {
-	return core.ListedEngine{Name: e.ID, Addr: e.Addr(), Zone: "z", Kind: "m", Health: health, Weight: 1}
+	return core.ListedEngine{Name: e.ID, Addr: e.Addr(), Zone: "z", MachineType: "m", Health: health, Weight: 1}
 }
 
 // PendingConns returns the number of connections that the test has not accepted yet.
--- a/internal/transport/dispatcher/dispatcher.go
+++ b/internal/transport/dispatcher/dispatcher.go
@@ -41,7 +41,7 @@
 	Pools []*enginepool.Pool // all pools of connections to engines
 	Log   *slog.Logger
 
-	requests map[core.ID]*request
+	requests map[core.RequestID]*request
 	onIdle   func() // called once when no request is open and no attempt is in flight
 }
 
@@ -62,7 +62,7 @@
 		Pool:     pool,
 		Pools:    []*enginepool.Pool{pool},
 		Log:      log,
-		requests: map[core.ID]*request{},
+		requests: map[core.RequestID]*request{},
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 // Submit submits a request to the core. onID is called with the request's ID before any of the core's actions is executed.
-func (d *Dispatcher) Submit(query core.Query, client Client, onID func(core.ID)) {
+func (d *Dispatcher) Submit(query core.Query, client Client, onID func(core.RequestID)) {
 	query.Remaining = coreTimeBudget(query.Remaining, d.Loop.Lag())
 	id, actions := d.Core.Submit(d.Loop.Now(), query)
 	d.requests[id] = &request{client: client}
@@ -91,7 +91,7 @@
 }
 
 // Cancel cancels a request whose client no longer waits for a reply.
-func (d *Dispatcher) Cancel(id core.ID) {
+func (d *Dispatcher) Cancel(id core.RequestID) {
 	if r := d.requests[id]; r != nil {
 		r.replied = true
 		d.execute(d.Core.Cancel(d.Loop.Now(), id), nil)
@@ -120,7 +120,7 @@
 // the attempt may take and whether it may be sent at all. Nothing is sent if the client has closed its connection, and nothing is resent
 // while input from the client is pending, since it may contain a cancellation. Both are checked with PeekInput, since the data may still
 // be in the socket or queued for the loop.
-func (d *Dispatcher) MaySend(id core.ID, attempt int, resend bool) (time.Duration, bool) {
+func (d *Dispatcher) MaySend(id core.RequestID, attempt int, resend bool) (time.Duration, bool) {
 	r := d.requests[id]
 	if r == nil {
 		return 0, false
@@ -133,14 +133,14 @@
 }
 
 // ReadPendingInput reads and handles all bytes that a request's client has sent so far. They may cancel the request.
-func (d *Dispatcher) ReadPendingInput(id core.ID) {
+func (d *Dispatcher) ReadPendingInput(id core.RequestID) {
 	if r := d.requests[id]; r != nil {
 		r.client.ReadPendingInput()
 	}
 }
 
 // ResponseStarted reports to the core that an attempt's response has started, and returns whether the response is relayed to the client.
-func (d *Dispatcher) ResponseStarted(id core.ID, attempt int) bool {
+func (d *Dispatcher) ResponseStarted(id core.RequestID, attempt int) bool {
 	relayed, actions := d.Core.ResponseStarted(d.Loop.Now(), id, attempt)
 	if r := d.requests[id]; r != nil && len(actions) > 0 {
 		r.timeout.Stop()
@@ -150,17 +150,17 @@
 }
 
 // Progress reports the completed share of a running query, from 0 to 1.
-func (d *Dispatcher) Progress(id core.ID, attempt int, done float64) {
+func (d *Dispatcher) Progress(id core.RequestID, attempt int, done float64) {
 	d.execute(d.Core.Progress(d.Loop.Now(), id, attempt, done), nil)
 }
 
 // ResponseOverdue reports that an engine withholds the response of an attempt.
-func (d *Dispatcher) ResponseOverdue(id core.ID, attempt int) {
+func (d *Dispatcher) ResponseOverdue(id core.RequestID, attempt int) {
 	d.execute(d.Core.ResponseOverdue(d.Loop.Now(), id, attempt), nil)
 }
 
 // AttemptEnded reports the end of an attempt. It is called exactly once for each attempt.
-func (d *Dispatcher) AttemptEnded(id core.ID, attempt int, outcome policy.Outcome, report []core.ReportField, result any) {
+func (d *Dispatcher) AttemptEnded(id core.RequestID, attempt int, outcome policy.Outcome, report []core.ReportField, result any) {
 	r := d.requests[id]
 	if r != nil && r.attemptNumber == attempt {
 		r.timeout.Stop()
@@ -254,7 +254,7 @@
 }
 
 // removeIfDone removes a request that has been replied to and has no attempt in flight.
-func (d *Dispatcher) removeIfDone(id core.ID, r *request) {
+func (d *Dispatcher) removeIfDone(id core.RequestID, r *request) {
 	if r.replied && r.attempt == nil {
 		r.timeout.Stop()
 		delete(d.requests, id)
--- a/internal/transport/frontend/mysql_client.go
+++ b/internal/transport/frontend/mysql_client.go
@@ -14,8 +14,8 @@
 	listener   *MySQLListener
 	conn       *eventloop.Conn
 	machine    *mysql.ServerConn
-	query      *mysql.Query // the open query, or nil
-	id         core.ID      // ID of the open query
+	query      *mysql.Query   // the open query, or nil
+	id         core.RequestID // ID of the open query
 	attempt    *dispatcher.AttemptDriver
 	loginTimer *eventloop.Timer
 	paused     bool // reading the engine's response is paused, since the client reads too slowly
@@ -98,7 +98,7 @@
 	}
 	c.query = query
 	request := core.Query{Class: query.Account.Class, TableGroup: group, Remaining: query.Account.Budget}
-	c.listener.dispatcher.Submit(request, c, func(id core.ID) { c.id = id })
+	c.listener.dispatcher.Submit(request, c, func(id core.RequestID) { c.id = id })
 }
 
 // StartAttempt starts an attempt of the query on an engine.
--- a/internal/transport/frontend/platform.go
+++ b/internal/transport/frontend/platform.go
@@ -93,7 +93,7 @@
 	c := &client{
 		listener:  l,
 		session:   jsonrpc.NewSession(l.dispatcher.Core),
-		requests:  map[string]core.ID{},
+		requests:  map[string]core.RequestID{},
 		idleSince: l.dispatcher.Loop.Now(),
 	}
 	l.open[c] = true
--- a/internal/transport/frontend/platform_client.go
+++ b/internal/transport/frontend/platform_client.go
@@ -18,7 +18,7 @@
 	listener *PlatformListener
 	conn     *eventloop.Conn
 	session  *jsonrpc.Session
-	requests map[string]core.ID // open queries by their JSON-RPC ID
+	requests map[string]core.RequestID // open queries by their JSON-RPC ID
 
 	sentRequest bool // the client has sent a request that was or will be answered
 	sentQuery   bool // the client has sent a valid query
@@ -94,7 +94,7 @@
 		Remaining:         call.Budget,
 		IsClientRetry:     call.IsClientRetry,
 	}
-	c.listener.dispatcher.Submit(query, &request{client: c, call: call}, func(id core.ID) { c.requests[call.ID] = id })
+	c.listener.dispatcher.Submit(query, &request{client: c, call: call}, func(id core.RequestID) { c.requests[call.ID] = id })
 }
 
 // cancel cancels an open query that the client has aborted.
--- a/internal/transport/frontend/platform_test.go
+++ b/internal/transport/frontend/platform_test.go
@@ -136,10 +136,10 @@
 		now := l.dispatcher.Loop.Now()
 		add := func(sentRequest, sentQuery bool, idle time.Duration, requests ...string) *client {
 			nc, _ := net.Pipe()
-			c := &client{listener: l, sentQuery: sentQuery, sentRequest: sentRequest, idleSince: now - idle, requests: map[string]core.ID{}}
+			c := &client{listener: l, sentQuery: sentQuery, sentRequest: sentRequest, idleSince: now - idle, requests: map[string]core.RequestID{}}
 			c.conn = eventloop.NewConn(l.dispatcher.Loop, nc, c, 1)
 			for i, id := range requests {
-				c.requests[id] = core.ID(i + 1)
+				c.requests[id] = core.RequestID(i + 1)
 			}
 			l.open[c] = true
 			return c
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -107,7 +107,7 @@
 	for number := range 4 {
 		g := newTestGateway(t, 12, func(s *Settings) { s.Gateways, s.GatewayIndex = 300, number })
 		g.homeEngine(g.tableGroup(7)) // caches the home engine for the complete fleet
-		g.Handle(g.now, GatewaysInService{Count: 50, Subset: true})
+		g.Handle(g.now, GatewaysInService{Count: 50, UsesSubset: true})
 		home := g.homeEngine(g.tableGroup(7))
 		homes[home.ID] = true
 		overflow := home.EngineInfo
--- a/policy/events.go
+++ b/policy/events.go
@@ -140,8 +140,8 @@
 // gateway's even share of concurrency, memory and the window. The warm-up budget and the retry budget do not depend on
 // it, because gateways may disagree about the number; see docs/design/membership.md.
 type GatewaysInService struct {
-	Count  int
-	Subset bool // the engine list is a subset of the fleet that Count gateways share
+	Count      int
+	UsesSubset bool // the engine list is a subset of the fleet that Count gateways share
 }
 
 // PeerReport is a load report of an engine that a peer received.
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -225,8 +225,8 @@
 // number.
 func (g *Gateway) handleGatewaysInService(event GatewaysInService) {
 	g.gatewaysInService = float64(min(max(1, event.Count), g.settings.Gateways))
-	if event.Subset != g.usesSubset {
-		g.usesSubset, g.homeByGroup = event.Subset, nil
+	if event.UsesSubset != g.usesSubset {
+		g.usesSubset, g.homeByGroup = event.UsesSubset, nil
 	}
 }
 
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -194,7 +194,7 @@
 	case kind < 96:
 		r.list(ListKind(r.rnd.IntN(4)), 4+r.rnd.IntN(2*goldenEngines))
 	case kind < 97:
-		r.handle(GatewaysInService{Count: r.rnd.IntN(r.s.Gateways + 2), Subset: r.rnd.IntN(3) == 0})
+		r.handle(GatewaysInService{Count: r.rnd.IntN(r.s.Gateways + 2), UsesSubset: r.rnd.IntN(3) == 0})
 	default:
 		r.handle(PeerReports{[]PeerReport{{EngineID(1 + r.rnd.IntN(goldenEngines)), float64(r.rnd.IntN(60)),
 			r.now - time.Duration(r.rnd.IntN(3000))*time.Millisecond}}})
