--- a/internal/protocol/discovery/stream_test.go
+++ b/internal/protocol/discovery/stream_test.go
@@ -25,11 +25,11 @@
 	s := &Stream{}
 	events, err := s.Restore([]byte(`{"no":1,"items":[` + eventLine(1, "in_service") + `]}`))
 	if err != nil || len(events) != 1 || !events[0].Full {
-		t.Fatalf("%+v, %v", events, err)
+		t.Fatalf("events %+v and error %v, want one full list", events, err)
 	}
 	if engine := events[0].Engines[0]; engine.Name != "s-1" || engine.Addr != "10.1.0.9:1" || engine.Cell != 2 ||
 		engine.Health != policy.Ready || engine.Started != 1500*time.Millisecond {
-		t.Fatalf("%+v", engine)
+		t.Fatalf("engine %+v does not match the event", engine)
 	}
 	return s
 }
@@ -51,7 +51,7 @@
 			rest = rest[n:]
 		}
 		if len(got) != 2 || got[0].Engines[0].Health != policy.Draining || got[1].Engines[0].Health != policy.Gone || got[1].Full {
-			rt.Fatalf("%+v", got)
+			rt.Fatalf("events %+v, want two changes: draining and gone", got)
 		}
 		if string(s.Request()) != "after 3\n" {
 			rt.Fatalf("request %q", s.Request())
@@ -60,12 +60,12 @@
 }
 
 // A configuration may contain changes of the engine list and, after a reset, full lists.
-func TestRestoreChangesAndResets(t *testing.T) {
+func TestRestoreReturnsChangesAndFullLists(t *testing.T) {
 	s := &Stream{}
 	reset := strings.Replace(eventLine(3, "in_service"), `"reset":false`, `"reset":true`, 1)
 	events, err := s.Restore([]byte(`{"no":3,"items":[` + eventLine(1, "in_service") + "," + eventLine(2, "terminating") + "," + reset + `]}`))
 	if err != nil || len(events) != 3 || !events[0].Full || events[1].Full || !events[2].Full {
-		t.Fatalf("%+v, %v", events, err)
+		t.Fatalf("events %+v and error %v, want a full list, a change and a full list", events, err)
 	}
 	if string(s.Request()) != "after 3\n" {
 		t.Fatalf("request %q", s.Request())
@@ -91,11 +91,11 @@
 			s := restoredStream(t)
 			events, err := s.Feed([]byte(c.text + "\n" + eventLine(2, "in_service") + "\n"))
 			if !errors.Is(err, ErrInvalidEvent) || len(events) > 0 {
-				t.Errorf("%v, %v", events, err)
+				t.Errorf("events %v and error %v, want no event and ErrInvalidEvent", events, err)
 			}
 			var invalid *EventError
 			if !errors.As(err, &invalid) || invalid.Field != c.field || invalid.Value != c.value {
-				t.Errorf("error %v, want field %s, value %v", err, c.field, c.value)
+				t.Errorf("error %v, want an EventError for field %s with value %v", err, c.field, c.value)
 			}
 			if string(s.Request()) != "after 1\n" {
 				t.Errorf("request %q", s.Request())
@@ -113,12 +113,12 @@
 	_, err := s.Feed([]byte{'x'})
 	var invalid *EventError
 	if !errors.As(err, &invalid) || invalid.Field != "line length" || invalid.Value != maxLineBytes+1 {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want an EventError for the line length", err)
 	}
 }
 
 // Random input never causes a panic.
-func TestFeedRandomBytes(t *testing.T) {
+func TestStreamRandomInputNeverPanics(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &Stream{}
 		for _, b := range rapid.SliceOf(rapid.SliceOfN(rapid.SampledFrom([]byte("{}[]\":,0\nnorste")), 0, 60)).Draw(rt, "bytes") {
@@ -132,7 +132,7 @@
 
 // When the configuration is reloaded, only events that follow the last one are returned, and not as full lists. The resource
 // version in the configuration must not advance the stream, because the watch would then skip events.
-func TestRestoreAfterReload(t *testing.T) {
+func TestRestoreAfterReloadReturnsNewEventsOnly(t *testing.T) {
 	s := &Stream{}
 	first := `{"no":1,"roster":{"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"in_service"}]}}`
 	if _, err := s.Restore([]byte(`{"no":1,"items":[` + first + `]}`)); err != nil {
@@ -141,7 +141,7 @@
 	second := `{"no":2,"roster":{"instances":[{"instanceId":"b","hostPort":"h:2","lifecycle":"in_service"}]}}`
 	events, err := s.Restore([]byte(`{"no":9,"items":[{"no":1,"roster":{"instances":[]}},` + second + `]}`))
 	if err != nil || len(events) != 1 || events[0].ResourceVersion != 2 || events[0].Full {
-		t.Fatalf("%+v, %v", events, err)
+		t.Fatalf("events %+v and error %v, want one change with resource version 2", events, err)
 	}
 	if request := string(s.Request()); request != "after 2\n" {
 		t.Fatalf("request %q", request)
--- a/internal/protocol/jsonrpc/jsonrpc_test.go
+++ b/internal/protocol/jsonrpc/jsonrpc_test.go
@@ -36,12 +36,12 @@
 			got, rest = append(got, events...), rest[n:]
 		}
 		if len(got) != 1 || got[0].Call == nil {
-			rt.Fatalf("%+v", got)
+			rt.Fatalf("events %+v, want one call", got)
 		}
 		if c := got[0].Call; c.Class != 3 || c.ID != "7" || c.RID != "9b1f03aa5c7e2d41" || c.Token != "5c0f" ||
 			string(c.Statement) != "SELECT" || c.Budget != 1500*time.Millisecond || c.EstimatedWork != 820*time.Millisecond ||
 			c.EstimatedMemoryMB != 96 || !c.IsClientRetry {
-			rt.Fatalf("%+v", c)
+			rt.Fatalf("parsed call %+v does not match the line %q", c, validCall)
 		}
 	})
 }
@@ -74,7 +74,7 @@
 		t.Run(name, func(t *testing.T) {
 			events, err := NewSession(classes{}).Feed([]byte(c.line))
 			if err != nil || len(events) != 1 || !bytes.Contains(events[0].Reply, fmt.Appendf(nil, `"code":%d`, c.code)) {
-				t.Errorf("%.60q: %+v, %v, want %d", c.line, events, err, c.code)
+				t.Errorf("line %.60q: events %+v and error %v, want one reply with error code %d", c.line, events, err, c.code)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 			s := NewSession(classes{})
 			events, _ := s.Feed([]byte(validCall + second))
 			if len(events) != 2 || !bytes.Contains(events[1].Reply, []byte(`"id":null,"error"`)) || s.OpenCalls() != 1 {
-				t.Errorf("%s: %+v", second, events)
+				t.Errorf("second message %s: events %+v and %d open calls, want an error reply with a null ID and 1 open call", second, events, s.OpenCalls())
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 			s := NewSession(classes{})
 			events, _ := s.Feed([]byte(validCall + `{"jsonrpc":"2.0","method":"abort",` + params + "}\n"))
 			if events[1].Abort != "7" {
-				t.Errorf("%+v", events[1])
+				t.Errorf("event %+v, want an abort of call 7", events[1])
 			}
 		})
 	}
@@ -123,11 +123,12 @@
 		_, err = s.Feed(line)
 	}
 	if !errors.Is(err, ErrLineTooLong) {
-		t.Fatal(err)
+		t.Fatalf("error %v, want ErrLineTooLong", err)
 	}
 }
 
-func TestGarbageNeverPanics(t *testing.T) {
+// Random lines and bytes never cause a panic.
+func TestSessionRandomInputNeverPanics(t *testing.T) {
 	parts := rapid.SampledFrom([]string{validCall, validCall[:40], "{", "}", `"jsonrpc":"2.0",`, `"id":`, "null", `"params":`, "[]", "\n", "7", ","})
 	rapid.Check(t, func(rt *rapid.T) {
 		s := NewSession(classes{})
--- a/internal/protocol/jsonrpc/session.go
+++ b/internal/protocol/jsonrpc/session.go
@@ -13,12 +13,12 @@
 
 // Limits of a client's input.
 const (
-	maxLineBytes   = 256 << 10 // ample for statements written by people; an incomplete line is held in memory
+	maxLineBytes   = 256 << 10 // ample for statements written by people; incomplete lines are held in memory
 	maxOpenCalls   = 32        // per connection
 	maxBudget      = 24 * time.Hour
-	maxEstimate    = 1e9 // milliseconds or MB
+	maxEstimate    = 1e9 // of work in milliseconds, and of memory in MB
 	maxIDBytes     = 64
-	maxHeaderBytes = 256 // of a parameter that is forwarded in an HTTP header
+	maxHeaderBytes = 256 // of a parameter value that is forwarded in an HTTP header
 )
 
 // nullID is the JSON encoding of a null ID, which also represents a missing one.
--- a/internal/protocol/vrrp/vrrp_test.go
+++ b/internal/protocol/vrrp/vrrp_test.go
@@ -69,14 +69,14 @@
 	r := router(t, 100, true)
 	skew := 156 * time.Second / 256
 	if got := timer(r.Startup()); r.State() != Backup || got != 3*time.Second+skew {
-		t.Fatalf("%v after %v", r.State(), got)
+		t.Fatalf("after startup: state %v and timer of %v, want a backup that waits for Active_Down_Interval", r.State(), got)
 	}
 	if got := timer(receive(t, r, high, advert(7, 200, 500*time.Millisecond))); got != 1500*time.Millisecond+skew/2 {
-		t.Fatalf("with the interval of the master: %v", got) // RFC 9568 section 6.4.2: a backup adopts it
+		t.Fatalf("timer of %v, want Active_Down_Interval for the interval of the master", got) // RFC 9568 section 6.4.2: a backup adopts it
 	}
 	steps := r.TimerFired()
 	if m, ok := sent(t, steps); r.State() != Master || !ok || m.priority != 100 || timer(steps) != time.Second {
-		t.Fatalf("%v, %+v", r.State(), steps)
+		t.Fatalf("state %v and steps %+v, want a master that advertises every second with priority 100", r.State(), steps)
 	}
 }
 
@@ -97,14 +97,15 @@
 	}
 }
 
-func TestPreemption(t *testing.T) {
+// A backup ignores advertisements of a lower priority if it preempts; otherwise they restart its timer like any other.
+func TestPreemptingBackupIgnoresLowerPriority(t *testing.T) {
 	for name, preempt := range map[string]bool{"preempt": true, "no preempt": false} {
 		t.Run(name, func(t *testing.T) {
 			r := router(t, 100, preempt)
 			r.Startup()
 			restarted := timer(receive(t, r, high, advert(7, 50, time.Second))) > 0
 			if restarted == preempt {
-				t.Errorf("advertisement of lower priority restarts the timer: %v", restarted)
+				t.Errorf("an advertisement of lower priority restarts the timer: %v, want %v", restarted, !preempt)
 			}
 		})
 	}
@@ -129,7 +130,7 @@
 			r.TimerFired()
 			steps := receive(t, r, c.from, advert(7, c.priority, time.Second))
 			if _, advertised := sent(t, steps); r.State() != c.want || advertised != (c.want == Master) {
-				t.Errorf("%v, %+v", r.State(), steps)
+				t.Errorf("state %v and steps %+v, want state %v, and an advertisement only from a master", r.State(), steps, c.want)
 			}
 		})
 	}
@@ -139,7 +140,7 @@
 	r := router(t, 255, true)
 	r.Startup()
 	if _, err := r.Received(high, advert(7, 254, time.Second)); r.State() != Master || !errors.Is(err, ErrDiscarded) {
-		t.Fatalf("%v, %v", r.State(), err)
+		t.Fatalf("state %v and error %v, want a master that discards the advertisement", r.State(), err)
 	}
 }
 
@@ -166,7 +167,7 @@
 			r.Startup()
 			steps, err := r.Received(high, c.bytes)
 			if !errors.Is(err, ErrDiscarded) || steps != nil {
-				t.Errorf("%v, %v", steps, err)
+				t.Errorf("steps %v and error %v, want no steps and ErrDiscarded", steps, err)
 			}
 			var size *SizeError
 			if errors.As(err, &size) && c.want != nil {
@@ -202,7 +203,8 @@
 	}
 }
 
-func TestGarbageNeverPanics(t *testing.T) {
+// Random messages and timer expiries never cause a panic.
+func TestRouterRandomInputNeverPanics(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := router(t, rapid.Byte().Filter(func(b byte) bool { return b > 0 }).Draw(rt, "priority"), true)
 		r.Startup()
