--- a/internal/protocol/enginehttp/enginehttp_test.go
+++ b/internal/protocol/enginehttp/enginehttp_test.go
@@ -16,15 +16,15 @@
 	"frostpier/policy"
 )
 
-// permit is a permission that allows every attempt to take one second.
-func permit(bool) (time.Duration, bool) { return time.Second, true }
+// permitted is a permission that allows every attempt to take one second.
+func permitted(bool) (time.Duration, bool) { return time.Second, true }
 
 // startQuery returns a query whose POST has been written.
 func startQuery(t testing.TB) *Query {
 	t.Helper()
 	q, _ := NewQuery(Request{Host: "e:1", ID: "9b1f", Class: "lookup", Statement: []byte("SELECT 1")})
-	var memory any
-	steps := q.Connected(attempt.Primary, &memory, permit)
+	var protocolState any
+	steps := q.Connected(attempt.Primary, &protocolState, permitted)
 	if w := written(steps); !strings.HasPrefix(w, "POST /v2/q HTTP/1.1\r\n") || !strings.HasSuffix(w, "\r\n\r\nSELECT 1") {
 		t.Fatalf("wrote %q", w)
 	}
@@ -70,7 +70,7 @@
 }
 
 // The status of a response, with its X-No-Effect header, decides the outcome of the attempt.
-func TestResponseOutcomes(t *testing.T) {
+func TestResponseStatusDecidesOutcome(t *testing.T) {
 	for want, bytes := range map[policy.Outcome][]byte{
 		policy.OK:       response(200, "a\n", "Page-Count: 1"),
 		policy.Rejected: response(503, "", "X-No-Effect: 1"),
@@ -91,16 +91,16 @@
 func TestLostConnectionDoesNotEndAttempt(t *testing.T) {
 	q := startQuery(t)
 	if steps := q.ConnectionLost(attempt.Primary); endStep(steps) != nil || !opens(steps, attempt.Primary) {
-		t.Fatalf("%+v", steps)
+		t.Fatalf("after a lost connection: steps %+v, want a reconnect and no end", steps)
 	}
 	if steps := q.ConnectFailed(attempt.Primary); endStep(steps) != nil {
-		t.Fatalf("after a refused connection: %+v", steps)
+		t.Fatalf("after a refused connection: steps %+v, want no end", steps)
 	}
 	if steps := q.TimerFired(attempt.RetryBackoff); !opens(steps, attempt.Primary) {
-		t.Fatalf("no reconnect after the backoff: %+v", steps)
+		t.Fatalf("after the backoff: steps %+v, want a reconnect", steps)
 	}
 	if e := endStep(q.TimerFired(attempt.UnreachableTimeout)); e == nil || e.Outcome != policy.Reset {
-		t.Fatalf("after 2 s without a poll: %+v", e)
+		t.Fatalf("after 2 s without a poll: end %+v, want outcome Reset", e)
 	}
 }
 
@@ -108,21 +108,21 @@
 func TestCancelledAttemptEndsWhenConfirmed(t *testing.T) {
 	q := startQuery(t)
 	if steps := q.Cancel(policy.Cancelled); endStep(steps) != nil || !opens(steps, attempt.Control) {
-		t.Fatalf("%+v", steps)
+		t.Fatalf("after Cancel: steps %+v, want a control connection and no end", steps)
 	}
-	var memory any
-	if w := written(q.Connected(attempt.Control, &memory, permit)); !strings.HasPrefix(w, "DELETE /v2/q/9b1f HTTP/1.1\r\n") {
+	var protocolState any
+	if w := written(q.Connected(attempt.Control, &protocolState, permitted)); !strings.HasPrefix(w, "DELETE /v2/q/9b1f HTTP/1.1\r\n") {
 		t.Fatalf("wrote %q", w)
 	}
 	if steps := q.Received(attempt.Primary, response(202, "")); endStep(steps) != nil || written(steps) != "" {
-		t.Fatalf("polled again, or ended: %+v", steps)
+		t.Fatalf("after a poll response: steps %+v, want no further poll and no end", steps)
 	}
 	if steps := q.Received(attempt.Control, response(500, "")); endStep(steps) != nil {
-		t.Fatalf("500 accepted as a confirmation: %+v", steps)
+		t.Fatalf("after status 500 to the DELETE: steps %+v, want no end", steps)
 	}
 	q.TimerFired(attempt.RetryBackoff)
 	if e := endStep(q.Received(attempt.Control, response(204, ""))); e == nil || e.Outcome != policy.Cancelled {
-		t.Fatalf("%+v", e)
+		t.Fatalf("after status 204 to the DELETE: end %+v, want outcome Cancelled", e)
 	}
 }
 
@@ -130,28 +130,28 @@
 func TestUnsentQueryNeverRan(t *testing.T) {
 	q, _ := NewQuery(Request{})
 	if e := endStep(q.Cancel(policy.Cancelled)); e == nil || e.Outcome != policy.NotSent {
-		t.Fatalf("cancelled before it was connected: %+v", e)
+		t.Fatalf("cancelled before it was connected: end %+v, want outcome NotSent", e)
 	}
 	q, _ = NewQuery(Request{})
 	if e := endStep(q.ConnectFailed(attempt.Primary)); e == nil || e.Outcome != policy.NoConnection {
-		t.Fatalf("no connection: %+v", e)
+		t.Fatalf("connection failed: end %+v, want outcome NoConnection", e)
 	}
 	q, _ = NewQuery(Request{})
-	var memory any
-	steps := q.Connected(attempt.Primary, &memory, func(bool) (time.Duration, bool) { return 0, false })
+	var protocolState any
+	steps := q.Connected(attempt.Primary, &protocolState, func(bool) (time.Duration, bool) { return 0, false })
 	if e := endStep(steps); e == nil || e.Outcome != policy.NotSent || written(steps) != "" {
-		t.Fatalf("without permission: %+v", steps)
+		t.Fatalf("without permission: steps %+v, want outcome NotSent and no write", steps)
 	}
 }
 
 // The result is the concatenation of all pages. A missing page or a result over the size limit makes the outcome an error.
-func TestPagedResult(t *testing.T) {
+func TestResultConcatenatesPages(t *testing.T) {
 	q := startQuery(t)
 	if w := written(q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))); !strings.HasPrefix(w, "GET /v2/q/9b1f/1 ") {
 		t.Fatalf("wrote %q", w)
 	}
 	if e := endStep(q.Received(attempt.Primary, response(200, "b\n", "Page-No: 1"))); e == nil || string(e.Result) != "a\nb\n" {
-		t.Fatalf("%+v", e)
+		t.Fatalf("end %+v, want a result of both pages", e)
 	}
 	for name, page := range map[string][]byte{
 		"missing":   response(500, ""),
@@ -161,7 +161,7 @@
 			q := startQuery(t)
 			q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))
 			if e := endStep(q.Received(attempt.Primary, page)); e == nil || e.Outcome != policy.Error {
-				t.Errorf("%s page: %+v", name, e)
+				t.Errorf("%s page: end %+v, want outcome Error", name, e)
 			}
 		})
 	}
@@ -189,24 +189,24 @@
 func TestQueryIsPolledAfterCorruptResponse(t *testing.T) {
 	for name, b := range corruptResponses {
 		t.Run(name, func(t *testing.T) {
-			var memory any
+			var protocolState any
 			q := startQuery(t)
 			for range maxConsecutiveFailures - 1 {
 				steps := q.Received(attempt.Primary, b)
 				if endStep(steps) != nil || !opens(steps, attempt.Primary) || !closes(steps, attempt.Primary) {
-					t.Fatalf("%+v", steps)
+					t.Fatalf("after a corrupt response: steps %+v, want a new connection and no end", steps)
 				}
-				if w := written(q.Connected(attempt.Primary, &memory, permit)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
+				if w := written(q.Connected(attempt.Primary, &protocolState, permitted)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
 					t.Fatalf("wrote %q", w)
 				}
 			}
 			good := *q
 			e := endStep(good.Received(attempt.Primary, response(200, "a\n", "Page-Count: 1")))
 			if e == nil || string(e.Result) != "a\n" {
-				t.Errorf("%+v after a valid response", e)
+				t.Errorf("after a valid response: end %+v, want its result", e)
 			}
 			if steps := q.Received(attempt.Primary, b); endStep(steps) != nil || !opens(steps, attempt.Control) {
-				t.Errorf("%+v, want a cancellation after the last failure", steps)
+				t.Errorf("after the last failure: steps %+v, want a control connection and no end", steps)
 			}
 		})
 	}
@@ -223,35 +223,35 @@
 		"timeout":         func(q *Query) []attempt.Step { return q.TimerFired(attempt.ResponseTimeout) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var memory any
+			var protocolState any
 			q := startQuery(t)
 			q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))
 			for range maxConsecutiveFailures - 1 {
 				if steps := fail(q); endStep(steps) != nil || !opens(steps, attempt.Primary) {
-					t.Fatalf("%+v", steps)
+					t.Fatalf("after a failed page request: steps %+v, want a new connection and no end", steps)
 				}
-				q.Connected(attempt.Primary, &memory, permit)
+				q.Connected(attempt.Primary, &protocolState, permitted)
 			}
 			good := *q
 			e := endStep(good.Received(attempt.Primary, response(200, "b\n", "Page-No: 1")))
 			if e == nil || string(e.Result) != "a\nb\n" {
-				t.Errorf("%+v after a valid page", e)
+				t.Errorf("after a valid page: end %+v, want a result of both pages", e)
 			}
 			if e := endStep(fail(q)); e == nil || e.Outcome != policy.Error {
-				t.Errorf("%+v, want an error after the last failure", e)
+				t.Errorf("after the last failure: end %+v, want outcome Error", e)
 			}
 		})
 	}
 }
 
 // Interim responses before a valid response are skipped. Unexpected bytes after it are discarded, and the connection is closed.
-func TestInterimResponsesAndExtraBytes(t *testing.T) {
+func TestInterimResponsesAndExtraBytesAreDiscarded(t *testing.T) {
 	good := response(200, "a\n", "Page-Count: 1")
 	for _, more := range [][]byte{good, []byte("noise")} {
 		b := append([]byte("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"), good...)
 		steps := startQuery(t).Received(attempt.Primary, append(b, more...))
 		if e := endStep(steps); e == nil || string(e.Result) != "a\n" || !closes(steps, attempt.Primary) {
-			t.Errorf("%+v", steps)
+			t.Errorf("with extra bytes %q: steps %+v, want the result and a closed connection", more, steps)
 		}
 	}
 }
@@ -270,18 +270,18 @@
 			rest = rest[n:]
 		}
 		if e == nil || e.Outcome != policy.OK || !bytes.Equal(e.Result, []byte("abcd\n")) {
-			rt.Fatalf("%+v", e)
+			rt.Fatalf("end %+v, want outcome OK with the whole body", e)
 		}
 	})
 }
 
 // Random input and events never cause a panic, and an attempt ends at most once.
-func TestRandomEvents(t *testing.T) {
+func TestQueryRandomEventsNeverPanic(t *testing.T) {
 	headerParts := rapid.SampledFrom([]string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 202 x\r\n\r\n", "Content-Length: ", "Page-Count: 2\r\n",
 		"Page-No: 1\r\n", "Transfer-Encoding: chunked\r\n", "ffffffff\r\n", "\r\n", "\r\n\r\n", "-1", "7", ": ", "HTTP/1.1 204 x\r\n\r\n"})
 	rapid.Check(t, func(rt *rapid.T) {
 		q, ends := startQuery(t), 0
-		var memory any
+		var protocolState any
 		for range rapid.IntRange(1, 25).Draw(rt, "events") {
 			channel := attempt.Channel(rapid.IntRange(0, 1).Draw(rt, "channel"))
 			var steps []attempt.Step
@@ -291,7 +291,7 @@
 			case 1:
 				steps = q.ConnectionLost(channel)
 			case 2:
-				steps = q.Connected(channel, &memory, permit)
+				steps = q.Connected(channel, &protocolState, permitted)
 			case 3:
 				steps = q.TimerFired(attempt.Timer(rapid.IntRange(0, 2).Draw(rt, "timer")))
 			case 4:
@@ -309,11 +309,11 @@
 	})
 }
 
-// A query that the engine never read is sent again within the attempt, as often as permission allows: with a retry for each, a run
-// with many connection resets (580 in 7,200 queries) used up the retry budget of all queries. The engine never read a query if
-// the connection was lost before any response and the engine then does not know the query.
+// A query that the engine never read is sent again within the same attempt, as often as permission allows. The engine never read a
+// query if the connection was lost before any response and the engine then does not know the query. When each such query was retried
+// in a new attempt, a run with many connection resets (580 in 7,200 queries) used up the retry budget of all queries.
 func TestUnreadQueryIsResent(t *testing.T) {
-	var memory any
+	var protocolState any
 	resendWhileAllowed := func(t *testing.T, allowed int) (*Query, []attempt.Step) {
 		q, _ := NewQuery(Request{Host: "e:1", ID: "9b1f"})
 		var steps []attempt.Step
@@ -322,10 +322,10 @@
 			allowed--
 			return time.Second, allowed >= 0 && resend == (allowed < total-1)
 		}
-		w := written(q.Connected(attempt.Primary, &memory, permission))
+		w := written(q.Connected(attempt.Primary, &protocolState, permission))
 		for ; strings.HasPrefix(w, "POST "); w = written(steps) {
 			q.ConnectionLost(attempt.Primary)
-			if w := written(q.Connected(attempt.Primary, &memory, permission)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
+			if w := written(q.Connected(attempt.Primary, &protocolState, permission)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
 				t.Fatalf("wrote %q", w)
 			}
 			steps = q.Received(attempt.Primary, response(500, ""))
@@ -336,19 +336,19 @@
 		t.Run(fmt.Sprintf("%d allowed", allowed), func(t *testing.T) {
 			q, steps := resendWhileAllowed(t, allowed)
 			if e := endStep(steps); e == nil || e.Outcome != policy.Error || q.postsSent != postsSent {
-				t.Errorf("posted %d times, want %d; %+v", q.postsSent, postsSent, e)
+				t.Errorf("%d POSTs and end %+v, want %d POSTs and outcome Error", q.postsSent, e, postsSent)
 			}
 		})
 	}
 	t.Run("connection closed", func(t *testing.T) {
 		q := startQuery(t)
 		q.ConnectionLost(attempt.Primary)
-		q.Connected(attempt.Primary, &memory, permit)
+		q.Connected(attempt.Primary, &protocolState, permitted)
 		steps := q.Received(attempt.Primary, response(500, "", "Connection: close"))
 		if !opens(steps, attempt.Primary) || endStep(steps) != nil {
-			t.Fatalf("%+v", steps)
+			t.Fatalf("steps %+v, want a new connection and no end", steps)
 		}
-		if w := written(q.Connected(attempt.Primary, &memory, permit)); !strings.HasPrefix(w, "POST ") {
+		if w := written(q.Connected(attempt.Primary, &protocolState, permitted)); !strings.HasPrefix(w, "POST ") {
 			t.Fatalf("wrote %q on the new connection", w)
 		}
 	})
@@ -356,9 +356,9 @@
 		q := startQuery(t)
 		q.Received(attempt.Primary, response(202, ""))
 		q.ConnectionLost(attempt.Primary)
-		q.Connected(attempt.Primary, &memory, permit)
+		q.Connected(attempt.Primary, &protocolState, permitted)
 		if e := endStep(q.Received(attempt.Primary, response(500, ""))); e == nil || e.Outcome != policy.Error {
-			t.Fatalf("resent although the engine has read it: %+v", e)
+			t.Fatalf("end %+v, want outcome Error: the engine has read the query", e)
 		}
 	})
 }
@@ -369,14 +369,14 @@
 	q := startQuery(t)
 	q.Cancel(policy.Cancelled)
 	if e := endStep(q.Received(attempt.Primary, response(500, ""))); e == nil || e.Outcome != policy.Cancelled {
-		t.Fatalf("%+v", e)
+		t.Fatalf("end %+v, want outcome Cancelled", e)
 	}
 }
 
 // The response timeout is only slightly longer than the time within which the engine must respond, so that a result lost in
 // transit is polled again before the deadline of most lookups. A timeout of 0.6 s was too long.
-func TestResponseTimeouts(t *testing.T) {
-	var memory any
+func TestResponseTimeoutIsJustOverPollWait(t *testing.T) {
+	var protocolState any
 	responseTimeout := func(steps []attempt.Step) time.Duration {
 		for _, s := range steps {
 			if a, ok := s.(attempt.SetTimer); ok && a.Timer == attempt.ResponseTimeout && a.After > 0 {
@@ -386,14 +386,14 @@
 		return 0
 	}
 	q, _ := NewQuery(Request{})
-	if d := responseTimeout(q.Connected(attempt.Primary, &memory, permit)); d <= pollWait || d > pollWait+100*time.Millisecond {
-		t.Errorf("timeout of %v after a POST", d)
+	if d := responseTimeout(q.Connected(attempt.Primary, &protocolState, permitted)); d <= pollWait || d > pollWait+100*time.Millisecond {
+		t.Errorf("response timeout of %v after a POST, want just over %v", d, pollWait)
 	}
 	if d := responseTimeout(q.Received(attempt.Primary, response(202, ""))); d <= pollWait || d > pollWait+100*time.Millisecond {
-		t.Errorf("timeout of %v after a poll", d)
+		t.Errorf("response timeout of %v after a poll, want just over %v", d, pollWait)
 	}
 	if d := responseTimeout(q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))); d <= 0 || d >= pollWait {
-		t.Errorf("timeout of %v after a page request", d)
+		t.Errorf("response timeout of %v after a page request, want less than %v", d, pollWait)
 	}
 }
 
@@ -401,16 +401,16 @@
 // a recorded run never got a result. A result that was only lost in transit is returned by that poll. ResponseOverdue is not
 // emitted for a query that got a response before.
 func TestOverdueResponseIsReported(t *testing.T) {
-	var memory any
+	var protocolState any
 	overdue := func(steps []attempt.Step) bool {
 		return slices.Contains(steps, attempt.Step(attempt.ResponseOverdue{}))
 	}
 	q := startQuery(t)
 	q.TimerFired(attempt.ResponseTimeout)
-	q.Connected(attempt.Primary, &memory, permit)
+	q.Connected(attempt.Primary, &protocolState, permitted)
 	steps := q.Received(attempt.Primary, response(202, ""))
 	if !overdue(steps) || endStep(steps) != nil {
-		t.Fatalf("%+v", steps)
+		t.Fatalf("steps %+v, want ResponseOverdue and no end", steps)
 	}
 	if overdue(q.Received(attempt.Primary, response(202, ""))) {
 		t.Error("ResponseOverdue emitted twice")
@@ -418,7 +418,7 @@
 	q = startQuery(t)
 	q.Received(attempt.Primary, response(202, ""))
 	q.TimerFired(attempt.ResponseTimeout)
-	q.Connected(attempt.Primary, &memory, permit)
+	q.Connected(attempt.Primary, &protocolState, permitted)
 	if overdue(q.Received(attempt.Primary, response(202, ""))) {
 		t.Error("ResponseOverdue emitted for a query that got a response before")
 	}
@@ -429,16 +429,16 @@
 func TestRejectedResendMayHaveRun(t *testing.T) {
 	for _, status := range []int{503, 504} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
-			var memory any
+			var protocolState any
 			q := startQuery(t)
 			q.ConnectionLost(attempt.Primary)
-			q.Connected(attempt.Primary, &memory, permit)
+			q.Connected(attempt.Primary, &protocolState, permitted)
 			if w := written(q.Received(attempt.Primary, response(500, ""))); !strings.HasPrefix(w, "POST ") {
 				t.Fatalf("wrote %q, want a second POST", w)
 			}
 			e := endStep(q.Received(attempt.Primary, response(status, "", "X-No-Effect: 1")))
 			if e == nil || e.Outcome.NeverRan() {
-				t.Errorf("%+v", e)
+				t.Errorf("end %+v, want an outcome for which NeverRan is false", e)
 			}
 		})
 	}
@@ -487,7 +487,7 @@
 			q.Received(attempt.Primary, c.second)
 			steps := q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 1"))
 			if e := endStep(steps); e == nil || e.Outcome != policy.OK || closes(steps, attempt.Primary) != c.closed {
-				t.Errorf("%+v", steps)
+				t.Errorf("steps %+v, want outcome OK and closed connection %t", steps, c.closed)
 			}
 		})
 	}
--- a/internal/protocol/enginehttp/golden_test.go
+++ b/internal/protocol/enginehttp/golden_test.go
@@ -35,17 +35,17 @@
 		record("500", q.Received(attempt.Primary, response(500, "x")))
 	}},
 	{"connection lost, then found", func(q *Query, record func(string, []attempt.Step)) {
-		var memory any
+		var protocolState any
 		record("lost", q.ConnectionLost(attempt.Primary))
-		record("opened", q.Connected(attempt.Primary, &memory, permit))
+		record("opened", q.Connected(attempt.Primary, &protocolState, permitted))
 		record("404", q.Received(attempt.Primary, response(404, "")))
-		record("opened", q.Connected(attempt.Primary, &memory, permit))
+		record("opened", q.Connected(attempt.Primary, &protocolState, permitted))
 		record("200", q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 1")))
 	}},
 	{"cancelled and confirmed", func(q *Query, record func(string, []attempt.Step)) {
-		var memory any
+		var protocolState any
 		record("cancel", q.Cancel(policy.Cancelled))
-		record("opened", q.Connected(attempt.Control, &memory, permit))
+		record("opened", q.Connected(attempt.Control, &protocolState, permitted))
 		record("204", q.Received(attempt.Control, response(204, "")))
 	}},
 	{"no answer in time", func(q *Query, record func(string, []attempt.Step)) {
@@ -71,10 +71,10 @@
 	for _, c := range goldenScripts {
 		out.WriteString("== " + c.name + "\n")
 		record := func(event string, steps []attempt.Step) { out.WriteString(transcript.Steps(event, steps)) }
-		var memory any
+		var protocolState any
 		q, steps := NewQuery(goldenRequest)
 		record("new", steps)
-		record("opened", q.Connected(attempt.Primary, &memory, permit))
+		record("opened", q.Connected(attempt.Primary, &protocolState, permitted))
 		c.run(q, record)
 	}
 	testutil.Golden(t, "engine.golden", []byte(out.String()))
--- a/internal/protocol/enginehttp/query.go
+++ b/internal/protocol/enginehttp/query.go
@@ -13,7 +13,7 @@
 const (
 	pollWait    = 250 * time.Millisecond
 	pollLease   = 2 * time.Second
-	leaseMargin = 250 * time.Millisecond // for clock skew and network delay
+	leaseMargin = 250 * time.Millisecond // margin for clock skew and network delay
 
 	pollTimeout        = pollWait + 50*time.Millisecond // response timeout of a POST or a poll
 	pageTimeout        = 150 * time.Millisecond         // response timeout of a page request, which engines answer at once
@@ -52,7 +52,7 @@
 	req           Request
 	state         state
 	steps         []attempt.Step     // emitted by the event that is being handled
-	permission    attempt.Permission // must be obtained before every POST
+	permission    attempt.Permission // called before every POST; decides whether it may be sent
 	cancelOutcome policy.Outcome     // outcome of the attempt when the engine confirms its cancellation
 	report        string             // latest load report of the engine
 
@@ -64,7 +64,7 @@
 	deleteConnections int // connections opened for the DELETE
 	postsSent         int
 	repostPending     bool // send the POST again on the next connection
-	bytesReceived     bool // on the primary channel since the last POST
+	bytesReceived     bool // bytes were received on the primary channel since the last POST
 	// possiblyUnread is set when the connection was lost before any response byte: the engine may never have read the POST.
 	possiblyUnread      bool
 	responseMissed      bool // the response timeout of the POST expired before any response byte
--- a/internal/protocol/enginehttp/reader.go
+++ b/internal/protocol/enginehttp/reader.go
@@ -17,7 +17,7 @@
 // Size limits of a response.
 const (
 	maxHeaderBytes = 8 << 10
-	maxBodyBytes   = 64 << 10 // of a page; engines exceed the 6,000 bytes that their protocol allows
+	maxBodyBytes   = 64 << 10 // a page; engines exceed the 6,000 bytes that their protocol allows
 )
 
 const (
--- a/internal/protocol/mysql/exchange.go
+++ b/internal/protocol/mysql/exchange.go
@@ -70,13 +70,13 @@
 	}
 }
 
-// Connected handles a new connection of a channel. memory keeps the session of the connection between attempts; it is set here
-// if the connection has none.
-func (x *Exchange) Connected(channel attempt.Channel, memory *any, permission attempt.Permission) []attempt.Step {
-	s, _ := (*memory).(*session)
+// Connected handles a new connection of a channel. protocolState holds the connection's session, which is kept between attempts; it is
+// set here if the connection has none.
+func (x *Exchange) Connected(channel attempt.Channel, protocolState *any, permission attempt.Permission) []attempt.Step {
+	s, _ := (*protocolState).(*session)
 	if s == nil {
 		s = newSession()
-		*memory = s
+		*protocolState = s
 	}
 	x.sessions[channel], x.connected[channel] = s, true
 	if channel == attempt.Primary {
@@ -280,8 +280,8 @@
 	x.emit(attempt.End{Outcome: outcome, Result: last})
 }
 
-// primaryReusable reports whether another attempt may use the primary connection. After KILL QUERY none may, because the
-// engine could apply a late KILL to the next query. The connection cannot be reused while setup commands are in flight, either.
+// primaryReusable reports whether another attempt may use the primary connection. After KILL QUERY none may use it,
+// because the engine could apply a late KILL to the next query. The connection cannot be reused while setup commands are in flight, either.
 func (x *Exchange) primaryReusable() bool {
 	quiescent := x.phase == phaseLogin || x.phase == phaseQuerySent
 	if !quiescent || !x.connected[attempt.Primary] {
--- a/internal/protocol/mysql/golden_test.go
+++ b/internal/protocol/mysql/golden_test.go
@@ -73,11 +73,11 @@
 	prepared := &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}, paramValues: []byte("\x01x")}
 	prepareOK := slices.Concat(frame(1, []byte{0, 9, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0}), frame(2, []byte(definition)), eofPacket(3))
 	for _, execution := range []*Execution{nil, prepared} {
-		var memory [2]any
+		var protocolState [2]any
 		query := &Query{Account: &Account{}, Text: "SELECT ?", Schema: "s", IdempotencyKey: "'k'", Execution: execution}
 		x, steps := NewExchange(query, "u", "p")
 		record("new", steps)
-		record("opened", x.Connected(attempt.Primary, &memory[0], permission))
+		record("opened", x.Connected(attempt.Primary, &protocolState[0], permission))
 		record("greeting", x.Received(attempt.Primary, greeting))
 		record("ok", x.Received(attempt.Primary, okPacket(2)))
 		record("ok", x.Received(attempt.Primary, okPacket(1)))
@@ -89,7 +89,7 @@
 		}
 		record("first rows", x.Received(attempt.Primary, rows("a", "b")[:60]))
 		record("cancel", x.Cancel(policy.Cancelled))
-		record("opened", x.Connected(attempt.Control, &memory[1], permission))
+		record("opened", x.Connected(attempt.Control, &protocolState[1], permission))
 		record("greeting", x.Received(attempt.Control, greeting))
 		record("ok", x.Received(attempt.Control, okPacket(2)))
 		record("ok", x.Received(attempt.Control, okPacket(1)))
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -27,7 +27,7 @@
 	return conn
 }
 
-// loginBytes returns a client's handshake response. It is created by session, the client side for engines.
+// loginBytes returns a client's handshake response. It is created with session, which implements the client side of the protocol.
 func loginBytes(t testing.TB) []byte {
 	t.Helper()
 	_, greeting := NewServerConn(nil, 1, scramble)
@@ -59,17 +59,17 @@
 			rest = rest[n:]
 		}
 		if len(queries) != 1 || queries[0].Execution == nil || queries[0].Execution.Params != 1 {
-			rt.Fatalf("queries %+v while the first one is running", queries)
+			rt.Fatalf("queries %+v while the first one is running, want only the execute", queries)
 		}
 		collect(conn.QueryEnded())
 		if len(queries) != 2 || queries[1].Text != "SELECT 1" {
-			rt.Fatalf("queries %+v after the first one has ended", queries)
+			rt.Fatalf("queries %+v after the first one has ended, want the execute and SELECT 1", queries)
 		}
 	})
 }
 
 // Random bytes and packets never cause a panic.
-func TestServerConnGarbageNeverPanics(t *testing.T) {
+func TestServerConnRandomInputNeverPanics(t *testing.T) {
 	commands := []byte{comQuit, comInitDB, comQuery, comPing, comStmtPrepare, comStmtExecute, comStmtSendLongData, comStmtReset}
 	login := loginBytes(t)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -109,7 +109,8 @@
 	}
 }
 
-func TestSetReplayKey(t *testing.T) {
+// A statement that sets only @replay_key to a string literal is recognized, and its literal is the idempotency key.
+func TestSetReplayKeyIsRecognized(t *testing.T) {
 	for text, want := range map[string]string{
 		"SET @replay_key='a\\'b'":        `'a\'b'`,
 		" set @replay_key := 'x' ; ":     "'x'",
@@ -130,11 +131,11 @@
 }
 
 func TestParsePasswordHash(t *testing.T) {
-	const digits = "2470C0C06DEE42FD1618BB99005ADCA2EC9D1E19" // of "password"
+	const digits = "2470C0C06DEE42FD1618BB99005ADCA2EC9D1E19" // hash of "password"
 	for name, text := range map[string]string{"with star": "*" + digits, "without star": digits} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := ParsePasswordHash(text); err != nil || got != HashPassword("password") {
-				t.Errorf("%x, %v", got, err)
+				t.Errorf("hash %x and error %v, want the hash of \"password\"", got, err)
 			}
 		})
 	}
@@ -153,7 +154,7 @@
 	_, _, err := f.nextPacket()
 	var sizeError *packetSizeError
 	if !errors.As(err, &sizeError) || *sizeError != (packetSizeError{size: 9, limit: 8}) || !errors.Is(err, errMalformedPacket) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want a packetSizeError of 9 bytes with limit 8", err)
 	}
 }
 
@@ -201,12 +202,12 @@
 	var r resultStream
 	r.received(full[:first])
 	if b := r.truncationPacket(); len(b) == 0 || b[3] != 5 || b[4] != 0xff {
-		t.Fatalf("between rows: %q", b)
+		t.Fatalf("between rows: truncation packet %q, want an ERR packet with sequence id 5", b)
 	}
 	r = resultStream{}
 	r.received(full[:first-1])
 	if b := r.truncationPacket(); b != nil {
-		t.Fatalf("within a row: %q", b)
+		t.Fatalf("within a row: truncation packet %q, want none", b)
 	}
 }
 
@@ -246,7 +247,7 @@
 			query.Execution = &Execution{Text: "SELECT ?", Params: 1, nullBitmap: []byte{0}, paramTypes: []byte{0xfd, 0}}
 		}
 		x, _ := NewExchange(query, "u", "p")
-		var memory [2]any
+		var protocolState [2]any
 		ends, queries := 0, 0
 		for range rapid.IntRange(1, 30).Draw(rt, "events") {
 			channel := attempt.Channel(rapid.IntRange(0, 1).Draw(rt, "channel"))
@@ -262,8 +263,8 @@
 				steps = x.Received(channel, rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(rt, "bytes"))
 			case 4, 5:
 				if x.phase != phaseFinished && !x.connected[channel] && (channel == attempt.Control) == (x.phase == phaseKilling) {
-					memory[channel] = nil
-					steps = x.Connected(channel, &memory[channel], permitted)
+					protocolState[channel] = nil
+					steps = x.Connected(channel, &protocolState[channel], permitted)
 				}
 			default:
 				steps = x.Received(channel, parts.Draw(rt, "part"))
@@ -291,16 +292,16 @@
 // the next query on it.
 func TestKilledConnectionIsNotReused(t *testing.T) {
 	x, _ := NewExchange(&Query{Account: &Account{}, Text: "SELECT 1"}, "u", "p")
-	var memory any = idleSession()
-	x.Connected(attempt.Primary, &memory, permitted)
+	var protocolState any = idleSession()
+	x.Connected(attempt.Primary, &protocolState, permitted)
 	x.Cancel(policy.Cancelled)
 	for _, s := range x.Received(attempt.Primary, rows("a")) {
 		if _, released := s.(attempt.Release); released {
-			t.Fatal("connection released")
+			t.Fatal("the connection was released after its query was killed")
 		}
 	}
 	if x.phase != phaseFinished {
-		t.Fatal("still in flight after the end of the result")
+		t.Fatal("the attempt is still in flight after the end of the result")
 	}
 }
 
@@ -324,10 +325,10 @@
 			ended(x.Received(attempt.Control, errPacket(1, 1095, "not yours"))) ||
 			ended(x.TimerFired(attempt.RetryBackoff)) ||
 			ended(x.Received(attempt.Control, okPacket(1))) {
-			t.Fatal("ended before the end of the query was confirmed")
+			t.Fatal("the attempt ended before the end of the query was confirmed")
 		}
 		if !ended(x.Received(attempt.Primary, errPacket(1, erQueryInterrupted, "killed"))) {
-			t.Fatal("still in flight after the end of the result")
+			t.Fatal("the attempt is still in flight after the end of the result")
 		}
 	})
 	t.Run("by the response to KILL after the connection is lost", func(t *testing.T) {
@@ -335,10 +336,10 @@
 		if ended(x.ConnectionLost(attempt.Primary)) ||
 			ended(x.Connected(attempt.Control, &control, permitted)) ||
 			ended(x.ConnectFailed(attempt.Control)) {
-			t.Fatal("ended after a lost connection without a confirmation")
+			t.Fatal("the attempt ended after a lost connection without a confirmation")
 		}
 		if !ended(x.Received(attempt.Control, errPacket(1, erNoSuchThread, "unknown"))) {
-			t.Fatal("still in flight after ER_NO_SUCH_THREAD")
+			t.Fatal("the attempt is still in flight after ER_NO_SUCH_THREAD")
 		}
 	})
 }
--- a/internal/protocol/mysql/protocol.go
+++ b/internal/protocol/mysql/protocol.go
@@ -21,7 +21,7 @@
 	authSwitchHeader = 0xfe
 	eofHeader        = 0xfe
 	errHeader        = 0xff
-	maxEOFPayload    = 8 // a longer payload that begins with 0xfe is a row
+	maxEOFPayload    = 8 // bytes; a longer payload that begins with 0xfe is a row
 	sqlStateMarker   = '#'
 )
 
@@ -29,9 +29,9 @@
 const (
 	headerSize        = 4 // three-byte payload length and sequence id
 	maxPayload        = 1<<24 - 1
-	maxCommandSize    = 1 << 20  // of a client's command, and of the long data of a statement
-	maxNonRowPacket   = 64 << 10 // of an engine's packet that is not a row
-	maxResultMetadata = 1 << 20  // of the column definitions of a result
+	maxCommandSize    = 1 << 20  // client's command; also the long data of a statement
+	maxNonRowPacket   = 64 << 10 // packet from an engine, except rows
+	maxResultMetadata = 1 << 20  // column definitions of a result
 )
 
 // maxClientStatements is the maximum number of prepared statements of a client connection.
@@ -68,7 +68,7 @@
 	authPluginDataPart1Size = 8
 	authPluginDataPart2Min  = 13 // including the terminating zero byte
 	handshakeReservedSize   = 10
-	handshakeFillerSize     = 23 // of the handshake response
+	handshakeFillerSize     = 23 // filler in the handshake response
 )
 
 const nativePassword = "mysql_native_password"
--- a/internal/protocol/mysql/result.go
+++ b/internal/protocol/mysql/result.go
@@ -15,11 +15,11 @@
 	definitionsRead int
 	inRows          bool // the metadata has been read
 	rowsRelayed     bool
-	rowBytesLeft    int  // of the current row packet
+	rowBytesLeft    int  // payload bytes of the current row packet that are not relayed yet
 	rowContinues    bool // the current row continues in a further packet
-	sequenceID      byte // of the last row packet relayed
+	sequenceID      byte // sequence id of the last row packet relayed
 	complete        bool
-	errCode         int // of the ERR packet that ended the result, or 0
+	errCode         int // error code of the ERR packet that ended the result, or 0
 }
 
 // received handles bytes of the response. relay must be sent to the client at once; last is the rest of the response when it
--- a/internal/protocol/mysql/server_conn.go
+++ b/internal/protocol/mysql/server_conn.go
@@ -18,7 +18,7 @@
 type Query struct {
 	Account        *Account
 	Schema         string     // the client's current schema; may be empty
-	Text           string     // of the statement, prepared or not
+	Text           string     // statement text, prepared or not
 	IdempotencyKey string     // as the client wrote it, a quoted SQL literal; may be empty
 	Execution      *Execution // nil for COM_QUERY
 }
@@ -50,7 +50,7 @@
 	account         *Account // nil until the login is accepted
 	user            string
 	schema          string
-	idempotencyKey  string // for the next query; empty for none
+	idempotencyKey  string // idempotency key for the next query; empty for none
 	lastStatementID uint32
 	statements      map[uint32]*statement
 	events          []Event
@@ -92,7 +92,7 @@
 		return nil
 	}
 	c.packets.append(b)
-	// Clients wait for each response, so a client that sends this much during a query is faulty or hostile.
+	// Clients wait for each response, so a client that sends more than the largest command during a query is faulty or hostile.
 	if c.state == stateRunning && len(c.packets.buf) > maxCommandSize+headerSize {
 		c.closeConnection()
 	}
--- a/internal/protocol/mysql/session.go
+++ b/internal/protocol/mysql/session.go
@@ -16,7 +16,7 @@
 	responseSent  bool // the handshake response was sent
 	connectionID  uint32
 	schema        string
-	statementIDs  map[string]uint32 // of prepared statements, by Exchange.preparedKey
+	statementIDs  map[string]uint32 // the engine's statement ids, by Exchange.preparedKey
 }
 
 func newSession() *session {
@@ -85,7 +85,7 @@
 	part2Size := max(authPluginDataPart2Min, dataSize-authPluginDataPart1Size)
 	scramble = append(scramble, r.next(min(part2Size, len(r.remaining)))...)
 	if r.malformed || len(scramble) < authPluginDataSize {
-		return nil, fmt.Errorf("%w: handshake", errMalformedPacket)
+		return nil, fmt.Errorf("%w: invalid handshake", errMalformedPacket)
 	}
 	return scramble[:authPluginDataSize], nil
 }
--- a/internal/protocol/mysql/statement.go
+++ b/internal/protocol/mysql/statement.go
@@ -22,13 +22,13 @@
 	params        int
 	paramTypes    []byte            // last bound types; later executes may omit them
 	longData      map[uint16][]byte // by parameter, received since the last execute
-	longDataOrder []uint16          // parameters in the order of their first long data
+	longDataOrder []uint16          // parameters with long data, in order of first receipt
 	longDataSize  int               // bytes
 }
 
 // Execution is one execution of a prepared statement, in a form that is independent of the engine.
 type Execution struct {
-	Text          string // of the statement
+	Text          string // statement text
 	Params        int    // number of parameters
 	nullBitmap    []byte
 	paramTypes    []byte
