--- a/internal/testbed/simproto/frame_test.go
+++ b/internal/testbed/simproto/frame_test.go
@@ -45,14 +45,14 @@
 	raw := decodeHex(t, batchHex)
 	got, err := ReadBatch(bytes.NewReader(raw))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("got %+v, %v", got.Events[0], err)
+		t.Fatalf("decoded first event %+v with error %v, want %+v", got.Events[0], err, want.Events[0])
 	}
 	if encoded := AppendBatch(nil, got); !bytes.Equal(encoded, raw) {
-		t.Fatalf("encoded as %x", encoded)
+		t.Fatalf("encoded as %x, want %x", encoded, raw)
 	}
 	empty, err := ReadBatch(bytes.NewReader(decodeHex(t, emptyBatch)))
 	if err != nil || len(empty.Events) != 0 || empty.Now != want.Now {
-		t.Fatalf("empty batch: %+v, %v", empty, err)
+		t.Fatalf("decoded empty batch %+v with error %v, want no events at time %d", empty, err, want.Now)
 	}
 }
 
@@ -65,11 +65,11 @@
 	}
 	raw := decodeHex(t, replyHex)
 	if got := AppendReply(nil, want); !bytes.Equal(got, raw) {
-		t.Fatalf("encoded as %x", got)
+		t.Fatalf("encoded as %x, want %x", got, raw)
 	}
 	got, err := ReadReply(bytes.NewReader(raw))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("got %+v, %v", got, err)
+		t.Fatalf("decoded %+v with error %v, want %+v", got, err, want)
 	}
 }
 
@@ -88,14 +88,14 @@
 	}
 	d := b.Events[0].(*AttemptEnded)
 	if d.Outcome != 100 || d.Terminal != 1 || d.Duration != 18500000 || d.Usage != 0x011060 || d.Report.Count != 3 || d.Report.Values[1] != 7 {
-		t.Fatalf("AttemptEnded %+v", d)
+		t.Fatalf("decoded %+v does not match the documented AttemptEnded", d)
 	}
 	l := b.Events[1].(*EngineList)
 	if len(l.Entries) != 2 || l.Entries[1].Engine.Port != 8124 || l.Entries[1].Scale != 1.5 || l.Entries[1].Started == 0 {
-		t.Fatalf("EngineList %+v", l)
+		t.Fatalf("decoded %+v does not match the documented EngineList", l)
 	}
 	if a := b.Events[2].(*EngineListChanged); a.Kind != 1 || a.Version != 41 {
-		t.Fatalf("EngineListChanged %+v", a)
+		t.Fatalf("decoded %+v does not match the documented EngineListChanged", a)
 	}
 }
 
@@ -110,7 +110,7 @@
 	}
 	b, err := ReadBatch(bytes.NewReader(AppendBatch(nil, Batch{5, events})))
 	if err != nil || !reflect.DeepEqual(b.Events, events) {
-		t.Fatalf("events decoded as %+v, %v", b.Events, err)
+		t.Fatalf("events decoded as %+v with error %v, want %+v", b.Events, err, events)
 	}
 	actions := []Record{
 		&SendAttempt{1, 2, id, 3}, &Reject{1, 2, 3}, &Fail{1, 2}, &CancelAttempt{1, 2, 3}, &SetTimer{1, 2, 3},
@@ -119,7 +119,7 @@
 	}
 	got, err := ReadReply(bytes.NewReader(AppendReply(nil, actions)))
 	if err != nil || !reflect.DeepEqual(got, actions) {
-		t.Fatalf("actions decoded as %+v, %v", got, err)
+		t.Fatalf("actions decoded as %+v with error %v, want %+v", got, err, actions)
 	}
 }
 
@@ -175,7 +175,7 @@
 		})
 	}
 	if _, err := ReadBatch(bytes.NewReader(nil)); err != io.EOF {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("at the end of the input: error %v, want io.EOF", err)
 	}
 }
 
--- a/internal/testbed/simproto/golden_test.go
+++ b/internal/testbed/simproto/golden_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Checks the encoding of each kind of record, with random field values from a fixed seed, against the golden file.
+// The encoding of each kind of record, with random field values from a fixed seed, equals the golden file.
 func TestRecordEncodingMatchesGoldenFile(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
--- a/internal/testbed/simproto/record.go
+++ b/internal/testbed/simproto/record.go
@@ -71,7 +71,7 @@
 	Zone        uint8
 	MachineType uint16
 	Cell        uint16
-	Health      uint8 // at most maxHealth
-	Scale       float32
-	Started     uint64 // ns of the simulator's clock
+	Health      uint8   // at most maxHealth
+	Scale       float32 // size relative to other engines
+	Started     uint64  // ns of the simulator's clock
 }
