--- a/policy/admission.go
+++ b/policy/admission.go
@@ -113,21 +113,21 @@
 // the engine is neither ejected nor rejecting, and the request has not been sent to it before. Two data loads of one
 // table group never share an engine, because the second would block there while holding its memory grant.
 func (g *Gateway) eligible(r *request, e *engine) bool {
-	sameLoad := func(a *attempt) bool { return a.request.class.IsDataLoad && a.request.group == r.group }
+	loadsSameGroup := func(a *attempt) bool { return a.request.class.IsDataLoad && a.request.group == r.group }
 	return g.engineAllowed(r, e) && !g.unavailable(e) && !g.alreadyAttempted(r, e) &&
 		g.now >= max(e.rejectingUntil, e.classRateLimits[r.Class].nextSendAt) &&
-		!(r.class.IsDataLoad && slices.ContainsFunc(e.inFlight, sameLoad))
+		!(r.class.IsDataLoad && slices.ContainsFunc(e.inFlight, loadsSameGroup))
 }
 
-// alreadyAttempted reports whether the request was sent to the engine before, so that a faulty engine cannot use up all
-// attempts of a request. With only one engine it always returns false.
+// alreadyAttempted reports whether the request was sent to the engine before. It is not sent there again, so that a
+// faulty engine cannot use up all its attempts. With only one engine alreadyAttempted always returns false.
 func (g *Gateway) alreadyAttempted(r *request, e *engine) bool {
 	return len(g.engines) > 1 && slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.engine == e })
 }
 
 // hasCapacity reports whether the request's threads and memory grant fit into this gateway's remaining share of the
-// engine. Before the first load report an engine without own attempts always has capacity, because the limits are only
-// guesses until then and this gateway learns nothing about the engine unless it sends a query.
+// engine. Before the first load report, an engine without attempts of this gateway always has capacity: until then the
+// limits are only guesses, and this gateway learns nothing about the engine unless it sends a query.
 func (g *Gateway) hasCapacity(r *request, e *engine) bool {
 	return e.ownThreads == 0 && !g.loadReported ||
 		g.fitsInMemory(r, e) && e.ownThreads+r.class.threads <= g.concurrencyLimit(e, 1+g.overcommitShare(r))
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -104,7 +104,7 @@
 func (g *Gateway) groupOverloaded(gr *group) bool {
 	load := (g.meanPeerLoad*g.readyCores + g.ownThreads) / max(1, g.readyCores)
 	if load <= minOverloadLoad {
-		return false // before valueAt is called, which updates the group's time of last use
+		return false // without calling valueAt, which would update the group's time of last use
 	}
 	groupThreads, allThreads := gr.recentThreads.valueAt(g.now), g.recentThreads.valueAt(g.now)
 	return groupThreads*g.readyCores > allThreads*gr.setCores
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -11,7 +11,8 @@
 	// bad query plan and is cancelled if a retry can still succeed.
 	runawayMultiple = 4.0
 
-	// minRunawayTime is the lower bound of that time, because durations of short queries vary more.
+	// minRunawayTime is the running time up to which no attempt is cancelled for a bad query plan, because durations of
+	// short queries vary more.
 	minRunawayTime = 800 * time.Millisecond
 
 	// memoryGrantDeviations is the number of standard deviations, on a logarithmic scale, by which a memory grant
@@ -35,12 +36,12 @@
 		g.enqueue(r)
 		return
 	}
-	terms := SetResources{ID: r.ID, GrantMB: g.memoryGrant(r, e), Priority: g.priority(r)}
+	resources := SetResources{ID: r.ID, GrantMB: g.memoryGrant(r, e), Priority: g.priority(r)}
 	if g.settings.HonorsGrants || g.settings.HonorsPriority {
-		g.emit(terms)
+		g.emit(resources)
 	}
 	a := &attempt{request: r, number: len(r.attempts), engine: e, sentAt: g.now, threads: r.class.threads,
-		grantMB: terms.GrantMB, expectedSeconds: g.expectedSeconds(r)}
+		grantMB: resources.GrantMB, expectedSeconds: g.expectedSeconds(r)}
 	g.emit(Send{ID: r.ID, Engine: e.ID, Timeout: r.deadline - g.now})
 	g.recordSend(a)
 	g.delayNextSendOfClass(a)
@@ -169,8 +170,9 @@
 }
 
 // cancelAttempts cancels attempts as far as the settings permit. If the engine has sent no response since the attempt
-// started, more than minResponseTimeout ago, the attempt also counts as a failure to reach the engine. One of hundreds
-// of gateways has a single attempt at a time at an engine and could not detect a network partition otherwise.
+// started, more than minResponseTimeout ago, the attempt also counts as a failure to reach the engine. In a fleet of
+// hundreds of gateways, each has only one attempt at a time at an engine and could not detect a network partition
+// otherwise.
 func (g *Gateway) cancelAttempts(attempts ...*attempt) {
 	for _, a := range attempts {
 		if !g.settings.MayCancel || a.ended || a.cancelled || a.request.streaming {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -9,7 +9,8 @@
 	// leave cores idle.
 	targetThreadsPerCore = 1.5
 
-	// targetAdjustInterval is the minimum time between two adjustments of a target, about the age of a report.
+	// targetAdjustInterval is the minimum time between two adjustments of a target. It is about the typical age of a load
+	// report.
 	targetAdjustInterval = 300 * time.Millisecond
 
 	// targetFactorStep is the relative size of one adjustment. The two bounds limit the factor because engines saturate
@@ -68,8 +69,8 @@
 }
 
 // fitsInMemory reports whether the request's grant fits into the engine's memory together with the grants of this
-// gateway and of its peers. Peer grants are not reported, so each peer thread is assumed to have the mean grant of an
-// own thread. Before the first load report, a grant always fits at an engine without own grants.
+// gateway and of its peers. Peer grants are not reported, so each peer thread is assumed to have the mean grant of this
+// gateway's threads. Before the first load report, a grant always fits at an engine where this gateway has no other.
 func (g *Gateway) fitsInMemory(r *request, e *engine) bool {
 	grantMB := g.memoryGrant(r, e)
 	if grantMB == 0 || e.memoryMB == 0 {
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -30,7 +30,8 @@
 	high := g.concurrencyTarget(e)
 	withinBounds := low >= minTargetFactor*start*0.99 && high <= maxTargetFactor*start*1.01
 	if low >= start || high <= start || !withinBounds {
-		t.Fatalf("target %v initially, %v after high and %v after low utilization", start, low, high)
+		t.Fatalf("target %v initially, %v after high utilization (want less), %v after low utilization (want more)",
+			start, low, high)
 	}
 	before := g.concurrencyTarget(e)
 	g.applyReport(e, LoadReport{})
@@ -86,8 +87,8 @@
 	}
 }
 
-// Checks that a query is sent only if its memory grant fits beside the own grants at the engine. Without this check,
-// grants exceeded the engines' memory and queries spilled to disk.
+// Checks that a query is sent only if its memory grant fits into the engine's memory in addition to this gateway's
+// other grants there. Without this check, grants exceeded the memory and queries spilled to disk.
 func TestHasCapacityChecksMemoryGrants(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
 	e := g.engines[0]
--- a/policy/engines.go
+++ b/policy/engines.go
@@ -13,23 +13,23 @@
 // engine is the state that this gateway keeps for an engine.
 type engine struct {
 	EngineInfo
-	listedAt        time.Duration // time of the latest engine list that contained it
+	listedAt        time.Duration // time of the latest engine list that contained the engine
 	cores, memoryMB float64
 	used            bool // this gateway has sent a query to it
 
 	// Own load.
 	inFlight         []*attempt   // own attempts, in the order in which they were sent
-	deadlines        deadlineList // objective deadlines of their requests
+	deadlines        deadlineList // objective deadlines of the requests with own attempts in flight
 	ownThreads       float64      // #T in the paper: threads of own attempts in flight
-	grantedMB        float64      // sum of their memory grants
-	smoothedInFlight float64      // len(inFlight), smoothed over about the age of a report
+	grantedMB        float64      // sum of the memory grants of own attempts in flight
+	smoothedInFlight float64      // len(inFlight), smoothed over about the typical age of a load report
 	overloadedGroups int          // number of overloaded groups with the engine in their affinity set
 
 	// Load of the peers, from load reports.
 	reportedPeerThreads float64 // threads of other gateways at the time reportedAt
 	reportedAt          time.Duration
 	cachedPeerThreads   float64       // result of Gateway.peerThreads
-	peerThreadsCachedAt time.Duration // the time for which it was computed; -1 = invalid
+	peerThreadsCachedAt time.Duration // time for which cachedPeerThreads was computed; -1 = invalid
 
 	// Concurrency target.
 	targetFactor float64 // multiplier of the target, adjusted by load reports
@@ -47,8 +47,8 @@
 	nextProbeAt       time.Duration
 
 	// Rejections and slow start.
-	rejectingUntil   time.Duration // time until which nothing is sent
-	rejectionBackoff time.Duration // duration of the latest backoff
+	rejectingUntil   time.Duration // time until which nothing is sent to the engine
+	rejectionBackoff time.Duration // duration of the latest backoff after a rejection
 	classRateLimits  []rateLimit   // indexed by class
 	warmupWork       slidingSum    // work in seconds sent while the engine is warming up
 }
@@ -92,8 +92,8 @@
 	e.EngineInfo, e.listedAt = info, g.now
 	e.cores, e.memoryMB = 1, 0
 	if info.MachineType < len(g.settings.MachineTypes) {
-		kind := g.settings.MachineTypes[info.MachineType]
-		e.cores, e.memoryMB = max(1, kind.Cores), kind.MemoryMB
+		machineType := g.settings.MachineTypes[info.MachineType]
+		e.cores, e.memoryMB = max(1, machineType.Cores), machineType.MemoryMB
 	}
 }
 
--- a/policy/engines_test.go
+++ b/policy/engines_test.go
@@ -55,6 +55,7 @@
 	gr.recentThreads.add(g.now, 1) // the group itself stays in use
 	g.Handle(g.now+time.Second, EngineList{Kind: ListDelta})
 	if len(gr.affinitySet) != 0 || len(gr.lastUsed) != 0 || len(g.engines) != 1 {
-		t.Fatalf("%d engines in the set, %d in its index, %d known", len(gr.affinitySet), len(gr.lastUsed), len(g.engines))
+		t.Fatalf("%d engines in the set and %d in its index, want 0; %d known, want 1",
+			len(gr.affinitySet), len(gr.lastUsed), len(g.engines))
 	}
 }
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -32,7 +32,7 @@
 	maxSlowdown = 2.0
 
 	// maxExpectedShare bounds the expected duration of a query without a work estimate, as a share of its latency
-	// objective, for the same reason.
+	// objective. Like maxSlowdown, it keeps an overload from causing all later requests to be shed.
 	maxExpectedShare = 0.6
 
 	// tailRatioDecay multiplies the tail ratio after each answer, and tailRatioRaise after an answer that exceeds it.
@@ -69,7 +69,7 @@
 	slowdown          float64 // duration / work per thread
 	tailRatio         float64 // 99th percentile of the duration / expected duration
 	memoryLogRatio    float64 // mean of log(used memory / estimated memory)
-	memoryLogVariance float64 // its variance
+	memoryLogVariance float64 // variance of log(used memory / estimated memory)
 }
 
 // newClass creates the state of a class, with the prior estimates.
--- a/policy/events.go
+++ b/policy/events.go
@@ -87,15 +87,15 @@
 	NoConnection                // the query never reached the engine
 	Reset                       // the connection closed before the response
 	Cancelled                   // cancelled by this gateway
-	NotSent                     // the host did not send it
+	NotSent                     // the host did not send the query
 )
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == NoConnection || o == NotSent }
 
-// LoadReport is the load report of an engine. Without Present there was none.
+// LoadReport is the load report of an engine.
 type LoadReport struct {
-	Present bool
+	Present bool // false = there is no report
 	Values  map[Metric]float64
 }
 
@@ -141,14 +141,14 @@
 // it, because gateways may disagree about the number; see docs/design/membership.md.
 type GatewaysInService struct {
 	Count      int
-	UsesSubset bool // the engine list is a subset of the fleet that Count gateways share
+	UsesSubset bool // the engine list is a subset of the fleet, and Count gateways share its engines
 }
 
 // PeerReport is a load report of an engine that a peer received.
 type PeerReport struct {
 	Engine         EngineID
-	RunningQueries float64       // of all gateways
-	ReportedAt     time.Duration // when the peer received it, on this host's clock
+	RunningQueries float64       // running queries of all gateways at the engine
+	ReportedAt     time.Duration // when the peer received the report, on this host's clock
 }
 
 // PeerReports carries load reports that peers forwarded.
--- a/policy/explain_test.go
+++ b/policy/explain_test.go
@@ -35,7 +35,7 @@
 			before := len(g.actions)
 			queued, _, engines := g.Explain(g.now, 1)
 			if !queued || len(engines) != 3 || engines[0].Guard != want {
-				t.Errorf("queued %v, engines %+v", queued, engines)
+				t.Errorf("queued: %v, engines %+v, want guard %s at the first of 3", queued, engines, want)
 			}
 			if len(g.actions) != before || !r.queued {
 				t.Error("Explain changed the state of the Gateway")
--- a/policy/fleetviews_test.go
+++ b/policy/fleetviews_test.go
@@ -21,15 +21,15 @@
 		s.Gateways = rapid.IntRange(2, 12).Draw(t, "gateways")
 		start := time.Hour
 		warming := EngineInfo{ID: 77, Started: start}
-		all := make([]*viewedGateway, s.Gateways)
-		startGateway := func(i int, now time.Duration) *viewedGateway {
+		all := make([]*trackedGateway, s.Gateways)
+		startGateway := func(i int, now time.Duration) *trackedGateway {
 			own := s
 			own.GatewayIndex = i
 			g, err := New(own, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			v := &viewedGateway{gateway: g}
+			v := &trackedGateway{gateway: g}
 			v.apply(now, g.Handle(now, EngineList{Kind: ListFull, Engines: []EngineInfo{warming, {ID: 5}}}))
 			return v
 		}
@@ -52,9 +52,9 @@
 				if step%5 == 0 {
 					v.apply(now, v.gateway.Handle(now, GatewaysInService{Count: views[(step/5)%len(views)]}))
 				}
-				v.next++
+				v.lastID++
 				v.accepted = append(v.accepted, now)
-				v.apply(now, v.gateway.Handle(now, Arrival{ID: v.next, Class: 0, EstimatedWork: 150 * time.Millisecond,
+				v.apply(now, v.gateway.Handle(now, Arrival{ID: v.lastID, Class: 0, EstimatedWork: 150 * time.Millisecond,
 					Remaining: 4 * time.Second}))
 				v.endAttempts(now, step, failing)
 				for _, send := range v.sent {
@@ -91,10 +91,10 @@
 	}
 }
 
-// viewedGateway is a gateway with its accepted requests, attempts and timers.
-type viewedGateway struct {
+// trackedGateway is a gateway with its accepted requests, attempts and timers.
+type trackedGateway struct {
 	gateway  *Gateway
-	next     RequestID
+	lastID   RequestID
 	accepted []time.Duration
 	retries  []time.Duration
 	attempts map[RequestID]int
@@ -119,7 +119,7 @@
 }
 
 // apply records the attempts and timers among the actions.
-func (v *viewedGateway) apply(now time.Duration, actions []Action) {
+func (v *trackedGateway) apply(now time.Duration, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
@@ -136,7 +136,7 @@
 }
 
 // endAttempts fires the timers and ends the attempts that are due. Of ten attempts, failing ones end with an error.
-func (v *viewedGateway) endAttempts(now time.Duration, step, failing int) {
+func (v *trackedGateway) endAttempts(now time.Duration, step, failing int) {
 	for k := 0; k < len(v.timers); {
 		if tm := v.timers[k]; tm.at <= now {
 			v.timers = append(v.timers[:k], v.timers[k+1:]...)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -79,7 +79,7 @@
 	loadReported    bool        // at least one load report was received
 	meanPeerLoad    float64     // peer threads per core: mean over the latest reports of the fleet
 	meanPeerLoadAt  time.Duration
-	loadUncertainty float64 // 0 = knows the fleet's whole load (a single gateway); close to 1 = knows almost nothing of it
+	loadUncertainty float64 // 0 = knows the fleet's whole load (a single gateway), close to 1 = knows little of it
 
 	// Concurrency window.
 	windowPerCore  float64 // threads that may be in flight per available core
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -30,8 +30,8 @@
 }
 
 // applyReport updates the estimated peer load and the target of an engine with a load report. The peer load is the
-// number of running queries minus own queries. If the report lacks that number, the peer load is derived from the core
-// utilization, which is inaccurate when all cores are busy.
+// number of running queries minus those of this gateway. If the report lacks that number, the peer load is derived from
+// the core utilization, which is inaccurate when all cores are busy.
 func (g *Gateway) applyReport(e *engine, report LoadReport) {
 	e.smoothedInFlight += inFlightSmoothing * (float64(len(e.inFlight)) - e.smoothedInFlight)
 	queries, queriesKnown := metricValue(report, RunningQueries)
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Checks that the load of an engine is the own #T until a load report arrives, and is then derived from the reported
-// number of queries.
+// Checks that the load of an engine is this gateway's #T until a load report arrives, and is then derived from the
+// reported number of queries.
 func TestTotalLoadUsesReportedQueries(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
 	e := g.engines[0]
 	addInFlight(g, e, 1, g.now)
 	if g.totalLoadPerCore(e) != 0.25 {
-		t.Fatal("the load without a report is not the own #T")
+		t.Fatal("the load without a report is not this gateway's #T")
 	}
 	e.smoothedInFlight = 1
 	g.applyReport(e, LoadReport{Present: true, Values: map[Metric]float64{RunningQueries: 8}})
 	if got := g.totalLoadPerCore(e); got != (7*g.threadsPerQuery+1)/4 {
-		t.Fatalf("load %v after a report of 8 queries on 4 cores", got)
+		t.Fatalf("load %v threads per core after a report of 8 queries on 4 cores, one of them its own", got)
 	}
 }
 
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -30,9 +30,9 @@
 	// panicThreshold is the share of ejected engines among the ready ones above which ejections are ignored.
 	panicThreshold = 0.5
 
-	// responseTimeoutMultiple times the 99th percentile of its duration is the response timeout of an attempt. An
-	// attempt that has waited longer without any response from its engine indicates that the engine hangs.
-	// minResponseTimeout is the lower bound of the response timeout.
+	// responseTimeoutMultiple is the response timeout of an attempt, in multiples of the 99th percentile of its duration.
+	// An engine that sends no response to any request for longer than this probably hangs. minResponseTimeout is the
+	// lower bound of the response timeout.
 	responseTimeoutMultiple = 1.5
 	minResponseTimeout      = time.Second
 
@@ -42,7 +42,7 @@
 	// probeThreshold is the share of the response timeout after which an engine without a response is probed.
 	probeThreshold = 0.4
 
-	// probeInterval is the minimum time between two such probes of an engine.
+	// probeInterval is the minimum time between two probes of an engine that is not ejected.
 	probeInterval = time.Second
 )
 
@@ -81,8 +81,8 @@
 	}
 }
 
-// eject ejects an engine. If probes are permitted, the engine is probed once the previous ejection time has passed, for
-// the first ejection at the next review. Otherwise it becomes half-open after its ejection time.
+// eject ejects an engine. If probes are permitted, the engine is probed after the duration of its previous ejection, or
+// at the next review if this is its first one. Otherwise it becomes half-open after its ejection time.
 func (g *Gateway) eject(e *engine) {
 	if e.ejected {
 		return
@@ -107,7 +107,7 @@
 }
 
 // enterHalfOpen moves an ejected engine to the half-open state. Hang detection ignores attempts sent before this,
-// because one long query among them would get the engine ejected again for as long as it runs.
+// because one long query among them would cause the engine to be ejected again and again while it runs.
 func (g *Gateway) enterHalfOpen(e *engine) {
 	e.ejected, e.halfOpenRemaining, e.failureScore, e.halfOpenSince = false, halfOpenSuccesses, 0, g.now
 }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -152,7 +152,7 @@
 	g.now += 3 * time.Second
 	g.actions = nil
 	if g.checkHealth(e); len(g.actions) != 1 || g.actions[0] != (Probe{e.ID}) || e.ejected {
-		t.Fatalf("actions %v, ejected %v, want one probe and no ejection", g.actions, e.ejected)
+		t.Fatalf("actions %v, ejected: %v, want one probe and no ejection", g.actions, e.ejected)
 	}
 	g.checkHealth(e)
 	if len(g.actions) != 1 {
@@ -198,14 +198,14 @@
 				g.Handle(g.now+time.Second, AttemptEnded{ID: id, Engine: first.ID, Outcome: Cancelled})
 			}
 			if first.ejected == responsive {
-				t.Fatalf("responsive: %v, ejected: %v", responsive, first.ejected)
+				t.Fatalf("ejected: %v, want %v", first.ejected, !responsive)
 			}
 		})
 	}
 }
 
-// Checks that attempts sent before the half-open state do not affect a half-open engine. Such an attempt got the engine
-// ejected again immediately, for 15 s.
+// Checks that attempts sent before the half-open state do not affect a half-open engine. Such an attempt caused
+// the engine to be ejected again immediately, for 15 s.
 func TestHalfOpenIgnoresEarlierAttempts(t *testing.T) {
 	g := newTestGateway(t, 2, func(s *Settings) { s.MayProbe = false })
 	e := g.engines[0]
--- a/policy/rejections.go
+++ b/policy/rejections.go
@@ -29,8 +29,8 @@
 )
 
 // recordRejection handles the rejection of an attempt. If the engine is probably full, nothing is sent to it for a
-// backoff time. If it has capacity, it limits only this class, so only the rate of this class is reduced there. Backing
-// off for all classes would use up the retry budget on the attempts that the engine rejects.
+// backoff time. If it has capacity, it limits only this class, so only the rate of this class is reduced there. If
+// each rejection caused a backoff for all classes instead, the rejected attempts would use up the retry budget.
 func (g *Gateway) recordRejection(a *attempt) {
 	e := a.engine
 	if !g.loadReported || g.peerThreads(e)+e.ownThreads >= rejectedLoadFactor*g.concurrencyTarget(e) {
--- a/policy/rejections_test.go
+++ b/policy/rejections_test.go
@@ -38,7 +38,8 @@
 		}
 	}
 	if admitted < 80 || rejected > admitted/4 {
-		t.Errorf("%d of 160 queries admitted, %d rejected", admitted, rejected)
+		t.Errorf("%d of 160 queries admitted, want at least 80; %d rejected, want at most a quarter of the admitted",
+			admitted, rejected)
 	}
 	// Queries that the engine admits after the limit has expired remove the limit.
 	for g.now += rateLimitExpiry + time.Second; admitted > 0; admitted -= 40 {
@@ -48,7 +49,7 @@
 		g.recordOutcome(r.attempts[0], AttemptEnded{Outcome: OK, Duration: 10 * time.Millisecond})
 	}
 	if e.classRateLimits[0].perSecond != 0 || !g.accepts(limited, e) {
-		t.Errorf("still limited to %v per second", e.classRateLimits[0].perSecond)
+		t.Errorf("still limited to %v queries per second", e.classRateLimits[0].perSecond)
 	}
 	g.setPeerThreads(e, 10*g.concurrencyTarget(e))
 	a := addInFlight(g, e, 1, g.now)
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -7,7 +7,8 @@
 	// multiples of the expected duration.
 	retryMargin = 1.2
 
-	// maxAttemptsBeforeCancel is the number of attempts from which no further attempt is cancelled in favor of a retry.
+	// maxAttemptsBeforeCancel is the number of attempts of a request at which none is cancelled any more in favor
+	// of a retry.
 	maxAttemptsBeforeCancel = 2
 
 	// lowWeightBudgetShare is the share of the retry budget available to requests whose weight is below the mean. The
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -24,7 +24,8 @@
 		setRetryBudget(s, 5, 0)
 	})
 	id := RequestID(0)
-	failFirstAttempt := func(class int) []Action { // of a new request
+	// failFirstAttempt submits a request and fails its first attempt.
+	failFirstAttempt := func(class int) []Action {
 		id++
 		g.Handle(g.now, Arrival{ID: id, Class: class, TableGroup: int(id), EstimatedWork: time.Millisecond,
 			Remaining: 10 * time.Second})
@@ -66,7 +67,8 @@
 	arrive := func(id RequestID) {
 		g.Handle(g.now, Arrival{ID: id, EstimatedWork: time.Second, Remaining: time.Minute})
 	}
-	attemptsAfterFailure := func(id RequestID) int { // of a new request whose first attempt fails
+	// attemptsAfterFailure submits a request, fails its first attempt, and returns the number of its attempts.
+	attemptsAfterFailure := func(id RequestID) int {
 		arrive(id)
 		r := g.requests[id]
 		g.Handle(g.now, AttemptEnded{ID: id, Engine: r.attempts[0].engine.ID, Outcome: Error})
--- a/policy/ruleschecker_test.go
+++ b/policy/ruleschecker_test.go
@@ -131,8 +131,8 @@
 }
 
 // apply checks an action and executes it.
-func (c *rulesChecker) apply(act Action) {
-	switch a := act.(type) {
+func (c *rulesChecker) apply(action Action) {
+	switch a := action.(type) {
 	case SetTimer:
 		c.timers = append(c.timers, testTimer{c.now + max(a.After, 1), a.Token})
 	case Send:
@@ -345,13 +345,13 @@
 		c.handle(TimerFired{tm.token})
 	}
 	for i := 0; i < len(c.pending); {
-		f := c.pending[i]
-		if f.at > c.now {
+		p := c.pending[i]
+		if p.at > c.now {
 			i++
 			continue
 		}
 		c.pending = slices.Delete(c.pending, i, i+1)
-		c.deliver(f)
+		c.deliver(p)
 		i = 0
 	}
 	for _, tracked := range c.inOrder {
@@ -364,9 +364,9 @@
 // removeDueTimers removes and returns the timers that are due.
 func (c *rulesChecker) removeDueTimers() []testTimer {
 	var fired []testTimer
-	c.timers = slices.DeleteFunc(c.timers, func(d testTimer) bool {
-		if d.at <= c.now {
-			fired = append(fired, d)
+	c.timers = slices.DeleteFunc(c.timers, func(t testTimer) bool {
+		if t.at <= c.now {
+			fired = append(fired, t)
 			return true
 		}
 		return false
@@ -374,21 +374,21 @@
 	return fired
 }
 
-func (c *rulesChecker) deliver(f pendingOutcome) {
-	rep := LoadReport{Present: c.random.Intn(2) == 0,
+func (c *rulesChecker) deliver(p pendingOutcome) {
+	report := LoadReport{Present: c.random.Intn(2) == 0,
 		Values: map[Metric]float64{RunningQueries: float64(c.random.Intn(30))}}
-	if f.attempt < 0 {
-		c.handle(ProbeEnded{Engine: f.engine, Outcome: f.outcome, Report: rep})
+	if p.attempt < 0 {
+		c.handle(ProbeEnded{Engine: p.engine, Outcome: p.outcome, Report: report})
 		return
 	}
-	f.request.ended[f.attempt], f.request.outcomes[f.attempt] = true, f.outcome
-	terminal := f.request.done
-	if f.outcome == OK && !f.request.done {
-		f.request.done, terminal = true, true
+	p.request.ended[p.attempt], p.request.outcomes[p.attempt] = true, p.outcome
+	terminal := p.request.done
+	if p.outcome == OK && !p.request.done {
+		p.request.done, terminal = true, true
 		c.finals++
 	}
-	c.handle(AttemptEnded{ID: f.request.arrival.ID, Attempt: f.attempt, Engine: f.engine, Outcome: f.outcome,
-		Duration: c.now - f.sent, Terminal: terminal, Work: f.request.arrival.EstimatedWork, UsedMB: 100, Report: rep})
+	c.handle(AttemptEnded{ID: p.request.arrival.ID, Attempt: p.attempt, Engine: p.engine, Outcome: p.outcome,
+		Duration: c.now - p.sent, Terminal: terminal, Work: p.request.arrival.EstimatedWork, UsedMB: 100, Report: report})
 }
 
 func (c *rulesChecker) randomArrival() {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -102,8 +102,8 @@
 	return g.random.Uint64()&1 == 0
 }
 
-// ownLoadPerCore returns #T per core of an engine. An engine that this gateway has not used yet counts as average
-// (design notes).
+// ownLoadPerCore returns #T per core of an engine. An engine that this gateway has not used yet counts with the mean of
+// the used ones (design notes).
 func (g *Gateway) ownLoadPerCore(e *engine) float64 {
 	if e.used || g.usedCores == 0 {
 		return e.ownThreads / e.cores
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -105,19 +105,19 @@
 	}
 }
 
-// Checks that an engine that this gateway has not used yet counts with the mean load.
+// Checks that an engine that this gateway has not used yet counts with the mean load of the used ones.
 func TestUnusedEngineCountsAsMeanLoad(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	addInFlight(g, g.engines[0], 1, g.now)
 	addInFlight(g, g.engines[0], 1, g.now)
 	markUsed(g, g.engines[1])
 	if got := g.ownLoadPerCore(g.engines[2]); got != 0.25 {
-		t.Fatalf("an unused engine counts with %v threads per core, want the mean of 0.25", got)
+		t.Fatalf("an unused engine counts with %v threads per core, want the mean of the used ones, 0.25", got)
 	}
 }
 
-// Checks that engines in the own zone are preferred if traffic between zones has a cost, both for the first engine of
-// an affinity set and in each step of the selection.
+// Checks that engines in the gateway's own zone are preferred if traffic between zones has a cost, both for the first
+// engine of an affinity set and in each step of the selection.
 func TestOwnZoneIsPreferredWhenCrossZoneTrafficCosts(t *testing.T) {
 	g := newTestGateway(t, 4, func(s *Settings) { s.CrossZoneCost, s.Zone = 0.04, 1 })
 	g.engines[0].Zone, g.engines[1].Zone = 0, 0
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -9,7 +9,8 @@
 	// actual work of queries vary.
 	warmupBudgetMargin = 0.65
 
-	// warmupWorkFactor multiplies the expected work that is charged to the budget, for the same reason.
+	// warmupWorkFactor multiplies the expected work that is charged to the budget, because engine speeds and the actual
+	// work of queries vary.
 	warmupWorkFactor = 1.25
 
 	// warmupQueryFactor is the work of a query that must fit into a gateway's share of a turn, in multiples of the mean
