--- a/cmd/fleettest/distributiontable.go
+++ b/cmd/fleettest/distributiontable.go
@@ -114,7 +114,7 @@
 			s.quantiles(lookupClass, microsPerMilli),
 			s.quantiles(reportClass, microsPerSecond),
 			fmt.Sprintf("%.2f / %.2f", b.PeakToMean, b.PeakToMeanP95),
-			fmt.Sprintf("%.0f", b.LongestIdle),
+			fmt.Sprintf("%.0f", b.LongestLowLoad),
 			fmt.Sprintf("%.1f", b.BurstP999),
 			fmt.Sprintf("%.2f", b.ThreadsPerCore),
 			fmt.Sprint(b.MaxConns),
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -64,7 +64,7 @@
 		if step.RealGateways != 8 || step.HollowGateways != 100 || step.Engines != 60 || step.SentBytesPerSecond <= 0 || step.ResidentMB <= 0 {
 			t.Errorf("%+v", step)
 		}
-		if step.Name == string(scale.Loaded) && step.StatementsPerSecond <= 0 {
+		if step.Name == string(scale.StepLoaded) && step.StatementsPerSecond <= 0 {
 			t.Errorf("no statements in %+v", step)
 		}
 	}
@@ -107,7 +107,7 @@
 // Checks that a run that is cancelled in the middle of a step returns the context's error, and that Close then stops all
 // processes.
 func TestScaleRunStopsProcessesWhenInterrupted(t *testing.T) {
-	opt := smallRunOptions(t, []scale.Step{scale.Quiet})
+	opt := smallRunOptions(t, []scale.Step{scale.StepQuiet})
 	opt.Plan.RealGateways, opt.Plan.HollowGateways, opt.Plan.Engines, opt.Plan.Durations.QuietStep = 2, 6, 4, time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/testbed/capacity/change.go
+++ b/internal/testbed/capacity/change.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Part is a step of a change of primary or of configuration, with the time that a design sketch allows for it.
-type Part struct {
+// ChangeStep is a step of a change of primary or of configuration, with the time that a design sketch allows for it.
+type ChangeStep struct {
 	Name     string
 	Existing string  // what the program does for this step today
 	Seconds  float64 // duration in the sketch
@@ -22,9 +22,9 @@
 	reserveSeconds   = 1.0
 )
 
-// PrimaryChangeParts returns the steps of a change of primary.
-func (m Model) PrimaryChangeParts() []Part {
-	return []Part{
+// PrimaryChangeSteps returns the steps of a change of primary.
+func (m Model) PrimaryChangeSteps() []ChangeStep {
+	return []ChangeStep{
 		{"detection", "absent: engines are not monitored; membership detects dead gateways only", leaseSeconds,
 			"a lease held at the control machines, with heartbeats every " + formatSeconds(heartbeatSeconds)},
 		{"decision", "absent", quorumSeconds,
@@ -42,16 +42,16 @@
 	return roundTripSeconds/2 + m.estimate(ListParse, engines) + m.estimate(ListApply, engines)
 }
 
-// MembershipDetection returns the median and the longest time, in seconds, until membership has informed every gateway
+// MembershipDetectionTimes returns the median and the longest time, in seconds, until membership has informed every gateway
 // that another one has died. No other part of the program detects machine failures.
-func (m Model) MembershipDetection() (median, longest float64) {
+func (m Model) MembershipDetectionTimes() (median, longest float64) {
 	gateways := m.Target.Gateways
 	return m.estimate(DetectionFirstMember, gateways) + m.estimate(DetectionAllMembers, gateways), m.estimate(DetectionMax, gateways)
 }
 
-// ConfigurationChangeParts returns the steps of a change of configuration.
-func (m Model) ConfigurationChangeParts() []Part {
-	return []Part{
+// ConfigurationChangeSteps returns the steps of a change of configuration.
+func (m Model) ConfigurationChangeSteps() []ChangeStep {
+	return []ChangeStep{
 		{"acceptance", "absent: a person edits a file; each gateway validates the whole file when it reads it", quorumSeconds,
 			"validated once and committed at the control machines, two round trips"},
 		{"carrying", "absent: another tool installs the file", m.propagationSeconds(), "pushed in the same way as a new list of engines"},
@@ -63,8 +63,8 @@
 	}
 }
 
-// TotalSeconds returns the total duration of the parts.
-func TotalSeconds(parts []Part) (total float64) {
+// TotalSeconds returns the total duration of the steps.
+func TotalSeconds(parts []ChangeStep) (total float64) {
 	for _, part := range parts {
 		total += part.Seconds
 	}
@@ -74,5 +74,5 @@
 // RestartOverlap returns the share of configuration changes during which at least one gateway restarts, if changes and
 // restarts are spread evenly over the day.
 func (t Target) RestartOverlap() float64 {
-	return min(1, t.RestartsPerDay*t.ConfigurationWithin.Seconds()/(24*time.Hour).Seconds())
+	return min(1, t.RestartsPerDay*t.ConfigurationDeadline.Seconds()/(24*time.Hour).Seconds())
 }
--- a/internal/testbed/capacity/definitions.go
+++ b/internal/testbed/capacity/definitions.go
@@ -4,19 +4,19 @@
 
 // Values of Slope.SizeOf, which say what the size of a slope counts.
 const (
-	Engines     = "engines"
-	Gateways    = "gateways"
-	Connections = "connections"
+	SizeOfEngines     = "engines"
+	SizeOfGateways    = "gateways"
+	SizeOfConnections = "connections"
 )
 
 // Units of slopes.
 const (
-	Seconds          = "s"
-	SecondsPerSecond = "s/s" // processor time per wall-clock time, the share of a core
-	Bytes            = "bytes"
-	BytesPerSecond   = "bytes/s"
-	PerSecond        = "1/s"
-	Share            = "share"
+	UnitSeconds          = "s"
+	UnitSecondsPerSecond = "s/s" // processor time per wall-clock time, the share of a core
+	UnitBytes            = "bytes"
+	UnitBytesPerSecond   = "bytes/s"
+	UnitPerSecond        = "1/s"
+	UnitShare            = "share"
 )
 
 // Group is a group of measurements that can be run separately.
@@ -42,8 +42,8 @@
 type Definition struct {
 	Group  Group
 	Name   string
-	Unit   string // Seconds or another unit
-	SizeOf string // what the size counts: Engines, Gateways or Connections
+	Unit   string // UnitSeconds or another unit
+	SizeOf string // what the size counts: SizeOfEngines, SizeOfGateways or SizeOfConnections
 	Form   Form   // of the fitted curve
 }
 
@@ -59,29 +59,29 @@
 // Definitions returns the definitions of all slopes, in the order of result files.
 func Definitions() []Definition {
 	list := []Definition{
-		{GroupDecision, DecisionProcessor, Seconds, Engines, Linear},
-		{GroupDecision, CoreProcessor, Seconds, Engines, Linear},
-		{GroupReports, KnownAtLowRate, Share, Engines, Power},
-		{GroupReports, AgeAtLowRate, Seconds, Engines, Power},
-		{GroupReports, KnownAtFullRate, Share, Engines, Flat},
-		{GroupReports, AgeAtFullRate, Seconds, Engines, Linear},
-		{GroupReports, ReportsProcessor, SecondsPerSecond, Engines, Linear},
-		{GroupReports, ReportsBytes, BytesPerSecond, Engines, Flat},
-		{GroupReports, DigestMemory, Bytes, Engines, Linear},
-		{GroupMembership, MembershipBytes, BytesPerSecond, Gateways, Flat},
-		{GroupMembership, MembershipProcessor, SecondsPerSecond, Gateways, Linear},
-		{GroupMembership, MembershipMemory, Bytes, Gateways, Linear},
-		{GroupMembership, DetectionFirstMember, Seconds, Gateways, Flat},
-		{GroupMembership, DetectionAllMembers, Seconds, Gateways, Power},
-		{GroupMembership, DetectionMax, Seconds, Gateways, Power},
-		{GroupDiscovery, ListBytes, Bytes, Engines, Linear},
-		{GroupDiscovery, ListParse, Seconds, Engines, Linear},
-		{GroupDiscovery, ListApply, Seconds, Engines, Power},
-		{GroupDiscovery, ListMemory, Bytes, Engines, Linear},
-		{GroupConnections, EngineConnection, Bytes, Connections, Power},
-		{GroupConnections, ClientConnection, Bytes, Connections, Power},
-		{GroupStaged, StagedReportBytes, BytesPerSecond, Gateways, Flat},
-		{GroupStaged, StagedReportProcessor, Seconds, Gateways, Linear},
+		{GroupDecision, DecisionProcessor, UnitSeconds, SizeOfEngines, Linear},
+		{GroupDecision, CoreProcessor, UnitSeconds, SizeOfEngines, Linear},
+		{GroupReports, KnownAtLowRate, UnitShare, SizeOfEngines, Power},
+		{GroupReports, AgeAtLowRate, UnitSeconds, SizeOfEngines, Power},
+		{GroupReports, KnownAtFullRate, UnitShare, SizeOfEngines, Flat},
+		{GroupReports, AgeAtFullRate, UnitSeconds, SizeOfEngines, Linear},
+		{GroupReports, ReportsProcessor, UnitSecondsPerSecond, SizeOfEngines, Linear},
+		{GroupReports, ReportsBytes, UnitBytesPerSecond, SizeOfEngines, Flat},
+		{GroupReports, DigestMemory, UnitBytes, SizeOfEngines, Linear},
+		{GroupMembership, MembershipBytes, UnitBytesPerSecond, SizeOfGateways, Flat},
+		{GroupMembership, MembershipProcessor, UnitSecondsPerSecond, SizeOfGateways, Linear},
+		{GroupMembership, MembershipMemory, UnitBytes, SizeOfGateways, Linear},
+		{GroupMembership, DetectionFirstMember, UnitSeconds, SizeOfGateways, Flat},
+		{GroupMembership, DetectionAllMembers, UnitSeconds, SizeOfGateways, Power},
+		{GroupMembership, DetectionMax, UnitSeconds, SizeOfGateways, Power},
+		{GroupDiscovery, ListBytes, UnitBytes, SizeOfEngines, Linear},
+		{GroupDiscovery, ListParse, UnitSeconds, SizeOfEngines, Linear},
+		{GroupDiscovery, ListApply, UnitSeconds, SizeOfEngines, Power},
+		{GroupDiscovery, ListMemory, UnitBytes, SizeOfEngines, Linear},
+		{GroupConnections, EngineConnection, UnitBytes, SizeOfConnections, Power},
+		{GroupConnections, ClientConnection, UnitBytes, SizeOfConnections, Power},
+		{GroupStaged, StagedReportBytes, UnitBytesPerSecond, SizeOfGateways, Flat},
+		{GroupStaged, StagedReportProcessor, UnitSeconds, SizeOfGateways, Linear},
 	}
 	for _, phase := range Phases() {
 		list = append(list, phaseDefinitions(phase)...)
@@ -92,16 +92,16 @@
 // phaseDefinitions returns the definitions of the slopes of a phase. Without a fault, and after the fleet has settled, the
 // cost of gossip to a gateway does not depend on the size of the fleet, so those slopes are flat.
 func phaseDefinitions(phase Phase) (list []Definition) {
-	units := map[PhaseQuantity]string{PeakDatagrams: PerSecond, PeakProcessorTime: SecondsPerSecond, ConvergenceSeconds: Seconds}
+	units := map[PhaseQuantity]string{PeakDatagrams: UnitPerSecond, PeakProcessorTime: UnitSecondsPerSecond, ConvergenceSeconds: UnitSeconds}
 	for _, quantity := range PhaseQuantities(phase) {
 		unit, form := units[quantity], Power
 		if unit == "" {
-			unit = BytesPerSecond
+			unit = UnitBytesPerSecond
 		}
-		if phase == Quiet || quantity == SettledBytes {
+		if phase == PhaseQuiet || quantity == SettledBytes {
 			form = Flat
 		}
-		list = append(list, Definition{GroupFaults, quantity.SlopeName(phase), unit, Gateways, form})
+		list = append(list, Definition{GroupFaults, quantity.SlopeName(phase), unit, SizeOfGateways, form})
 	}
 	return list
 }
--- a/internal/testbed/capacity/effect.go
+++ b/internal/testbed/capacity/effect.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// effectPhases returns the phases that have a column in the table of effects. The column of RegionsPartitioned also covers
-// PartitionHealed.
+// effectPhases returns the phases that have a column in the table of effects. The column of PhaseRegionsPartitioned also covers
+// PhasePartitionHealed.
 func effectPhases() []Phase {
-	return []Phase{MachineLost, Restart, RackLost, ZoneLost, ZoneRecovered, RegionsPartitioned}
+	return []Phase{PhaseMachineLost, PhaseRestart, PhaseRackLost, PhaseZoneLost, PhaseZoneRecovered, PhaseRegionsPartitioned}
 }
 
 // effectTable returns a table of the effect of each fault on each role.
@@ -40,18 +40,18 @@
 // effect describes the effect of a state on a role.
 func (m Model) effect(role RoleName, state State) string {
 	switch role {
-	case ClientSide:
+	case RoleClientSide:
 		return m.clientEffect(state)
-	case Decisions:
+	case RoleDecisions:
 		cost := m.decisionCost(state.Engines, state.StatementsPerSecond)
 		return fmt.Sprintf("%s of a core with %.0f engines", formatPercent(cost.Processor), state.Engines)
-	case EngineSide:
+	case RoleEngineSide:
 		return m.engineEffect(state)
-	case Membership:
+	case RoleMembership:
 		return m.membershipEffect(state)
-	case LoadReports:
+	case RoleLoadReports:
 		return m.reportEffect(state)
-	case Discovery:
+	case RoleDiscovery:
 		return m.discoveryEffect(state)
 	}
 	return m.controlEffect(role, state)
@@ -60,9 +60,9 @@
 func (m Model) clientEffect(state State) string {
 	quiet := m.Target.ClientsPerGateway()
 	switch moved := m.Target.ClientConnections - quiet*state.Gateways; {
-	case state.Phase == RegionsPartitioned:
+	case state.Phase == PhaseRegionsPartitioned:
 		return "clients stay within their region"
-	case state.Phase == ZoneRecovered:
+	case state.Phase == PhaseZoneRecovered:
 		return "clients return as they reconnect"
 	case moved > 0:
 		return fmt.Sprintf("%s connections move; %.0f at each remaining gateway", formatCount(moved), state.ClientConnections)
@@ -73,14 +73,14 @@
 func (m Model) engineEffect(state State) string {
 	lost := m.Target.Engines - state.Engines
 	switch {
-	case state.Phase == RegionsPartitioned:
+	case state.Phase == PhaseRegionsPartitioned:
 		connections := m.Target.Gateways * m.Target.Engines / m.Target.Regions
 		return fmt.Sprintf("connections to the other region close: %s in total", formatCount(connections))
-	case state.Phase == ZoneRecovered:
-		gateways, engines := m.losses(ZoneLost)
+	case state.Phase == PhaseZoneRecovered:
+		gateways, engines := m.losses(PhaseZoneLost)
 		connections := m.Target.Gateways*engines + gateways*state.Engines - gateways*engines
 		return fmt.Sprintf("%s connections are opened within seconds", formatCount(connections))
-	case state.Phase == Restart:
+	case state.Phase == PhaseRestart:
 		return fmt.Sprintf("%s connections are reopened", formatCount(state.Engines))
 	}
 	return fmt.Sprintf("connections closed at each gateway: %s", formatCount(math.Ceil(lost)))
@@ -89,8 +89,8 @@
 func (m Model) membershipEffect(state State) string {
 	gateways := m.Target.Gateways
 	text := fmt.Sprintf("%s at the peak", formatBytesPerSecond(m.estimate(PeakBytes.SlopeName(state.Phase), gateways)))
-	if state.Phase == RegionsPartitioned {
-		healing := m.estimate(PeakBytes.SlopeName(PartitionHealed), gateways)
+	if state.Phase == PhaseRegionsPartitioned {
+		healing := m.estimate(PeakBytes.SlopeName(PhasePartitionHealed), gateways)
 		return fmt.Sprintf("%s, %s after healing; each side considers the other dead", text, formatBytesPerSecond(healing))
 	}
 	return text + ", all agree after " + formatSeconds(m.estimate(ConvergenceSeconds.SlopeName(state.Phase), gateways))
@@ -100,9 +100,9 @@
 	bytes := m.estimate(PeakBytesWithReports.SlopeName(state.Phase), m.Target.Gateways)
 	peak := fmt.Sprintf("%s at the peak, including membership", formatBytesPerSecond(bytes))
 	switch state.Phase {
-	case RegionsPartitioned:
+	case PhaseRegionsPartitioned:
 		return "no reports of the other region's engines; " + peak
-	case Restart, ZoneRecovered:
+	case PhaseRestart, PhaseZoneRecovered:
 		return "a starting gateway has no reports for some seconds"
 	}
 	return peak
@@ -112,13 +112,13 @@
 	list := m.estimate(ListBytes, m.Target.Engines)
 	gateways, engines := m.losses(state.Phase)
 	switch state.Phase {
-	case Restart:
+	case PhaseRestart:
 		return formatBytes(list) + " to the starting gateway, if its configuration has no list"
-	case ZoneRecovered:
-		gateways, engines = m.losses(ZoneLost)
+	case PhaseZoneRecovered:
+		gateways, engines = m.losses(PhaseZoneLost)
 		return fmt.Sprintf("%s to the starting gateways, %s changed lines to all gateways", formatBytes(list*gateways),
 			formatCount(math.Ceil(engines)))
-	case RegionsPartitioned:
+	case PhaseRegionsPartitioned:
 		return fmt.Sprintf("the region without the server keeps its last list; afterwards a full list to each of its gateways: %s",
 			formatBytes(list*m.Target.Gateways/m.Target.Regions))
 	}
@@ -129,19 +129,19 @@
 func (m Model) controlEffect(role RoleName, state State) string {
 	t := m.Target
 	switch role {
-	case Configuration:
-		if state.Phase == Restart {
+	case RoleConfiguration:
+		if state.Phase == PhaseRestart {
 			return fmt.Sprintf("overlaps with %s of the changes; whether the gateway reads the old or the new file is undefined",
 				formatPercent(t.RestartOverlap()))
 		}
 		return "nothing detects gateways that missed a change"
-	case StagedChange:
-		if state.Phase == RegionsPartitioned {
+	case RoleStagedChange:
+		if state.Phase == PhaseRegionsPartitioned {
 			return "holds: too few reports from the other region"
 		}
 		return "a change in progress holds, or continues once the gateways report again"
-	case Primaries:
-		if state.Phase == Restart || state.Phase == ZoneRecovered {
+	case RolePrimaries:
+		if state.Phase == PhaseRestart || state.Phase == PhaseZoneRecovered {
 			return "none"
 		}
 		return fmt.Sprintf("%s of the engines' primaries have to change; no mechanism does so", formatPercent(1-state.Engines/t.Engines))
@@ -154,11 +154,11 @@
 func (m Model) quorumEffect(state State) string {
 	machines := m.Target.ControlMachines
 	switch state.Phase {
-	case ZoneLost:
+	case PhaseZoneLost:
 		return fmt.Sprintf("%.0f of %.0f remain: a majority", machines-1, machines)
-	case RegionsPartitioned:
+	case PhaseRegionsPartitioned:
 		return fmt.Sprintf("%.0f on each side: no majority on either", machines/m.Target.Regions)
-	case MachineLost, RackLost:
+	case PhaseMachineLost, PhaseRackLost:
 		return fmt.Sprintf("at most one of %.0f lost: a majority remains", machines)
 	}
 	return "none"
--- a/internal/testbed/capacity/fault.go
+++ b/internal/testbed/capacity/fault.go
@@ -21,19 +21,19 @@
 	t := m.Target
 	full := State{Gateways: t.Gateways, Engines: t.Engines, StatementsPerSecond: t.StatementsPerGateway(), ClientConnections: t.ClientsPerGateway()}
 	frequency := map[Phase]string{
-		Quiet:              "otherwise",
-		Restart:            fmt.Sprintf("%s a day, one every %s", formatCount(t.RestartsPerDay), formatSeconds(daySeconds/t.RestartsPerDay)),
-		MachineLost:        fmt.Sprintf("%s a day", formatCount(t.MachinesPerDay)),
-		RackLost:           "every month or two",
-		ZoneLost:           "every other month",
-		ZoneRecovered:      "after each loss of a zone",
-		RegionsPartitioned: fmt.Sprintf("occasionally, for %s min", formatCount(t.RegionsApart.Minutes())),
-		PartitionHealed:    "after each partition",
+		PhaseQuiet:              "otherwise",
+		PhaseRestart:            fmt.Sprintf("%s a day, one every %s", formatCount(t.RestartsPerDay), formatSeconds(daySeconds/t.RestartsPerDay)),
+		PhaseMachineLost:        fmt.Sprintf("%s a day", formatCount(t.MachineFailuresPerDay)),
+		PhaseRackLost:           "every month or two",
+		PhaseZoneLost:           "every other month",
+		PhaseZoneRecovered:      "after each loss of a zone",
+		PhaseRegionsPartitioned: fmt.Sprintf("occasionally, for %s min", formatCount(t.PartitionDuration.Minutes())),
+		PhasePartitionHealed:    "after each partition",
 	}
 	var states []State
 	for _, phase := range Phases() {
 		state := full.afterLoss(m.losses(phase))
-		if phase == RegionsPartitioned { // each region keeps its gateways, engines and clients
+		if phase == PhaseRegionsPartitioned { // each region keeps its gateways, engines and clients
 			state = full
 			state.Gateways, state.Engines = t.Gateways/t.Regions, t.Engines/t.Regions
 		}
@@ -47,13 +47,13 @@
 func (m Model) losses(phase Phase) (gateways, engines float64) {
 	t := m.Target
 	switch phase {
-	case Restart:
+	case PhaseRestart:
 		return 1, 0
-	case MachineLost:
+	case PhaseMachineLost:
 		return 1, 1
-	case RackLost:
+	case PhaseRackLost:
 		return t.Gateways * rackShare, t.Engines * rackShare
-	case ZoneLost:
+	case PhaseZoneLost:
 		return t.Gateways / t.Zones, t.Engines / t.Zones
 	}
 	return 0, 0
@@ -93,7 +93,7 @@
 	decision := m.decisionCost(state.Engines, state.StatementsPerSecond)
 	total := decision.Add(m.connectionCost(state.Engines)).Add(m.membershipCost(t.Gateways)).
 		Add(m.reportCost(t.Gateways, state.Engines))
-	quiet := m.estimate(PeakProcessorTime.SlopeName(Quiet), t.Gateways)
+	quiet := m.estimate(PeakProcessorTime.SlopeName(PhaseQuiet), t.Gateways)
 	total.Processor += max(0, m.estimate(PeakProcessorTime.SlopeName(phase), t.Gateways)-quiet)
 	total.BytesPerSecond = m.estimate(PeakBytesWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond
 	peak := Peak{
@@ -103,7 +103,7 @@
 		SecondsOverBudget: m.secondsOverBudget(PeakBytesWithReports.SlopeName(phase), t.Gateways),
 		TopSenderBytes:    m.estimate(PeakTopSenderWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond,
 	}
-	if phase != RegionsPartitioned {
+	if phase != PhaseRegionsPartitioned {
 		peak.ConvergenceSeconds = m.estimate(ConvergenceSeconds.SlopeName(phase), t.Gateways)
 	}
 	peak.Verdicts = []Verdict{
--- a/internal/testbed/capacity/firstmeasurements.go
+++ b/internal/testbed/capacity/firstmeasurements.go
@@ -9,7 +9,7 @@
 }
 
 func firstMeasurements() []firstMeasurement {
-	partition, healing := PeakBurst.SlopeName(RegionsPartitioned), PeakBurst.SlopeName(PartitionHealed)
+	partition, healing := PeakBurst.SlopeName(PhaseRegionsPartitioned), PeakBurst.SlopeName(PhasePartitionHealed)
 	return []firstMeasurement{
 		{"processor time of a decision, 80 engines", 59e-6, DecisionProcessor, 80},
 		{"processor time of a decision, 300 engines", 124e-6, DecisionProcessor, 300},
@@ -22,7 +22,7 @@
 		{"membership, fleet partitioned into halves, 400 gateways, over 5 s", 6000, partition, 400},
 		{"membership, fleet partitioned into halves, 800 gateways, over 5 s", 10_400, partition, 800},
 		{"membership, partition healed, 800 gateways, over 5 s", 9100, healing, 800},
-		{"membership, fleet partitioned into halves, 800 gateways, settled", 80, SettledBytes.SlopeName(RegionsPartitioned), 800},
+		{"membership, fleet partitioned into halves, 800 gateways, settled", 80, SettledBytes.SlopeName(PhaseRegionsPartitioned), 800},
 	}
 }
 
--- a/internal/testbed/capacity/format.go
+++ b/internal/testbed/capacity/format.go
@@ -9,15 +9,15 @@
 // formatQuantity formats a value of the given unit with three significant digits.
 func formatQuantity(value float64, unit string) string {
 	switch unit {
-	case Seconds:
+	case UnitSeconds:
 		return formatSeconds(value)
-	case SecondsPerSecond:
+	case UnitSecondsPerSecond:
 		return formatPercent(value) + " of a core"
-	case Bytes:
+	case UnitBytes:
 		return formatBytes(value)
-	case BytesPerSecond:
+	case UnitBytesPerSecond:
 		return formatBytes(value) + "/s"
-	case PerSecond:
+	case UnitPerSecond:
 		return formatNumber(value) + "/s"
 	}
 	return formatNumber(value)
--- a/internal/testbed/capacity/measure/faults.go
+++ b/internal/testbed/capacity/measure/faults.go
@@ -46,14 +46,14 @@
 func phasePlans() []phasePlan {
 	const second = time.Second
 	return []phasePlan{
-		{capacity.Quiet, func(*fleet) {}, 60 * second, 15 * second, false},
-		{capacity.Restart, restartOne, 30 * second, 20 * second, false},
-		{capacity.MachineLost, func(f *fleet) { f.Kill(0) }, 30 * second, 25 * second, false},
-		{capacity.RackLost, func(f *fleet) { f.killFirst(rackCount) }, 30 * second, 25 * second, false},
-		{capacity.ZoneLost, func(f *fleet) { f.killFirst(zoneCount) }, 60 * second, 35 * second, false},
-		{capacity.ZoneRecovered, (*fleet).startStopped, 40 * second, 20 * second, false},
-		{capacity.RegionsPartitioned, (*fleet).partition, 120 * second, 60 * second, true},
-		{capacity.PartitionHealed, func(f *fleet) { f.Drops = nil }, 60 * second, 30 * second, false},
+		{capacity.PhaseQuiet, func(*fleet) {}, 60 * second, 15 * second, false},
+		{capacity.PhaseRestart, restartOne, 30 * second, 20 * second, false},
+		{capacity.PhaseMachineLost, func(f *fleet) { f.Kill(0) }, 30 * second, 25 * second, false},
+		{capacity.PhaseRackLost, func(f *fleet) { f.killFirst(rackCount) }, 30 * second, 25 * second, false},
+		{capacity.PhaseZoneLost, func(f *fleet) { f.killFirst(zoneCount) }, 60 * second, 35 * second, false},
+		{capacity.PhaseZoneRecovered, (*fleet).startStopped, 40 * second, 20 * second, false},
+		{capacity.PhaseRegionsPartitioned, (*fleet).partition, 120 * second, 60 * second, true},
+		{capacity.PhasePartitionHealed, func(f *fleet) { f.Drops = nil }, 60 * second, 30 * second, false},
 	}
 }
 
@@ -167,7 +167,7 @@
 	rate := bytesPerSecond(from, to, peakWindow) / running
 	c.PeakBytes = max(c.PeakBytes, rate)
 	c.SettledBytes = rate
-	if rate > capacity.Expected().BytesPerSecond {
+	if rate > capacity.ExpectedTarget().BytesPerSecond {
 		c.SecondsOverBudget += sampleInterval.Seconds()
 	}
 	c.PeakDatagrams = max(c.PeakDatagrams, float64(to.datagrams-from.datagrams)/window/running)
--- a/internal/testbed/capacity/measure/measure_test.go
+++ b/internal/testbed/capacity/measure/measure_test.go
@@ -51,7 +51,7 @@
 		if alone[i].Phase != phase || with[i].Phase != phase {
 			t.Fatalf("phase %q without and %q with load reports, want %q", alone[i].Phase, with[i].Phase, phase)
 		}
-		if agreed := alone[i].ConvergenceSeconds >= 0; agreed != (phase != capacity.RegionsPartitioned) {
+		if agreed := alone[i].ConvergenceSeconds >= 0; agreed != (phase != capacity.PhaseRegionsPartitioned) {
 			t.Errorf("%s: views agreed after %v s; want no agreement (-1) only while partitioned", phase, alone[i].ConvergenceSeconds)
 		}
 		if alone[i].PeakBytes <= 0 || with[i].PeakBytes <= alone[i].PeakBytes || alone[i].PeakTopSender < alone[i].PeakBytes {
--- a/internal/testbed/capacity/measure/runner.go
+++ b/internal/testbed/capacity/measure/runner.go
@@ -108,7 +108,7 @@
 
 // decisionsAt measures decisions with the given number of engines, without and with the core.
 func (r *runner) decisionsAt(engines int, seed uint64) error {
-	target := capacity.Expected()
+	target := capacity.ExpectedTarget()
 	setup := DecisionSetup{
 		Engines:             engines,
 		Gateways:            int(target.Gateways),
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	setup.ReportsPerSecond = capacity.Expected().StatementsPerGateway()
+	setup.ReportsPerSecond = capacity.ExpectedTarget().StatementsPerGateway()
 	full, err := SharedReports(setup)
 	if err != nil {
 		return err
@@ -226,7 +226,7 @@
 	add(capacity.PeakDatagrams, cost.PeakDatagrams)
 	add(capacity.PeakProcessorTime, cost.PeakProcessor)
 	add(capacity.SettledBytes, cost.SettledBytes)
-	if cost.Phase != capacity.RegionsPartitioned {
+	if cost.Phase != capacity.PhaseRegionsPartitioned {
 		add(capacity.ConvergenceSeconds, cost.ConvergenceSeconds)
 	}
 }
--- a/internal/testbed/capacity/model.go
+++ b/internal/testbed/capacity/model.go
@@ -17,7 +17,7 @@
 
 // New returns a model of the expected fleet. The result must contain all slopes of Definitions, which DecodeResult checks.
 func New(result Result) Model {
-	m := Model{Target: Expected(), Result: result, fitted: map[string]fittedSlope{}}
+	m := Model{Target: ExpectedTarget(), Result: result, fitted: map[string]fittedSlope{}}
 	for _, slope := range result.Slopes {
 		m.fitted[slope.Name] = fittedSlope{slope, slope.Fit()}
 	}
--- a/internal/testbed/capacity/model_test.go
+++ b/internal/testbed/capacity/model_test.go
@@ -13,7 +13,7 @@
 	for _, definition := range Definitions() {
 		curve := func(size float64) float64 { return rate * size }
 		switch {
-		case definition.Unit == Share:
+		case definition.Unit == UnitShare:
 			curve = func(float64) float64 { return 1 }
 		case definition.Form == Flat:
 			curve = func(float64) float64 { return rate }
@@ -68,14 +68,14 @@
 	m := New(resultOf(1))
 	for _, state := range m.States() {
 		total := state.StatementsPerSecond * state.Gateways
-		if state.Phase == RegionsPartitioned {
+		if state.Phase == PhaseRegionsPartitioned {
 			total *= m.Target.Regions
 		}
 		if !nearlyEqual(total, m.Target.StatementsPerSecond) {
 			t.Errorf("%s: %v statements per second in total, want %v", state.Phase, total, m.Target.StatementsPerSecond)
 		}
 	}
-	zone := m.stateOf(ZoneLost)
+	zone := m.stateOf(PhaseZoneLost)
 	if !nearlyEqual(zone.Gateways, 800*6.0/7) || !nearlyEqual(zone.ClientConnections, 3500*7.0/6) {
 		t.Errorf("state after the loss of a zone: %+v, want 6/7 of the gateways with 7/6 of the clients each", zone)
 	}
@@ -92,8 +92,8 @@
 			t.Errorf("%q is missed at %v gateways, but is ranked after a requirement that is met or missed at %v",
 				requirement.Name, requirement.Gateways, previous)
 		}
-		if requirement.Missed != (requirement.AtTarget > 1) {
-			t.Errorf("%q: factor %v at the target, but Missed = %v", requirement.Name, requirement.AtTarget, requirement.Missed)
+		if requirement.Missed != (requirement.FactorAtTarget > 1) {
+			t.Errorf("%q: factor %v at the target, but Missed = %v", requirement.Name, requirement.FactorAtTarget, requirement.Missed)
 		}
 		previous = requirement.Gateways
 	}
--- a/internal/testbed/capacity/names.go
+++ b/internal/testbed/capacity/names.go
@@ -33,19 +33,19 @@
 
 // The phases.
 const (
-	Quiet              Phase = "quiet"
-	Restart            Phase = "planned restart"
-	MachineLost        Phase = "machine lost"
-	RackLost           Phase = "rack lost"
-	ZoneLost           Phase = "zone lost"
-	ZoneRecovered      Phase = "zone back cold"
-	RegionsPartitioned Phase = "regions cut"
-	PartitionHealed    Phase = "regions healed"
+	PhaseQuiet              Phase = "quiet"
+	PhaseRestart            Phase = "planned restart"
+	PhaseMachineLost        Phase = "machine lost"
+	PhaseRackLost           Phase = "rack lost"
+	PhaseZoneLost           Phase = "zone lost"
+	PhaseZoneRecovered      Phase = "zone back cold"
+	PhaseRegionsPartitioned Phase = "regions cut"
+	PhasePartitionHealed    Phase = "regions healed"
 )
 
 // Phases returns all phases in the order of a fault run.
 func Phases() []Phase {
-	return []Phase{Quiet, Restart, MachineLost, RackLost, ZoneLost, ZoneRecovered, RegionsPartitioned, PartitionHealed}
+	return []Phase{PhaseQuiet, PhaseRestart, PhaseMachineLost, PhaseRackLost, PhaseZoneLost, PhaseZoneRecovered, PhaseRegionsPartitioned, PhasePartitionHealed}
 }
 
 // PhaseQuantity is a quantity that is measured in each phase, for membership alone or for membership with load reports
@@ -75,7 +75,7 @@
 func PhaseQuantities(phase Phase) []PhaseQuantity {
 	list := []PhaseQuantity{PeakBytes, PeakBurst, PeakTopSender, PeakDatagrams, PeakProcessorTime, SettledBytes,
 		PeakBytesWithReports, PeakTopSenderWithReports}
-	if phase != RegionsPartitioned {
+	if phase != PhaseRegionsPartitioned {
 		list = append(list, ConvergenceSeconds)
 	}
 	return list
--- a/internal/testbed/capacity/outcome.go
+++ b/internal/testbed/capacity/outcome.go
@@ -11,7 +11,7 @@
 func (m Model) outcomeText() string {
 	ranking := m.Ranking()
 	first := ranking[0]
-	firstAlways := ranking[slices.IndexFunc(ranking, func(r RankedRequirement) bool { return r.Condition == Always })]
+	firstAlways := ranking[slices.IndexFunc(ranking, func(r RankedRequirement) bool { return r.Condition == ConditionAlways })]
 	return strings.Join([]string{
 		fmt.Sprintf("- By size, \"%s\" is missed first: %s, from %s on.", first.Name, first.Condition, m.fleetSizeText(first)),
 		fmt.Sprintf("- Of the requirements missed at all times, \"%s\" is missed first: from %s on.", firstAlways.Name, m.fleetSizeText(firstAlways)),
@@ -25,12 +25,12 @@
 func (m Model) steadyStateText(ranking []RankedRequirement) string {
 	worst := RankedRequirement{}
 	for _, requirement := range ranking {
-		if requirement.Condition == Always && requirement.AtTarget > worst.AtTarget {
+		if requirement.Condition == ConditionAlways && requirement.FactorAtTarget > worst.FactorAtTarget {
 			worst = requirement
 		}
 	}
 	return fmt.Sprintf("- By cost without faults, \"%s\" is missed by the largest factor: %sx at the target, at all times.",
-		worst.Name, formatNumber(worst.AtTarget))
+		worst.Name, formatNumber(worst.FactorAtTarget))
 }
 
 // faultText says for how long the traffic exceeds the budget in a partition between regions and after its healing.
@@ -39,8 +39,8 @@
 		return formatSeconds(m.secondsOverBudget(quantity.SlopeName(phase), m.Target.Gateways))
 	}
 	return fmt.Sprintf("- In a partition between regions, bytes averaged over 10 s exceed the budget for %s with load reports and %s without; after "+
-		"its healing for %s and %s.", over(PeakBytesWithReports, RegionsPartitioned), over(PeakBytes, RegionsPartitioned),
-		over(PeakBytesWithReports, PartitionHealed), over(PeakBytes, PartitionHealed))
+		"its healing for %s and %s.", over(PeakBytesWithReports, PhaseRegionsPartitioned), over(PeakBytes, PhaseRegionsPartitioned),
+		over(PeakBytesWithReports, PhasePartitionHealed), over(PeakBytes, PhasePartitionHealed))
 }
 
 // subsetText says what decisions cost with subsets.
--- a/internal/testbed/capacity/pagetables.go
+++ b/internal/testbed/capacity/pagetables.go
@@ -107,7 +107,7 @@
 
 func peakRow(peak Peak) []string {
 	convergence := formatOrDash(peak.ConvergenceSeconds, formatSeconds)
-	if peak.Phase == RegionsPartitioned {
+	if peak.Phase == PhaseRegionsPartitioned {
 		convergence = "views differ by design"
 	}
 	return []string{
@@ -140,7 +140,7 @@
 	return strings.Join(list, ", ")
 }
 
-func partTable(parts []Part) Table {
+func partTable(parts []ChangeStep) Table {
 	table := Table{Header: []string{"part", "today", "seconds in the sketch", "from"}}
 	for _, part := range parts {
 		table.Rows = append(table.Rows, []string{part.Name, part.Existing, formatNumber(part.Seconds), part.Source})
@@ -150,18 +150,18 @@
 }
 
 func (m Model) primaryText() string {
-	median, longest := m.MembershipDetection()
+	median, longest := m.MembershipDetectionTimes()
 	withSwitching := median + drainSeconds + dialSeconds
-	limit := m.Target.PrimaryWithin.Seconds()
-	return partTable(m.PrimaryChangeParts()).Markdown() + fmt.Sprintf("\nNo mechanism performs a change of primary today. If membership did detection and "+
+	limit := m.Target.PrimaryDeadline.Seconds()
+	return partTable(m.PrimaryChangeSteps()).Markdown() + fmt.Sprintf("\nNo mechanism performs a change of primary today. If membership did detection and "+
 		"telling, these alone would take %s (median; %s for the slowest of the measured kills), and together with switching %s of the %s: "+
 		"misses by %sx. The seconds in the sketch are settings and arithmetic, not measurements.\n", formatSeconds(median), formatSeconds(longest),
 		formatSeconds(withSwitching), formatSeconds(limit), formatNumber(withSwitching/limit))
 }
 
 func (m Model) configurationText() string {
-	limit := m.Target.ConfigurationWithin.Seconds()
-	return partTable(m.ConfigurationChangeParts()).Markdown() + fmt.Sprintf("\nNo mechanism distributes a configuration today. A staged change takes at least "+
+	limit := m.Target.ConfigurationDeadline.Seconds()
+	return partTable(m.ConfigurationChangeSteps()).Markdown() + fmt.Sprintf("\nNo mechanism distributes a configuration today. A staged change takes at least "+
 		"30 s per stage, %s times the %s allowed for the whole change. A restart overlaps with %s of the changes, if both are spread evenly over the day.\n",
 		formatNumber(minWatchSeconds/limit), formatSeconds(limit), formatPercent(m.Target.RestartOverlap()))
 }
@@ -180,11 +180,11 @@
 	var met []string
 	for place, ranked := range m.Ranking() {
 		if !ranked.Missed {
-			met = append(met, fmt.Sprintf("%s (x%s)", ranked.Name, formatNumber(ranked.AtTarget)))
+			met = append(met, fmt.Sprintf("%s (x%s)", ranked.Name, formatNumber(ranked.FactorAtTarget)))
 			continue
 		}
 		table.Rows = append(table.Rows, []string{fmt.Sprint(place + 1), ranked.Name, string(ranked.Condition), m.fleetSizeText(ranked),
-			"x" + formatNumber(ranked.AtCurrent), "x" + formatNumber(ranked.AtTarget), ranked.MissingMechanism})
+			"x" + formatNumber(ranked.FactorAtCurrent), "x" + formatNumber(ranked.FactorAtTarget), ranked.MissingMechanism})
 	}
 	return table.Markdown() + "\nMet at the target, with use over limit: " + strings.Join(met, "; ") + ".\n"
 }
--- a/internal/testbed/capacity/ranking.go
+++ b/internal/testbed/capacity/ranking.go
@@ -9,10 +9,10 @@
 // see fleetAt.
 type RankedRequirement struct {
 	Requirement
-	Missed              bool    // by a fleet on the path, which includes the target
-	Gateways, Engines   float64 // of the smallest fleet that misses it, or of the target if none does
-	AtCurrent, AtTarget float64 // use divided by limit
-	position            float64 // of that fleet on the path
+	Missed                          bool    // by a fleet on the path, which includes the target
+	Gateways, Engines               float64 // of the smallest fleet that misses it, or of the target if none does
+	FactorAtCurrent, FactorAtTarget float64 // use divided by limit
+	position                        float64 // of that fleet on the path
 }
 
 // fleetAt returns the size of the fleet at a position on the growth path: 0 is an empty fleet, 1 is the current fleet and 2
@@ -62,7 +62,7 @@
 	var list []RankedRequirement
 	for _, requirement := range m.Requirements() {
 		ranked := RankedRequirement{Requirement: requirement}
-		ranked.AtCurrent, ranked.AtTarget = requirement.Factor(m.fleetAt(currentPosition)), requirement.Factor(m.fleetAt(targetPosition))
+		ranked.FactorAtCurrent, ranked.FactorAtTarget = requirement.Factor(m.fleetAt(currentPosition)), requirement.Factor(m.fleetAt(targetPosition))
 		ranked.position, ranked.Missed = m.firstMissed(requirement.Factor)
 		ranked.Gateways, ranked.Engines = m.fleetAt(ranked.position)
 		list = append(list, ranked)
--- a/internal/testbed/capacity/requirement.go
+++ b/internal/testbed/capacity/requirement.go
@@ -5,8 +5,8 @@
 
 // The conditions.
 const (
-	Always    Condition = "always"
-	FaultOnly Condition = "in a fault only"
+	ConditionAlways    Condition = "always"
+	ConditionFaultOnly Condition = "in a fault only"
 )
 
 // Requirement is a requirement that depends on the size of the fleet.
@@ -23,28 +23,28 @@
 func (m Model) Requirements() []Requirement {
 	t := m.Target
 	list := []Requirement{
-		{Name: "decisions within 4.1% of a core", Condition: Always, MissingMechanism: "subsets of engines",
+		{Name: "decisions within 4.1% of a core", Condition: ConditionAlways, MissingMechanism: "subsets of engines",
 			Factor: func(_, engines float64) float64 {
 				return m.decisionCost(engines, t.StatementsPerGateway()).Processor / t.Processor
 			}},
-		{Name: "connections per engine within 151 (assumed)", Condition: Always, MissingMechanism: "subsets of engines",
+		{Name: "connections per engine within 151 (assumed)", Condition: ConditionAlways, MissingMechanism: "subsets of engines",
 			Factor: func(gateways, _ float64) float64 { return gateways / MySQLMaxConnections }},
-		{Name: "0.95 of engines known, every response carries a report", Condition: Always,
+		{Name: "0.95 of engines known, every response carries a report", Condition: ConditionAlways,
 			MissingMechanism: "subsets of engines, or a larger table",
 			Factor:           func(_, engines float64) float64 { return t.KnownShare / knownShare(engines) }},
-		{Name: "0.95 of engines known, 6 responses a second carry reports", Condition: Always, MissingMechanism: "subsets of engines",
+		{Name: "0.95 of engines known, 6 responses a second carry reports", Condition: ConditionAlways, MissingMechanism: "subsets of engines",
 			Factor: func(_, engines float64) float64 { return t.KnownShare / min(1, m.estimate(KnownAtLowRate, engines)) }},
-		{Name: "bytes in the quiet state within 3 KB/s", Condition: Always,
+		{Name: "bytes in the quiet state within 3 KB/s", Condition: ConditionAlways,
 			Factor: func(gateways, _ float64) float64 {
-				return (m.estimate(PeakBytesWithReports.SlopeName(Quiet), gateways) + m.stagedCost(gateways).BytesPerSecond) / t.BytesPerSecond
+				return (m.estimate(PeakBytesWithReports.SlopeName(PhaseQuiet), gateways) + m.stagedCost(gateways).BytesPerSecond) / t.BytesPerSecond
 			}},
-		{Name: "memory within 256 MB, without client connections", Condition: Always, Factor: m.memoryFactor},
-		{Name: "a full list received within 3 KB/s over 10 s", Condition: FaultOnly, MissingMechanism: "lists in parts, paced",
+		{Name: "memory within 256 MB, without client connections", Condition: ConditionAlways, Factor: m.memoryFactor},
+		{Name: "a full list received within 3 KB/s over 10 s", Condition: ConditionFaultOnly, MissingMechanism: "lists in parts, paced",
 			Factor: func(_, engines float64) float64 {
 				return m.estimate(ListBytes, engines) / peakWindowSeconds / t.BytesPerSecond
 			}},
 	}
-	for _, phase := range []Phase{Restart, RackLost, ZoneLost, ZoneRecovered, RegionsPartitioned, PartitionHealed} {
+	for _, phase := range []Phase{PhaseRestart, PhaseRackLost, PhaseZoneLost, PhaseZoneRecovered, PhaseRegionsPartitioned, PhasePartitionHealed} {
 		list = append(list, m.peakRequirement(phase, PeakBytes, "mean, membership alone"),
 			m.peakRequirement(phase, PeakBytesWithReports, "mean, with load reports"),
 			m.peakRequirement(phase, PeakTopSenderWithReports, "gateway that sends most, with load reports"))
@@ -55,7 +55,7 @@
 // peakRequirement returns the requirement that the 10 s peak of bytes in a phase stays within the budget.
 func (m Model) peakRequirement(phase Phase, quantity PhaseQuantity, description string) Requirement {
 	name := quantity.SlopeName(phase)
-	return Requirement{Name: string(phase) + ": 3 KB/s, " + description, Condition: FaultOnly,
+	return Requirement{Name: string(phase) + ": 3 KB/s, " + description, Condition: ConditionFaultOnly,
 		MissingMechanism: "a limit on gossip while many members are suspected", MinGateways: m.Result.Slope(name).MinSize(),
 		Factor: func(gateways, _ float64) float64 { return m.estimate(name, gateways) / m.Target.BytesPerSecond }}
 }
--- a/internal/testbed/capacity/role.go
+++ b/internal/testbed/capacity/role.go
@@ -11,16 +11,16 @@
 
 // The roles, in the order of issue 23, which specifies the target fleet.
 const (
-	ClientSide     RoleName = "client side"
-	Decisions      RoleName = "decisions"
-	EngineSide     RoleName = "connections to engines"
-	Membership     RoleName = "membership"
-	LoadReports    RoleName = "shared load reports"
-	Discovery      RoleName = "discovery's server and its watchers"
-	Configuration  RoleName = "configuration"
-	StagedChange   RoleName = "staged change"
-	Primaries      RoleName = "tracking of primaries"
-	ControlMachine RoleName = "the six control machines"
+	RoleClientSide      RoleName = "client side"
+	RoleDecisions       RoleName = "decisions"
+	RoleEngineSide      RoleName = "connections to engines"
+	RoleMembership      RoleName = "membership"
+	RoleLoadReports     RoleName = "shared load reports"
+	RoleDiscovery       RoleName = "discovery's server and its watchers"
+	RoleConfiguration   RoleName = "configuration"
+	RoleStagedChange    RoleName = "staged change"
+	RolePrimaries       RoleName = "tracking of primaries"
+	RoleControlMachines RoleName = "the six control machines"
 )
 
 // Role is a function of gateways or control machines, such as membership, with its cost at one gateway of the target fleet
@@ -43,7 +43,7 @@
 func (m Model) clientSide() Role {
 	t := m.Target
 	cost := m.clientCost(t.ClientsPerGateway())
-	return Role{Name: ClientSide, State: fmt.Sprintf("%s connections", formatCount(t.ClientsPerGateway())),
+	return Role{Name: RoleClientSide, State: fmt.Sprintf("%s connections", formatCount(t.ClientsPerGateway())),
 		Messages: fmt.Sprintf("%s statements and responses a second; their bytes are not control traffic", formatCount(t.StatementsPerGateway())),
 		Cost:     cost,
 		Mechanism: fmt.Sprintf("`frontend.PlatformListener`; `limits.sockets` of %s or more",
@@ -58,7 +58,7 @@
 	t := m.Target
 	cost := m.decisionCost(t.Engines, t.StatementsPerGateway())
 	each := m.estimate(CoreProcessor, t.Engines)
-	return Role{Name: Decisions, State: fmt.Sprintf("%s engines, 200 table groups, %s statements in flight", formatCount(t.Engines),
+	return Role{Name: RoleDecisions, State: fmt.Sprintf("%s engines, 200 table groups, %s statements in flight", formatCount(t.Engines),
 		formatNumber(t.StatementsPerGateway()*responseSeconds)),
 		Messages: fmt.Sprintf("%s statements a second at %s each", formatCount(t.StatementsPerGateway()), formatSeconds(each)),
 		Cost:     cost, Mechanism: "`policy` and `internal/core`; each statement evaluates every engine",
@@ -71,7 +71,7 @@
 func (m Model) engineSide() Role {
 	t := m.Target
 	cost := m.connectionCost(t.Engines)
-	return Role{Name: EngineSide, State: fmt.Sprintf("%s connections per gateway, %s in total, %s per engine", formatCount(t.Engines),
+	return Role{Name: RoleEngineSide, State: fmt.Sprintf("%s connections per gateway, %s in total, %s per engine", formatCount(t.Engines),
 		formatCount(t.Engines*t.Gateways), formatCount(t.Gateways)),
 		Messages: fmt.Sprintf("%s statements a second on each connection", formatNumber(t.StatementsPerGateway()/t.Engines)),
 		Cost:     cost, Mechanism: "`enginepool.Pool`, one or more connections to each engine in use",
@@ -81,7 +81,7 @@
 func (m Model) membership() Role {
 	t := m.Target
 	cost := m.membershipCost(t.Gateways)
-	return Role{Name: Membership, State: fmt.Sprintf("%s members", formatCount(t.Gateways)),
+	return Role{Name: RoleMembership, State: fmt.Sprintf("%s members", formatCount(t.Gateways)),
 		Messages: "one datagram a second", Cost: cost, Mechanism: "SWIM with Lifeguard, `internal/control/membership`",
 		Verdict: compare("3 KB/s in the quiet state; for faults see below", cost.BytesPerSecond, t.BytesPerSecond)}
 }
@@ -90,7 +90,7 @@
 	t := m.Target
 	knownAtLowRate := m.estimate(KnownAtLowRate, t.Engines)
 	known := knownShare(t.Engines)
-	return Role{Name: LoadReports, State: fmt.Sprintf("%s of the engines known, reports %s old (%s known if only 6 responses a second carried reports)",
+	return Role{Name: RoleLoadReports, State: fmt.Sprintf("%s of the engines known, reports %s old (%s known if only 6 responses a second carried reports)",
 		formatNumber(m.estimate(KnownAtFullRate, t.Engines)), formatSeconds(m.estimate(AgeAtFullRate, t.Engines)), formatNumber(knownAtLowRate)),
 		Messages: "3.3 datagrams a second for reports alone; membership datagrams are filled to 256 bytes",
 		Cost:     m.reportCost(t.Gateways, t.Engines), Mechanism: "`internal/control/loadreport`, a table of 1,024 engines",
@@ -101,7 +101,7 @@
 	t := m.Target
 	bytes := m.estimate(ListBytes, t.Engines)
 	processor := m.estimate(ListParse, t.Engines) + m.estimate(ListApply, t.Engines)
-	return Role{Name: Discovery, State: fmt.Sprintf("a list of %s; the server belongs to the platform, not to this project", formatBytes(bytes)),
+	return Role{Name: RoleDiscovery, State: fmt.Sprintf("a list of %s; the server belongs to the platform, not to this project", formatBytes(bytes)),
 		Messages: fmt.Sprintf("one line a second; a full list takes %s of processor time; %s for all watchers", formatSeconds(processor),
 			formatBytes(bytes*t.Gateways)),
 		Mechanism: "`internal/protocol/discovery`: numbered events; a watcher resumes after the last event that it received",
@@ -113,9 +113,9 @@
 
 func (m Model) configuration() Role {
 	t := m.Target
-	return Role{Name: Configuration, State: "a file on each machine",
-		Messages: fmt.Sprintf("one change every %s, %s deliveries a day", formatSeconds(daySeconds/t.ConfigurationsPerDay),
-			formatCount(t.ConfigurationsPerDay*t.Gateways)),
+	return Role{Name: RoleConfiguration, State: "a file on each machine",
+		Messages: fmt.Sprintf("one change every %s, %s deliveries a day", formatSeconds(daySeconds/t.ConfigurationChangesPerDay),
+			formatCount(t.ConfigurationChangesPerDay*t.Gateways)),
 		Mechanism: "SIGHUP, to reload a file that another tool has to install", Verdict: absentVerdict("in force everywhere within 14 s")}
 }
 
@@ -124,11 +124,11 @@
 func (m Model) stagedChange() Role {
 	t := m.Target
 	cost := m.stagedCost(t.Gateways)
-	return Role{Name: StagedChange, State: "a journal at one controller",
+	return Role{Name: RoleStagedChange, State: "a journal at one controller",
 		Messages: fmt.Sprintf("a report a second; %s/s and %s of a core at the controller", formatBytes(cost.BytesPerSecond*t.Gateways),
 			formatPercent(m.estimate(StagedReportProcessor, t.Gateways))),
 		Cost: cost, Mechanism: "`internal/control/rollout`, `internal/controller`: gateways on the controller's own machine only",
-		Verdict: compare("14 s, because a stage is watched for at least 30 s", minWatchSeconds, t.ConfigurationWithin.Seconds())}
+		Verdict: compare("14 s, because a stage is watched for at least 30 s", minWatchSeconds, t.ConfigurationDeadline.Seconds())}
 }
 
 // minWatchSeconds is the default of watch.least_s, the minimum time for which a rollout plan watches a stage. See
@@ -136,13 +136,13 @@
 const minWatchSeconds = 30
 
 func (m Model) primaries() Role {
-	return Role{Name: Primaries, State: "none: the program does not track primaries",
-		Messages:  fmt.Sprintf("%s changes a day", formatCount(m.Target.PrimariesPerDay)),
+	return Role{Name: RolePrimaries, State: "none: the program does not track primaries",
+		Messages:  fmt.Sprintf("%s changes a day", formatCount(m.Target.PrimaryChangesPerDay)),
 		Mechanism: "none", Verdict: absentVerdict("each change complete within 7 s")}
 }
 
 func (m Model) controlMachines() Role {
-	return Role{Name: ControlMachine, State: "none: no part of the program runs there", Messages: "none",
+	return Role{Name: RoleControlMachines, State: "none: no part of the program runs there", Messages: "none",
 		Mechanism: "none; with two regions no majority survives the loss of either, see below",
 		Verdict:   absentVerdict("a quorum that survives the loss of a zone or a region")}
 }
@@ -150,7 +150,7 @@
 // QuietTotal returns the total cost of all roles without faults and without client connections.
 func (m Model) QuietTotal() (total Cost) {
 	for _, role := range m.Roles() {
-		if role.Name != ClientSide {
+		if role.Name != RoleClientSide {
 			total = total.Add(role.Cost)
 		}
 	}
--- a/internal/testbed/capacity/scale.go
+++ b/internal/testbed/capacity/scale.go
@@ -7,19 +7,19 @@
 
 // ScaleStep holds the measurements of one step of `fleettest scale`, taken from its real gateway processes.
 type ScaleStep struct {
-	Name                  string  `json:"name"`
-	RealGateways          int     `json:"real_gateways"`
-	HollowGateways        int     `json:"hollow_gateways"`
-	Engines               int     `json:"engines"`
-	StatementsPerSecond   float64 `json:"statements_per_second"`
-	ProcessorShare        float64 `json:"processor_share"`
-	ResidentMB            float64 `json:"resident_mb"`
-	MeanBytesPerSecond    float64 `json:"mean_bytes_per_second"`
-	HighestBytesPerSecond float64 `json:"highest_bytes_per_second_10s"`
-	Connections           float64 `json:"connections"`
-	SecondsUntilAllKnow   float64 `json:"seconds_until_all_know"`
-	EnginesUsed           float64 `json:"engines_used"`        // mean over hollow gateways; 0 in older files, which lack it
-	EnginesKnownShare     float64 `json:"engines_known_share"` // share of the engines in use whose load is known
+	Name                   string  `json:"name"`
+	RealGateways           int     `json:"real_gateways"`
+	HollowGateways         int     `json:"hollow_gateways"`
+	Engines                int     `json:"engines"`
+	StatementsPerSecond    float64 `json:"statements_per_second"`
+	CPUCores               float64 `json:"processor_share"`
+	ResidentMB             float64 `json:"resident_mb"`
+	SentBytesPerSecond     float64 `json:"mean_bytes_per_second"`
+	PeakSentBytesPerSecond float64 `json:"highest_bytes_per_second_10s"`
+	Connections            float64 `json:"connections"`
+	ConvergenceSeconds     float64 `json:"seconds_until_all_know"`
+	EnginesUsed            float64 `json:"engines_used"`        // mean over hollow gateways; 0 in older files, which lack it
+	EnginesKnownShare      float64 `json:"engines_known_share"` // share of the engines in use whose load is known
 }
 
 // ScaleResult is the part of a result file of `fleettest scale` that the page shows. Other fields are ignored.
@@ -76,12 +76,12 @@
 		fmt.Sprintf("%d, %d", s.RealGateways, s.HollowGateways),
 		fmt.Sprint(s.Engines),
 		formatNumber(s.StatementsPerSecond),
-		formatPercent(s.ProcessorShare),
+		formatPercent(s.CPUCores),
 		formatNumber(s.ResidentMB),
-		formatNumber(s.MeanBytesPerSecond),
-		formatNumber(s.HighestBytesPerSecond),
+		formatNumber(s.SentBytesPerSecond),
+		formatNumber(s.PeakSentBytesPerSecond),
 		formatNumber(s.Connections),
-		formatNumber(s.SecondsUntilAllKnow),
+		formatNumber(s.ConvergenceSeconds),
 		formatOrDash(s.EnginesUsed, formatNumber),
 		formatNumber(s.EnginesKnownShare),
 	}
--- a/internal/testbed/capacity/subset.go
+++ b/internal/testbed/capacity/subset.go
@@ -22,11 +22,11 @@
 		{"connections per gateway", t.Engines, SubsetSize, "", t.Engines / 10},
 		{"connections per engine", connections(t.Engines), connections(SubsetSize), "", MySQLMaxConnections},
 		{"connections in total", t.Engines * t.Gateways, SubsetSize * t.Gateways, "", 0},
-		{"memory of connections to engines", m.connectionCost(t.Engines).Memory, m.connectionCost(SubsetSize).Memory, Bytes, 0},
+		{"memory of connections to engines", m.connectionCost(t.Engines).Memory, m.connectionCost(SubsetSize).Memory, UnitBytes, 0},
 		{"processor time of load reports", m.reportCost(t.Gateways, t.Engines).Processor, m.reportCost(t.Gateways, SubsetSize).Processor,
 			"share of a core", 0},
-		{"share of engines in use that fit in the table of shared reports", knownShare(t.Engines), knownShare(SubsetSize), Share, 0},
-		{"mean time between two responses of one engine to a gateway", t.Engines / rate, SubsetSize / rate, Seconds, 0},
+		{"share of engines in use that fit in the table of shared reports", knownShare(t.Engines), knownShare(SubsetSize), UnitShare, 0},
+		{"mean time between two responses of one engine to a gateway", t.Engines / rate, SubsetSize / rate, UnitSeconds, 0},
 	}
 }
 
--- a/internal/testbed/capacity/table.go
+++ b/internal/testbed/capacity/table.go
@@ -34,7 +34,7 @@
 // SlopeTable returns a table of all slopes with their points, fit, residual, estimate for the target and command.
 func SlopeTable(result Result) Table {
 	table := Table{Header: []string{"slope", "measured at", "runs at each", "spread", "fit", "residual", "at the target", "command"}}
-	target := Expected()
+	target := ExpectedTarget()
 	for _, slope := range result.Slopes {
 		fit, estimate := slope.Fit(), slope.EstimateAt(target.sizeOf(slope))
 		table.Rows = append(table.Rows, []string{
@@ -54,7 +54,7 @@
 // sizeOf returns the size at which a slope is evaluated for the target. For connections it is the number at one gateway.
 func (t Target) sizeOf(slope Slope) float64 {
 	switch {
-	case slope.SizeOf == Engines, slope.Name == EngineConnection:
+	case slope.SizeOf == SizeOfEngines, slope.Name == EngineConnection:
 		return t.Engines
 	case slope.Name == ClientConnection:
 		return t.ClientsPerGateway()
--- a/internal/testbed/capacity/target.go
+++ b/internal/testbed/capacity/target.go
@@ -27,17 +27,17 @@
 
 // Changes holds the rates of changes to the fleet, and the time within which a change must be in force everywhere.
 type Changes struct {
-	ConfigurationsPerDay float64
-	ConfigurationWithin  time.Duration
-	PrimariesPerDay      float64
-	PrimaryWithin        time.Duration
+	ConfigurationChangesPerDay float64
+	ConfigurationDeadline      time.Duration
+	PrimaryChangesPerDay       float64
+	PrimaryDeadline            time.Duration
 }
 
 // Faults holds the rates of faults.
 type Faults struct {
-	MachinesPerDay, RestartsPerDay float64
-	RacksPerMonth, ZonesPerMonth   float64
-	RegionsApart                   time.Duration // duration of a partition between regions, whose rate is unknown
+	MachineFailuresPerDay, RestartsPerDay      float64
+	RackFailuresPerMonth, ZoneFailuresPerMonth float64
+	PartitionDuration                          time.Duration // duration of a partition between regions, whose rate is unknown
 }
 
 // Target is a fleet with its requirements.
@@ -49,23 +49,23 @@
 	KnownShare float64 // required share of engines for which a gateway has an unexpired load report
 }
 
-// Expected returns the fleet that operators expect within two years (issue 23).
-func Expected() Target {
+// ExpectedTarget returns the fleet that operators expect within two years (issue 23).
+func ExpectedTarget() Target {
 	return Target{
 		Fleet: Fleet{Gateways: 800, Engines: 1100, Regions: 2, Zones: 7, ClientConnections: 2.8e6,
 			StatementsPerSecond: 1.3e6},
 		Budget: Budget{Processor: 0.041, MemoryBytes: 256 << 20, BytesPerSecond: 3000, ControlMachines: 6},
-		Changes: Changes{ConfigurationsPerDay: 470, ConfigurationWithin: 14 * time.Second, PrimariesPerDay: 2,
-			PrimaryWithin: 7 * time.Second},
-		Faults: Faults{MachinesPerDay: 3, RestartsPerDay: 330, RacksPerMonth: 2.0 / 3, ZonesPerMonth: 0.5,
-			RegionsApart: time.Hour},
+		Changes: Changes{ConfigurationChangesPerDay: 470, ConfigurationDeadline: 14 * time.Second, PrimaryChangesPerDay: 2,
+			PrimaryDeadline: 7 * time.Second},
+		Faults: Faults{MachineFailuresPerDay: 3, RestartsPerDay: 330, RackFailuresPerMonth: 2.0 / 3, ZoneFailuresPerMonth: 0.5,
+			PartitionDuration: time.Hour},
 		KnownShare: 0.95,
 	}
 }
 
 // CurrentFleet returns the size of the largest fleet in operation so far, with the load of the target.
 func CurrentFleet() Fleet {
-	target := Expected().Fleet
+	target := ExpectedTarget().Fleet
 	target.Gateways, target.Engines = 300, 80
 	return target
 }
--- a/internal/testbed/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -13,25 +13,25 @@
 
 // Steps, in the order in which they are run.
 const (
-	Quiet     Step = "quiet"     // no client traffic and no faults
-	Loaded    Step = "loaded"    // client traffic without faults
-	Restarts  Step = "restarts"  // graceful restarts of gateways, spread over time
-	Machines  Step = "machines"  // the machines of some gateways fail and recover
-	Zone      Step = "zone"      // the gateways and engines of a zone fail and recover; the engines warm up
-	Regions   Step = "regions"   // a network partition between the regions, and its end
-	List      Step = "list"      // engines are drained, removed and added again
-	Reconnect Step = "reconnect" // every watch of the discovery server reconnects and receives the full engine list
+	StepQuiet            Step = "quiet"     // no client traffic and no faults
+	StepLoaded           Step = "loaded"    // client traffic without faults
+	StepRestarts         Step = "restarts"  // graceful restarts of gateways, spread over time
+	StepMachineFailures  Step = "machines"  // the machines of some gateways fail and recover
+	StepZoneFailure      Step = "zone"      // the gateways and engines of a zone fail and recover; the engines warm up
+	StepRegionPartition  Step = "regions"   // a network partition between the regions, and its end
+	StepEngineListChange Step = "list"      // engines are drained, removed and added again
+	StepReconnect        Step = "reconnect" // every watch of the discovery server reconnects and receives the full engine list
 )
 
 // AllSteps returns all steps in the order in which they are run.
 func AllSteps() []Step {
-	return []Step{Quiet, Loaded, Restarts, Machines, Zone, Regions, List, Reconnect}
+	return []Step{StepQuiet, StepLoaded, StepRestarts, StepMachineFailures, StepZoneFailure, StepRegionPartition, StepEngineListChange, StepReconnect}
 }
 
 // ParseSteps returns the named steps in the order in which they are run. It returns a *ValueError if a name is unknown, if
-// there are no names, or if the step Loaded has a statement rate of 0.
+// there are no names, or if StepLoaded has a statement rate of 0.
 func ParseSteps(names []string, rate float64) ([]Step, error) {
-	if rate == 0 && slices.Contains(names, string(Loaded)) {
+	if rate == 0 && slices.Contains(names, string(StepLoaded)) {
 		return nil, &ValueError{Option: "--rate", Value: "0", Bounds: "above 0, which the step loaded requires"}
 	}
 	var out []Step
@@ -61,7 +61,7 @@
 
 // Durations are the durations of the steps of a run.
 type Durations struct {
-	QuietStep          time.Duration // length of the steps Quiet and Loaded
+	QuietStep          time.Duration // length of StepQuiet and StepLoaded
 	MinPartition       time.Duration // minimum length of the partition between regions
 	RestartPeriod      time.Duration // period over which the restarts are spread
 	Settle             time.Duration // how long a step is still measured after the fleet has converged
@@ -110,11 +110,11 @@
 	ReplacedEngines []int // indexes of the engines that are drained and replaced
 }
 
-// NewPlan returns a random plan, which depends only on the arguments. It omits the step Loaded if the statement rate is 0.
+// NewPlan returns a random plan, which depends only on the arguments. It omits StepLoaded if the statement rate is 0.
 func NewPlan(sizes Sizes, durations Durations, steps []Step, seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 53))
 	if sizes.StatementRate == 0 {
-		steps = slices.DeleteFunc(slices.Clone(steps), func(s Step) bool { return s == Loaded })
+		steps = slices.DeleteFunc(slices.Clone(steps), func(s Step) bool { return s == StepLoaded })
 	}
 	p := Plan{Sizes: sizes, Durations: durations, Seed: seed, Steps: steps}
 	p.RestartOrder = drawMembers(random, sizes, restartCount(sizes.Members()))
--- a/internal/testbed/scale/runner/steps.go
+++ b/internal/testbed/scale/runner/steps.go
@@ -61,21 +61,21 @@
 // parts returns the parts of a step.
 func (r *Runner) parts(step scale.Step) []part {
 	switch step {
-	case scale.Quiet:
+	case scale.StepQuiet:
 		return []part{{string(step), r.quiet, false}}
-	case scale.Loaded:
+	case scale.StepLoaded:
 		return []part{{string(step), r.loaded, false}}
-	case scale.Restarts:
+	case scale.StepRestarts:
 		return []part{{string(step), r.restarts, true}}
-	case scale.Machines:
+	case scale.StepMachineFailures:
 		return []part{{machinesLost, r.failMachines, true}, {machinesBack, r.recoverMachines, true}}
-	case scale.Zone:
+	case scale.StepZoneFailure:
 		return []part{{zoneLost, r.failZone, true}, {zoneBack, r.recoverZone, true}}
-	case scale.Regions:
+	case scale.StepRegionPartition:
 		return []part{{regionsCut, r.partitionRegions, true}, {regionsHealed, r.healRegions, true}}
-	case scale.List:
+	case scale.StepEngineListChange:
 		return []part{{string(step), r.changeList, true}}
-	case scale.Reconnect:
+	case scale.StepReconnect:
 		return []part{{string(step), r.reconnect, true}}
 	}
 	return nil
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -52,7 +52,7 @@
 	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.RestartOrder, NewPlan(fullSize, DefaultDurations(), AllSteps(), 6).RestartOrder) {
 		t.Error("the seed does not determine the plan")
 	}
-	if len(a.RestartOrder) != 330 || len(a.FailedMembers) != 3 || len(a.ReplacedEngines) != 55 || slices.Contains(a.Steps, Loaded) {
+	if len(a.RestartOrder) != 330 || len(a.FailedMembers) != 3 || len(a.ReplacedEngines) != 55 || slices.Contains(a.Steps, StepLoaded) {
 		t.Errorf("%d restarts, %d machines, %d engines, %v", len(a.RestartOrder), len(a.FailedMembers), len(a.ReplacedEngines), a.Steps)
 	}
 	if a.RestartOrder[0] >= fullSize.RealGateways || a.FailedMembers[0] >= fullSize.RealGateways {
--- a/internal/testbed/scale/sizes.go
+++ b/internal/testbed/scale/sizes.go
@@ -13,7 +13,7 @@
 	Engines          int     // number of hollow engines
 	Zones            int     // number of zones that the gateways and engines are assigned to
 	Regions          int     // number of regions that the zones are assigned to
-	StatementRate    float64 // statements per second that clients send to each real gateway in the step Loaded
+	StatementRate    float64 // statements per second that clients send to each real gateway in StepLoaded
 	SubsetMinEngines int     // minimum size of a gateway's engine subset; 0 = all engines
 }
 
--- a/internal/testbed/testfleet/balance.go
+++ b/internal/testbed/testfleet/balance.go
@@ -30,7 +30,7 @@
 	Windows        int     // number of evaluated windows
 	PeakToMean     float64 // ratio of the busiest engine's threads to the mean of all engines, averaged over the windows
 	PeakToMeanP95  float64 // 95th percentile of that ratio over the windows
-	LongestIdle    float64 // longest time in seconds for which an engine had less than half of the mean load
+	LongestLowLoad float64 // longest time in seconds for which an engine had less than half of the mean load
 	BurstP999      float64 // 99.9th percentile of the ratio of an engine's arrivals in half a second to the mean of all engines
 	MaxConns       int     // maximum number of open connections, summed over all engines
 	ThreadsPerCore float64 // mean number of busy threads per core
@@ -139,7 +139,7 @@
 		} else {
 			engine.idle = 0
 		}
-		s.balance.LongestIdle = max(s.balance.LongestIdle, engine.idle)
+		s.balance.LongestLowLoad = max(s.balance.LongestLowLoad, engine.idle)
 		engine.threads = 0
 	}
 }
