--- a/internal/protocol/discovery/event.go
+++ b/internal/protocol/discovery/event.go
@@ -55,14 +55,14 @@
 }
 
 type wireEngine struct {
-	ID        string  `json:"instanceId"`
-	Addr      string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	Started   int64   `json:"startedAtMs"` // Unix time in milliseconds
+	ID          string  `json:"instanceId"`
+	Addr        string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	Started     int64   `json:"startedAtMs"` // Unix time in milliseconds
 }
 
 var healthByLifecycle = map[string]policy.Health{
@@ -117,7 +117,7 @@
 		Name:        e.ID,
 		Addr:        e.Addr,
 		Zone:        e.Zone,
-		MachineType: e.Kind,
+		MachineType: e.MachineType,
 		Cell:        e.Cell,
 		Health:      health,
 		Weight:      e.Weight,
--- a/internal/protocol/discovery/stream_test.go
+++ b/internal/protocol/discovery/stream_test.go
@@ -54,7 +54,7 @@
 			rt.Fatalf("events %+v, want two changes: draining and gone", got)
 		}
 		if string(s.Request()) != "after 3\n" {
-			rt.Fatalf("request %q", s.Request())
+			rt.Fatalf("watch request %q, want %q", s.Request(), "after 3\n")
 		}
 	})
 }
@@ -68,7 +68,7 @@
 		t.Fatalf("events %+v and error %v, want a full list, a change and a full list", events, err)
 	}
 	if string(s.Request()) != "after 3\n" {
-		t.Fatalf("request %q", s.Request())
+		t.Fatalf("watch request %q, want %q", s.Request(), "after 3\n")
 	}
 }
 
@@ -98,7 +98,7 @@
 				t.Errorf("error %v, want an EventError for field %s with value %v", err, c.field, c.value)
 			}
 			if string(s.Request()) != "after 1\n" {
-				t.Errorf("request %q", s.Request())
+				t.Errorf("watch request %q, want %q", s.Request(), "after 1\n")
 			}
 		})
 	}
@@ -144,6 +144,6 @@
 		t.Fatalf("events %+v and error %v, want one change with resource version 2", events, err)
 	}
 	if request := string(s.Request()); request != "after 2\n" {
-		t.Fatalf("request %q", request)
+		t.Fatalf("watch request %q, want %q", request, "after 2\n")
 	}
 }
--- a/internal/protocol/enginehttp/enginehttp_test.go
+++ b/internal/protocol/enginehttp/enginehttp_test.go
@@ -26,7 +26,7 @@
 	var protocolState any
 	steps := q.Connected(attempt.Primary, &protocolState, permitted)
 	if w := written(steps); !strings.HasPrefix(w, "POST /v2/q HTTP/1.1\r\n") || !strings.HasSuffix(w, "\r\n\r\nSELECT 1") {
-		t.Fatalf("wrote %q", w)
+		t.Fatalf("wrote %q, want a POST with the statement", w)
 	}
 	return q
 }
@@ -112,7 +112,7 @@
 	}
 	var protocolState any
 	if w := written(q.Connected(attempt.Control, &protocolState, permitted)); !strings.HasPrefix(w, "DELETE /v2/q/9b1f HTTP/1.1\r\n") {
-		t.Fatalf("wrote %q", w)
+		t.Fatalf("wrote %q, want a DELETE", w)
 	}
 	if steps := q.Received(attempt.Primary, response(202, "")); endStep(steps) != nil || written(steps) != "" {
 		t.Fatalf("after a poll response: steps %+v, want no further poll and no end", steps)
@@ -148,7 +148,7 @@
 func TestResultConcatenatesPages(t *testing.T) {
 	q := startQuery(t)
 	if w := written(q.Received(attempt.Primary, response(200, "a\n", "Page-Count: 2"))); !strings.HasPrefix(w, "GET /v2/q/9b1f/1 ") {
-		t.Fatalf("wrote %q", w)
+		t.Fatalf("wrote %q, want a request for page 1", w)
 	}
 	if e := endStep(q.Received(attempt.Primary, response(200, "b\n", "Page-No: 1"))); e == nil || string(e.Result) != "a\nb\n" {
 		t.Fatalf("end %+v, want a result of both pages", e)
@@ -197,7 +197,7 @@
 					t.Fatalf("after a corrupt response: steps %+v, want a new connection and no end", steps)
 				}
 				if w := written(q.Connected(attempt.Primary, &protocolState, permitted)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
-					t.Fatalf("wrote %q", w)
+					t.Fatalf("wrote %q, want a poll", w)
 				}
 			}
 			good := *q
@@ -326,7 +326,7 @@
 		for ; strings.HasPrefix(w, "POST "); w = written(steps) {
 			q.ConnectionLost(attempt.Primary)
 			if w := written(q.Connected(attempt.Primary, &protocolState, permission)); !strings.HasPrefix(w, "GET /v2/q/9b1f/0 ") {
-				t.Fatalf("wrote %q", w)
+				t.Fatalf("wrote %q, want a poll", w)
 			}
 			steps = q.Received(attempt.Primary, response(500, ""))
 		}
@@ -349,7 +349,7 @@
 			t.Fatalf("steps %+v, want a new connection and no end", steps)
 		}
 		if w := written(q.Connected(attempt.Primary, &protocolState, permitted)); !strings.HasPrefix(w, "POST ") {
-			t.Fatalf("wrote %q on the new connection", w)
+			t.Fatalf("wrote %q on the new connection, want a POST", w)
 		}
 	})
 	t.Run("read by the engine", func(t *testing.T) {
