--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,7 +23,7 @@
 	ReserveResend(now time.Duration, id policy.RequestID, attempt int) bool
 	AttemptAllowed(now time.Duration, id policy.RequestID, attempt int) bool
 	Estimate(now time.Duration, id policy.EngineID) policy.EngineEstimate
-	Explain(now time.Duration, id policy.RequestID) (queued bool, by policy.Guard, estimates []policy.EngineEstimate)
+	Explain(now time.Duration, id policy.RequestID) (queued bool, guard policy.Guard, estimates []policy.EngineEstimate)
 	Utilization() policy.Utilization
 }
 
@@ -51,8 +51,8 @@
 
 	subset            *engineSubset            // nil = all engines are used
 	inFlightByEngine  map[policy.EngineID]int  // attempts that have not ended
-	gatewaysInService int                      // as last set by SetGatewaysInService
-	lastInService     policy.GatewaysInService // the last such event that was sent to the module
+	gatewaysInService int                      // number that SetGatewaysInService set last
+	lastInService     policy.GatewaysInService // the last GatewaysInService event sent to the module
 }
 
 // New returns a Core for the host's settings. The seed determines all random choices. New returns an error if the
@@ -146,6 +146,6 @@
 	case policy.Log:
 		c.log.Info("decision module", "event", a.Text)
 	case policy.Subscribe, policy.Probe, policy.SetResources:
-		// Nothing to do: discovery pushes the engine list without a subscription, and engines support neither probes nor terms.
+		// Nothing to do: discovery pushes the engine list without a subscription, and engines support neither probes nor SetResources.
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -58,16 +58,17 @@
 // testQuery is a query whose remaining time equals the deadline of its class.
 var testQuery = Query{Remaining: 4 * time.Second}
 
+// A request whose attempt succeeds must get one reply with the verdict Served, after which no state is left.
 func TestServedRequestGetsOneReply(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	id, actions := c.Submit(startTime, testQuery)
 	s := firstAction[StartAttempt](t, actions)
 	if left, ok := c.MaySend(startTime+time.Millisecond, id, s.Attempt, false); !ok || left > 4*time.Second {
-		t.Fatalf("MaySend: %v, %v left", ok, left)
+		t.Fatalf("MaySend: allowed %v with %v left, want allowed with at most 4 s left", ok, left)
 	}
 	if r := firstAction[Reply](t, c.AttemptEnded(startTime+time.Second, id, 0, policy.OK, nil)); r.Verdict != Served {
-		t.Fatalf("%+v", r)
+		t.Fatalf("reply %+v, want verdict Served", r)
 	}
 	if actions := c.Cancel(startTime+time.Second, id); actions != nil {
 		t.Fatalf("cancellation after the reply returned actions: %+v", actions)
@@ -133,27 +134,30 @@
 	c.ResponseStarted(startTime, id, 0)
 	actions := c.AttemptEnded(startTime, id, 0, policy.Reset, nil)
 	if r := firstAction[Reply](t, actions); r.Verdict != FailedMidResponse || len(actions) != 1 {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("actions %+v, want only a reply with verdict FailedMidResponse", actions)
 	}
 }
 
+// Shutdown must reject a queued request with the maximum retry delay.
 func TestShutdownRejectsPendingRequests(t *testing.T) {
 	c, _ := newCore(t)
 	queued, _ := c.Submit(startTime, testQuery) // queued because there is no engine
 	if r := firstAction[Reply](t, c.Shutdown(startTime)); r.ID != queued || r.Verdict != Rejected || r.RetryAfter != 500*time.Millisecond {
-		t.Fatalf("%+v", r)
+		t.Fatalf("reply %+v, want the queued request rejected with a retry delay of 500 ms", r)
 	}
 }
 
+// UpdateEngines must return engines that are listed as gone or missing from a full list, so that the host disconnects from
+// them. It must return each engine only once, also if another engine reuses its address.
 func TestUpdateEnginesReturnsGoneEngines(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready), listedEngine("b", policy.Ready)})
 	if gone, _ := c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("b", policy.Ready)}); len(gone) != 1 || gone[0].Name != "a" {
-		t.Fatalf("returned for a full list: %+v", gone)
+		t.Fatalf("full list without engine a: returned %+v, want a", gone)
 	}
 	reused := ListedEngine{Name: "c", Addr: "a:1", Zone: "z", MachineType: "m", Health: policy.Ready}
 	if gone, _ := c.UpdateEngines(startTime, false, []ListedEngine{reused, listedEngine("b", policy.Gone)}); len(gone) != 1 || gone[0].Name != "b" {
-		t.Fatalf("returned for a reused address: %+v", gone)
+		t.Fatalf("engine b gone, engine c with the former address of a: returned %+v, want b", gone)
 	}
 }
 
@@ -163,11 +167,11 @@
 	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Gone), listedEngine("b", policy.Ready)})
 	c.UpdateEngines(startTime+goneRetention+time.Second, false, []ListedEngine{listedEngine("b", policy.Ready)})
 	if len(c.engines) != 1 {
-		t.Fatalf("%d engines are known", len(c.engines))
+		t.Fatalf("%d engines are known, want 1", len(c.engines))
 	}
 }
 
-func TestTableGroup(t *testing.T) {
+func TestTableGroupParsesSchemaName(t *testing.T) {
 	for statement, want := range map[string]int{
 		"SELECT * FROM sales_17.orders":                                       17,
 		"select 1 from staging.t join q_5.t":                                  5,
@@ -195,7 +199,7 @@
 	c.MaySend(startTime, id, 0, false)
 	_, actions := c.Submit(startTime, named)
 	if r := firstAction[Reply](t, actions); r.Verdict != Failed || len(actions) != 1 {
-		t.Fatalf("%+v, want only a failure", actions)
+		t.Fatalf("actions %+v, want only a reply with verdict Failed", actions)
 	}
 	c.Cancel(startTime, id) // the attempt is still in flight
 	if _, actions = c.Submit(startTime, named); firstAction[Reply](t, actions).Verdict != Failed {
@@ -218,7 +222,7 @@
 		_, ok = c.MaySend(startTime+time.Millisecond, id, 0, sent > 0)
 	}
 	if sent != 5 { // MaxAttempts is 4, so the fifth send is denied
-		t.Errorf("send number %d was denied, want 5", sent)
+		t.Errorf("send number %d was denied, want number 5", sent)
 	}
 	id, _ = c.Submit(startTime+time.Second, testQuery)
 	c.MaySend(startTime+time.Second, id, 0, false)
@@ -230,7 +234,7 @@
 
 // CountsByClass must count each reply once, as in time, fast or late by the latency objective of its class. A rollout
 // compares versions of the program by these counts.
-func TestCountsByClass(t *testing.T) {
+func TestCountsByClassCountsEachReplyOnce(t *testing.T) {
 	c, _ := newCore(t)
 	c.UpdateEngines(startTime, true, []ListedEngine{listedEngine("a", policy.Ready)})
 	for _, took := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second} {
@@ -247,7 +251,7 @@
 		t.Errorf("lookup: %+v, want %+v", got, want)
 	}
 	if got := c.CountsByClass()[1]; got.Requests != 1 || got.Rejected+got.Failed != 1 {
-		t.Errorf("form-load: %+v", got)
+		t.Errorf("form-load: %+v, want one request, rejected or failed", got)
 	}
 }
 
@@ -279,7 +283,7 @@
 	c.Shutdown(startTime)
 	_, actions := c.Submit(startTime, testQuery)
 	if r := firstAction[Reply](t, actions); r.Verdict != Rejected || len(actions) != 1 {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("actions %+v, want only a reply with verdict Rejected", actions)
 	}
 }
 
@@ -297,6 +301,6 @@
 		t.Fatal("attempt at the former address allowed")
 	}
 	if s = firstAction[StartAttempt](t, c.AttemptEnded(startTime+time.Millisecond, id, 0, policy.NotSent, nil)); s.Engine.Addr != moved.Addr {
-		t.Fatalf("%+v", s)
+		t.Fatalf("%+v, want an attempt at the new address", s)
 	}
 }
--- a/internal/core/decisionlog.go
+++ b/internal/core/decisionlog.go
@@ -77,11 +77,11 @@
 		if r.replied || r.inFlight > 0 {
 			continue
 		}
-		queued, by, estimates := c.module.Explain(now, id)
+		queued, guard, estimates := c.module.Explain(now, id)
 		if !queued {
 			continue
 		}
-		r.queueGuard = mainGuard(by, estimates)
+		r.queueGuard = mainGuard(guard, estimates)
 		c.log.Debug("request held", "at", now.Milliseconds(), "request", id, "class", r.class,
 			"held_ms", (now - r.submittedAt).Milliseconds(), "attempts", len(r.attempts), "why", r.queueGuard,
 			"engines", formatGuardCounts(estimates))
@@ -99,12 +99,12 @@
 
 // mainGuard returns the main reason why a request is queued: the guard on the request itself or, if there is none, the
 // guard that excludes the most engines.
-func mainGuard(by policy.Guard, estimates []policy.EngineEstimate) policy.Guard {
+func mainGuard(requestGuard policy.Guard, estimates []policy.EngineEstimate) policy.Guard {
 	counts, guards := countGuards(estimates)
-	if by != policy.GuardQueue || counts[policy.GuardNone] > 0 || len(estimates) == 0 {
-		return by
+	if requestGuard != policy.GuardQueue || counts[policy.GuardNone] > 0 || len(estimates) == 0 {
+		return requestGuard
 	}
-	reason := by
+	reason := requestGuard
 	for _, g := range guards {
 		if counts[g] > counts[reason] {
 			reason = g
@@ -113,7 +113,7 @@
 	return reason
 }
 
-// formatGuardCounts formats the number of engines that each guard excludes, for example "limit:3,ejected:1".
+// formatGuardCounts formats the number of engines that each guard excludes, for example "limit:3,shut:1".
 func formatGuardCounts(estimates []policy.EngineEstimate) string {
 	counts, guards := countGuards(estimates)
 	var parts []string
--- a/internal/core/decisionlog_test.go
+++ b/internal/core/decisionlog_test.go
@@ -36,6 +36,6 @@
 	records := strings.Count(output.String(), "request held")
 	c.TimerFired(startTime+210*time.Millisecond, 0) // within queueLogInterval
 	if later := strings.Count(output.String(), "request held"); records == 0 || later != records {
-		t.Errorf("%d records, %d after another timer within the interval", records, later)
+		t.Errorf("%d records, %d after another timer within the interval, want as many and at least one", records, later)
 	}
 }
--- a/internal/core/loadreports_test.go
+++ b/internal/core/loadreports_test.go
@@ -30,7 +30,7 @@
 	b.ReceiveLoadReports(now, body)
 	estimate := b.module.Estimate(now, engineID("x"))
 	if estimate.PeerThreads < 5 || estimate.ReportAge < 0 || estimate.ReportAge > 300*time.Millisecond {
-		t.Errorf("estimate of the engine that both gateways list: %+v", estimate)
+		t.Errorf("estimate of the engine that both gateways list: %+v, want at least 5 peer threads from a report of the last 300 ms", estimate)
 	}
 	if unlisted := digestB.Counts().Unlisted; unlisted != 1 || b.module.Estimate(now, engineID("y")).ReportAge != -1 {
 		t.Errorf("%d load reports counted for unlisted engines, want 1 that has no effect", unlisted)
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -27,22 +27,22 @@
 // engineSubset is the state of the subset of engines that a Core uses.
 type engineSubset struct {
 	chooser          *subset.Chooser
-	sent             map[policy.EngineID]policy.EngineInfo // state of each engine that was last sent to the module
+	sent             map[policy.EngineID]policy.EngineInfo // state that was last sent to the module, by engine
 	coversAll        bool                                  // the subset contains all engines, and the module has all of them
-	lifting          bool                                  // the subset is being lifted: all engines count as part of it
+	disabling        bool                                  // the subset is being disabled: all engines count as part of it
 	gateways         []subset.Gateway
 	warmingUp        map[policy.EngineID]bool // engines that were passed to the chooser as warming up
-	moduleCleanupAt  time.Duration            // when to send the module an empty engine list; 0 = never
+	moduleCleanupAt  time.Duration            // time to send the module an empty engine list, see moduleCleanupDelay; 0 = never
 	nextSharingCount time.Duration            // earliest time of the next dispatchSharingGateways
 	added            uint64
 	removed          uint64
 }
 
-// UseSubset restricts the gateway to the engines that the chooser selects. A nil chooser lifts the restriction. UseSubset
+// UseSubset restricts the gateway to the engines that the chooser selects. A nil chooser disables the subset. UseSubset
 // may be called while requests are pending and attempts are in flight.
 func (c *Core) UseSubset(now time.Duration, chooser *subset.Chooser) []Action {
 	if chooser == nil {
-		return c.liftSubset(now)
+		return c.disableSubset(now)
 	}
 	if c.subset == nil { // until now the module has all engines
 		c.subset = &engineSubset{coversAll: true}
@@ -53,12 +53,12 @@
 	return c.applySubset(now)
 }
 
-// liftSubset makes all listed engines available to the module again.
-func (c *Core) liftSubset(now time.Duration) []Action {
+// disableSubset makes all listed engines available to the module again.
+func (c *Core) disableSubset(now time.Duration) []Action {
 	if c.subset == nil {
 		return nil
 	}
-	c.subset.lifting = true
+	c.subset.disabling = true
 	actions := c.dispatchChanges(now)
 	c.subset = nil
 	c.updateReportedEngines()
@@ -168,7 +168,7 @@
 
 // inSubset reports whether the gateway uses an engine: it is in the subset, or there is no subset.
 func (c *Core) inSubset(e *Engine) bool {
-	return c.subset == nil || c.subset.lifting || c.subset.chooser.Contains(uint64(e.ID))
+	return c.subset == nil || c.subset.disabling || c.subset.chooser.Contains(uint64(e.ID))
 }
 
 // isOverflow reports whether an engine is outside the core of the gateway's subset. The core is the part that the gateway
@@ -188,7 +188,7 @@
 
 // UsesSubset reports whether the gateway uses fewer than all engines.
 func (c *Core) UsesSubset() bool {
-	return c.subset != nil && !c.subset.lifting && !c.subset.chooser.UsesAll()
+	return c.subset != nil && !c.subset.disabling && !c.subset.chooser.UsesAll()
 }
 
 // SubsetSize returns the number of listed engines that are not gone, and how many of them the gateway uses.
--- a/internal/core/subset_model_test.go
+++ b/internal/core/subset_model_test.go
@@ -18,7 +18,7 @@
 }
 
 // The invariants must hold for any order of changes to the engine list, the subset, the fleet and the attempts. After the
-// subset is lifted, the module must have the state of each engine.
+// subset is disabled, the module must have the state of each engine.
 func TestInvariantsHoldForRandomEventsWithSubset(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c, recorded, invariants := newRecordedCore(t)
@@ -33,10 +33,10 @@
 		for id, e := range c.engines {
 			info, known := recorded.lastSent(id)
 			if !known && e.Health != policy.Gone {
-				rt.Fatalf("after the subset is lifted, the module does not know %s, which is %v", e.Name, e.Health)
+				rt.Fatalf("after the subset is disabled, the module does not know %s, which is %v", e.Name, e.Health)
 			}
 			if known && info.Health != e.Health {
-				rt.Fatalf("after the subset is lifted, the module has %s as %+v, the engine list as %v", e.Name, info, e.Health)
+				rt.Fatalf("after the subset is disabled, the module has %s as %+v, the engine list as %v", e.Name, info, e.Health)
 			}
 		}
 	})
@@ -88,7 +88,7 @@
 	m.execute(m.core.SetGateways(m.now, gateways))
 }
 
-// configure changes the settings of the subset, replaces it or lifts it.
+// configure changes the settings of the subset, replaces it or disables it.
 func (m subsetModelRun) configure() {
 	config := subsetConfig()
 	config.MinEngines = rapid.IntRange(1, subsetEngines).Draw(m.t, "MinEngines")
@@ -119,12 +119,12 @@
 // differentialRun sends the same events to a Core without a subset and to one whose subset contains all engines, and
 // compares their actions.
 type differentialRun struct {
-	t                     *rapid.T
-	plain, subsetted      *Core
-	plainSent, subsetSent *eventRecorder
-	now                   time.Duration
-	ids                   []RequestID
-	newChooser            func() *subset.Chooser
+	t                         *rapid.T
+	plain, withSubset         *Core
+	plainEvents, subsetEvents *eventRecorder
+	now                       time.Duration
+	ids                       []RequestID
+	newChooser                func() *subset.Chooser
 }
 
 // While the subset contains all engines, the module must be sent the same events in the same order as without a subset.
@@ -133,23 +133,23 @@
 	full.MinEngines = subsetEngines
 	rapid.Check(t, func(rt *rapid.T) {
 		d := &differentialRun{t: rt, now: startTime, newChooser: func() *subset.Chooser { return newChooser(t, full) }}
-		d.plain, d.plainSent, _ = newRecordedCore(t)
-		d.subsetted, d.subsetSent, _ = newRecordedCore(t)
+		d.plain, d.plainEvents, _ = newRecordedCore(t)
+		d.withSubset, d.subsetEvents, _ = newRecordedCore(t)
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
 			d.now += time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * time.Millisecond
 			d.step()
 		}
-		if !reflect.DeepEqual(d.plainSent.events, d.subsetSent.events) {
-			rt.Fatalf("events without a subset:\n%+v\nevents with a full subset:\n%+v", d.plainSent.events, d.subsetSent.events)
+		if !reflect.DeepEqual(d.plainEvents.events, d.subsetEvents.events) {
+			rt.Fatalf("events without a subset:\n%+v\nevents with a full subset:\n%+v", d.plainEvents.events, d.subsetEvents.events)
 		}
 	})
 }
 
 // handleInBoth sends an event to both Cores and compares their actions.
 func (d *differentialRun) handleInBoth(event string, handle func(c *Core) []Action) {
-	plain, subsetted := handle(d.plain), handle(d.subsetted)
-	if !reflect.DeepEqual(plain, subsetted) {
-		d.t.Fatalf("%s: actions %+v without a subset, %+v with a full subset", event, plain, subsetted)
+	plain, withSubset := handle(d.plain), handle(d.withSubset)
+	if !reflect.DeepEqual(plain, withSubset) {
+		d.t.Fatalf("%s: actions %+v without a subset, %+v with a full subset", event, plain, withSubset)
 	}
 }
 
@@ -168,12 +168,12 @@
 	case 5:
 		d.endSomeAttempts()
 	case 6:
-		d.subsetted.UseSubset(d.now, d.newChooser())
+		d.withSubset.UseSubset(d.now, d.newChooser())
 	case 7:
-		d.subsetted.SetGateways(d.now, allGateways(rapid.IntRange(1, subsetGateways).Draw(d.t, "known")))
-		d.subsetted.TickSubset(d.now)
+		d.withSubset.SetGateways(d.now, allGateways(rapid.IntRange(1, subsetGateways).Draw(d.t, "known")))
+		d.withSubset.TickSubset(d.now)
 	case 8:
-		d.subsetted.UseSubset(d.now, nil)
+		d.withSubset.UseSubset(d.now, nil)
 	}
 }
 
@@ -196,8 +196,8 @@
 		ids[c], actions = c.Submit(d.now, testQuery)
 		return actions
 	})
-	if ids[d.plain] != ids[d.subsetted] {
-		d.t.Fatalf("request ID %d without a subset, %d with a full subset", ids[d.plain], ids[d.subsetted])
+	if ids[d.plain] != ids[d.withSubset] {
+		d.t.Fatalf("request ID %d without a subset, %d with a full subset", ids[d.plain], ids[d.withSubset])
 	}
 	d.ids = append(d.ids, ids[d.plain])
 }
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -17,7 +17,7 @@
 	c.UseSubset(startTime, newChooser(t, subsetConfig()))
 	c.SetGateways(startTime, allGateways(subsetGateways))
 	if n := c.SubsetCounts(); n.Subset >= subsetEngines || n.Subset < 6 {
-		t.Fatalf("%+v", n)
+		t.Fatalf("%+v, want a subset of at least 6 engines and fewer than all", n)
 	}
 	removed := 0
 	for _, s := range attempts {
@@ -78,7 +78,7 @@
 		}
 	}
 	if replies != 1 {
-		t.Fatalf("%d replies", replies)
+		t.Fatalf("%d replies, want 1", replies)
 	}
 	return disconnects
 }
@@ -142,12 +142,12 @@
 	c.SetGateways(startTime+3*time.Second, allGateways(0)) // the only gateway in service uses all engines
 	info, known := recorded.lastSent(other.ID)
 	if !known || info.Health != policy.Ready || info.Started != entry.Started {
-		t.Errorf("the engine was sent to the module as %+v", info)
+		t.Errorf("the engine was sent to the module as %+v, want it ready and with its start time", info)
 	}
 	warmingUp := recorded.Estimate(startTime+3*time.Second, other.ID)
 	warm := recorded.Estimate(startTime+3*time.Second, engineID(engineNameAt(0)))
 	if warmingUp.Target >= warm.Target {
-		t.Errorf("target of %g threads for the engine that warms up, %g for a warm one", warmingUp.Target, warm.Target)
+		t.Errorf("target of %g threads for the engine that warms up, want less than the %g of a warm one", warmingUp.Target, warm.Target)
 	}
 }
 
@@ -168,14 +168,14 @@
 	}
 	known := lastCount()
 	if mean := c.subset.chooser.MeanGatewaysPerEngine(); known != int(mean+0.5) || known >= subsetGateways {
-		t.Fatalf("%d sharing gateways, mean %.2f per engine", known, mean)
+		t.Fatalf("%d sharing gateways, want the rounded mean per engine, %.2f, and fewer than all", known, mean)
 	}
 	gateways := allGateways(subsetGateways)
 	gateways[0].Zone, gateways[1].Zone = -1, -1
 	c.SetGateways(startTime, gateways)
 	c.TickSubset(startTime + sharingCountInterval)
 	if n := lastCount(); n <= known {
-		t.Errorf("%d sharing gateways with two unknown zones, %d without", n, known)
+		t.Errorf("%d sharing gateways with two unknown zones, want more than the %d without", n, known)
 	}
 	c.SetGatewaysInService(startTime+sharingCountInterval, 9)
 	c.UseSubset(startTime+sharingCountInterval, nil)
@@ -204,7 +204,7 @@
 }
 
 // The module must be sent which engines of the subset are overflow engines, outside the core of the subset, and that a
-// subset is in use. After the subset is lifted, neither must hold.
+// subset is in use. After the subset is disabled, neither must hold.
 func TestModuleIsSentOverflowEngines(t *testing.T) {
 	c, recorded, _ := newRecordedCore(t)
 	chooser := newChooser(t, subsetConfig())
@@ -233,15 +233,15 @@
 		}
 	}
 	if overflow == 0 || !c.lastInService.UsesSubset {
-		t.Fatalf("%d overflow engines, subset in use: %v", overflow, c.lastInService.UsesSubset)
+		t.Fatalf("%d overflow engines, want at least one; subset in use: %v, want true", overflow, c.lastInService.UsesSubset)
 	}
 	c.UseSubset(startTime+2*sharingCountInterval, nil)
 	for id := range c.engines {
 		if info, known := recorded.lastSent(id); !known || info.Overflow {
-			t.Errorf("engine %x was sent after the subset was lifted as %+v", id, info)
+			t.Errorf("engine %x was sent as %+v after the subset was disabled, want no overflow engine", id, info)
 		}
 	}
 	if c.lastInService.UsesSubset {
-		t.Error("the module was not sent that the subset was lifted")
+		t.Error("after the subset was disabled, the module was not sent a count without a subset")
 	}
 }
