--- a/internal/invariant/debug_test.go
+++ b/internal/invariant/debug_test.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-const wantPanic = true // on a violation
+const wantPanic = true // Check panics on a violation
--- a/internal/invariant/release_test.go
+++ b/internal/invariant/release_test.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-const wantPanic = false // on a violation
+const wantPanic = false // Check does not panic on a violation
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -16,7 +16,7 @@
 	"frostpier/internal/transport/eventloop"
 )
 
-// membershipSetup contains the parameters of newMembershipDriver: gateway numbers and addresses from the configuration,
+// membershipSetup contains the parameters of newMembershipDriver: gateway indexes and addresses from the configuration,
 // times from the operator's file.
 type membershipSetup struct {
 	section           *settings.Membership
@@ -24,7 +24,7 @@
 	host              settings.Host
 	extensions        []membership.Extension
 	extensionInterval time.Duration    // time between two datagrams that only carry extension messages; 0 = none are sent
-	weights           func() []float64 // weight of each member as the receiver of such a datagram; nil = equal
+	weights           func() []float64 // weight of each member as a receiver of these datagrams; nil = equal weights
 	listener          datagram.MembershipListener
 }
 
--- a/internal/program/mysql.go
+++ b/internal/program/mysql.go
@@ -15,8 +15,8 @@
 	"frostpier/internal/transport/frontend"
 )
 
-// masterListenRetryInterval is the delay before a new master retries to listen. Until the former master has released the
-// address, listening fails.
+// masterListenRetryInterval is the delay before a new master retries to listen. Until the previous master has released
+// the address, listening fails.
 const masterListenRetryInterval = 100 * time.Millisecond
 
 // mysqlConfig returns the configuration of the MySQL frontend, or the error of an invalid account. sockets is the descriptor
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	listenTimeout       = 8 * time.Second // longer than a former process that is killed or shut down keeps the address
+	listenTimeout       = 8 * time.Second // longer than the previous process keeps the address while it is killed or shuts down
 	listenRetryInterval = 100 * time.Millisecond
 )
 
@@ -41,8 +41,8 @@
 	initialEvents    []discovery.Event // engine list events from the configuration
 	discovery        *enginewatch.Watch
 	host             settings.Host
-	operator         settings.Operator // as applied last
-	shutdownDeadline time.Duration     // longest deadline that a shutdown waits for
+	operator         settings.Operator // operator's file that was applied last
+	shutdownDeadline time.Duration     // time that a shutdown gives pending requests, see shutdownDeadline
 	closing          bool              // the shutdown is closing all connections
 	exit             func()            // stops the event loop, after which Run returns
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// listenPlatform opens the platform listener, and retries while a former process still uses the address. stopped is true if
-// ctx was cancelled first.
+// listenPlatform opens the platform listener, and retries while the previous process still uses the address. stopped is
+// true if ctx was cancelled first.
 func (p *program) listenPlatform(ctx context.Context, addr string) (stopped bool, err error) {
 	started := time.Now()
 	for retry := 0; ; retry++ {
--- a/internal/program/run_test.go
+++ b/internal/program/run_test.go
@@ -56,13 +56,13 @@
 	overdue := make(chan time.Time, 1)
 	overdue <- time.Time{}
 	if waitForShutdown(context.Background(), overdue, log) || !strings.Contains(output.String(), "goroutine") {
-		t.Errorf("hanging loop: logged %s", output)
+		t.Errorf("hanging loop: logged %q, want the stacks of the goroutines", output)
 	}
 	output.Reset()
 	done, cancel := context.WithCancel(context.Background())
 	cancel()
 	if !waitForShutdown(done, nil, log) || output.Len() > 0 {
-		t.Errorf("finished loop: logged %s", output)
+		t.Errorf("finished loop: logged %q, want nothing", output)
 	}
 }
 
--- a/internal/program/stats.go
+++ b/internal/program/stats.go
@@ -43,7 +43,7 @@
 	if p.reporter == nil || p.membership == nil {
 		return
 	}
-	counts := p.reporter.versions.Counts(p.reporter.number, p.membership.IsInService)
+	counts := p.reporter.versions.Counts(p.reporter.gatewayIndex, p.membership.IsInService)
 	own := fmt.Sprintf("%016x/%016x", p.reporter.ownVersion.Program, p.reporter.ownVersion.Settings)
 	p.log.Info("version counts", "own", own, "in_service", rollout.FormatVersionCounts(counts), "reports_unsent", p.reporter.sender.Unsent())
 }
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -22,7 +22,7 @@
 	hangGrace           = 50 * time.Millisecond  // after peerCloseGrace: the program exits even if the event loop hangs
 
 	idleCheckInterval = 50 * time.Millisecond  // time between two checks for idle connections
-	minIdleTime       = 250 * time.Millisecond // before a connection without open requests is closed: its next request may be in transit
+	minIdleTime       = 250 * time.Millisecond // idle time before a connection is closed, since its next request may be in transit
 
 	maxStackBytes = 64 << 10 // limit of the stacks that are logged if the event loop hangs
 )
@@ -36,9 +36,9 @@
 	return min(longest, maxShutdownDeadline)
 }
 
-// waitForShutdown waits until the shutdown is complete, and reports whether it was before overdue. If the event loop hangs, it
-// logs the stacks, which show where, and returns. The process would otherwise be killed, and the next process might find the
-// address in use.
+// waitForShutdown waits until the shutdown is complete, and reports whether that was before overdue fired. If the event loop
+// hangs, it logs the stacks, which show where, and returns. The process would otherwise be killed, and the next process might
+// find the address in use.
 func waitForShutdown(ctx context.Context, overdue <-chan time.Time, log *slog.Logger) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/program/subset.go
+++ b/internal/program/subset.go
@@ -25,7 +25,7 @@
 	return &config, nil
 }
 
-// fleetLocation returns this gateway's number and zone in its fleet, from the settings.
+// fleetLocation returns this gateway's index and zone in its fleet, from the settings.
 func fleetLocation(host settings.Host) subsetdriver.Location {
 	return subsetdriver.Location{
 		GatewayIndex: host.Policy.GatewayIndex, Gateways: host.Policy.Gateways,
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -45,7 +45,7 @@
 	versions       *rollout.VersionTracker // versions that the gateways of the fleet run
 	restartPending bool                    // the operator's file has changes that take effect at the next start
 	started        time.Duration
-	number         int    // number of this gateway
+	gatewayIndex   int    // index of this gateway
 	fleet          string // empty without membership
 	serving        bool
 	core           *core.Core
@@ -56,7 +56,7 @@
 
 // newVersionReporter returns a versionReporter, which sends nothing before the event loop runs.
 func newVersionReporter(s setup, loop *eventloop.Loop, log *slog.Logger, c *core.Core) (*versionReporter, error) {
-	v := &versionReporter{started: loop.Now(), number: s.host.Policy.GatewayIndex, core: c, log: log}
+	v := &versionReporter{started: loop.Now(), gatewayIndex: s.host.Policy.GatewayIndex, core: c, log: log}
 	if s.operator.Membership != nil {
 		v.fleet = s.operator.Membership.Fleet
 	}
@@ -76,7 +76,7 @@
 // encodeReport returns the encoded current report, or nil if encoding fails.
 func (v *versionReporter) encodeReport() []byte {
 	report := rollout.Report{
-		Gateway: v.number, PID: os.Getpid(), StartedAt: v.started, Program: v.ownVersion.Program, Settings: v.ownVersion.Settings,
+		Gateway: v.gatewayIndex, PID: os.Getpid(), StartedAt: v.started, Program: v.ownVersion.Program, Settings: v.ownVersion.Settings,
 		Serving: v.serving, RestartPending: v.restartPending, MemoryMB: residentMemoryMB(),
 	}
 	for _, counts := range v.core.CountsByClass() {
--- a/internal/subsetdriver/fleet_test.go
+++ b/internal/subsetdriver/fleet_test.go
@@ -21,7 +21,7 @@
 	gateways, engines, zones, minEngines int
 	reportsPerSecond                     float64       // load reports from engines that a gateway records
 	loss                                 float64       // share of the datagrams that are lost
-	startSpread                          time.Duration // period in which all gateways start
+	startSpread                          time.Duration // time over which the starts of the gateways are spread
 	seed                                 uint64
 }
 
@@ -37,7 +37,7 @@
 // simGateway is a simulated gateway. It consists of the program's state machines, and uses the simulation's list of engines.
 type simGateway struct {
 	fleet   *simFleet
-	number  int
+	index   int
 	updater *Updater
 	digest  *loadreport.Digest
 	chooser *subset.Chooser
@@ -63,7 +63,7 @@
 	return f
 }
 
-// locationOf returns the location of a gateway. Gateways are assigned to the zones in turn by their numbers.
+// locationOf returns the location of a gateway. Gateways are assigned to the zones in turn by their indexes.
 func (f *simFleet) locationOf(number int) Location {
 	zones := []string{"a", "b", "c", "d", "e", "f", "g"}[:f.setup.zones]
 	return Location{GatewayIndex: number, Gateways: f.setup.gateways, Zones: zones, Zone: number % len(zones)}
@@ -77,7 +77,7 @@
 
 // startGateway starts a gateway in the same way as internal/program does.
 func (f *simFleet) startGateway(config membership.Config) (simulation.Detector, error) {
-	g := &simGateway{fleet: f, number: config.Self, digest: loadreport.New()}
+	g := &simGateway{fleet: f, index: config.Self, digest: loadreport.New()}
 	f.gateways[config.Self] = g
 	g.updater = New(f.locationOf(config.Self), g, slog.New(slog.DiscardHandler))
 	config.Extensions = []membership.Extension{g.updater.Extension(), g.digest}
--- a/internal/subsetdriver/updater.go
+++ b/internal/subsetdriver/updater.go
@@ -14,11 +14,11 @@
 	// Interval is the time between two updates of the subset.
 	Interval = time.Second
 
-	minKnownZoneShare = 0.9              // share of the gateways in service whose zones must be known for the first subset
-	joinTimeout       = 15 * time.Second // after this time the first subset is chosen even if fewer zones are known
-	weightsInterval   = 5 * time.Second  // time between two updates of the weights of load report receivers
-	unknownZone       = -1               // zone of a gateway whose zone is unknown, as in package subset
-	unknownWeight     = 0.5              // weight of a load report receiver whose subset is unknown
+	minKnownZoneShare     = 0.9              // share of the gateways in service whose zones must be known to choose the first subset
+	firstSubsetTimeout    = 15 * time.Second // time after which the first subset is chosen even if fewer zones are known
+	weightsUpdateInterval = 5 * time.Second  // time between two updates of the weights of load report receivers
+	unknownZone           = -1               // zone of a gateway whose zone is unknown, as in package subset
+	unknownWeight         = 0.5              // weight of a load report receiver whose subset is unknown
 )
 
 // Dispatcher restricts a gateway to the engines of a subset. The program's implementation is dispatcher.Dispatcher.
@@ -58,18 +58,18 @@
 // Updater keeps a gateway's subset up to date when its configuration, the zones of the gateways or the membership change. It
 // is not safe for concurrent use. The times that are passed to it must come from a monotonic clock.
 type Updater struct {
-	dispatcher   Dispatcher
-	members      Membership
-	zoneTable    *zonetable.Table
-	log          *slog.Logger
-	location     Location
-	config       *subset.Config   // current configuration; nil = the gateway uses every engine
-	joinDeadline time.Duration    // latest time for the choice of the first subset
-	joined       bool             // the first subset has been chosen
-	gateways     []subset.Gateway // last value passed to Dispatcher.SetGateways
-	weights      []float64        // weights of the gateways as receivers of load reports; nil = equal weights
-	weightsAt    time.Duration    // time of the next update of the weights
-	loggedSize   int              // size of the subset when it was last logged
+	dispatcher          Dispatcher
+	members             Membership
+	zoneTable           *zonetable.Table
+	log                 *slog.Logger
+	location            Location
+	config              *subset.Config   // current configuration; nil = the gateway uses every engine
+	firstSubsetDeadline time.Duration    // latest time for the choice of the first subset
+	firstSubsetChosen   bool             // the first subset has been chosen
+	gateways            []subset.Gateway // gateways that were last passed to Dispatcher.SetGateways
+	weights             []float64        // weights of the gateways as receivers of load reports; nil = equal weights
+	nextWeightsUpdate   time.Duration    // time of the next update of the weights
+	loggedSize          int              // size of the subset when it was last logged
 }
 
 // New returns an Updater with subsets disabled. Start must be called before any other method.
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	u.joinDeadline, u.joined, u.gateways = now+joinTimeout, false, nil
+	u.firstSubsetDeadline, u.firstSubsetChosen, u.gateways = now+firstSubsetTimeout, false, nil
 	u.dispatcher.UseSubset(chooser)
 	return nil
 }
@@ -165,8 +165,8 @@
 // engine.
 func (u *Updater) updateGateways(now time.Duration) {
 	gateways := u.knownGateways()
-	u.joined = u.joined || enoughZonesKnown(gateways) || now >= u.joinDeadline
-	if !u.joined || slices.Equal(gateways, u.gateways) {
+	u.firstSubsetChosen = u.firstSubsetChosen || enoughZonesKnown(gateways) || now >= u.firstSubsetDeadline
+	if !u.firstSubsetChosen || slices.Equal(gateways, u.gateways) {
 		return
 	}
 	u.gateways = gateways
@@ -197,17 +197,17 @@
 	return float64(known) >= minKnownZoneShare*float64(inService)
 }
 
-// updateWeights recomputes the weights of the gateways as receivers of load reports once per weightsInterval. A gateway's weight
-// is the overlap of its subset with this gateway's.
+// updateWeights recomputes the weights of the gateways as receivers of load reports once per weightsUpdateInterval. A
+// gateway's weight is the overlap of its subset with this gateway's.
 func (u *Updater) updateWeights(now time.Duration) {
 	if !u.dispatcher.UsesSubset() {
 		u.weights = nil
 		return
 	}
-	if u.weights != nil && now < u.weightsAt {
+	if u.weights != nil && now < u.nextWeightsUpdate {
 		return
 	}
-	u.weightsAt = now + weightsInterval
+	u.nextWeightsUpdate = now + weightsUpdateInterval
 	u.weights = make([]float64, len(u.gateways))
 	for i, g := range u.gateways {
 		u.weights[i] = u.dispatcher.SubsetOverlap(i)
