--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,17 +20,18 @@
 	}
 	o, err := ParseOperator(text)
 	if err != nil || o.MySQL == nil || len(o.MySQL.Accounts) != 3 || o.VRRP != nil {
-		t.Fatalf("%+v, %v", o, err)
+		t.Fatalf("%+v, error %v, want mysql with three accounts and no vrrp", o, err)
 	}
 }
 
+// Checks that deploy/platform.toml is valid and enables no frontend for MySQL clients.
 func TestDeployPlatformFileIsValid(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/platform.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if o, err := ParseOperator(text); err != nil || o.MySQL != nil || o.VRRP != nil {
-		t.Fatalf("%+v, %v", o, err)
+		t.Fatalf("%+v, error %v, want neither mysql nor vrrp", o, err)
 	}
 }
 
@@ -61,11 +62,12 @@
 	return invalid.Key
 }
 
+// Checks that the error for an invalid operator's file names the invalid key.
 func TestParseOperatorRejectsInvalidFiles(t *testing.T) {
 	const vrrp = "[vrrp]\nlisten = \"127.0.0.1:2\"\npeers = [\"127.0.0.2:2\"]\nid = 1\npriority = 9\n" +
 		"interval_ms = 500\naddresses = [\"127.0.0.1\"]\n"
 	if o, err := ParseOperator([]byte(mysqlSection + vrrp)); err != nil || o.VRRP.Interval() != 500*time.Millisecond {
-		t.Fatalf("%+v, %v", o.VRRP, err)
+		t.Fatalf("vrrp %+v, error %v, want an interval of 500 ms", o.VRRP, err)
 	}
 	for _, test := range []struct{ name, text, key string }{
 		{"unknown key", mysqlSection + "buget_ms = 1\n", "mysql.account.buget_ms"},
@@ -104,7 +106,7 @@
 	}
 	interval, timeout, suspect := o.Membership.Times()
 	if interval != 500*time.Millisecond || timeout != 0 || suspect != 900*time.Millisecond {
-		t.Fatalf("%v %v %v", interval, timeout, suspect)
+		t.Fatalf("interval %v, timeout %v, suspicion timeout %v, want 500ms, 0s and 900ms", interval, timeout, suspect)
 	}
 	for _, test := range []struct{ key, text, want string }{
 		{"membership.fleet", "", "membership.fleet: must not be empty"},
@@ -126,13 +128,14 @@
 	}
 }
 
-func TestPeerAddrs(t *testing.T) {
+// Checks that PeerAddrs returns the configured addresses, and an error that names the key of a missing or invalid one.
+func TestPeerAddrsReportsInvalidKey(t *testing.T) {
 	c, err := ParseConfig([]byte(`{"peer_listen":"127.0.0.1:5","peers":["127.0.0.2:5","127.0.0.3:5"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if listen, peers, err := c.PeerAddrs(); err != nil || listen.Port() != 5 || len(peers) != 2 {
-		t.Fatal(listen, peers, err)
+		t.Fatalf("listen %v, peers %v, error %v, want port 5 and two peers", listen, peers, err)
 	}
 	for key, text := range map[string]string{
 		"peer_listen": `{"peers":["127.0.0.2:5"]}`,
@@ -152,11 +155,12 @@
 	}
 }
 
-// Checks ParseConfig, and that errors of ParseHost name the invalid key of a class.
-func TestParseConfigAndParseHost(t *testing.T) {
+// Checks that ParseConfig ignores unknown keys and sets defaults, and that errors of ParseHost name the invalid key of a
+// class.
+func TestParseConfigDefaultsAndParseHostErrors(t *testing.T) {
 	c, err := ParseConfig([]byte(`{"listen":"x:1","seed":"8c1f30d27a5be964","limits":{"sockets":10},"novelty":1}`))
 	if err != nil || c.SeedNumber() != 0x8c1f30d27a5be964 || c.Limits.Sockets != 10 || c.Limits.MemoryMB != 192 {
-		t.Fatalf("%+v, %v", c, err)
+		t.Fatalf("%+v, error %v, want the given seed and sockets, and the default memory_mb", c, err)
 	}
 	if _, err := ParseConfig([]byte("{")); err == nil {
 		t.Fatal("a truncated configuration was accepted")
@@ -174,7 +178,7 @@
 
 // Checks that timeout_ms and suspect_ms of membership can change and the section spread can be removed without a restart,
 // and that other changes require one.
-func TestCanApplyLive(t *testing.T) {
+func TestCanApplyLiveDependsOnChangedKeys(t *testing.T) {
 	parse := func(text string) Operator {
 		t.Helper()
 		o, err := ParseOperator([]byte(text))
@@ -198,7 +202,7 @@
 		{base, base + "[rollout]\nreport_to = \"127.0.0.1:1\"\n", false},
 	} {
 		if got := parse(test.from).CanApplyLive(parse(test.to)); got != test.want {
-			t.Errorf("%q to %q: got %v", test.from, test.to, got)
+			t.Errorf("%q to %q: got %v, want %v", test.from, test.to, got, test.want)
 		}
 	}
 }
--- a/internal/settings/settingsobject.go
+++ b/internal/settings/settingsobject.go
@@ -66,7 +66,7 @@
 		WarmupBudgetMultiple   float64       `json:"fall_multiple"`
 		EngineListPollInterval time.Duration `json:"must_ask_in"`
 		WarmupTime             time.Duration `json:"warm_after"`
-		FreeRetries            *float64      `json:"free_resends"`
+		MinRetries             *float64      `json:"free_resends"`
 		RetryShare             *float64      `json:"extra_share"`
 		RetryBudgetSpan        time.Duration `json:"ratio_span"`
 		OrderedKeyPause        time.Duration `json:"key_rest"`
@@ -80,8 +80,8 @@
 
 // Values of keys of the settings object.
 const (
-	engineListOnRequest = "on_request" // of membership_mode
-	overcommitQueues    = "line_up"    // of overbooked
+	engineListOnRequest = "on_request" // value of membership_mode: the module must request the engine list
+	overcommitQueues    = "line_up"    // value of overbooked: engines queue a query until its memory grant fits
 )
 
 var metricsByField = map[string]policy.Metric{
@@ -138,10 +138,10 @@
 		ResponseSlack: r.ResponseSlack, DrainGrace: r.DrainGrace, InitialCapacityShare: r.InitialCapacityShare,
 		WarmupTime: r.WarmupTime, WarmupBudgetMultiple: r.WarmupBudgetMultiple, WarmupBudgetSpan: r.WarmupBudgetSpan,
 		OrderedKeyPause: r.OrderedKeyPause, RetryBudgetSpan: r.RetryBudgetSpan, EngineListPollInterval: r.EngineListPollInterval,
-		RetryBudget: r.RetryShare != nil || r.FreeRetries != nil,
+		RetryBudget: r.RetryShare != nil || r.MinRetries != nil,
 	}
-	if r.FreeRetries != nil {
-		rules.MinRetries = *r.FreeRetries
+	if r.MinRetries != nil {
+		rules.MinRetries = *r.MinRetries
 	}
 	if r.RetryShare != nil {
 		rules.RetryShare = *r.RetryShare
--- a/internal/settings/subset_test.go
+++ b/internal/settings/subset_test.go
@@ -12,7 +12,8 @@
 
 const membershipSection = "[membership]\nfleet = \"f\"\n"
 
-func TestSubsetConfig(t *testing.T) {
+// Checks that Config translates the keys of the section subset, and selects the default for each missing key.
+func TestSubsetConfigAppliesDefaults(t *testing.T) {
 	o, err := ParseOperator([]byte(membershipSection + "[subset]\nrate = 1625\nlinger_ms = 5000\nregions = [[\"b\"], [\"a\", \"c\"]]\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -20,16 +21,16 @@
 	want := subset.DefaultConfig()
 	want.Rate, want.Linger, want.Regions = 1625, 5*time.Second, [][]int{{1}, {0, 2}}
 	if got, err := o.Subset.Config([]string{"a", "b", "c"}); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("%+v, error %v, want %+v", got, err, want)
 	}
 	if o, err = ParseOperator([]byte(membershipSection + "[subset]\n")); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := o.Subset.Config(nil); err != nil || !reflect.DeepEqual(got, subset.DefaultConfig()) {
-		t.Errorf("section without keys: %+v, %v", got, err)
+		t.Errorf("section without keys: %+v, error %v, want the defaults", got, err)
 	}
 	if o, err = ParseOperator([]byte(membershipSection)); err != nil || o.Subset != nil {
-		t.Errorf("no section: %+v, %v", o.Subset, err)
+		t.Errorf("no section: %+v, error %v, want nil", o.Subset, err)
 	}
 }
 
@@ -58,11 +59,11 @@
 	}
 	_, err := ParseOperator([]byte("[subset]\n"))
 	if key := keyOf(t, err, SourceOperator); key != "subset" || !strings.Contains(err.Error(), "membership") {
-		t.Errorf("without membership: %v", err)
+		t.Errorf("without membership: error %v, want one about subset that names membership", err)
 	}
 	_, err = (Subset{Regions: [][]string{{"d"}}}).Config([]string{"a"})
 	if key := keyOf(t, err, SourceOperator); key != "subset.regions" {
-		t.Errorf("unknown zone: %v", err)
+		t.Errorf("unknown zone: error %v, want one about subset.regions", err)
 	}
 }
 
@@ -113,7 +114,7 @@
 			t.Fatal(err)
 		}
 		if got := from.CanApplyLive(to); got != test.want {
-			t.Errorf("%q to %q: got %v", test.from, test.to, got)
+			t.Errorf("%q to %q: got %v, want %v", test.from, test.to, got, test.want)
 		}
 	}
 }
