--- a/internal/control/membership/budget.go
+++ b/internal/control/membership/budget.go
@@ -3,12 +3,13 @@
 import "time"
 
 // Parameters of the byte budget. Datagrams that failure detection needs are always sent, and use up budget; gossip, chunks
-// of the full state, and extension messages are sent only while the budget allows them.
+// of the full state, and extension messages are sent only while the budget allows them. Amounts of tokens are given as the
+// number of protocol intervals in which they are refilled.
 const (
 	bytesPerInterval           = 4900 // 2.45 KB/s with the default interval, so that the worst 10 s stay below 3 KB/s
-	burstIntervals             = 0.5  // capacity of the token bucket, in intervals of its rate
-	maxDebtIntervals           = 2.0  // maximum debt due to failure detection, in intervals of the rate
-	extensionReserveIntervals  = 0.2  // tokens reserved for updates about members, unavailable to extensions, in intervals of the rate
+	burstIntervals             = 0.5  // capacity of the token bucket
+	maxDebtIntervals           = 2.0  // maximum debt due to failure detection
+	extensionReserveIntervals  = 0.2  // tokens reserved for updates about members, unavailable to extensions
 	maxExtensionFraction       = 0.5  // maximum fraction of the rate used by extension datagrams
 	maxUpdateDelayIntervals    = 1.0  // intervals after which updates are gossiped even without budget
 	maxSyncChunkDelayIntervals = 0.5  // intervals after which a chunk of the full state is sent even without budget
--- a/internal/control/membership/budget_test.go
+++ b/internal/control/membership/budget_test.go
@@ -88,8 +88,9 @@
 // Checks that a short ExtensionInterval raises the rate of the byte budget, and a usual one does not.
 func TestBudgetGrowsWithExtensionRate(t *testing.T) {
 	usual := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: 300 * time.Millisecond})
-	often := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: minExtensionInterval})
-	if usual.perInterval != bytesPerInterval || often.perInterval < MaxDatagramSize*float64(DefaultInterval/minExtensionInterval)/maxExtensionFraction {
-		t.Errorf("budget with the usual and the shortest extension interval: %g and %g bytes per interval", usual.perInterval, often.perInterval)
+	frequent := newByteBudget(Config{Interval: DefaultInterval, ExtensionInterval: minExtensionInterval})
+	if usual.perInterval != bytesPerInterval || frequent.perInterval < MaxDatagramSize*float64(DefaultInterval/minExtensionInterval)/maxExtensionFraction {
+		t.Errorf("bytes per interval: %g with the usual extension interval, want %d; %g with the shortest one, want at least %g", usual.perInterval,
+			bytesPerInterval, frequent.perInterval, MaxDatagramSize*float64(DefaultInterval/minExtensionInterval)/maxExtensionFraction)
 	}
 }
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -77,8 +77,8 @@
 	startupIntervals      = 5   // protocol intervals after Start in which the states in a sync are adopted without verification
 	gossipFanout          = 2   // members that receive each round of gossip
 	retransmitMultiplier  = 4   // an update is sent this times log10(N+1) times, rounded up (lambda log n of SWIM section 4.1)
-	minRetransmits        = 8   // lower bound of that: in a small fleet a few lost datagrams could hide the update from a member (deviation)
-	startupRetransmits    = 4   // of the update about this member's own start: enough for members that know no former incarnation
+	minRetransmits        = 8   // lower bound of that number: in a small fleet a few lost datagrams could hide the update from a member (deviation)
+	startupRetransmits    = 4   // transmissions of the update about this member's own start: enough if the others know no former incarnation
 	startupPings          = 3   // pings sent by Start
 	leaveGossips          = 6   // gossip datagrams sent by Leave
 	noticesPerRound       = 4   // pings per round of gossip that notify members of their own state
@@ -109,8 +109,9 @@
 type Extension interface {
 	// Kind identifies the subsystem on the wire; it is above 0.
 	Kind() uint32
-	// Append appends a message of at most room bytes for member to, and returns the extended dst. An empty message is not sent.
-	Append(now time.Duration, to, room int, dst []byte) []byte
+	// Append appends to dst a message of at most maxBytes bytes for the member with the number to, and returns the extended dst.
+	// An empty message is not sent.
+	Append(now time.Duration, to, maxBytes int, dst []byte) []byte
 }
 
 // ConfigError is returned by New and SetTimeouts for an invalid Config.
--- a/internal/control/membership/decode.go
+++ b/internal/control/membership/decode.go
@@ -74,7 +74,7 @@
 		return
 	}
 	n.handleKind(now, from, subject, trusted, d)
-	acknowledged := d.Kind == membershippb.Kind_KIND_PING // with an ACK that contains the notice
+	acknowledged := d.Kind == membershippb.Kind_KIND_PING // the ACK sent by handleKind already contains the notice
 	if !acknowledged && n.needsNotice(from) && (n.members[from].state != Left || n.members[from].staleIncarnation) {
 		n.notify(now, from)
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-// applyUpdates applies the updates in a datagram, as many as both About and Word contain. By may be shorter.
+// applyUpdates applies the updates in a datagram. Each has an element in About and in Word; By may be shorter.
 func (n *Node) applyUpdates(now time.Duration, d *membershippb.Datagram) {
 	for k := range min(len(d.About), len(d.Word)) {
 		by := noMember
--- a/internal/control/membership/encode.go
+++ b/internal/control/membership/encode.go
@@ -21,8 +21,8 @@
 // Sizes of the wire format, in bytes unless stated otherwise.
 const (
 	checksumField  = 1000    // field number
-	checksumSize   = 6       // two bytes of tag, four of CRC-32C
-	listOverhead   = 3       // a tag, and a length of at most two bytes
+	checksumSize   = 6       // two bytes for the tag, four for the CRC-32C
+	listOverhead   = 3       // one byte for the tag, at most two for the length
 	stateBits      = 3       // bits of a packed state for the State; the higher bits are the incarnation
 	maxIncarnation = 1 << 60 // exclusive: a higher one cannot be a time in seconds, and does not fit into a packed state
 )
--- a/internal/control/membership/extension.go
+++ b/internal/control/membership/extension.go
@@ -73,12 +73,12 @@
 // appendExtensions appends messages of the extensions, in the order of Config.Extensions, to the space left in a datagram.
 func (n *Node) appendExtensions(now time.Duration, w *datagramWriter, to int) {
 	for _, extension := range n.cfg.Extensions {
-		room := w.remaining - payloadOverhead
-		if room <= 0 {
+		maxBytes := w.remaining - payloadOverhead
+		if maxBytes <= 0 {
 			return
 		}
-		body := extension.Append(now, to, room, nil)
-		if len(body) == 0 || len(body) > room {
+		body := extension.Append(now, to, maxBytes, nil)
+		if len(body) == 0 || len(body) > maxBytes {
 			continue
 		}
 		w.remaining -= len(body) + payloadOverhead
--- a/internal/control/membership/extension_test.go
+++ b/internal/control/membership/extension_test.go
@@ -11,8 +11,8 @@
 
 func (e testExtension) Kind() uint32 { return e.kind }
 
-func (e testExtension) Append(_ time.Duration, _, room int, dst []byte) []byte {
-	return append(dst, bytes.Repeat([]byte{byte(e.kind)}, room)...)
+func (e testExtension) Append(_ time.Duration, _, maxBytes int, dst []byte) []byte {
+	return append(dst, bytes.Repeat([]byte{byte(e.kind)}, maxBytes)...)
 }
 
 // extensionReceivers returns the receivers of the first 200 extension datagrams.
@@ -61,7 +61,7 @@
 	node.deliverUpdate(t, 1, Left, startIncarnation, 1)
 	for range 50 {
 		if to := node.randomExtensionReceiver(); to != 2 {
-			t.Fatalf("an extension datagram to member %d, want only to 2", to)
+			t.Fatalf("drew member %d as the receiver, want only member 2", to)
 		}
 	}
 }
--- a/internal/control/membership/helpers_test.go
+++ b/internal/control/membership/helpers_test.go
@@ -89,7 +89,7 @@
 	d := &membershippb.Datagram{}
 	message, ok := verifyChecksum(n.Datagrams()[0].Bytes)
 	if err := proto.Unmarshal(message, d); !ok || err != nil {
-		t.Fatal(ok, err)
+		t.Fatal("the first datagram cannot be decoded: checksum valid:", ok, "error:", err)
 	}
 	return d
 }
--- a/internal/control/membership/invariants.go
+++ b/internal/control/membership/invariants.go
@@ -19,7 +19,7 @@
 
 // checkMembers compares the cached counts and the digest with the member table.
 func (n *Node) checkMembers() error {
-	serving, queued, suspects := 0, 0, 0
+	inService, queued, suspects := 0, 0, 0
 	digest := uint32(0)
 	for i := range n.members {
 		m := &n.members[i]
@@ -28,7 +28,7 @@
 		}
 		digest ^= memberDigest(i, m.state)
 		if m.state.InService() {
-			serving++
+			inService++
 		}
 		if m.retransmits > 0 {
 			queued++
@@ -38,8 +38,8 @@
 		}
 	}
 	switch {
-	case serving != n.inService:
-		return fmt.Errorf("%d members are in service, but the cached count is %d", serving, n.inService)
+	case inService != n.inService:
+		return fmt.Errorf("%d members are in service, but the cached count is %d", inService, n.inService)
 	case queued != n.broadcasts.count:
 		return fmt.Errorf("%d members have an update to send, but the broadcast queue has %d", queued, n.broadcasts.count)
 	case suspects != len(n.suspects):
@@ -53,7 +53,7 @@
 func (n *Node) checkOwnState() error {
 	own := n.members[n.cfg.Self].state
 	if own != Alive && !n.left || own != Left && n.left {
-		return fmt.Errorf("this member has the state %v, left: %v", own, n.left)
+		return fmt.Errorf("this member has the state %v in its own view; it has left the fleet: %v", own, n.left)
 	}
 	return nil
 }
--- a/internal/control/membership/node.go
+++ b/internal/control/membership/node.go
@@ -35,7 +35,7 @@
 	probeRound             uint64
 	probePhase             time.Duration // time within each interval at which this member probes
 	nextProbeAt            time.Duration
-	lastOutOfServiceProbed int
+	lastOutOfServicePinged int // member that pingOutOfService pinged last; random at first
 	relayedProbes          []relayedProbe
 
 	// Suspicions. See suspicion.go.
@@ -89,7 +89,7 @@
 		}
 	}
 	n.probeOffsets = make([]int, len(n.others))
-	n.lastOutOfServiceProbed = n.rnd.IntN(len(cfg.Peers))
+	n.lastOutOfServicePinged = n.rnd.IntN(len(cfg.Peers))
 	return n, nil
 }
 
@@ -147,9 +147,9 @@
 
 // SetTimeouts sets Config.ProbeTimeout and Config.SuspicionTimeout while the protocol runs; 0 means the default. If one
 // is invalid, it changes nothing and returns an error that wraps a *ConfigError.
-func (n *Node) SetTimeouts(timeout, suspect time.Duration) error {
+func (n *Node) SetTimeouts(probeTimeout, suspicionTimeout time.Duration) error {
 	next := n.cfg
-	next.ProbeTimeout, next.SuspicionTimeout = timeout, suspect
+	next.ProbeTimeout, next.SuspicionTimeout = probeTimeout, suspicionTimeout
 	if err := next.validate(); err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
--- a/internal/control/membership/probe.go
+++ b/internal/control/membership/probe.go
@@ -182,8 +182,8 @@
 		return
 	}
 	for range n.members {
-		n.lastOutOfServiceProbed = (n.lastOutOfServiceProbed + 1) % len(n.members)
-		i := n.lastOutOfServiceProbed
+		n.lastOutOfServicePinged = (n.lastOutOfServicePinged + 1) % len(n.members)
+		i := n.lastOutOfServicePinged
 		if i != n.cfg.Self && !n.members[i].state.InService() {
 			n.ping(now, i)
 			return
--- a/internal/control/membership/relay_test.go
+++ b/internal/control/membership/relay_test.go
@@ -28,7 +28,7 @@
 		nacks += n.countNACKsTo(t, origin, sequence)
 	}
 	if nacks != 1 || !paused {
-		t.Errorf("%d NACKs, want 1 (paused after the first: %v)", nacks, paused)
+		t.Errorf("%d NACKs, want 1; paused after the first one: %v, want true", nacks, paused)
 	}
 }
 
@@ -39,7 +39,7 @@
 		d := &membershippb.Datagram{}
 		message, ok := verifyChecksum(datagram.Bytes)
 		if err := proto.Unmarshal(message, d); !ok || err != nil {
-			t.Fatal(ok, err)
+			t.Fatal("a datagram cannot be decoded: checksum valid:", ok, "error:", err)
 		}
 		if datagram.To == origin && d.Kind == membershippb.Kind_KIND_NACK && d.Sequence == sequence {
 			count++
--- a/internal/control/membership/simulation/fleet.go
+++ b/internal/control/membership/simulation/fleet.go
@@ -39,7 +39,7 @@
 	StartSpread time.Duration // the members start at random times within this time after Epoch
 	// NewDetector returns the failure detector of a member; nil = membership.New.
 	NewDetector   func(cfg membership.Config) (Detector, error)
-	StepsPerCheck int // steps of the fleet between two checks of a node's invariants; 0 = check at every step
+	StepsPerCheck int // a node's invariants are checked once per this number of Fleet.Steps; 0 = at every step
 }
 
 // Member is a simulated process.
@@ -47,7 +47,7 @@
 	Node       Detector
 	Up         bool
 	UpSince    time.Duration // when it last started or resumed after a pause
-	ClockSkew  time.Duration // of its clock relative to Fleet.Now
+	ClockSkew  time.Duration // offset of its clock from Fleet.Now
 	paused     bool
 	buffered   []bufferedDatagram // datagrams received during a pause
 	timerAt    time.Duration      // virtual time of the next Tick
@@ -60,7 +60,7 @@
 	Setup
 	Members []Member
 	Now     time.Duration // virtual time since the Unix epoch
-	Steps   int           // number of calls of all nodes
+	Steps   int           // number of calls made to all nodes so far
 	// OnEvent, if set, is called for every event that a member emits, with the number of that member. An error ends the run.
 	OnEvent func(at int, e membership.Event) error
 	// Drops, if set, reports whether the network drops the datagrams from one member to another.
@@ -69,7 +69,7 @@
 	addrs           []netip.AddrPort
 	rnd             *rand.Rand
 	queue           eventQueue
-	lastSequence    uint64 // of the queued events
+	lastSequence    uint64 // sequence number of the event queued last
 	freeBuffers     [][]byte
 	err             error // first error, which ended the run
 }
--- a/internal/control/membership/simulation/fleet_test.go
+++ b/internal/control/membership/simulation/fleet_test.go
@@ -123,7 +123,8 @@
 			smallest = f
 		}
 		if f.DatagramRate > 1.2*smallest.DatagramRate || f.ByteRate > 1.2*smallest.ByteRate || f.DatagramRate > 3 || f.ByteRate > 400 {
-			t.Errorf("%d members: %.2f datagrams and %.1f bytes per member and second; with %d members it was %.2f and %.1f", n,
+			t.Errorf("%d members: %.2f datagrams and %.1f bytes per member and second, want at most 3 and 400, "+
+				"and at most 1.2 times those with %d members: %.2f and %.1f", n,
 				f.DatagramRate, f.ByteRate, smallest.Members, smallest.DatagramRate, smallest.ByteRate)
 		}
 	}
@@ -221,8 +222,8 @@
 			f, _ := startedFleet(t, n)
 			f.Drops = dropsBetweenOddAndEven
 			runFor(t, f, 40*time.Second)
-			if serving := f.Members[0].Node.NumInService(); serving != n/2 {
-				t.Errorf("member 0 sees %d members in service during the partition, want %d", serving, n/2)
+			if inService := f.Members[0].Node.NumInService(); inService != n/2 {
+				t.Errorf("member 0 sees %d members in service during the partition, want %d", inService, n/2)
 			}
 			f.Drops = nil
 			awaitAgreement(t, f, time.Minute)
--- a/internal/control/membership/simulation/golden_test.go
+++ b/internal/control/membership/simulation/golden_test.go
@@ -11,7 +11,9 @@
 	"frostpier/internal/testutil"
 )
 
-const fullyRecorded = 40 // number of datagrams written to the golden file; the others are only hashed
+// datagramsInFull is the number of datagrams that the golden file contains in full. The file also contains a hash
+// of all datagrams.
+const datagramsInFull = 40
 
 // recordedNode is a Node that passes every datagram it sends to record.
 type recordedNode struct {
@@ -39,7 +41,7 @@
 				return nil, err
 			}
 			return &recordedNode{node, func(d membership.Datagram) {
-				if count++; count <= fullyRecorded {
+				if count++; count <= datagramsInFull {
 					fmt.Fprintf(&out, "%d to %d: %x\n", cfg.Self, d.To, d.Bytes)
 				}
 				fmt.Fprintf(hash, "%d to %d: %x\n", cfg.Self, d.To, d.Bytes)
--- a/internal/control/membership/simulation/heal_test.go
+++ b/internal/control/membership/simulation/heal_test.go
@@ -86,8 +86,8 @@
 	f.Drops = dropsBetweenOddAndEven
 	runFor(t, f, 45*time.Second)
 	for i := range f.Members {
-		if serving := f.Members[i].Node.NumInService(); serving != n/2 {
-			t.Fatalf("after 45 s, member %d sees %d of %d members in service, want %d", i, serving, n, n/2)
+		if inService := f.Members[i].Node.NumInService(); inService != n/2 {
+			t.Fatalf("after 45 s, member %d sees %d of %d members in service, want %d", i, inService, n, n/2)
 		}
 	}
 }
--- a/internal/control/membership/simulation/measure.go
+++ b/internal/control/membership/simulation/measure.go
@@ -16,7 +16,7 @@
 	Kills              int
 	MissedKills        int             // kills that some member did not detect or learn of before the victim restarted
 	DetectionTimes     []time.Duration // from each kill until the first member declared the death, sorted
-	DisseminationTimes []time.Duration // from then until the last member learned of the death, sorted
+	DisseminationTimes []time.Duration // from the first declaration until the last member learned of the death, sorted
 	DatagramRate       float64         // datagrams sent per member and second in the steady state
 	ByteRate           float64         // bytes sent per member and second in the steady state
 }
@@ -135,7 +135,7 @@
 	results                         *Results
 	victim                          int           // member that was last killed; -1 before the first kill
 	informed                        int           // number of members that declared the victim dead or learned of its death
-	firstDeclaredAt, lastDeclaredAt time.Duration // when the first and the last of them did; 0 = none did yet
+	firstDeclaredAt, lastDeclaredAt time.Duration // when the first and the last of these members did so; 0 = none has yet
 }
 
 // kill kills a random member at a random time within the protocol period, and runs the fleet for the interval.
--- a/internal/control/membership/suspicion_test.go
+++ b/internal/control/membership/suspicion_test.go
@@ -80,25 +80,25 @@
 // Checks that when many members are reported dead at once, the total rate of pings to them is bounded, each of them is
 // pinged, and a repeated report does not declare any of them dead without a ping.
 func TestSuspectPingRateIsBounded(t *testing.T) {
-	const peers, gone = 200, 150
+	const peers, reported = 200, 150
 	n := newNode(t, 0, peers)
 	reportAll := func() {
-		for i := 2; i < 2+gone; i++ {
+		for i := 2; i < 2+reported; i++ {
 			n.deliverUpdate(t, i, Dead, startIncarnation, 1)
 		}
 	}
 	reportAll()
 	reportAll()
 	if n.NumInService() != peers {
-		t.Fatalf("%d of %d in service: a death reported twice was not verified", n.NumInService(), peers)
+		t.Fatalf("%d of %d members in service right after the reports, want all: a repeated report must not bypass the pings", n.NumInService(), peers)
 	}
 	pinged, pings := map[int]bool{}, 0
-	const span = 10 * time.Second
+	const duration = 10 * time.Second
 	pingInterval := n.cfg.intervals(suspectPingPeriodIntervals)
-	for now := epoch + time.Second; now < epoch+time.Second+span; now = max(now+time.Millisecond, n.NextTick()) {
+	for now := epoch + time.Second; now < epoch+time.Second+duration; now = max(now+time.Millisecond, n.NextTick()) {
 		n.Tick(now)
 		for _, d := range n.Datagrams() {
-			if d.To >= 2 && d.To < 2+gone && n.nextSuspectPingAt == now+pingInterval/suspectPingsPerRound {
+			if d.To >= 2 && d.To < 2+reported && n.nextSuspectPingAt == now+pingInterval/suspectPingsPerRound {
 				pinged[d.To] = true
 				pings++
 			}
@@ -107,11 +107,11 @@
 			t.Fatal(err)
 		}
 	}
-	limit := int(float64(suspectPingsPerRound)*float64(span)/float64(pingInterval)) + 1
+	limit := int(float64(suspectPingsPerRound)*float64(duration)/float64(pingInterval)) + 1
 	if pings > 2*limit { // the factor 2 allows for other datagrams to suspects in the same Tick
-		t.Errorf("%d pings of suspects in %v, want at most %d", pings, span, 2*limit)
+		t.Errorf("%d pings of suspects in %v, want at most %d", pings, duration, 2*limit)
 	}
-	if len(pinged) < gone {
-		t.Errorf("only %d of %d suspects were pinged", len(pinged), gone)
+	if len(pinged) < reported {
+		t.Errorf("only %d of %d suspects were pinged", len(pinged), reported)
 	}
 }
--- a/internal/control/membership/sync.go
+++ b/internal/control/membership/sync.go
@@ -84,7 +84,7 @@
 func (n *Node) sendSyncChunk(to, first int) int {
 	d := n.newDatagram(membershippb.Kind_KIND_SYNC, 0)
 	d.First = uint32(first)
-	room := MaxDatagramSize - checksumSize - proto.Size(d) - listOverhead
+	remaining := MaxDatagramSize - checksumSize - proto.Size(d) - listOverhead
 	next := first
 	for ; next < len(n.members); next++ {
 		m := &n.members[next]
@@ -94,10 +94,10 @@
 		}
 		packed := packState(state, m.incarnation)
 		size := protowire.SizeVarint(packed)
-		if size > room {
+		if size > remaining {
 			break
 		}
-		room -= size
+		remaining -= size
 		d.Word = append(d.Word, packed)
 	}
 	n.enqueueDatagram(to, d)
