--- a/internal/control/rollout/parse.go
+++ b/internal/control/rollout/parse.go
@@ -157,7 +157,7 @@
 	w.OnInconclusive = cmp.Or(w.OnInconclusive, HoldInconclusive)
 }
 
-func (c *Change) setDefaults() {
+func (c *ChangeLimits) setDefaults() {
 	c.MaxUnavailable = cmp.Or(c.MaxUnavailable, 1)
 	c.ReadyTimeoutSeconds = cmp.Or(c.ReadyTimeoutSeconds, 20)
 	c.StopTimeoutSeconds = cmp.Or(c.StopTimeoutSeconds, 10)
--- a/internal/control/rollout/plan.go
+++ b/internal/control/rollout/plan.go
@@ -12,18 +12,18 @@
 // Plan describes a change. An operator writes it as a TOML file; ParsePlan parses it, sets the defaults and validates it. The
 // JSON keys must not change, as operators' scripts read them.
 type Plan struct {
-	Name    string   `toml:"name" json:"Name"`       // unique among all changes
-	Fleet   string   `toml:"fleet" json:"Fleet"`     // fleet name, as in the operator's file
-	Listen  string   `toml:"listen" json:"Listen"`   // UDP address on which the controller receives reports
-	Reports string   `toml:"reports" json:"Reports"` // address that the operator's files have as rollout.report_to; default Listen
-	Configs string   `toml:"configs" json:"Configs"` // glob of the gateways' configuration files, as in "etc/gateways/*.json"
-	Stages  []string `toml:"stages" json:"Stages"`   // total of new gateways after each stage, as in "1" or "10%"; the last is all
-	Old     Version  `toml:"old" json:"Old"`
-	New     Version  `toml:"new" json:"New"`
-	Watch   Watch    `toml:"watch" json:"Watch"`
-	Change  Change   `toml:"change" json:"Change"`
-	Judge   Judge    `toml:"judge" json:"Judge"`
-	Checks  []Check  `toml:"check" json:"Checks"`
+	Name    string       `toml:"name" json:"Name"`       // unique among all changes
+	Fleet   string       `toml:"fleet" json:"Fleet"`     // fleet name, as in the operator's file
+	Listen  string       `toml:"listen" json:"Listen"`   // UDP address on which the controller receives reports
+	Reports string       `toml:"reports" json:"Reports"` // address that the operator's files have as rollout.report_to; default Listen
+	Configs string       `toml:"configs" json:"Configs"` // glob of the gateways' configuration files, as in "etc/gateways/*.json"
+	Stages  []string     `toml:"stages" json:"Stages"`   // total of new gateways after each stage, as in "1" or "10%"; the last is all
+	Old     Version      `toml:"old" json:"Old"`
+	New     Version      `toml:"new" json:"New"`
+	Watch   Watch        `toml:"watch" json:"Watch"`
+	Change  ChangeLimits `toml:"change" json:"Change"`
+	Judge   Judge        `toml:"judge" json:"Judge"`
+	Checks  []Check      `toml:"check" json:"Checks"`
 }
 
 // Version is a gateway executable and the operator's file that it runs with.
@@ -50,8 +50,8 @@
 	RollBackInconclusive = "back"
 )
 
-// Change sets the limits for replacing gateways.
-type Change struct {
+// ChangeLimits sets the limits for replacing gateways.
+type ChangeLimits struct {
 	MaxUnavailable       int     `toml:"down_at_once" json:"DownAtOnce"` // gateways that the change takes out of service at once; default 1
 	ReadyTimeoutSeconds  float64 `toml:"ready_s" json:"ReadyS"`          // from the start of a process until it reports that it serves; default 20
 	StopTimeoutSeconds   float64 `toml:"stop_s" json:"StopS"`            // from SIGTERM until SIGKILL; default 10
--- a/internal/control/rollout/validate.go
+++ b/internal/control/rollout/validate.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (c *Change) validate(gateways int) *invalidValue {
+func (c *ChangeLimits) validate(gateways int) *invalidValue {
 	const negative = "it must not be negative"
 	switch {
 	case c.MaxUnavailable < 1 || c.MaxUnavailable >= gateways:
