--- a/internal/control/rollout/codec_test.go
+++ b/internal/control/rollout/codec_test.go
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			if want := testReport(); !reflect.DeepEqual(r, want) {
-				t.Fatalf("%+v, want %+v", r, want)
+				t.Fatalf("report %+v, want %+v", r, want)
 			}
 		})
 	}
@@ -66,14 +66,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := ParseReport(c.report, c.fleet, c.gateways, c.classes); !errors.Is(err, c.want) {
-				t.Errorf("%v, want %v", err, c.want)
+				t.Errorf("error %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-// TestParseReportOfDamagedData checks that a truncated or modified report is rejected, or decoded to values within bounds.
-func TestParseReportOfDamagedData(t *testing.T) {
+// TestParseReportHandlesCorruptedData checks that a truncated or modified report is rejected, or decoded to values within bounds.
+func TestParseReportHandlesCorruptedData(t *testing.T) {
 	b := encodedReport(t)
 	rapid.Check(t, func(t *rapid.T) {
 		text := slices.Clone(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")])
@@ -83,35 +83,35 @@
 			}
 		}
 		if r, err := ParseReport(text, "f", 8, 3); err == nil && (r.Gateway < 0 || r.Gateway > 7 || len(r.Classes) != 3) {
-			t.Fatalf("%+v", r)
+			t.Fatalf("accepted a report with values out of bounds: %+v", r)
 		}
 	})
 }
 
-// Messages as encoded by the first version. Later versions have to decode them, as old gateways report to a new controller and
+// Messages of the first protocol version. Later versions have to decode them, as old gateways report to a new controller and
 // exchange versions with new gateways.
 const (
-	firstReport = "0a0166100718e7242080a0f1c2b134290000000000000080310300000000000000" +
+	version1Report = "0a0166100718e7242080a0f1c2b134290000000000000080310300000000000000" +
 		"380148808c01520e08011002180320042805300638075200520708808080808020"
-	firstVersion = "0d000100001500020000"
+	version1VersionMessage = "0d000100001500020000"
 )
 
-// TestDecodeMessagesOfFirstVersion checks that messages encoded by the first version are decoded.
-func TestDecodeMessagesOfFirstVersion(t *testing.T) {
-	b, err := hex.DecodeString(firstReport)
+// TestVersion1MessagesAreDecoded checks that recorded messages of the first protocol version are decoded.
+func TestVersion1MessagesAreDecoded(t *testing.T) {
+	b, err := hex.DecodeString(version1Report)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r, err := ParseReport(b, "f", 8, 3)
 	if err != nil || r.Gateway != 7 || r.Program != 1<<63 || !slices.Equal(r.Classes, testReport().Classes) {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("report %+v, error %v, want the values of testReport", r, err)
 	}
-	if b, err = hex.DecodeString(firstVersion); err != nil {
+	if b, err = hex.DecodeString(version1VersionMessage); err != nil {
 		t.Fatal(err)
 	}
-	m := NewVersionTracker(3, VersionID{})
-	if !m.Receive(2, b) || m.received[2] != (VersionID{1 << 8, 2 << 8}) {
-		t.Errorf("%+v", m.received)
+	tracker := NewVersionTracker(3, VersionID{})
+	if !tracker.Receive(2, b) || tracker.received[2] != (VersionID{1 << 8, 2 << 8}) {
+		t.Errorf("versions by member: %+v, want only that of member 2, {256 512}", tracker.received)
 	}
 }
 
@@ -122,7 +122,7 @@
 	now := 100 * time.Second
 	body := a.Append(now, 1, 50, nil)
 	if len(body) == 0 || len(a.Append(now+time.Second, 1, 50, nil)) > 0 || len(a.Append(now, 2, 3, nil)) > 0 {
-		t.Fatal("not sent, sent again within resendInterval, or sent without enough room")
+		t.Fatal("not sent, sent again within resendInterval, or sent although it needs more than maxBytes")
 	}
 	if len(a.Append(now+resendInterval, 1, 50, nil)) == 0 {
 		t.Error("not sent again after resendInterval")
@@ -132,7 +132,7 @@
 	}
 	counts := b.Counts(1, func(int) bool { return true })
 	if len(counts) != 2 || counts[0].Members != 1 || FormatVersionCounts(counts) == "" {
-		t.Errorf("%+v", counts)
+		t.Errorf("counts %+v, want two versions of one member each, with a non-empty format", counts)
 	}
 	if got := b.Counts(1, func(i int) bool { return i != 0 }); len(got) != 1 {
 		t.Errorf("a member out of service is counted: %+v", got)
--- a/internal/control/rollout/comparison.go
+++ b/internal/control/rollout/comparison.go
@@ -12,7 +12,7 @@
 	oldShareDeviations    = 2.0  // standard errors of the old share that are added to the allowed share
 	maxDispersion         = 25.0 // upper limit of the estimated dispersion
 	minDispersionGateways = 3    // old gateways with minDispersionAnswers that are needed to estimate the dispersion
-	minDispersionAnswers  = 5    // answers from which a gateway counts for the dispersion
+	minDispersionAnswers  = 5    // answers that an old gateway needs to be included in the estimate
 )
 
 // metric is a proportion on which new gateways are compared with old ones.
--- a/internal/control/rollout/counts.go
+++ b/internal/control/rollout/counts.go
@@ -51,13 +51,13 @@
 // results would bias the comparison of clients' queries.
 func (c Counts) withoutChecks(results CheckResults) Counts {
 	checks := results.asCounts()
-	refused := min(c.Rejected, checks.Failed)
+	rejected := min(c.Rejected, checks.Failed) // unserved checks are subtracted from the rejections first, the rest from the failures
 	return Counts{
 		Requests: saturatingSub(c.Requests, checks.Requests),
 		InTime:   saturatingSub(c.InTime, checks.InTime),
 		Late:     saturatingSub(c.Late, checks.Late),
-		Rejected: c.Rejected - refused,
-		Failed:   saturatingSub(c.Failed, checks.Failed-refused),
+		Rejected: c.Rejected - rejected,
+		Failed:   saturatingSub(c.Failed, checks.Failed-rejected),
 		Fast:     saturatingSub(c.Fast, checks.Fast),
 		Retries:  c.Retries,
 	}
@@ -97,7 +97,7 @@
 
 // CheckResults counts the results of the controller's synthetic checks at a gateway.
 type CheckResults struct {
-	Correct, Incorrect, Unserved int // Unserved: rejected, failed or timed out
+	Correct, Incorrect, Unserved int // by result; unserved checks were rejected, failed or timed out
 	InTime, Fast                 int // checks with a result within the class's latency objective, and within a quarter of it
 }
 
--- a/internal/control/rollout/golden_test.go
+++ b/internal/control/rollout/golden_test.go
@@ -10,8 +10,8 @@
 	"frostpier/internal/testutil"
 )
 
-// TestMessageEncodingMatchesGolden checks that the encoding of reports and versions does not change.
-func TestMessageEncodingMatchesGolden(t *testing.T) {
+// TestMessagesMatchGoldenFile checks that the encoding of reports and versions does not change.
+func TestMessagesMatchGoldenFile(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
 	report, err := testReport().Append(nil, "f")
@@ -27,8 +27,8 @@
 	testutil.Golden(t, "messages.golden", []byte(out.String()))
 }
 
-// TestKeysMatchGolden checks that the JSON and TOML keys of stored states, verdicts, version IDs and plans do not change.
-func TestKeysMatchGolden(t *testing.T) {
+// TestKeysMatchGoldenFile checks that the JSON and TOML keys of stored states, verdicts, version IDs and plans do not change.
+func TestKeysMatchGoldenFile(t *testing.T) {
 	t.Parallel()
 	keys := testutil.FieldKeys("json", "state", State{}) + testutil.FieldKeys("json", "opinion", Verdict{}) +
 		testutil.FieldKeys("json", "id", VersionID{}) + testutil.FieldKeys("toml", "plan", Plan{}) + testutil.FieldKeys("json", "plan json", Plan{})
--- a/internal/control/rollout/machine_test.go
+++ b/internal/control/rollout/machine_test.go
@@ -15,7 +15,7 @@
 	for _, bug := range bugs {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			rolledBack, longest, harmed := 0, time.Duration(0), 0.0
+			rolledBack, longest, affected := 0, time.Duration(0), 0.0
 			const seeds = 20
 			for seed := range uint64(seeds) {
 				sim := newSimulation(t, 30, seed, bug)
@@ -24,11 +24,11 @@
 					rolledBack++
 					longest = max(longest, sim.now-simEpoch)
 				}
-				harmed += sim.harmedAnswers / sim.answers / seeds
+				affected += sim.affectedAnswers / sim.answers / seeds
 			}
-			t.Logf("%d of %d rolled back in the first stage, the slowest after %v; share of affected answers %.4f", rolledBack, seeds, longest, harmed)
+			t.Logf("%d of %d rolled back in the first stage, the slowest after %v; share of affected answers %.4f", rolledBack, seeds, longest, affected)
 			if rolledBack < seeds {
-				t.Errorf("%d of %d rolled back in the first stage", rolledBack, seeds)
+				t.Errorf("%d of %d rolled back in the first stage, want all", rolledBack, seeds)
 			}
 		})
 	}
@@ -80,11 +80,11 @@
 			falseAlarms++
 		}
 		if sim.maxUnavailable > 1 {
-			t.Errorf("seed %d: %d gateways out of service at once", seed, sim.maxUnavailable)
+			t.Errorf("seed %d: %d gateways out of service at once, want at most 1", seed, sim.maxUnavailable)
 		}
 	}
 	if falseAlarms > seeds/20 {
-		t.Errorf("%d of %d good changes did not complete", falseAlarms, seeds)
+		t.Errorf("%d of %d good changes did not complete, want at most %d", falseAlarms, seeds, seeds/20)
 	}
 }
 
@@ -101,7 +101,7 @@
 			return 0
 		}
 		if phase := sim.run(40 * time.Minute); phase != Done {
-			t.Errorf("seed %d: %s: %s", seed, phase, sim.machine.State().Reason)
+			t.Errorf("seed %d: phase %s, want %s; reason: %s", seed, phase, Done, sim.machine.State().Reason)
 		}
 	}
 }
@@ -114,21 +114,21 @@
 			crashing := sim.machine.changeOrder[position]
 			sim.gateways[crashing].crashAt = simEpoch + 12*time.Second
 			if phase := sim.run(40 * time.Minute); phase != Done {
-				t.Errorf("%s: %s\n%s", phase, sim.machine.State().Reason, strings.Join(sim.notes, "\n"))
+				t.Errorf("phase %s, want %s; reason: %s\n%s", phase, Done, sim.machine.State().Reason, strings.Join(sim.notes, "\n"))
 			}
 		})
 	}
 }
 
-// TestControllerPauseAndPartition checks that a suspended controller, or a temporary partition from a third of the gateways, does not
+// TestPauseAndPartitionTolerance checks that a suspended controller, or a temporary partition from a third of the gateways, does not
 // cause a rollback, and that missing reports of the new gateway alone do.
-func TestControllerPauseAndPartition(t *testing.T) {
+func TestPauseAndPartitionTolerance(t *testing.T) {
 	t.Run("pause", func(t *testing.T) {
 		sim := newSimulation(t, 30, 6, "")
 		sim.pausedUntil = simEpoch + 40*time.Second
 		sim.run(5 * time.Second)
 		if phase := sim.run(40 * time.Minute); phase != Done {
-			t.Errorf("%s: %s", phase, sim.machine.State().Reason)
+			t.Errorf("phase %s, want %s; reason: %s", phase, Done, sim.machine.State().Reason)
 		}
 	})
 	t.Run("partition of a third and the new gateway", func(t *testing.T) {
@@ -139,7 +139,7 @@
 			return s > 10*time.Second && s < 40*time.Second && (i == first || i%3 == 0)
 		}
 		if phase := sim.run(40 * time.Minute); phase != Done {
-			t.Errorf("%s: %s", phase, sim.machine.State().Reason)
+			t.Errorf("phase %s, want %s; reason: %s", phase, Done, sim.machine.State().Reason)
 		}
 	})
 	t.Run("partition of the new gateway alone", func(t *testing.T) {
@@ -149,14 +149,14 @@
 			return at-simEpoch > 10*time.Second && at-simEpoch < 100*time.Second && i == first
 		}
 		if phase := sim.run(40 * time.Minute); phase != RolledBack || sim.gateways[first].starts[OldVersion] != 1 {
-			t.Errorf("%s, starts by version %v", phase, sim.gateways[first].starts)
+			t.Errorf("phase %s, want %s; starts by version %v, want one on the old version", phase, RolledBack, sim.gateways[first].starts)
 		}
 	})
 }
 
-// TestPartitionDuringStart checks that the controller waits for a new gateway that is partitioned before its first report as long as
+// TestPartitionDuringStartExtendsWait checks that the controller waits for a new gateway that is partitioned before its first report as long as
 // old gateways are silent too. If it alone is silent, or stays silent when the others report again, its start has failed.
-func TestPartitionDuringStart(t *testing.T) {
+func TestPartitionDuringStartExtendsWait(t *testing.T) {
 	const partitionEnd = 70 * time.Second
 	cases := []struct {
 		name, bug string
@@ -177,17 +177,17 @@
 			}
 			sim.run(partitionEnd - 10*time.Second)
 			if phase := sim.machine.State().Phase; !c.alone && phase != Changing {
-				t.Errorf("%s before the partition ends: %s", phase, sim.machine.State().Reason)
+				t.Errorf("phase %s before the partition ends, want %s; reason: %s", phase, Changing, sim.machine.State().Reason)
 			}
 			if phase := sim.run(40 * time.Minute); phase != c.phase {
-				t.Errorf("%s: %s\n%s", phase, sim.machine.State().Reason, strings.Join(sim.notes, "\n"))
+				t.Errorf("phase %s, want %s; reason: %s\n%s", phase, c.phase, sim.machine.State().Reason, strings.Join(sim.notes, "\n"))
 			}
 		})
 	}
 }
 
-// TestInconclusiveWatch checks that a watch with too little traffic holds the change or rolls it back, according to the plan.
-func TestInconclusiveWatch(t *testing.T) {
+// TestInconclusiveWatchFollowsPlan checks that a watch with too little traffic holds the change or rolls it back, according to the plan.
+func TestInconclusiveWatchFollowsPlan(t *testing.T) {
 	for onInconclusive, want := range map[string]Phase{HoldInconclusive: Holding, RollBackInconclusive: RolledBack} {
 		t.Run(onInconclusive, func(t *testing.T) {
 			sim := newSimulation(t, 30, 2, "")
@@ -195,7 +195,7 @@
 			sim.machine.plan.Watch.OnInconclusive = onInconclusive
 			sim.setRate(0.01)
 			if phase := sim.run(10 * time.Minute); phase != want {
-				t.Errorf("%s, want %s", phase, want)
+				t.Errorf("phase %s, want %s", phase, want)
 			}
 			if want != Holding {
 				return
@@ -205,7 +205,7 @@
 				t.Fatal(err)
 			}
 			if phase := sim.run(40 * time.Minute); phase != Done {
-				t.Errorf("after resume: %s", phase)
+				t.Errorf("phase %s after resume, want %s", phase, Done)
 			}
 		})
 	}
@@ -220,7 +220,7 @@
 				sim := newSimulation(t, 6, 9, "")
 				sim.killAt, sim.killBefore = action, before
 				if phase := sim.run(40 * time.Minute); phase != Done {
-					t.Errorf("%s, %s", phase, sim.machine.State().Reason)
+					t.Errorf("phase %s, want %s; reason: %s", phase, Done, sim.machine.State().Reason)
 				}
 				if !sim.allOn(NewVersion) {
 					t.Error("not all gateways serve on the new version")
@@ -231,7 +231,7 @@
 					}
 				}
 				if sim.maxUnavailable > 1 {
-					t.Errorf("%d gateways out of service at once", sim.maxUnavailable)
+					t.Errorf("%d gateways out of service at once, want at most 1", sim.maxUnavailable)
 				}
 			})
 		}
@@ -241,24 +241,25 @@
 			sim := newSimulation(t, 6, 9, "rejects a class")
 			sim.killAt = action
 			if phase := sim.run(40 * time.Minute); phase != RolledBack || !sim.allOn(OldVersion) {
-				t.Errorf("%s", phase)
+				t.Errorf("phase %s, want %s with all gateways on the old version", phase, RolledBack)
 			}
 		})
 	}
 }
 
-// TestPauseResumeAbort checks the operator's commands, and that they fail with a PhaseError in phases that do not allow them.
-func TestPauseResumeAbort(t *testing.T) {
+// TestOperatorCommandsByPhase checks that Pause, Resume and Abort have their effect, and fail with a PhaseError in phases that do not
+// allow them.
+func TestOperatorCommandsByPhase(t *testing.T) {
 	sim := newSimulation(t, 30, 5, "")
 	sim.run(10 * time.Second)
 	if err := sim.machine.Pause(sim.now); err != nil {
 		t.Fatal(err)
 	}
 	if phase := sim.run(5 * time.Minute); phase != Holding {
-		t.Fatalf("after pause: %s", phase)
+		t.Fatalf("phase %s after pause, want %s", phase, Holding)
 	}
 	if err := sim.machine.Pause(sim.now); !isPhaseError(err, Holding) {
-		t.Errorf("second pause: %v", err)
+		t.Errorf("second pause: error %v, want a PhaseError with %s", err, Holding)
 	}
 	if err := sim.machine.Resume(sim.now); err != nil {
 		t.Fatal(err)
@@ -268,13 +269,13 @@
 		t.Fatal(err)
 	}
 	if phase := sim.run(5 * time.Minute); phase != RolledBack || !sim.allOn(OldVersion) {
-		t.Errorf("after abort: %s", phase)
+		t.Errorf("phase %s after abort, want %s with all gateways on the old version", phase, RolledBack)
 	}
 	if err := sim.machine.Abort(sim.now); !isPhaseError(err, RolledBack) {
-		t.Errorf("abort after the end: %v", err)
+		t.Errorf("abort after the end: error %v, want a PhaseError with %s", err, RolledBack)
 	}
 	if err := sim.machine.Resume(sim.now); !isPhaseError(err, RolledBack) {
-		t.Errorf("resume after the end: %v", err)
+		t.Errorf("resume after the end: error %v, want a PhaseError with %s", err, RolledBack)
 	}
 }
 
--- a/internal/control/rollout/mixedfleet_test.go
+++ b/internal/control/rollout/mixedfleet_test.go
@@ -70,8 +70,8 @@
 	const members = 20
 	f := newMixedFleet(t, members)
 	f.run(10 * time.Second)
-	f.digests[0].Record(f.members.Now, 1, 5) // member 0 without a tracker and member 1 with one report on different engines
-	f.digests[1].Record(f.members.Now, 2, 6)
+	f.digests[0].Record(f.members.Now, 1, 5) // member 0, without a tracker, knows a report on engine 1
+	f.digests[1].Record(f.members.Now, 2, 6) // member 1, with a tracker, knows a report on engine 2
 	f.run(3 * time.Second)
 	for i, d := range f.digests {
 		if a, ok := d.Latest(f.members.Now, 1); !ok || a.Load != 5 {
@@ -83,12 +83,12 @@
 	}
 	f.members.Kill(4)
 	f.run(90 * time.Second)
-	if ok, why := f.members.ViewsAgree(); !ok || f.falseDeaths > 0 {
-		t.Errorf("%s; %d members falsely declared dead", why, f.falseDeaths)
+	if agreed, difference := f.members.ViewsAgree(); !agreed || f.falseDeaths > 0 {
+		t.Errorf("difference between the views: %q, want none; %d members falsely declared dead, want none", difference, f.falseDeaths)
 	}
-	for i, m := range f.trackers {
+	for i, tracker := range f.trackers {
 		versions := 0
-		for _, c := range m.Counts(i, func(int) bool { return true }) {
+		for _, c := range tracker.Counts(i, func(int) bool { return true }) {
 			versions += c.Members
 		}
 		if versions != members/2 {
--- a/internal/control/rollout/observation.go
+++ b/internal/control/rollout/observation.go
@@ -7,10 +7,10 @@
 
 // observation is the part of a gateway's known state that is not stored.
 type observation struct {
-	pid                int // of its process; 0 = no process, unknownPID = not looked for yet
+	pid                int // current process ID; 0 = no process, unknownPID = not looked for yet
 	report             Report
 	reportedAt         time.Duration  // when report arrived; 0 = no report yet
-	baseline           []Counts       // counts of the current process to subtract: those of before the watch
+	baseline           []Counts       // counts of the current process from before the watch; they are subtracted
 	baselinePID        int            // process to which baseline belongs; 0 = no report in this watch yet
 	endedProcessCounts []Counts       // counts of processes that have ended during the watch
 	checks             []CheckResults // by class: all check results of the watch
--- a/internal/control/rollout/outage_test.go
+++ b/internal/control/rollout/outage_test.go
@@ -104,7 +104,7 @@
 						o.resumeAfter = c.length / 2
 					}
 					if phase := o.run(sim); phase != Done {
-						t.Errorf("seed %d: %s: %s", seed, phase, sim.machine.State().Reason)
+						t.Errorf("seed %d: phase %s, want %s; reason: %s", seed, phase, Done, sim.machine.State().Reason)
 					}
 				}
 			})
@@ -145,7 +145,7 @@
 				}
 				sim.run(from + maxDetection)
 				if phase := sim.machine.State().Phase; phase != RollingBack && phase != RolledBack {
-					t.Errorf("seed %d: phase %s, %v after the fault could be detected", seed, phase, maxDetection)
+					t.Errorf("seed %d: phase %s, want a rollback within %v of the time when the fault could first be detected", seed, phase, maxDetection)
 				}
 			}
 		})
@@ -159,17 +159,17 @@
 // longer than the maximum watch are now disregarded.
 func TestSilentOldGatewayDoesNotMaskHang(t *testing.T) {
 	sim := newSimulation(t, 12, 3, "hang at start")
-	lost := sim.machine.changeOrder[5]
-	sim.partitioned = func(i int, at time.Duration) bool { return i == lost }
+	silent := sim.machine.changeOrder[5]
+	sim.partitioned = func(i int, at time.Duration) bool { return i == silent }
 	sim.run(seconds(sim.plan.Watch.MaxSeconds) + 20*time.Second)
 	if phase := sim.machine.State().Phase; phase != RollingBack && phase != RolledBack {
-		t.Errorf("%s", phase)
+		t.Errorf("phase %s, want a rollback", phase)
 	}
 }
 
-// TestRandomReportOutages checks that, under random outages, late reports and controller restarts, a good change always completes and a
+// TestRandomReportOutagesKeepOutcome checks that, under random outages, late reports and controller restarts, a good change always completes and a
 // bad one is always rolled back.
-func TestRandomReportOutages(t *testing.T) {
+func TestRandomReportOutagesKeepOutcome(t *testing.T) {
 	t.Parallel()
 	bugs := []string{"crash at start", "hang at start", "crash after 5 s", "slow", "rejects a class", "corrupts results", "leaks"}
 	rapid.Check(t, func(r *rapid.T) {
@@ -203,7 +203,7 @@
 			want = RolledBack
 		}
 		if phase != want {
-			r.Fatalf("bug %q: %s: %s\n%s", bug, phase, sim.machine.State().Reason, strings.Join(sim.notes, "\n"))
+			r.Fatalf("bug %q: phase %s, want %s; reason: %s\n%s", bug, phase, want, sim.machine.State().Reason, strings.Join(sim.notes, "\n"))
 		}
 	})
 }
--- a/internal/control/rollout/parse_test.go
+++ b/internal/control/rollout/parse_test.go
@@ -25,18 +25,18 @@
 		t.Fatal(err)
 	}
 	if p.Watch.MinSeconds != 10 || p.Watch.MaxSeconds != 300 || p.Watch.OnInconclusive != HoldInconclusive {
-		t.Errorf("%+v", p.Watch)
+		t.Errorf("watch %+v, want least_s of the plan and the defaults", p.Watch)
 	}
 	if p.Reports != p.Listen || p.Change.MaxUnavailable != 1 || p.Judge.MaxCrashes != 2 {
-		t.Errorf("%+v", p)
+		t.Errorf("plan %+v, want the defaults of reports, change.down_at_once and judge.crashes", p)
 	}
 	if p.Judge.MinChecks != 0 {
-		t.Errorf("%d check results are required by a plan without checks", p.Judge.MinChecks)
+		t.Errorf("a plan without checks requires %d check results, want 0", p.Judge.MinChecks)
 	}
 }
 
-// TestParsePlanErrors checks the kind, key, line and text of the errors for invalid plans.
-func TestParsePlanErrors(t *testing.T) {
+// TestParsePlanReportsKeyAndLine checks the kind, key, line and text of the errors for invalid plans.
+func TestParsePlanReportsKeyAndLine(t *testing.T) {
 	cases := []struct {
 		name, from, to string
 		kind           error
@@ -67,7 +67,7 @@
 				t.Errorf("line %d, key %q, want line %d, key %q", found.Line, found.Key, c.line, c.key)
 			}
 			if c.text != "" && err.Error() != c.text {
-				t.Errorf("%q, want %q", err, c.text)
+				t.Errorf("error text %q, want %q", err, c.text)
 			}
 		})
 	}
--- a/internal/control/rollout/reconcile.go
+++ b/internal/control/rollout/reconcile.go
@@ -112,9 +112,9 @@
 func (m *Machine) reconcileStarting(now time.Duration, gateway int) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
 	elapsed := now - g.Since
-	visible := restartBackoff
+	maxAbsence := restartBackoff // how long after its start the process may not be found yet
 	if g.StartedVersion == NewVersion {
-		visible = processVisibilityDelay
+		maxAbsence = processVisibilityDelay
 	}
 	switch {
 	case g.StartedVersion != g.TargetVersion && observed.pid > 0: // the target has changed since the start
@@ -125,7 +125,7 @@
 		m.setStep(now, gateway, Steady, 0)
 	case observed.pid == 0 && observed.recovered:
 		m.startProcess(now, gateway) // the controller may have exited before it started the process
-	case observed.pid == 0 && elapsed > visible:
+	case observed.pid == 0 && elapsed > maxAbsence:
 		m.startFailed(now, gateway, "exited during its start")
 	case elapsed > seconds(m.plan.Change.ReadyTimeoutSeconds):
 		m.handleStartTimeout(now, gateway)
@@ -213,12 +213,12 @@
 // judgeCrash rolls the change back if new gateways have crashed too often. Otherwise it restarts the duration of the watch, as a single
 // crash may be chance.
 func (m *Machine) judgeCrash(now time.Duration) {
-	onNew := m.stageGatewayCount(m.state.Stage)
-	onOld := len(m.observed) - onNew
-	crashesOld, crashesNew := m.state.Crashes[oldCrashIndex], m.state.Crashes[newCrashIndex]
-	allowed := m.plan.Judge.MaxCrashes + crashesOld*onNew/max(1, onOld)
-	if m.state.Phase != RollingBack && crashesNew >= allowed {
-		m.rollBack(now, fmt.Sprintf("%d crashes of new gateways, %d of old gateways", crashesNew, crashesOld))
+	newGateways := m.stageGatewayCount(m.state.Stage)
+	oldGateways := len(m.observed) - newGateways
+	oldCrashes, newCrashes := m.state.Crashes[oldCrashIndex], m.state.Crashes[newCrashIndex]
+	allowed := m.plan.Judge.MaxCrashes + oldCrashes*newGateways/max(1, oldGateways)
+	if m.state.Phase != RollingBack && newCrashes >= allowed {
+		m.rollBack(now, fmt.Sprintf("%d crashes of new gateways, %d of old gateways", newCrashes, oldCrashes))
 	} else if m.state.Phase == Watching {
 		m.state.Since = now
 	}
--- a/internal/control/rollout/reload_test.go
+++ b/internal/control/rollout/reload_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// TestReloadDuringReportOutage checks that the controller waits for a gateway that reloads its settings in a report outage until it
+// TestReloadWaitsDuringReportOutage checks that the controller waits for a gateway that reloads its settings in a report outage until it
 // reports again. A gateway that reports without having applied the settings, or is the only silent one, causes a rollback.
-func TestReloadDuringReportOutage(t *testing.T) {
+func TestReloadWaitsDuringReportOutage(t *testing.T) {
 	const gateways, outage = 12, 28 * time.Second
 	oldID, newID := VersionID{Program: 1, Settings: 5}, VersionID{Program: 1, Settings: 6}
 	for name, c := range map[string]struct {
-		affects   func(gateway, reloaded int) bool // whose reports are lost during the outage
+		affects   func(gateway, reloaded int) bool // reports whether the gateway's reports are lost during the outage
 		applies   bool                             // the gateway applies the new settings
 		rollsBack bool                             // expected result
 	}{
@@ -39,14 +39,14 @@
 				}
 				m.Tick(now)
 				for _, action := range m.Actions() {
-					if r, is := action.(Reload); is && reloaded < 0 {
+					if r, ok := action.(Reload); ok && reloaded < 0 {
 						reloaded, reloadedAt = r.Gateway, now
 					}
 				}
 			}
 			reason := m.State().Reason
 			if got := strings.Contains(reason, "did not apply the new settings"); got != c.rollsBack || !got && m.State().Phase != Watching {
-				t.Errorf("%s: %s", m.State().Phase, reason)
+				t.Errorf("phase %s, rolled back: %v, want %v; reason: %s", m.State().Phase, got, c.rollsBack, reason)
 			}
 		})
 	}
--- a/internal/control/rollout/sim_test.go
+++ b/internal/control/rollout/sim_test.go
@@ -23,11 +23,11 @@
 	engineOutage    func(at time.Duration) float64           // share of requests that fail at every gateway because of the engines
 	partitioned     func(gateway int, at time.Duration) bool // reports whether the gateway's report is lost
 	killAt          int                                      // number of the action at which the controller is killed; -1 = never
-	killBefore      bool                                     // killed before the action is carried out, else after it
+	killBefore      bool                                     // the controller is killed before the action is carried out, else after it
 	executedActions int                                      // number of actions so far
 	notes           []string
 	maxUnavailable  int
-	harmedAnswers   float64       // answers affected by the bug
+	affectedAnswers float64       // answers affected by the bug
 	answers         float64       // all answers
 	pausedUntil     time.Duration // the controller is suspended until then
 	nextPID         int
@@ -38,7 +38,7 @@
 	version    string
 	startedAt  time.Duration
 	stopAt     time.Duration // when the process exits after SIGTERM; 0 = not signaled
-	rate       float64       // requests per second
+	rate       float64       // client requests per second
 	missOffset float64       // added to the share of requests that are not served in time
 	counts     []Counts
 	starts     map[string]int // number of starts by version
@@ -203,7 +203,7 @@
 			rejected = class == 1
 		}
 		if sim.bug == "corrupts results" && sim.rand.IntN(50) == 0 || rejected || sim.bug == "slow" && sim.rand.Float64() < 0.08 {
-			sim.harmedAnswers++
+			sim.affectedAnswers++
 		}
 	}
 	switch x := sim.rand.Float64(); {
@@ -252,7 +252,7 @@
 		sim.store()
 	}
 	for _, a := range sim.machine.Actions() {
-		if n, is := a.(Note); is {
+		if n, ok := a.(Note); ok {
 			sim.notes = append(sim.notes, n.Text)
 			continue
 		}
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -65,7 +65,7 @@
 // Report is the message that a gateway sends to the controller once a second.
 type Report struct {
 	Gateway        int           // number of the gateway in the fleet, from 0
-	PID            int           // its process
+	PID            int           // process ID of the gateway
 	StartedAt      time.Duration // Unix time at which the process started
 	Program        uint64        // the first 8 bytes of the executable's SHA-256
 	Settings       uint64        // the first 8 bytes of the SHA-256 of the operator's file in effect
--- a/internal/control/rollout/versiontracker.go
+++ b/internal/control/rollout/versiontracker.go
@@ -44,13 +44,13 @@
 // Kind returns ExtensionKind. It implements membership.Extension.
 func (t *VersionTracker) Kind() uint32 { return ExtensionKind }
 
-// Append appends the local version to dst, unless it was sent to the member within resendInterval or needs more than room bytes.
-func (t *VersionTracker) Append(now time.Duration, to, room int, dst []byte) []byte {
+// Append appends the local version to dst, unless it was sent to the member within resendInterval or needs more than maxBytes bytes.
+func (t *VersionTracker) Append(now time.Duration, to, maxBytes int, dst []byte) []byte {
 	if to < 0 || to >= len(t.lastSentAt) || t.lastSentAt[to] > 0 && now-t.lastSentAt[to] < resendInterval {
 		return dst
 	}
 	v := &rolloutpb.Version{Program: uint32(t.local.Program), Settings: uint32(t.local.Settings)}
-	if proto.Size(v) > room {
+	if proto.Size(v) > maxBytes {
 		return dst
 	}
 	out, err := proto.MarshalOptions{}.MarshalAppend(dst, v)
@@ -77,14 +77,14 @@
 	Members int
 }
 
-// Counts returns the number of members in service on each known version, the most frequent version first. The member self is this
-// gateway.
-func (t *VersionTracker) Counts(self int, serves func(member int) bool) (out []VersionCount) {
+// Counts returns the number of members in service on each known version, the most frequent version first. self is the member
+// number of this gateway.
+func (t *VersionTracker) Counts(self int, inService func(member int) bool) (out []VersionCount) {
 	for i, id := range t.received {
 		if i == self {
 			id = t.local
 		}
-		if id == (VersionID{}) || !serves(i) {
+		if id == (VersionID{}) || !inService(i) {
 			continue
 		}
 		k := slices.IndexFunc(out, func(c VersionCount) bool { return c.ID == id })
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -42,7 +42,7 @@
 			defer conn.Close()
 			check := rollout.Check{Class: "c", Statement: "s", Expect: "1", BudgetMS: 100}
 			if got, _ := conn.exchange(1, check); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("results %+v, want %+v", got, c.want)
 			}
 		})
 	}
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -131,11 +131,11 @@
 }
 
 func statusOf(name string, s rollout.State) Status {
-	on := map[string]int{}
+	counts := map[string]int{}
 	for _, g := range s.Gateways {
-		on[g.StartedVersion]++
+		counts[g.StartedVersion]++
 	}
-	return Status{Name: name, State: s, GatewayCounts: on}
+	return Status{Name: name, State: s, GatewayCounts: counts}
 }
 
 // SendCommand sends a command to the running controller: status, history, pause, resume or abort. It fails with ErrNotRunning if
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,7 +17,7 @@
 
 const (
 	tickInterval          = 100 * time.Millisecond
-	maxOldGatewaysChecked = 3       // old gateways that are checked for comparison: incorrect results may come from the engines
+	maxOldGatewaysChecked = 3       // old gateways that are checked for comparison, since incorrect results may come from the engines
 	reportBufferSize      = 4 << 20 // bytes: hundreds of gateways may send reports at the same moment
 	channelCapacity       = 4096    // capacity of the channels to Run, one for reports and one for check results
 	journalFileName       = "rollout.db"
@@ -225,7 +225,7 @@
 	actions := k.machine.Actions()
 	var notes []string
 	for _, a := range actions {
-		if n, is := a.(rollout.Note); is {
+		if n, ok := a.(rollout.Note); ok {
 			notes = append(notes, n.Text)
 			k.log.Info("change progressed", "note", n.Text)
 		}
@@ -264,15 +264,15 @@
 	if s.Phase != rollout.Watching {
 		return nil
 	}
-	olds := 0
+	oldGateways := 0
 	for i, g := range s.Gateways {
 		if g.Step != rollout.Steady {
 			continue
 		}
 		if g.StartedVersion == rollout.NewVersion {
 			gateways = append(gateways, i)
-		} else if olds < maxOldGatewaysChecked {
-			olds++
+		} else if oldGateways < maxOldGatewaysChecked {
+			oldGateways++
 			gateways = append(gateways, i)
 		}
 	}
@@ -298,7 +298,7 @@
 		}
 		select {
 		case k.reports <- r:
-		default: // counts are cumulative, so the gateway's next report includes those of this one
+		default: // dropping the report is harmless: counts are cumulative, so the gateway's next report includes them
 		}
 	}
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -26,9 +26,9 @@
 
 // FleetError means that the configurations do not describe a valid fleet.
 type FleetError struct {
-	Path   string // of the invalid configuration; empty if the error is not in a single one
-	Key    string // in the configuration or the plan; empty if the configuration cannot be read or parsed
-	Value  any    // of Key
+	Path   string // path of the invalid configuration; empty if the error is not in a single one
+	Key    string // invalid key of the configuration or the plan; empty if the configuration cannot be read or parsed
+	Value  any    // value of Key
 	Reason string
 	Err    error // underlying error; may be nil
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -10,9 +10,9 @@
 	"frostpier/internal/testutil"
 )
 
-// TestStoredJournalMatchesGolden checks that a journal written by an earlier version can be read, and that the JSON keys of the status
+// TestStoredJournalMatchesGoldenFile checks that a journal written by an earlier version can be read, and that the JSON keys of the status
 // and the history are unchanged.
-func TestStoredJournalMatchesGolden(t *testing.T) {
+func TestStoredJournalMatchesGoldenFile(t *testing.T) {
 	t.Parallel()
 	stored, err := os.ReadFile("testdata/journal.db")
 	if err != nil {
--- a/internal/controller/journal_test.go
+++ b/internal/controller/journal_test.go
@@ -55,20 +55,20 @@
 	}
 	defer j.Close()
 	if _, err := j.Last(); !errors.Is(err, ErrChangeNotFound) {
-		t.Fatalf("empty journal: %v", err)
+		t.Fatalf("empty journal: error %v, want ErrChangeNotFound", err)
 	}
 	if err := j.Begin("a", []byte("plan"), stateInStage(0)); err != nil {
 		t.Fatal(err)
 	}
 	var conflict *ConflictError
 	if err := j.Begin("a", nil, stateInStage(0)); !errors.As(err, &conflict) || conflict.Change != "a" {
-		t.Errorf("second Begin of a change: %v", err)
+		t.Errorf("second Begin of a change: error %v, want a ConflictError for it", err)
 	}
 	if _, err := OpenJournal(path); !errors.Is(err, ErrRunning) {
-		t.Errorf("second OpenJournal: %v", err)
+		t.Errorf("second OpenJournal: error %v, want ErrRunning", err)
 	}
 	if _, err := ReadJournal(path); !errors.Is(err, ErrRunning) {
-		t.Errorf("ReadJournal of an open journal: %v", err)
+		t.Errorf("ReadJournal of an open journal: error %v, want ErrRunning", err)
 	}
 }
 
@@ -89,13 +89,13 @@
 		t.Fatal(err)
 	}
 	if c.Name != "a" || string(c.Plan) != "plan" {
-		t.Errorf("change %q with plan %q", c.Name, c.Plan)
+		t.Errorf("change %q with plan %q, want \"a\" with \"plan\"", c.Name, c.Plan)
 	}
 	if c.State.Stage != 6 {
-		t.Errorf("stage %d", c.State.Stage)
+		t.Errorf("stage %d, want 6", c.State.Stage)
 	}
 	if len(c.History) != 6 || c.History[5].Text != "line 6" {
-		t.Errorf("history %+v", c.History)
+		t.Errorf("history %+v, want 6 entries, the last one \"line 6\"", c.History)
 	}
 }
 
@@ -153,6 +153,7 @@
 	defer j.Close()
 	c, err := j.Last()
 	if err != nil || c.State.Stage < stage || c.State.Stage > stage+1 || len(c.History) != c.State.Stage {
-		t.Errorf("%s: stage %d, %d history entries, %v", name, c.State.Stage, len(c.History), err)
+		t.Errorf("%s: stage %d, want %d or %d; %d history entries, want one per stage; error %v",
+			name, c.State.Stage, stage, stage+1, len(c.History), err)
 	}
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -14,9 +14,9 @@
 // CheckedPlan is a valid plan, with the fleet and the versions that it refers to.
 type CheckedPlan struct {
 	Plan  rollout.Plan
-	Text  []byte // of the plan's file
+	Text  []byte // content of the plan's file
 	Fleet Fleet
-	IDs   map[string]rollout.VersionID // by OldVersion or NewVersion
+	IDs   map[string]rollout.VersionID // keyed by rollout.OldVersion and rollout.NewVersion
 }
 
 // namedVersion is the old or new version of a plan, with its key in the plan.
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -52,8 +52,8 @@
 `, "DIR", dir)
 }
 
-// TestCheckPlan checks the fleet, version IDs and defaults of a valid plan.
-func TestCheckPlan(t *testing.T) {
+// TestCheckPlanResolvesFleetAndVersions checks the fleet, version IDs and defaults of a valid plan.
+func TestCheckPlanResolvesFleetAndVersions(t *testing.T) {
 	dir := t.TempDir()
 	writeFleet(t, dir, 4)
 	c, err := CheckPlan([]byte(validPlan(dir)))
@@ -61,18 +61,18 @@
 		t.Fatal(err)
 	}
 	if len(c.Fleet.Gateways) != 4 || c.Fleet.Gateways[3].Name != "n3" {
-		t.Errorf("%+v", c.Fleet)
+		t.Errorf("fleet %+v, want 4 gateways, the last one named n3", c.Fleet)
 	}
 	if c.IDs[rollout.OldVersion].Program == c.IDs[rollout.NewVersion].Program {
-		t.Errorf("%+v", c.IDs)
+		t.Errorf("version IDs %+v, want different programs", c.IDs)
 	}
 	if c.Plan.Watch.MaxSeconds != 300 {
-		t.Errorf("%+v", c.Plan.Watch)
+		t.Errorf("watch %+v, want the default of 300 s for most_s", c.Plan.Watch)
 	}
 }
 
-// TestCheckPlanErrors checks that errors name the invalid key, and its line if the error is in the plan's text.
-func TestCheckPlanErrors(t *testing.T) {
+// TestCheckPlanReportsKeyAndLine checks that errors name the invalid key, and its line if the error is in the plan's text.
+func TestCheckPlanReportsKeyAndLine(t *testing.T) {
 	dir := t.TempDir()
 	writeFleet(t, dir, 4)
 	const stages = `stages = ["1", "50%", "100%"]`
@@ -107,18 +107,18 @@
 				t.Fatalf("%v is not a PlanError", err)
 			}
 			if found.Kind != c.kind || found.Line != c.line || found.Key != c.key {
-				t.Errorf("%v: %v, line %d, key %q, want %v, line %d, key %q", err, found.Kind, found.Line, found.Key, c.kind, c.line, c.key)
+				t.Errorf("error %v: kind %v, line %d, key %q, want %v, line %d, key %q", err, found.Kind, found.Line, found.Key, c.kind, c.line, c.key)
 			}
 			if !strings.Contains(err.Error(), c.reason) {
-				t.Errorf("%v, want %q", err, c.reason)
+				t.Errorf("error text %q, want it to contain %q", err, c.reason)
 			}
 		})
 	}
 }
 
-// TestCheckPlanAgainstOperatorFile checks that a mismatch between plan and operator's file is reported for the version's key in the
+// TestCheckPlanReportsOperatorFileMismatch checks that a mismatch between plan and operator's file is reported for the version's key in the
 // plan, and names the key in the operator's file.
-func TestCheckPlanAgainstOperatorFile(t *testing.T) {
+func TestCheckPlanReportsOperatorFileMismatch(t *testing.T) {
 	dir := t.TempDir()
 	writeFleet(t, dir, 4)
 	for key, change := range map[string][2]string{
@@ -145,10 +145,10 @@
 	t.Helper()
 	var inPlan *rollout.PlanError
 	if !errors.As(err, &inPlan) || inPlan.Key != planKey || !errors.Is(err, rollout.ErrPlanValue) {
-		t.Fatalf("%v is not an error of %s", err, planKey)
+		t.Fatalf("error %v, want a PlanError for the key %s", err, planKey)
 	}
 	if !strings.Contains(err.Error(), operatorKey) {
-		t.Errorf("%v, want %q", err, operatorKey)
+		t.Errorf("error text %q, want it to contain %q", err, operatorKey)
 	}
 	var inOperator *OperatorError
 	if errors.As(err, &inOperator) && inOperator.Key != operatorKey {
@@ -156,14 +156,14 @@
 	}
 }
 
-// TestReadFleetErrors checks that missing configurations are an error.
-func TestReadFleetErrors(t *testing.T) {
+// TestCheckPlanReportsMissingConfigs checks that missing configurations are an error.
+func TestCheckPlanReportsMissingConfigs(t *testing.T) {
 	dir := t.TempDir()
 	writeFleet(t, dir, 4)
 	var found *FleetError
 	_, err := CheckPlan([]byte(strings.Replace(validPlan(dir), "n*.json", "m*.json", 1)))
 	if !errors.As(err, &found) || found.Key != "configs" {
-		t.Errorf("no configuration: %v", err)
+		t.Errorf("no configuration: error %v, want a FleetError for configs", err)
 	}
 	writeFleet(t, dir, 5) // each configuration says that there are five gateways
 	if err := os.Remove(filepath.Join(dir, "n2.json")); err != nil {
@@ -171,6 +171,6 @@
 	}
 	_, err = CheckPlan([]byte(validPlan(dir)))
 	if !errors.As(err, &found) || found.Key != "self_index" || !strings.Contains(err.Error(), "there are 4 configurations") {
-		t.Errorf("missing configuration: %v", err)
+		t.Errorf("missing configuration: error %v, want a FleetError for self_index that says \"there are 4 configurations\"", err)
 	}
 }
--- a/internal/controller/restart.go
+++ b/internal/controller/restart.go
@@ -65,7 +65,7 @@
 	deadline := time.Now().Add(timeout)
 	for p.find()[gateway].pid == pid {
 		if time.Now().After(deadline) {
-			_ = p.signal(gateway, pid, syscall.SIGKILL) // repeated until the process has ended
+			_ = p.signal(gateway, pid, syscall.SIGKILL) // repeated in each iteration until the process has ended
 		}
 		time.Sleep(stopPollInterval)
 	}
