--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -36,7 +36,7 @@
 
 func (s *scriptedSocket) Close() error { return nil }
 
-// Checks that during a partition, sent and received datagrams pass only within a region, and that after it all pass.
+// Checks that during a partition only datagrams within a region are sent and received, and that afterwards all are.
 func TestPartitionSocketDropsDatagramsBetweenRegions(t *testing.T) {
 	self, near, far := netip.MustParseAddrPort("127.1.0.1:1"), netip.MustParseAddrPort("127.1.0.1:2"), netip.MustParseAddrPort("127.1.0.1:3")
 	inner := &scriptedSocket{from: []netip.AddrPort{far, near, far}}
@@ -45,18 +45,18 @@
 	partition.partitioned.Store(true)
 	for _, to := range []netip.AddrPort{near, far} {
 		if n, err := socket.WriteToUDPAddrPort([]byte("x"), to); n != 1 || err != nil {
-			t.Error(n, err)
+			t.Errorf("write to %v: %d bytes, error %v; want 1 byte and no error, even if the datagram is dropped", to, n, err)
 		}
 	}
 	if len(inner.written) != 1 || inner.written[0] != near {
-		t.Errorf("datagrams were sent to %v", inner.written)
+		t.Errorf("datagrams were sent to %v, want only one to %v in the same region", inner.written, near)
 	}
 	if _, from, err := socket.ReadFromUDPAddrPort(nil); from != near || err != nil {
-		t.Errorf("received a datagram from %v, error %v", from, err)
+		t.Errorf("received a datagram from %v, error %v; want one from %v", from, err, near)
 	}
 	partition.partitioned.Store(false)
 	if _, from, err := socket.ReadFromUDPAddrPort(nil); from != far || err != nil {
-		t.Errorf("after the partition healed, received a datagram from %v, error %v", from, err)
+		t.Errorf("after the partition healed, received a datagram from %v, error %v; want one from %v", from, err, far)
 	}
 }
 
@@ -76,7 +76,7 @@
 	defer answer.Body.Close()
 	body, err := io.ReadAll(answer.Body)
 	if err != nil || !strings.HasPrefix(answer.Header.Get("X-Report"), "queue:0;inflight:") {
-		t.Fatalf("%v %v", answer.Header, err)
+		t.Fatalf("response headers %v, error %v; want a load report in X-Report", answer.Header, err)
 	}
 	return answer.StatusCode, string(body)
 }
@@ -93,7 +93,7 @@
 	defer e.close()
 	began := time.Now()
 	if status, _ := roundTrip(t, e.addr, "POST", "/v2/q", "a"); status != http.StatusAccepted {
-		t.Errorf("status %d for a running statement", status)
+		t.Errorf("status %d for a running statement, want 202", status)
 	}
 	for status, body := 0, ""; status != http.StatusOK; {
 		status, body = roundTrip(t, e.addr, "GET", "/v2/q/a/0", "")
@@ -105,13 +105,13 @@
 		}
 	}
 	if passed := time.Since(began); passed < delay || served.Load() != 1 {
-		t.Errorf("answered after %v, %d served", passed, served.Load())
+		t.Errorf("answered after %v, %d results served; want at least %v and one result", passed, served.Load(), delay)
 	}
 	if status, _ := roundTrip(t, e.addr, "DELETE", "/v2/q/a", ""); status != http.StatusNoContent {
-		t.Errorf("status %d for the cancellation of a statement", status)
+		t.Errorf("status %d for the cancellation of a statement, want 204", status)
 	}
 	if status, _ := roundTrip(t, e.addr, "GET", "/v2/q/a/0", ""); status != http.StatusInternalServerError {
-		t.Errorf("status %d for an unknown statement", status)
+		t.Errorf("status %d for an unknown statement, want 500", status)
 	}
 	addr := e.addr
 	e.close()
@@ -120,23 +120,24 @@
 		t.Error("a closed engine accepts connections")
 	}
 	if err := e.open(); err != nil || e.addr != addr {
-		t.Fatal(e.addr, err)
+		t.Fatalf("reopened engine listens on %s, error %v; want the previous address %s", e.addr, err, addr)
 	}
 	if status, _ := roundTrip(t, addr, "POST", "/v2/q", "b"); status != http.StatusAccepted {
-		t.Errorf("status %d after the engine was reopened", status)
+		t.Errorf("status %d after the engine was reopened, want 202", status)
 	}
 }
 
-// Checks that a gateway host rejects commands for unknown members, and that it returns at the end of its input.
+// Checks that a gateway host rejects commands for unknown members, returns without an error at the end of its input, and returns an
+// error for a truncated message.
 func TestGatewayHostRejectsUnknownMembers(t *testing.T) {
 	g := newGatewayHost(GatewaySetup{Members: []Member{{Number: 3}}})
 	if reply := g.execute(GatewayCommand{Start: []int{4}}); !strings.Contains(reply.Error, ErrUnknownMember.Error()) {
-		t.Errorf("%+v", reply)
+		t.Errorf("start of an unknown member: reply %+v, want the error %q", reply, ErrUnknownMember)
 	}
 	if err := ServeGateways(strings.NewReader(`{"fleet":"x"}`+"\n"), io.Discard); err != nil {
-		t.Error(err)
+		t.Errorf("at the end of the input: error %v, want none", err)
 	}
 	if err := ServeGateways(strings.NewReader("{"), io.Discard); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Error(err)
+		t.Errorf("truncated message: error %v, want io.ErrUnexpectedEOF", err)
 	}
 }
--- a/internal/testbed/hollow/messages.go
+++ b/internal/testbed/hollow/messages.go
@@ -65,13 +65,13 @@
 	States []GatewayState `json:"states,omitempty"`
 }
 
-// GatewayState is the state of a hollow gateway with its view of the fleet. Of a gateway that is not running, only Number is
-// set.
+// GatewayState is the state of a hollow gateway with its view of the fleet. Only Number is set for a gateway that is not
+// running.
 type GatewayState struct {
 	Number               int    `json:"number"`
 	Running              bool   `json:"up"`
 	InService            int    `json:"in_service"`  // number of members in service, including this one
-	Fingerprint          uint64 `json:"fingerprint"` // of the members in service, see scale.Fingerprint
+	Fingerprint          uint64 `json:"fingerprint"` // fingerprint of the members in service, see scale.Fingerprint
 	EngineListVersion    int64  `json:"version"`     // resource version
 	Engines              int    `json:"engines"`     // number of listed engines
 	ReadyEngines         int    `json:"ready"`       // listed engines that are ready
@@ -83,7 +83,7 @@
 type EngineSetup struct {
 	Listen  netip.Addr    `json:"listen"` // address on whose free ports the engines listen
 	Engines int           `json:"engines"`
-	Delay   time.Duration `json:"delay"` // from a statement's submission to its result
+	Delay   time.Duration `json:"delay"` // time from a statement's submission to its result
 }
 
 // EngineCommand is a command to a process of hollow engines.
@@ -95,7 +95,7 @@
 // EngineReply is the reply to the setup and to each EngineCommand.
 type EngineReply struct {
 	Error       string   `json:"error,omitempty"`
-	Addresses   []string `json:"addresses,omitempty"` // of all engines; only in the reply to the setup
+	Addresses   []string `json:"addresses,omitempty"` // addresses of all engines; only in the reply to the setup
 	Connections int      `json:"connections"`         // open connections of all engines
 	Served      int64    `json:"served"`              // results returned so far
 }
--- a/internal/testbed/hollow/subset.go
+++ b/internal/testbed/hollow/subset.go
@@ -71,7 +71,7 @@
 	s.gateway.updateTrackedEngines()
 }
 
-// applyChange updates the tracked engines if the subset has changed.
+// applyChange updates the tracked engines if the subset has changed since the last call of Chooser.Changed.
 func (s *subsetDispatcher) applyChange() {
 	if s.chooser.Changed() {
 		s.gateway.updateTrackedEngines()
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -41,14 +41,14 @@
 	return !done || g.clock() < at+g.stop.ReconnectTime
 }
 
-// dueBeforeKill reports whether the gateway must answer a request sent at this time before SIGKILL.
+// dueBeforeKill reports whether a request sent at this time must be answered before SIGKILL.
 func (g *gateway) dueBeforeKill(sent time.Duration) bool {
 	at, done := g.terminated()
 	return !done || sent <= at+KillGrace
 }
 
-// unansweredOutcome returns the outcome of a request whose connection has just closed without a complete answer. received is set if an
-// engine received the request, and partial if part of an answer had arrived.
+// unansweredOutcome returns the outcome of a request whose connection has just closed without a complete answer. received says whether
+// an engine received the request, and partial whether part of an answer had arrived.
 func (g *gateway) unansweredOutcome(r *Request, received, partial bool) Outcome {
 	_, killed := g.killed()
 	switch {
@@ -76,7 +76,7 @@
 		return Exit{Err: fmt.Errorf("SIGTERM: %w", err)}
 	}
 	for _, s := range g.stop.Signals {
-		time.AfterFunc(s.Delay, func() { _ = g.fleet.Signal(g.number, s.Signal) }) // it may have exited by then
+		time.AfterFunc(s.Delay, func() { _ = g.fleet.Signal(g.number, s.Signal) }) // fails if the gateway has exited by then
 	}
 	for g.clock() < at+killDelay && g.fleet.Running(g.number) {
 		time.Sleep(pollInterval)
--- a/internal/testbed/soak/mysqlclient.go
+++ b/internal/testbed/soak/mysqlclient.go
@@ -39,7 +39,7 @@
 	engine   *emulator.MySQLEngine
 }
 
-// run sends queries over one connection after the other. It stops reconnecting when the platform's clients do.
+// run sends queries over one connection after the other. It stops reconnecting when the gateway stops accepting clients.
 func (c *mysqlClient) run() {
 	config := mysql.NewConfig()
 	config.User, config.Passwd, config.Net, config.Addr = mysqlUser, mysqlPassword, "tcp", c.addr
--- a/internal/testbed/soak/platformconn.go
+++ b/internal/testbed/soak/platformconn.go
@@ -170,7 +170,7 @@
 	return Corrupted
 }
 
-// connectionEnded finishes the open requests of a closed connection. partial is set if the last answer was incomplete.
+// connectionEnded finishes the open requests of a closed connection. partial says whether the last answer was incomplete.
 func (p *platformConn) connectionEnded(partial bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/soak/request.go
+++ b/internal/testbed/soak/request.go
@@ -16,7 +16,7 @@
 	Rejected                  // rejected before it had any effect, so that a retry is safe
 	Failed                    // answered with any other error
 	Aborted                   // aborted by its client, so that no answer is required
-	RacedClose                // sent while the gateway closed the connection and received by no engine: the client retries it elsewhere
+	RacedClose                // sent while the gateway closed the connection, and received by no engine: the client retries on another gateway
 	CutByKill                 // unanswered at SIGKILL, and sent too late for an answer to be required
 	Lost                      // the connection was closed without an answer
 	LostAtKill                // unanswered at SIGKILL although it was sent early enough
@@ -34,7 +34,8 @@
 // IsViolation reports whether the outcome violates the requirement that each accepted request gets one complete answer in time.
 func (o Outcome) IsViolation() bool { return o == Open || o >= Lost }
 
-// answerSlack is how late an answer may be: within it, the answer merely has no value to the platform; a later one counts as lost.
+// answerSlack is how long after the deadline an answer is tolerated. Such an answer is of no use to the platform, but only one
+// that arrives even later is a violation, as a missing answer is.
 const answerSlack = 500 * time.Millisecond
 
 // Request is one request of a client.
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -21,7 +21,7 @@
 // Exit describes how a gateway process exited.
 type Exit struct {
 	AfterTerm time.Duration // time from SIGTERM to the exit
-	Killed    bool          // it did not exit before the platform's SIGKILL
+	Killed    bool          // the process had to be killed, because it still ran after Scenario.KillDelay
 	Err       error         // error of an exit without SIGKILL; nil for exit code 0
 }
 
--- a/internal/testbed/soak/scenario.go
+++ b/internal/testbed/soak/scenario.go
@@ -9,8 +9,8 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// KillGrace is the minimum time between the longest deadline and SIGKILL. The gateway must answer requests sent within this time after
-// SIGTERM before it is killed.
+// KillGrace is the time from the longest deadline to SIGKILL. So requests that are sent within this time after SIGTERM must be answered
+// before the kill.
 const KillGrace = 700 * time.Millisecond
 
 // Further times that the platform specifies for a planned restart.
@@ -120,14 +120,14 @@
 
 // String describes the scenario in one line.
 func (s Scenario) String() string {
-	return fmt.Sprintf("seed %d: %d clients, %d of MySQL, deadline %v, disturbance: %v", s.Seed, s.Clients, s.MySQLClients,
+	return fmt.Sprintf("seed %d: %d JSON-RPC clients, %d MySQL clients, deadline %v, disturbance: %v", s.Seed, s.Clients, s.MySQLClients,
 		s.Deadline.Round(time.Millisecond), s.Disturbance)
 }
 
 // classes returns the default query classes with their timeouts capped at the scenario's deadline.
 func (s Scenario) classes() []emulator.Class {
 	classes := emulator.DefaultClasses()
-	if s.Deadline == maxStopDeadline { // default timeouts, which may be longer
+	if s.Deadline == maxStopDeadline { // the default timeouts are kept, although some are longer
 		return classes
 	}
 	for i := range classes {
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// NewScenario is deterministic for a seed, and its times are within the limits that the platform specifies.
+// Checks that NewScenario is deterministic for a seed, and that its times are within the limits that the platform specifies.
 func TestNewScenarioIsDeterministicAndWithinLimits(t *testing.T) {
 	for seed := range uint64(200) {
 		s := NewScenario(seed, 2)
@@ -15,26 +15,27 @@
 			t.Fatalf("seed %d: two calls returned different scenarios", seed)
 		}
 		if many := s.Clients == manyClients; many != (seed%manyClientsInterval == 0) {
-			t.Errorf("seed %d: %d clients", seed, s.Clients)
+			t.Errorf("seed %d: %d clients, want %d for every fifth seed only", seed, s.Clients, manyClients)
 		}
 		if s.KillDelay() != s.Deadline+KillGrace || s.Deadline > maxStopDeadline {
-			t.Errorf("seed %d: kill delay %v with deadline %v", seed, s.KillDelay(), s.Deadline)
+			t.Errorf("seed %d: kill delay %v with deadline %v, want KillGrace more than a deadline of at most %v", seed, s.KillDelay(), s.Deadline,
+				maxStopDeadline)
 		}
 		for _, stop := range s.Stops {
 			if stop.ReconnectTime < minReconnectTime || stop.ReconnectTime > maxReconnectTime {
-				t.Errorf("seed %d: ReconnectTime %v", seed, stop.ReconnectTime)
+				t.Errorf("seed %d: ReconnectTime %v is out of range", seed, stop.ReconnectTime)
 			}
 			for _, signal := range stop.Signals {
 				if signal.Delay > maxSignalDelay {
-					t.Errorf("seed %d: signal delay %v", seed, signal.Delay)
+					t.Errorf("seed %d: signal delay %v, limit %v", seed, signal.Delay, maxSignalDelay)
 				}
 			}
 		}
 	}
 }
 
-// The outcome of a request whose connection was closed without an answer depends on when the request was sent, whether an engine
-// received it, and whether the gateway was killed.
+// Checks that the outcome of a request whose connection was closed without an answer depends on when the request was sent, whether an
+// engine received it, and whether the gateway was killed.
 func TestOutcomeOfUnansweredRequest(t *testing.T) {
 	const sigterm = 10 * time.Second
 	for _, c := range []struct {
@@ -60,19 +61,19 @@
 				g.killedAt = sigterm + c.closed
 			}
 			if got := g.unansweredOutcome(&Request{Sent: sigterm + c.sent, racedClose: c.racedClose}, c.received, c.partial); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("outcome %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// Problems reports each outcome that violates the requirements, duplicate answers, failed exits and alarms in the log.
+// Checks that Problems reports each outcome that violates the requirements, duplicate answers, failed exits and alarms in the log.
 func TestProblemsReportsEachViolation(t *testing.T) {
 	for outcome := Open; outcome < numOutcomes; outcome++ {
 		result := Result{Requests: []Request{{Outcome: outcome}}}
 		isViolation := strings.HasPrefix(outcome.String(), "lost") || outcome == Open || outcome == Late || outcome == Corrupted
 		if got := len(result.Problems()) > 0; got != isViolation {
-			t.Errorf("%v is a problem: %v, want %v", outcome, got, isViolation)
+			t.Errorf("outcome %q is reported as a problem: %v, want %v", outcome, got, isViolation)
 		}
 	}
 	for name, result := range map[string]Result{
@@ -81,7 +82,7 @@
 		"alarm":            {Alarms: []string{"panic"}},
 	} {
 		if len(result.Problems()) != 1 {
-			t.Errorf("%s: %v", name, result.Problems())
+			t.Errorf("%s: problems %q, want one", name, result.Problems())
 		}
 	}
 }
