--- a/internal/testbed/testfleet/balance.go
+++ b/internal/testbed/testfleet/balance.go
@@ -13,11 +13,11 @@
 	samplesPerBurst  = 5
 	samplesPerWindow = 10
 
-	// minMeanLoad is the mean load, in threads per core, below which a window is not evaluated. At lower loads, such as
-	// after the last request, the differences between engines are random.
+	// minMeanLoad is the mean load, in threads per core, above which a window is evaluated. At lower loads, such as after the
+	// last request, the differences between engines are random.
 	minMeanLoad = 0.2
 
-	// minBurstArrivals is the mean number of arrivals per engine below which bursts are not evaluated, since the
+	// minBurstArrivals is the mean number of arrivals per engine above which bursts are evaluated. With fewer arrivals the
 	// differences between engines are random.
 	minBurstArrivals = 4
 
@@ -70,7 +70,7 @@
 	arrived  int     // total at the last sample
 	arrivals []int   // increments over the last samplesPerBurst samples
 	rejected int     // total at the last sample
-	idle     float64 // number of consecutive windows with less than half of the mean load
+	lowLoad  float64 // number of consecutive windows with less than half of the mean load
 }
 
 // sample samples all given engines and evaluates completed bursts and windows.
@@ -108,15 +108,15 @@
 
 // recordBursts compares the numbers of arrivals at the engines in the last half second.
 func (s *balanceSampler) recordBursts(engines []*emulator.Engine) {
-	all := 0
+	total := 0
 	for _, e := range engines {
-		all += sum(s.engines[e].arrivals)
+		total += sum(s.engines[e].arrivals)
 	}
-	if all <= minBurstArrivals*len(engines) {
+	if total <= minBurstArrivals*len(engines) {
 		return
 	}
 	for _, e := range engines {
-		s.bursts = append(s.bursts, float64(sum(s.engines[e].arrivals))*float64(len(engines))/float64(all))
+		s.bursts = append(s.bursts, float64(sum(s.engines[e].arrivals))*float64(len(engines))/float64(total))
 	}
 }
 
@@ -135,11 +135,11 @@
 	for _, e := range engines {
 		engine := s.engines[e]
 		if loaded && engine.threads/samplesPerWindow < mean/2 {
-			engine.idle++
+			engine.lowLoad++
 		} else {
-			engine.idle = 0
+			engine.lowLoad = 0
 		}
-		s.balance.LongestLowLoad = max(s.balance.LongestLowLoad, engine.idle)
+		s.balance.LongestLowLoad = max(s.balance.LongestLowLoad, engine.lowLoad)
 		engine.threads = 0
 	}
 }
--- a/internal/testbed/testfleet/discovery_test.go
+++ b/internal/testbed/testfleet/discovery_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// A watch that does not read does not delay other watches. A watch that reconnects gets the events that it has missed, including a
-// complete list.
+// Checks that a watch that does not read does not delay other watches, and that a watch that reconnects gets the events that it has
+// missed, including a complete list.
 func TestDiscoveryServerServesWatchesIndependently(t *testing.T) {
 	engines := make([]Engine, 2000)
 	for i := range engines {
@@ -55,7 +55,7 @@
 	}
 	for number := 2; number <= 21; number++ {
 		if line := nextEvent(t, reading); !strings.HasPrefix(line, fmt.Sprintf(`{"no":%d,`, number)) || strings.Contains(line, `"reset":true`) {
-			t.Fatalf("event %d: %.60s", number, line)
+			t.Fatalf("line %.60s, want event %d without a complete list", line, number)
 		}
 	}
 	server.Disconnect()
@@ -64,9 +64,9 @@
 	}
 	server.PublishFull(engines[:1])
 	if line := nextEvent(t, openWatch(t, server, 21)); !strings.Contains(line, `"no":22`) || !strings.Contains(line, `"reset":true`) {
-		t.Errorf("event 22: %.80s", line)
+		t.Errorf("line %.80s, want event 22 with a complete list", line)
 	}
 	if sent, _ := server.Traffic(); server.ResourceVersion() != 22 || sent == 0 {
-		t.Errorf("resource version %d, %d bytes sent", server.ResourceVersion(), sent)
+		t.Errorf("resource version %d and %d bytes sent, want version 22 and more than 0 bytes", server.ResourceVersion(), sent)
 	}
 }
--- a/internal/testbed/testfleet/fleet.go
+++ b/internal/testbed/testfleet/fleet.go
@@ -36,8 +36,8 @@
 	Discovery    *DiscoveryServer
 	gateways     []*gateway
 	operatorFile string
-	peerAddrs    []netip.AddrPort // UDP addresses that the members listen on for peers
-	clientAddrs  []netip.AddrPort // TCP addresses that the gateways listen on for clients
+	peerAddrs    []netip.AddrPort // UDP address of each member for datagrams from its peers
+	clientAddrs  []netip.AddrPort // TCP address of each gateway for clients
 	mu           sync.Mutex
 	changes      []StateChange
 }
@@ -49,7 +49,7 @@
 // gateway to its relay address, and datagrams for each other directly.
 func (f *Fleet) RemoteAddrs() []netip.AddrPort { return f.peerAddrs[f.options.Gateways:] }
 
-// New starts the relay and the discovery server of a fleet. Start and StartAll start its gateways. Close ends them all.
+// New starts the relay and the discovery server of a fleet. Start and StartAll start its gateways. Close stops all of them.
 func New(opt Options) (*Fleet, error) {
 	f := &Fleet{options: opt, operatorFile: filepath.Join(opt.Dir, "operator.toml")}
 	addr := loopbackAddr(opt.Seed)
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	f.peerAddrs = peerAddrs
-	f.Relay, err = NewRelay(addr, f.peerAddrs, opt.Seed) // binds its ports while the gateways' ports are still reserved
+	f.Relay, err = NewRelay(addr, f.peerAddrs, opt.Seed) // the gateways' ports are still reserved, so that the relay binds others
 	releasePorts(reserved)
 	if err != nil {
 		return nil, err
@@ -96,8 +96,8 @@
 // Size returns the number of gateways.
 func (f *Fleet) Size() int { return len(f.gateways) }
 
-// WriteConfigs writes the configurations of all gateways and returns a glob pattern that matches them. It serves fleets
-// whose processes are started by a controller.
+// WriteConfigs writes the configurations of all gateways and returns a glob pattern that matches them. It is used if a
+// controller starts the processes of the fleet.
 func (f *Fleet) WriteConfigs() (pattern string, err error) {
 	for i := range f.gateways {
 		if _, err := f.config(i); err != nil {
--- a/internal/testbed/testfleet/play.go
+++ b/internal/testbed/testfleet/play.go
@@ -76,8 +76,8 @@
 // fault is a fault whose detection by the gateways is measured.
 type fault struct {
 	affected []int
-	start    time.Time // zero = only false positives are counted
-	mark     int       // position in the state changes at which the fault starts
+	start    time.Time // when the fault was injected; zero = only false positives are counted
+	mark     int       // number of state changes before the fault, see StateChanges
 }
 
 // playOnce injects a step's fault once and waits until the views of all gateways have converged.
@@ -101,9 +101,9 @@
 	} else if err := f.inject(step, affected); err != nil {
 		return err
 	}
-	healed := time.Now()
+	faultEnd := time.Now()
 	err := f.Wait(convergenceTimeout, f.CheckConverged)
-	r.ConvergenceTimes = append(r.ConvergenceTimes, time.Since(healed))
+	r.ConvergenceTimes = append(r.ConvergenceTimes, time.Since(faultEnd))
 	if err != nil {
 		return err
 	}
@@ -113,11 +113,11 @@
 
 // stop stops the affected gateways, waits until the views of the others have converged, and records the detection times.
 func (f *Fleet) stop(action string, current fault, r *Result) error {
-	end := f.Kill
+	stopGateway := f.Kill
 	if action == ActionTerminate {
-		end = f.Terminate
+		stopGateway = f.Terminate
 	}
-	if err := forEach(current.affected, end); err != nil {
+	if err := forEach(current.affected, stopGateway); err != nil {
 		return err
 	}
 	if err := f.Wait(convergenceTimeout, f.CheckConverged); err != nil {
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// inject injects a fault, waits for the duration of the step, and removes the fault. A network without a duration remains.
+// inject injects a fault, waits for the duration of the step, and removes the fault. A network without a duration stays in
+// place.
 func (f *Fleet) inject(step Step, affected []int) error {
 	duration := time.Duration(step.DurationS * float64(time.Second))
 	switch step.Action {
--- a/internal/testbed/testfleet/pool.go
+++ b/internal/testbed/testfleet/pool.go
@@ -12,14 +12,14 @@
 // Pool runs emulated engines and maintains their engine list. All methods but SetDiscoveryServer and Collapsed are safe for
 // concurrent use.
 type Pool struct {
-	mu             sync.Mutex
-	engines        []*emulator.Engine // running
-	list           []Engine
-	spec           emulator.Spec
-	clock          func() time.Duration
-	started        int              // number of engines started so far
-	discovery      *DiscoveryServer // where Publish publishes the engine list; nil = nowhere
-	collapsedEnded int              // number of killed engines that had collapsed
+	mu              sync.Mutex
+	engines         []*emulator.Engine // running
+	list            []Engine
+	spec            emulator.Spec
+	clock           func() time.Duration
+	started         int              // number of engines started so far
+	discovery       *DiscoveryServer // where Publish publishes the engine list; nil = nowhere
+	collapsedKilled int              // number of killed engines that had collapsed
 }
 
 // Times of an emulated engine's load reports, similar to the platform's.
@@ -28,7 +28,7 @@
 	reportDelay    = 100 * time.Millisecond
 )
 
-// NewPool starts n warmed-up engines, which the caller ends with Close. After an error no engine is running.
+// NewPool starts n engines that have already warmed up. The caller stops them with Close. After an error no engine is running.
 func NewPool(n int, spec emulator.Spec, clock func() time.Duration) (*Pool, error) {
 	p := &Pool{spec: spec, clock: clock}
 	for range n {
@@ -40,7 +40,7 @@
 	return p, nil
 }
 
-// add starts an engine and adds it to the engine list. The entry of an engine that warms up has its start time.
+// add starts an engine and adds it to the engine list. If the engine warms up, the entry contains its start time.
 func (p *Pool) add(warmingUp bool) error {
 	p.started++
 	name := fmt.Sprintf("s-%08x", 0x5eed0000+p.started*7919)
@@ -75,7 +75,7 @@
 	return slices.Clone(p.engines)
 }
 
-// Kill ends an engine as if its process had crashed. It does not publish the engine list.
+// Kill stops an engine as if its process had crashed. It does not publish the engine list.
 func (p *Pool) Kill(e *emulator.Engine) {
 	p.mu.Lock()
 	p.engines = slices.DeleteFunc(p.engines, func(o *emulator.Engine) bool { return o == e })
@@ -85,7 +85,7 @@
 		}
 	}
 	if _, _, collapsed := e.Load(); collapsed {
-		p.collapsedEnded++
+		p.collapsedKilled++
 	}
 	p.mu.Unlock()
 	e.Close()
@@ -108,7 +108,7 @@
 
 // Collapsed returns the number of engines that collapsed under load while warming up, including killed ones.
 func (p *Pool) Collapsed() int {
-	n := p.collapsedEnded
+	n := p.collapsedKilled
 	for _, e := range p.Engines() {
 		if _, _, collapsed := e.Load(); collapsed {
 			n++
@@ -117,7 +117,7 @@
 	return n
 }
 
-// Close ends all engines and waits for their goroutines.
+// Close stops all engines and waits for their goroutines.
 func (p *Pool) Close() {
 	for _, e := range p.Engines() {
 		e.Close()
--- a/internal/testbed/testfleet/relay_test.go
+++ b/internal/testbed/testfleet/relay_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// The relay delivers each datagram from its sender's relay address and applies a link only to its sender and receiver, in this
-// direction.
+// Checks that the relay delivers each datagram from its sender's relay address, and that a link applies only to datagrams from its
+// sender to its receiver.
 func TestRelayAppliesLinksPerDirection(t *testing.T) {
 	f := newRelayFixture(t)
 	f.send(0, 1, "a")
@@ -97,11 +97,11 @@
 	f.send(0, 1, "healed")
 	f.expect(1, 0, "healed")
 	if n, b := f.relay.Sent(0); n != 6 || b != len("a")+len("lost")+len("twice")+len("outbound")+len("cut off")+len("healed") {
-		t.Errorf("gateway 0 sent %d datagrams, %d bytes", n, b)
+		t.Errorf("the relay counted %d datagrams and %d bytes of gateway 0, want all 6 that it sent", n, b)
 	}
 }
 
-// The relay counts datagrams from addresses that belong to no gateway.
+// Checks that the relay counts datagrams from addresses that belong to no gateway.
 func TestRelayCountsDatagramsFromUnknownSenders(t *testing.T) {
 	f := newRelayFixture(t)
 	unknown, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(f.relayAddrs[0]))
--- a/internal/testbed/testfleet/reportproxy.go
+++ b/internal/testbed/testfleet/reportproxy.go
@@ -8,7 +8,7 @@
 	"frostpier/internal/control/rollout"
 )
 
-// reportProxyBuffer is the size of the socket's receive buffer in bytes, since whole fleets report at the same time.
+// reportProxyBuffer is the size of the socket's receive buffer in bytes. All gateways of a fleet may report at the same time.
 const reportProxyBuffer = 4 << 20
 
 // reportProxy forwards the gateways' rollout reports to the controller, except those of gateways whose reports are dropped.
@@ -22,7 +22,7 @@
 	reported   map[int]bool // gateways that have reported
 }
 
-// newReportProxy starts a proxy on a free loopback port; close ends it.
+// newReportProxy starts a proxy on a free loopback port; close stops it.
 func newReportProxy(gateways, classes int) (*reportProxy, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/testbed/testfleet/scenario.go
+++ b/internal/testbed/testfleet/scenario.go
@@ -32,7 +32,7 @@
 		DelayMax: time.Duration(n.DelayMS[1]) * time.Millisecond}
 }
 
-// Step is one action. It lists the affected gateways, or gives their number or share, and the seed selects them at random.
+// Step is one action. It lists the affected gateways, or gives their number or share, in which case they are selected at random.
 type Step struct {
 	Action    string   `toml:"do"` // one of the Action constants
 	Gateways  []int    `toml:"gateways"`
@@ -167,14 +167,14 @@
 
 // validateSelection checks the selection of the affected gateways. A number or a share must leave at least one unaffected.
 func (s Step) validateSelection(gateways int) *ScenarioError {
-	known := fmt.Sprintf("between 0 and %d", gateways-1)
+	bound := fmt.Sprintf("between 0 and %d", gateways-1)
 	switch {
 	case slices.ContainsFunc(s.Gateways, func(i int) bool { return i < 0 || i >= gateways }):
-		return &ScenarioError{Key: "gateways", Value: s.Gateways, Bound: known}
+		return &ScenarioError{Key: "gateways", Value: s.Gateways, Bound: bound}
 	case s.From < 0 || s.From >= gateways:
-		return &ScenarioError{Key: "from", Value: s.From, Bound: known}
+		return &ScenarioError{Key: "from", Value: s.From, Bound: bound}
 	case s.Count < 0 || s.Count >= gateways:
-		return &ScenarioError{Key: "count", Value: s.Count, Bound: known}
+		return &ScenarioError{Key: "count", Value: s.Count, Bound: bound}
 	case s.Share < 0 || s.Share >= 1:
 		return &ScenarioError{Key: "share", Value: s.Share, Bound: "a share below 1"}
 	}
--- a/internal/testbed/testfleet/scenario_test.go
+++ b/internal/testbed/testfleet/scenario_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// ParseScenario rejects an invalid scenario with a ScenarioError that contains the step and the key.
+// Checks that ParseScenario rejects an invalid scenario with a ScenarioError that contains the step and the key.
 func TestParseScenarioErrorHasStepAndKey(t *testing.T) {
 	const good = "name = \"x\"\ngateways = 5\n[[step]]\ndo = \"kill\"\ncount = 2\n"
 	if _, err := ParseScenario([]byte(good)); err != nil {
@@ -32,10 +32,10 @@
 			var invalid *ScenarioError
 			_, err := ParseScenario([]byte(c.text))
 			if !errors.As(err, &invalid) {
-				t.Fatalf("%v is not a ScenarioError", err)
+				t.Fatalf("error %v, want a *ScenarioError", err)
 			}
 			if invalid.Step != c.step || invalid.Key != c.key || !strings.Contains(err.Error(), c.key) {
-				t.Errorf("%v: want step %d, key %s", err, c.step, c.key)
+				t.Errorf("error %v (step %d, key %s), want step %d, key %s", err, invalid.Step, invalid.Key, c.step, c.key)
 			}
 		})
 	}
