--- a/internal/testbed/emulator/baseline.go
+++ b/internal/testbed/emulator/baseline.go
@@ -20,7 +20,7 @@
 // Load balancing policies that the program's own policy is compared with.
 const (
 	RandomEngine    BaselinePolicy = iota // a uniformly random engine
-	MinReportedLoad                       // the engine with the fewest queries: those in its latest load report plus the gateway's own in flight
+	MinReportedLoad                       // the engine with the lowest sum of the queries in its latest load report and the gateway's own in flight
 )
 
 // BaselineGateways are gateways without admission control, queues or retries: each query is sent to an engine
@@ -134,8 +134,7 @@
 	b.mu.Unlock()
 }
 
-// execute runs a query on an engine. It polls until the query ends, or until the client's timeout, when it cancels the
-// query.
+// execute runs a query on an engine and polls until it ends. If the client's timeout expires first, it cancels the query.
 func (b *BaselineGateways) execute(g *baselineGateway, e *Engine, r Request, start time.Duration) Verdict {
 	c, err := b.acquireConn(g, e)
 	if err != nil {
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -44,14 +44,14 @@
 	outcome *Outcome
 	timer   *time.Timer
 	ping    bool // a health check
-	retried bool // sent a second time, because its connection closed right after it was sent
+	retried bool // sent a second time, because the connection closed immediately after the first
 	sent    time.Duration
 }
 
 // Limits of a connection to a gateway.
 const (
 	pingInterval       = 500 * time.Millisecond // between health checks of a gateway
-	maxUnansweredPings = 2                      // with more, a gateway is out of service: it accepts connections but does not answer
+	maxUnansweredPings = 2                      // with more unanswered health checks, a gateway counts as out of service
 	maxPendingPings    = 5                      // no further health check is sent while this many are pending
 	dialTimeout        = time.Second
 	closeRaceWindow    = 50 * time.Millisecond // a request sent less than this before its connection closes is retried
@@ -113,7 +113,7 @@
 	c.healthChecks.Wait()
 }
 
-// Outcomes returns the outcomes of completed requests from index from on, and the index for the next call.
+// Outcomes returns the outcomes of completed requests, starting at the given index, and the index for the next call.
 func (c *Clients) Outcomes(from int) ([]Outcome, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,8 +124,8 @@
 	return out, len(c.outcomes)
 }
 
-// chooseGateway returns the preferred gateway, or a random gateway in service while that one is out of service. The caller
-// holds the lock.
+// chooseGateway returns the preferred gateway, or a random gateway in service if the preferred one is out of service. If no
+// gateway is in service, it returns the preferred one. The caller holds the lock.
 func (c *Clients) chooseGateway(preferred int) int {
 	if c.serving[preferred] {
 		return preferred
@@ -268,8 +268,8 @@
 // codeRejected is the JSON-RPC error code of a request that was rejected without side effects.
 const codeRejected = -32008
 
-// readReplies handles the replies of a gateway until the connection closes, then retries the requests that the close raced
-// with.
+// readReplies handles the replies of a gateway until the connection closes, and then retries the requests that were sent
+// immediately before.
 func (c *Clients) readReplies(gateway int, k *clientConn) {
 	lines := bufio.NewScanner(k.conn)
 	lines.Buffer(make([]byte, 0, 4096), maxReplyBytes)
--- a/internal/testbed/emulator/corruptingproxy.go
+++ b/internal/testbed/emulator/corruptingproxy.go
@@ -12,7 +12,7 @@
 	"frostpier/internal/settings"
 )
 
-// corruptEvery is the number of results of which the proxy corrupts one.
+// corruptEvery is the interval between corrupted results: the proxy corrupts every 50th.
 const corruptEvery = 50
 
 // The start of a result in a line of the client protocol: unchanged, and with characters inserted before the result.
@@ -21,11 +21,11 @@
 	corruptedField = `"blob":"c3Bv`
 )
 
-// corruptingProxy relays between clients and the gateway of this process, and corrupts one result in corruptEvery. The
-// gateway's own counters do not show the fault; only clients can detect it.
+// corruptingProxy relays between clients and the gateway of this process, and corrupts one result in corruptEvery. Only
+// clients can detect this fault; it does not change the gateway's counters.
 type corruptingProxy struct {
 	listener net.Listener
-	gateway  string // the address on which the gateway listens
+	gateway  string // address on which the gateway listens
 	results  atomic.Int64
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-// corrupt returns the line, with its result corrupted if it holds the next result to corrupt.
+// corrupt returns the line of the gateway. In every corruptEvery-th line with a result it corrupts the result.
 func (p *corruptingProxy) corrupt(line string) string {
 	if !strings.Contains(line, resultField) {
 		return line
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -38,37 +38,37 @@
 	q := Query{ID: "q", Work: 1, Threads: 1, IO: 0.3, Group: 1}
 	plain := queryDuration(newTestModel(false), q)
 	if d := plain - time.Second; d < 0 || d > time.Millisecond {
-		t.Fatalf("on an idle engine the query takes %v", plain)
+		t.Fatalf("on an idle engine the query takes %v, want 1s", plain)
 	}
-	crowd, heavy := []Query{}, q
+	others, heavy := []Query{}, q
 	for i := range 30 {
-		crowd = append(crowd, Query{ID: fmt.Sprint(i), Work: 5, Threads: 1, IO: 0.3, Group: 2})
+		others = append(others, Query{ID: fmt.Sprint(i), Work: 5, Threads: 1, IO: 0.3, Group: 2})
 	}
 	heavy.MemoryMB = 40_000
-	if elapsed := queryDuration(newTestModel(false), q, crowd...); elapsed < 3*plain {
-		t.Errorf("with 30 concurrent queries on 8 cores the query takes %v", elapsed)
+	if elapsed := queryDuration(newTestModel(false), q, others...); elapsed < 3*plain {
+		t.Errorf("with 30 concurrent queries on 8 cores the query takes %v, want at least 3 times %v", elapsed, plain)
 	}
-	if elapsed := queryDuration(newTestModel(true), q, crowd[:8]...); elapsed < 3*plain/2 {
-		t.Errorf("with 8 concurrent queries on an engine that is warming up, the query takes %v", elapsed)
+	if elapsed := queryDuration(newTestModel(true), q, others[:8]...); elapsed < 3*plain/2 {
+		t.Errorf("with 8 concurrent queries on an engine that is warming up, the query takes %v, want at least 1.5 times %v", elapsed, plain)
 	}
 	if elapsed := queryDuration(newTestModel(false), heavy); elapsed < 2*plain {
-		t.Errorf("with more memory than the engine has, the query takes %v", elapsed)
+		t.Errorf("with more memory than the engine has, the query takes %v, want at least twice %v", elapsed, plain)
 	}
 	m := newTestModel(false)
 	m.Start(Query{ID: "w", Work: 0.1, Threads: 1, IO: 0.3, Group: 1})
 	if elapsed := queryDuration(m, q); elapsed > plain*9/10 {
-		t.Errorf("with its table group cached the query takes %v", elapsed)
+		t.Errorf("with its table group cached the query takes %v, want at most 0.9 times %v", elapsed, plain)
 	}
 	load := Query{ID: "l", Work: 2, Threads: 2, Group: 1, IsDataLoad: true}
 	first := load
 	first.ID = "first"
 	if elapsed := queryDuration(newTestModel(false), load, first); elapsed < 2*time.Second-time.Millisecond {
-		t.Errorf("with another data load of its table group running, a data load takes %v", elapsed)
+		t.Errorf("with another data load of its table group running, a data load takes %v, want the 2s of both", elapsed)
 	}
 	m = newTestModel(false)
 	m.SetStolenShare(m.now, 0.75)
-	if elapsed := queryDuration(m, q, crowd[:4]...); elapsed < 3*plain/2 {
-		t.Errorf("with three quarters of the cores stolen the query takes %v", elapsed)
+	if elapsed := queryDuration(m, q, others[:4]...); elapsed < 3*plain/2 {
+		t.Errorf("with three quarters of the cores stolen the query takes %v, want at least 1.5 times %v", elapsed, plain)
 	}
 }
 
@@ -81,7 +81,7 @@
 				m.Start(Query{ID: fmt.Sprint(i), Work: 1, Threads: 1})
 			}
 			if m.Collapsed() != warmingUp {
-				t.Errorf("collapsed %v", m.Collapsed())
+				t.Errorf("collapsed: %v, want %v", m.Collapsed(), warmingUp)
 			}
 		})
 	}
@@ -140,7 +140,7 @@
 	tr := Traffic{Classes: DefaultClasses(), Rate: 100, Gateways: 5, Skew: 1, Groups: 10, Zipf: 0.7, EstimateSigma: 0.5, Seed: 3}
 	a, b := tr.Generate(20*time.Second), tr.Generate(20*time.Second)
 	if len(a) < 1700 || len(a) > 2300 || !slices.Equal(a, b) {
-		t.Fatalf("generated %d arrivals, then %d", len(a), len(b))
+		t.Fatalf("generated %d arrivals, then %d; want the same arrivals twice, about 2000", len(a), len(b))
 	}
 	for _, r := range a[:50] {
 		q, ok := ParseStatement(Statement(r.Query))
@@ -169,22 +169,22 @@
 		engines = append(engines, e)
 	}
 	tr := Traffic{Classes: DefaultClasses()[:1], Rate: 60, Gateways: 3, Groups: 4, Seed: 5}
-	d := NewBaselineGateways(3, MinReportedLoad, 1, func() []*Engine { return engines }, clock)
-	defer d.Close()
+	gateways := NewBaselineGateways(3, MinReportedLoad, 1, func() []*Engine { return engines }, clock)
+	defer gateways.Close()
 	requests := tr.Generate(2 * time.Second)
-	d.Run(requests)
-	found, opened := d.Outcomes()
-	for _, o := range found {
+	gateways.Run(requests)
+	outcomes, opened := gateways.Outcomes()
+	for _, o := range outcomes {
 		if o.Verdict != Served {
-			t.Fatalf("request %v after %v", o.Verdict, o.Latency)
+			t.Fatalf("verdict %q after %v, want %q", o.Verdict, o.Latency, Served)
 		}
 	}
 	arrived := 0
 	for _, e := range engines {
-		_, f, _ := e.Load()
-		arrived += f.Arrived
+		_, totals, _ := e.Load()
+		arrived += totals.Arrived
 	}
-	if len(found) != len(requests) || arrived != len(requests) || opened == 0 || opened > len(requests) {
-		t.Errorf("%d requests: %d outcomes, %d arrived at engines, %d connections opened", len(requests), len(found), arrived, opened)
+	if len(outcomes) != len(requests) || arrived != len(requests) || opened == 0 || opened > len(requests) {
+		t.Errorf("%d requests: %d outcomes, %d arrived at engines, %d connections opened", len(requests), len(outcomes), arrived, opened)
 	}
 }
--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -14,8 +14,8 @@
 	Addr           string // listen address; "" = a free port of 127.0.0.1
 	Spec           Spec
 	WarmingUp      bool
-	ReportInterval time.Duration // between refreshes of the load report
-	ReportDelay    time.Duration // from a refresh until responses carry the refreshed report
+	ReportInterval time.Duration // time between refreshes of the load report
+	ReportDelay    time.Duration // time from a refresh until responses carry the refreshed report
 }
 
 // Times of the platform's protocol.
@@ -23,8 +23,8 @@
 	longPollTimeout = 250 * time.Millisecond // after this, a poll is answered even if its query is still running
 	pollLease       = 2 * time.Second        // a query that is not polled for this long is cancelled
 	resultRetention = 10 * time.Second       // how long after its last poll a result is kept
-	sweepInterval   = 500 * time.Millisecond // between checks for expired queries, if no report interval is configured
-	acceptBackoff   = 50 * time.Millisecond  // after a failed accept
+	sweepInterval   = 500 * time.Millisecond // time between checks for expired queries, if no report interval is configured
+	acceptBackoff   = 50 * time.Millisecond  // wait after a failed accept
 )
 
 // Engine serves a Model over the platform's HTTP protocol.
@@ -38,7 +38,7 @@
 	conns       map[net.Conn]bool
 	reports     []loadSnapshot // oldest first
 	timer       *time.Timer    // fires at the model's next change
-	hung        bool           // accepts requests but does not answer any
+	hung        bool           // the engine accepts requests but does not answer any
 	reportDelay time.Duration
 	closed      bool
 	totals      Totals
@@ -49,9 +49,9 @@
 // Totals are counters since an engine's start, and its number of open connections.
 type Totals struct {
 	Arrived     int // queries received
-	Rejected    int // of Arrived; because the engine was full, had collapsed or had too little memory
+	Rejected    int // queries of Arrived that were rejected: the engine was full, had collapsed or had too little memory
 	Conns       int // connections currently open
-	Resubmitted int // of Arrived; submitted while a query with the same ID was running
+	Resubmitted int // queries of Arrived that were submitted while a query with the same ID was running
 }
 
 // queryState is the state of a query that is running or whose result is retained.
@@ -132,7 +132,7 @@
 	return known
 }
 
-// SetReportDelay sets the age from which responses carry a load report.
+// SetReportDelay changes Options.ReportDelay: responses carry only load reports that are at least this old.
 func (e *Engine) SetReportDelay(d time.Duration) { e.withLock(func() { e.reportDelay = d }) }
 
 // Load returns the engine's current load, its totals, and whether it has collapsed from overload while warming up.
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -33,7 +33,7 @@
 // Environment variables of processes that a test starts.
 const (
 	faultVar = "FLEETTEST_FAULT"
-	ownerVar = "FLEETTEST_OWNER" // PID of the process that started the fleet; the fleet's processes exit after it
+	ownerVar = "FLEETTEST_OWNER" // PID of the process that started the fleet; the fleet's processes exit soon after it exits
 )
 
 // Parameters of the faults.
@@ -48,8 +48,8 @@
 
 // Exit codes of a process that exits because of a fault, or because its owner has exited.
 const (
-	exitCrashed   = 3
-	exitOwnerGone = 4
+	exitCrashed     = 3
+	exitOwnerExited = 4
 )
 
 // FaultEnv returns the environment that injects a fault into a process; see FaultHooks.
@@ -118,7 +118,7 @@
 func exitWithOwner(owner int) {
 	for range time.Tick(time.Second) {
 		if syscall.Kill(owner, 0) == syscall.ESRCH {
-			os.Exit(exitOwnerGone)
+			os.Exit(exitOwnerExited)
 		}
 	}
 }
--- a/internal/testbed/emulator/model.go
+++ b/internal/testbed/emulator/model.go
@@ -15,18 +15,18 @@
 // Spec describes the capacity of an engine. An engine whose CollapseWindow is zero never collapses.
 type Spec struct {
 	Cores                float64
-	KneeThreadsPerCore   float64       // threads per core, above which the throughput falls
+	KneeThreadsPerCore   float64       // number of threads per core above which the throughput falls
 	ThrashExponent       float64       // exponent of the throughput loss above the knee
 	DiskThreads          float64       // threads that can read concurrently at full speed
-	MemoryMB             float64       // with more in use, all queries slow down ...
-	PagingExponent       float64       // ... by (memory in use / MemoryMB) to this power
+	MemoryMB             float64       // physical memory; with more in use, all queries slow down
+	PagingExponent       float64       // queries slow down by (memory in use / MemoryMB) to this power
 	CachedGroups         int           // number of table groups in the cache: the most recently read ones
 	CacheSaving          float64       // share of its read work that a query of a cached group saves
 	InitialCapacityShare float64       // share of its capacity that an engine has when it starts warming up
-	WarmUpDuration       time.Duration // until it has its full capacity
-	MaxQueries           int           // concurrent queries; further ones are rejected
-	CollapseFactor       float64       // work that an engine may be sent while warming up, in multiples of its current capacity ...
-	CollapseWindow       time.Duration // ... over this window; with much more it collapses. 0 = never
+	WarmUpDuration       time.Duration // time from the start until the engine has its full capacity
+	MaxQueries           int           // maximum number of concurrent queries; further ones are rejected
+	CollapseFactor       float64       // work, in multiples of the current capacity, that an engine tolerates in a CollapseWindow while warming up
+	CollapseWindow       time.Duration // window over which CollapseFactor applies; with much more work the engine collapses. 0 = never
 }
 
 // DefaultSpec returns the spec of an engine with this number of cores, similar to the engines in the platform's
@@ -70,7 +70,7 @@
 // Load is an engine's load at a point in time.
 type Load struct {
 	Queries     int     // running or waiting for a lock
-	Threads     float64 // of these queries
+	Threads     float64 // threads of these queries
 	MemoryShare float64 // share of the memory in use, at most 1
 	DiskShare   float64 // share of the disks in use, at most 1
 	WorkDone    float64 // work done since the start, in seconds on one thread
@@ -78,17 +78,17 @@
 
 // Model is a model of one engine. It has no clock: the caller advances its time, never backwards, and synchronizes access.
 type Model struct {
-	spec         Spec
-	stolenShare  float64 // share of the cores that other programs use
-	started      time.Duration
-	warmingUp    bool
-	now          time.Duration
-	running      []*runningQuery
-	cachedGroups []int // cached table groups, the most recently read first
-	done         float64
-	warmUpWork   []submittedWork // work sent within CollapseWindow while warming up
-	collapsed    bool
-	peakPressure WarmUpLoad
+	spec           Spec
+	stolenShare    float64 // share of the cores that other programs use
+	startedAt      time.Duration
+	warmingUp      bool
+	now            time.Duration
+	running        []*runningQuery
+	cachedGroups   []int // cached table groups, the most recently read first
+	workDone       float64
+	warmUpWork     []submittedWork // work sent within CollapseWindow while warming up
+	collapsed      bool
+	peakWarmUpLoad WarmUpLoad
 }
 
 // WarmUpLoad is the work that an engine was sent within CollapseWindow while warming up, and the work above which it may
@@ -104,7 +104,7 @@
 // NewModel returns the model of an engine that starts at now. An engine that is not warming up has its full capacity from
 // the start.
 func NewModel(spec Spec, now time.Duration, warmingUp bool) *Model {
-	return &Model{spec: spec, now: now, started: now, warmingUp: warmingUp}
+	return &Model{spec: spec, now: now, startedAt: now, warmingUp: warmingUp}
 }
 
 // SetStolenShare advances the model to now and sets the share of the cores, from 0 to 1, that other programs use from then
@@ -121,7 +121,7 @@
 
 // warmUpFactor returns the share of its full capacity that the engine has now.
 func (m *Model) warmUpFactor() float64 {
-	since := m.now - m.started
+	since := m.now - m.startedAt
 	if !m.warmingUp || since >= m.spec.WarmUpDuration {
 		return 1
 	}
@@ -167,13 +167,13 @@
 	// measured in work instead of queries.
 	limit := m.spec.CollapseFactor * m.spec.Cores * m.warmUpFactor() * m.spec.CollapseWindow.Seconds()
 	m.collapsed = m.collapsed || sum > limit+3*math.Sqrt(limit)+3
-	if m.peakPressure.Limit == 0 || sum/limit > m.peakPressure.Sent/m.peakPressure.Limit {
-		m.peakPressure = WarmUpLoad{sum, limit}
+	if m.peakWarmUpLoad.Limit == 0 || sum/limit > m.peakWarmUpLoad.Sent/m.peakWarmUpLoad.Limit {
+		m.peakWarmUpLoad = WarmUpLoad{sum, limit}
 	}
 }
 
 // PeakWarmUpLoad returns the load with the highest ratio to its limit; zero if no work was recorded during warm-up.
-func (m *Model) PeakWarmUpLoad() WarmUpLoad { return m.peakPressure }
+func (m *Model) PeakWarmUpLoad() WarmUpLoad { return m.peakWarmUpLoad }
 
 // Cancel removes a query. An unknown ID is ignored.
 func (m *Model) Cancel(id string) {
@@ -199,14 +199,14 @@
 			d.io += r.Threads * r.IO
 		}
 	}
-	slowCPU := max(1, d.cpu/m.effectiveCores(d.cpu+d.io))
-	slowIO := max(1, d.io/m.spec.DiskThreads)
+	cpuSlowdown := max(1, d.cpu/m.effectiveCores(d.cpu+d.io))
+	ioSlowdown := max(1, d.io/m.spec.DiskThreads)
 	paging := 1.0
 	if used := d.memory / m.spec.MemoryMB; used > 1 {
 		paging = math.Pow(used, m.spec.PagingExponent)
 	}
 	for _, r := range m.running {
-		r.rate = r.Threads / ((1-r.IO)*slowCPU + r.IO*slowIO) / paging
+		r.rate = r.Threads / ((1-r.IO)*cpuSlowdown + r.IO*ioSlowdown) / paging
 		if waits(r) {
 			r.rate = 0
 		}
@@ -224,7 +224,7 @@
 	return locks
 }
 
-// effectiveCores returns the number of cores whose work the engine does with this number of threads. It decreases during
+// effectiveCores returns the engine's throughput with this number of threads, as a number of cores. It is lower during
 // warm-up, while other programs use part of the cores, and with more threads per core than KneeThreadsPerCore.
 func (m *Model) effectiveCores(threads float64) float64 {
 	cores := m.spec.Cores * (1 - m.stolenShare) * m.warmUpFactor()
@@ -279,7 +279,7 @@
 	elapsed := (at - m.now).Seconds()
 	m.now = at
 	for _, r := range m.running {
-		m.done += min(r.remaining, r.rate*elapsed)
+		m.workDone += min(r.remaining, r.rate*elapsed)
 		r.remaining -= r.rate * elapsed
 	}
 	m.running = slices.DeleteFunc(m.running, func(r *runningQuery) bool {
@@ -294,7 +294,7 @@
 
 // Load returns the engine's current load.
 func (m *Model) Load() Load {
-	l := Load{Queries: len(m.running), WorkDone: m.done}
+	l := Load{Queries: len(m.running), WorkDone: m.workDone}
 	for _, r := range m.running {
 		l.Threads += r.Threads
 		l.MemoryShare += r.MemoryMB / m.spec.MemoryMB
--- a/internal/testbed/emulator/outcome.go
+++ b/internal/testbed/emulator/outcome.go
@@ -12,8 +12,8 @@
 	Failed              // any other error
 	Lost                // the connection closed before an answer
 	Corrupted           // answered with a wrong result
-	Unanswered          // no answer until answerSlack after the client's timeout
-	Unreachable         // no gateway accepted a connection
+	Unanswered          // no answer within answerSlack after the client's timeout
+	Unreachable         // the connection to the gateway failed
 )
 
 // String returns the name of a verdict in reports.
--- a/internal/testbed/emulator/statement.go
+++ b/internal/testbed/emulator/statement.go
@@ -9,7 +9,7 @@
 // result.
 func Rows(id string) string { return "row\t" + id + "\tof 1\n" }
 
-// Statement returns the text of a query. A comment in the text tells an emulated engine the cost of the query.
+// Statement returns the text of a query. A comment in the text contains the cost of the query for an emulated engine.
 func Statement(q Query) string {
 	load := 0
 	if q.IsDataLoad {
--- a/internal/testbed/emulator/traffic.go
+++ b/internal/testbed/emulator/traffic.go
@@ -11,14 +11,14 @@
 // Class describes the queries of a class in the workload.
 type Class struct {
 	Name             string
-	Share            float64 // of the queries, as a weight relative to the other classes
-	Work             float64 // mean, in seconds on one thread
+	Share            float64 // share of the queries, as a weight relative to the other classes
+	Work             float64 // mean work of a query, in seconds on one thread
 	WorkCV           float64 // coefficient of variation of the work, which is lognormal
 	Threads          float64
 	IO               float64
 	MemoryMB         float64
 	Objective        time.Duration
-	ObjectiveStretch float64 // times the query's work per thread, added to the objective
+	ObjectiveStretch float64 // the objective of a query is longer by this multiple of its work per thread
 	Timeout          time.Duration
 	Weight           float64
 	IsDataLoad       bool // data loads lock their table group, and their requests carry an idempotency key
@@ -81,8 +81,8 @@
 	Class     int
 	ID        string
 	Query     Query
-	Estimate  float64       // of the query's work, in seconds on one thread
-	Budget    time.Duration // until the client's timeout
+	Estimate  float64       // estimate of the query's work, in seconds on one thread
+	Budget    time.Duration // time until the client's timeout
 	Objective time.Duration // latency objective
 }
 
