--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -9,7 +9,7 @@
 	"frostpier/policy"
 )
 
-// engineListCount is the number of engine lists that the process stores. EngineList.Number is below it.
+// engineListCount is the number of engine lists that the process stores. The number of a list must be below it.
 const engineListCount = 16
 
 // adapter is the state of the process: the engine lists by number and the running instances by ID.
@@ -22,7 +22,7 @@
 // instance is one simulated gateway.
 type instance struct {
 	gateway *policy.Gateway
-	metrics []policy.Metric // metric of each value in a load report
+	metrics []policy.Metric // metric of each value in a load report, in order
 }
 
 func newAdapter() *adapter { return &adapter{instances: map[uint32]*instance{}} }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -51,19 +51,21 @@
 	return &simproto.RequestArrived{Instance: 3, Request: id, Remaining: 5e9, TableGroup: float32(math.NaN())}
 }
 
+// Checks that a request to a started instance is sent to the engine in its list.
 func TestRunSendsRequestToListedEngine(t *testing.T) {
 	actions, err := runFrames(t, startBatch(), batch(2, request(9)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, a := range actions {
-		if d, ok := a.(*simproto.SendAttempt); ok && d.Engine == engine && d.Request == 9 && d.Instance == 3 {
+		if s, ok := a.(*simproto.SendAttempt); ok && s.Engine == engine && s.Request == 9 && s.Instance == 3 {
 			return
 		}
 	}
 	t.Fatalf("request 9 was not sent to the engine: %+v", actions)
 }
 
+// Checks that malformed frames and invalid settings end run with an error of the right kind, and without an action.
 func TestRunRejectsMalformedInput(t *testing.T) {
 	var (
 		invalid   *settingsError
@@ -92,7 +94,7 @@
 				matched = errors.As(err, c.want)
 			}
 			if !matched || len(actions) > 0 {
-				t.Errorf("%d actions, error %v", len(actions), err)
+				t.Errorf("%d actions, error %v, want no action and an error of the kind in want", len(actions), err)
 			}
 		})
 	}
@@ -114,8 +116,8 @@
 	}
 	sent := map[uint32]int{}
 	for _, a := range actions {
-		if d, ok := a.(*simproto.SendAttempt); ok {
-			sent[d.Request]++
+		if s, ok := a.(*simproto.SendAttempt); ok {
+			sent[s.Request]++
 		}
 	}
 	if sent[9] != 1 || sent[10] != 1 {
@@ -132,7 +134,7 @@
 		t.Fatal(err)
 	}
 	for _, a := range actions {
-		if d, ok := a.(*simproto.SendAttempt); ok && d.Request == 11 {
+		if s, ok := a.(*simproto.SendAttempt); ok && s.Request == 11 {
 			t.Fatal("a stopped instance sent an attempt")
 		}
 	}
