--- a/cmd/frostpier/exit.go
+++ b/cmd/frostpier/exit.go
@@ -5,7 +5,7 @@
 // Exit codes of the rollout commands.
 const (
 	exitOK          = 0 // the command succeeded
-	exitError       = 1
+	exitError       = 1 // any other error
 	exitInvalid     = 2 // invalid plan or command line; nothing was changed
 	exitConflict    = 3 // another controller is running; for pause, resume and abort: no controller is running
 	exitRolledBack  = 4 // the change was rolled back
--- a/cmd/frostpier/fleet_test.go
+++ b/cmd/frostpier/fleet_test.go
@@ -10,7 +10,7 @@
 )
 
 // The tests run a fleet of twelve processes, and cause faults of processes and of the network. The probe interval is the default of 2 s,
-// at which a gateway that pauses for 2 s must not be declared dead. The tests wait for events in the gateways' logs, with timeouts of
+// with which a gateway that pauses for 2 s must not be declared dead. The tests wait for events in the gateways' logs, with timeouts of
 // several times the expected time.
 const (
 	fleetSize     = 12
@@ -55,8 +55,9 @@
 	})
 	out := &testFleet{Fleet: f, t: t}
 	out.must(f.StartAll())
-	out.waitAgreed("at the start", detectTimeout)
-	_, out.stateMark = f.StateChanges(0) // on a slow machine some gateways start late and are declared dead before that, which is correct
+	out.waitConverged("at the start", detectTimeout)
+	// Ignore the state changes so far: on a slow machine, gateways that start late are correctly declared dead before.
+	_, out.stateMark = f.StateChanges(0)
 	return out
 }
 
@@ -68,8 +69,8 @@
 	}
 }
 
-// waitAgreed waits until every gateway's view of the fleet is correct.
-func (f *testFleet) waitAgreed(when string, timeout time.Duration) {
+// waitConverged waits until every gateway's view of the fleet is correct.
+func (f *testFleet) waitConverged(when string, timeout time.Duration) {
 	f.t.Helper()
 	if err := f.Wait(timeout, f.CheckConverged); err != nil {
 		f.t.Fatalf("%s: %v", when, err)
@@ -101,13 +102,13 @@
 	}
 }
 
-// waitView waits until all other gateways see the member in this state.
-func (f *testFleet) waitView(when string, member int, state string) {
+// waitMemberState waits until all other gateways see the member in this state.
+func (f *testFleet) waitMemberState(when string, member int, state string) {
 	f.t.Helper()
 	err := f.Wait(detectTimeout, func() error {
 		for v := range f.Size() {
 			if v != member && f.Running(v) && f.MemberState(v, member) != state {
-				return fmt.Errorf("gateway %d sees %d as %s", v, member, f.MemberState(v, member))
+				return fmt.Errorf("gateway %d sees gateway %d as %s, want %s", v, member, f.MemberState(v, member), state)
 			}
 		}
 		return nil
@@ -123,25 +124,25 @@
 	t.Parallel()
 	f := startFleet(t, 1)
 	f.must(f.Kill(3))
-	f.waitAgreed("one killed", detectTimeout)
+	f.waitConverged("one killed", detectTimeout)
 	f.wantNoDeaths("one killed", 3)
 	f.must(f.StartAll())
-	f.waitAgreed("restarted", healTimeout)
+	f.waitConverged("restarted", healTimeout)
 
 	f.must(f.Kill(7))
 	time.Sleep(3 * time.Second)
 	f.must(f.StartAll())
 	time.Sleep(8 * time.Second) // by now its previous incarnation would have been declared dead
-	f.waitAgreed("restarted after 3 s", healTimeout)
+	f.waitConverged("restarted after 3 s", healTimeout)
 
 	third := []int{0, 4, 8, 11}
 	for _, i := range third {
 		f.must(f.Kill(i))
 	}
-	f.waitAgreed("a third killed", detectTimeout)
+	f.waitConverged("a third killed", detectTimeout)
 	f.wantNoDeaths("a third killed", append(third, 7)...)
 	f.must(f.StartAll())
-	f.waitAgreed("the third restarted", healTimeout)
+	f.waitConverged("the third restarted", healTimeout)
 }
 
 // TestFleetToleratesPauses checks that pauses of 0.5 to 2 s, of one gateway after another, do not lead to a declared death. A long pause
@@ -155,13 +156,13 @@
 		time.Sleep(pause * time.Millisecond)
 		f.must(f.Resume(i))
 	}
-	f.waitAgreed("after the pauses", healTimeout)
+	f.waitConverged("after the pauses", healTimeout)
 	f.wantNoDeaths("pauses of up to 2 s")
 
 	f.must(f.Pause(6))
-	f.waitView("a long pause", 6, "dead")
+	f.waitMemberState("a long pause", 6, "dead")
 	f.must(f.Resume(6))
-	f.waitAgreed("after the long pause", healTimeout)
+	f.waitConverged("after the long pause", healTimeout)
 	f.wantNoDeaths("a long pause", 6)
 }
 
@@ -172,22 +173,22 @@
 	f := startFleet(t, 3)
 	f.Relay.SetDefaultLink(testfleet.Link{Loss: 0.2, Duplicate: 0.1, DelayMin: time.Millisecond, DelayMax: 120 * time.Millisecond})
 	time.Sleep(15 * time.Second)
-	f.waitAgreed("20% loss", healTimeout)
+	f.waitConverged("20% loss", healTimeout)
 	f.wantNoDeaths("20% loss")
 	f.Relay.SetDefaultLink(testfleet.Link{DelayMin: time.Millisecond, DelayMax: 38 * time.Millisecond})
 
 	f.Relay.SetLink(1, 0, testfleet.Link{Cut: true})
 	time.Sleep(15 * time.Second)
-	f.waitAgreed("link from 1 to 0 cut", healTimeout)
+	f.waitConverged("link from 1 to 0 cut", healTimeout)
 	f.wantNoDeaths("link from 1 to 0 cut")
 	f.Relay.Heal()
 
 	for i := 0; i < fleetSize; i += 3 {
 		f.must(f.Terminate(i))
-		f.waitView("after SIGTERM", i, "left")
+		f.waitMemberState("after SIGTERM", i, "left")
 		f.must(f.StartAll())
 	}
-	f.waitAgreed("after the restarts", healTimeout)
+	f.waitConverged("after the restarts", healTimeout)
 	f.wantNoDeaths("restarts by SIGTERM")
 }
 
@@ -197,18 +198,18 @@
 	t.Parallel()
 	f := startFleet(t, 4)
 	f.Relay.DropInbound(2, true)
-	f.waitView("inbound dropped", 2, "dead")
+	f.waitMemberState("inbound dropped", 2, "dead")
 	f.Relay.Heal()
-	f.waitAgreed("inbound restored", healTimeout)
+	f.waitConverged("inbound restored", healTimeout)
 	f.Relay.DropOutbound(9, true)
-	f.waitView("outbound dropped", 9, "dead")
+	f.waitMemberState("outbound dropped", 9, "dead")
 	f.Relay.Heal()
-	f.waitAgreed("outbound restored", healTimeout)
+	f.waitConverged("outbound restored", healTimeout)
 	changes, mark := f.StateChanges(f.stateMark)
 	f.stateMark = mark
-	for _, d := range changes { // these two may declare members dead that they cannot reach
-		if d.State == "dead" && d.Member != 2 && d.Member != 9 && d.Viewer != 2 && d.Viewer != 9 {
-			t.Errorf("gateway %d declared %d dead", d.Viewer, d.Member)
+	for _, change := range changes { // gateways 2 and 9 may declare members dead that they cannot reach
+		if change.State == "dead" && change.Member != 2 && change.Member != 9 && change.Viewer != 2 && change.Viewer != 9 {
+			t.Errorf("gateway %d declared gateway %d dead", change.Viewer, change.Member)
 		}
 	}
 
@@ -217,5 +218,5 @@
 	}
 	time.Sleep(10 * time.Second)
 	f.Relay.Heal()
-	f.waitAgreed("after the partition", healTimeout)
+	f.waitConverged("after the partition", healTimeout)
 }
--- a/cmd/frostpier/httpengine_test.go
+++ b/cmd/frostpier/httpengine_test.go
@@ -65,15 +65,15 @@
 	defer nc.Close()
 	r := textproto.NewReader(bufio.NewReader(nc))
 	for {
-		call, err := emulator.ReadHTTPRequest(r)
+		request, err := emulator.ReadHTTPRequest(r)
 		if err != nil {
 			return
 		}
-		answer := e.respond(call.Method, call.Path, call.Header, call.Body)
-		if answer == "" {
+		response := e.respond(request.Method, request.Path, request.Header, request.Body)
+		if response == "" {
 			return
 		}
-		if _, err := io.WriteString(nc, answer); err != nil {
+		if _, err := io.WriteString(nc, response); err != nil {
 			return
 		}
 	}
@@ -82,7 +82,7 @@
 // reportHeader is a header with a load report.
 const reportHeader = "X-Report: queue:0;inflight:1;x0:0.2;x1:0.1"
 
-// respond returns the response to a call, or "" to close the connection without one.
+// respond returns the response to a request, or "" to close the connection without one.
 func (e *httpEngine) respond(method, path string, head textproto.MIMEHeader, body string) string {
 	id, page := head.Get("X-Hop-Id"), "0"
 	if method != "POST" {
@@ -115,13 +115,13 @@
 	return e.result(id, page, body, method == "POST")
 }
 
-// result returns the response to a call that requests a page of a query's result. first is set for the POST request.
+// result returns the response to a request for a page of a query's result. first is set for the POST request.
 func (e *httpEngine) result(id, page, body string, first bool) string {
-	end := func(answer string) string {
+	end := func(response string) string {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.inFlight[id] = 0
-		return answer
+		return response
 	}
 	switch {
 	case body == "":
--- a/cmd/frostpier/lifecycle_races_test.go
+++ b/cmd/frostpier/lifecycle_races_test.go
@@ -28,7 +28,7 @@
 func (n *node) waitExit() {
 	n.t.Helper()
 	if err := n.cmd.Wait(); err != nil {
-		n.t.Fatalf("exit: %v", err)
+		n.t.Fatalf("the program exited with %v, want exit code 0", err)
 	}
 }
 
@@ -45,7 +45,7 @@
 	c.t.Helper()
 	c.sendLine(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
 	if a := c.readResponse(); a.Result == nil || a.Result.Serving == nil {
-		c.t.Fatalf("ping: %+v", a)
+		c.t.Fatalf("ping: response %+v, want a result", a)
 	}
 	return c
 }
@@ -63,7 +63,7 @@
 	c.conn.Close()
 	n.waitExit()
 	if got := e.received("late"); got != 0 {
-		t.Fatalf("the engine received the late request %d times", got)
+		t.Fatalf("the engine received the late request %d times, want 0", got)
 	}
 }
 
@@ -87,9 +87,9 @@
 			break
 		}
 	}
-	waiting.conn.SetReadDeadline(time.Now().Add(time.Second)) // its own response follows 2.4 s later
+	waiting.conn.SetReadDeadline(time.Now().Add(time.Second)) // the response to the long query follows 2.4 s later
 	if b, err := waiting.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("%q, %v, want no response to the long query yet", b, err)
+		t.Fatalf("read %q, %v, want no response to the long query yet", b, err)
 	}
 	waiting.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	waiting.wantError(2, -32008)
@@ -139,7 +139,7 @@
 	t.Helper()
 	n.terminate()
 	if r := c.readResponse(); r.ID != 2 || r.Error == nil {
-		t.Fatalf("%+v", r)
+		t.Fatalf("response %+v, want an error for request 2", r)
 	}
 	c.wantEOF()
 	n.waitExit()
@@ -164,7 +164,7 @@
 	n.config["bulletin"] = n.discovery.ln.Addr().String()
 	n.writeConfig()
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
+	waitFor(t, "the discovery watch", func() bool { return n.discovery.connections() == 1 })
 	c := dialRPC(t, n)
 	c.submit(2, "lookup", "x", 3000, "")
 	c.wantServed(2, "a\tb\tc\n")
@@ -267,7 +267,7 @@
 	client.submit(2, "lookup", statement, 3000, "")
 	client.wantServed(2, "a\tb\tc\n")
 	if took := time.Since(started); took > 10*time.Second {
-		n.t.Fatalf("ready after %v", took)
+		n.t.Fatalf("ready after %v, want at most 10s", took)
 	}
 }
 
@@ -277,7 +277,7 @@
 	n.cmd.Process.Kill()
 	var killed *exec.ExitError
 	if err := n.cmd.Wait(); !errors.As(err, &killed) {
-		n.t.Fatal(err)
+		n.t.Fatalf("the killed program exited with %v, want an ExitError", err)
 	}
 	n.start()
 }
--- a/cmd/frostpier/loadbalancing_test.go
+++ b/cmd/frostpier/loadbalancing_test.go
@@ -29,17 +29,17 @@
 	pool     *testfleet.Pool
 	clients  *emulator.Clients
 	traffic  emulator.Traffic
-	duration time.Duration // of the traffic of one run
+	duration time.Duration // duration of the traffic in one run
 }
 
 // startSharingFleet starts a fleet whose gateways share load reports.
 func startSharingFleet(t *testing.T, seed uint64) *loadedFleet {
 	t.Helper()
-	return startLoad(t, seed, 0.5, testfleet.Options{Gateways: loadTestGateways, Operator: "\n[spread]\n"})
+	return startLoadedFleet(t, seed, 0.5, testfleet.Options{Gateways: loadTestGateways, Operator: "\n[spread]\n"})
 }
 
-// startLoad starts gateways, engines and clients. The clients' load is the given share of the engines' capacity.
-func startLoad(t *testing.T, seed uint64, load float64, opt testfleet.Options) *loadedFleet {
+// startLoadedFleet starts gateways, engines and clients. The clients' load is the given share of the engines' capacity.
+func startLoadedFleet(t *testing.T, seed uint64, load float64, opt testfleet.Options) *loadedFleet {
 	t.Helper()
 	started := time.Now()
 	clock := func() time.Duration { return time.Since(started) }
@@ -66,8 +66,8 @@
 func (s *loadedFleet) run(fault func()) (map[emulator.Verdict]int, testfleet.Balance) {
 	s.t.Helper()
 	requests := s.traffic.Generate(s.duration)
-	stop, watched := make(chan struct{}), make(chan testfleet.Balance, 1)
-	go func() { watched <- s.pool.SampleBalance(stop) }()
+	stop, balance := make(chan struct{}), make(chan testfleet.Balance, 1)
+	go func() { balance <- s.pool.SampleBalance(stop) }()
 	if fault != nil {
 		timer := time.AfterFunc(faultDelay, fault)
 		defer timer.Stop()
@@ -84,7 +84,7 @@
 		}
 	}
 	if len(outcomes) != len(requests) {
-		s.t.Errorf("%d requests, %d outcomes", len(requests), len(outcomes))
+		s.t.Errorf("%d outcomes of %d requests, want one for each", len(outcomes), len(requests))
 	}
 	if verdicts[emulator.Corrupted] > 0 || verdicts[emulator.Unanswered] > 0 {
 		s.t.Errorf("corrupted or unanswered: %v", verdicts)
@@ -97,7 +97,7 @@
 			s.t.Errorf("%s received %d queries that were already in flight there", e.Name(), f.Resubmitted)
 		}
 	}
-	return verdicts, <-watched
+	return verdicts, <-balance
 }
 
 // servedAtLeast reports whether at least this share of all requests was served.
@@ -117,7 +117,7 @@
 	verdicts, balance := s.run(nil)
 	t.Logf("no fault: %v, %+v", verdicts, balance)
 	if !servedAtLeast(verdicts, 0.97) || verdicts[emulator.Lost] > 0 || balance.PeakToMean > maxImbalance {
-		t.Errorf("no fault: %v, %+v", verdicts, balance)
+		t.Errorf("no fault: %v, %+v, want 97%% served, none lost and a peak of at most %g times the mean", verdicts, balance, maxImbalance)
 	}
 	killed := 3
 	verdicts, balance = s.run(func() {
@@ -128,11 +128,11 @@
 	})
 	t.Logf("engine hung, gateway killed: %v, %+v", verdicts, balance)
 	if !servedAtLeast(verdicts, 0.85) {
-		t.Errorf("engine hung, gateway killed: %v", verdicts)
+		t.Errorf("engine hung, gateway killed: %v, want 85%% served", verdicts)
 	}
 	s.pool.Engines()[0].SetHung(false)
 	s.must(s.Start(killed))
-	s.waitAgreed("after the restart", detectTimeout)
+	s.waitConverged("after the restart", detectTimeout)
 	verdicts, balance = s.run(func() {
 		s.Relay.SetDefaultLink(testfleet.Link{Cut: true})
 		engines := s.pool.Engines()
@@ -146,6 +146,6 @@
 	})
 	t.Logf("engines replaced during a partition: %v, %+v", verdicts, balance)
 	if !servedAtLeast(verdicts, 0.6) {
-		t.Errorf("engines replaced during a partition: %v", verdicts)
+		t.Errorf("engines replaced during a partition: %v, want 60%% served", verdicts)
 	}
 }
--- a/cmd/frostpier/mysql_test.go
+++ b/cmd/frostpier/mysql_test.go
@@ -67,7 +67,7 @@
 func (c *sqlClient) wantOK(what string) {
 	c.t.Helper()
 	if p := c.read(); p[0] != 0 {
-		c.t.Fatalf("%s: %q", what, p)
+		c.t.Fatalf("%s: response %q, want OK", what, p)
 	}
 }
 
@@ -104,7 +104,7 @@
 	c.send(0x16, text)
 	p := c.read()
 	if p[0] != 0 {
-		c.t.Fatalf("prepare: %q", p)
+		c.t.Fatalf("prepare: response %q, want OK", p)
 	}
 	params := int(binary.LittleEndian.Uint16(p[7:]))
 	for i := 0; params > 0 && i < params+1; i++ {
@@ -118,7 +118,8 @@
 
 func le32(n uint32) string { return string(binary.LittleEndian.AppendUint32(nil, n)) }
 
-// textParameter is the start of the parameters of COM_STMT_EXECUTE: no NULLs, types follow, one string.
+// textParameter is the start of the parameters of COM_STMT_EXECUTE for one string: the NULL bitmap, the flag that types
+// follow, and the type.
 const textParameter = "\x00\x01\xfd\x00"
 
 func (c *sqlClient) execute(id uint32, params string) {
@@ -135,8 +136,8 @@
 	engines []*sqlEngine
 }
 
-// startSQLNode starts the program with MySQL engines, of which the first listed ones are in the engine list. The accounts have this query
-// budget in ms.
+// startSQLNode starts the program with MySQL engines. The engine list contains the first of them, as many as listed says. budget is the
+// deadline of each account's queries in ms.
 func startSQLNode(t *testing.T, listed int, budget int, engines int) *sqlNode {
 	t.Helper()
 	n := &sqlNode{addr: freePort(t), record: newExecutionRecord()}
@@ -172,12 +173,13 @@
 	n.t.Helper()
 	c, p := dialSQL(n.t, n.addr, user, "secret")
 	if p[0] != 0 {
-		n.t.Fatalf("login: %q", p)
+		n.t.Fatalf("login: response %q, want OK", p)
 	}
 	return c
 }
 
-// TestMySQLServesStatements checks text queries, prepared statements with remembered types and long data, and closed statements.
+// TestMySQLServesStatements checks text queries, prepared statements with remembered types and long data, and that a closed statement is
+// rejected.
 func TestMySQLServesStatements(t *testing.T) {
 	t.Parallel()
 	n := startSQLNode(t, 1, 4000, 1)
@@ -188,7 +190,7 @@
 	c.wantOK("init db")
 	c.send(0x03, "SELECT 1 FROM t")
 	if rows := c.wantRows(); !slices.Equal(rows, expectedRows) {
-		t.Fatalf("rows %q", rows)
+		t.Fatalf("rows %q, want %q", rows, expectedRows)
 	}
 	id := c.prepare("SELECT c FROM t WHERE c = ?")
 	c.execute(id, textParameter+"\x03abc")
@@ -199,13 +201,13 @@
 	last := n.engines[0].executes[1]
 	n.engines[0].mu.Unlock()
 	if string(last[10:]) != textParameter+"\x03def" {
-		t.Fatalf("the engine received %q", last)
+		t.Fatalf("the engine received %q, want the remembered types and the parameter def", last)
 	}
 	io.WriteString(c.conn, encodePacket(0, "\x18"+le32(id)+"\x00\x00lo")+encodePacket(0, "\x18"+le32(id)+"\x00\x00ng"))
 	c.execute(id, textParameter)
 	c.wantRows()
 	if longData := n.engines[0].longData; len(longData) != 1 || longData[0] != "long" {
-		t.Fatalf("long data %q", longData)
+		t.Fatalf("the engine received the long data %q, want one value, long", longData)
 	}
 	c.send(0x1a, le32(id))
 	c.wantOK("reset")
@@ -220,7 +222,7 @@
 	t.Parallel()
 	n := startSQLNode(t, 1, 4000, 1)
 	if _, p := dialSQL(t, n.addr, "lookup", "guess"); p[0] != 0xff || binary.LittleEndian.Uint16(p[1:]) != 1045 {
-		t.Fatalf("wrong password: %q", p)
+		t.Fatalf("wrong password: response %q, want error 1045", p)
 	}
 	c := n.login("lookup")
 	for text, code := range map[string]int{"BEGIN": 1235, "/* x */ start transaction": 1235, "SET autocommit=0": 1235, "commit": 1235} {
@@ -239,7 +241,7 @@
 	l.send(0x03, "load without a key")
 	l.wantErr(1105)
 	if runs := n.record.count(""); runs != 0 {
-		t.Fatalf("%d rejected statements were executed", runs)
+		t.Fatalf("%d rejected statements were executed, want none", runs)
 	}
 }
 
@@ -265,7 +267,7 @@
 	c := n.login("report") // rejected 1 s before its deadline, so that the error cannot be a timeout
 	c.send(0x03, "SELECT 1")
 	if text := c.wantErr(1040); !strings.Contains(text, "come back in 500 ms") {
-		t.Fatalf("rejected with %q", text)
+		t.Fatalf("rejected with %q, want a suggested delay of 500 ms", text)
 	}
 }
 
@@ -278,13 +280,13 @@
 	c.send(0x03, "wrong")
 	c.wantErr(1064) // an error of the statement is forwarded without a retry
 	if runs := n.record.count("wrong"); runs != 1 {
-		t.Fatalf("executed %d times", runs)
+		t.Fatalf("executed %d times, want 1", runs)
 	}
 	c = n.login("report")
 	c.send(0x03, "down")
 	c.wantErr(1040) // an engine error is retried on another engine; then the statement is rejected, as it is idempotent
 	if runs := n.record.count("down"); runs < 2 {
-		t.Fatalf("executed %d times", runs)
+		t.Fatalf("executed %d times, want at least 2", runs)
 	}
 	c.send(0x03, "cut") // after the first row there is no retry, and the client receives the error
 	c.read()
@@ -293,7 +295,7 @@
 	c.read()
 	c.wantErr(1105)
 	if runs := n.record.count("cut"); runs != 1 {
-		t.Fatalf("executed %d times", runs)
+		t.Fatalf("executed %d times, want 1", runs)
 	}
 }
 
@@ -329,10 +331,10 @@
 	c.send(0x03, "lose load")
 	c.wantOK("load")
 	if runs := n.record.count("lose"); runs < 2 {
-		t.Fatalf("executed %d times", runs)
+		t.Fatalf("executed %d times, want at least 2", runs)
 	}
 	if effects := n.record.effects["'k-1'"]; effects != 1 {
-		t.Fatalf("%d effects", effects)
+		t.Fatalf("the load took effect %d times, want once", effects)
 	}
 	c.send(0x03, "load again")
 	c.wantErr(1105) // a key is valid for only one load
@@ -369,7 +371,7 @@
 		t.Fatalf("A got new work after it was listed as draining")
 	}
 	if e := n.engines[1].executes[0]; string(e[10:]) != textParameter+"\x03abc" {
-		t.Fatalf("B received %q", e)
+		t.Fatalf("B received %q, want the types bound before and the parameter abc", e)
 	}
 }
 
@@ -406,7 +408,7 @@
 	other.wantRows() // the event loop must not be blocked
 	for range 4096 { // the following rows are complete
 		if p := c.read(); len(p) != 1027 {
-			t.Fatalf("a row of %d bytes", len(p))
+			t.Fatalf("a row of %d bytes, want 1027", len(p))
 		}
 	}
 }
@@ -430,7 +432,7 @@
 	}
 	c, p := dialSQL(t, addr, "u", "p")
 	if p[0] != 0 {
-		t.Fatalf("login: %q", p)
+		t.Fatalf("login: response %q, want OK", p)
 	}
 	c.send(0x03, "SELECT 1")
 	c.wantRows()
@@ -444,7 +446,7 @@
 		return err == nil
 	})
 	if c, p = dialSQL(t, addr, "u", "p"); p[0] != 0 {
-		t.Fatalf("login at the backup: %q", p)
+		t.Fatalf("login at the backup: response %q, want OK", p)
 	}
 	c.send(0x03, "SELECT 1")
 	c.wantRows()
--- a/cmd/frostpier/mysqlengine_test.go
+++ b/cmd/frostpier/mysqlengine_test.go
@@ -53,7 +53,7 @@
 	executions     []string       // "engine:statement", in order of execution
 	inFlight       map[string]int // attempts in flight by statement
 	maxInFlight    int            // highest number of concurrent attempts of one statement, over all engines
-	effects        map[string]int // by idempotency key
+	effects        map[string]int // number of loads that took effect, by idempotency key
 	kills          int
 	connectionLost bool // whether a "lose" statement has closed its connection already
 }
@@ -86,8 +86,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, o := range r.inFlight {
-		n += o
+	for _, attempts := range r.inFlight {
+		n += attempts
 	}
 	return n
 }
@@ -103,7 +103,7 @@
 	mu                 sync.Mutex
 	nextID             uint32
 	running            map[uint32]chan struct{} // by connection ID; closed to kill the statement
-	rejectsConnections bool                     // with "Too many connections"
+	rejectsConnections bool                     // rejects connections with the error "Too many connections"
 	executes           [][]byte
 	longData           []string
 }
@@ -137,7 +137,8 @@
 	}
 	e.mu.Lock()
 	e.nextID++
-	s := &sqlSession{conn: nc, id: e.nextID, statements: map[uint32]string{}, lastStatement: 70} // so that statement IDs differ from the gateway's
+	// Statement IDs start above those that the gateway assigns, so that the two differ.
+	s := &sqlSession{conn: nc, id: e.nextID, statements: map[uint32]string{}, lastStatement: 70}
 	e.mu.Unlock()
 	id := string(binary.LittleEndian.AppendUint32(nil, s.id))
 	io.WriteString(nc, encodePacket(0, "\x0a5.7.0\x00"+id+"abcdefgh\x00\xff\xf7\x2d\x02\x00\xff\x81\x15"+strings.Repeat("\x00", 10)+
@@ -238,7 +239,7 @@
 	e.record.executions = append(e.record.executions, e.name+":"+text)
 	e.record.inFlight[text]++
 	e.record.maxInFlight = max(e.record.maxInFlight, e.record.inFlight[text])
-	if s.idempotencyKey != "" && e.record.effects[s.idempotencyKey] == 0 { // the engines drop duplicates, as within the deduplication window
+	if s.idempotencyKey != "" && e.record.effects[s.idempotencyKey] == 0 { // a duplicate within the deduplication window has no effect
 		e.record.effects[s.idempotencyKey]++
 	}
 	e.record.mu.Unlock()
--- a/cmd/frostpier/oncall_test.go
+++ b/cmd/frostpier/oncall_test.go
@@ -143,8 +143,8 @@
 			t.Fatal(err)
 		}
 	}
-	const atLeast = 40 // fewer mean that logMessages misses calls
-	if found < atLeast {
-		t.Errorf("found only %d log messages", found)
+	const minMessages = 40 // fewer mean that logMessages misses calls
+	if found < minMessages {
+		t.Errorf("found only %d log messages, want at least %d", found, minMessages)
 	}
 }
--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -100,7 +100,7 @@
 	p := e.posts[0]
 	if p.body != statement || p.head.Get("X-Hop-Id") != "0000000000000001" || p.head.Get("X-Sort") != "form-load" ||
 		p.head.Get("X-Replay-Key") != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" {
-		t.Fatalf("the engine received %+v", p)
+		t.Fatalf("the engine received %+v, want the statement, id, class and key of the query", p)
 	}
 	c.submit(2, "lookup", "pages", 3000, "")
 	c.wantServed(2, "page0\tx\ty\npage1\tx\ty\npage2\tx\ty\n")
@@ -123,7 +123,7 @@
 	c.submit(4, "form-load", "x", 1000, "") // a load needs an idempotency key
 	c.wantError(4, -32602)
 	if n := e.received(""); n != 0 {
-		t.Fatalf("%d invalid requests reached the engine", n)
+		t.Fatalf("%d invalid requests reached the engine, want none", n)
 	}
 	c.sendLine(strings.Repeat("x", 2<<20))
 	if _, err := c.reader.ReadString('\n'); err == nil {
@@ -138,7 +138,7 @@
 	c := dialRPC(t, startNode(t, "", engineInService("e1", e.addr())))
 	c.submit(1, "lookup", "full", 1000, "")
 	if a := c.wantError(1, -32008); a.Error.Data.Backoff <= 0 || a.Error.Data.Backoff > 500 {
-		t.Fatalf("backoff %d", a.Error.Data.Backoff)
+		t.Fatalf("backoff of %d ms, want 1 to 500", a.Error.Data.Backoff)
 	}
 }
 
@@ -160,15 +160,15 @@
 			return bad.received(text) > 0
 		})
 		if total := bad.received(text) + good.received(text); total != id+retries {
-			t.Fatalf("%s: %d attempts for %d requests", text, total, id)
+			t.Fatalf("%s: %d attempts for %d requests, want %d", text, total, id, id+retries)
 		}
 		if bad.maxInFlight > 1 || good.maxInFlight > 1 {
-			t.Fatalf("%s: two concurrent attempts", text)
+			t.Fatalf("%s: a query had two attempts in flight at an engine", text)
 		}
 	}
 }
 
-// TestPlatformAbortAndCloseCancelQueries checks that a query is canceled on its engine when its client sends abort or disconnects.
+// TestPlatformAbortAndCloseCancelQueries checks that a query is cancelled on its engine when its client sends abort or disconnects.
 func TestPlatformAbortAndCloseCancelQueries(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
@@ -184,7 +184,7 @@
 	waitFor(t, "its cancellation", func() bool { return e.deletions() == 2 })
 }
 
-// TestPlatformDeadlineCancelsQuery checks that a query is rejected at its deadline and canceled on its engine.
+// TestPlatformDeadlineCancelsQuery checks that a query is rejected at its deadline and cancelled on its engine.
 func TestPlatformDeadlineCancelsQuery(t *testing.T) {
 	t.Parallel()
 	e := newHTTPEngine(t)
@@ -203,7 +203,7 @@
 	c := dialRPC(t, n)
 	c.sendLine(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
 	if a := c.readResponse(); a.Result == nil || a.Result.Serving == nil || !*a.Result.Serving {
-		t.Fatalf("ping: %+v", a)
+		t.Fatalf("ping: response %+v, want serving", a)
 	}
 	c.submit(2, "report", "sleep", 15000, "")
 	waitFor(t, "the query", func() bool { return e.received("sleep") == 1 })
@@ -212,13 +212,13 @@
 	late := dialRPC(t, n)
 	late.sendLine(`{"jsonrpc":"2.0","id":1,"method":"ping"}`)
 	if a := late.readResponse(); a.Result == nil || *a.Result.Serving {
-		t.Fatalf("ping: %+v", a)
+		t.Fatalf("ping during the shutdown: response %+v, want not serving", a)
 	}
 	late.submit(3, "lookup", "x", 3000, "")
 	late.wantServed(3, "a\tb\tc\n")
 	c.wantError(2, -32008)
 	if err := n.cmd.Wait(); err != nil {
-		t.Fatalf("exit: %v", err)
+		t.Fatalf("the program exited with %v, want exit code 0", err)
 	}
 }
 
@@ -227,12 +227,12 @@
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", "127.0.0.1:1"))
-	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
+	waitFor(t, "the discovery watch", func() bool { return n.discovery.connections() == 1 })
 	n.discovery.publish(engineEntry{"e1", "127.0.0.1:1", "z", "m", "terminated"})
 	n.discovery.publishRaw("{nonsense")
-	waitFor(t, "the reconnect", func() bool { return n.discovery.connected() == 2 })
+	waitFor(t, "the reconnect", func() bool { return n.discovery.connections() == 2 })
 	if n.discovery.requests[1] != "after 2" {
-		t.Fatalf("requested %q", n.discovery.requests[1])
+		t.Fatalf("the second watch requested %q, want the events after 2", n.discovery.requests[1])
 	}
 	n.discovery.publish(engineInService("e2", e.addr()))
 	c := dialRPC(t, n)
@@ -246,7 +246,7 @@
 	t.Parallel()
 	e := newHTTPEngine(t)
 	n := startNode(t, "", engineInService("e1", "127.0.0.1:1"))
-	waitFor(t, "the discovery watch", func() bool { return n.discovery.connected() == 1 })
+	waitFor(t, "the discovery watch", func() bool { return n.discovery.connections() == 1 })
 	c := dialRPC(t, n)
 	old := n.discovery
 	n.discovery.publish(engineEntry{"e1", "127.0.0.1:1", "z", "m", "terminated"})
@@ -261,15 +261,15 @@
 	n.config["bulletin"] = next.ln.Addr().String()
 	n.writeConfig()
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the new discovery watch", func() bool { return next.connected() == 1 })
+	waitFor(t, "the new discovery watch", func() bool { return next.connections() == 1 })
 	if next.requests[0] != "after 2" {
-		t.Fatalf("requested %q", next.requests[0])
+		t.Fatalf("the new watch requested %q, want the events after 2", next.requests[0])
 	}
 	next.publish(engineInService("e2", e.addr()))
 	c.submit(1, "lookup", "x", 3000, "")
 	c.wantServed(1, "a\tb\tc\n")
 	if _, err := old.conns[0].Read(make([]byte, 1)); err != io.EOF {
-		t.Fatalf("the old discovery connection: %v", err)
+		t.Fatalf("read from the old discovery connection: %v, want EOF", err)
 	}
 }
 
--- a/cmd/frostpier/program_test.go
+++ b/cmd/frostpier/program_test.go
@@ -137,7 +137,7 @@
 		n.cmd.Wait()
 		if log := n.log.String(); strings.Contains(log, "panic") || strings.Contains(log, "invariant broken") ||
 			strings.Contains(log, "DATA RACE") {
-			t.Errorf("the program's log:\n%s", log)
+			t.Errorf("the program's log shows a panic, a broken invariant or a data race:\n%s", log)
 		} else if t.Failed() {
 			t.Logf("the end of the program's log:\n%s", log[max(0, len(log)-4000):])
 		}
@@ -188,11 +188,11 @@
 
 // engineEntry is an entry of the engine list, as encoded by the discovery server.
 type engineEntry struct {
-	Name  string `json:"instanceId"`
-	Addr  string `json:"hostPort"`
-	Zone  string `json:"zone"`
-	Kind  string `json:"machineType"`
-	State string `json:"lifecycle"`
+	Name        string `json:"instanceId"`
+	Addr        string `json:"hostPort"`
+	Zone        string `json:"zone"`
+	MachineType string `json:"machineType"`
+	State       string `json:"lifecycle"`
 }
 
 // engineInService returns the entry of an engine in service.
@@ -206,7 +206,7 @@
 	mu       sync.Mutex
 	events   []map[string]any
 	conns    []net.Conn
-	requests []string // the first line of each connection
+	requests []string // first line received on each connection
 }
 
 func newDiscoveryServer(t *testing.T, engines ...engineEntry) *discoveryServer {
@@ -282,8 +282,8 @@
 	}
 }
 
-// connected returns how many connections have been accepted so far.
-func (f *discoveryServer) connected() int {
+// connections returns how many connections have sent a request so far.
+func (f *discoveryServer) connections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.requests)
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -50,7 +50,7 @@
 		for _, path := range append(logs, filepath.Join(opt.Dir, "controller.log")) {
 			text, _ := os.ReadFile(path)
 			if strings.Contains(string(text), "panic") || strings.Contains(string(text), "DATA RACE") {
-				t.Errorf("%s:\n%s", path, text)
+				t.Errorf("%s shows a panic or a data race:\n%s", path, text)
 			}
 		}
 		if t.Failed() {
@@ -99,11 +99,11 @@
 	verdicts := checkReplies(t, c, false)
 	t.Logf("%s, %v", s.Phase, verdicts)
 	if s.Phase != rollout.Done || verdicts[emulator.Corrupted] > 0 {
-		t.Errorf("%s: %s; %v", s.Phase, s.Reason, verdicts)
+		t.Errorf("%s: %s; %v; want phase done and no corrupted reply", s.Phase, s.Reason, verdicts)
 	}
-	st, err := controller.LastStatus(c.StateDir)
-	if err != nil || st.GatewayCounts[rollout.NewVersion] != changeGateways {
-		t.Errorf("status: %+v, %v", st, err)
+	status, err := controller.LastStatus(c.StateDir)
+	if err != nil || status.GatewayCounts[rollout.NewVersion] != changeGateways {
+		t.Errorf("status: %+v, error %v, want all gateways on the new version", status, err)
 	}
 }
 
@@ -119,11 +119,11 @@
 			verdicts := checkReplies(t, c, true)
 			t.Logf("%s: %s; %v", s.Phase, s.Reason, verdicts)
 			if s.Phase != rollout.RolledBack || s.Stage != 0 {
-				t.Errorf("%s in stage %d: %s", s.Phase, s.Stage+1, s.Reason)
+				t.Errorf("%s in stage %d: %s; want a rollback in stage 1", s.Phase, s.Stage+1, s.Reason)
 			}
-			st, err := controller.LastStatus(c.StateDir)
-			if err != nil || st.GatewayCounts[rollout.OldVersion] != changeGateways {
-				t.Errorf("status: %+v, %v", st, err)
+			status, err := controller.LastStatus(c.StateDir)
+			if err != nil || status.GatewayCounts[rollout.OldVersion] != changeGateways {
+				t.Errorf("status: %+v, error %v, want all gateways on the old version", status, err)
 			}
 		})
 	}
@@ -163,19 +163,19 @@
 		t.Fatal("the change did not finish in time")
 	}
 	if code := k.cmd.ProcessState.ExitCode(); code != exitOK {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want %d", code, exitOK)
 	}
 	checkReplies(t, c, false)
 	history, err := controller.History(c.StateDir, "")
 	if err != nil || len(history) == 0 {
-		t.Errorf("history: %d entries, %v", len(history), err)
+		t.Errorf("history: %d entries, error %v, want at least one entry", len(history), err)
 	}
 	status, err := controller.LastStatus(c.StateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if status.State.Phase != rollout.Done || status.GatewayCounts[rollout.NewVersion] != changeGateways {
-		t.Errorf("status: %+v", status)
+		t.Errorf("status: %+v, want phase done with all gateways on the new version", status)
 	}
 }
 
--- a/cmd/frostpier/subset_test.go
+++ b/cmd/frostpier/subset_test.go
@@ -72,7 +72,7 @@
 	<-changed
 	t.Logf("%v", verdicts)
 	if !servedAtLeast(verdicts, 0.97) || verdicts[emulator.Lost]+verdicts[emulator.Failed] > 0 {
-		t.Errorf("verdicts: %v", verdicts)
+		t.Errorf("verdicts: %v, want 97%% served and none lost or failed", verdicts)
 	}
 	for i := range s.Size() {
 		if log := s.Log(i); !strings.Contains(log, " engines=32 subset=") || strings.Contains(log, "invariant broken") {
--- a/cmd/frostpier/warmup_test.go
+++ b/cmd/frostpier/warmup_test.go
@@ -46,7 +46,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.opt.Gateways = warmupGateways
-			s := startLoad(t, 23, 0.9, c.opt)
+			s := startLoadedFleet(t, 23, 0.9, c.opt)
 			s.duration = faultDelay + warmupDuration
 			s.run(func() {
 				if c.fault != nil {
