--- a/internal/testbed/capacity/change.go
+++ b/internal/testbed/capacity/change.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// ChangeStep is a step of a change of primary or of configuration, with the time that a design sketch allows for it.
+// ChangeStep is a step of a change of primary or of configuration, with the time that the proposed design allows for it.
 type ChangeStep struct {
 	Name     string
 	Existing string  // what the program does for this step today
-	Seconds  float64 // duration in the sketch
+	Seconds  float64 // duration in the proposed design
 	Source   string  // setting or arithmetic from which the duration is derived
 }
 
-// Durations in the sketches, in seconds. They are settings or derived from settings; none is measured.
+// Durations in the proposed designs, in seconds. They are settings or derived from settings; none is measured.
 const (
 	roundTripSeconds = 2 * 0.038 // twice the longest one-way delay in the settings of the site
 	heartbeatSeconds = 0.5       // interval of heartbeats from an engine to the control machines
@@ -29,9 +29,9 @@
 			"a lease held at the control machines, with heartbeats every " + formatSeconds(heartbeatSeconds)},
 		{"decision", "absent", quorumSeconds,
 			"two round trips among the control machines (" + formatSeconds(roundTripSeconds) + " each at the site's longest delay)"},
-		{"telling", "absent; a new list of engines takes this path", m.propagationSeconds(),
-			"a one-way delay, and the parsing and applying of a full list at a gateway"},
-		{"switching", "absent; gateways stop using a draining engine in this time", drainSeconds + dialSeconds,
+		{"propagation", "absent; a new list of engines takes this path", m.propagationSeconds(),
+			"a one-way delay, and the time in which a gateway parses and applies a full list"},
+		{"switchover", "absent; gateways stop using a draining engine in this time", drainSeconds + dialSeconds,
 			"drain grace and connect timeout in the settings of the site"},
 	}
 }
@@ -52,11 +52,11 @@
 // ConfigurationChangeSteps returns the steps of a change of configuration.
 func (m Model) ConfigurationChangeSteps() []ChangeStep {
 	return []ChangeStep{
-		{"acceptance", "absent: a person edits a file; each gateway validates the whole file when it reads it", quorumSeconds,
+		{"validation and commit", "absent: a person edits a file; each gateway validates the whole file when it reads it", quorumSeconds,
 			"validated once and committed at the control machines, two round trips"},
-		{"carrying", "absent: another tool installs the file", m.propagationSeconds(), "pushed in the same way as a new list of engines"},
-		{"first zone and watch", "a staged change watches each stage for at least 30 s", watchSeconds, "a canary zone, watched for less than today's minimum"},
-		{"all others", "manual SIGHUP", m.propagationSeconds(), "pushed in the same way"},
+		{"distribution", "absent: another tool installs the file", m.propagationSeconds(), "pushed in the same way as a new list of engines"},
+		{"canary zone", "a staged change watches each stage for at least 30 s", watchSeconds, "shorter than today's minimum analysis window"},
+		{"all other zones", "manual SIGHUP", m.propagationSeconds(), "pushed in the same way"},
 		{"acknowledgment by all gateways",
 			"the version is piggybacked on membership datagrams, every 20 s to each member; not measured at this size", reserveSeconds,
 			"acknowledged on the connection that delivered it"},
@@ -64,9 +64,9 @@
 }
 
 // TotalSeconds returns the total duration of the steps.
-func TotalSeconds(parts []ChangeStep) (total float64) {
-	for _, part := range parts {
-		total += part.Seconds
+func TotalSeconds(steps []ChangeStep) (total float64) {
+	for _, step := range steps {
+		total += step.Seconds
 	}
 	return total
 }
--- a/internal/testbed/capacity/definitions.go
+++ b/internal/testbed/capacity/definitions.go
@@ -44,7 +44,7 @@
 	Name   string
 	Unit   string // UnitSeconds or another unit
 	SizeOf string // what the size counts: SizeOfEngines, SizeOfGateways or SizeOfConnections
-	Form   Form   // of the fitted curve
+	Form   Form   // form of the fitted curve
 }
 
 // Command returns the command line that measures the slope.
--- a/internal/testbed/capacity/effect.go
+++ b/internal/testbed/capacity/effect.go
@@ -58,8 +58,8 @@
 }
 
 func (m Model) clientEffect(state State) string {
-	quiet := m.Target.ClientsPerGateway()
-	switch moved := m.Target.ClientConnections - quiet*state.Gateways; {
+	perGateway := m.Target.ClientsPerGateway()
+	switch moved := m.Target.ClientConnections - perGateway*state.Gateways; {
 	case state.Phase == PhaseRegionsPartitioned:
 		return "clients stay within their region"
 	case state.Phase == PhaseZoneRecovered:
@@ -93,7 +93,7 @@
 		healing := m.estimate(PeakBytes.SlopeName(PhasePartitionHealed), gateways)
 		return fmt.Sprintf("%s, %s after healing; each side considers the other dead", text, formatBytesPerSecond(healing))
 	}
-	return text + ", all agree after " + formatSeconds(m.estimate(ConvergenceSeconds.SlopeName(state.Phase), gateways))
+	return text + ", views agree after " + formatSeconds(m.estimate(ConvergenceSeconds.SlopeName(state.Phase), gateways))
 }
 
 func (m Model) reportEffect(state State) string {
--- a/internal/testbed/capacity/fault.go
+++ b/internal/testbed/capacity/fault.go
@@ -71,7 +71,7 @@
 type Peak struct {
 	State
 	DecisionProcessor  float64 // share of a core used by decisions
-	Total              Cost    // without client connections
+	Total              Cost    // cost of the control plane, without client connections
 	MemoryWithClients  float64 // bytes of memory including client connections
 	MembershipBytes    float64 // bytes sent per second, without load reports
 	TopSenderBytes     float64 // bytes sent per second by the gateway that sends most, with load reports
@@ -110,7 +110,7 @@
 		compare("core", total.Processor, t.Processor),
 		compare("memory", total.Memory, t.MemoryBytes),
 		compare("bytes", total.BytesPerSecond, t.BytesPerSecond),
-		compare("bytes of one", peak.TopSenderBytes, t.BytesPerSecond),
+		compare("bytes of the gateway that sends most", peak.TopSenderBytes, t.BytesPerSecond),
 	}
 	return peak
 }
--- a/internal/testbed/capacity/firstmeasurements.go
+++ b/internal/testbed/capacity/firstmeasurements.go
@@ -1,6 +1,6 @@
 package capacity
 
-// firstMeasurement is a figure from a single run that issue 23 reported. The page compares it with the slopes.
+// firstMeasurement is a value that issue 23 reported from a single run. The page compares it with the slopes.
 type firstMeasurement struct {
 	description string
 	value       float64
@@ -28,7 +28,7 @@
 
 // firstMeasurementsTable returns a table that compares the first measurements with the slopes.
 func (m Model) firstMeasurementsTable() Table {
-	table := Table{Header: []string{"what", "first measured", "here, median", "here, least", "median over first"}}
+	table := Table{Header: []string{"quantity", "first measurement", "slope, median", "slope, minimum", "median / first measurement"}}
 	for _, first := range firstMeasurements() {
 		slope := m.Result.Slope(first.slope)
 		median, lowest := slope.EstimateAt(first.size).Value, slope.minAt(first.size)
--- a/internal/testbed/capacity/measure/decision.go
+++ b/internal/testbed/capacity/measure/decision.go
@@ -22,8 +22,8 @@
 type DecisionSetup struct {
 	Engines             int
 	Gateways            int           // number of gateways in the settings
-	StatementsPerSecond float64       // at this gateway
-	Duration            time.Duration // virtual time
+	StatementsPerSecond float64       // statements per second at this gateway
+	Duration            time.Duration // duration of the measured load, in virtual time
 	Seed                uint64
 }
 
--- a/internal/testbed/capacity/measure/discovery.go
+++ b/internal/testbed/capacity/measure/discovery.go
@@ -16,7 +16,7 @@
 
 // ListCost is the cost of a full list of engines at one gateway.
 type ListCost struct {
-	Bytes  float64 // on the wire
+	Bytes  float64 // length of the list on the wire
 	Parse  float64 // CPU seconds to parse the list
 	Apply  float64 // CPU seconds to apply the list to core and decision module
 	Memory float64 // bytes used by core and decision module afterwards
--- a/internal/testbed/capacity/measure/faults.go
+++ b/internal/testbed/capacity/measure/faults.go
@@ -23,12 +23,12 @@
 // running gateways, in the window of the phase in which this mean is highest.
 type PhaseCost struct {
 	Phase              capacity.Phase
-	PeakBytes          float64 // sent per second, over 10 s
+	PeakBytes          float64 // bytes sent per second, over 10 s
 	PeakBurst          float64 // bytes sent per second, over 5 s
 	PeakTopSender      float64 // bytes sent per second, over 10 s, by the gateway that sends most
 	SecondsOverBudget  float64 // how long the 10 s average of bytes exceeded the budget
 	SettledBytes       float64 // bytes sent per second in the last 10 s of the phase
-	PeakDatagrams      float64 // sent per second, over 10 s
+	PeakDatagrams      float64 // datagrams sent per second, over 10 s
 	PeakProcessor      float64 // CPU seconds per second, over 10 s, including the simulator
 	ConvergenceSeconds float64 // from the start of the phase until all membership views agreed; -1 = never
 }
@@ -113,8 +113,8 @@
 
 // sample holds the cumulative counters of a fleet at one time.
 type sample struct {
-	bytes     []int // sent, by gateway
-	datagrams int   // sent by all gateways together
+	bytes     []int // bytes sent, by gateway
+	datagrams int   // datagrams sent by all gateways together
 	processor time.Duration
 }
 
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -55,7 +55,7 @@
 	return membership.New(config)
 }
 
-// newDigest returns a digest that contains the ids of all engines but no load reports.
+// newDigest returns a digest that contains the IDs of all engines but no load reports.
 func newDigest(engines int) *loadreport.Digest {
 	digest, numbers := loadreport.New(), make([]uint64, engines)
 	for i := range numbers {
--- a/internal/testbed/capacity/measure/measure_test.go
+++ b/internal/testbed/capacity/measure/measure_test.go
@@ -43,19 +43,19 @@
 		t.Fatal(err)
 	}
 	setup.Engines, setup.ReportsPerSecond = 8, 2
-	with, err := Faults(setup, false)
+	withReports, err := Faults(setup, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, phase := range capacity.Phases() {
-		if alone[i].Phase != phase || with[i].Phase != phase {
-			t.Fatalf("phase %q without and %q with load reports, want %q", alone[i].Phase, with[i].Phase, phase)
+		if alone[i].Phase != phase || withReports[i].Phase != phase {
+			t.Fatalf("phase %q without and %q with load reports, want %q", alone[i].Phase, withReports[i].Phase, phase)
 		}
 		if agreed := alone[i].ConvergenceSeconds >= 0; agreed != (phase != capacity.PhaseRegionsPartitioned) {
 			t.Errorf("%s: views agreed after %v s; want no agreement (-1) only while partitioned", phase, alone[i].ConvergenceSeconds)
 		}
-		if alone[i].PeakBytes <= 0 || with[i].PeakBytes <= alone[i].PeakBytes || alone[i].PeakTopSender < alone[i].PeakBytes {
-			t.Errorf("%s: unexpected peaks: %+v without load reports, %+v with", phase, alone[i], with[i])
+		if alone[i].PeakBytes <= 0 || withReports[i].PeakBytes <= alone[i].PeakBytes || alone[i].PeakTopSender < alone[i].PeakBytes {
+			t.Errorf("%s: unexpected peaks: %+v without load reports, %+v with", phase, alone[i], withReports[i])
 		}
 	}
 }
--- a/internal/testbed/capacity/measure/membership.go
+++ b/internal/testbed/capacity/measure/membership.go
@@ -10,7 +10,7 @@
 
 // QuietCost is the cost of membership without faults at one gateway.
 type QuietCost struct {
-	BytesPerSecond float64 // sent per second
+	BytesPerSecond float64 // bytes sent per second
 	Processor      float64 // CPU seconds per second, including the simulator
 	Memory         float64 // bytes
 }
--- a/internal/testbed/capacity/measure/process.go
+++ b/internal/testbed/capacity/measure/process.go
@@ -9,7 +9,7 @@
 // virtualEpoch is the initial time of virtual clocks, as the duration since the Unix epoch.
 const virtualEpoch = 1_800_000_000 * time.Second
 
-// engineNumber returns the id of an engine. Load reports contain only one half of the id, so both halves are unique.
+// engineNumber returns the ID of an engine. Load reports contain only one half of the ID, so both halves are unique.
 func engineNumber(i int) uint64 { return uint64(i+1)<<32 | uint64(i+1) }
 
 // processorTime returns the user and system CPU time of this process, or 0 if it is unavailable. It covers all goroutines,
--- a/internal/testbed/capacity/measure/reports.go
+++ b/internal/testbed/capacity/measure/reports.go
@@ -16,7 +16,7 @@
 	KnownShare     float64 // share of engines for which a gateway holds an unexpired report, mean over gateways
 	AgeSeconds     float64 // mean over the unexpired reports of all gateways
 	Processor      float64 // CPU seconds per second and gateway, for membership, reports and the simulator
-	BytesPerSecond float64 // sent per gateway, for membership and reports
+	BytesPerSecond float64 // bytes sent per second and gateway, for membership and reports
 }
 
 // SharedReports measures the coverage and the cost of shared load reports in a fleet without faults.
--- a/internal/testbed/capacity/measure/runner.go
+++ b/internal/testbed/capacity/measure/runner.go
@@ -18,13 +18,13 @@
 
 // Conditions of the measurements.
 const (
-	lowReportRate  = 6 // load reports per second and gateway, as in the simulated days
+	lowReportRate  = 6 // load reports per second and gateway, as in simulations of a day
 	faultEngines   = 30
 	faultReports   = 2 // load reports per second and gateway: enough to fill every datagram
 	timedRuns      = 3 // runs of each measurement that reads processor time or memory
 	detectionKills = 10
 	listRepeats    = 20
-	decisionTime   = time.Second // virtual time
+	decisionTime   = time.Second // duration of the measured load, in virtual time
 )
 
 // fleetSize is the size of a simulated fleet.
--- a/internal/testbed/capacity/model.go
+++ b/internal/testbed/capacity/model.go
@@ -45,7 +45,7 @@
 type Cost struct {
 	Processor      float64 // share of a core
 	Memory         float64 // bytes
-	BytesPerSecond float64 // sent on the network
+	BytesPerSecond float64 // bytes sent on the network per second
 }
 
 // Add returns the sum of two costs.
--- a/internal/testbed/capacity/model_test.go
+++ b/internal/testbed/capacity/model_test.go
@@ -103,7 +103,7 @@
 // without a marker of a block is rejected.
 func TestFillReplacesBlocks(t *testing.T) {
 	blocks := map[string]string{"one": "text\n"}
-	for page, marker := range map[string]string{"no markers": beginMarker("one"), beginMarker("one"): endMarker("one")} {
+	for page, marker := range map[string]string{"no markers": beginMarker("one"), beginMarker("one"): endMarker("one")} { // the first missing marker, by page
 		_, err := Fill(page, blocks)
 		var missing *MarkerError
 		if !errors.As(err, &missing) || *missing != (MarkerError{Block: "one", Marker: marker}) {
--- a/internal/testbed/capacity/outcome.go
+++ b/internal/testbed/capacity/outcome.go
@@ -33,7 +33,7 @@
 		worst.Name, formatNumber(worst.FactorAtTarget))
 }
 
-// faultText says for how long the traffic exceeds the budget in a partition between regions and after its healing.
+// faultText describes for how long the traffic exceeds the budget in a partition between regions and after its healing.
 func (m Model) faultText() string {
 	over := func(quantity PhaseQuantity, phase Phase) string {
 		return formatSeconds(m.secondsOverBudget(quantity.SlopeName(phase), m.Target.Gateways))
@@ -43,7 +43,7 @@
 		over(PeakBytesWithReports, PhasePartitionHealed), over(PeakBytes, PhasePartitionHealed))
 }
 
-// subsetText says what decisions cost with subsets.
+// subsetText describes the cost of decisions with subsets.
 func (m Model) subsetText() string {
 	t := m.Target
 	factor := m.decisionCost(SubsetSize, t.StatementsPerGateway()).Processor / t.Processor
--- a/internal/testbed/capacity/pagetables.go
+++ b/internal/testbed/capacity/pagetables.go
@@ -86,7 +86,7 @@
 func (m Model) peakTable() Table {
 	table := Table{Header: []string{
 		"state",
-		"how often",
+		"frequency",
 		"gateways, engines",
 		"statements/s per gateway",
 		"processor: decisions",
@@ -96,7 +96,7 @@
 		"bytes/s, all control",
 		"bytes/s of the gateway that sends most",
 		"over 3 KB/s for",
-		"all agree after",
+		"views agree after",
 		"use over budget: core, memory, mean bytes, bytes of the gateway that sends most",
 	}}
 	for _, peak := range m.Peaks() {
@@ -140,36 +140,37 @@
 	return strings.Join(list, ", ")
 }
 
-func partTable(parts []ChangeStep) Table {
-	table := Table{Header: []string{"part", "today", "seconds in the sketch", "from"}}
-	for _, part := range parts {
-		table.Rows = append(table.Rows, []string{part.Name, part.Existing, formatNumber(part.Seconds), part.Source})
+func changeTable(steps []ChangeStep) Table {
+	table := Table{Header: []string{"step", "today", "seconds in the proposed design", "source"}}
+	for _, step := range steps {
+		table.Rows = append(table.Rows, []string{step.Name, step.Existing, formatNumber(step.Seconds), step.Source})
 	}
-	table.Rows = append(table.Rows, []string{"sum", "", formatNumber(TotalSeconds(parts)), ""})
+	table.Rows = append(table.Rows, []string{"total", "", formatNumber(TotalSeconds(steps)), ""})
 	return table
 }
 
 func (m Model) primaryText() string {
 	median, longest := m.MembershipDetectionTimes()
-	withSwitching := median + drainSeconds + dialSeconds
+	withSwitchover := median + drainSeconds + dialSeconds
 	limit := m.Target.PrimaryDeadline.Seconds()
-	return partTable(m.PrimaryChangeSteps()).Markdown() + fmt.Sprintf("\nNo mechanism performs a change of primary today. If membership did detection and "+
-		"telling, these alone would take %s (median; %s for the slowest of the measured kills), and together with switching %s of the %s: "+
-		"misses by %sx. The seconds in the sketch are settings and arithmetic, not measurements.\n", formatSeconds(median), formatSeconds(longest),
-		formatSeconds(withSwitching), formatSeconds(limit), formatNumber(withSwitching/limit))
+	return changeTable(m.PrimaryChangeSteps()).Markdown() + fmt.Sprintf("\nNo mechanism performs a change of primary today. If membership performed "+
+		"detection and propagation, these two steps would take %s (median; %s for the slowest of the measured kills). With the switchover the change "+
+		"would take %s, with a limit of %s: misses by %sx. The seconds in the proposed design are settings and arithmetic, not measurements.\n",
+		formatSeconds(median), formatSeconds(longest), formatSeconds(withSwitchover), formatSeconds(limit), formatNumber(withSwitchover/limit))
 }
 
 func (m Model) configurationText() string {
 	limit := m.Target.ConfigurationDeadline.Seconds()
-	return partTable(m.ConfigurationChangeSteps()).Markdown() + fmt.Sprintf("\nNo mechanism distributes a configuration today. A staged change takes at least "+
-		"30 s per stage, %s times the %s allowed for the whole change. A restart overlaps with %s of the changes, if both are spread evenly over the day.\n",
+	return changeTable(m.ConfigurationChangeSteps()).Markdown() + fmt.Sprintf("\nNo mechanism distributes a configuration today. A staged change takes "+
+		"at least 30 s per stage, %s times the %s allowed for the whole change. A restart overlaps with %s of the changes, if both are "+
+		"spread evenly over the day.\n",
 		formatNumber(minWatchSeconds/limit), formatSeconds(limit), formatPercent(m.Target.RestartOverlap()))
 }
 
 // rankingText returns the table of the requirements that are missed, and a line that lists those that are met.
 func (m Model) rankingText() string {
 	table := Table{Header: []string{
-		"place",
+		"rank",
 		"requirement",
 		"missed",
 		"from (gateways x engines)",
@@ -178,12 +179,12 @@
 		"missing mechanism",
 	}}
 	var met []string
-	for place, ranked := range m.Ranking() {
+	for index, ranked := range m.Ranking() {
 		if !ranked.Missed {
 			met = append(met, fmt.Sprintf("%s (x%s)", ranked.Name, formatNumber(ranked.FactorAtTarget)))
 			continue
 		}
-		table.Rows = append(table.Rows, []string{fmt.Sprint(place + 1), ranked.Name, string(ranked.Condition), m.fleetSizeText(ranked),
+		table.Rows = append(table.Rows, []string{fmt.Sprint(index + 1), ranked.Name, string(ranked.Condition), m.fleetSizeText(ranked),
 			"x" + formatNumber(ranked.FactorAtCurrent), "x" + formatNumber(ranked.FactorAtTarget), ranked.MissingMechanism})
 	}
 	return table.Markdown() + "\nMet at the target, with use over limit: " + strings.Join(met, "; ") + ".\n"
@@ -199,7 +200,7 @@
 }
 
 func (m Model) subsetTable() Table {
-	table := Table{Header: []string{"at 800 x 1,100", "all engines", fmt.Sprintf("%d engines a gateway", SubsetSize), "limit"}}
+	table := Table{Header: []string{"quantity, at 800 x 1,100", "all engines", fmt.Sprintf("%d engines per gateway", SubsetSize), "limit"}}
 	for _, row := range m.SubsetRows() {
 		format := func(value float64) string { return formatQuantity(value, row.Unit) }
 		if row.Unit == "share of a core" {
--- a/internal/testbed/capacity/ranking.go
+++ b/internal/testbed/capacity/ranking.go
@@ -9,10 +9,10 @@
 // see fleetAt.
 type RankedRequirement struct {
 	Requirement
-	Missed                          bool    // by a fleet on the path, which includes the target
-	Gateways, Engines               float64 // of the smallest fleet that misses it, or of the target if none does
+	Missed                          bool    // a fleet on the path misses the requirement; the path includes the target
+	Gateways, Engines               float64 // size of the smallest fleet that misses it, or of the target if none does
 	FactorAtCurrent, FactorAtTarget float64 // use divided by limit
-	position                        float64 // of that fleet on the path
+	position                        float64 // position of that fleet on the path, see fleetAt
 }
 
 // fleetAt returns the size of the fleet at a position on the growth path: 0 is an empty fleet, 1 is the current fleet and 2
--- a/internal/testbed/capacity/requirement.go
+++ b/internal/testbed/capacity/requirement.go
@@ -39,7 +39,7 @@
 				return (m.estimate(PeakBytesWithReports.SlopeName(PhaseQuiet), gateways) + m.stagedCost(gateways).BytesPerSecond) / t.BytesPerSecond
 			}},
 		{Name: "memory within 256 MB, without client connections", Condition: ConditionAlways, Factor: m.memoryFactor},
-		{Name: "a full list received within 3 KB/s over 10 s", Condition: ConditionFaultOnly, MissingMechanism: "lists in parts, paced",
+		{Name: "a full list received within 3 KB/s over 10 s", Condition: ConditionFaultOnly, MissingMechanism: "lists split into parts, at a limited rate",
 			Factor: func(_, engines float64) float64 {
 				return m.estimate(ListBytes, engines) / peakWindowSeconds / t.BytesPerSecond
 			}},
--- a/internal/testbed/capacity/role.go
+++ b/internal/testbed/capacity/role.go
@@ -16,7 +16,7 @@
 	RoleEngineSide      RoleName = "connections to engines"
 	RoleMembership      RoleName = "membership"
 	RoleLoadReports     RoleName = "shared load reports"
-	RoleDiscovery       RoleName = "discovery's server and its watchers"
+	RoleDiscovery       RoleName = "discovery server and its watchers"
 	RoleConfiguration   RoleName = "configuration"
 	RoleStagedChange    RoleName = "staged change"
 	RolePrimaries       RoleName = "tracking of primaries"
--- a/internal/testbed/capacity/scale.go
+++ b/internal/testbed/capacity/scale.go
@@ -52,12 +52,12 @@
 		"statements/s per real gateway",
 		"processor",
 		"resident MB",
-		"bytes/s, mean",
-		"bytes/s, highest over 10 s",
+		"bytes/s sent, mean",
+		"bytes/s sent, maximum over 10 s",
 		"connections",
-		"all know after s",
+		"convergence, s",
 		"engines used",
-		"of these known",
+		"share with known load",
 	}}
 	for number, run := range r.Runs {
 		for _, step := range run.Steps {
--- a/internal/testbed/capacity/table.go
+++ b/internal/testbed/capacity/table.go
@@ -33,7 +33,7 @@
 
 // SlopeTable returns a table of all slopes with their points, fit, residual, estimate for the target and command.
 func SlopeTable(result Result) Table {
-	table := Table{Header: []string{"slope", "measured at", "runs at each", "spread", "fit", "residual", "at the target", "command"}}
+	table := Table{Header: []string{"slope", "measured at", "runs per size", "spread", "fit", "residual", "at the target", "command"}}
 	target := ExpectedTarget()
 	for _, slope := range result.Slopes {
 		fit, estimate := slope.Fit(), slope.EstimateAt(target.sizeOf(slope))
@@ -100,7 +100,7 @@
 	case estimate.Extrapolated:
 		return text + extrapolatedSuffix
 	case estimate.Measured:
-		return text + " (measured there)"
+		return text + " (measured at this size)"
 	}
 	return text
 }
--- a/internal/testbed/capacity/target.go
+++ b/internal/testbed/capacity/target.go
@@ -21,8 +21,8 @@
 type Budget struct {
 	Processor       float64 // share of a core
 	MemoryBytes     float64
-	BytesPerSecond  float64 // sent
-	ControlMachines float64 // in the whole fleet
+	BytesPerSecond  float64 // bytes sent on the network
+	ControlMachines float64 // number of control machines in the fleet
 }
 
 // Changes holds the rates of changes to the fleet, and the time within which a change must be in force everywhere.
