--- a/internal/testbed/scale/golden_test.go
+++ b/internal/testbed/scale/golden_test.go
@@ -16,7 +16,7 @@
 	}
 	file, err := DecodeFile(text)
 	if err != nil || len(file.Runs) == 0 || len(file.Runs[0].Steps) == 0 {
-		t.Fatalf("%d runs, %v", len(file.Runs), err)
+		t.Fatalf("%d runs, error %v; want at least one run with steps", len(file.Runs), err)
 	}
 	again, err := file.Encode()
 	if err != nil {
--- a/internal/testbed/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Step is a step of a run, under its name in the option --steps and in result files.
+// Step is the name of a step of a run, as in the option --steps and in result files.
 type Step string
 
 // Steps, in the order in which they are run.
@@ -64,7 +64,7 @@
 	QuietStep          time.Duration // length of StepQuiet and StepLoaded
 	MinPartition       time.Duration // minimum length of the partition between regions
 	RestartPeriod      time.Duration // period over which the restarts are spread
-	Settle             time.Duration // how long a step is still measured after the fleet has converged
+	Settle             time.Duration // time after convergence that still belongs to the measurement of a step
 	ConvergenceTimeout time.Duration // timeout of each wait for the fleet to converge; the step then fails
 }
 
--- a/internal/testbed/scale/runner/steps.go
+++ b/internal/testbed/scale/runner/steps.go
@@ -12,15 +12,15 @@
 
 // Names of the parts of steps that have two parts: the fault and the recovery. They are stored in result files.
 const (
-	machinesLost  = "machines-lost"
-	machinesBack  = "machines-back"
-	zoneLost      = "zone-lost"
-	zoneBack      = "zone-back"
-	regionsCut    = "regions-cut"
-	regionsHealed = "regions-healed"
+	machinesLost       = "machines-lost"
+	machinesRecovered  = "machines-back"
+	zoneLost           = "zone-lost"
+	zoneRecovered      = "zone-back"
+	regionsPartitioned = "regions-cut"
+	regionsHealed      = "regions-healed"
 )
 
-// partOutcome holds the measurements of a part of a step that are not made by the sampler.
+// partOutcome holds the measurements of a part of a step, except those of the sampler.
 type partOutcome struct {
 	convergence time.Duration // time until the fleet converged; 0 if nothing changed
 	statements  float64       // statements per second that clients sent to each real gateway
@@ -55,7 +55,7 @@
 type part struct {
 	name    string
 	run     func(context.Context) (partOutcome, error)
-	settles bool // measured for Durations.Settle longer than it runs
+	settles bool // the measurement continues for Durations.Settle after run has returned
 }
 
 // parts returns the parts of a step.
@@ -68,11 +68,11 @@
 	case scale.StepRestarts:
 		return []part{{string(step), r.restarts, true}}
 	case scale.StepMachineFailures:
-		return []part{{machinesLost, r.failMachines, true}, {machinesBack, r.recoverMachines, true}}
+		return []part{{machinesLost, r.failMachines, true}, {machinesRecovered, r.recoverMachines, true}}
 	case scale.StepZoneFailure:
-		return []part{{zoneLost, r.failZone, true}, {zoneBack, r.recoverZone, true}}
+		return []part{{zoneLost, r.failZone, true}, {zoneRecovered, r.recoverZone, true}}
 	case scale.StepRegionPartition:
-		return []part{{regionsCut, r.partitionRegions, true}, {regionsHealed, r.healRegions, true}}
+		return []part{{regionsPartitioned, r.partitionRegions, true}, {regionsHealed, r.healRegions, true}}
 	case scale.StepEngineListChange:
 		return []part{{string(step), r.changeList, true}}
 	case scale.StepReconnect:
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -50,10 +50,11 @@
 func TestNewPlanIsDeterministic(t *testing.T) {
 	a, b := NewPlan(fullSize, DefaultDurations(), AllSteps(), 5), NewPlan(fullSize, DefaultDurations(), AllSteps(), 5)
 	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.RestartOrder, NewPlan(fullSize, DefaultDurations(), AllSteps(), 6).RestartOrder) {
-		t.Error("the seed does not determine the plan")
+		t.Error("plans of the same seed differ, or those of two seeds have the same order of restarts")
 	}
 	if len(a.RestartOrder) != 330 || len(a.FailedMembers) != 3 || len(a.ReplacedEngines) != 55 || slices.Contains(a.Steps, StepLoaded) {
-		t.Errorf("%d restarts, %d machines, %d engines, %v", len(a.RestartOrder), len(a.FailedMembers), len(a.ReplacedEngines), a.Steps)
+		t.Errorf("%d restarts, %d machine failures, %d replaced engines, steps %v; want 330, 3 and 55, without the step loaded",
+			len(a.RestartOrder), len(a.FailedMembers), len(a.ReplacedEngines), a.Steps)
 	}
 	if a.RestartOrder[0] >= fullSize.RealGateways || a.FailedMembers[0] >= fullSize.RealGateways {
 		t.Error("restarts or machine failures do not affect a real gateway")
@@ -73,7 +74,7 @@
 		m, e := fullSize.MembersIn(zone), fullSize.EnginesIn(zone)
 		members, engines = members+len(m), engines+len(e)
 		if len(m) < 114 || len(m) > 115 || len(e) < 157 || len(e) > 158 {
-			t.Errorf("zone %d: %d members, %d engines", zone, len(m), len(e))
+			t.Errorf("zone %d: %d members, %d engines; want 114 or 115 members, 157 or 158 engines", zone, len(m), len(e))
 		}
 		for _, member := range m {
 			if fullSize.RegionOf(member) != fullSize.RegionOf(m[0]) {
@@ -83,10 +84,12 @@
 		regions[fullSize.RegionOf(m[0])] = true
 	}
 	if members != 800 || engines != 1100 || len(regions) != 2 {
-		t.Errorf("%d members, %d engines, %d regions", members, engines, len(regions))
+		t.Errorf("all zones together: %d members, %d engines, %d regions; want 800, 1100 and 2", members, engines, len(regions))
 	}
 }
 
+// Checks that PeakRate returns the highest rate over any PeakWindow, or the rate over all samples if they cover a shorter time, and
+// that one sample has the rate 0.
 func TestPeakRateIsMaximumOverWindow(t *testing.T) {
 	var samples []Sample
 	total := 0.0
@@ -108,6 +111,8 @@
 	}
 }
 
+// Checks that a file is unchanged by encoding and decoding, that the results of a step are sorted by size, and that a truncated file
+// is rejected.
 func TestFileEncodingRoundTrips(t *testing.T) {
 	step := func(hollow int) StepResult {
 		return StepResult{Name: "quiet", RealGateways: 8, HollowGateways: hollow, SentBytesPerSecond: float64(hollow)}
@@ -119,10 +124,10 @@
 	}
 	out, err := DecodeFile(text)
 	if err != nil || !reflect.DeepEqual(in, out) {
-		t.Fatalf("%+v %v", out, err)
+		t.Fatalf("decoded %+v, error %v; want %+v", out, err, in)
 	}
 	if results := out.ResultsBySize("quiet"); len(results) != 2 || results[0].Members() != 100 || results[1].Members() != 400 {
-		t.Errorf("%+v", results)
+		t.Errorf("results of the step quiet: %+v, want those of 100 and 400 members", results)
 	}
 	if _, err := DecodeFile([]byte("{")); err == nil {
 		t.Error("no error for a truncated file")
--- a/internal/testbed/scale/sizes.go
+++ b/internal/testbed/scale/sizes.go
@@ -40,13 +40,13 @@
 // Resources that a run requires, rounded up from measurements. Memory is in bytes.
 const (
 	gatewayBytes                = 96 << 20  // a gateway process with 1,100 engines and 800 members
-	hollowProcessBytes          = 24 << 20  // a process of hollow gateways or engines that has none yet
+	hollowProcessBytes          = 24 << 20  // a process of hollow gateways or engines, without them
 	hollowGatewayBytes          = 512 << 10 // a hollow gateway without its tables
 	hollowBytesPerMember        = 400       // a member in the tables of a hollow gateway
 	hollowBytesPerEngine        = 400       // an engine in the tables of a hollow gateway
 	engineBytes                 = 16 << 10  // a hollow engine
 	connectionBytes             = 24 << 10  // a connection at a hollow engine or a client
-	relayBytesPerMember         = 16 << 10  // a relay address and a watch of the discovery server
+	relayBytesPerMember         = 16 << 10  // a member's relay socket and its watch of the discovery server
 	watchBytesPerEngine         = 512       // an event in the send queue of a watch
 	connectionsPerGateway       = 1.25      // a gateway's connections to an engine, including those reserved for urgent queries
 	otherDescriptors            = 64        // files, pipes and descriptors of the Go runtime
@@ -130,7 +130,7 @@
 type ValueError struct {
 	Option string
 	Value  string
-	Bounds string // completes "must be"
+	Bounds string // the accepted values, as in "must be between 1 and 5"
 }
 
 // Error returns a message with the option, its value and the bounds.
