--- a/cmd/fleettest/account.go
+++ b/cmd/fleettest/account.go
@@ -18,7 +18,7 @@
 	Out  string `default:"found/fleettest/account" help:"Path of the Markdown file with the tables, without its extension."`
 }
 
-// attempt is an attempt of a request, with the state of the engine as its gateway knew it when it chose the engine. Times are in
+// attempt is an attempt of a request, with what its gateway knew about the engine when it chose the engine. Times are in
 // milliseconds.
 type attempt struct {
 	sentAt        float64
@@ -29,7 +29,7 @@
 	engine        string
 	threads       float64 // threads that an attempt of its class uses
 	window        float64 // total threads that the gateway may have in flight
-	overloadRatio float64 // estimated ratio of the fleet's load to the load above which the window decreases
+	overloadRatio float64 // estimated load of the fleet, divided by the load above which the window decreases
 	endedAt       float64 // 0 = the logs have no end of the attempt
 	outcome       string
 }
--- a/cmd/fleettest/account_test.go
+++ b/cmd/fleettest/account_test.go
@@ -43,7 +43,7 @@
 	for _, want := range []string{"2 gateways, 2 attempts", "| refused with no attempt | 1 | 0.500 |", "| limit | 1 | 1.000 |",
 		"| 250 to 500 | 1 | 0.500 | 4.0 | 1.0 | 3.0 |", "| no report yet | 1 | 0.500 | 1.0 | 0.0 | 1.0 |"} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("no %q in\n%s", want, text)
+			t.Errorf("the tables do not contain %q:\n%s", want, text)
 		}
 	}
 	if err := (&accountCommand{Logs: t.TempDir(), Out: out}).Run(); err == nil {
--- a/cmd/fleettest/accounttable.go
+++ b/cmd/fleettest/accounttable.go
@@ -71,7 +71,7 @@
 	return byEngine
 }
 
-// estimateBucket has sums over the gateways' estimates of the load of engines, for one range of load report ages.
+// estimateBucket sums up the gateways' estimates of the load of engines whose load reports have an age in one range.
 type estimateBucket struct {
 	attempts       int     // number of estimates, one for each attempt
 	actual         float64 // sum of the attempts in flight
@@ -143,7 +143,7 @@
 const (
 	intervalMS = 5000 // length of an interval
 
-	queueRecordsPerSecond = 10 // records that a gateway logs of a queued request
+	queueRecordsPerSecond = 10 // records that a gateway logs per second for a queued request
 
 	outcomeCancelled = "6" // outcome of a cancelled attempt in the logs
 )
--- a/cmd/fleettest/capacity_test.go
+++ b/cmd/fleettest/capacity_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// notOnPage reports whether a slope is one of the quantities of phases that are in the result file, but not on the page.
+// notOnPage reports whether a slope is of a phase quantity that the result file contains but the page does not show.
 func notOnPage(name string) bool {
 	return strings.Contains(name, string(capacity.PeakDatagrams)) || strings.Contains(name, string(capacity.PeakProcessorTime))
 }
--- a/cmd/fleettest/distribution.go
+++ b/cmd/fleettest/distribution.go
@@ -12,7 +12,7 @@
 	"frostpier/internal/testbed/testfleet"
 )
 
-// distributionCommand is the subcommand spread: it compares how evenly versions of the program spread load over engines.
+// distributionCommand is the subcommand spread. It compares how evenly versions of the program distribute load over engines.
 type distributionCommand struct {
 	Gateways    int            `default:"24" help:"Number of gateways."`
 	Engines     int            `default:"8" help:"Number of emulated engines, all of one machine type."`
--- a/cmd/fleettest/gateway.go
+++ b/cmd/fleettest/gateway.go
@@ -11,7 +11,8 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// gatewayCommand runs the program with the fault that the environment variable FLEETTEST_FAULT names, as a faulty version of it.
+// gatewayCommand runs a gateway with the fault that the environment variable FLEETTEST_FAULT names. It serves as a faulty version
+// of the program.
 type gatewayCommand struct{}
 
 // Run runs a gateway until SIGTERM. SIGHUP reloads the operator's file.
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -25,11 +25,11 @@
 	defer file.Close()
 	rows, err := csv.NewReader(file).ReadAll()
 	if err != nil || len(rows) != 3 || rows[1][0] != "10" || rows[2][3] != "8" {
-		t.Fatalf("%v, %v", rows, err)
+		t.Fatalf("rows %v, error %v; want a header and the sizes 10 and 20, with 8 kills each", rows, err)
 	}
 	for _, name := range []string{"membership-simulated.md", "membership-simulated.svg"} {
 		if text, err := os.ReadFile(filepath.Join(dir, name)); err != nil || len(text) < 100 {
-			t.Errorf("%s: %d bytes, %v", name, len(text), err)
+			t.Errorf("%s: %d bytes, error %v; want at least 100 bytes", name, len(text), err)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || !strings.Contains(string(text), "<svg") {
-		t.Fatalf("%d bytes, %v", len(text), err)
+		t.Fatalf("chart of %d bytes, error %v; want an SVG image", len(text), err)
 	}
 	rows := resultTable([]testfleet.Result{{Step: "1", Action: "kill", DetectionTimes: []time.Duration{time.Second, 3 * time.Second}}}).rows
 	if rows[0][3] != "3.0 / 3.0" || rows[0][4] != "-" {
@@ -66,7 +66,7 @@
 func TestScenarioFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatal(files, err)
+		t.Fatalf("scenario files %v, error %v; want at least one", files, err)
 	}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
--- a/cmd/fleettest/progress.go
+++ b/cmd/fleettest/progress.go
@@ -26,7 +26,7 @@
 	return func() time.Duration { return time.Since(start) }
 }
 
-// resetDir creates an empty directory. It deletes what is at the path.
+// resetDir creates an empty directory. It first deletes any file or directory at the path.
 func resetDir(path string) error {
 	if err := os.RemoveAll(path); err != nil {
 		return err
--- a/cmd/fleettest/rollout.go
+++ b/cmd/fleettest/rollout.go
@@ -29,7 +29,7 @@
 }
 
 const (
-	goodKind = "good" // a change without a fault
+	goodKind = "good" // kind of a change without a fault
 
 	phaseRollingRestart rollout.Phase = "rolled" // result of a rolling restart, which has no phases
 
@@ -195,9 +195,9 @@
 	}
 }
 
-// affected reports whether a change affected a query: any query that was lost, failed, unanswered or answered with a wrong
-// result; and at a gateway that had the new version from the start, also one that was rejected or served too late for its
-// latency objective.
+// affected reports whether a change affected a query. It returns true for every query that was lost, failed, unanswered or
+// answered with a wrong result. At a gateway that had the new version from the start, it also returns true for a query that was
+// rejected or that missed its latency objective.
 func affected(o emulator.Outcome, newVersion bool) bool {
 	switch o.Verdict {
 	case emulator.Served, emulator.Rejected:
--- a/cmd/fleettest/rollouttable.go
+++ b/cmd/fleettest/rollouttable.go
@@ -9,7 +9,7 @@
 	"frostpier/internal/testbed/emulator"
 )
 
-// rolloutSummary has the sums of the results of one kind of change. It does not include runs that ended with an error.
+// rolloutSummary sums up the results of one kind of change, without the runs that ended with an error.
 type rolloutSummary struct {
 	runs, rolledBackInFirst, rolledBackLater, completed int
 	affected, queries, firstStage                       int
--- a/cmd/fleettest/scale.go
+++ b/cmd/fleettest/scale.go
@@ -136,7 +136,7 @@
 	return filepath.Join(c.Out, "scale-results.json")
 }
 
-// load returns the content of the result file if the new runs are added to it, and otherwise an empty file.
+// load returns the content of the result file if the option --add is set, and otherwise an empty file.
 func (c *scaleCommand) load() (scale.File, error) {
 	if !c.Add {
 		return scale.File{}, nil
--- a/cmd/fleettest/scale_test.go
+++ b/cmd/fleettest/scale_test.go
@@ -54,7 +54,7 @@
 	run, err := fleet.Run(context.Background())
 	processes := fleet.PIDs()
 	if closeErr := fleet.Close(); err != nil || closeErr != nil {
-		t.Fatal(err, closeErr)
+		t.Fatalf("Run: error %v, Close: error %v; want none", err, closeErr)
 	}
 	checkExited(t, processes, opt.Plan.RealGateways+2)
 	checkLogsEmpty(t, opt.Dir)
@@ -62,15 +62,15 @@
 	for _, step := range run.Steps {
 		names = append(names, step.Name)
 		if step.RealGateways != 8 || step.HollowGateways != 100 || step.Engines != 60 || step.SentBytesPerSecond <= 0 || step.ResidentMB <= 0 {
-			t.Errorf("%+v", step)
+			t.Errorf("result %+v, want 8 real and 100 hollow gateways, 60 engines, traffic and memory", step)
 		}
 		if step.Name == string(scale.StepLoaded) && step.StatementsPerSecond <= 0 {
-			t.Errorf("no statements in %+v", step)
+			t.Errorf("result %+v has no statements", step)
 		}
 	}
 	want := "quiet loaded restarts machines-lost machines-back zone-lost zone-back regions-cut regions-healed list reconnect"
 	if got := strings.Join(names, " "); got != want {
-		t.Errorf("results of the steps %s, want %s", got, want)
+		t.Errorf("results of the step parts %s, want %s", got, want)
 	}
 }
 
@@ -94,11 +94,11 @@
 	for _, pattern := range []string{"hollow-*.log", "engines-*.log"} {
 		logs, err := filepath.Glob(filepath.Join(dir, pattern))
 		if err != nil || len(logs) == 0 {
-			t.Error(pattern, logs, err)
+			t.Errorf("logs %s: found %v, error %v; want at least one", pattern, logs, err)
 		}
 		for _, log := range logs {
 			if text, err := os.ReadFile(log); err != nil || len(text) > 0 {
-				t.Errorf("%s: %s%v", filepath.Base(log), text, err)
+				t.Errorf("%s: content %q, error %v; want an empty log", filepath.Base(log), text, err)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 	time.AfterFunc(100*time.Millisecond, cancel)
 	_, err = fleet.Run(ctx)
 	if closeErr := fleet.Close(); !errors.Is(err, context.Canceled) || closeErr != nil {
-		t.Fatal(err, closeErr)
+		t.Fatalf("Run: error %v, Close: error %v; want context.Canceled and none", err, closeErr)
 	}
 	checkExited(t, processes, 4)
 }
@@ -154,7 +154,7 @@
 		})
 	}
 	if entries, err := os.ReadDir(valid.Out); err != nil || len(entries) > 0 {
-		t.Error("the output directory is not empty:", entries, err)
+		t.Errorf("output directory has %v, error %v; want it empty", entries, err)
 	}
 }
 
@@ -174,11 +174,11 @@
 	}
 	file, err := c.load()
 	if err != nil || len(file.Runs) != 2 || len(file.ResultsBySize("quiet")) != 2 || !slices.Equal(file.StepNames(), []string{"quiet"}) {
-		t.Fatalf("%+v %v", file, err)
+		t.Fatalf("result file %+v, error %v; want two runs of the step quiet", file, err)
 	}
 	for _, name := range []string{"scale.md", "scale.csv", "scale-bytes.svg", "scale-known.svg"} {
 		if text, err := os.ReadFile(filepath.Join(c.Out, name)); err != nil || len(text) < 100 {
-			t.Errorf("%s: %d bytes, %v", name, len(text), err)
+			t.Errorf("%s: %d bytes, error %v; want at least 100 bytes", name, len(text), err)
 		}
 	}
 }
--- a/cmd/fleettest/simulate.go
+++ b/cmd/fleettest/simulate.go
@@ -28,8 +28,8 @@
 	steadyDuration   = time.Minute
 	stepsPerCheck    = 1000 // steps between two checks of a node's invariants
 	seedsPerSize     = 4    // seeds of the simulations with datagram loss, for each size
-	heartbeatRate    = 1    // heartbeats per second of a baseline member, which is the rate of the protocol's datagrams in the steady state
-	missedHeartbeats = 3    // missed rounds after which the baseline declares a member dead
+	heartbeatRate    = 1    // heartbeats per second of a baseline member: as many as the protocol's datagrams in the steady state
+	missedHeartbeats = 3    // rounds without a heartbeat after which the baseline declares a member dead
 )
 
 // membershipRow has the results for one size of the fleet.
@@ -64,7 +64,7 @@
 	return chartDetection(filepath.Join(c.Out, name+chartExtension), rows)
 }
 
-// jobs returns the simulations of one size, which may run concurrently.
+// jobs returns functions that run the simulations of one size. They may be called concurrently.
 func (c *simulateCommand) jobs(row *membershipRow) []func() error {
 	var mu sync.Mutex
 	add := func(sum *simulation.Results, f simulation.Results, err error) error {
--- a/cmd/fleettest/slopes.go
+++ b/cmd/fleettest/slopes.go
@@ -29,7 +29,7 @@
 		return fmt.Errorf("%w: see --memory-mb", err)
 	}
 	debug.SetMemoryLimit(c.Memory << 20)
-	began, machine := time.Now(), thisMachine()
+	began, machine := time.Now(), localMachine()
 	machine.Quick, machine.LoadBefore = c.Quick, runner.LoadAverage()
 	slopes, err := measure.Slopes(options)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return os.WriteFile(c.Out, text, 0o644)
 }
 
-// thisMachine describes the machine that the slopes are measured on.
-func thisMachine() capacity.Machine {
+// localMachine describes the machine that the slopes are measured on.
+func localMachine() capacity.Machine {
 	return capacity.Machine{Cores: runtime.NumCPU(), GoVersion: runtime.Version(),
 		System: runtime.GOOS + "/" + runtime.GOARCH, MeasuredDay: time.Now().UTC().Format(time.DateOnly)}
 }
--- a/cmd/fleettest/soak.go
+++ b/cmd/fleettest/soak.go
@@ -20,10 +20,10 @@
 	Out      string `default:"found/fleettest" help:"Directory for the table, and for the logs of runs with violations."`
 }
 
-// errSoakFailed is the error of a run in which a check has failed.
+// errSoakFailed is the error of a run with violations.
 var errSoakFailed = errors.New("the graceful shutdown violated a requirement")
 
-// Run runs a graceful shutdown under load for each seed, and saves a table of the results.
+// Run shuts gateways down gracefully under load, once for each seed, and saves a table of the results.
 func (c *soakCommand) Run() error {
 	first, last, err := c.seedRange()
 	if err != nil {
--- a/cmd/fleettest/soaktable.go
+++ b/cmd/fleettest/soaktable.go
@@ -26,7 +26,7 @@
 	return t
 }
 
-// lossesByTime formats the numbers of lost requests, by the time when they were sent.
+// lossesByTime formats the numbers of lost requests that were sent before SIGTERM, up to soak.KillGrace after it, and later.
 func lossesByTime(r soak.Result) string {
 	var before, early, late int
 	for _, request := range r.Requests {
@@ -53,7 +53,7 @@
 	return n
 }
 
-// exitText formats the number of gateways that failed, or else of those that were killed, or else 0.
+// exitText formats the number of gateways that exited with an error; if there are none, the number that were killed, or 0.
 func exitText(exits []soak.Exit) string {
 	var killed, failed int
 	for _, e := range exits {
