--- a/cmd/frostpier/mysql_test.go
+++ b/cmd/frostpier/mysql_test.go
@@ -163,7 +163,7 @@
 		n.record.mu.Lock()
 		defer n.record.mu.Unlock()
 		if n.record.maxInFlight > 1 {
-			t.Errorf("%d concurrent attempts of one request", n.record.maxInFlight)
+			t.Errorf("%d concurrent attempts of one statement, want at most 1", n.record.maxInFlight)
 		}
 	})
 	return n
@@ -310,7 +310,7 @@
 	}
 	c.wantRows()
 	id := c.prepare("SELECT ?")
-	io.WriteString(c.conn, encodePacket(0, "\x17"+le32(id)+"\x00\x01\x00\x00\x00"+textParameter+"\x01a")+encodePacket(0, "\x0e")) // in one write
+	io.WriteString(c.conn, encodePacket(0, "\x17"+le32(id)+"\x00\x01\x00\x00\x00"+textParameter+"\x01a")+encodePacket(0, "\x0e")) // both packets in one write
 	c.wantRows()
 	c.wantOK("ping after the execute")
 	c.conn.Write([]byte{0xff, 0xff, 0xff, 0, 3})
--- a/cmd/frostpier/mysqlengine_test.go
+++ b/cmd/frostpier/mysqlengine_test.go
@@ -102,7 +102,7 @@
 	record             *executionRecord
 	mu                 sync.Mutex
 	nextID             uint32
-	running            map[uint32]chan struct{} // by connection ID; closed to kill the statement
+	running            map[uint32]chan struct{} // channels by connection ID; closing one kills the statement
 	rejectsConnections bool                     // rejects connections with the error "Too many connections"
 	executes           [][]byte
 	longData           []string
--- a/cmd/frostpier/oncall_test.go
+++ b/cmd/frostpier/oncall_test.go
@@ -53,7 +53,7 @@
 	}
 	index := 0
 	if method.Sel.Name == "Log" {
-		index = 2 // after the context and the level
+		index = 2 // the message follows the context and the level
 	}
 	if len(call.Args) <= index {
 		return nil
--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -64,7 +64,7 @@
 	}
 	var a rpcResponse
 	if err := json.Unmarshal([]byte(line), &a); err != nil {
-		c.t.Fatalf("%q: %v", line, err)
+		c.t.Fatalf("invalid response %q: %v", line, err)
 	}
 	return a
 }
--- a/cmd/frostpier/rollout.go
+++ b/cmd/frostpier/rollout.go
@@ -101,7 +101,7 @@
 
 // planOutput is the JSON output of the plan command.
 type planOutput struct {
-	IDs    map[string]rollout.VersionID `json:"ids"` // by OldVersion or NewVersion
+	IDs    map[string]rollout.VersionID `json:"ids"` // version IDs, keyed by rollout.OldVersion and rollout.NewVersion
 	Plan   rollout.Plan                 `json:"plan"`
 	Stages [][]int                      `json:"stages"` // gateway indexes by stage
 }
--- a/cmd/frostpier/rollout_test.go
+++ b/cmd/frostpier/rollout_test.go
@@ -137,7 +137,7 @@
 	s := executeChange(t, c)
 	verdicts := checkReplies(t, c, false)
 	if s.Phase != rollout.Done {
-		t.Errorf("%s: %s; %v", s.Phase, s.Reason, verdicts)
+		t.Errorf("%s: %s; %v; want phase done", s.Phase, s.Reason, verdicts)
 	}
 	for i, pid := range controller.FindProcesses(c.CheckedPlan.Fleet) {
 		if pid != before[i] {
@@ -280,6 +280,6 @@
 	verdicts := checkReplies(t, c, true)
 	t.Logf("%s: %s; %v", s.Phase, s.Reason, verdicts)
 	if s.Phase != rollout.Done {
-		t.Errorf("%s: %s", s.Phase, s.Reason)
+		t.Errorf("%s: %s; want phase done", s.Phase, s.Reason)
 	}
 }
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -28,7 +28,7 @@
 	ResponseTimeout    Timer = iota // limits the time until the response to a request
 	UnreachableTimeout              // expires when an unreachable engine must have abandoned the query
 	RetryBackoff                    // delay before the engine is contacted again
-	EarliestUpdate                  // before it expires, an engine without a new update does not answer a poll
+	EarliestUpdate                  // earliest time at which an engine without a new update answers a poll
 	TimerCount                      // number of timers
 )
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -105,7 +105,7 @@
 	return c.dispatch(now, policy.TimerFired{Token: token})
 }
 
-// SetGatewaysInService sets how many gateways are believed to be in service, including this one.
+// SetGatewaysInService sets the estimated number of gateways in service, including this one.
 func (c *Core) SetGatewaysInService(now time.Duration, gateways int) []Action {
 	c.gatewaysInService = gateways
 	if c.UsesSubset() { // dispatchSharingGateways uses the new number on its next run
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -74,7 +74,7 @@
 		t.Fatalf("cancellation after the reply returned actions: %+v", actions)
 	}
 	if c.PendingRequests() != 0 || c.AttemptsInFlight() != 0 {
-		t.Fatalf("%d requests pending, %d attempts in flight", c.PendingRequests(), c.AttemptsInFlight())
+		t.Fatalf("%d requests pending, %d attempts in flight, want none", c.PendingRequests(), c.AttemptsInFlight())
 	}
 }
 
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -108,11 +108,11 @@
 		"active names": len(c.activeNames), "engines with attempts in flight": len(c.inFlightByEngine),
 	} {
 		if left != 0 {
-			m.t.Fatalf("%d %s are left", left, name)
+			m.t.Fatalf("%d %s are left, want none", left, name)
 		}
 	}
 	if violations := m.invariants.Violations(); violations != 0 {
-		m.t.Fatalf("%d invariants were violated", violations)
+		m.t.Fatalf("%d violations of invariants, want none", violations)
 	}
 }
 
--- a/internal/core/subset_model_test.go
+++ b/internal/core/subset_model_test.go
@@ -58,7 +58,7 @@
 	case 6:
 		m.execute(c.TickSubset(m.now))
 		if n := c.sharingGateways(); n < 1 || n > subsetGateways {
-			m.t.Fatalf("%d gateways share the engines", n)
+			m.t.Fatalf("%d gateways share the engines, want 1 to %d", n, subsetGateways)
 		}
 	case 7:
 		m.configure()
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -184,9 +184,9 @@
 	}
 }
 
-// The module must delete its state of engines that were removed from the subset, which would otherwise grow with each of
-// them.
-func TestModuleForgetsRemovedEngines(t *testing.T) {
+// The module must delete the state of engines that were removed from the subset. Otherwise its state would grow with each
+// removed engine.
+func TestModuleDeletesRemovedEngines(t *testing.T) {
 	c, recorded, _ := newRecordedCore(t)
 	c.UpdateEngines(startTime, true, fullList())
 	c.UseSubset(startTime, newChooser(t, subsetConfig()))
--- a/internal/program/extensions_test.go
+++ b/internal/program/extensions_test.go
@@ -10,9 +10,9 @@
 	"frostpier/internal/control/rollout"
 )
 
-// Load reports must leave room for the version in the datagrams even if there are enough engines to fill each datagram with
+// Load reports must leave space for the version in the datagrams even if there are enough engines to fill each datagram with
 // load reports. Otherwise no gateway would know which versions run in the fleet.
-func TestLoadReportsLeaveRoomForVersions(t *testing.T) {
+func TestLoadReportsLeaveSpaceForVersions(t *testing.T) {
 	const engines = 200
 	now := 1_800_000_000 * time.Second
 	digest := loadreport.New()
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -65,7 +65,7 @@
 }
 
 // openListeners opens the listeners for clients. It reports to the controller of a rollout before and after, so that the
-// controller knows of the process before it serves. stopped is true if ctx was cancelled first.
+// controller has a report of the process before it serves. stopped is true if ctx was cancelled first.
 func (p *program) openListeners(ctx context.Context, listen string) (stopped bool, err error) {
 	p.reportServing(false)
 	if stopped, err := p.listenPlatform(ctx, listen); err != nil || stopped {
--- a/internal/program/stop.go
+++ b/internal/program/stop.go
@@ -61,10 +61,10 @@
 		p.reporter.setServing(false)
 	}
 	if p.membership != nil {
-		p.membership.Leave() // at once, so that the other gateways take over while this one still replies
+		p.membership.Leave() // leave at once, so that the other gateways take over while this one still replies
 	}
 	if p.vrrp != nil {
-		p.vrrp.Stop() // at once, so that the next master takes over the address
+		p.vrrp.Stop() // stop at once, so that the next master takes over the address
 	}
 	p.loop.After(acceptDuration, p.stopAccepting)
 	p.loop.After(p.shutdownDeadline+replyGrace, p.dispatcher.Close)
--- a/internal/settings/sections.go
+++ b/internal/settings/sections.go
@@ -95,7 +95,7 @@
 	Engines        map[string]string `toml:"engines"` // MySQL addresses by engine name; they override the engine list and EnginePort
 	Accounts       []struct {
 		User         string `toml:"user"`
-		PasswordHash string `toml:"password_hash"` // in the format of mysql_native_password
+		PasswordHash string `toml:"password_hash"` // password hash in the format of mysql_native_password
 		Class        string `toml:"class"`
 		BudgetMS     int64  `toml:"budget_ms"` // deadline of each statement
 	} `toml:"account"`
--- a/internal/subsetdriver/fleet_test.go
+++ b/internal/subsetdriver/fleet_test.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// Checks that gateways that all start at about the same time converge on subsets of the wanted size and on load reports for
-// nearly all of their engines, and that they converge again after the gateways of a zone have failed and restarted.
+// Checks that gateways that all start at about the same time converge on subsets of about the minimum size and have load
+// reports on nearly all of their engines, and that they converge again after the gateways of a zone have failed and restarted.
 func TestGatewaysConvergeOnSubsets(t *testing.T) {
 	t.Parallel()
 	setup := ciSetup
--- a/policy/engines.go
+++ b/policy/engines.go
@@ -15,7 +15,7 @@
 	EngineInfo
 	listedAt        time.Duration // time of the latest engine list that contained the engine
 	cores, memoryMB float64
-	used            bool // this gateway has sent a query to it
+	used            bool // this gateway has sent a query to the engine
 
 	// Own load.
 	inFlight         []*attempt   // own attempts, in the order in which they were sent
@@ -143,7 +143,7 @@
 	}
 }
 
-// expireEngine reports whether an engine left the fleet long enough ago to be forgotten. If so, it removes the engine
+// expireEngine reports whether an engine left the fleet long enough ago to be deleted. If so, it removes the engine
 // from the index and from all affinity sets.
 func (g *Gateway) expireEngine(e *engine) bool {
 	lastSeen := max(e.listedAt, e.lastResponseAt)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.threadsPerQuery = 1 // so that a limit in threads is a limit in queries
+	g.threadsPerQuery = 1 // a limit in threads is then also a limit in queries
 	var infos []EngineInfo
 	for i := range engines {
 		infos = append(infos, EngineInfo{ID: EngineID(i + 1), Zone: 1})
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -13,9 +13,9 @@
 	resends           int      // number of attempts that were sent a second time
 	inFlight          int      // number of attempts in flight
 	firstPossibleRun  *attempt // first attempt that may have run; nil = none
-	done              bool     // it has its final answer, or its client is gone
-	queued            bool     // it is in Gateway.queue
-	streaming         bool     // its response is being streamed to the client
+	done              bool     // the request has its final answer, or its client is gone
+	queued            bool     // the request is in Gateway.queue
+	streaming         bool     // the response is being streamed to the client
 }
 
 // attempt is the state of one attempt to run a request on an engine.
@@ -29,8 +29,8 @@
 	expectedSeconds  float64
 	ended            bool
 	cancelled        bool
-	unconfirmedError bool // it ended with an error that may have been caused by the query
-	deprioritized    bool // its priority was lowered because it missed the latency objective
+	unconfirmedError bool // the attempt ended with an error that the query may have caused
+	deprioritized    bool // the priority was lowered because the request missed its latency objective
 }
 
 // keyQueue holds the requests with the same ordering key, in order of arrival.
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -121,7 +121,7 @@
 func TestOwnZoneIsPreferredWhenCrossZoneTrafficCosts(t *testing.T) {
 	g := newTestGateway(t, 4, func(s *Settings) { s.CrossZoneCost, s.Zone = 0.04, 1 })
 	g.engines[0].Zone, g.engines[1].Zone = 0, 0
-	gr := g.tableGroup(0) // its home engine would be engine 1, in the other zone
+	gr := g.tableGroup(0) // without the cost, its home engine would be engine 1, in the other zone
 	if e := g.affinitySet(gr)[0]; e.Zone != 1 {
 		t.Fatal("the first engine of the set is in the other zone")
 	}
