--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -104,9 +104,9 @@
 func (c *Clients) Close() {
 	close(c.closing)
 	c.mu.Lock()
-	for _, k := range c.conns {
-		if k != nil {
-			_ = k.conn.Close()
+	for _, cc := range c.conns {
+		if cc != nil {
+			_ = cc.conn.Close()
 		}
 	}
 	c.mu.Unlock()
@@ -151,7 +151,7 @@
 
 // transmit writes a request to a gateway, and opens a connection if there is none.
 func (c *Clients) transmit(gateway int, p *pendingRequest) {
-	k, err := c.getOrDial(gateway)
+	cc, err := c.getOrDial(gateway)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
@@ -159,24 +159,24 @@
 		c.complete(p, Unreachable)
 		return
 	}
-	if c.conns[gateway] != k {
+	if c.conns[gateway] != cc {
 		// The connection closed while the lock was released, and its pending requests have already been handled, so
 		// adding this request to them would leave it without an outcome until its timeout.
 		c.retryOnce(gateway, p)
 		return
 	}
-	id := k.lastID + 1
+	id := cc.lastID + 1
 	line, err := c.encodeRequest(id, p.request)
-	k.lastID = id
+	cc.lastID = id
 	if err != nil {
 		c.complete(p, Failed)
 		return
 	}
-	k.pending[id] = p
+	cc.pending[id] = p
 	if p.timer == nil {
-		p.timer = c.startTimeout(k, id, p)
+		p.timer = c.startTimeout(cc, id, p)
 	}
-	_, _ = k.conn.Write(append(line, '\n')) // after a failed write, readReplies sees the connection close
+	_, _ = cc.conn.Write(append(line, '\n')) // after a failed write, readReplies sees the connection close
 }
 
 // retryOnce sends a request a second time, or records it as lost if it has been retried before. The caller holds the lock.
@@ -205,12 +205,12 @@
 }
 
 // startTimeout starts the timer after which a request counts as unanswered.
-func (c *Clients) startTimeout(k *clientConn, id int, p *pendingRequest) *time.Timer {
+func (c *Clients) startTimeout(cc *clientConn, id int, p *pendingRequest) *time.Timer {
 	return time.AfterFunc(p.request.Budget+answerSlack, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if k.pending[id] == p {
-			delete(k.pending, id)
+		if cc.pending[id] == p {
+			delete(cc.pending, id)
 			c.complete(p, Unanswered)
 		}
 	})
@@ -232,10 +232,10 @@
 // getOrDial returns the connection to a gateway, and opens one if there is none.
 func (c *Clients) getOrDial(gateway int) (*clientConn, error) {
 	c.mu.Lock()
-	k := c.conns[gateway]
+	cc := c.conns[gateway]
 	c.mu.Unlock()
-	if k != nil {
-		return k, nil
+	if cc != nil {
+		return cc, nil
 	}
 	conn, err := net.DialTimeout("tcp", c.addrs[gateway], dialTimeout)
 	if err != nil {
@@ -247,10 +247,10 @@
 		_ = conn.Close()
 		return c.conns[gateway], nil
 	}
-	k = &clientConn{conn: conn, pending: map[int]*pendingRequest{}, answered: map[int]*Outcome{}}
-	c.conns[gateway] = k
-	go c.readReplies(gateway, k)
-	return k, nil
+	cc = &clientConn{conn: conn, pending: map[int]*pendingRequest{}, answered: map[int]*Outcome{}}
+	c.conns[gateway] = cc
+	go c.readReplies(gateway, cc)
+	return cc, nil
 }
 
 // reply is a JSON-RPC response of a gateway.
@@ -270,32 +270,32 @@
 
 // readReplies handles the replies of a gateway until the connection closes, and then retries the requests that were sent
 // immediately before.
-func (c *Clients) readReplies(gateway int, k *clientConn) {
-	lines := bufio.NewScanner(k.conn)
+func (c *Clients) readReplies(gateway int, cc *clientConn) {
+	lines := bufio.NewScanner(cc.conn)
 	lines.Buffer(make([]byte, 0, 4096), maxReplyBytes)
 	for lines.Scan() {
 		var r reply
 		err := json.Unmarshal(lines.Bytes(), &r)
 		c.mu.Lock()
-		c.handleReply(gateway, k, r, err)
+		c.handleReply(gateway, cc, r, err)
 		c.mu.Unlock()
 	}
-	_ = k.conn.Close()
-	for _, p := range c.dropConnection(gateway, k) {
+	_ = cc.conn.Close()
+	for _, p := range c.dropConnection(gateway, cc) {
 		c.transmit(gateway, p)
 	}
 }
 
 // dropConnection completes the pending requests of a closed connection and returns the ones to retry: those sent within
 // closeRaceWindow before the close.
-func (c *Clients) dropConnection(gateway int, k *clientConn) (retries []*pendingRequest) {
+func (c *Clients) dropConnection(gateway int, cc *clientConn) (retries []*pendingRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conns[gateway] == k {
+	if c.conns[gateway] == cc {
 		c.conns[gateway] = nil
 	}
-	for id, p := range k.pending {
-		delete(k.pending, id)
+	for id, p := range cc.pending {
+		delete(cc.pending, id)
 		switch {
 		case p.ping:
 			c.serving[gateway] = false
@@ -310,21 +310,21 @@
 }
 
 // handleReply handles a reply of a gateway; err is the error of decoding it. The caller holds the lock.
-func (c *Clients) handleReply(gateway int, k *clientConn, r reply, err error) {
-	p := k.pending[r.ID]
+func (c *Clients) handleReply(gateway int, cc *clientConn, r reply, err error) {
+	p := cc.pending[r.ID]
 	if p == nil || err != nil {
-		if o := k.answered[r.ID]; o != nil {
+		if o := cc.answered[r.ID]; o != nil {
 			o.DuplicateAnswers++
 		}
 		return
 	}
-	delete(k.pending, r.ID)
+	delete(cc.pending, r.ID)
 	if p.ping {
 		c.serving[gateway] = r.Result != nil && r.Result.Serving != nil && *r.Result.Serving
 		return
 	}
-	k.answered[r.ID] = p.outcome
-	delete(k.answered, r.ID-maxAnsweredPerConn)
+	cc.answered[r.ID] = p.outcome
+	delete(cc.answered, r.ID-maxAnsweredPerConn)
 	c.complete(p, verdictOf(r, p.request))
 }
 
--- a/internal/testbed/emulator/healthcheck.go
+++ b/internal/testbed/emulator/healthcheck.go
@@ -30,27 +30,27 @@
 // ping sends a health check to a gateway. A gateway that cannot be reached, or that has more than maxUnansweredPings
 // unanswered health checks, is out of service.
 func (c *Clients) ping(gateway int) {
-	k, err := c.getOrDial(gateway)
+	cc, err := c.getOrDial(gateway)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
 		c.serving[gateway] = false
 		return
 	}
-	pending := k.pendingPings()
+	pending := cc.pendingPings()
 	if pending > maxUnansweredPings {
 		c.serving[gateway] = false
 	}
 	if pending < maxPendingPings {
-		k.lastID++
-		k.pending[k.lastID] = &pendingRequest{ping: true, sent: c.clock()}
-		_, _ = fmt.Fprintf(k.conn, "{\"jsonrpc\":\"2.0\",\"id\":%d,\"method\":\"ping\"}\n", k.lastID)
+		cc.lastID++
+		cc.pending[cc.lastID] = &pendingRequest{ping: true, sent: c.clock()}
+		_, _ = fmt.Fprintf(cc.conn, "{\"jsonrpc\":\"2.0\",\"id\":%d,\"method\":\"ping\"}\n", cc.lastID)
 	}
 }
 
 // pendingPings returns the number of unanswered health checks. The caller holds the clients' lock.
-func (k *clientConn) pendingPings() (count int) {
-	for _, p := range k.pending {
+func (cc *clientConn) pendingPings() (count int) {
+	for _, p := range cc.pending {
 		if p.ping {
 			count++
 		}
--- a/internal/testbed/emulator/httprequest.go
+++ b/internal/testbed/emulator/httprequest.go
@@ -23,25 +23,25 @@
 
 // ReadHTTPRequest reads the next request from a connection. It returns a read error, or errContentLength if the
 // Content-Length is not a number from 0 to maxBodyBytes.
-func ReadHTTPRequest(r *textproto.Reader) (c HTTPRequest, err error) {
+func ReadHTTPRequest(r *textproto.Reader) (request HTTPRequest, err error) {
 	line, err := r.ReadLine()
 	if err != nil {
-		return c, err
+		return request, err
 	}
 	method, rest, _ := strings.Cut(line, " ")
-	c.Method = method
-	c.Path, _, _ = strings.Cut(rest, " ")
-	if c.Header, err = r.ReadMIMEHeader(); err != nil {
-		return c, err
+	request.Method = method
+	request.Path, _, _ = strings.Cut(rest, " ")
+	if request.Header, err = r.ReadMIMEHeader(); err != nil {
+		return request, err
 	}
-	n, err := strconv.Atoi(c.Header.Get("Content-Length"))
-	if c.Header.Get("Content-Length") != "" && (err != nil || n < 0 || n > maxBodyBytes) {
-		return c, errContentLength
+	n, err := strconv.Atoi(request.Header.Get("Content-Length"))
+	if request.Header.Get("Content-Length") != "" && (err != nil || n < 0 || n > maxBodyBytes) {
+		return request, errContentLength
 	}
 	body := make([]byte, n)
 	_, err = io.ReadFull(r.R, body)
-	c.Body = string(body)
-	return c, err
+	request.Body = string(body)
+	return request, err
 }
 
 // FormatHTTPResponse returns an HTTP response with a status code, a body and additional header lines.
