--- a/cmd/fleettest/account_test.go
+++ b/cmd/fleettest/account_test.go
@@ -10,7 +10,7 @@
 // Checks the tables from the logs of two gateways: the second gateway's estimate of an engine's load is compared with the
 // attempts that the first has in flight there, rejected requests are counted by the guard that last queued them, and lines that
 // are not log records are skipped.
-func TestAccountTables(t *testing.T) {
+func TestAccountTablesSummarizeGatewayLogs(t *testing.T) {
 	dir := t.TempDir()
 	logs := map[string]string{
 		"n0.log": `time=x level=INFO msg=serving name=n0
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -35,7 +35,7 @@
 }
 
 // Checks that the random runs of a range of seeds violate no invariant.
-func TestReplayRunsSeeds(t *testing.T) {
+func TestReplayFindsNoViolations(t *testing.T) {
 	c := replayCommand{From: 3, Runs: 4}
 	if err := c.Run(); err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 }
 
 // Checks the chart of the gateways' views and a row of the table for the results of a scenario.
-func TestChartAndTableOfScenario(t *testing.T) {
+func TestChartAndTableShowScenarioResults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "views.svg")
 	start := time.Now()
 	changes := []testfleet.StateChange{
--- a/internal/testbed/capacity/measure/measure_test.go
+++ b/internal/testbed/capacity/measure/measure_test.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestConnectionMemory checks that a connection has a positive memory use, and that a measurement of more than
+// TestConnectionMemoryIsPositiveAndConnectionsAreLimited checks that a connection has a positive memory use, and that a measurement of more than
 // MaxConnections is rejected.
-func TestConnectionMemory(t *testing.T) {
+func TestConnectionMemoryIsPositiveAndConnectionsAreLimited(t *testing.T) {
 	if bytes, err := EngineConnectionMemory(20); err != nil || bytes <= 0 {
 		t.Errorf("EngineConnectionMemory = %v, error %v; want more than 0 bytes", bytes, err)
 	}
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestCheckMemory checks that a run is rejected if it needs more memory than is allowed, and that a quick run and a run of
+// TestCheckMemoryRejectsRunsAboveLimit checks that a run is rejected if it needs more memory than is allowed, and that a quick run and a run of
 // a small group are accepted.
-func TestCheckMemory(t *testing.T) {
+func TestCheckMemoryRejectsRunsAboveLimit(t *testing.T) {
 	const allowed = 256 << 20
 	err := (Options{}).CheckMemory(allowed)
 	var limit *MemoryLimitError
--- a/internal/testbed/capacity/model_test.go
+++ b/internal/testbed/capacity/model_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestRankingOrder checks that requirements are ranked by the size of the smallest fleet that misses them, and that those
+// TestRankingIsOrderedBySizeOfFirstMiss checks that requirements are ranked by the size of the smallest fleet that misses them, and that those
 // that the target meets are last.
-func TestRankingOrder(t *testing.T) {
+func TestRankingIsOrderedBySizeOfFirstMiss(t *testing.T) {
 	ranking := New(resultOf(0.1)).Ranking()
 	previous, met := 0.0, false
 	for _, requirement := range ranking {
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestScaleTable checks the table row of a step of a scale run, and the text of the block if there are no scale runs.
-func TestScaleTable(t *testing.T) {
+// TestScaleTableHasRowPerStep checks the table row of a step of a scale run, and the text of the block if there are no scale runs.
+func TestScaleTableHasRowPerStep(t *testing.T) {
 	scale, err := DecodeScale([]byte(`{"runs":[{"facts":{"cores":8},"steps":[{"name":"quiet","real_gateways":24,
 		"hollow_gateways":776,"engines":1100,"resident_mb":41.5,"new":1}]}]}`))
 	if err != nil || len(scale.Table().Rows) != 1 || scale.Table().Rows[0][1] != "off" || scale.Table().Rows[0][2] != "quiet" ||
--- a/internal/testbed/capacity/slope_test.go
+++ b/internal/testbed/capacity/slope_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestFitResidual checks that the residual is the root mean square of the relative deviations, for points 10% above and
+// TestFitResidualIsRootMeanSquareDeviation checks that the residual is the root mean square of the relative deviations, for points 10% above and
 // below a constant.
-func TestFitResidual(t *testing.T) {
+func TestFitResidualIsRootMeanSquareDeviation(t *testing.T) {
 	slope := Slope{Form: Flat, Points: []Point{{Size: 1, Value: 110}, {Size: 2, Value: 90}, {Size: 3, Value: 110}, {Size: 4, Value: 90}}}
 	if got := slope.Fit().Residual; !nearlyEqual(got, 0.1) {
 		t.Errorf("residual %v, want 0.1", got)
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -34,7 +34,7 @@
 
 // Checks that concurrent queries, warm-up, memory overcommit, table group locks and CPU steal slow a query down, and that a
 // cached table group speeds it up.
-func TestModelQueryDuration(t *testing.T) {
+func TestModelQueryDurationDependsOnLoad(t *testing.T) {
 	q := Query{ID: "q", Work: 1, Threads: 1, IO: 0.3, Group: 1}
 	plain := queryDuration(newTestModel(false), q)
 	if d := plain - time.Second; d < 0 || d > time.Millisecond {
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -15,7 +15,7 @@
 )
 
 // Checks that Sizes.Check accepts the full size, and that its error otherwise has the option to lower and the exceeded limit.
-func TestCheckNamesOptionAndLimit(t *testing.T) {
+func TestCheckErrorHasOptionAndLimit(t *testing.T) {
 	if err := fullSize.Check(machine); err != nil {
 		t.Fatal(err)
 	}
