--- a/cmd/frostpier/platform_test.go
+++ b/cmd/frostpier/platform_test.go
@@ -250,6 +250,7 @@
 	c := dialRPC(t, n)
 	old := n.discovery
 	n.discovery.publish(engineEntry{"e1", "127.0.0.1:1", "z", "m", "terminated"})
+	n.waitLog(`msg="engine list changed" version=2`) // a reload before the event is applied would resume after event 1
 	if err := os.WriteFile(n.configPath, []byte(`{"bulletin":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
