--- a/internal/testbed/capacity/definitions.go
+++ b/internal/testbed/capacity/definitions.go
@@ -59,17 +59,17 @@
 // Definitions returns the definitions of all slopes, in the order of result files.
 func Definitions() []Definition {
 	list := []Definition{
-		{GroupDecision, DecisionProcessor, UnitSeconds, SizeOfEngines, Linear},
-		{GroupDecision, CoreProcessor, UnitSeconds, SizeOfEngines, Linear},
-		{GroupReports, KnownAtLowRate, UnitShare, SizeOfEngines, Power},
-		{GroupReports, AgeAtLowRate, UnitSeconds, SizeOfEngines, Power},
-		{GroupReports, KnownAtFullRate, UnitShare, SizeOfEngines, Flat},
-		{GroupReports, AgeAtFullRate, UnitSeconds, SizeOfEngines, Linear},
-		{GroupReports, ReportsProcessor, UnitSecondsPerSecond, SizeOfEngines, Linear},
+		{GroupDecision, DecisionProcessorTime, UnitSeconds, SizeOfEngines, Linear},
+		{GroupDecision, CoreProcessorTime, UnitSeconds, SizeOfEngines, Linear},
+		{GroupReports, KnownEngineShareAtLowReportRate, UnitShare, SizeOfEngines, Power},
+		{GroupReports, ReportAgeAtLowReportRate, UnitSeconds, SizeOfEngines, Power},
+		{GroupReports, KnownEngineShareAtFullReportRate, UnitShare, SizeOfEngines, Flat},
+		{GroupReports, ReportAgeAtFullReportRate, UnitSeconds, SizeOfEngines, Linear},
+		{GroupReports, ReportsProcessorTime, UnitSecondsPerSecond, SizeOfEngines, Linear},
 		{GroupReports, ReportsBytes, UnitBytesPerSecond, SizeOfEngines, Flat},
 		{GroupReports, DigestMemory, UnitBytes, SizeOfEngines, Linear},
 		{GroupMembership, MembershipBytes, UnitBytesPerSecond, SizeOfGateways, Flat},
-		{GroupMembership, MembershipProcessor, UnitSecondsPerSecond, SizeOfGateways, Linear},
+		{GroupMembership, MembershipProcessorTime, UnitSecondsPerSecond, SizeOfGateways, Linear},
 		{GroupMembership, MembershipMemory, UnitBytes, SizeOfGateways, Linear},
 		{GroupMembership, DetectionFirstMember, UnitSeconds, SizeOfGateways, Flat},
 		{GroupMembership, DetectionAllMembers, UnitSeconds, SizeOfGateways, Power},
@@ -81,7 +81,7 @@
 		{GroupConnections, EngineConnection, UnitBytes, SizeOfConnections, Power},
 		{GroupConnections, ClientConnection, UnitBytes, SizeOfConnections, Power},
 		{GroupStaged, StagedReportBytes, UnitBytesPerSecond, SizeOfGateways, Flat},
-		{GroupStaged, StagedReportProcessor, UnitSeconds, SizeOfGateways, Linear},
+		{GroupStaged, StagedReportProcessorTime, UnitSeconds, SizeOfGateways, Linear},
 	}
 	for _, phase := range Phases() {
 		list = append(list, phaseDefinitions(phase)...)
--- a/internal/testbed/capacity/fault.go
+++ b/internal/testbed/capacity/fault.go
@@ -70,14 +70,14 @@
 // Peak is the cost of a state at one gateway, in the 10 s in which it is highest.
 type Peak struct {
 	State
-	DecisionProcessor  float64 // share of a core used by decisions
-	Total              Cost    // cost of the control plane, without client connections
-	MemoryWithClients  float64 // bytes of memory including client connections
-	MembershipBytes    float64 // bytes sent per second, without load reports
-	TopSenderBytes     float64 // bytes sent per second by the gateway that sends most, with load reports
-	SecondsOverBudget  float64 // how long the 10 s average of bytes exceeded the budget, with load reports
-	ConvergenceSeconds float64 // until all membership views agree; 0 = they differ by design
-	Verdicts           []Verdict
+	DecisionProcessorShare float64 // share of a core used by decisions
+	Total                  Cost    // cost of the control plane, without client connections
+	MemoryWithClients      float64 // bytes of memory including client connections
+	MembershipBytes        float64 // bytes sent per second, without load reports
+	TopSenderBytes         float64 // bytes sent per second by the gateway that sends most, with load reports
+	SecondsOverBudget      float64 // how long the 10 s average of bytes exceeded the budget, with load reports
+	ConvergenceSeconds     float64 // until all membership views agree; 0 = they differ by design
+	Verdicts               []Verdict
 }
 
 // Peaks returns all states with their costs. The peaks of membership were measured with the target's number of gateways.
@@ -97,7 +97,7 @@
 	total.Processor += max(0, m.estimate(PeakProcessorTime.SlopeName(phase), t.Gateways)-quiet)
 	total.BytesPerSecond = m.estimate(PeakBytesWithReports.SlopeName(phase), t.Gateways) + m.stagedCost(t.Gateways).BytesPerSecond
 	peak := Peak{
-		State: state, DecisionProcessor: decision.Processor, Total: total,
+		State: state, DecisionProcessorShare: decision.Processor, Total: total,
 		MemoryWithClients: total.Memory + m.clientCost(state.ClientConnections).Memory,
 		MembershipBytes:   m.estimate(PeakBytes.SlopeName(phase), t.Gateways),
 		SecondsOverBudget: m.secondsOverBudget(PeakBytesWithReports.SlopeName(phase), t.Gateways),
--- a/internal/testbed/capacity/firstmeasurements.go
+++ b/internal/testbed/capacity/firstmeasurements.go
@@ -11,12 +11,12 @@
 func firstMeasurements() []firstMeasurement {
 	partition, healing := PeakBurst.SlopeName(PhaseRegionsPartitioned), PeakBurst.SlopeName(PhasePartitionHealed)
 	return []firstMeasurement{
-		{"processor time of a decision, 80 engines", 59e-6, DecisionProcessor, 80},
-		{"processor time of a decision, 300 engines", 124e-6, DecisionProcessor, 300},
-		{"processor time of a decision, 1,100 engines", 448e-6, DecisionProcessor, 1100},
-		{"engines known, 300 x 300, 6 reports a second", 0.72, KnownAtLowRate, 300},
-		{"engines known, 800 x 550, 6 reports a second", 0.52, KnownAtLowRate, 550},
-		{"engines known, 800 x 1,100, 6 reports a second", 0.30, KnownAtLowRate, 1100},
+		{"processor time of a decision, 80 engines", 59e-6, DecisionProcessorTime, 80},
+		{"processor time of a decision, 300 engines", 124e-6, DecisionProcessorTime, 300},
+		{"processor time of a decision, 1,100 engines", 448e-6, DecisionProcessorTime, 1100},
+		{"engines known, 300 x 300, 6 reports a second", 0.72, KnownEngineShareAtLowReportRate, 300},
+		{"engines known, 800 x 550, 6 reports a second", 0.52, KnownEngineShareAtLowReportRate, 550},
+		{"engines known, 800 x 1,100, 6 reports a second", 0.30, KnownEngineShareAtLowReportRate, 1100},
 		{"membership, fleet partitioned into halves, 100 gateways, over 5 s", 1500, partition, 100},
 		{"membership, fleet partitioned into halves, 200 gateways, over 5 s", 3800, partition, 200},
 		{"membership, fleet partitioned into halves, 400 gateways, over 5 s", 6000, partition, 400},
--- a/internal/testbed/capacity/measure/faults.go
+++ b/internal/testbed/capacity/measure/faults.go
@@ -37,8 +37,8 @@
 type phasePlan struct {
 	phase        capacity.Phase
 	begin        func(f *fleet)
-	fullDuration time.Duration // long enough for the fleet to settle
-	peakDuration time.Duration // long enough to include the traffic peak
+	fullDuration time.Duration // duration after which the fleet has settled
+	peakDuration time.Duration // duration that includes the traffic peak
 	partitioned  bool          // the membership views differ by design
 }
 
--- a/internal/testbed/capacity/measure/fleet.go
+++ b/internal/testbed/capacity/measure/fleet.go
@@ -25,7 +25,7 @@
 type fleet struct {
 	*simulation.Fleet
 	setup   FleetSetup
-	digests []*loadreport.Digest // of the current incarnation of each gateway
+	digests []*loadreport.Digest // load reports held by each gateway since its latest start
 	random  *rand.Rand
 }
 
--- a/internal/testbed/capacity/measure/runner.go
+++ b/internal/testbed/capacity/measure/runner.go
@@ -120,12 +120,12 @@
 	if err != nil {
 		return err
 	}
-	r.results.add(capacity.DecisionProcessor, engines, alone.Seconds(), "")
+	r.results.add(capacity.DecisionProcessorTime, engines, alone.Seconds(), "")
 	withCore, err := CoreDecision(setup)
 	if err != nil {
 		return err
 	}
-	r.results.add(capacity.CoreProcessor, engines, withCore.Seconds(), "")
+	r.results.add(capacity.CoreProcessorTime, engines, withCore.Seconds(), "")
 	return nil
 }
 
@@ -151,11 +151,11 @@
 		return err
 	}
 	note := fmt.Sprintf("%d gateways", size.gateways)
-	r.results.add(capacity.KnownAtLowRate, size.engines, low.KnownShare, note)
-	r.results.add(capacity.AgeAtLowRate, size.engines, low.AgeSeconds, note)
-	r.results.add(capacity.KnownAtFullRate, size.engines, full.KnownShare, note)
-	r.results.add(capacity.AgeAtFullRate, size.engines, full.AgeSeconds, note)
-	r.results.add(capacity.ReportsProcessor, size.engines, full.Processor, note)
+	r.results.add(capacity.KnownEngineShareAtLowReportRate, size.engines, low.KnownShare, note)
+	r.results.add(capacity.ReportAgeAtLowReportRate, size.engines, low.AgeSeconds, note)
+	r.results.add(capacity.KnownEngineShareAtFullReportRate, size.engines, full.KnownShare, note)
+	r.results.add(capacity.ReportAgeAtFullReportRate, size.engines, full.AgeSeconds, note)
+	r.results.add(capacity.ReportsProcessorTime, size.engines, full.Processor, note)
 	r.results.add(capacity.ReportsBytes, size.engines, full.BytesPerSecond, note)
 	r.results.add(capacity.DigestMemory, size.engines, DigestMemory(size.engines), "")
 	return nil
@@ -168,7 +168,7 @@
 			return err
 		}
 		r.results.add(capacity.MembershipBytes, gateways, quiet.BytesPerSecond, "")
-		r.results.add(capacity.MembershipProcessor, gateways, quiet.Processor, "")
+		r.results.add(capacity.MembershipProcessorTime, gateways, quiet.Processor, "")
 		r.results.add(capacity.MembershipMemory, gateways, quiet.Memory, "")
 		detection, err := Detection(gateways, r.kills, FaultLoss, r.Seed)
 		if err != nil {
@@ -273,7 +273,7 @@
 				return err
 			}
 			r.results.add(capacity.StagedReportBytes, gateways, float64(length), "a report a second")
-			r.results.add(capacity.StagedReportProcessor, gateways, processor.Seconds(), "")
+			r.results.add(capacity.StagedReportProcessorTime, gateways, processor.Seconds(), "")
 		}
 	}
 	return nil
--- a/internal/testbed/capacity/model.go
+++ b/internal/testbed/capacity/model.go
@@ -56,7 +56,7 @@
 // decisionCost returns the cost of core and decision module with the given number of engines, at the given number of
 // statements per second.
 func (m Model) decisionCost(engines, statements float64) Cost {
-	return Cost{Processor: m.estimate(CoreProcessor, engines) * statements, Memory: m.estimate(ListMemory, engines)}
+	return Cost{Processor: m.estimate(CoreProcessorTime, engines) * statements, Memory: m.estimate(ListMemory, engines)}
 }
 
 // connectionCost returns the cost of one idle connection to each engine.
@@ -72,14 +72,14 @@
 
 // membershipCost returns the cost of membership without faults.
 func (m Model) membershipCost(gateways float64) Cost {
-	return Cost{Processor: m.estimate(MembershipProcessor, gateways), Memory: m.estimate(MembershipMemory, gateways),
+	return Cost{Processor: m.estimate(MembershipProcessorTime, gateways), Memory: m.estimate(MembershipMemory, gateways),
 		BytesPerSecond: m.estimate(MembershipBytes, gateways)}
 }
 
 // reportCost returns the cost of shared load reports without that of membership, on whose datagrams they are piggybacked.
 func (m Model) reportCost(gateways, engines float64) Cost {
 	membership := m.membershipCost(gateways)
-	return Cost{Processor: max(0, m.estimate(ReportsProcessor, engines)-membership.Processor),
+	return Cost{Processor: max(0, m.estimate(ReportsProcessorTime, engines)-membership.Processor),
 		Memory:         m.estimate(DigestMemory, engines),
 		BytesPerSecond: max(0, m.estimate(ReportsBytes, engines)-membership.BytesPerSecond)}
 }
--- a/internal/testbed/capacity/model_test.go
+++ b/internal/testbed/capacity/model_test.go
@@ -40,7 +40,7 @@
 	}
 	_, err = DecodeResult(text)
 	var missing *MissingSlopeError
-	if !errors.As(err, &missing) || missing.Slope != DecisionProcessor {
+	if !errors.As(err, &missing) || missing.Slope != DecisionProcessorTime {
 		t.Errorf("DecodeResult without the first slope: error %v, want a MissingSlopeError for it", err)
 	}
 }
--- a/internal/testbed/capacity/outcome.go
+++ b/internal/testbed/capacity/outcome.go
@@ -47,7 +47,7 @@
 func (m Model) subsetText() string {
 	t := m.Target
 	factor := m.decisionCost(SubsetSize, t.StatementsPerGateway()).Processor / t.Processor
-	rate := t.Processor / m.estimate(CoreProcessor, SubsetSize)
+	rate := t.Processor / m.estimate(CoreProcessorTime, SubsetSize)
 	text := fmt.Sprintf("- With subsets of %d engines, decisions use x%s of the 4.1%% of a core; they stay within it up to %s statements a second, "+
 		"and the target has %s.", SubsetSize, formatNumber(factor), formatNumber(rate), formatCount(t.StatementsPerGateway()))
 	if largest := m.LargestSubset(); largest > 0 && factor > 1 {
--- a/internal/testbed/capacity/pagetables.go
+++ b/internal/testbed/capacity/pagetables.go
@@ -115,7 +115,7 @@
 		peak.Frequency,
 		fmt.Sprintf("%.0f, %.0f", peak.Gateways, peak.Engines),
 		fmt.Sprintf("%.0f", peak.StatementsPerSecond),
-		formatPercent(peak.DecisionProcessor),
+		formatPercent(peak.DecisionProcessorShare),
 		formatPercent(peak.Total.Processor),
 		formatBytes(peak.Total.Memory) + " / " + formatBytes(peak.MemoryWithClients),
 		formatBytesPerSecond(peak.MembershipBytes),
--- a/internal/testbed/capacity/ranking.go
+++ b/internal/testbed/capacity/ranking.go
@@ -11,7 +11,7 @@
 	Requirement
 	Missed                          bool    // a fleet on the path misses the requirement; the path includes the target
 	Gateways, Engines               float64 // size of the smallest fleet that misses it, or of the target if none does
-	FactorAtCurrent, FactorAtTarget float64 // use divided by limit
+	FactorAtCurrent, FactorAtTarget float64 // resource use / limit in the current fleet and at the target
 	position                        float64 // position of that fleet on the path, see fleetAt
 }
 
--- a/internal/testbed/capacity/requirement.go
+++ b/internal/testbed/capacity/requirement.go
@@ -14,7 +14,7 @@
 	Name             string
 	Condition        Condition
 	MissingMechanism string                                  // mechanism that would meet it, or ""
-	Factor           func(gateways, engines float64) float64 // use divided by limit
+	Factor           func(gateways, engines float64) float64 // returns resource use / limit for a fleet of this size
 	MinGateways      float64                                 // smallest measured size of the underlying slope; 0 = no lower bound
 }
 
@@ -33,7 +33,9 @@
 			MissingMechanism: "subsets of engines, or a larger table",
 			Factor:           func(_, engines float64) float64 { return t.KnownShare / knownShare(engines) }},
 		{Name: "0.95 of engines known, 6 responses a second carry reports", Condition: ConditionAlways, MissingMechanism: "subsets of engines",
-			Factor: func(_, engines float64) float64 { return t.KnownShare / min(1, m.estimate(KnownAtLowRate, engines)) }},
+			Factor: func(_, engines float64) float64 {
+				return t.KnownShare / min(1, m.estimate(KnownEngineShareAtLowReportRate, engines))
+			}},
 		{Name: "bytes in the quiet state within 3 KB/s", Condition: ConditionAlways,
 			Factor: func(gateways, _ float64) float64 {
 				return (m.estimate(PeakBytesWithReports.SlopeName(PhaseQuiet), gateways) + m.stagedCost(gateways).BytesPerSecond) / t.BytesPerSecond
--- a/internal/testbed/capacity/role.go
+++ b/internal/testbed/capacity/role.go
@@ -57,7 +57,7 @@
 func (m Model) decisions() Role {
 	t := m.Target
 	cost := m.decisionCost(t.Engines, t.StatementsPerGateway())
-	each := m.estimate(CoreProcessor, t.Engines)
+	each := m.estimate(CoreProcessorTime, t.Engines)
 	return Role{Name: RoleDecisions, State: fmt.Sprintf("%s engines, 200 table groups, %s statements in flight", formatCount(t.Engines),
 		formatNumber(t.StatementsPerGateway()*responseSeconds)),
 		Messages: fmt.Sprintf("%s statements a second at %s each", formatCount(t.StatementsPerGateway()), formatSeconds(each)),
@@ -88,10 +88,11 @@
 
 func (m Model) loadReports() Role {
 	t := m.Target
-	knownAtLowRate := m.estimate(KnownAtLowRate, t.Engines)
+	knownAtLowRate := m.estimate(KnownEngineShareAtLowReportRate, t.Engines)
 	known := knownShare(t.Engines)
 	return Role{Name: RoleLoadReports, State: fmt.Sprintf("%s of the engines known, reports %s old (%s known if only 6 responses a second carried reports)",
-		formatNumber(m.estimate(KnownAtFullRate, t.Engines)), formatSeconds(m.estimate(AgeAtFullRate, t.Engines)), formatNumber(knownAtLowRate)),
+		formatNumber(m.estimate(KnownEngineShareAtFullReportRate, t.Engines)), formatSeconds(m.estimate(ReportAgeAtFullReportRate, t.Engines)),
+		formatNumber(knownAtLowRate)),
 		Messages: "3.3 datagrams a second for reports alone; membership datagrams are filled to 256 bytes",
 		Cost:     m.reportCost(t.Gateways, t.Engines), Mechanism: "`internal/control/loadreport`, a table of 1,024 engines",
 		Verdict: compare("0.95 of the engines known", t.KnownShare, known)}
@@ -126,7 +127,7 @@
 	cost := m.stagedCost(t.Gateways)
 	return Role{Name: RoleStagedChange, State: "a journal at one controller",
 		Messages: fmt.Sprintf("a report a second; %s/s and %s of a core at the controller", formatBytes(cost.BytesPerSecond*t.Gateways),
-			formatPercent(m.estimate(StagedReportProcessor, t.Gateways))),
+			formatPercent(m.estimate(StagedReportProcessorTime, t.Gateways))),
 		Cost: cost, Mechanism: "`internal/control/rollout`, `internal/controller`: gateways on the controller's own machine only",
 		Verdict: compare("14 s, because a stage is watched for at least 30 s", minWatchSeconds, t.ConfigurationDeadline.Seconds())}
 }
--- a/internal/testbed/capacity/slope.go
+++ b/internal/testbed/capacity/slope.go
@@ -14,8 +14,8 @@
 // The forms.
 const (
 	Flat   Form = "flat"   // a constant
-	Linear Form = "linear" // base + rate * size, least squares of the relative deviations
-	Power  Form = "power"  // base * size^rate, least squares of the logarithms
+	Linear Form = "linear" // base + rate * size, fitted by least squares of the relative deviations
+	Power  Form = "power"  // base * size^rate, fitted by least squares of the logarithms
 )
 
 const (
@@ -67,8 +67,8 @@
 
 // SlopeError reports a slope that cannot be fitted.
 type SlopeError struct {
-	Slope string // name
-	Value any    // the number of sizes, the form or the point that is invalid
+	Slope string // name of the slope
+	Value any    // the invalid number of sizes, form or point
 	Err   error
 }
 
--- a/internal/testbed/capacity/subset.go
+++ b/internal/testbed/capacity/subset.go
@@ -33,7 +33,7 @@
 // LargestSubset returns the largest number of engines with which decisions stay within the processor budget according to
 // the fitted curve, and 0 if there is none.
 func (m Model) LargestSubset() float64 {
-	t, fit := m.Target, m.fitted[CoreProcessor].curve
+	t, fit := m.Target, m.fitted[CoreProcessorTime].curve
 	largest := 0.0
 	for engines := 1.0; engines <= t.Engines && fit.ValueAt(engines)*t.StatementsPerGateway() <= t.Processor; engines++ {
 		largest = engines
