--- a/cmd/fleettest/distribution.go
+++ b/cmd/fleettest/distribution.go
@@ -215,12 +215,12 @@
 		}
 	case "herd":
 		if f != nil {
-			restartMostGateways(f)
+			killAndRestartGateways(f)
 		}
 	}
 }
 
-// replaceEngines replaces 60 % of the engines, one after the other.
+// replaceEngines replaces 60 % of the engines one at a time, at equal intervals.
 func replaceEngines(pool *testfleet.Pool, engines []*emulator.Engine) {
 	for k, e := range engines[:len(engines)*6/10] {
 		time.AfterFunc(time.Duration(k)*replacementPeriod/time.Duration(len(engines)), func() {
@@ -232,8 +232,8 @@
 	}
 }
 
-// restartMostGateways kills 70 % of the gateways at the same time and restarts each after restartDowntime.
-func restartMostGateways(f *testfleet.Fleet) {
+// killAndRestartGateways kills 70 % of the gateways at the same time and restarts each after restartDowntime.
+func killAndRestartGateways(f *testfleet.Fleet) {
 	for i := range f.Size() * 7 / 10 {
 		go func() {
 			_ = f.Kill(i) // if this fails, Start returns an error
--- a/internal/control/loadreport/subset_test.go
+++ b/internal/control/loadreport/subset_test.go
@@ -13,12 +13,12 @@
 	gatewayCount       = 800
 	engineCount        = 1100
 	zoneCount          = 7
-	reportsPerSecond   = 6 // from engines to each gateway
-	datagramsPerSecond = 3 // sent by each gateway
+	reportsPerSecond   = 6 // load reports that each gateway receives from engines
+	datagramsPerSecond = 3 // datagrams that each gateway sends
 	maxMessageBytes    = 200
 	simStep            = 10 * time.Millisecond
 	simDuration        = 8 * time.Second
-	datagramLoss       = 0.02 // share of the datagrams
+	datagramLoss       = 0.02 // probability that a datagram is lost
 )
 
 // simGateway is a gateway of the simulated fleet.
--- a/internal/control/membership/node.go
+++ b/internal/control/membership/node.go
@@ -12,7 +12,7 @@
 // Node runs the membership protocol of one member. It is not safe for concurrent use.
 type Node struct {
 	cfg             Config
-	fleet           uint32 // Config.fleetID
+	fleet           uint32 // result of Config.fleetID
 	rnd             *rand.Rand
 	memberByAddr    map[netip.AddrPort]int // member numbers by address
 	members         []member
--- a/internal/control/rollout/counts.go
+++ b/internal/control/rollout/counts.go
@@ -97,7 +97,7 @@
 
 // CheckResults counts the results of the controller's synthetic checks at a gateway.
 type CheckResults struct {
-	Correct, Incorrect, Unserved int // by result; unserved checks were rejected, failed or timed out
+	Correct, Incorrect, Unserved int // numbers of checks by result; unserved = rejected, failed or timed out
 	InTime, Fast                 int // checks with a result within the class's latency objective, and within a quarter of it
 }
 
--- a/internal/control/rollout/judge.go
+++ b/internal/control/rollout/judge.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	minIncorrectResults  = 2   // incorrect check results that roll a stage back if old gateways have none
-	incorrectResultRatio = 5.0 // ratio of the new gateways' share of incorrect results to the old ones' above which a stage is rolled back
+	minIncorrectResults  = 2   // minimum number of incorrect check results for a rollback; it suffices if the old gateways have none
+	incorrectResultRatio = 5.0 // a stage is rolled back if the new gateways' share of incorrect results exceeds the old ones' by this factor
 )
 
 // Verdict is the result of evaluating a stage. The verdict is inconclusive if neither Regressed nor Conclusive is set.
 type Verdict struct {
 	Regressed  bool   `json:"Worse"`  // the new version has regressed
-	Conclusive bool   `json:"Enough"` // enough data shows that it has not
-	Reason     string `json:"Why"`    // the regression, or why there is no conclusion yet
+	Conclusive bool   `json:"Enough"` // the samples suffice to conclude that the new version has not regressed
+	Reason     string `json:"Why"`    // describes the regression, or why the result is inconclusive so far
 }
 
 // Evaluate compares the new gateways of a stage with the old ones over the same time. The first clientClasses of the classes hold
--- a/internal/control/rollout/machine_test.go
+++ b/internal/control/rollout/machine_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestPauseAndPartitionTolerance checks that a suspended controller, or a temporary partition from a third of the gateways, does not
-// cause a rollback, and that missing reports of the new gateway alone do.
-func TestPauseAndPartitionTolerance(t *testing.T) {
+// TestMissingReportsRollBackOnlyIfNewGatewayAloneIsSilent checks that a suspended controller, or a temporary partition from a third
+// of the gateways, does not cause a rollback, and that missing reports of the new gateway alone do.
+func TestMissingReportsRollBackOnlyIfNewGatewayAloneIsSilent(t *testing.T) {
 	t.Run("pause", func(t *testing.T) {
 		sim := newSimulation(t, 30, 6, "")
 		sim.pausedUntil = simEpoch + 40*time.Second
--- a/internal/control/rollout/observation.go
+++ b/internal/control/rollout/observation.go
@@ -41,7 +41,7 @@
 		observed.endedProcessCounts = addCounts(observed.endedProcessCounts, counts)
 		observed.baseline, observed.baselinePID = nil, r.PID
 	}
-	if observed.baselinePID == 0 && m.state.Phase == Watching { // the first report in this watch
+	if observed.baselinePID == 0 && m.state.Phase == Watching { // first report since the comparison of the stage began
 		observed.baseline, observed.baselinePID = r.Classes, r.PID
 		observed.baselineChecks = slices.Clone(observed.checks)
 	}
--- a/internal/control/rollout/reconcile.go
+++ b/internal/control/rollout/reconcile.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	processVisibilityDelay = 300 * time.Millisecond // after a start, until the new process is sure to be found
-	restartBackoff         = time.Second            // between two starts of the old version if its process exits at once
+	processVisibilityDelay = 300 * time.Millisecond // time after a start within which the new process is certain to be found
+	restartBackoff         = time.Second            // interval between restarts of an old-version process that exits at once
 )
 
 // unavailable returns the number of gateways that the change has taken out of service.
@@ -112,7 +112,7 @@
 func (m *Machine) reconcileStarting(now time.Duration, gateway int) {
 	g, observed := &m.state.Gateways[gateway], &m.observed[gateway]
 	elapsed := now - g.Since
-	maxAbsence := restartBackoff // how long after its start the process may not be found yet
+	maxAbsence := restartBackoff // time after the start for which a process that is not found counts as starting
 	if g.StartedVersion == NewVersion {
 		maxAbsence = processVisibilityDelay
 	}
--- a/internal/control/rollout/sim_test.go
+++ b/internal/control/rollout/sim_test.go
@@ -22,9 +22,9 @@
 	bug             string                                   // bug of the new version; empty = none
 	engineOutage    func(at time.Duration) float64           // share of requests that fail at every gateway because of the engines
 	partitioned     func(gateway int, at time.Duration) bool // reports whether the gateway's report is lost
-	killAt          int                                      // number of the action at which the controller is killed; -1 = never
-	killBefore      bool                                     // the controller is killed before the action is carried out, else after it
-	executedActions int                                      // number of actions so far
+	killAt          int                                      // index of the action at which the controller is killed; -1 = never
+	killBefore      bool                                     // true = the controller is killed before that action is executed; false = after it
+	executedActions int                                      // number of actions executed so far
 	notes           []string
 	maxUnavailable  int
 	affectedAnswers float64       // answers affected by the bug
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -25,7 +25,7 @@
 const (
 	Steady    Step = "steady"    // no operation in progress
 	Stopping  Step = "stopping"  // its process was sent SIGTERM
-	Starting  Step = "starting"  // a process was started and has not yet reported that it serves
+	Starting  Step = "starting"  // its process was started and has not yet reported that it is serving
 	Reloading Step = "reloading" // its process was sent SIGHUP to read new settings
 )
 
--- a/internal/control/subset/config.go
+++ b/internal/control/subset/config.go
@@ -31,8 +31,8 @@
 	Rate       float64       // statements per second of one gateway; 0 = unknown, and then only MinEngines and Coverage apply
 	EngineRate float64       // statements per second that one gateway sends to one engine
 	Coverage   int           // minimum mean number of subsets that contain an engine
-	Linger     time.Duration // how long an engine stays in the subset after it is no longer wanted
-	Regions    [][]int       // zones by region; empty = one region. The zones that are in none form an additional region
+	Linger     time.Duration // how long an engine stays in the subset after it is no longer selected
+	Regions    [][]int       // zones of each region; empty = one region. Zones that are listed in no region form an additional one
 }
 
 // ConfigError reports an invalid key of a Config, or an invalid argument of New.
@@ -42,6 +42,7 @@
 	Reason string // names the bound that the value violates
 }
 
+// Error returns the key, its value and the bound that the value violates.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("subset: %s = %v: %s", e.Key, e.Value, e.Reason)
 }
--- a/internal/control/subset/fleet.go
+++ b/internal/control/subset/fleet.go
@@ -9,8 +9,8 @@
 // Limits of the load on a zone's engines, as multiples of the fleet's mean. The engines of a ring do not get exactly equal
 // load, but with these limits no engine gets more than twice the mean.
 const (
-	maxConfiguredLoad = 1.15 // computed from the configured gateways, so that a failed gateway does not change it
-	maxLiveLoad       = 1.5  // computed from the gateways in service; applies if most gateways of other zones have failed
+	maxConfiguredLoad = 1.15 // limit of the load computed for the configured gateways, so that a failed gateway does not change it
+	maxLiveLoad       = 1.5  // limit of the load computed for the gateways in service; applies if most gateways of other zones have failed
 )
 
 // fleet contains all engines and gateways that a gateway knows, and their distribution over zones and regions.
--- a/internal/control/subset/fleet_test.go
+++ b/internal/control/subset/fleet_test.go
@@ -156,7 +156,7 @@
 	halfSubset := newFleetModel(800, 1100, contiguous).chooser(400).IDs()[:41]
 	cases := []struct {
 		name      string
-		loadLimit float64 // times the mean
+		loadLimit float64 // maximum load of an engine, as a multiple of the mean
 		fault     func(i int, e *Engine)
 	}{
 		{"no fault", 1.25, func(int, *Engine) {}},
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -46,12 +46,12 @@
 	counts        Counts
 	countsByClass []ClassCounts
 
-	loadReports   *loadreport.Digest // exchanged with the other gateways; nil = off
-	queueLoggedAt time.Duration      // time of the last debug records of queued requests
+	loadReports   *loadreport.Digest // load reports exchanged with the other gateways; nil = not exchanged
+	queueLoggedAt time.Duration      // when the queued requests were last logged at debug level
 
 	subset            *engineSubset            // nil = all engines are used
-	inFlightByEngine  map[policy.EngineID]int  // attempts that have not ended
-	gatewaysInService int                      // number that SetGatewaysInService set last
+	inFlightByEngine  map[policy.EngineID]int  // number of attempts in flight at each engine
+	gatewaysInService int                      // last value set by SetGatewaysInService; initially the configured number
 	lastInService     policy.GatewaysInService // the last GatewaysInService event sent to the module
 }
 
--- a/internal/core/engines.go
+++ b/internal/core/engines.go
@@ -14,8 +14,8 @@
 	Name      string // name in the list, which stays the same when the engine restarts
 	Addr      string
 	Health    policy.Health
-	updatedAt time.Duration     // when a list last contained the engine
-	info      policy.EngineInfo // last list entry; its health may be outdated
+	updatedAt time.Duration     // when an engine list last contained the engine
+	info      policy.EngineInfo // the engine's latest list entry; its health may be outdated
 }
 
 // currentInfo returns the engine's last list entry with its current health.
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -44,7 +44,7 @@
 	if chooser == nil {
 		return c.disableSubset(now)
 	}
-	if c.subset == nil { // until now the module has all engines
+	if c.subset == nil { // so far the module has been given all engines
 		c.subset = &engineSubset{coversAll: true}
 		c.markAllSent()
 	}
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -24,7 +24,7 @@
 	host              settings.Host
 	extensions        []membership.Extension
 	extensionInterval time.Duration    // time between two datagrams that only carry extension messages; 0 = none are sent
-	weights           func() []float64 // weight of each member as a receiver of these datagrams; nil = equal weights
+	weights           func() []float64 // weight of each member as a receiver of extension datagrams; nil = equal weights
 	listener          datagram.MembershipListener
 }
 
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -40,7 +40,7 @@
 }
 
 // Commands are parsed independently of how the input is split, and a query starts only after the previous one has ended.
-func TestServerConnWithSplitInput(t *testing.T) {
+func TestServerConnParsesSplitInput(t *testing.T) {
 	input := slices.Concat(loginBytes(t), commandPacket(comPing), commandPacket(comStmtPrepare, []byte("SELECT ?, '?'")),
 		commandPacket(comStmtExecute, []byte{1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0, 1, 'x'}), commandPacket(comQuery, []byte("SELECT 1")))
 	rapid.Check(t, func(rt *rapid.T) {
@@ -174,7 +174,7 @@
 }
 
 // A result is relayed unchanged, independently of how the input is split.
-func TestResultWithSplitInput(t *testing.T) {
+func TestSplitResultIsRelayedUnchanged(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		full := rapid.SampledFrom([][]byte{rows(), rows("a", "bc"), rows(strings.Repeat("x", 200)), okPacket(1),
 			errPacket(1, 1064, "x")}).Draw(rt, "response")
--- a/internal/protocol/mysql/server_conn.go
+++ b/internal/protocol/mysql/server_conn.go
@@ -19,7 +19,7 @@
 	Account        *Account
 	Schema         string     // the client's current schema; may be empty
 	Text           string     // statement text, prepared or not
-	IdempotencyKey string     // as the client wrote it, a quoted SQL literal; may be empty
+	IdempotencyKey string     // quoted SQL literal as sent by the client; may be empty
 	Execution      *Execution // nil for COM_QUERY
 }
 
--- a/internal/protocol/mysql/server_conn_commands.go
+++ b/internal/protocol/mysql/server_conn_commands.go
@@ -27,9 +27,9 @@
 	case comStmtExecute:
 		c.handleExecute(arguments)
 	case comStmtSendLongData:
-		c.handleLongData(arguments) // has no response
+		c.handleLongData(arguments) // the command has no response
 	case comStmtClose:
-		delete(c.statements, arguments.uint32()) // has no response
+		delete(c.statements, arguments.uint32()) // the command has no response
 	case comStmtReset:
 		c.handleReset(arguments)
 	default:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,8 +18,8 @@
 	ConnectTimeout  time.Duration
 	MaxPending      int           // maximum number of pending requests; 0 = no limit
 	MaxRetryAfter   time.Duration // maximum Retry-After of a rejection
-	MachineTypes    []string      // names, by index into policy.Settings.MachineTypes
-	Zones           []string      // names, by zone number
+	MachineTypes    []string      // names of machine types, in the order of policy.Settings.MachineTypes
+	Zones           []string      // zone names, indexed by zone number
 	PeerMessages    bool          // gateways may send datagrams to each other
 }
 
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -43,7 +43,7 @@
 	request Request
 	outcome *Outcome
 	timer   *time.Timer
-	ping    bool // a health check
+	ping    bool // the request is a health check
 	retried bool // sent a second time, because the connection closed immediately after the first
 	sent    time.Duration
 }
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -24,7 +24,7 @@
 	cmd     *exec.Cmd
 	in      *os.File
 	out     *os.File
-	mu      sync.Mutex // held during an exchange
+	mu      sync.Mutex // held from sending a command until its reply is read
 	replies *json.Decoder
 	ended   chan struct{} // closed when the process has exited
 }
--- a/internal/testbed/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -64,7 +64,7 @@
 	QuietStep          time.Duration // length of StepQuiet and StepLoaded
 	MinPartition       time.Duration // minimum length of the partition between regions
 	RestartPeriod      time.Duration // period over which the restarts are spread
-	Settle             time.Duration // time after convergence that still belongs to the measurement of a step
+	Settle             time.Duration // time after convergence that is included in the measurement of a step
 	ConvergenceTimeout time.Duration // timeout of each wait for the fleet to converge; the step then fails
 }
 
--- a/internal/testbed/scale/runner/runner.go
+++ b/internal/testbed/scale/runner/runner.go
@@ -128,7 +128,7 @@
 func (r *Runner) startProcess(command []string, logName string) (*hollow.Process, error) {
 	log, err := os.Create(filepath.Join(r.options.Dir, logName))
 	if err != nil {
-		return nil, fmt.Errorf("log: %w", err)
+		return nil, fmt.Errorf("create log file of hollow process: %w", err)
 	}
 	r.logs = append(r.logs, log)
 	return hollow.StartProcess(command, r.options.Environment, log)
--- a/internal/testbed/scale/runner/sampler.go
+++ b/internal/testbed/scale/runner/sampler.go
@@ -23,8 +23,8 @@
 	fleet      *testfleet.Fleet
 	start      time.Time
 	mu         sync.Mutex
-	pids       []int     // process of each gateway at the last reading
-	ticks      []float64 // processor time of that process at the last reading
+	pids       []int     // process ID of each gateway at the last reading
+	ticks      []float64 // processor time of each of these processes at the last reading, in clock ticks
 	cpuSeconds []float64 // processor time of each gateway, over all processes that it has had
 	readings   []reading
 	closing    chan struct{}
--- a/internal/testbed/scale/sizes.go
+++ b/internal/testbed/scale/sizes.go
@@ -22,7 +22,7 @@
 
 // Machine describes the machine of a run.
 type Machine struct {
-	MemoryBytes uint64 // total memory
+	MemoryBytes uint64 // total physical memory
 	Descriptors uint64 // limit on the file descriptors of a process
 }
 
@@ -39,17 +39,17 @@
 
 // Resources that a run requires, rounded up from measurements. Memory is in bytes.
 const (
-	gatewayBytes                = 96 << 20  // a gateway process with 1,100 engines and 800 members
-	hollowProcessBytes          = 24 << 20  // a process of hollow gateways or engines, without them
-	hollowGatewayBytes          = 512 << 10 // a hollow gateway without its tables
-	hollowBytesPerMember        = 400       // a member in the tables of a hollow gateway
-	hollowBytesPerEngine        = 400       // an engine in the tables of a hollow gateway
-	engineBytes                 = 16 << 10  // a hollow engine
-	connectionBytes             = 24 << 10  // a connection at a hollow engine or a client
-	relayBytesPerMember         = 16 << 10  // a member's relay socket and its watch of the discovery server
-	watchBytesPerEngine         = 512       // an event in the send queue of a watch
-	connectionsPerGateway       = 1.25      // a gateway's connections to an engine, including those reserved for urgent queries
-	otherDescriptors            = 64        // files, pipes and descriptors of the Go runtime
+	gatewayBytes                = 96 << 20  // memory of a gateway process with 1,100 engines and 800 members
+	hollowProcessBytes          = 24 << 20  // memory of a process of hollow gateways or engines, without these themselves
+	hollowGatewayBytes          = 512 << 10 // memory of a hollow gateway without its tables
+	hollowBytesPerMember        = 400       // memory for each member in a hollow gateway's tables
+	hollowBytesPerEngine        = 400       // memory for each engine in a hollow gateway's tables
+	engineBytes                 = 16 << 10  // memory of a hollow engine
+	connectionBytes             = 24 << 10  // memory of a connection at a hollow engine or a client
+	relayBytesPerMember         = 16 << 10  // memory of a member's relay socket and of its watch connection to the discovery server
+	watchBytesPerEngine         = 512       // memory of an event in the send queue of a watch connection
+	connectionsPerGateway       = 1.25      // connections of each gateway to an engine, including those reserved for urgent queries
+	otherDescriptors            = 64        // descriptors of files, pipes and the Go runtime
 	descriptorsPerMember        = 2         // relay socket and watch connection in the tool
 	pipesPerProcess             = 4
 	descriptorsPerHollowGateway = 3 // socket, watch connection, and a connection attempt
--- a/internal/testbed/simproto/actions.go
+++ b/internal/testbed/simproto/actions.go
@@ -28,7 +28,7 @@
 	Instance uint32
 	Request  uint32
 	Engine   EngineID
-	Timeout  uint64 // ns
+	Timeout  uint64 // in nanoseconds
 }
 
 func (*SendAttempt) code() uint8 { return codeSendAttempt }
@@ -86,7 +86,7 @@
 // SetTimer requests a TimerFired event after a delay.
 type SetTimer struct {
 	Instance uint32
-	After    uint64 // ns
+	After    uint64 // delay in nanoseconds
 	Token    uint64 // returned in TimerFired
 }
 
--- a/internal/testbed/simproto/events.go
+++ b/internal/testbed/simproto/events.go
@@ -31,7 +31,7 @@
 // EngineList defines or replaces a numbered list of engines. It is shared by all instances; EngineListChanged refers to
 // it by its number.
 type EngineList struct {
-	Number  uint16 // the receiver checks its range
+	Number  uint16 // number of the list; its range is checked by the receiver
 	Entries []EngineEntry
 }
 
@@ -67,7 +67,7 @@
 type ResponseStarted struct {
 	Instance uint32
 	Request  uint32
-	Elapsed  uint64 // ns
+	Elapsed  uint64 // in nanoseconds
 	Engine   EngineID
 	Attempt  uint16
 }
@@ -131,7 +131,7 @@
 	Instance uint32
 	Engine   EngineID
 	Outcome  uint16 // outcome code
-	Duration uint64 // ns
+	Duration uint64 // in nanoseconds
 	Report   LoadReport
 }
 
@@ -208,7 +208,7 @@
 	Attempt  uint16
 	Engine   EngineID
 	Outcome  uint16 // outcome code
-	Duration uint64 // ns
+	Duration uint64 // in nanoseconds
 	Terminal uint8  // 1 = the request has ended
 	Usage    uint32 // work and memory that the attempt used, packed into one integer; 0 = not reported
 	Report   LoadReport
--- a/internal/testbed/simproto/frame_test.go
+++ b/internal/testbed/simproto/frame_test.go
@@ -144,9 +144,9 @@
 		return b
 	}
 	beyondTail := AppendBatch(nil, Batch{1, []Record{&StartInstance{1, 2, []byte("{}")}}})
-	beyondTail[16+13] = 200 // offset of the settings; the tail holds 2 bytes
+	beyondTail[16+13] = 200 // offset of the settings, beyond the 2 bytes of the tail
 	extraEntries := AppendBatch(nil, Batch{1, []Record{&EngineList{Entries: []EngineEntry{{}}}}})
-	extraEntries[16+7] = 2 // the tail holds one entry of 24 bytes
+	extraEntries[16+7] = 2 // number of entries; the tail holds only one, of 24 bytes
 	badHealth := AppendBatch(nil, Batch{1, []Record{&EngineList{Entries: []EngineEntry{{Health: 3}}}}})
 	fiveValues := AppendBatch(nil, Batch{1, []Record{&AttemptEnded{}}})
 	fiveValues[16+32] = 5
--- a/internal/testbed/soak/request.go
+++ b/internal/testbed/soak/request.go
@@ -19,7 +19,7 @@
 	RacedClose                // sent while the gateway closed the connection, and received by no engine: the client retries on another gateway
 	CutByKill                 // unanswered at SIGKILL, and sent too late for an answer to be required
 	Lost                      // the connection was closed without an answer
-	LostAtKill                // unanswered at SIGKILL although it was sent early enough
+	LostAtKill                // unanswered at SIGKILL although it was sent early enough to be answered
 	Late                      // answered more than answerSlack after its deadline
 	Corrupted                 // answered with a wrong result or an unreadable answer
 	numOutcomes
--- a/internal/testbed/soak/scenario.go
+++ b/internal/testbed/soak/scenario.go
@@ -32,8 +32,8 @@
 	maxSignals          = 3
 	maxSignalDelay      = 900 * time.Millisecond // from SIGTERM to a further signal
 	minDeadline         = 800 * time.Millisecond
-	shortDeadlineOneIn  = 4 // one seed in 4 has a deadline under maxStopDeadline
-	mysqlOneIn          = 2 // one seed in 2 has MySQL clients in addition to JSON-RPC clients
+	shortDeadlineOneIn  = 4 // one scenario in 4 has a deadline under maxStopDeadline
+	mysqlOneIn          = 2 // one scenario in 2 has MySQL clients in addition to JSON-RPC clients
 	maxMySQLClients     = 12
 )
 
@@ -73,10 +73,10 @@
 	Seed             uint64
 	Clients          int           // number of JSON-RPC clients over all gateways
 	MySQLClients     int           // number of MySQL clients over all gateways
-	Deadline         time.Duration // upper bound of the requests' time budgets; the budget of MySQL queries
-	Stops            []Stop        // by gateway index
+	Deadline         time.Duration // maximum time budget of JSON-RPC requests, and the time budget of all MySQL queries
+	Stops            []Stop        // planned shutdowns, by gateway index
 	Disturbance      Disturbance
-	DisturbanceDelay time.Duration // from the start of the clients
+	DisturbanceDelay time.Duration // time from the start of the clients until the fault is injected
 }
 
 // NewScenario generates the scenario of a seed with the given number of gateways.
--- a/internal/testbed/testfleet/reportproxy.go
+++ b/internal/testbed/testfleet/reportproxy.go
@@ -17,7 +17,7 @@
 	gateways   int
 	classes    int
 	mu         sync.Mutex
-	controller *net.UDPAddr // nil = not known yet
+	controller *net.UDPAddr // the controller's address; nil = not known yet
 	dropped    map[int]bool // gateways whose reports are dropped
 	reported   map[int]bool // gateways that have reported
 }
--- a/internal/transport/dispatcher/attempt.go
+++ b/internal/transport/dispatcher/attempt.go
@@ -31,7 +31,7 @@
 	id        attempt.Channel
 	conn      *enginepool.Conn
 	cancelGet func() // cancels the pending request; nil if there is none
-	closed    bool   // no longer used by the attempt
+	closed    bool   // the attempt no longer uses the channel
 }
 
 // StartAttempt starts an attempt on the engine at addr and executes the machine's first steps. relay is called with the parts of the
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -31,8 +31,8 @@
 type phase uint8
 
 const (
-	connOpen      phase = iota // both directions are in use
-	connFlushing               // queued bytes are still written; received bytes are discarded
+	connOpen      phase = iota // bytes are received and sent
+	connFlushing               // the remaining queued bytes are sent; received bytes are discarded
 	connLingering              // half-closed: received bytes are discarded until the peer closes its side
 	connClosed
 )
--- a/policy/engines.go
+++ b/policy/engines.go
@@ -56,7 +56,7 @@
 // rateLimit is the adaptive rate limit of one class at an engine that rejects the class although it has capacity.
 type rateLimit struct {
 	perSecond   float64       // queries per second; 0 = no limit
-	decreasedAt time.Duration // time of the latest decrease
+	decreasedAt time.Duration // when the limit was last decreased
 	nextSendAt  time.Duration
 }
 
--- a/policy/explain.go
+++ b/policy/explain.go
@@ -29,8 +29,8 @@
 	Engine      EngineID
 	OwnThreads  float64       // threads of this gateway's attempts in flight
 	PeerThreads float64       // estimated threads of other gateways
-	Limit       float64       // threads that this gateway may use
-	Target      float64       // threads that all gateways together should use
+	Limit       float64       // threads that this gateway may use on the engine
+	Target      float64       // threads that all gateways together should use on the engine
 	ReportAge   time.Duration // age of the latest load report; -1 = none
 	Guard       Guard         // condition that blocks the request; set only by Explain
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -20,9 +20,9 @@
 
 // Values of DedupScope.
 const (
-	DedupAll  DedupScope = iota // all engines
-	DedupZone                   // the engines of one zone
-	DedupCell                   // the engines of one cell of a zone
+	DedupAll  DedupScope = iota // deduplicated by all engines together
+	DedupZone                   // deduplicated by the engines of one zone together
+	DedupCell                   // deduplicated by the engines of one cell of a zone together
 )
 
 // Class describes a class of queries.
@@ -41,10 +41,10 @@
 	Threads              int           // threads that a query uses
 	IsDataLoad           bool          // loads data; blocks WaitsForDataLoads queries of its table group on the engine
 	WaitsForDataLoads    bool          // blocks while a data load of its table group runs on the engine
-	RestrictZones        bool          // Zones applies
-	Zones                []int         // allowed zones
-	RestrictMachineTypes bool          // MachineTypes applies
-	MachineTypes         []int         // allowed machine types, as indexes into Settings.MachineTypes
+	RestrictZones        bool          // only engines in Zones may run the query
+	Zones                []int         // zone numbers; ignored unless RestrictZones is set
+	RestrictMachineTypes bool          // only engines on MachineTypes may run the query
+	MachineTypes         []int         // indexes into Settings.MachineTypes; ignored unless RestrictMachineTypes is set
 }
 
 // MachineType describes a type of machine that runs engines.
